--- a/benchwire/benchwire.go
+++ b/benchwire/benchwire.go
@@ -12,6 +12,7 @@
 	"strconv"
 	"strings"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/settings"
 )
@@ -36,7 +37,7 @@
 
 // Batch is what happened at one clock time.
 type Batch struct {
-	Now    routing.Micros
+	Now    clock.Time
 	Seq    string
 	Inputs []Input
 }
@@ -113,7 +114,7 @@
 	return x
 }
 
-func (f *fields) seconds(field string) routing.Micros {
+func (f *fields) seconds(field string) clock.Time {
 	return settings.Micros(f.number(field))
 }
 
@@ -385,6 +386,6 @@
 	return err
 }
 
-func span(t routing.Micros) string {
+func span(t clock.Time) string {
 	return fmt.Sprintf("%d.%06d", t/1e6, t%1e6)
 }
--- a/cmd/spurctl/fleet.go
+++ b/cmd/spurctl/fleet.go
@@ -15,6 +15,7 @@
 
 	"github.com/spf13/cobra"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/hierarchy"
 	"spurtrestle/core/membership"
 )
@@ -123,7 +124,7 @@
 	return nil
 }
 
-func spanOf(m membership.Micros) string {
+func spanOf(m clock.Time) string {
 	d := time.Duration(m) * time.Microsecond
 	if d > 10*time.Second {
 		return d.Round(time.Second).String()
--- a/cmd/spurctl/fleettiers.go
+++ b/cmd/spurctl/fleettiers.go
@@ -5,8 +5,8 @@
 	"io"
 	"text/tabwriter"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/hierarchy"
-	"spurtrestle/core/membership"
 )
 
 // sameViews tells whether two routers hold the same, as far as both know it: the routers of a site, the sites of a region, the
@@ -51,7 +51,7 @@
 	}{{"site", s.Sites}, {"region", s.Regions}} {
 		for _, g := range x.groups {
 			fmt.Fprintf(t, "%s %s\t%v\t%s\t%d of %d\t%d\t%d-%d\t%s ago\n", x.kind, g.Name, g.State, sitesOf(g), g.Alive, g.Of, g.Takes, g.Least, g.Most,
-				spanOf(membership.Micros(g.Age)))
+				spanOf(clock.Time(g.Age)))
 		}
 	}
 	return t.Flush()
--- a/cmd/spurctl/state.go
+++ b/cmd/spurctl/state.go
@@ -11,6 +11,7 @@
 
 	"github.com/spf13/cobra"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/core/staleness"
 	"spurtrestle/internal/snapshot"
@@ -85,25 +86,25 @@
 	Servers  []shownServer      `json:"servers"`
 }
 
-func ms(t routing.Micros) float64 { return float64(t) / 1e3 }
+func ms(t clock.Time) float64 { return float64(t) / 1e3 }
 
-func since(now, at routing.Micros) string {
+func since(now, at clock.Time) string {
 	if at > now {
 		return "in the future"
 	}
 	return (time.Duration(now-at) * time.Microsecond).Round(time.Second).String()
 }
 
-func stamp(at routing.Micros) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
+func stamp(at clock.Time) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
 
 // explain tells what a state holds, and what of it would be restored at a time.
-func explain(s snapshot.State, file string, now routing.Micros) shown {
+func explain(s snapshot.State, file string, now clock.Time) shown {
 	k := s.Knowledge
 	age := staleness.Age(now, k.At)
 	out := shown{File: file, Version: s.Version, Router: s.Router, Written: stamp(k.At), Age: since(now, k.At), SeenMs: ms(k.Seen.Time),
 		QuickMs: ms(k.Seen.Best), Traffic: k.Traffic, Budget: k.Retries, HotKeys: len(k.Keys), Methods: map[string]float64{},
 		Servers: []shownServer{}, Weights: map[string]float64{}}
-	for name, half := range map[string]routing.Micros{"times": staleness.Times, "quickest": staleness.Quick, "rates": staleness.Rates,
+	for name, half := range map[string]clock.Time{"times": staleness.Times, "quickest": staleness.Quick, "rates": staleness.Rates,
 		"health": staleness.Health, "hot keys": staleness.HotKeys, "retry budget": staleness.Budget} {
 		out.Weights[name] = math.Round(1000*staleness.Weight(age, half)) / 1000
 	}
@@ -153,7 +154,7 @@
 			for _, p := range passed {
 				a.log.WithError(p).Warn("passed over")
 			}
-			x := explain(s, from, routing.Micros(now.UnixMicro()))
+			x := explain(s, from, clock.Time(now.UnixMicro()))
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), x)
 			}
--- a/cmd/spurtrestle-grpc/main.go
+++ b/cmd/spurtrestle-grpc/main.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"spurtrestle/core/routing"
+	"spurtrestle/core/clock"
 	"spurtrestle/internal/config"
 	"spurtrestle/internal/controlplane"
 	"spurtrestle/internal/gossip"
@@ -33,7 +33,7 @@
 		}
 	}()
 	log.WithField("listen", g.Listen).Info("taking gRPC clients, in clear text")
-	longest := routing.Micros(0)
+	longest := clock.Time(0)
 	for _, m := range cfg.Settings.Methods {
 		longest = max(longest, m.Deadline)
 	}
--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -2,25 +2,27 @@
 
 import (
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 // Faults of all kinds, one after the other and at once; after the last all agree within a stated time, and nobody alive has
 // counted as gone.
 func TestRandomFaults(t *testing.T) {
-	const agreeWithin = 20 * second
+	const agreeWithin = 20 * clock.Second
 	for seed := range uint64(8) {
 		w := newWorld(t, 100+seed, 5, 2, 6)
-		w.startAll(second)
-		w.until("settled", 20*second, w.settled)
+		w.startAll(clock.Second)
+		w.until("settled", 20*clock.Second, w.settled)
 		for range 12 {
 			w.strike()
-			w.run(Micros(w.rng.IntN(20)) * second)
+			w.run(clock.Time(w.rng.IntN(20)) * clock.Second)
 		}
 		w.heal()
 		took := w.until("agreed after the last fault", agreeWithin, w.agreed)
 		t.Logf("seed %d: agreed %.1f s after the last fault", seed, float64(took)/1e6)
 		w.until("settled", agreeWithin, w.settled)
-		w.verdict(20 * second)
+		w.verdict(20 * clock.Second)
 	}
 }
 
@@ -29,7 +31,7 @@
 	s := w.sites[w.rng.IntN(len(w.sites))]
 	switch w.rng.IntN(8) {
 	case 0:
-		w.lose, w.double, w.delay = 0.3, 0.2, 2*second
+		w.lose, w.double, w.delay = 0.3, 0.2, 2*clock.Second
 	case 1:
 		w.cut = func(from, to *node) bool { return (from.site.region == s.region) != (to.site.region == s.region) }
 	case 2: // nothing comes in, all goes out
@@ -43,9 +45,9 @@
 		w.killWhere(s, func(n *node) bool { return n.index < 4 })
 	case 6: // all of the site, whose clocks are an hour back afterwards
 		w.killWhere(s, func(*node) bool { return true })
-		w.run(5 * second)
+		w.run(5 * clock.Second)
 		for _, n := range s.nodes {
-			n.skew = -3600 * second
+			n.skew = -3600 * clock.Second
 			w.start(n)
 		}
 	case 7:
@@ -88,8 +90,8 @@
 // counts, and is one with them again soon after.
 func TestRegionCutForAnHour(t *testing.T) {
 	w := newWorld(t, 1, 6, 3, 4)
-	w.startAll(second)
-	w.until("settled", 20*second, w.settled)
+	w.startAll(clock.Second)
+	w.until("settled", 20*clock.Second, w.settled)
 	cut := w.sites[0].region
 	w.cut = func(from, to *node) bool { return (from.site.region == cut) != (to.site.region == cut) }
 	here, there := w.sites[0].nodes[3], w.sites[1].nodes[3]
@@ -98,9 +100,9 @@
 			return stateOf(here, Regions, there.site.region) == s && stateOf(there, Regions, cut) == s
 		}
 	}
-	t.Logf("stale after %.0f s", float64(w.until("stale", w.rules.Stale+40*second, both(Stale)))/1e6)
+	t.Logf("stale after %.0f s", float64(w.until("stale", w.rules.Stale+40*clock.Second, both(Stale)))/1e6)
 	w.until("lost", w.rules.Lost, both(Lost))
-	w.run(3600 * second)
+	w.run(3600 * clock.Second)
 	if s := here.h.tables[Regions].entries[keyOf(there.site.region)]; s == nil || s.Counts.Alive != 8 {
 		t.Errorf("the last counts of the other region are not kept: %+v", s)
 	}
@@ -109,20 +111,20 @@
 	}
 	w.falselyLost = 0
 	w.kill(w.sites[1].nodes[0])
-	w.run(20 * second)
+	w.run(20 * clock.Second)
 	w.cut = func(_, _ *node) bool { return false }
-	t.Logf("one again %.1f s after the cut", float64(w.until("agreed after the cut", 15*second, w.agreed))/1e6)
-	w.until("fresh", 20*second, both(Fresh))
+	t.Logf("one again %.1f s after the cut", float64(w.until("agreed after the cut", 15*clock.Second, w.agreed))/1e6)
+	w.until("fresh", 20*clock.Second, both(Fresh))
 }
 
 // A site that vanishes is stale, then lost, and its routers no longer count in its region.
 func TestSiteVanishes(t *testing.T) {
 	w := newWorld(t, 2, 6, 2, 4)
-	w.startAll(second)
-	w.until("settled", 20*second, w.settled)
+	w.startAll(clock.Second)
+	w.until("settled", 20*clock.Second, w.settled)
 	gone, other := w.sites[0], w.sites[1].nodes[2]
 	w.killWhere(gone, func(*node) bool { return true })
-	took := w.until("counted without the site", w.rules.Lost+40*second, func() bool {
+	took := w.until("counted without the site", w.rules.Lost+40*clock.Second, func() bool {
 		e := other.h.tables[Regions].entries[keyOf(gone.region)]
 		return e.Counts.Alive == 8 && e.Gone == 1
 	})
@@ -133,25 +135,25 @@
 	for _, n := range gone.nodes {
 		w.start(n)
 	}
-	w.until("agreed after the site is back", 20*second, w.agreed)
-	w.verdict(10 * second)
+	w.until("agreed after the site is back", 20*clock.Second, w.agreed)
+	w.verdict(10 * clock.Second)
 }
 
 // All candidates of a site die at once; the next by age take over once the membership has found that.
 func TestAllCandidatesDie(t *testing.T) {
 	w := newWorld(t, 3, 5, 2, 18)
-	w.startAll(second)
-	w.until("settled", 20*second, w.settled)
+	w.startAll(clock.Second)
+	w.until("settled", 20*clock.Second, w.settled)
 	for _, n := range w.living(func(n *node) bool {
 		return n.site == w.sites[0] && n.h.Role().Rank < w.rules.Representatives+w.rules.Standbys
 	}) {
 		w.kill(n)
 	}
-	w.until("represented again", w.most+second, func() bool {
+	w.until("represented again", w.most+clock.Second, func() bool {
 		return len(w.living(func(n *node) bool { return n.site == w.sites[0] && represents(n) })) > 0
 	})
-	w.until("agreed", 15*second, w.agreed)
-	w.verdict(10 * second)
+	w.until("agreed", 15*clock.Second, w.agreed)
+	w.verdict(10 * clock.Second)
 }
 
 // Two halves of a fleet that have never heard of each other become one by an address to begin with.
@@ -159,18 +161,18 @@
 	w := newWorld(t, 4, 4, 2, 3)
 	half := func(n *node) bool { return n.site.region == w.sites[0].region }
 	w.cut = func(from, to *node) bool { return half(from) != half(to) }
-	w.startAll(second)
-	w.run(60 * second)
+	w.startAll(clock.Second)
+	w.run(60 * clock.Second)
 	w.cut = func(_, _ *node) bool { return false }
-	took := w.until("one", w.rules.CallCalm+20*second, w.agreed)
+	took := w.until("one", w.rules.CallCalm+20*clock.Second, w.agreed)
 	t.Logf("one after %.1f s", float64(took)/1e6)
 }
 
 // What is held and sent stays bounded whatever comes in.
 func TestBoundedByWhatComesIn(t *testing.T) {
 	w := newWorld(t, 5, 2, 1, 3)
-	w.startAll(second)
-	w.run(5 * second)
+	w.startAll(clock.Second)
+	w.run(5 * clock.Second)
 	n, other := w.nodes[0], w.nodes[4]
 	for i := range uint64(100000) {
 		e := &entry{Summary: Summary{Name: hex(i), Version: 1 << 40}, Beat: Beat{Count: n.h.wall()}}
@@ -193,8 +195,8 @@
 // A datagram of another fleet, or one that is not whole, is not taken.
 func TestOthersAreNotTaken(t *testing.T) {
 	w := newWorld(t, 6, 2, 1, 2)
-	w.startAll(second)
-	w.until("settled", 20*second, w.settled)
+	w.startAll(clock.Second)
+	w.until("settled", 20*clock.Second, w.settled)
 	n := w.nodes[0]
 	before, _ := n.h.Digests()
 	stranger := New(w.now, w.rules, Config{Fleet: "other", Region: n.site.region, Site: "x", Addr: w.nodes[1].addr})
@@ -215,8 +217,8 @@
 
 func FuzzDecode(f *testing.F) {
 	w := newWorld(f, 7, 3, 2, 2)
-	w.startAll(second)
-	w.run(10 * second)
+	w.startAll(clock.Second)
+	w.run(10 * clock.Second)
 	h := w.nodes[0].h
 	h.tables[Sites].entries[keyOf(w.sites[0].name)].Most = 9
 	for _, body := range [][]byte{h.header(kindPing), h.hello(withinArea, h.everything()), h.digests(Sites)[0], h.want(Regions, []key{1, 2}),
@@ -247,18 +249,18 @@
 		change func(*Rules)
 		seen   func(*world) bool
 	}{
-		"a site given up too soon":      {func(r *Rules) { r.Lost = second }, func(w *world) bool { return w.falselyLost > 0 }},
-		"too many representatives":      {func(r *Rules) { r.Silence = second / 10 }, func(w *world) bool { return w.longestOver > 5*second }},
-		"no representative":             {func(r *Rules) { r.Listen = 3600 * second }, func(w *world) bool { return len(w.living(represents)) == 0 }},
+		"a site given up too soon":      {func(r *Rules) { r.Lost = clock.Second }, func(w *world) bool { return w.falselyLost > 0 }},
+		"too many representatives":      {func(r *Rules) { r.Silence = clock.Second / 10 }, func(w *world) bool { return w.longestOver > 5*clock.Second }},
+		"no representative":             {func(r *Rules) { r.Listen = 3600 * clock.Second }, func(w *world) bool { return len(w.living(represents)) == 0 }},
 		"nobody tells what has changed": {func(r *Rules) { r.Fanout, r.Partners = 0, 0 }, func(w *world) bool { return !w.agreed() }},
 		"a change that is not known":    {func(r *Rules) { r.Fanout, r.Partners = 0, 0 }, func(w *world) bool { return !w.known(1) }},
 	} {
 		w := newWorld(t, 8, 5, 2, 6)
 		x.change(&w.rules)
-		w.startAll(second)
-		w.run(10 * second)
+		w.startAll(clock.Second)
+		w.run(10 * clock.Second)
 		w.hold(w.nodes[3], 1)
-		w.run(20 * second)
+		w.run(20 * clock.Second)
 		if !x.seen(w) {
 			t.Errorf("the checker does not see %s", what)
 		}
--- a/core/hierarchy/hierarchy.go
+++ b/core/hierarchy/hierarchy.go
@@ -13,12 +13,9 @@
 import (
 	"math/rand/v2"
 	"net/netip"
-)
-
-// Micros is a time or a span in whole microseconds.
-type Micros int64
 
-const second Micros = 1e6
+	"spurtrestle/core/clock"
+)
 
 // Rules are the bounds and spans of a hierarchy.
 type Rules struct {
@@ -26,38 +23,38 @@
 	Standbys        int // ranks below the representatives that take over after silence alone
 	SitesInFront    int // sites of a region whose representatives speak for the region
 
-	Silence     Micros // after which a candidate that was not heard counts as asleep
-	Listen      Micros // after a start, before the router represents its site
-	ListenArea  Micros // the same, its region
-	PublishSite Micros // at least, between two versions of a site's summary that a router writes
-	PublishArea Micros // the same, of a region's
-	TakeOver    Micros // a difference that lasts this long for each rank is published by the next in rank
-	BeatSite    Micros // between two signs of life of a site
-	BeatArea    Micros // the same, of a region
-
-	Ping      Micros // between two signs of a representative to the standbys
-	Push      Micros // at least, between two pushes
-	Exchange  Micros // between two exchanges of digests, of each kind
-	Call      Micros // between two calls to addresses that do not answer, while nobody else is known
-	CallFirst Micros // after a start, for which addresses are called as often as while nobody is known, and exchanges are twice as often
-	CallLost  Micros // the same, while others are known and some are missed
-	CallCalm  Micros // the same, while none is missed
-	Fanout    int    // routers that news is pushed to, on each kind of link
-	Partners  int    // routers of an exchange, on each kind of link
-
-	Stale  Micros // without a sign of life, after which a summary is shown as stale
-	Lost   Micros // the same, after which its routers count as gone
-	Forget Micros // the same, after which it is dropped
-	Calm   Micros // without a difference, after which this router is settled
+	Silence     clock.Time // after which a candidate that was not heard counts as asleep
+	Listen      clock.Time // after a start, before the router represents its site
+	ListenArea  clock.Time // the same, its region
+	PublishSite clock.Time // at least, between two versions of a site's summary that a router writes
+	PublishArea clock.Time // the same, of a region's
+	TakeOver    clock.Time // a difference that lasts this long for each rank is published by the next in rank
+	BeatSite    clock.Time // between two signs of life of a site
+	BeatArea    clock.Time // the same, of a region
+
+	Ping      clock.Time // between two signs of a representative to the standbys
+	Push      clock.Time // at least, between two pushes
+	Exchange  clock.Time // between two exchanges of digests, of each kind
+	Call      clock.Time // between two calls to addresses that do not answer, while nobody else is known
+	CallFirst clock.Time // after a start, for which addresses are called as often as while nobody is known, and exchanges are twice as often
+	CallLost  clock.Time // the same, while others are known and some are missed
+	CallCalm  clock.Time // the same, while none is missed
+	Fanout    int        // routers that news is pushed to, on each kind of link
+	Partners  int        // routers of an exchange, on each kind of link
+
+	Stale  clock.Time // without a sign of life, after which a summary is shown as stale
+	Lost   clock.Time // the same, after which its routers count as gone
+	Forget clock.Time // the same, after which it is dropped
+	Calm   clock.Time // without a difference, after which this router is settled
 }
 
 // DefaultRules are those that docs/tiers-design.md gives the reasons for.
 func DefaultRules() Rules {
 	return Rules{
 		Representatives: 2, Standbys: 3, SitesInFront: 2,
-		Silence: 2500e3, Listen: second, ListenArea: 2500e3, PublishSite: second, PublishArea: 2 * second, TakeOver: second, BeatSite: 10 * second, BeatArea: 20 * second,
-		Ping: second, Push: 200e3, Exchange: 2 * second, Call: second, CallFirst: 12 * second, CallLost: 5 * second, CallCalm: 60 * second, Fanout: 3, Partners: 2,
-		Stale: 60 * second, Lost: 180 * second, Forget: 24 * 3600 * second, Calm: 2 * second,
+		Silence: 2500e3, Listen: clock.Second, ListenArea: 2500e3, PublishSite: clock.Second, PublishArea: 2 * clock.Second, TakeOver: clock.Second, BeatSite: 10 * clock.Second, BeatArea: 20 * clock.Second,
+		Ping: clock.Second, Push: 200e3, Exchange: 2 * clock.Second, Call: clock.Second, CallFirst: 12 * clock.Second, CallLost: 5 * clock.Second, CallCalm: 60 * clock.Second, Fanout: 3, Partners: 2,
+		Stale: 60 * clock.Second, Lost: 180 * clock.Second, Forget: 24 * 3600 * clock.Second, Calm: 2 * clock.Second,
 	}
 }
 
@@ -99,28 +96,28 @@
 type Hierarchy struct {
 	rules  Rules
 	cfg    Config
-	start  Micros
-	now    Micros
+	start  clock.Time
+	now    clock.Time
 	random *rand.Rand
 
 	local  Local
 	ranks  map[netip.AddrPort]int // of the site's living routers
-	silent map[netip.AddrPort]Micros
+	silent map[netip.AddrPort]clock.Time
 	role   Role
 	tables [tiers]*table
 
 	published [tiers]publication
 	spread    spread
 	out       []Datagram
-	unlike    Micros // when another router was last found to hold something else
-	compared  bool   // with another router
-	dropped   uint64 // datagrams that were not understood, or not answered since too many were
+	unlike    clock.Time // when another router was last found to hold something else
+	compared  bool       // with another router
+	dropped   uint64     // datagrams that were not understood, or not answered since too many were
 }
 
 // New begins with nothing known.
-func New(now Micros, rules Rules, cfg Config) *Hierarchy {
+func New(now clock.Time, rules Rules, cfg Config) *Hierarchy {
 	h := &Hierarchy{rules: rules, cfg: cfg, start: now, now: now, random: rand.New(rand.NewPCG(cfg.Seed, 1)),
-		ranks: map[netip.AddrPort]int{}, silent: map[netip.AddrPort]Micros{}, unlike: now}
+		ranks: map[netip.AddrPort]int{}, silent: map[netip.AddrPort]clock.Time{}, unlike: now}
 	h.tables[Sites] = newTable(maxSites)
 	h.tables[Regions] = newTable(maxRegions)
 	return h
@@ -128,7 +125,7 @@
 
 // Step lets time pass and takes in what the site's membership is now. It returns what is to be sent. It is meant to be
 // called some ten times a second.
-func (h *Hierarchy) Step(now Micros, local Local) []Datagram {
+func (h *Hierarchy) Step(now clock.Time, local Local) []Datagram {
 	h.now, h.local = now, local
 	h.assume()
 	h.publish()
@@ -142,7 +139,7 @@
 }
 
 // wall is about the time in seconds since 1970, as far as the start's was right.
-func (h *Hierarchy) wall() uint32 { return h.cfg.Wall + uint32((h.now-h.start)/second) }
+func (h *Hierarchy) wall() uint32 { return h.cfg.Wall + uint32((h.now-h.start)/clock.Second) }
 
 func (h *Hierarchy) expire() {
 	for _, t := range h.tables {
--- a/core/hierarchy/publish.go
+++ b/core/hierarchy/publish.go
@@ -2,17 +2,19 @@
 
 import (
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // publication is the state of writing one summary.
 type publication struct {
-	last  Micros  // when this router last wrote it
-	since Micros  // since when what is held differs from what it should be; 0: it does not
-	of    Version // the version that it differed from
+	last  clock.Time // when this router last wrote it
+	since clock.Time // since when what is held differs from what it should be; 0: it does not
+	of    Version    // the version that it differed from
 }
 
 // pace is how often a summary is written at most, and how often it gives a sign of life.
-type pace struct{ publish, beat Micros }
+type pace struct{ publish, beat clock.Time }
 
 // publish writes the summaries that this router answers for, where what is held is not what is so.
 func (h *Hierarchy) publish() {
@@ -37,7 +39,7 @@
 	if rank < 0 {
 		rank = h.candidates()
 	}
-	t, p, wait := h.tables[tier], &h.published[tier], Micros(rank)*h.rules.TakeOver
+	t, p, wait := h.tables[tier], &h.published[tier], clock.Time(rank)*h.rules.TakeOver
 	held := t.entries[keyOf(s.Name)]
 	if held == nil {
 		held = &entry{}
@@ -61,7 +63,7 @@
 }
 
 // beat gives a sign of life if nobody has done so lately, or if there is a newer policy than anybody has told of.
-func (h *Hierarchy) beat(tier Tier, held *entry, b Beat, after Micros) {
+func (h *Hierarchy) beat(tier Tier, held *entry, b Beat, after clock.Time) {
 	first := b.Most > h.tables[tier].newest(h.now, h.rules.Lost)
 	if !first && h.now-held.heard < after {
 		return
--- a/core/hierarchy/sim_test.go
+++ b/core/hierarchy/sim_test.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"net/netip"
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 // A fleet in virtual time: routers of this package, a network that loses, doubles, reorders and is cut, a membership of each
@@ -22,16 +24,16 @@
 	name    string
 	addr    netip.AddrPort
 	index   int // within its site
-	phase   Micros
+	phase   clock.Time
 	h       *Hierarchy // nil: dead
-	since   Micros     // alive or dead
+	since   clock.Time // alive or dead
 	life    uint64
-	started Micros
-	most    uint64 // revision of the policy
-	before  uint64 // the one before
-	held    Micros // since when it has most
-	skew    Micros // its wall clock's error
-	in      int    // bytes
+	started clock.Time
+	most    uint64     // revision of the policy
+	before  uint64     // the one before
+	held    clock.Time // since when it has most
+	skew    clock.Time // its wall clock's error
+	in      int        // bytes
 	out     int
 	remote  []netip.AddrPort
 }
@@ -39,8 +41,8 @@
 type site struct {
 	name, region string
 	nodes        []*node
-	over         Micros // since when it has too many representatives; 0: it has not
-	none         Micros // since when it has none though a router lives; 0: it has
+	over         clock.Time // since when it has too many representatives; 0: it has not
+	none         clock.Time // since when it has none though a router lives; 0: it has
 }
 
 type flight struct {
@@ -52,21 +54,21 @@
 	t      testing.TB
 	rng    *rand.Rand
 	rules  Rules
-	now    Micros
+	now    clock.Time
 	sites  []*site
 	nodes  []*node
 	byAddr map[netip.AddrPort]*node
 	air    [ring][]flight
 
 	lose, double float64
-	delay        Micros // at most
+	delay        clock.Time // at most
 	cut          func(from, to *node) bool
-	least, most  Micros // until a death is found by the membership
+	least, most  clock.Time // until a death is found by the membership
 
-	falselyLost   int                 // times that a router held a site or region for lost that had a living router, each second
+	falselyLost   int                 // times that a router held a site or region for lost that had a living router, each clock.Second
 	judged        int                 // how often that was looked at
-	longestOver   Micros              // that a site had too many representatives
-	longestNone   Micros              // that it had none
+	longestOver   clock.Time          // that a site had too many representatives
+	longestNone   clock.Time          // that it had none
 	longestFlight int                 // bytes of a datagram
 	sent          [kindRepair + 1]int // bytes of each kind of datagram
 }
@@ -78,7 +80,7 @@
 	for i := range sites {
 		s := &site{name: fmt.Sprintf("site%03d", i), region: fmt.Sprintf("region%02d", i%regions)}
 		for j := range perSite {
-			n := &node{site: s, name: fmt.Sprintf("%s-r%02d", s.name, j), index: j, phase: Micros(w.rng.IntN(stepEvery/tick)) * tick}
+			n := &node{site: s, name: fmt.Sprintf("%s-r%02d", s.name, j), index: j, phase: clock.Time(w.rng.IntN(stepEvery/tick)) * tick}
 			n.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), byte(j + 1)}), 7946)
 			s.nodes, w.nodes = append(s.nodes, n), append(w.nodes, n)
 			w.byAddr[n.addr] = n
@@ -103,13 +105,13 @@
 func (w *world) kill(n *node) { n.h, n.since = nil, w.now }
 
 // startAll starts all routers over a span.
-func (w *world) startAll(span Micros) {
-	begin := map[Micros][]*node{}
+func (w *world) startAll(span clock.Time) {
+	begin := map[clock.Time][]*node{}
 	for _, n := range w.nodes {
-		at := Micros(w.rng.IntN(int(span/tick))) * tick
+		at := clock.Time(w.rng.IntN(int(span/tick))) * tick
 		begin[at] = append(begin[at], n)
 	}
-	for at := Micros(0); at < span; at += tick {
+	for at := clock.Time(0); at < span; at += tick {
 		for _, n := range begin[at] {
 			w.start(n)
 		}
@@ -118,7 +120,7 @@
 }
 
 // run lets time pass.
-func (w *world) run(span Micros) {
+func (w *world) run(span clock.Time) {
 	for end := w.now + span; w.now < end; {
 		w.step()
 	}
@@ -142,7 +144,7 @@
 	if w.now%stepEvery == 0 {
 		w.checkRoles()
 	}
-	if w.now%second == 0 {
+	if w.now%clock.Second == 0 {
 		w.checkStates()
 	}
 }
@@ -157,7 +159,7 @@
 			continue
 		}
 		for range w.copies() {
-			at := w.now + tick + Micros(w.rng.Int64N(int64(w.delay)))
+			at := w.now + tick + clock.Time(w.rng.Int64N(int64(w.delay)))
 			slot := at / tick % ring
 			w.air[slot] = append(w.air[slot], flight{to, d.Body})
 		}
@@ -203,7 +205,7 @@
 	if m.life == 0 {
 		return false
 	}
-	chance := Micros(mix(mix(uint64(n.index), uint64(m.index)), m.life) % 1000)
+	chance := clock.Time(mix(mix(uint64(n.index), uint64(m.index)), m.life) % 1000)
 	if m.h == nil {
 		return w.now-m.since < w.least+(w.most-w.least)*chance/1000
 	}
@@ -218,7 +220,7 @@
 			if n.h == nil {
 				continue
 			}
-			if w.now-n.since > w.rules.Listen+second {
+			if w.now-n.since > w.rules.Listen+clock.Second {
 				living++
 			}
 			if n.h.Role().Site {
@@ -233,10 +235,10 @@
 // checkStates judges what the routers hold for lost.
 func (w *world) checkStates() {
 	lives := map[string]bool{}
-	for _, n := range w.living(func(n *node) bool { return w.now-n.since > 10*second }) {
+	for _, n := range w.living(func(n *node) bool { return w.now-n.since > 10*clock.Second }) {
 		lives[n.site.name], lives[n.site.region] = true, true
 	}
-	for _, n := range w.living(func(n *node) bool { return w.now-n.since > 10*second }) {
+	for _, n := range w.living(func(n *node) bool { return w.now-n.since > 10*clock.Second }) {
 		for _, t := range n.h.tables {
 			for _, e := range t.entries {
 				w.judged++
@@ -249,7 +251,7 @@
 }
 
 // lasts is for how long something has been so.
-func (w *world) lasts(since *Micros, so bool) Micros {
+func (w *world) lasts(since *clock.Time, so bool) clock.Time {
 	if !so {
 		*since = 0
 		return 0
@@ -261,12 +263,12 @@
 }
 
 // until is the time that passes until something is so; it fails after a limit.
-func (w *world) until(what string, limit Micros, so func() bool) Micros {
+func (w *world) until(what string, limit clock.Time, so func() bool) clock.Time {
 	w.t.Helper()
 	began := w.now
 	for !so() {
 		if w.now-began >= limit {
-			w.t.Errorf("after %d s not %s: %s", limit/second, what, w.odd())
+			w.t.Errorf("after %d s not %s: %s", limit/clock.Second, what, w.odd())
 			return w.now - began
 		}
 		w.run(stepEvery)
@@ -353,7 +355,7 @@
 // known tells whether all living routers that have been there for a while know of a revision.
 func (w *world) known(revision uint64) bool {
 	for _, n := range w.nodes {
-		if n.h != nil && w.now-n.since > 5*second && n.h.Newest() < revision {
+		if n.h != nil && w.now-n.since > 5*clock.Second && n.h.Newest() < revision {
 			return false
 		}
 	}
@@ -361,7 +363,7 @@
 }
 
 // oldest is the greatest age of a summary at any router.
-func (w *world) oldest() (most Micros) {
+func (w *world) oldest() (most clock.Time) {
 	for _, n := range w.living(func(*node) bool { return true }) {
 		for _, t := range n.h.tables {
 			for _, e := range t.entries {
@@ -373,7 +375,7 @@
 }
 
 // rates logs bytes a second since the last call, in and out together, by role, and returns the most.
-func (w *world) rates(span Micros) (most float64) {
+func (w *world) rates(span clock.Time) (most float64) {
 	for role, ok := range map[string]func(*node) bool{"router": ordinary, "site's representative": forSite, "region's representative": forRegion} {
 		sum, top, all := 0.0, 0.0, w.living(ok)
 		for _, n := range all {
@@ -383,7 +385,7 @@
 		most = max(most, top)
 		w.t.Logf("%d of %s: %.0f B/s, %.0f at most", len(all), role, sum/float64(max(1, len(all))), top)
 	}
-	w.t.Logf("bytes a second sent by a router, by kind: %v", w.mix(span))
+	w.t.Logf("bytes a clock.Second sent by a router, by kind: %v", w.mix(span))
 	w.forget()
 	return most
 }
@@ -393,7 +395,7 @@
 func forRegion(n *node) bool { return n.h.Role().Region }
 
 // mix is what a router sends a second of each kind, on average.
-func (w *world) mix(span Micros) (all []int) {
+func (w *world) mix(span clock.Time) (all []int) {
 	for _, n := range w.sent {
 		all = append(all, int(float64(n)*1e6/float64(span)/float64(len(w.nodes))))
 	}
--- a/core/hierarchy/spread.go
+++ b/core/hierarchy/spread.go
@@ -5,6 +5,8 @@
 	"math"
 	"net/netip"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // link is a kind of way from router to router.
@@ -30,8 +32,8 @@
 	mostRepair   = 3  // datagrams of summaries that answer one digest
 	mostRelayed  = 8  // summaries of a repair that an ordinary router passes on as news; one that is new has to be told all
 	everyBeat    = 10 // exchanges, one of which carries all signs of life to one partner
-	digestCalm   = second
-	digestMoving = 2 * second // between two digests while the table changes anyway
+	digestCalm   = clock.Second
+	digestMoving = 2 * clock.Second // between two digests while the table changes anyway
 )
 
 // ids names entries of the tables.
@@ -51,13 +53,13 @@
 	summaries ids        // that are news, and not pushed yet
 	beats     [links]ids // signs of life that are not passed on yet
 	urgent    bool       // one of them tells of a policy that is newer than any known
-	pushed    Micros
-	pinged    Micros
-	exchanged [links]Micros
+	pushed    clock.Time
+	pinged    clock.Time
+	exchanged [links]clock.Time
 	turns     [links]int
-	digested  [tiers]Micros
-	changed   [tiers]Micros // the table
-	call      Micros        // when to call next
+	digested  [tiers]clock.Time
+	changed   [tiers]clock.Time // the table
+	call      clock.Time        // when to call next
 	nextCall  int
 }
 
@@ -100,7 +102,7 @@
 		tier, own = Regions, h.cfg.Region
 	}
 	others, begin := h.shuffled(tier), h.random.IntN(maxRepresentatives)
-	for turn := range maxRepresentatives { // a second of the same only where there are fewer than n others
+	for turn := range maxRepresentatives { // a clock.Second of the same only where there are fewer than n others
 		for _, e := range others {
 			if len(all) == n {
 				return all
@@ -212,7 +214,7 @@
 	}
 }
 
-func (h *Hierarchy) exchangeEvery() Micros {
+func (h *Hierarchy) exchangeEvery() clock.Time {
 	if h.now-h.start < h.rules.CallFirst {
 		return h.rules.Exchange / 2
 	}
@@ -249,7 +251,7 @@
 		return
 	}
 	every := h.callEvery()
-	s.call = h.now + every - Micros(h.random.Int64N(int64(every/2))) // a fleet that began at once does not call at once
+	s.call = h.now + every - clock.Time(h.random.Int64N(int64(every/2))) // a fleet that began at once does not call at once
 	all := h.strangers()
 	if len(all) == 0 {
 		return
@@ -258,7 +260,7 @@
 	s.nextCall++
 }
 
-func (h *Hierarchy) callEvery() Micros {
+func (h *Hierarchy) callEvery() clock.Time {
 	switch {
 	case h.alone() || h.now-h.start < h.rules.CallFirst:
 		return h.rules.Call
@@ -321,7 +323,7 @@
 }
 
 // Take takes a datagram in. What it is answered with goes out with the next step.
-func (h *Hierarchy) Take(now Micros, body []byte) {
+func (h *Hierarchy) Take(now clock.Time, body []byte) {
 	m, err := decode(body)
 	if err != nil || m.fleet != keyOf(h.cfg.Fleet) {
 		h.dropped++
@@ -441,7 +443,7 @@
 
 // outdated tells whether a summary is so old that it would be dropped: one that is dropped here is still held elsewhere.
 func (h *Hierarchy) outdated(b Beat) bool {
-	forget := int64(h.rules.Forget / second)
+	forget := int64(h.rules.Forget / clock.Second)
 	return int64(h.wall())-int64(b.Count) > forget
 }
 
--- a/core/hierarchy/status.go
+++ b/core/hierarchy/status.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"strconv"
+
+	"spurtrestle/core/clock"
 )
 
 // State is what a summary's age makes of it.
@@ -43,17 +45,17 @@
 
 // Group is a site or a region as it is shown.
 type Group struct {
-	Name            string   `json:"name"`
-	State           State    `json:"state"`
-	Age             Micros   `json:"age"` // since its last sign of life was heard
-	Counts                   // the last that were told
-	Sites           uint32   `json:"sites,omitempty"`      // of a region
-	SitesLost       uint32   `json:"sites_lost,omitempty"` // of a region
-	Least           uint64   `json:"least_policy_revision"`
-	Most            uint64   `json:"greatest_policy_revision"`
-	Version         string   `json:"version"`
-	Digest          string   `json:"digest"`
-	Representatives []string `json:"representatives"`
+	Name            string     `json:"name"`
+	State           State      `json:"state"`
+	Age             clock.Time `json:"age"` // since its last sign of life was heard
+	Counts                     // the last that were told
+	Sites           uint32     `json:"sites,omitempty"`      // of a region
+	SitesLost       uint32     `json:"sites_lost,omitempty"` // of a region
+	Least           uint64     `json:"least_policy_revision"`
+	Most            uint64     `json:"greatest_policy_revision"`
+	Version         string     `json:"version"`
+	Digest          string     `json:"digest"`
+	Representatives []string   `json:"representatives"`
 }
 
 // Status is what a router knows of the tiers, as people are shown it.
@@ -72,7 +74,7 @@
 }
 
 // Status is what is known as of a time.
-func (h *Hierarchy) Status(now Micros) Status {
+func (h *Hierarchy) Status(now clock.Time) Status {
 	h.now = max(h.now, now)
 	s := Status{Region: h.cfg.Region, Site: h.cfg.Site, RepresentsSite: h.role.Site, RepresentsRegion: h.role.Region,
 		Settled: h.Settled(now), Newest: h.Newest(), DatagramsDropped: h.dropped,
@@ -82,7 +84,7 @@
 
 // Settled tells whether this router knows of its own site and region, and nothing has changed or differed from what others
 // hold for a while.
-func (h *Hierarchy) Settled(now Micros) bool {
+func (h *Hierarchy) Settled(now clock.Time) bool {
 	h.now = max(h.now, now)
 	for tier, own := range []string{h.cfg.Site, h.cfg.Region} {
 		if h.tables[tier].entries[keyOf(own)] == nil || h.now-h.spread.changed[tier] < h.rules.Calm {
--- a/core/hierarchy/table.go
+++ b/core/hierarchy/table.go
@@ -7,6 +7,8 @@
 	"math/rand/v2"
 	"net/netip"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // Tier is a kind of summary.
@@ -76,7 +78,7 @@
 type entry struct {
 	Summary
 	Beat
-	heard Micros // when Beat.Count last rose
+	heard clock.Time // when Beat.Count last rose
 }
 
 // table holds the summaries of one tier.
@@ -90,7 +92,7 @@
 func newTable(limit int) *table { return &table{limit: limit, entries: map[key]*entry{}} }
 
 // merge takes a summary in. It tells whether that is news.
-func (t *table) merge(now Micros, s Summary, b Beat) bool {
+func (t *table) merge(now clock.Time, s Summary, b Beat) bool {
 	k := keyOf(s.Name)
 	e := t.entries[k]
 	if e == nil {
@@ -114,7 +116,7 @@
 }
 
 // beat takes a sign of life in. It tells whether that is news.
-func (t *table) beat(now Micros, k key, b Beat) bool {
+func (t *table) beat(now clock.Time, k key, b Beat) bool {
 	e := t.entries[k]
 	if e == nil || b.Count <= e.Beat.Count {
 		return false
@@ -172,7 +174,7 @@
 }
 
 // newest is the highest revision of the policy that any entry not lost tells of.
-func (t *table) newest(now, lost Micros) (most uint64) {
+func (t *table) newest(now, lost clock.Time) (most uint64) {
 	for _, e := range t.entries {
 		if now-e.heard <= lost {
 			most = max(most, e.Most)
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -12,10 +12,9 @@
 	"fmt"
 	"hash/crc64"
 	"slices"
-)
 
-// Micros is a time or a span in whole microseconds.
-type Micros int64
+	"spurtrestle/core/clock"
+)
 
 // The ids are types of their own, so that one cannot stand for another.
 type (
@@ -89,17 +88,17 @@
 
 // Rules are the spans by which a view is kept.
 type Rules struct {
-	Calm      Micros // without a change until it is told, and may be settled
-	Suspect   Micros // without a sign of its own until an alive router is suspect
-	Passing   Micros // for which a router that is being replaced stays alive without a process
-	Stall     Micros // between two steps, from which on the view is held to be old
-	Forget    Micros // after which a lost or left router is no longer shown
-	Call      Micros // between two calls to who is not there, in a small fleet
-	Addresses int    // kept to call at, beyond those of the living
+	Calm      clock.Time // without a change until it is told, and may be settled
+	Suspect   clock.Time // without a sign of its own until an alive router is suspect
+	Passing   clock.Time // for which a router that is being replaced stays alive without a process
+	Stall     clock.Time // between two steps, from which on the view is held to be old
+	Forget    clock.Time // after which a lost or left router is no longer shown
+	Call      clock.Time // between two calls to who is not there, in a small fleet
+	Addresses int        // kept to call at, beyond those of the living
 }
 
 // DefaultRules are those for a probe each so many microseconds.
-func DefaultRules(probe Micros) Rules {
+func DefaultRules(probe clock.Time) Rules {
 	return Rules{
 		Calm: probe / 2, // over two turns of gossip
 		// A router is probed by each other about once in as many probes as there are routers; of sixty, most within this.
@@ -119,8 +118,8 @@
 	word  Heartbeat
 	there bool  // Member was heard
 	state State // Alive, Lost or Left
-	since Micros
-	heard Micros // a sign from itself
+	since clock.Time
+	heard clock.Time // a sign from itself
 }
 
 // View is one router's view. It is not safe for use by several goroutines at once.
@@ -130,17 +129,17 @@
 	procs map[Process]*process
 
 	digest  uint64
-	changed Micros // the content
+	changed clock.Time // the content
 	settled bool
-	since   Micros // settled or not
+	since   clock.Time // settled or not
 	last    map[Name]row
 
-	stepped Micros
-	stood   Micros // for so long it stood still, which is not told yet
+	stepped clock.Time
+	stood   clock.Time // for so long it stood still, which is not told yet
 
 	call   []string // addresses of those who are not there
 	next   int      // whom to call
-	callAt Micros
+	callAt clock.Time
 }
 
 // row is what is shown of a name, as far as a change of it is worth a line.
@@ -152,7 +151,7 @@
 }
 
 // New begins with the own process alone.
-func New(now Micros, rules Rules, me Member) *View {
+func New(now clock.Time, rules Rules, me Member) *View {
 	v := &View{rules: rules, me: me, procs: map[Process]*process{}, last: map[Name]row{}, changed: now, since: now}
 	v.procs[me.Process] = &process{Member: me, word: Heartbeat{Process: me.Process, Seq: 1}, there: true, state: Alive, since: now, heard: now}
 	v.callAt = now + rules.Call
@@ -161,7 +160,7 @@
 }
 
 // Joined takes in that a process is there, or is there again.
-func (v *View) Joined(now Micros, m Member) {
+func (v *View) Joined(now clock.Time, m Member) {
 	p := v.process(now, m.Process)
 	if p == nil || m.Process == v.me.Process || p.word.Left {
 		return
@@ -174,14 +173,14 @@
 }
 
 // Gone takes in that a process is no more, as was found out.
-func (v *View) Gone(now Micros, id Process) {
+func (v *View) Gone(now clock.Time, id Process) {
 	if p := v.procs[id]; p != nil && p.there && p.state == Alive && id != v.me.Process {
 		v.over(now, p, Lost)
 		v.look(now)
 	}
 }
 
-func (v *View) over(now Micros, p *process, how State) {
+func (v *View) over(now clock.Time, p *process, how State) {
 	if p.word.Left {
 		how = Left
 	}
@@ -190,7 +189,7 @@
 }
 
 // Said takes in a process's word. It tells whether it is news, which is passed on.
-func (v *View) Said(now Micros, w Heartbeat) bool {
+func (v *View) Said(now clock.Time, w Heartbeat) bool {
 	p := v.process(now, w.Process)
 	if p == nil || w.Process == v.me.Process || w.Seq <= p.word.Seq {
 		return false
@@ -203,34 +202,34 @@
 }
 
 // Heard takes in a sign of life from a process itself.
-func (v *View) Heard(now Micros, id Process) {
+func (v *View) Heard(now clock.Time, id Process) {
 	if p := v.procs[id]; p != nil {
 		p.heard = now
 	}
 }
 
 // Say sets what this router says of itself beyond what the view knows. It tells whether the own word is another now.
-func (v *View) Say(now Micros, takes, draining bool) bool {
+func (v *View) Say(now clock.Time, takes, draining bool) bool {
 	w := v.Heartbeat()
 	w.Takes, w.Draining = takes, draining
 	return v.say(now, w)
 }
 
 // SayMore sets the rest of what this router says of itself. It tells whether the own word is another now.
-func (v *View) SayMore(now Micros, change func(*Heartbeat)) bool {
+func (v *View) SayMore(now clock.Time, change func(*Heartbeat)) bool {
 	w := v.Heartbeat()
 	change(&w)
 	return v.say(now, w)
 }
 
 // End says that this process ends: in order, or to one that follows.
-func (v *View) End(now Micros, passing bool) {
+func (v *View) End(now clock.Time, passing bool) {
 	w := v.Heartbeat()
 	w.Passing, w.Left = passing, !passing
 	v.say(now, w)
 }
 
-func (v *View) say(now Micros, w Heartbeat) bool {
+func (v *View) say(now clock.Time, w Heartbeat) bool {
 	me := v.procs[v.me.Process]
 	if w == me.word {
 		return false
@@ -242,7 +241,7 @@
 }
 
 // Step lets time pass. It tells whether the own word is another now, and what has changed since the last step, a line each.
-func (v *View) Step(now Micros) (news bool, lines []Line) {
+func (v *View) Step(now clock.Time) (news bool, lines []Line) {
 	if gap := now - v.stepped; v.stepped > 0 && gap > v.rules.Stall {
 		v.changed, v.stood = now, gap // what it knows is old, however calm it looks
 	}
@@ -283,7 +282,7 @@
 
 // Whom tells whom to call now, of those who are not there: a way back from a partition that outlasted all memory of
 // the others. Over the whole fleet there are some calls a second, however large it is. always are called as well.
-func (v *View) Whom(now Micros, always []string) (addr string, ok bool) {
+func (v *View) Whom(now clock.Time, always []string) (addr string, ok bool) {
 	if now < v.callAt {
 		return "", false
 	}
@@ -294,7 +293,7 @@
 			there[p.Addr] = true
 		}
 	}
-	v.callAt = now + max(v.rules.Call, v.rules.Call*Micros(alive)/8)
+	v.callAt = now + max(v.rules.Call, v.rules.Call*clock.Time(alive)/8)
 	all := slices.Concat(always, v.call)
 	for range all {
 		addr = all[v.next%len(all)]
@@ -357,7 +356,7 @@
 }
 
 // process finds or makes one; nil where there are too many: a flood of words does not grow without end.
-func (v *View) process(now Micros, id Process) *process {
+func (v *View) process(now clock.Time, id Process) *process {
 	p := v.procs[id]
 	if p == nil && id != 0 && len(v.procs) < 4*v.rules.Addresses {
 		p = &process{Member: Member{Process: id}, since: now}
@@ -443,7 +442,7 @@
 }
 
 // passed turns one whose successor never came into a lost one. It tells whether there was one.
-func (v *View) passed(now Micros) (any bool) {
+func (v *View) passed(now clock.Time) (any bool) {
 	for _, p := range v.procs {
 		if p.there && p.state != Alive && p.word.Passing && now-p.since > v.rules.Passing {
 			p.word.Passing, p.state, p.since = false, Lost, now
@@ -455,7 +454,7 @@
 
 // look makes the digest anew: over what the living are, as each of them says it, and nothing that is this router's own
 // impression. Two views with the same living routers in the same states have the same one.
-func (v *View) look(now Micros) {
+func (v *View) look(now clock.Time) {
 	v.passed(now)
 	var rows [][]byte
 	for name, ps := range v.names() {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/internal/tracetest"
 )
 
@@ -47,14 +48,14 @@
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		v := New(0, rules(), member([]string{"me/1"}))
-		seq, at := map[Process]uint64{}, Micros(0)
+		seq, at := map[Process]uint64{}, clock.Time(0)
 		return tracetest.Steps(script, func(line string, say func(string, ...any)) {
 			words := strings.Fields(line)
 			seconds, err := strconv.ParseFloat(words[0], 64)
 			if err != nil {
 				t.Fatal(err)
 			}
-			now := Micros(seconds * 1e6)
+			now := clock.Time(seconds * 1e6)
 			log := func() {
 				_, lines := v.Step(at)
 				for _, l := range lines {
--- a/core/membership/snapshot.go
+++ b/core/membership/snapshot.go
@@ -5,25 +5,27 @@
 	"fmt"
 	"slices"
 	"strconv"
+
+	"spurtrestle/core/clock"
 )
 
 // Router is what is shown of one router. Ages are in microseconds, as of the time of the view.
 type Router struct {
-	Name        Name   `json:"name"`
-	Site        Site   `json:"site"`
-	State       State  `json:"state"`
-	Incarnation string `json:"incarnation"` // of the process that speaks for it
-	Started     int64  `json:"started"`     // by its wall clock, in microseconds since 1970
-	Build       string `json:"build"`
-	Seat        Seat   `json:"seat"`
-	Addr        string `json:"address"`
-	For         Micros `json:"for"` // so long it has been in this state
-	Takes       bool   `json:"takes_clients"`
-	Draining    bool   `json:"draining"`
-	Conflict    bool   `json:"name_conflict"` // two that live have this name; the elder is shown
-	Revision    uint64 `json:"policy_revision"`
-	Age         Micros `json:"age"` // since this router heard from it itself
-	Digest      string `json:"digest"`
+	Name        Name       `json:"name"`
+	Site        Site       `json:"site"`
+	State       State      `json:"state"`
+	Incarnation string     `json:"incarnation"` // of the process that speaks for it
+	Started     int64      `json:"started"`     // by its wall clock, in microseconds since 1970
+	Build       string     `json:"build"`
+	Seat        Seat       `json:"seat"`
+	Addr        string     `json:"address"`
+	For         clock.Time `json:"for"` // so long it has been in this state
+	Takes       bool       `json:"takes_clients"`
+	Draining    bool       `json:"draining"`
+	Conflict    bool       `json:"name_conflict"` // two that live have this name; the elder is shown
+	Revision    uint64     `json:"policy_revision"`
+	Age         clock.Time `json:"age"` // since this router heard from it itself
+	Digest      string     `json:"digest"`
 }
 
 // SiteCount is how many of a site's routers are alive, of those known.
@@ -40,7 +42,7 @@
 	By       Name        `json:"by"`
 	Digest   string      `json:"digest"`
 	Settled  bool        `json:"settled"`
-	For      Micros      `json:"for"` // settled or not
+	For      clock.Time  `json:"for"` // settled or not
 	Disagree []Name      `json:"disagree"`
 	Out      string      `json:"out_of_service"` // why this router keeps out; empty: it does not
 	Sites    []SiteCount `json:"sites"`
@@ -48,7 +50,7 @@
 }
 
 // Snapshot is the view as of now.
-func (v *View) Snapshot(now Micros) Snapshot {
+func (v *View) Snapshot(now clock.Time) Snapshot {
 	w := Snapshot{Fleet: v.me.Fleet, By: v.me.Name, Digest: hex(v.digest), Settled: v.settled, For: now - v.since,
 		Disagree: v.Disagree(), Out: v.Out()}
 	if w.Disagree == nil {
--- a/core/policycommit/explore_test.go
+++ b/core/policycommit/explore_test.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 var long = flag.Bool("long", false, "explore the scopes that take minutes as well")
@@ -18,7 +20,7 @@
 var ticks = Rules{Lease: 1, Ask: 1, Again: 1, Patience: 3}
 
 type scope struct {
-	ticks   Micros
+	ticks   clock.Time
 	states  int
 	visited map[[16]byte]struct{} // by a hash: of 1e7 states no two share one, but for a chance of 1e-24
 	bug     string                // planted
@@ -26,16 +28,16 @@
 }
 
 type state struct {
-	now     Micros
+	now     clock.Time
 	book    *LogState
 	council *Leader
 	routers []*Follower
 	procs   []Process
 	asks    []*Renewal // under way, by router
 	grants  []*Lease
-	first   map[Revision]Micros // when a revision could first be served, anywhere
-	budget  [5]int              // proposals, losses, doubles, crashes, leaders
-	left    []int               // askings, by router
+	first   map[Revision]clock.Time // when a revision could first be served, anywhere
+	budget  [5]int                  // proposals, losses, doubles, crashes, leaders
+	left    []int                   // askings, by router
 }
 
 func (s *state) clone() *state {
@@ -207,9 +209,9 @@
 	}
 }
 
-func explore(serves []bool, span Micros, asks []int, budget [5]int, bug string) *scope {
+func explore(serves []bool, span clock.Time, asks []int, budget [5]int, bug string) *scope {
 	x := &scope{ticks: span, visited: map[[16]byte]struct{}{}, bug: bug}
-	s := &state{book: &LogState{}, council: NewLeader(0, ticks, 3), first: map[Revision]Micros{}, budget: budget}
+	s := &state{book: &LogState{}, council: NewLeader(0, ticks, 3), first: map[Revision]clock.Time{}, budget: budget}
 	for i, serve := range serves {
 		p := Process(i + 1)
 		name := Name(fmt.Sprint("r", i))
@@ -231,7 +233,7 @@
 func TestEveryOrder(t *testing.T) {
 	scopes := map[string]struct {
 		serves []bool
-		span   Micros
+		span   clock.Time
 		asks   []int
 		budget [5]int // proposals, losses, doubles, crashes, leaders
 	}{
--- a/core/policycommit/follower.go
+++ b/core/policycommit/follower.go
@@ -1,5 +1,7 @@
 package policycommit
 
+import "spurtrestle/core/clock"
+
 // Follower is a router's side. It is not safe for use by several goroutines at once.
 type Follower struct {
 	rules    Rules
@@ -12,14 +14,14 @@
 	revision Revision
 	doc      string
 	index    Index
-	until    Micros // of the last grant
+	until    clock.Time // of the last grant
 	prepared Token
 	at       Index // of the log state when it prepared
 	refused  Token
 	why      string
 	leaving  bool
 	granted  bool // by the leader, to this process itself
-	asked    Micros
+	asked    clock.Time
 	answered bool // the last asking
 	began    bool
 }
@@ -30,7 +32,7 @@
 }
 
 // Ask is what to ask with now, if it is time. It is asked of whoever leads.
-func (h *Follower) Ask(now Micros) (r Renewal, due bool) {
+func (h *Follower) Ask(now clock.Time) (r Renewal, due bool) {
 	wait := h.rules.Ask
 	if !h.answered {
 		wait = h.rules.Again
@@ -42,20 +44,20 @@
 	return h.renewal(now), true
 }
 
-func (h *Follower) renewal(now Micros) Renewal {
+func (h *Follower) renewal(now clock.Time) Renewal {
 	return Renewal{Name: h.name, Process: h.process, At: now, Serves: h.serves, Build: h.build, Held: h.revision, Index: h.index,
 		Prepared: h.prepared, Refused: h.refused, Why: h.why, Leaving: h.leaving}
 }
 
 // Leave has it take nothing more, for good, and is what to say then.
-func (h *Follower) Leave(now Micros) Renewal {
+func (h *Follower) Leave(now clock.Time) Renewal {
 	h.leaving = true
 	return h.renewal(now)
 }
 
 // Granted takes in an answer. adopt: another revision is in force, and holds from here on. Askings are to go out at once
 // where one has prepared: prepared is told before anything else is taken.
-func (h *Follower) Granted(now Micros, g Lease) (adopt, news bool) {
+func (h *Follower) Granted(now clock.Time, g Lease) (adopt, news bool) {
 	// By its own clock: one from the future is of another process, and one of an older book says nothing that holds.
 	if g.Process != h.process || g.At > now || g.Index < h.index || h.leaving {
 		return false, false
@@ -99,11 +101,11 @@
 	Revision Revision
 	Index    Index
 	Doc      string
-	For      Micros
+	For      clock.Time
 }
 
 // Transfer is what to leave now; false: nothing.
-func (h *Follower) Transfer(now Micros) (LeaseTransfer, bool) {
+func (h *Follower) Transfer(now clock.Time) (LeaseTransfer, bool) {
 	until := h.AcceptsUntil(now)
 	if until == 0 {
 		until = now + h.rules.Lease
@@ -113,7 +115,7 @@
 
 // Inherit takes in what the process before this one left. adopt: another revision is in force here. What the leader has
 // granted to this process itself goes before it.
-func (h *Follower) Inherit(now Micros, b LeaseTransfer) (adopt bool) {
+func (h *Follower) Inherit(now clock.Time, b LeaseTransfer) (adopt bool) {
 	if h.granted || h.leaving || h.knows && b.Revision < h.revision || b.For <= 0 {
 		return false
 	}
@@ -128,7 +130,7 @@
 
 // AcceptsUntil tells until when it may take clients: a time, or for ever (0) where it serves on when cut off and has promised
 // nothing. Not at all is a time that is past.
-func (h *Follower) AcceptsUntil(now Micros) (until Micros) {
+func (h *Follower) AcceptsUntil(now clock.Time) (until clock.Time) {
 	switch {
 	case !h.knows || h.leaving:
 		return now
--- a/core/policycommit/leader.go
+++ b/core/policycommit/leader.go
@@ -5,18 +5,20 @@
 	"fmt"
 	"maps"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // This file: the messages between a router and the leader, and the leader's side.
 
 // Rules are the spans of a leader and its followers.
 type Rules struct {
-	Lease    Micros // for which a grant counts, from its asking: the window in which two revisions may both be served
-	Ask      Micros // between two askings
-	Again    Micros // until one that was not answered is repeated
-	Patience Micros // for a change to be prepared by all
-	Slack    Micros // that the leader waits longer than a lease, beside a hundredth of it
-	Rest     Micros // after the end of a router's last grant until nothing that it had in hand, or had lent, can be left
+	Lease    clock.Time // for which a grant counts, from its asking: the window in which two revisions may both be served
+	Ask      clock.Time // between two askings
+	Again    clock.Time // until one that was not answered is repeated
+	Patience clock.Time // for a change to be prepared by all
+	Slack    clock.Time // that the leader waits longer than a lease, beside a hundredth of it
+	Rest     clock.Time // after the end of a router's last grant until nothing that it had in hand, or had lent, can be left
 }
 
 // DefaultRules: the window stays under a second, also by a clock that runs a hundredth slow. A lease is renewed four
@@ -28,58 +30,58 @@
 
 // Renewal is what a router asks with.
 type Renewal struct {
-	Name     Name     `json:"name"`
-	Process  Process  `json:"process"`
-	At       Micros   `json:"at"` // by its own clock
-	Serves   bool     `json:"serves"`
-	Build    string   `json:"build"`
-	Site     string   `json:"site"`
-	Held     Revision `json:"held"`
-	Index    Index    `json:"index"`    // the highest that it was told of
-	Prepared Token    `json:"prepared"` // the change that it could hold
-	Refused  Token    `json:"refused"`  // the change that it cannot
-	Why      string   `json:"why"`
-	Leaving  bool     `json:"leaving"` // it takes nothing more, for good
+	Name     Name       `json:"name"`
+	Process  Process    `json:"process"`
+	At       clock.Time `json:"at"` // by its own clock
+	Serves   bool       `json:"serves"`
+	Build    string     `json:"build"`
+	Site     string     `json:"site"`
+	Held     Revision   `json:"held"`
+	Index    Index      `json:"index"`    // the highest that it was told of
+	Prepared Token      `json:"prepared"` // the change that it could hold
+	Refused  Token      `json:"refused"`  // the change that it cannot
+	Why      string     `json:"why"`
+	Leaving  bool       `json:"leaving"` // it takes nothing more, for good
 }
 
 // Lease is what it is answered.
 type Lease struct {
-	Process  Process  `json:"process"`
-	At       Micros   `json:"at"` // of the asking
-	For      Micros   `json:"for"`
-	Index    Index    `json:"index"` // of the log state that it was made by
-	Revision Revision `json:"revision"`
-	Doc      string   `json:"doc"` // of that revision, where the asker does not hold it
-	Pending  Token    `json:"pending"`
-	Prepare  string   `json:"prepare"` // the pending document, where the asker has not said what it makes of it
-	Extra    float64  `json:"extra"`   // of what all routers may send together, beside the asker's own part
+	Process  Process    `json:"process"`
+	At       clock.Time `json:"at"` // of the asking
+	For      clock.Time `json:"for"`
+	Index    Index      `json:"index"` // of the log state that it was made by
+	Revision Revision   `json:"revision"`
+	Doc      string     `json:"doc"` // of that revision, where the asker does not hold it
+	Pending  Token      `json:"pending"`
+	Prepare  string     `json:"prepare"` // the pending document, where the asker has not said what it makes of it
+	Extra    float64    `json:"extra"`   // of what all routers may send together, beside the asker's own part
 }
 
 // Leader is the leader's side; a new leader begins with a new one. It is not safe for use by several goroutines at once.
 type Leader struct {
 	rules   Rules
-	began   Micros
+	began   clock.Time
 	heard   map[Name]heard
 	pending Token
-	since   Micros          // of the pending change, at this leader
-	seats   int             // that the whole is parted by
-	extra   map[Name]Micros // when a lent part was last given out
-	recall  map[Name]bool   // it is given out no more: its router asks
+	since   clock.Time          // of the pending change, at this leader
+	seats   int                 // that the whole is parted by
+	extra   map[Name]clock.Time // when a lent part was last given out
+	recall  map[Name]bool       // it is given out no more: its router asks
 }
 
 type heard struct {
 	Renewal
-	at Micros
+	at clock.Time
 }
 
 // NewLeader begins as leader.
-func NewLeader(now Micros, rules Rules, seats int) *Leader {
-	return &Leader{rules: rules, began: now, heard: map[Name]heard{}, seats: seats, extra: map[Name]Micros{}, recall: map[Name]bool{}}
+func NewLeader(now clock.Time, rules Rules, seats int) *Leader {
+	return &Leader{rules: rules, began: now, heard: map[Name]heard{}, seats: seats, extra: map[Name]clock.Time{}, recall: map[Name]bool{}}
 }
 
 // Answer takes in an asking, and answers it once a majority has confirmed the leader after it had come; book is as of then.
 // enter is an entry that has to be in the log state first.
-func (c *Leader) Answer(now Micros, b *LogState, r Renewal) (g Lease, ok bool, enter *Entry) {
+func (c *Leader) Answer(now clock.Time, b *LogState, r Renewal) (g Lease, ok bool, enter *Entry) {
 	c.heard[r.Name] = heard{r, now}
 	m, there := b.Roster[r.Name]
 	if r.Leaving {
@@ -111,10 +113,10 @@
 }
 
 // span is for how long a grant may count, by any clock that runs a hundredth slow.
-func (c *Leader) span() Micros { return c.rules.Lease + c.rules.Lease/100 + c.rules.Slack }
+func (c *Leader) span() clock.Time { return c.rules.Lease + c.rules.Lease/100 + c.rules.Slack }
 
 // lent is each living router's share of what lost ones may not send.
-func (c *Leader) lent(now Micros, b *LogState) float64 {
+func (c *Leader) lent(now clock.Time, b *LogState) float64 {
 	n := 0
 	for name := range b.Out {
 		if !c.recall[name] {
@@ -133,7 +135,7 @@
 // Lend tells which lost router's part is to be lent, or is its own again, now. A part is lent only once its router can
 // neither take a request, nor have one in hand, nor have lent the part itself; and the router is granted nothing before all
 // that was given out of the part has run out.
-func (c *Leader) Lend(now Micros, b *LogState) *Entry {
+func (c *Leader) Lend(now clock.Time, b *LogState) *Entry {
 	for _, name := range slices.Sorted(maps.Keys(b.Out)) {
 		if c.recall[name] && now-max(c.began, c.extra[name]) > c.span() {
 			return &Entry{Kind: Unlend, Name: name}
@@ -159,7 +161,7 @@
 
 // absent tells whether a router that does not serve when cut off can take nothing now: its last grant has run out. A
 // new leader does not know what the one before has granted.
-func (c *Leader) absent(now Micros, name Name, m Member) bool {
+func (c *Leader) absent(now clock.Time, name Name, m Member) bool {
 	span := c.span()
 	h, known := c.heard[name]
 	return now-c.began > span && (!known || h.Process != m.Process || now-h.at > span)
@@ -167,7 +169,7 @@
 
 // Resolve tells how the pending change ends, if it does now: everywhere once all that may serve could hold it, nowhere
 // where one cannot, or cannot be asked in time.
-func (c *Leader) Resolve(now Micros, b *LogState) *Entry {
+func (c *Leader) Resolve(now clock.Time, b *LogState) *Entry {
 	p := b.Pending
 	if p == nil {
 		c.pending = ""
@@ -205,17 +207,17 @@
 
 // FollowerState is what the leader knows of a router.
 type FollowerState struct {
-	Name     Name     `json:"name"`
-	Process  Process  `json:"process"`
-	Serves   bool     `json:"serves"`
-	Build    string   `json:"build"`
-	Held     Revision `json:"held"`
-	Prepared bool     `json:"prepared"`
-	Heard    Micros   `json:"heard"` // ago; negative: not by this leader
+	Name     Name       `json:"name"`
+	Process  Process    `json:"process"`
+	Serves   bool       `json:"serves"`
+	Build    string     `json:"build"`
+	Held     Revision   `json:"held"`
+	Prepared bool       `json:"prepared"`
+	Heard    clock.Time `json:"heard"` // ago; negative: not by this leader
 }
 
 // Standings are those of all on the roster.
-func (c *Leader) Standings(now Micros, b *LogState) (all []FollowerState) {
+func (c *Leader) Standings(now clock.Time, b *LogState) (all []FollowerState) {
 	for name, m := range b.Roster {
 		s := FollowerState{Name: name, Process: m.Process, Serves: m.Serves, Build: m.Build, Heard: -1}
 		if h, ok := c.heard[name]; ok && h.Process == m.Process {
--- a/core/policycommit/lend_test.go
+++ b/core/policycommit/lend_test.go
@@ -4,13 +4,15 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 // lendDay plays routers that are lost, stand still, come back as others and ask late, and leaders that change, on one clock
 // here and one of its own, up to a hundredth slow, at each router. It tells when parts were more than the whole together,
 // how long lost parts were lent, and whether all was as at first in the end.
-func lendDay(seed uint64, rules Rules) (over string, lent Micros, whole bool) {
-	const seats, tick = 5, Micros(50e3)
+func lendDay(seed uint64, rules Rules) (over string, lent clock.Time, whole bool) {
+	const seats, tick = 5, clock.Time(50e3)
 	r := rand.New(rand.NewPCG(seed, 6))
 	type router struct {
 		holder  *Follower
@@ -19,9 +21,9 @@
 		rate    float64 // of its clock
 		up      bool
 		stalled bool
-		until   Micros // of its extra, by its clock
+		until   clock.Time // of its extra, by its clock
 		extra   float64
-		last    Micros // when it last could take, by the one clock
+		last    clock.Time // when it last could take, by the one clock
 	}
 	book, council := &LogState{}, NewLeader(0, rules, seats)
 	index := Index(0)
@@ -41,13 +43,13 @@
 		start(routers[i])
 	}
 	type late struct {
-		at    Micros
+		at    clock.Time
 		to    *router
 		grant Lease
 	}
 	var way []late
 	calm := false
-	for now := Micros(0); now < 150e6; now += tick {
+	for now := clock.Time(0); now < 150e6; now += tick {
 		if calm = now > 110e6; !calm {
 			switch x := routers[r.IntN(seats)]; r.IntN(400) {
 			case 0, 1:
@@ -75,7 +77,7 @@
 					start(x)
 				}
 			}
-			own := Micros(float64(now) * x.rate)
+			own := clock.Time(float64(now) * x.rate)
 			if x.up && !x.stalled {
 				if q, due := x.holder.Ask(own); due && r.IntN(4) > 0 {
 					g, ok, enter := council.Answer(now, book.Clone(), q)
@@ -83,7 +85,7 @@
 						put(*enter)
 					}
 					if ok && r.IntN(4) > 0 {
-						way = append(way, late{now + Micros(r.IntN(800e3)), x, g})
+						way = append(way, late{now + clock.Time(r.IntN(800e3)), x, g})
 					}
 				}
 			}
@@ -105,7 +107,7 @@
 		}
 		for _, l := range way {
 			if l.at <= now && l.to.up && !l.to.stalled {
-				own := Micros(float64(now) * l.to.rate)
+				own := clock.Time(float64(now) * l.to.rate)
 				if l.to.holder.Granted(own, l.grant); l.grant.Process == l.to.process && l.grant.At+l.grant.For > own {
 					l.to.extra, l.to.until = l.grant.Extra, l.grant.At+l.grant.For
 				}
@@ -126,7 +128,7 @@
 func TestLentPartsNeverOverTheWhole(t *testing.T) {
 	rules := DefaultRules()
 	rules.Rest = 3e6
-	lent := Micros(0)
+	lent := clock.Time(0)
 	for seed := range uint64(200) {
 		over, span, whole := lendDay(seed, rules)
 		if over != "" || !whole {
--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -17,9 +17,6 @@
 	"spurtrestle/core/sitefailover"
 )
 
-// Micros is a time or a span in whole microseconds.
-type Micros int64
-
 // The ids are types of their own, so that one cannot stand for another.
 type (
 	Name     string // of a router
--- a/core/policycommit/transfer_test.go
+++ b/core/policycommit/transfer_test.go
@@ -1,6 +1,10 @@
 package policycommit
 
-import "fmt"
+import (
+	"fmt"
+
+	"spurtrestle/core/clock"
+)
 
 // What a process leaves to the next one ends as its own would: after a promise no later than its grant, and never later than a
 // lease from when it was left, also where it may serve for ever.
@@ -9,7 +13,7 @@
 	rules := DefaultRules()
 	for _, serves := range []bool{false, true} {
 		old, heir := NewFollower(rules, "r", 1, serves, "", sure), NewFollower(rules, "r", 2, serves, "", sure)
-		show := func(now Micros) {
+		show := func(now clock.Time) {
 			b, ok := old.Transfer(now)
 			if ok {
 				fmt.Printf("adopts %v, ", heir.Inherit(now, b))
--- a/core/routing/admission.go
+++ b/core/routing/admission.go
@@ -1,6 +1,10 @@
 package routing
 
-import "slices"
+import (
+	"slices"
+
+	"spurtrestle/core/clock"
+)
 
 // This file: what is refused, and how much may be in flight at a cache.
 
@@ -68,7 +72,7 @@
 			d.After += r.wait(s)
 		}
 		if q.shed { // spread out, so that they do not come in one wave
-			d.After = Micros(float64(min(r.planned.Back, r.maxHint)) * (1 + r.chance()) / 2)
+			d.After = clock.Time(float64(min(r.planned.Back, r.maxHint)) * (1 + r.chance()) / 2)
 		}
 		d.After = min(d.After, r.maxHint)
 	}
--- a/core/routing/coldstart.go
+++ b/core/routing/coldstart.go
@@ -1,11 +1,15 @@
 package routing
 
-import "math"
+import (
+	"math"
+
+	"spurtrestle/core/clock"
+)
 
 // This file: how much a server gets that has just started.
 
 // coldAge is the time since a server's start, as far as it is known.
-func (r *Router) coldAge(s *server) Micros {
+func (r *Router) coldAge(s *server) clock.Time {
 	start := max(s.Started, s.coldFrom)
 	if start == 0 || s.origin {
 		return r.coldSpan
--- a/core/routing/figures.go
+++ b/core/routing/figures.go
@@ -5,6 +5,8 @@
 	"maps"
 	"math"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // What the fleet is told of a router's load, and what is kept of what it tells in return. Nothing is decided here.
@@ -21,7 +23,7 @@
 // tallySpan smooths over what one router sees of a rank by chance, and shows a loss within a second.
 const tallySpan = 1e6
 
-func count[K comparable](in *map[K]*decayed, k K, now Micros) {
+func count[K comparable](in *map[K]*decayed, k K, now clock.Time) {
 	if *in == nil {
 		*in = map[K]*decayed{}
 	}
@@ -132,7 +134,7 @@
 }
 
 // Figures gives them as of now. It does not change the router but for the fading of its rates.
-func (r *Router) Figures(now Micros) Figures {
+func (r *Router) Figures(now clock.Time) Figures {
 	r.now = max(now, r.now)
 	t := &r.tally
 	f := Figures{Ended: t.ended.now(r.now, tallySpan), GivenUp: t.givenUp.now(r.now, tallySpan),
--- a/core/routing/fleet_test.go
+++ b/core/routing/fleet_test.go
@@ -6,6 +6,8 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 // fleet is many routers in virtual time that share nothing but the cache servers and the list of these.
@@ -13,14 +15,14 @@
 	scene
 	rand    *rand.Rand
 	routers []*Router
-	told    []Micros // when each router is told of the start
-	now     Micros
+	told    []clock.Time // when each router is told of the start
+	now     clock.Time
 	due     arrivals
 	weights []float64 // of keys, added up
 	held    map[ServerID]map[Key]bool
 	cold    ServerID
-	started Micros
-	sends   []Micros // to the cold server, of routers that had been told
+	started clock.Time
+	sends   []clock.Time // to the cold server, of routers that had been told
 	asked   int
 	hotKey  Key
 	open    map[RequestID]Key
@@ -40,12 +42,12 @@
 	herd       bool    // seven in ten routers begin anew a second before
 	restart    bool    // the cold server was there before
 	uneven     bool    // some routers see several times the mean
-	noticeLags Micros
+	noticeLags clock.Time
 }
 
 // due is one thing to come.
 type due struct {
-	at Micros
+	at clock.Time
 	do func()
 }
 
@@ -61,7 +63,7 @@
 	return last
 }
 
-func (f *fleet) after(d Micros, do func()) { heap.Push(&f.due, due{f.now + d, do}) }
+func (f *fleet) after(d clock.Time, do func()) { heap.Push(&f.due, due{f.now + d, do}) }
 
 const (
 	fleetKeys   = 5000
@@ -89,7 +91,7 @@
 
 func newFleet(s scene, seed uint64) *fleet {
 	f := &fleet{scene: s, rand: rand.New(rand.NewPCG(seed, 7)), held: map[ServerID]map[Key]bool{}, open: map[RequestID]Key{},
-		started: warmUp, routers: make([]*Router, s.routers), told: make([]Micros, s.routers)}
+		started: warmUp, routers: make([]*Router, s.routers), told: make([]clock.Time, s.routers)}
 	f.cold = ServerID(1 + f.rand.IntN(s.caches))
 	sum := 0.0
 	for i := range fleetKeys {
@@ -98,7 +100,7 @@
 	}
 	f.hotKey = f.keyOfCold()
 	for i := range f.routers {
-		f.told[i] = f.started + Micros(f.rand.Float64()*float64(s.noticeLags))
+		f.told[i] = f.started + clock.Time(f.rand.Float64()*float64(s.noticeLags))
 		f.begin(i)
 		f.after(f.told[i], func() { f.step(i, f.list(true)) })
 		if s.herd && f.rand.Float64() < 0.7 {
@@ -145,7 +147,7 @@
 
 // attempt has a server answer, which holds what was fetched for it.
 func (f *fleet) attempt(i int, r *Router, d Decision) {
-	took, status := Micros(15e3*(0.5+f.rand.ExpFloat64())), OK
+	took, status := clock.Time(15e3*(0.5+f.rand.ExpFloat64())), OK
 	key := f.open[d.Request]
 	if d.Server == fleetOrigin {
 		took *= 4
@@ -199,7 +201,7 @@
 	if f.now >= f.started {
 		rate *= f.burst
 	}
-	f.after(Micros(f.rand.ExpFloat64()*1e6/rate), f.ask)
+	f.after(clock.Time(f.rand.ExpFloat64()*1e6/rate), f.ask)
 }
 
 // play returns by what part of the bound the cold server got most in the time in which it may fall.
@@ -228,7 +230,7 @@
 
 // deployments are the rules on cold servers of some, each with the coldest start and the slowest ramp that was met there.
 func deployments() map[string]Settings {
-	rules := func(multiple, share float64, span, cold Micros) Settings {
+	rules := func(multiple, share float64, span, cold clock.Time) Settings {
 		s := base()
 		s.FallMultiple, s.ColdShare, s.FallSpan, s.ColdSpan = multiple, share, span, cold
 		return s
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // This file: what a server's answers tell of it: set aside, out of reach, an idle connection closed.
@@ -20,7 +22,7 @@
 }
 
 // judge keeps a server's record by what this router itself has seen of it.
-func (r *Router) judge(w *attempt, status Status, took Micros) {
+func (r *Router) judge(w *attempt, status Status, took clock.Time) {
 	s, points := w.server, 0
 	used := s.used.now(r.now, useSpan) / (1 - math.Exp(-float64(r.now+1-r.began)/useSpan))
 	switch status {
@@ -78,14 +80,14 @@
 	}
 	if s.lost += points; s.lost >= max(2, 1+int(min(2, used)), row) && s.aside <= r.now {
 		// Long enough that trials cost little, random so that the routers' trials do not fall together.
-		s.aside = r.now + Micros(rest*(1+r.chance()/2))
+		s.aside = r.now + clock.Time(rest*(1+r.chance()/2))
 	}
 }
 
 // follow keeps the record of the way to a zone. Caches of it that are silent one after the other, and no word
 // from any, are out of reach, or gone together: each router found that out cache by cache, and lost a request
 // on each. A refused connection is a word. In a healthy zone two that hang cost a moment at partners.
-func (r *Router) follow(s *server, status Status, points int, took Micros) {
+func (r *Router) follow(s *server, status Status, points int, took clock.Time) {
 	w := r.ways[s.Zone]
 	switch {
 	case s.origin || status == TimedOut && points == 0 || status == Ignored || status == Canceled:
@@ -101,7 +103,7 @@
 func (r *Router) rest(s *server, w way) {
 	const short = 3e5 // some answers: long enough for the trial's own, and each costs a request
 	if w.silent > 1 && slices.ContainsFunc(r.caches, func(c *server) bool { return c.Zone != s.Zone }) {
-		w.rest = r.now + Micros(short*(1+r.chance()/2))
+		w.rest = r.now + clock.Time(short*(1+r.chance()/2))
 	}
 	r.ways[s.Zone] = w
 }
--- a/core/routing/hotkeys.go
+++ b/core/routing/hotkeys.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // This file: which keys are hot, and the shares by which their reads are drawn.
@@ -34,7 +36,7 @@
 	if r.hot.total >= 10*float64(len(r.caches)) {
 		r.hot.age()
 	}
-	sum, n := Micros(0), Micros(0)
+	sum, n := clock.Time(0), clock.Time(0)
 	for _, s := range r.caches {
 		s.reported = slices.DeleteFunc(s.reported, func(x sample) bool { return r.now-x.at > stale })
 		s.fixed = load{mean(s.reported), s.writes, s.reads}
--- a/core/routing/inputs.go
+++ b/core/routing/inputs.go
@@ -4,12 +4,14 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // This file: the inputs, and what each of them changes.
 
 // New starts a router.
-func New(now Micros, s Settings, seed uint64) (*Router, []Decision) {
+func New(now clock.Time, s Settings, seed uint64) (*Router, []Decision) {
 	r := &Router{
 		methods: make([]method, len(s.Methods)), tenants: map[Tenant]*tenant{}, figures: s.ReportFields,
 		aside: s.Aside, sized: s.ListsSizes, originKind: s.OriginKind,
@@ -41,7 +43,7 @@
 	// Patience: a fifth for the least, and more where the worst-served method counts much, lest it starve.
 	r.coldTimes, r.patience = safe*s.FallMultiple, min(1, 0.2+s.WorstMethod)
 	r.methods = slices.Clone(r.methods)
-	most, tightest := 0.0, Micros(math.MaxInt64)
+	most, tightest := 0.0, clock.Time(math.MaxInt64)
 	for _, m := range s.Methods {
 		if most = max(most, m.Criticality); m.Effect == Idempotent {
 			tightest = min(tightest, m.LatencyBudget)
@@ -66,7 +68,7 @@
 }
 
 // Step takes one input.
-func (r *Router) Step(now Micros, ev Event) []Decision {
+func (r *Router) Step(now clock.Time, ev Event) []Decision {
 	r.now, r.decided = max(now, r.now), r.decided[:0]
 	r.recompute()
 	switch e := ev.(type) {
@@ -173,8 +175,8 @@
 func (r *Router) listCame(e ListCame) {
 	if e.Kind == ListFailed {
 		// Twice as long, half random. We count as told after 6 s; two calls may take 4, and refused ones none.
-		r.askWait = min(max(2*r.askWait, 250e3), map[bool]Micros{true: 35e5, false: 15e5}[e.Refused])
-		r.askAt = r.now + r.askWait/2 + Micros(r.chance()*float64(r.askWait)/2)
+		r.askWait = min(max(2*r.askWait, 250e3), map[bool]clock.Time{true: 35e5, false: 15e5}[e.Refused])
+		r.askAt = r.now + r.askWait/2 + clock.Time(r.chance()*float64(r.askWait)/2)
 		return
 	}
 	if e.Kind != ListSaved {
--- a/core/routing/knowledge.go
+++ b/core/routing/knowledge.go
@@ -1,6 +1,10 @@
 package routing
 
-import "math"
+import (
+	"math"
+
+	"spurtrestle/core/clock"
+)
 
 // What a router knows, as plain data that outlives it. This file copies; how much of it counts after a restart is
 // decided by package staleness, and what is made of what is known of a server in health.go (recall).
@@ -10,22 +14,22 @@
 
 // Times are what a gauge has measured.
 type Times struct {
-	Time, Long, Best Micros
+	Time, Long, Best clock.Time
 	N                int // answers, up to 32
 }
 
 // ServerKnowledge is what is known of one life of a server.
 type ServerKnowledge struct {
 	Server  ServerID
-	Started Micros // by the list; another start is another process
-	At      Micros // of the last own evidence; what was restored and not seen since keeps its time
+	Started clock.Time // by the list; another start is another process
+	At      clock.Time // of the last own evidence; what was restored and not seen since keeps its time
 	Times   Times
-	Rate    float64 // answers a second
-	Used    float64 // attempts a second, over longer
-	Told    Micros  // mean of the service times that it reported; 0: none
-	Lost    int     // points for failures in a row
-	Aside   bool    // it is set aside
-	Unheard bool    // connections to it failed: it may come back cold
+	Rate    float64    // answers a second
+	Used    float64    // attempts a second, over longer
+	Told    clock.Time // mean of the service times that it reported; 0: none
+	Lost    int        // points for failures in a row
+	Aside   bool       // it is set aside
+	Unheard bool       // connections to it failed: it may come back cold
 }
 
 // KeyKnowledge is the count of one key among the reads.
@@ -36,9 +40,9 @@
 
 // Knowledge is all that a router knows.
 type Knowledge struct {
-	At       Micros // when it was given
-	Span     Micros // for how long the rates had been watched
-	Seen     Times  // of all caches together
+	At       clock.Time // when it was given
+	Span     clock.Time // for how long the rates had been watched
+	Seen     Times      // of all caches together
 	Traffic  float64
 	Hits     float64
 	Asked    float64
@@ -47,7 +51,7 @@
 	Noise    float64
 	Retries  float64 // the retry budget
 	Reads    float64 // that the keys' counts are part of
-	Methods  []Micros
+	Methods  []clock.Time
 	Servers  []ServerKnowledge
 	Keys     []KeyKnowledge
 }
@@ -55,13 +59,13 @@
 func (g gauge) times() Times { return Times{g.time, g.long, g.best, int(g.n)} }
 
 // rate takes out of a decayed rate that it has not been watched for ever.
-func (r *Router) rate(d *decayed, span Micros) float64 {
+func (r *Router) rate(d *decayed, span clock.Time) float64 {
 	return d.now(r.now, span) / (1 - math.Exp(-float64(r.now+1-r.began)/float64(span)))
 }
 
 // Knows gives what the router knows now, servers in no order. It does not change the router but for the fading of its
 // rates.
-func (r *Router) Knows(now Micros) Knowledge {
+func (r *Router) Knows(now clock.Time) Knowledge {
 	r.now = max(now, r.now)
 	k := Knowledge{At: r.now, Span: r.now - r.began, Seen: r.seen.times(), Traffic: r.rate(&r.traffic, trafficSpan),
 		Hits: r.rate(&r.hits, trafficSpan), Asked: r.rate(&r.asked, trafficSpan), Answered: r.rate(&r.answered, trafficSpan),
@@ -91,7 +95,7 @@
 
 // recall takes up a gauge. The quickest time stays known.
 func (g *gauge) recall(t Times) {
-	*g = gauge{time: t.Time, long: t.Long, best: t.Best, n: Micros(min(t.N, MostRecalled)), kept: t.Best}
+	*g = gauge{time: t.Time, long: t.Long, best: t.Best, n: clock.Time(min(t.N, MostRecalled)), kept: t.Best}
 }
 
 func (h *keyCounts) recall(keys []KeyKnowledge, total float64) {
@@ -113,7 +117,7 @@
 	for i, time := range k.Methods[:min(len(k.Methods), len(r.methods))] {
 		r.methods[i].time = time
 	}
-	since := func(rate float64, span Micros) decayed {
+	since := func(rate float64, span clock.Time) decayed {
 		return decayed{rate * (1 - math.Exp(-float64(k.Span)/float64(span))), r.now}
 	}
 	r.traffic, r.hits = since(k.Traffic, trafficSpan), since(k.Hits, trafficSpan)
--- a/core/routing/knowledge_test.go
+++ b/core/routing/knowledge_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"spurtrestle/core/clock"
 )
 
 // busy is a router that has answered for some seconds, with server 3 slow and a hot key, and has a request in hand.
@@ -14,14 +16,14 @@
 	r, _ := New(0, base(), seed)
 	r.Step(0, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
 	for i := range 2000 {
-		now := Micros(i) * 5000
+		now := clock.Time(i) * 5000
 		key := Key(fmt.Sprint("k", i%300))
 		if i%5 == 0 {
 			key = "hot"
 		}
 		for _, d := range r.Step(now, RequestCame{Request: RequestID(fmt.Sprint(i)), Key: key, ValidUntil: now + 1e6}) {
 			if d.Action == Send {
-				took := Micros(10e3)
+				took := clock.Time(10e3)
 				if d.Server == 3 {
 					took = 40e3
 				}
@@ -34,7 +36,7 @@
 }
 
 // knows is in order, for comparing.
-func knows(r *Router, now Micros) Knowledge {
+func knows(r *Router, now clock.Time) Knowledge {
 	k := r.Knows(now)
 	slices.SortFunc(k.Servers, func(a, b ServerKnowledge) int { return cmp.Compare(a.Server, b.Server) })
 	return k
--- a/core/routing/measure.go
+++ b/core/routing/measure.go
@@ -5,15 +5,17 @@
 	"hash/crc32"
 	"math"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // decayed is a rate a second over about the last span, forgetting evenly.
 type decayed struct {
 	value float64
-	at    Micros
+	at    clock.Time
 }
 
-func (d *decayed) now(t, span Micros) float64 {
+func (d *decayed) now(t, span clock.Time) float64 {
 	if t > d.at {
 		d.value *= math.Exp(-float64(t-d.at) / float64(span))
 		d.at = t
@@ -21,35 +23,37 @@
 	return d.value
 }
 
-func (d *decayed) add(t, span Micros) { d.addSome(1, t, span) }
+func (d *decayed) add(t, span clock.Time) { d.addSome(1, t, span) }
 
-func (d *decayed) addSome(n float64, t, span Micros) { d.value = d.now(t, span) + n*1e6/float64(span) }
+func (d *decayed) addSome(n float64, t, span clock.Time) {
+	d.value = d.now(t, span) + n*1e6/float64(span)
+}
 
 // sample is one measured time.
 type sample struct {
-	at, time Micros
+	at, time clock.Time
 }
 
 // mean is that of the samples, 0 where there are none.
-func mean(of []sample) Micros {
-	sum := Micros(0)
+func mean(of []sample) clock.Time {
+	sum := clock.Time(0)
 	for _, x := range of {
 		sum += x.time
 	}
-	return sum / Micros(max(1, len(of)))
+	return sum / clock.Time(max(1, len(of)))
 }
 
 // gauge follows a time: smoothed over about the last fifteen, over more, and the quickest of that, which
 // falls at once and rises over minutes, not within one trouble.
 type gauge struct {
-	time, long, best Micros
-	n                Micros // samples, up to gaugeFull
-	kept             Micros // the quickest, as known before a restart; 0: none
+	time, long, best clock.Time
+	n                clock.Time // samples, up to gaugeFull
+	kept             clock.Time // the quickest, as known before a restart; 0: none
 }
 
 const gaugeFull = 32
 
-func (g *gauge) measure(took Micros) {
+func (g *gauge) measure(took clock.Time) {
 	g.n = min(g.n+1, gaugeFull)
 	g.time += (took - g.time) / min(g.n, 8)
 	g.long += (took - g.long) / g.n
@@ -69,20 +73,20 @@
 }
 
 // upTo is one up to the goal; beyond it falls by the square.
-func upTo(time, goal Micros) float64 {
+func upTo(time, goal clock.Time) float64 {
 	q := min(1, float64(goal)/float64(max(1, time)))
 	return q * q
 }
 
 // report keeps a service time that a server told, or that stands for one.
-func (s *server) report(at, time Micros) {
+func (s *server) report(at, time clock.Time) {
 	const last = 16 // N: answers enough to smooth a heavy-tailed service time
 	s.reported = append(s.reported, sample{at, time})
 	s.reported = s.reported[max(0, len(s.reported)-last):]
 }
 
 // measure takes the time of an answer, into the record of all caches as well.
-func (r *Router) measure(s *server, took Micros) {
+func (r *Router) measure(s *server, took clock.Time) {
 	if s.measure(took); !s.origin {
 		r.seen.measure(took)
 	}
@@ -90,11 +94,11 @@
 
 // takeReport keeps the reported service time, or where none is told the own one. The origin's is that of all
 // routers' fetches: one of hundreds has a few answers a second, and saw it fill seconds late.
-func (r *Router) takeReport(s *server, rep Report, took Micros) {
+func (r *Router) takeReport(s *server, rep Report, took clock.Time) {
 	i := slices.Index(r.figures, FigureServiceTime)
 	told := i >= 0 && i < len(rep) && rep[i] > 0
 	if told {
-		took = Micros(rep[i] * 1e3)
+		took = clock.Time(rep[i] * 1e3)
 	}
 	if s.origin && told {
 		s.time = took
@@ -105,7 +109,7 @@
 
 // leaning is g where it has samples enough, and the other one as far as it lacks them.
 func (g gauge) leaning(on gauge) gauge {
-	mix := func(own, other Micros) Micros { return (g.n*own + (gaugeFull-g.n)*other) / gaugeFull }
+	mix := func(own, other clock.Time) clock.Time { return (g.n*own + (gaugeFull-g.n)*other) / gaugeFull }
 	return gauge{mix(g.time, on.time), mix(g.long, on.long), mix(g.best, on.best), g.n, g.kept}
 }
 
--- a/core/routing/origin.go
+++ b/core/routing/origin.go
@@ -1,6 +1,10 @@
 package routing
 
-import "math"
+import (
+	"math"
+
+	"spurtrestle/core/clock"
+)
 
 // This file: what goes to the origin, and how much of it.
 
@@ -33,13 +37,13 @@
 }
 
 // originWait is the time until the origin's bound has room. Less than one in flight is one, and then a pause.
-func (r *Router) originWait() Micros {
+func (r *Router) originWait() clock.Time {
 	o, bound := r.origin, r.originBound()
 	if float64(o.inFlight) >= max(1, bound) {
 		return max(1, o.time)
 	}
 	const most = 10e6 // long enough for hundreds of routers, and a trial for one of them
-	return max(0, r.fetchWait(0), o.ended-r.now+Micros(min(most, (1/min(1, bound)-1)*float64(o.best))))
+	return max(0, r.fetchWait(0), o.ended-r.now+clock.Time(min(most, (1/min(1, bound)-1)*float64(o.best))))
 }
 
 // originRoom bounds the origin harder. While its answers are near their quickest it has room to spare, and
@@ -55,12 +59,12 @@
 
 // fetchWait is the time until one more read may go to the origin, behind so many that wait, where the fleet
 // has a bound on them: by this router's part of it, saved up for a quarter of a second.
-func (r *Router) fetchWait(ahead int) Micros {
+func (r *Router) fetchWait(ahead int) clock.Time {
 	if r.planned.Fetches == 0 {
 		return 0
 	}
 	rate := r.refill()
-	return Micros(max(0, 1e6*(1+float64(ahead)-r.fetchLeft)/rate))
+	return clock.Time(max(0, 1e6*(1+float64(ahead)-r.fetchLeft)/rate))
 }
 
 // originTakes tells whether the origin could carry the miss of a key that leaves its cache: where others wait
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -1,5 +1,7 @@
 package routing
 
+import "spurtrestle/core/clock"
+
 // This file: the rules for one request, in order, and how it ends.
 
 func requestRules() []rule {
@@ -90,7 +92,7 @@
 	q.attempts = append(q.attempts, &attempt{server: s, nth: q.sent, sent: r.now})
 	q.sent++
 	if r.mayCopy && q.sent == 1 && !q.write && q.method.effect == Idempotent && !s.origin && r.seen.n > 0 {
-		q.copyAt = r.now + Micros(r.copyAfter*float64(r.seen.long))
+		q.copyAt = r.now + clock.Time(r.copyAfter*float64(r.seen.long))
 		r.watched = append(r.watched, q)
 		r.wake(q.copyAt)
 	}
@@ -118,21 +120,21 @@
 }
 
 // wait is the time until an answer, behind those held for the same server that go before the request at hand.
-func (r *Router) wait(s *server) Micros {
+func (r *Router) wait(s *server) clock.Time {
 	if s.aside > r.now {
 		return s.aside - r.now + s.best
 	}
 	if s.origin {
-		queue := Micros(float64(s.time) * float64(s.ahead) / r.originBound())
+		queue := clock.Time(float64(s.time) * float64(s.ahead) / r.originBound())
 		return s.time + max(r.originWait(), r.fetchWait(s.ahead), queue)
 	}
 	t := s.gauge.leaning(r.seen).time
-	return t + Micros(float64(t)*float64(s.ahead)/max(1, inHand*r.part))
+	return t + clock.Time(float64(t)*float64(s.ahead)/max(1, inHand*r.part))
 }
 
 // soon: a late answer may still earn something, but it takes the place of one in time. So a request that can
 // be had again waits no longer than its latency budget allows.
-func (q *request) soon() Micros {
+func (q *request) soon() clock.Time {
 	if q.method.effect == Idempotent {
 		return min(q.aim, q.final)
 	}
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -5,6 +5,8 @@
 	"math"
 	"slices"
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 func Example_algorithm1() {
@@ -93,7 +95,7 @@
 func reads(r *Router, n, every int) map[ServerID]int {
 	to := map[ServerID]int{}
 	for i := range n {
-		now, key := Micros(i)*10e3, Key(fmt.Sprint("k", i))
+		now, key := clock.Time(i)*10e3, Key(fmt.Sprint("k", i))
 		if i%every == 0 {
 			key = "hot"
 		}
@@ -130,7 +132,7 @@
 	r.Step(0, ListCame{Entries: []Entry{{Server: 1}, {Server: 2}, {Server: 3}}})
 	retries := 0
 	for i := range 100 {
-		id, now := RequestID(fmt.Sprint(i)), Micros(i)*100e3
+		id, now := RequestID(fmt.Sprint(i)), clock.Time(i)*100e3
 		decided := r.Step(now, RequestCame{Request: id, Key: "k", ValidUntil: now + 1e6})
 		for n := 0; len(decided) > 0 && decided[0].Action == Send; n++ {
 			decided = r.Step(now, Returned{Request: id, Server: decided[0].Server, Attempt: Attempt(n), Status: Failed})
--- a/core/routing/trace_test.go
+++ b/core/routing/trace_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/internal/tracetest"
 )
 
@@ -147,7 +148,7 @@
 			case "some":
 				p.Some = x
 			case "back":
-				p.Back = Micros(x * 1e6)
+				p.Back = clock.Time(x * 1e6)
 			case "fetches":
 				p.Fetches = x
 			default:
@@ -208,12 +209,12 @@
 	panic("unknown input " + name)
 }
 
-func span(text string) Micros {
+func span(text string) clock.Time {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(err)
 	}
-	return Micros(x * 1e6)
+	return clock.Time(x * 1e6)
 }
 
 func show(d Decision) string {
--- a/core/routing/types.go
+++ b/core/routing/types.go
@@ -1,9 +1,8 @@
 package routing
 
-// This file: the plain types of settings, inputs and decisions.
+import "spurtrestle/core/clock"
 
-// Micros is a clock time or a span in whole microseconds.
-type Micros int64
+// This file: the plain types of settings, inputs and decisions.
 
 // The ids are types of their own, so that one cannot stand for another.
 type (
@@ -50,9 +49,9 @@
 	Name          string
 	Effect        Effect
 	Group         Group
-	Window        Micros // deduplicated only: how long repeats are known
-	LatencyBudget Micros
-	Deadline      Micros
+	Window        clock.Time // deduplicated only: how long repeats are known
+	LatencyBudget clock.Time
+	Deadline      clock.Time
 	Criticality   float64
 	LateShare     float64 // part of the criticality that a late answer still earns
 	Stream        bool
@@ -73,31 +72,31 @@
 	Aside           bool
 	OriginKind      Kind // empty: the origin is no server of the list
 	OriginFall      float64
-	OriginFallSpan  Micros
+	OriginFallSpan  clock.Time
 	ReportFields    []Figure
 	ListOnRequest   bool
 	ListsSizes      bool // weights in lists are sizes, and stay
-	Resolution      Micros
-	AnswerSlack     Micros
-	AskEvery        Micros
+	Resolution      clock.Time
+	AnswerSlack     clock.Time
+	AskEvery        clock.Time
 	ColdShare       float64
-	ColdSpan        Micros
-	FallSpan        Micros
+	ColdSpan        clock.Time
+	FallSpan        clock.Time
 	FallMultiple    float64
-	DrainGrace      Micros
+	DrainGrace      clock.Time
 	MayCancel       bool
 	MayProbe        bool
 	MayTwoAtOnce    bool
 	MaxAttempts     int
-	MaxHint         Micros // 0: rejections do not say when to come back
+	MaxHint         clock.Time // 0: rejections do not say when to come back
 	OverShareWorth  float64
 	WorstMethod     float64 // weight of the worst-served method in what the service is judged by
-	ConnectTimeout  Micros
-	IdleClose       Micros  // when a server closes an idle connection at the latest
-	ConnectionFee   float64 // for a hundred connections kept open to each server
-	HandshakeFee    float64 // for a new connection with each request
-	WasteFee        float64 // for work that answers nothing, as a part of all
-	CrossFee        float64 // for each request crossing locations once
+	ConnectTimeout  clock.Time
+	IdleClose       clock.Time // when a server closes an idle connection at the latest
+	ConnectionFee   float64    // for a hundred connections kept open to each server
+	HandshakeFee    float64    // for a new connection with each request
+	WasteFee        float64    // for work that answers nothing, as a part of all
+	CrossFee        float64    // for each request crossing locations once
 	ReportsOnProbes bool
 }
 
@@ -131,7 +130,7 @@
 	Cell    Cell
 	State   State
 	Weight  float64
-	Started Micros // 0: long ago
+	Started clock.Time // 0: long ago
 }
 
 // ListKind tells what a list holds.
@@ -176,7 +175,7 @@
 		Method     Method
 		Tenant     Tenant
 		Key        Key
-		ValidUntil Micros
+		ValidUntil clock.Time
 		Resent     bool
 		Write      bool
 		Once       bool // its body is not kept: one attempt at most
@@ -186,7 +185,7 @@
 		Server  ServerID
 		Attempt Attempt
 		Status  Status
-		Took    Micros
+		Took    clock.Time
 		Over    bool // the request is answered
 		Report  Report
 	}
@@ -206,7 +205,7 @@
 	Barred struct { // an operator has taken a server out, or given it back
 		Server ServerID
 		On     bool
-		Since  Micros // given back: it counts as started then
+		Since  clock.Time // given back: it counts as started then
 	}
 	Parted struct { // the part of what all routers may send together is another now, of one; at first it is one of them
 		Part float64
@@ -216,14 +215,14 @@
 		Spare   []ZonePart // weights of zones for the keys whose owner's zone has a part only; 1 where none is named
 		Least   Rank       // less is refused
 		Some    float64    // and of what has just that rank all but so much
-		Back    Micros     // what is refused is to come back within so long
+		Back    clock.Time // what is refused is to come back within so long
 		Fetches float64    // reads at the origin a second, of all routers together; 0: no bound but the router's own
 	}
 	Changed struct { // the settings are others now; the methods and tenants are the same ones, in the same order
 		Settings
 	}
 	Ending struct { // the process ends: no answer is of use after that
-		By Micros
+		By clock.Time
 	}
 	Elapsed struct {
 		Ref TimerRef
@@ -231,7 +230,7 @@
 	Probed struct {
 		Server ServerID
 		Status Status
-		Took   Micros
+		Took   clock.Time
 		Report Report
 	}
 )
@@ -256,7 +255,7 @@
 	Request RequestID
 	Server  ServerID
 	Attempt Attempt
-	After   Micros
-	By      Micros // of an attempt: it is not begun later than that; 0: any time
+	After   clock.Time
+	By      clock.Time // of an attempt: it is not begun later than that; 0: any time
 	Ref     TimerRef
 }
--- a/core/sharelease/sharelease.go
+++ b/core/sharelease/sharelease.go
@@ -14,10 +14,9 @@
 import (
 	"cmp"
 	"slices"
-)
 
-// Micros is a time or a span in whole microseconds.
-type Micros int64
+	"spurtrestle/core/clock"
+)
 
 // The ids are types of their own, so that one cannot stand for another.
 type (
@@ -27,10 +26,10 @@
 
 // Rules are the spans of lending.
 type Rules struct {
-	Lease    Micros // for which a piece is lent to each asking
-	Transfer Micros // the same, by one that ends: it cannot be asked again
-	Ask      Micros // between two askings, or recalls
-	Slack    Micros // what a lender waits longer, beside a hundredth of the span for clocks that do not run alike
+	Lease    clock.Time // for which a piece is lent to each asking
+	Transfer clock.Time // the same, by one that ends: it cannot be asked again
+	Ask      clock.Time // between two askings, or recalls
+	Slack    clock.Time // what a lender waits longer, beside a hundredth of the span for clocks that do not run alike
 }
 
 // DefaultRules: a lease is renewed three times over, since packets get lost; a bequest covers a restart, and is the time
@@ -57,7 +56,7 @@
 	Lender   Process // 0 in an asking: whichever it is
 	Borrower Process
 	At       int64
-	For      Micros
+	For      clock.Time
 }
 
 // Peer is a seat whose router is there.
@@ -69,18 +68,18 @@
 // Share is what a router may use: Now until a time, Then afterwards, until it is told anew.
 type Share struct {
 	Now   float64
-	Until Micros // 0: there is no end
+	Until clock.Time // 0: there is no end
 	Then  float64
 }
 
 type loan struct { // of an own piece
-	until Micros
+	until clock.Time
 	to    Process // 0: to whom the process before this one lent it is not known
 	count int64   // of the last grant
 }
 
 type held struct { // of another's piece
-	until Micros
+	until clock.Time
 	from  Process
 }
 
@@ -95,9 +94,9 @@
 	count   int64
 	out     map[Seat]loan
 	has     map[Seat]held
-	refuse  map[Seat]Micros  // grants of askings up to then are not taken
-	asked   map[Seat]Micros  // or recalled
-	waiting map[Seat]Message // the last asking of each
+	refuse  map[Seat]clock.Time // grants of askings up to then are not taken
+	asked   map[Seat]clock.Time // or recalled
+	waiting map[Seat]Message    // the last asking of each
 }
 
 const keeps = 1.0 / 8 // so that a router that takes clients again does not stand still until its pieces are back
@@ -106,9 +105,9 @@
 func Least(seats int) float64 { return keeps / float64(max(1, seats)) }
 
 // New begins with all pieces out, as the process before may have left them; clear says that it has lent none.
-func New(now Micros, rules Rules, seats int, me Seat, process Process, clear bool) *Leases {
+func New(now clock.Time, rules Rules, seats int, me Seat, process Process, clear bool) *Leases {
 	p := &Leases{rules: rules, seats: max(1, seats), me: me, process: process, out: map[Seat]loan{}, has: map[Seat]held{},
-		refuse: map[Seat]Micros{}, asked: map[Seat]Micros{}, waiting: map[Seat]Message{}}
+		refuse: map[Seat]clock.Time{}, asked: map[Seat]clock.Time{}, waiting: map[Seat]Message{}}
 	for s := range p.seats {
 		if s := Seat(s); s != me && !clear {
 			p.out[s] = loan{until: p.later(now, rules.Transfer)}
@@ -118,7 +117,7 @@
 }
 
 // later is the end of a span as its lender counts it.
-func (p *Leases) later(now, span Micros) Micros { return now + span + span/100 + p.rules.Slack }
+func (p *Leases) later(now, span clock.Time) clock.Time { return now + span + span/100 + p.rules.Slack }
 
 // Lend has the router lend its pieces, or take them back. Share without them has to be in force before: call it then.
 // ends says that the process is about to end.
@@ -130,7 +129,7 @@
 }
 
 // Share is what may be used.
-func (p *Leases) Share(now Micros) Share {
+func (p *Leases) Share(now clock.Time) Share {
 	if p.lends {
 		return p.Lent()
 	}
@@ -161,7 +160,7 @@
 }
 
 // Step lets time pass. there are the other seats that are there now; takes says that this router could use more.
-func (p *Leases) Step(now Micros, there map[Seat]Peer, takes bool) (send []Message) {
+func (p *Leases) Step(now clock.Time, there map[Seat]Peer, takes bool) (send []Message) {
 	for s, l := range p.out {
 		if l.until <= now {
 			delete(p.out, s)
@@ -201,7 +200,7 @@
 }
 
 // TransferAll answers all that have asked, as the last thing that a process does.
-func (p *Leases) TransferAll(now Micros) (send []Message) {
+func (p *Leases) TransferAll(now clock.Time) (send []Message) {
 	p.Lend(true, true)
 	for _, m := range p.waiting {
 		if a, ok := p.Take(now, m); ok {
@@ -213,7 +212,7 @@
 }
 
 // Take takes in a message, and answers it.
-func (p *Leases) Take(now Micros, m Message) (answer Message, ok bool) {
+func (p *Leases) Take(now clock.Time, m Message) (answer Message, ok bool) {
 	if m.To != p.me || m.From == p.me || m.From < 0 || int(m.From) >= p.seats {
 		return Message{}, false
 	}
@@ -237,8 +236,8 @@
 		p.out[m.From] = loan{until: max(p.out[m.From].until, p.later(now, span)), to: m.Borrower, count: p.count}
 		return Message{Kind: Grant, From: p.me, To: m.From, Lender: p.process, Borrower: m.Borrower, At: m.At, For: span}, true
 	case Grant:
-		until := Micros(m.At) + m.For // from the asking: how long the answer took does not matter
-		if m.Borrower != p.process || Micros(m.At) <= p.refuse[m.From] || Micros(m.At) > now || until <= now {
+		until := clock.Time(m.At) + m.For // from the asking: how long the answer took does not matter
+		if m.Borrower != p.process || clock.Time(m.At) <= p.refuse[m.From] || clock.Time(m.At) > now || until <= now {
 			return Message{}, false
 		}
 		if h := p.has[m.From]; until > h.until {
--- a/core/sharelease/sharelease_test.go
+++ b/core/sharelease/sharelease_test.go
@@ -5,6 +5,8 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+
+	"spurtrestle/core/clock"
 )
 
 // world plays routers with clocks of their own, and a network that delays, loses, doubles and disorders what they say.
@@ -32,7 +34,9 @@
 	m  Message
 }
 
-func (w *world) clock(r *router) Micros { return Micros(r.offset + int64(float64(w.now)*r.rate)) }
+func (w *world) clock(r *router) clock.Time {
+	return clock.Time(r.offset + int64(float64(w.now)*r.rate))
+}
 
 func (w *world) start(i int) {
 	r := w.routers[i]
@@ -163,14 +167,14 @@
 // One of six is drained: the others have its part within moments, and it has its own back when it takes clients again.
 func TestDrainedPartFollows(t *testing.T) {
 	const n = 6
-	rules, now := DefaultRules(), Micros(1e6)
+	rules, now := DefaultRules(), clock.Time(1e6)
 	var all []*Leases
 	there := map[Seat]Peer{}
 	for i := range n {
 		all = append(all, New(now, rules, n, Seat(i), Process(i+1), false))
 		there[Seat(i)] = Peer{Process(i + 1), false}
 	}
-	pass := func(span Micros) {
+	pass := func(span clock.Time) {
 		for end := now + span; now < end; now += 10e3 {
 			for _, p := range all {
 				for todo := p.Step(now, there, !p.lends); len(todo) > 0; todo = todo[1:] {
--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"maps"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // Row is one router that is there, or was lately, as the leader knows it.
@@ -17,7 +19,7 @@
 
 // Coordinator is the leader's side; a new leader begins with a new one. It is not safe for use by several goroutines at once.
 type Coordinator struct {
-	began    Micros
+	began    clock.Time
 	sites    map[Site]*watch
 	throttle throttle
 	load     float64 // answers a second while all sites were whole
@@ -27,13 +29,13 @@
 // watch is what the leader has seen of a site.
 type watch struct {
 	decision Decision
-	since    Micros  // it knows of that decision
-	lost     float64 // the part of the worth let in that was given up then
-	gone     Micros  // since when the evidence is that it is lost; 0: it is not
-	there    Micros  // since when that it is back
+	since    clock.Time // it knows of that decision
+	lost     float64    // the part of the worth let in that was given up then
+	gone     clock.Time // since when the evidence is that it is lost; 0: it is not
+	there    clock.Time // since when that it is back
 	servers  int
 	best     float64 // answers a second, of late
-	bestAt   Micros
+	bestAt   clock.Time
 }
 
 // settle is how long a new leader listens before it rules on anything.
@@ -43,7 +45,7 @@
 const soon = 60e6
 
 // NewCoordinator begins as leader.
-func NewCoordinator(now Micros) *Coordinator {
+func NewCoordinator(now clock.Time) *Coordinator {
 	return &Coordinator{began: now, sites: map[Site]*watch{}}
 }
 
@@ -56,7 +58,7 @@
 }
 
 // Step looks at all routers anew. It tells what they are to keep to, and rules on a site where it is time to.
-func (c *Coordinator) Step(now Micros, p *Plan, decisions map[Site]Decision, rows []Row) (Orders, *Order) {
+func (c *Coordinator) Step(now clock.Time, p *Plan, decisions map[Site]Decision, rows []Row) (Orders, *Order) {
 	if !p.On() {
 		c.throttle, c.status = throttle{}, Status{}
 		return Orders{}, nil
@@ -153,7 +155,7 @@
 	return all[len(all)/2]
 }
 
-func (c *Coordinator) watch(now Micros, site Site, r Decision, lost float64) *watch {
+func (c *Coordinator) watch(now clock.Time, site Site, r Decision, lost float64) *watch {
 	w := c.sites[site]
 	if w == nil {
 		w = &watch{since: now}
@@ -260,8 +262,8 @@
 	return e.known && e.listed > half && 2*e.heard >= e.routers && (e.heard == 0 || e.ownThere > half)
 }
 
-func (w *watch) see(now Micros, e proof) {
-	since := func(at *Micros, on bool) {
+func (w *watch) see(now clock.Time, e proof) {
+	since := func(at *clock.Time, on bool) {
 		if !on {
 			*at = 0
 		} else if *at == 0 {
@@ -283,9 +285,9 @@
 )
 
 // next is the decision that is due, or what the next one waits for.
-func (w *watch) next(now Micros, p *Plan, e proof, lost, origin float64) (*Order, string) {
+func (w *watch) next(now clock.Time, p *Plan, e proof, lost, origin float64) (*Order, string) {
 	r := w.decision
-	after := func(at, span Micros) bool { return at != 0 && now-at >= span }
+	after := func(at, span clock.Time) bool { return at != 0 && now-at >= span }
 	switch {
 	case r.Stage == Up:
 		if w.gone == 0 {
@@ -459,7 +461,7 @@
 
 // Status is what the leader knows, for people.
 type Status struct {
-	Now     Micros       `json:"now"`
+	Now     clock.Time   `json:"now"`
 	Sites   []SiteStatus `json:"sites"`
 	Bears   float64      `json:"bears"` // requests a second, by all sites together
 	More    float64      `json:"more"`  // times as much has been answered lately, by the origin as well; 0: less
--- a/core/sitefailover/plan.go
+++ b/core/sitefailover/plan.go
@@ -13,10 +13,9 @@
 import (
 	"cmp"
 	"slices"
-)
 
-// Micros is a time or a span in whole microseconds.
-type Micros int64
+	"spurtrestle/core/clock"
+)
 
 // Site names a site.
 type Site string
@@ -28,12 +27,12 @@
 // Plan is what operators have planned. The zero value: nothing.
 type Plan struct {
 	Sites     []Place
-	Fetches   float64   // that the origin bears for reads, a second; 0: not told, and there is no bound beside each router's own
-	Steps     []float64 // parts of its keys that a returning site has, one after the other; the last is 1
-	LostAfter Micros    // for so long the evidence must hold
-	BackAfter Micros    // and that of its return; each loss that follows soon doubles it
-	Hold      Micros    // a step takes so long at least
-	Loads     []Load    // for rehearsals
+	Fetches   float64    // that the origin bears for reads, a second; 0: not told, and there is no bound beside each router's own
+	Steps     []float64  // parts of its keys that a returning site has, one after the other; the last is 1
+	LostAfter clock.Time // for so long the evidence must hold
+	BackAfter clock.Time // and that of its return; each loss that follows soon doubles it
+	Hold      clock.Time // a step takes so long at least
+	Loads     []Load     // for rehearsals
 }
 
 // Place is one site of a plan.
@@ -137,13 +136,13 @@
 
 // Orders are what all routers keep to.
 type Orders struct {
-	Shares  []Share `json:"shares,omitempty"` // of sites that are not up
-	Spare   []Share `json:"spare,omitempty"`  // weights of sites for the keys of those
-	Least   Rank    `json:"least"`            // less is refused
-	Some    float64 `json:"some"`             // of what has just that rank so much is let in
-	Back    Micros  `json:"back"`             // what is refused is to come back within so long
-	Fetches float64 `json:"fetches"`          // at the origin for reads, a second, of all routers; 0: no bound
-	Target  float64 `json:"target"`           // requests a second that are let in; 0: all
+	Shares  []Share    `json:"shares,omitempty"` // of sites that are not up
+	Spare   []Share    `json:"spare,omitempty"`  // weights of sites for the keys of those
+	Least   Rank       `json:"least"`            // less is refused
+	Some    float64    `json:"some"`             // of what has just that rank so much is let in
+	Back    clock.Time `json:"back"`             // what is refused is to come back within so long
+	Fetches float64    `json:"fetches"`          // at the origin for reads, a second, of all routers; 0: no bound
+	Target  float64    `json:"target"`           // requests a second that are let in; 0: all
 }
 
 // Share is the part of its keys that a site's cache servers may have.
@@ -161,14 +160,14 @@
 }
 
 type count struct {
-	at Micros
+	at clock.Time
 	n  int
 }
 
 const remembered = 600e6 // longer than an outage during which somebody has to look at the figures
 
 // Note fills in what is usual.
-func (m *Memory) Note(now Micros, all []Seen) []Seen {
+func (m *Memory) Note(now clock.Time, all []Seen) []Seen {
 	if m.most == nil {
 		m.most = map[Site][]count{}
 	}
--- a/core/sitefailover/shed.go
+++ b/core/sitefailover/shed.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
 // pool adds up what routers are offered, the highest rank first.
@@ -79,17 +81,17 @@
 
 // A throttle keeps the target: it begins at what the sites are said to bear, and follows what becomes of what is let in.
 type throttle struct {
-	target  float64 // 0: all is let in
-	borne   float64 // what the sites were said to bear at the last step
-	done    []done  // answers a second at the last steps since that changed
-	more    float64 // times what is said to be borne so much has been answered, while all was let in
-	changed Micros  // when that was
-	calm    Micros  // since when all would fit; 0: it does not
-	stepped Micros
+	target  float64    // 0: all is let in
+	borne   float64    // what the sites were said to bear at the last step
+	done    []done     // answers a second at the last steps since that changed
+	more    float64    // times what is said to be borne so much has been answered, while all was let in
+	changed clock.Time // when that was
+	calm    clock.Time // since when all would fit; 0: it does not
+	stepped clock.Time
 }
 
 type done struct {
-	at   Micros
+	at   clock.Time
 	rate float64
 }
 
@@ -113,7 +115,7 @@
 
 // step takes the sums over all routers: what is offered and answered, the part of the worth let in that was given up, and
 // what is borne; trouble: a site is not whole.
-func (t *throttle) step(now Micros, offered []Offer, answered, lost, borne float64, trouble bool) {
+func (t *throttle) step(now clock.Time, offered []Offer, answered, lost, borne float64, trouble bool) {
 	if now-t.stepped < turn {
 		return
 	}
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -8,12 +8,13 @@
 	"strings"
 	"testing"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/internal/tracetest"
 )
 
 // day is a fleet as its leader sees it: two routers and four servers a site, and a log that takes each order at once.
 type day struct {
-	now     Micros
+	now     clock.Time
 	plan    Plan
 	chief   *Coordinator
 	orders  Orders // that all keep to
@@ -107,7 +108,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for d.now < Micros(seconds*1e6) {
+			for d.now < clock.Time(seconds*1e6) {
 				d.step()
 			}
 			part := func(text string) float64 {
@@ -287,7 +288,7 @@
 func ExampleMemory() {
 	var m Memory
 	for _, x := range []struct {
-		at     Micros
+		at     clock.Time
 		listed int
 	}{{0, 3}, {10e6, 4}, {20e6, 0}, {500e6, 2}, {700e6, 1}, {2000e6, 1}} {
 		fmt.Println(x.at/1e6, x.listed, m.Note(x.at, []Seen{{Site: "a", Listed: x.listed}})[0].Usual)
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -9,26 +9,27 @@
 import (
 	"math"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
 // Half-lives. Each is some times as long as the figure takes to be measured anew, and short against the time in which it
 // changes by itself.
 const (
-	Times   routing.Micros = 10 * 60e6 // service times: machines keep their speed for hours, but neighbours come and go
-	Quick   routing.Micros = 60 * 60e6 // the quickest time: what tells crowding from a slow method
-	Rates   routing.Micros = 60e6      // of traffic and answers: a crest lasts minutes
-	Health  routing.Micros = 15e6      // failures in a row, and being set aside: some trials long
-	HotKeys routing.Micros = 60e6      // hot keys cool within minutes
-	Budget  routing.Micros = 30e6      // the retry budget, towards a new router's
+	Times   clock.Time = 10 * 60e6 // service times: machines keep their speed for hours, but neighbours come and go
+	Quick   clock.Time = 60 * 60e6 // the quickest time: what tells crowding from a slow method
+	Rates   clock.Time = 60e6      // of traffic and answers: a crest lasts minutes
+	Health  clock.Time = 15e6      // failures in a row, and being set aside: some trials long
+	HotKeys clock.Time = 60e6      // hot keys cool within minutes
+	Budget  clock.Time = 30e6      // the retry budget, towards a new router's
 )
 
 // Unknown is the age of evidence from the future: the clock was set back, and by how much nobody can tell. It leaves
 // an eighth of the times and nothing that changes within minutes.
-const Unknown routing.Micros = 30 * 60e6
+const Unknown clock.Time = 30 * 60e6
 
 // MostWatched is how long rates count as watched at most: some times the longest span of a rate.
-const MostWatched routing.Micros = 60e6
+const MostWatched clock.Time = 60e6
 
 // Least is the weight under which a figure is dropped: of 32 answers one is left.
 const Least = 1.0 / 32
@@ -36,7 +37,7 @@
 const newBudget = 10 // of a router that has just started
 
 // Age is how old evidence is.
-func Age(now, at routing.Micros) routing.Micros {
+func Age(now, at clock.Time) clock.Time {
 	if at > now {
 		return Unknown
 	}
@@ -44,7 +45,7 @@
 }
 
 // Weight is what evidence of an age counts, from one to nothing.
-func Weight(age, halfLife routing.Micros) float64 {
+func Weight(age, halfLife clock.Time) float64 {
 	w := math.Exp2(-float64(age) / float64(halfLife))
 	if w < Least {
 		return 0
@@ -53,13 +54,13 @@
 }
 
 // Fade is what is left of knowledge at a time. The knowledge given is not changed.
-func Fade(k routing.Knowledge, now routing.Micros) routing.Knowledge {
+func Fade(k routing.Knowledge, now clock.Time) routing.Knowledge {
 	age := Age(now, k.At)
 	out := k
 	out.Seen = times(k.Seen, age)
 	rates := Weight(age, Rates)
 	// The rates themselves stay: what fades is for how long they count as watched.
-	out.Span = routing.Micros(rates * float64(min(max(k.Span, 0), MostWatched)))
+	out.Span = clock.Time(rates * float64(min(max(k.Span, 0), MostWatched)))
 	out.Retries = newBudget - Weight(age, Budget)*max(0, newBudget-k.Retries)
 	hot := Weight(age, HotKeys)
 	out.Reads = hot * k.Reads
@@ -71,7 +72,7 @@
 	}
 	out.Methods = nil
 	for _, t := range k.Methods {
-		out.Methods = append(out.Methods, routing.Micros(Weight(age, Times)*float64(t)))
+		out.Methods = append(out.Methods, clock.Time(Weight(age, Times)*float64(t)))
 	}
 	out.Servers = nil
 	for _, s := range k.Servers {
@@ -83,7 +84,7 @@
 }
 
 // server fades by the time of its own evidence; false where nothing is left.
-func server(s routing.ServerKnowledge, now routing.Micros) (routing.ServerKnowledge, bool) {
+func server(s routing.ServerKnowledge, now clock.Time) (routing.ServerKnowledge, bool) {
 	age := Age(now, s.At)
 	s.Times = times(s.Times, age)
 	s.Rate *= Weight(age, Rates)
@@ -100,11 +101,11 @@
 }
 
 // times fades a gauge: fewer answers, and the quickest time goes over into the usual one.
-func times(t routing.Times, age routing.Micros) routing.Times {
+func times(t routing.Times, age clock.Time) routing.Times {
 	t.N = int(Weight(age, Times) * float64(max(0, t.N)))
 	if t.N == 0 {
 		return routing.Times{}
 	}
-	t.Best += routing.Micros((1 - Weight(age, Quick)) * float64(max(0, t.Long-t.Best)))
+	t.Best += clock.Time((1 - Weight(age, Quick)) * float64(max(0, t.Long-t.Best)))
 	return t
 }
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -8,16 +8,17 @@
 
 	"pgregory.net/rapid"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/tracetest"
 )
 
-const now routing.Micros = 1_800_000_000e6
+const now clock.Time = 1_800_000_000e6
 
 // known is what a router knew at a time: two servers seen then, one of them set aside, and one not seen for an hour before.
-func known(at routing.Micros) routing.Knowledge {
+func known(at clock.Time) routing.Knowledge {
 	return routing.Knowledge{At: at, Span: 600e6, Seen: routing.Times{Time: 5000, Long: 6000, Best: 3000, N: 32}, Traffic: 200, Hits: 180,
-		Asked: 190, Answered: 185, Used: 400, Noise: 1, Retries: 2, Reads: 4000, Methods: []routing.Micros{4000, 8000},
+		Asked: 190, Answered: 185, Used: 400, Noise: 1, Retries: 2, Reads: 4000, Methods: []clock.Time{4000, 8000},
 		Servers: []routing.ServerKnowledge{
 			{Server: 1, At: at, Times: routing.Times{Time: 5000, Long: 6000, Best: 3000, N: 32}, Rate: 20, Told: 4000},
 			{Server: 2, At: at, Times: routing.Times{Time: 90000, Long: 80000, Best: 3000, N: 32}, Rate: 1, Lost: 3, Aside: true, Unheard: true},
@@ -34,7 +35,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := Fade(known(now-routing.Micros(age/time.Microsecond)), now)
+			k := Fade(known(now-clock.Time(age/time.Microsecond)), now)
 			say("seen %+v, watched for %v, budget %.1f, reads %.0f, methods %v", k.Seen,
 				time.Duration(k.Span)*time.Microsecond, k.Retries, k.Reads, k.Methods)
 			for _, s := range k.Servers {
@@ -51,8 +52,8 @@
 // The older, the less: no figure gains weight by time, and none jumps.
 func TestFadesSmoothly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		age := routing.Micros(rapid.Int64Range(0, 7200e6).Draw(t, "age"))
-		step := routing.Micros(rapid.Int64Range(0, 1e6).Draw(t, "step"))
+		age := clock.Time(rapid.Int64Range(0, 7200e6).Draw(t, "age"))
+		step := clock.Time(rapid.Int64Range(0, 1e6).Draw(t, "step"))
 		a, b := Fade(known(now-age), now), Fade(known(now-age-step), now)
 		if b.Seen.N > a.Seen.N || a.Seen.N-b.Seen.N > 1 || b.Span > a.Span || b.Reads > a.Reads || b.Retries < a.Retries ||
 			len(b.Servers) > len(a.Servers) || len(b.Keys) > len(a.Keys) {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/httpwire"
 	"spurtrestle/internal/resp"
@@ -31,31 +32,31 @@
 	Pipeline   int // commands of one client that wait for their answers
 	HeldBytes  int // bytes of all requests in hand
 	Buffered   int // bytes that the connections of all clients hold
-	Connect    routing.Micros
-	Idle       routing.Micros // a connection idle for so long is closed before its server would
-	Rest       routing.Micros // a connection used just now is left alone for so long, where servers have answered twice
-	Wary       routing.Micros // which counts for so long
-	Sweep      routing.Micros // between two looks for idle connections
-	Quiet      routing.Micros // a client from which nothing came for so long may be closed to make room
-	Silent     routing.Micros // a client with no open request that has sent nothing for so long is closed
-	Slow       routing.Micros // one that has sent a part of a command and not the rest for so long
-	Stuck      routing.Micros // a server that gives nothing more of a big value for so long is given up
-	Away       routing.Micros // until a client to which one passes is looked at again: it may have gone
-	Turn       routing.Micros // until a big value's turn is looked at again
-	Unread     routing.Micros // a client that takes nothing more of one
-	Join       routing.Micros // a process that replaces another waits so long for discovery's list
-	Crossing   routing.Micros // a client's deadline comes sooner by this: from it to us and back
-	Watch      routing.Micros // of one call to discovery
-	WatchSlack routing.Micros // an answer to it is late after so much more; and so is a connection to it
-	ListSlack  routing.Micros // an answer to a call that does not wait
-	AskAgain   routing.Micros // after a failed call to discovery
-	Linger     routing.Micros // a client that takes no more of its answers for so long is closed
-	Ending     routing.Micros // after SIGTERM all is answered within so long
-	LingerOpen routing.Micros // after SIGTERM, or an operator's word, new connections are taken for so long
-	Tell       routing.Micros // figures for operators are this old at most while something happens
-	Behind     routing.Micros // from so long between two batches on the loop is late: what has come in that time may lie unread
-	Stood      routing.Micros // from so long between two batches on the process, or its machine, stood still
-	Door       routing.Micros // the loop has so long for an operator's call
+	Connect    clock.Time
+	Idle       clock.Time // a connection idle for so long is closed before its server would
+	Rest       clock.Time // a connection used just now is left alone for so long, where servers have answered twice
+	Wary       clock.Time // which counts for so long
+	Sweep      clock.Time // between two looks for idle connections
+	Quiet      clock.Time // a client from which nothing came for so long may be closed to make room
+	Silent     clock.Time // a client with no open request that has sent nothing for so long is closed
+	Slow       clock.Time // one that has sent a part of a command and not the rest for so long
+	Stuck      clock.Time // a server that gives nothing more of a big value for so long is given up
+	Away       clock.Time // until a client to which one passes is looked at again: it may have gone
+	Turn       clock.Time // until a big value's turn is looked at again
+	Unread     clock.Time // a client that takes nothing more of one
+	Join       clock.Time // a process that replaces another waits so long for discovery's list
+	Crossing   clock.Time // a client's deadline comes sooner by this: from it to us and back
+	Watch      clock.Time // of one call to discovery
+	WatchSlack clock.Time // an answer to it is late after so much more; and so is a connection to it
+	ListSlack  clock.Time // an answer to a call that does not wait
+	AskAgain   clock.Time // after a failed call to discovery
+	Linger     clock.Time // a client that takes no more of its answers for so long is closed
+	Ending     clock.Time // after SIGTERM all is answered within so long
+	LingerOpen clock.Time // after SIGTERM, or an operator's word, new connections are taken for so long
+	Tell       clock.Time // figures for operators are this old at most while something happens
+	Behind     clock.Time // from so long between two batches on the loop is late: what has come in that time may lie unread
+	Stood      clock.Time // from so long between two batches on the process, or its machine, stood still
+	Door       clock.Time // the loop has so long for an operator's call
 }
 
 const (
@@ -84,7 +85,7 @@
 		callers = min(32, sockets/12) // those who stay and say nothing come some at a time
 		sockets -= callers + 3        // its listener, and two files of what was asked
 	}
-	longest := routing.Micros(0)
+	longest := clock.Time(0)
 	for _, m := range s.Methods {
 		longest = max(longest, m.Deadline)
 	}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -14,6 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/policycommit"
 	"spurtrestle/core/routing"
 	"spurtrestle/core/sitefailover"
@@ -68,7 +69,7 @@
 	asks     []ask
 	wants    map[policycommit.Token][]waiting   // who waits for a verdict
 	calls    map[uint64]chan policycommit.Reply // of operators, at this router
-	entering map[policycommit.Name]policycommit.Micros
+	entering map[policycommit.Name]clock.Time
 	inForce  policycommit.Revision // that the loop decides by
 	extra    float64               // as last granted
 	cannot   string                // why it cannot hold what is in force
@@ -89,14 +90,14 @@
 	id   uint64
 }
 
-func (k *Keeper) micros() policycommit.Micros {
-	return policycommit.Micros(time.Since(k.start) / time.Microsecond)
+func (k *Keeper) micros() clock.Time {
+	return clock.Time(time.Since(k.start) / time.Microsecond)
 }
 
 // Open begins to hold the fleet's policy, and to keep it where this router is a keeper.
 func Open(cfg Config, process fleet.Process, build string, router Router, transport fleet.Transport, logger *logrus.Logger) (*Keeper, error) {
 	k := &Keeper{cfg: cfg, router: router, fleet: transport, log: logger, start: time.Now(), build: build, wants: map[policycommit.Token][]waiting{}, calls: map[uint64]chan policycommit.Reply{},
-		entering: map[policycommit.Name]policycommit.Micros{}, kick: make(chan struct{}, 1), stop: make(chan struct{})}
+		entering: map[policycommit.Name]clock.Time{}, kick: make(chan struct{}, 1), stop: make(chan struct{})}
 	k.follower = policycommit.NewFollower(policycommit.DefaultRules(), policycommit.Name(cfg.Name), policycommit.Process(process), cfg.Serves, build, k.check)
 	if cfg.keeps() {
 		raftLog, err := openLog(cfg.Log, cfg.Name, logger)
@@ -130,7 +131,7 @@
 func (k *Keeper) rules() policycommit.Rules {
 	r := policycommit.DefaultRules()
 	for _, m := range k.cfg.Own.Methods {
-		r.Rest = max(r.Rest, policycommit.Micros(m.Deadline)+1e6)
+		r.Rest = max(r.Rest, clock.Time(m.Deadline)+1e6)
 	}
 	return r
 }
@@ -251,7 +252,7 @@
 	if !ok || k.cannot != "" || k.inForce != b.Revision {
 		return nil
 	}
-	b.For += policycommit.Micros(fleet.Monotonic())
+	b.For += clock.Time(fleet.Monotonic())
 	text, _ := json.Marshal(b) // plain fields: it cannot fail
 	return text
 }
@@ -263,7 +264,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	b.For -= policycommit.Micros(fleet.Monotonic())
+	b.For -= clock.Time(fleet.Monotonic())
 	if k.follower.Inherit(k.micros(), b) {
 		go k.adopt(b.Revision, b.Doc)
 	}
@@ -338,7 +339,7 @@
 			k.leader = policycommit.NewLeader(k.micros(), k.rules(), k.cfg.Own.Routers)
 			// What an earlier time as leader left is old.
 			s := &k.sites
-			s.coordinator, s.reports, s.given, s.stepped = sitefailover.NewCoordinator(sitefailover.Micros(k.micros())), nil, nil, -leadEach
+			s.coordinator, s.reports, s.given, s.stepped = sitefailover.NewCoordinator(clock.Time(k.micros())), nil, nil, -leadEach
 		}
 		k.asks = nil
 		k.fleet.Leads(leads)
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -6,6 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/policycommit"
 	"spurtrestle/core/routing"
 	"spurtrestle/core/sitefailover"
@@ -18,18 +19,18 @@
 	memory sitefailover.Memory
 	report *sitefailover.Report // of late; nil: nothing is planned
 	orders sitefailover.Orders  // as last told
-	came   policycommit.Micros  // when; 0: never
+	came   clock.Time           // when; 0: never
 
 	coordinator *sitefailover.Coordinator
-	stepped     policycommit.Micros
-	ruled       policycommit.Micros // when an entry was last asked for
+	stepped     clock.Time
+	ruled       clock.Time // when an entry was last asked for
 	given       *sitefailover.Orders
 	reports     map[policycommit.Name]reported
 }
 
 type reported struct {
 	sitefailover.Report
-	at policycommit.Micros
+	at clock.Time
 }
 
 const (
@@ -84,14 +85,14 @@
 		for _, z := range f.Zones {
 			r.Seen = append(r.Seen, sitefailover.Seen{Site: sitefailover.Site(z.Zone), Listed: z.Listed, Silent: z.Silent, Answers: z.Answers})
 		}
-		r.Seen = s.memory.Note(sitefailover.Micros(k.micros()), r.Seen)
+		r.Seen = s.memory.Note(clock.Time(k.micros()), r.Seen)
 		s.report = &r
 		k.mu.Unlock()
 	}
 }
 
 func planned(o sitefailover.Orders) routing.Planned {
-	p := routing.Planned{Least: routing.Rank(o.Least), Some: o.Some, Back: routing.Micros(o.Back), Fetches: o.Fetches}
+	p := routing.Planned{Least: routing.Rank(o.Least), Some: o.Some, Back: clock.Time(o.Back), Fetches: o.Fetches}
 	for _, s := range o.Spare {
 		p.Spare = append(p.Spare, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Part})
 	}
@@ -153,7 +154,7 @@
 		last := s.reports[policycommit.Name(m.Name)]
 		rows = append(rows, sitefailover.Row{Name: m.Name, Site: sitefailover.Site(m.Site), Heard: last.at != 0 && now-last.at < heardFor, Report: last.Report})
 	}
-	orders, order := s.coordinator.Step(sitefailover.Micros(now), &s.plan, b.Sites, rows)
+	orders, order := s.coordinator.Step(clock.Time(now), &s.plan, b.Sites, rows)
 	if s.given = &orders; orders.None() {
 		s.given = nil
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -12,6 +12,7 @@
 	"strconv"
 	"strings"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
@@ -35,7 +36,7 @@
 
 // Call is the next call, and how long discovery may take over it: the whole list at once, then watches of the given
 // length.
-func (b *Book) Call(wait routing.Micros) (path string, most routing.Micros) {
+func (b *Book) Call(wait clock.Time) (path string, most clock.Time) {
 	path = "/registry/instances"
 	if !b.whole {
 		return path, 0
@@ -125,7 +126,7 @@
 			b.addrs[id] = t.Endpoint
 		}
 		l.Entries = append(l.Entries, routing.Entry{Server: id, Zone: routing.Zone(t.Zone), Kind: routing.Kind(t.Kind),
-			Cell: routing.Cell(t.Cell), State: state, Weight: t.Weight, Started: routing.Micros(t.Boot * 1e3)})
+			Cell: routing.Cell(t.Cell), State: state, Weight: t.Weight, Started: clock.Time(t.Boot * 1e3)})
 	}
 	b.prune(l)
 	return l, nil
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -9,6 +9,7 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/membership"
 	"spurtrestle/core/sharelease"
 	"spurtrestle/internal/settings"
@@ -187,7 +188,7 @@
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if a, ok := p.parts.Take(sharelease.Micros(p.micros()), m); !ok {
+		if a, ok := p.parts.Take(clock.Time(p.micros()), m); !ok {
 			return
 		} else if len(p.answers) < mostAnswer {
 			p.answers = append(p.answers, a)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -23,6 +23,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/hierarchy"
 	"spurtrestle/core/membership"
 	"spurtrestle/core/sharelease"
@@ -48,9 +49,9 @@
 	tiers   *hierarchy.Hierarchy // nil: the fleet is flat
 	site    hierarchy.Local      // as the tiers were last told
 	seen    uint64               // digest of the view that site is of
-	looked  membership.Micros    // when site was made
-	asks    membership.Micros    // when the views of the site last were alike, or mates were asked for their heartbeats
-	odds    membership.Micros    // when the views of the site last were alike, or one was asked for its own
+	looked  clock.Time           // when site was made
+	asks    clock.Time           // when the views of the site last were alike, or mates were asked for their heartbeats
+	odds    clock.Time           // when the views of the site last were alike, or one was asked for its own
 	news    bool                 // the own word is another than was last passed on
 
 	list    *memberlist.Memberlist
@@ -71,8 +72,8 @@
 }
 
 // micros is the time since the start, by the monotonic clock.
-func (p *Node) micros() membership.Micros {
-	return membership.Micros(time.Since(p.start) / time.Microsecond)
+func (p *Node) micros() clock.Time {
+	return clock.Time(time.Since(p.start) / time.Microsecond)
 }
 
 // Open takes the router's place. Errors are about the configuration: they name file, field and remedy. What is wrong later
@@ -87,12 +88,12 @@
 	process := binary.BigEndian.Uint64(id[:]) | 1
 	p.me = membership.Member{Fleet: cfg.Fleet, Name: membership.Name(cfg.Name), Site: membership.Site(cfg.Site), Process: membership.Process(process),
 		Seat: membership.Seat(cfg.Seat), Started: p.start.UnixMicro(), Build: cfg.Build[:min(12, len(cfg.Build))], Addr: cfg.Advertise.String()}
-	rules := membership.DefaultRules(membership.Micros(cfg.Probe / time.Microsecond))
+	rules := membership.DefaultRules(clock.Time(cfg.Probe / time.Microsecond))
 	if cfg.Forget > 0 {
-		rules.Forget = membership.Micros(cfg.Forget / time.Microsecond)
+		rules.Forget = clock.Time(cfg.Forget / time.Microsecond)
 	}
 	p.view = membership.New(p.micros(), rules, p.me)
-	p.parts = sharelease.New(sharelease.Micros(p.micros()), sharelease.DefaultRules(), cfg.Seats, sharelease.Seat(cfg.Seat), sharelease.Process(process), cfg.Clear)
+	p.parts = sharelease.New(clock.Time(p.micros()), sharelease.DefaultRules(), cfg.Seats, sharelease.Seat(cfg.Seat), sharelease.Process(process), cfg.Clear)
 	known, err := p.readKnown()
 	if err != nil {
 		return nil, err
@@ -243,10 +244,10 @@
 	p.news = news || p.news
 	pass, out := p.news, p.view.Out()
 	p.news = false
-	send := p.parts.Step(sharelease.Micros(now), p.seats(), takes)
+	send := p.parts.Step(clock.Time(now), p.seats(), takes)
 	send = append(send, p.answers...)
 	p.answers = nil
-	s := p.share(p.parts.Share(sharelease.Micros(now)))
+	s := p.share(p.parts.Share(clock.Time(now)))
 	addr, call := p.view.Whom(now, p.cfg.Join)
 	if !call {
 		addr, call = p.atOdds(now)
@@ -413,7 +414,7 @@
 		now := p.micros()
 		p.view.End(now, handed)
 		if !handed {
-			last = p.parts.TransferAll(sharelease.Micros(now))
+			last = p.parts.TransferAll(clock.Time(now))
 		}
 	}
 	p.mu.Unlock()
--- a/internal/gossip/tiers.go
+++ b/internal/gossip/tiers.go
@@ -11,6 +11,7 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/hierarchy"
 	"spurtrestle/core/membership"
 	"spurtrestle/internal/fleet"
@@ -30,7 +31,7 @@
 	tieredTransmits = 2
 
 	tieredSteps = 200 * time.Millisecond
-	lookEvery   = membership.Micros(time.Second / time.Microsecond) // between two looks at a site whose view's digest stays
+	lookEvery   = clock.Time(time.Second / time.Microsecond) // between two looks at a site whose view's digest stays
 )
 
 // beginTiers is called before the router listens.
@@ -50,7 +51,7 @@
 		}
 		c.Remote = append(c.Remote, addr)
 	}
-	p.tiers = hierarchy.New(hierarchy.Micros(p.micros()), hierarchy.DefaultRules(), c)
+	p.tiers = hierarchy.New(clock.Time(p.micros()), hierarchy.DefaultRules(), c)
 	return nil
 }
 
@@ -89,14 +90,14 @@
 
 // whomToAsk are some mates whose last heartbeat tells of another view than this one's, for a probe by now: a heartbeat that is
 // passed on a few times is missed by a few. In a large fleet some router misses one at each change. p.mu is held.
-func (p *Node) whomToAsk(now membership.Micros) (nodes []*memberlist.Node) {
+func (p *Node) whomToAsk(now clock.Time) (nodes []*memberlist.Node) {
 	if !p.cfg.Tiered {
 		return nil
 	}
 	if _, settled := p.view.Digest(); settled {
 		p.asks = now
 	}
-	if now-p.asks < membership.Micros(p.cfg.Probe/time.Microsecond) {
+	if now-p.asks < clock.Time(p.cfg.Probe/time.Microsecond) {
 		return nil
 	}
 	p.asks = now
@@ -130,11 +131,11 @@
 }
 
 // atOdds is a mate whose view has differed from this one's for a while, to be asked for its whole state. p.mu is held.
-func (p *Node) atOdds(now membership.Micros) (addr string, call bool) {
+func (p *Node) atOdds(now clock.Time) (addr string, call bool) {
 	if !p.cfg.Tiered {
 		return "", false
 	}
-	span := oddsProbes * membership.Micros(p.cfg.Probe/time.Microsecond)
+	span := oddsProbes * clock.Time(p.cfg.Probe/time.Microsecond)
 	if _, settled := p.view.Digest(); settled {
 		p.odds = now
 	}
@@ -165,18 +166,18 @@
 }
 
 // stepTiers lets time pass for the tiers. p.mu is held.
-func (p *Node) stepTiers(now membership.Micros) []hierarchy.Datagram {
+func (p *Node) stepTiers(now clock.Time) []hierarchy.Datagram {
 	if p.tiers == nil {
 		return nil
 	}
 	if digest, _ := p.view.Digest(); digest != p.seen || now-p.looked >= lookEvery {
 		p.seen, p.looked, p.site = digest, now, p.local(now)
 	}
-	return p.tiers.Step(hierarchy.Micros(now), p.site)
+	return p.tiers.Step(clock.Time(now), p.site)
 }
 
 // local is what the tiers are told of the site. p.mu is held.
-func (p *Node) local(now membership.Micros) (l hierarchy.Local) {
+func (p *Node) local(now clock.Time) (l hierarchy.Local) {
 	for _, s := range p.view.Snapshot(now).Sites {
 		l.Counts.Alive += uint32(s.Alive)
 		l.Counts.Takes += uint32(s.Takes)
@@ -215,7 +216,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers != nil {
-		p.tiers.Take(hierarchy.Micros(p.micros()), body)
+		p.tiers.Take(clock.Time(p.micros()), body)
 	}
 }
 
@@ -228,7 +229,7 @@
 	if p.tiers == nil {
 		return hierarchy.Status{}, errFlat
 	}
-	return p.tiers.Status(hierarchy.Micros(p.micros())), nil
+	return p.tiers.Status(clock.Time(p.micros())), nil
 }
 
 // Role is what this router represents in a tiered fleet; nothing in a flat one.
@@ -249,7 +250,7 @@
 	if p.tiers == nil {
 		return settled
 	}
-	return settled && p.tiers.Settled(hierarchy.Micros(p.micros()))
+	return settled && p.tiers.Settled(clock.Time(p.micros()))
 }
 
 // TierDigests are over the summaries held of sites and of regions; zero in a flat fleet. All routers of a region that know
@@ -284,7 +285,7 @@
 func (p *Node) whole() whole {
 	w := whole{Snapshot: p.view.Snapshot(p.micros())}
 	if p.tiers != nil {
-		s := p.tiers.Status(hierarchy.Micros(p.micros()))
+		s := p.tiers.Status(clock.Time(p.micros()))
 		w.Tiers = &s
 	}
 	return w
--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -21,6 +21,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/router"
 	"spurtrestle/internal/wire"
@@ -136,7 +137,7 @@
 		},
 		Refuse: func(why router.Refusal) { done <- ended{refused: why} }}
 	if due, told := ctx.Deadline(); told {
-		if o.Waits = routing.Micros(time.Until(due) / time.Microsecond); o.Waits <= 0 {
+		if o.Waits = clock.Time(time.Until(due) / time.Microsecond); o.Waits <= 0 {
 			return nil, status.Error(codes.DeadlineExceeded, "the deadline had passed when the call came")
 		}
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/tomlfile"
 )
@@ -101,12 +102,12 @@
 		*into = *from
 		return nil
 	}
-	span := func(field string, from *string, into *routing.Micros, least, most routing.Micros) error {
+	span := func(field string, from *string, into *clock.Time, least, most clock.Time) error {
 		if from == nil {
 			return nil
 		}
 		x, err := time.ParseDuration(*from)
-		if at := routing.Micros(x / time.Microsecond); err != nil || at < least || at > most {
+		if at := clock.Time(x / time.Microsecond); err != nil || at < least || at > most {
 			return d.wrong(field, fmt.Sprintf("%q is no span from %v to %v", *from, time.Duration(least)*time.Microsecond,
 				time.Duration(most)*time.Microsecond), `write it as "250ms" or "4s"`)
 		} else {
--- a/internal/policy/sites.go
+++ b/internal/policy/sites.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/core/sitefailover"
 )
@@ -48,7 +49,7 @@
 		}
 		return 0
 	}
-	span := func(field string, text *string, into *sitefailover.Micros, least time.Duration) {
+	span := func(field string, text *string, into *clock.Time, least time.Duration) {
 		if text == nil {
 			return
 		}
@@ -57,7 +58,7 @@
 			wrong(field, fmt.Sprintf("%q is no span from %v to an hour", *text, least), `write it as "1s" or "90s"`)
 			return
 		}
-		*into = sitefailover.Micros(x / time.Microsecond)
+		*into = clock.Time(x / time.Microsecond)
 	}
 	p.Fetches = above("fetches", s.Fetches)
 	span("lost_after", s.LostAfter, &p.LostAfter, 500*time.Millisecond) // less is what a busy process stands still for
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -16,6 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/core/sharelease"
 	"spurtrestle/internal/admin"
@@ -264,7 +265,7 @@
 	if dir := mine.State.Dir; dir != "" {
 		var learned *snapshot.State
 		keeper, learned = snapshot.Keep(dir, log)
-		r.Remember(learned, routing.Micros(mine.State.Interval()/time.Microsecond), keeper.Put)
+		r.Remember(learned, clock.Time(mine.State.Interval()/time.Microsecond), keeper.Put)
 	}
 	var at fleet.Config
 	if mine.Fleet.Name != "" {
--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -1,6 +1,6 @@
 package router
 
-import "spurtrestle/core/routing"
+import "spurtrestle/core/clock"
 
 // arrivalTimes dates the bytes of a client that wait unread while there is no room for its commands. A request's time
 // counts from its last byte, not from when the router came to read it.
@@ -12,13 +12,13 @@
 // arrivalMark tells that all bytes before end had come at a time.
 type arrivalMark struct {
 	end int64
-	at  routing.Micros
+	at  clock.Time
 }
 
 const maxArrivalMarks = 64 // beyond it bytes are dated too early, never too late
 
 // waiting notes that n bytes are unread.
-func (a *arrivalTimes) waiting(n int, now routing.Micros) {
+func (a *arrivalTimes) waiting(n int, now clock.Time) {
 	end, last := a.read+int64(n), len(a.marks)-1
 	switch {
 	case last >= 0 && a.marks[last].end >= end:
@@ -30,7 +30,7 @@
 }
 
 // take reads n bytes and returns when the last of them came.
-func (a *arrivalTimes) take(n int, now routing.Micros) routing.Micros {
+func (a *arrivalTimes) take(n int, now clock.Time) clock.Time {
 	a.read += int64(n)
 	for len(a.marks) > 0 && a.marks[0].end < a.read {
 		a.marks = a.marks[1:]
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
@@ -64,7 +65,7 @@
 
 // cameAt is when a request that has just been read may have come. A process that was stopped for longer than its clients wait
 // found their requests in its sockets, took them for new, and sent them on after their deadline.
-func (r *Router) cameAt() routing.Micros {
+func (r *Router) cameAt() clock.Time {
 	if r.now < r.stoodUntil {
 		return r.stoodFrom
 	}
--- a/internal/router/behind.go
+++ b/internal/router/behind.go
@@ -1,14 +1,12 @@
 package router
 
-import (
-	"spurtrestle/core/routing"
-)
+import "spurtrestle/core/clock"
 
 // catchUp is how long a loop that was late once may still find old news in its sockets: hundreds of requests take some of it.
-const catchUp = routing.Micros(1e6)
+const catchUp = clock.Time(1e6)
 
 // noteLag notes that the loop comes late to what waits in its sockets, as after a pause of the process or with too little of a core.
-func (r *Router) noteLag(since routing.Micros) {
+func (r *Router) noteLag(since clock.Time) {
 	if r.now-since > r.lim.Behind {
 		r.behindUntil = r.now + catchUp
 	}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -6,6 +6,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/resp"
 	"spurtrestle/internal/wire"
@@ -16,25 +17,25 @@
 type client struct {
 	r       *Router
 	conn    gnet.Conn
-	slots   []*slot        // commands in order, until their answers are written
-	idle    routing.Micros // since when it has been quiet
-	whole   routing.Micros // when the last whole command came, or the connection
-	part    routing.Micros // when the first byte came of a command that is not whole yet; 0: there is none
-	coming  bool           // accepted, and not with the loop yet
-	used    bool           // something has come on it
-	spoke   bool           // a whole command has come on it
-	asked   bool           // a request has come on it
-	stalled bool           // its next commands wait until there is room; it is on the router's list of those
-	over    bool           // to be closed once the answers are out
-	first   bool           // a big write is next, and waits until all before it is answered
-	leaving bool           // soon off the loop
-	carried bool           // a big value has passed on it, of which the kernel may hold a part
-	away    bool           // off the loop: a big value passes on it
-	rest    []byte         // what came before it left the loop, and is not read yet
+	slots   []*slot    // commands in order, until their answers are written
+	idle    clock.Time // since when it has been quiet
+	whole   clock.Time // when the last whole command came, or the connection
+	part    clock.Time // when the first byte came of a command that is not whole yet; 0: there is none
+	coming  bool       // accepted, and not with the loop yet
+	used    bool       // something has come on it
+	spoke   bool       // a whole command has come on it
+	asked   bool       // a request has come on it
+	stalled bool       // its next commands wait until there is room; it is on the router's list of those
+	over    bool       // to be closed once the answers are out
+	first   bool       // a big write is next, and waits until all before it is answered
+	leaving bool       // soon off the loop
+	carried bool       // a big value has passed on it, of which the kernel may hold a part
+	away    bool       // off the loop: a big value passes on it
+	rest    []byte     // what came before it left the loop, and is not read yet
 	words   [][]byte
 
-	arrivals arrivalTimes   // of what is not read yet
-	came     routing.Micros // when the last byte of the command came that is being read
+	arrivals arrivalTimes // of what is not read yet
+	came     clock.Time   // when the last byte of the command came that is being read
 }
 
 // slot is the place of one command among the answers of its connection.
@@ -158,7 +159,7 @@
 
 // silent: nothing whole has come since it connected, or the head of a command is long in coming, or the rest has stopped.
 // A value may flow slowly, but not for ever.
-func (c *client) silent(now routing.Micros) bool {
+func (c *client) silent(now clock.Time) bool {
 	const values = 10 // times as long as a head
 	slow := c.r.lim.Slow
 	switch {
@@ -392,7 +393,7 @@
 var refusedReq = []byte("-ERR a req needs a new id, c, and d\r\n")
 
 // request makes the words of a command a request; ok is false where they are refused, which is counted.
-func (c *client) request(words [][]byte, write bool) (q *request, came routing.RequestCame, waits routing.Micros, ok bool) {
+func (c *client) request(words [][]byte, write bool) (q *request, came routing.RequestCame, waits clock.Time, ok bool) {
 	r := c.r
 	size := 0
 	for _, w := range words {
--- a/internal/router/crowd_test.go
+++ b/internal/router/crowd_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"spurtrestle/core/routing"
+	"spurtrestle/core/clock"
 )
 
 // Idle clients hold all descriptors, and each that is closed is followed by another at once. An attempt that waits for a connection
@@ -15,8 +15,8 @@
 	r.lim.Descriptors, r.lim.MostDescriptors, r.lim.Upstreams, r.lim.Clients = 16, 26, 8, 16
 	dials := 0
 	r.dialer = func(string, peer, func(error)) { dials++ }
-	const step = routing.Micros(5e3)
-	crowd := func(during routing.Micros) {
+	const step = clock.Time(5e3)
+	crowd := func(during clock.Time) {
 		for ; during > 0 && dials == 0; during -= step {
 			for range 3 {
 				l.open(nil)
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -14,6 +14,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/config"
 	"spurtrestle/internal/resp"
@@ -66,7 +67,7 @@
 }
 
 // pass sets the clock on.
-func (l *notedLoop) pass(by routing.Micros) {
+func (l *notedLoop) pass(by clock.Time) {
 	l.r.began += by
 	l.r.lim.Stood = 1 << 60
 	l.r.batch()
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -15,6 +15,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/resp"
 	"spurtrestle/internal/wire/http1"
@@ -155,11 +156,11 @@
 	var dials []dial
 	r.dialer = func(_ string, p peer, failed func(error)) { dials = append(dials, dial{p, failed}) }
 	clients, servers := []*notedConn{l.open(nil)}, []*notedConn(nil)
-	asked, out := map[*notedConn]int{}, map[string]routing.Micros{}
+	asked, out := map[*notedConn]int{}, map[string]clock.Time{}
 	close(r.ready)
 	r.lim.Ending, r.lim.LingerOpen, r.lim.Turn = 3e6, 500e3, 5e3
-	endBy := routing.Micros(0) // by when all is answered, after SIGTERM
-	gone := map[string]bool{}  // that drain, or are no more, by the last list
+	endBy := clock.Time(0)    // by when all is answered, after SIGTERM
+	gone := map[string]bool{} // that drain, or are no more, by the last list
 	type sent struct {
 		on *notedConn
 		w  *attempt
@@ -261,7 +262,7 @@
 				gone[uid] = state != "active"
 			}
 		case 9:
-			r.began += routing.Micros(n) * []routing.Micros{1e3, 1e3, 1e3, 10e3}[n%4]
+			r.began += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
 			r.batch()
 		case 10:
 			if c := pick(servers, n); c != nil {
--- a/internal/router/longwrite.go
+++ b/internal/router/longwrite.go
@@ -10,6 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/resp"
 	"spurtrestle/internal/wire"
@@ -230,7 +231,7 @@
 		r.execute(func() {
 			defer close(done)
 			r.counts.Forwards++
-			w.whole, w.sent = true, r.clock()-routing.Micros(time.Since(sent)/time.Microsecond) // its time counts from there
+			w.whole, w.sent = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time counts from there
 			r.spoke(w, o)
 			if !keep {
 				up.ended()
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/core/staleness"
 	"spurtrestle/internal/discovery"
@@ -14,14 +15,14 @@
 type memory struct {
 	learned *snapshot.State
 	waiting map[discovery.UID]routing.ServerKnowledge // of servers that no list has named yet
-	every   routing.Micros
+	every   clock.Time
 	keep    func(snapshot.State)
 	rand    *rand.Rand
 }
 
 // Remember has the router begin with what an earlier process had learned (nil: nothing), and hand over what it knows
 // itself about every so often. keep is called on the loop and must not wait. Call it before Run.
-func (r *Router) Remember(learned *snapshot.State, every routing.Micros, keep func(snapshot.State)) {
+func (r *Router) Remember(learned *snapshot.State, every clock.Time, keep func(snapshot.State)) {
 	r.memory = &memory{learned: learned, every: every, keep: keep, waiting: map[discovery.UID]routing.ServerKnowledge{},
 		rand: rand.New(rand.NewPCG(r.cfg.Seed, 1))}
 }
@@ -46,7 +47,7 @@
 	}
 	k := s.Knowledge
 	for _, method := range r.cfg.Settings.Methods { // by name: their order may have changed
-		time := routing.Micros(0)
+		time := clock.Time(0)
 		for _, x := range s.Methods {
 			if x.Name == method.Name {
 				time = x.Time
@@ -98,7 +99,7 @@
 // later keeps what is known after a while; not all routers of a fleet at once.
 func (r *Router) later() {
 	m := r.memory
-	r.after(routing.Micros(float64(m.every)*(0.75+m.rand.Float64()/2)), func() {
+	r.after(clock.Time(float64(m.every)*(0.75+m.rand.Float64()/2)), func() {
 		m.keep(r.State())
 		r.later()
 	})
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/snapshot"
 )
@@ -33,7 +34,7 @@
 		Knowledge: routing.Knowledge{At: l.r.clock(), Span: 60e6, Seen: routing.Times{Time: 3000, Long: 3000, Best: 2000, N: 32}}}
 	for i := range 3 {
 		old.Servers = append(old.Servers, snapshot.Server{UID: fmt.Sprint("uid-", i), ServerKnowledge: routing.ServerKnowledge{At: l.r.clock(),
-			Times: routing.Times{Time: routing.Micros(1000 * (i + 1)), Long: 1, Best: 1, N: 32}}})
+			Times: routing.Times{Time: clock.Time(1000 * (i + 1)), Long: 1, Best: 1, N: 32}}})
 	}
 	r := l.r
 	r.Remember(&old, 1e6, func(snapshot.State) {})
@@ -54,8 +55,8 @@
 		r.listCame(got)
 		l.rounds()
 	}
-	known := func() map[string]routing.Micros {
-		out := map[string]routing.Micros{}
+	known := func() map[string]clock.Time {
+		out := map[string]clock.Time{}
 		for _, s := range r.State().Servers {
 			out[s.UID] = s.Times.Time
 		}
--- a/internal/router/offers.go
+++ b/internal/router/offers.go
@@ -3,6 +3,7 @@
 import (
 	"sync"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/wire"
 )
@@ -24,7 +25,7 @@
 	wire.Request
 	Method string
 	Tenant routing.Tenant
-	Waits  routing.Micros // how long its client waits; 0: as long as the method allows
+	Waits  clock.Time // how long its client waits; 0: as long as the method allows
 	Resent bool
 	// Exactly one of the two is called, on the loop, once: it must not wait. An answer's value is good only within it.
 	Answer func(wire.Answer)
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/admin"
 	"spurtrestle/internal/discovery"
@@ -24,7 +25,7 @@
 	store   *operatorstate.Store
 	wanted  operatorstate.State     // the loop's own
 	told    atomic.Pointer[figures] // what the loop last left for the admin endpoint
-	toldAt  routing.Micros
+	toldAt  clock.Time
 	unkept  atomic.Bool // the file does not have what is wanted
 	emptied bool        // clients' connections are being ended since an operator asked for it
 }
@@ -196,7 +197,7 @@
 		uid := string(r.book.UID(s.id))
 		if out := i.Out(uid); out != was.Out(uid) && !r.place.gone[uid] {
 			r.log.WithFields(map[string]any{"server": uid, "out": out}).Info("as operators asked")
-			r.bar(s, out, routing.Micros(i.Back[uid]))
+			r.bar(s, out, clock.Time(i.Back[uid]))
 		}
 	}
 	if i.Empty != was.Empty {
@@ -212,7 +213,7 @@
 }
 
 // bar tells the decisions that a server is out, or back since then.
-func (r *Router) bar(s *server, out bool, since routing.Micros) {
+func (r *Router) bar(s *server, out bool, since clock.Time) {
 	if out {
 		since = 0
 	}
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -6,26 +6,27 @@
 	"sync/atomic"
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
 // place is the router's among the others, as far as something outside the loop keeps it. The fields are the loop's, but
 // that which is noted.
 type place struct {
-	have  float64        // the part; 0: it was not told yet, and the decisions have their own
-	part  routing.Micros // until then the part holds that was told; 0: for ever
+	have  float64    // the part; 0: it was not told yet, and the decisions have their own
+	part  clock.Time // until then the part holds that was told; 0: for ever
 	then  float64
 	whole bool   // nothing of the own part is lent, or may be
 	out   string // why it takes no clients
 
 	extra      float64 // beside the part: of routers that are lost
-	extraUntil routing.Micros
+	extraUntil clock.Time
 
-	may  atomic.Int64 // new requests may be taken until then, as routing.Micros; 0: for ever. From any goroutine.
+	may  atomic.Int64 // new requests may be taken until then, as clock.Time; 0: for ever. From any goroutine.
 	shut bool         // they may not
 
 	plan  routing.Planned // that the fleet keeps to
-	until routing.Micros  // and so long; 0: there is none
+	until clock.Time      // and so long; 0: there is none
 	gone  map[string]bool // cache servers that the fleet's policy leaves alone
 }
 
@@ -69,7 +70,7 @@
 		}
 		r.place.whole, r.place.then, r.place.part = whole, then, 0
 		if !until.IsZero() {
-			r.place.part = r.began + routing.Micros(until.Sub(r.start)/time.Microsecond)
+			r.place.part = r.began + clock.Time(until.Sub(r.start)/time.Microsecond)
 		}
 		if r.place.have = now; !r.place.shut {
 			r.input(routing.Parted{Part: now + r.place.extra})
@@ -149,7 +150,7 @@
 	<-r.ready
 	var f routing.Figures
 	busy := r.soon(func() {
-		r.place.until = r.began + routing.Micros(until.Sub(r.start)/time.Microsecond)
+		r.place.until = r.began + clock.Time(until.Sub(r.start)/time.Microsecond)
 		if reflect.DeepEqual(p, routing.Planned{}) {
 			r.place.until = 0
 		}
@@ -175,7 +176,7 @@
 	}
 	r.execute(func() {
 		p := &r.place
-		p.extraUntil = r.began + routing.Micros(until.Sub(r.start)/time.Microsecond)
+		p.extraUntil = r.began + clock.Time(until.Sub(r.start)/time.Microsecond)
 		if part == p.extra {
 			return
 		}
@@ -188,16 +189,16 @@
 }
 
 func (r *Router) mayTake() bool {
-	may := routing.Micros(r.place.may.Load())
+	may := clock.Time(r.place.may.Load())
 	return may == 0 || r.now < may
 }
 
 // MayTake has the router take new requests until a time: zero for ever, one that is past not at all. What it does not take
 // is rejected at once, and it is not ready meanwhile.
 func (r *Router) MayTake(until time.Time) {
-	at := routing.Micros(0)
+	at := clock.Time(0)
 	if !until.IsZero() {
-		at = max(1, r.began+routing.Micros(until.Sub(r.start)/time.Microsecond))
+		at = max(1, r.began+clock.Time(until.Sub(r.start)/time.Microsecond))
 	}
 	r.place.may.Store(int64(at))
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strconv"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/settings"
 	"spurtrestle/internal/wire"
@@ -22,7 +23,7 @@
 	wire.Request
 	size     int // bytes that it holds
 	method   routing.Method
-	due      routing.Micros // its client gives up then
+	due      clock.Time // its client gives up then
 	from     asker
 	slot     slot            // of a RESP2 client
 	attempts []*attempt      // two at most
@@ -36,13 +37,13 @@
 type arrival struct {
 	q     *request
 	came  routing.RequestCame
-	waits routing.Micros
-	since routing.Micros // its last byte came then
+	waits clock.Time
+	since clock.Time // its last byte came then
 }
 
 // event dates a request. The decisions count its time from when the router came to read it, since the protocol does not
 // count the time for which a command waits for those before it; servers are sent what is left since its last byte came.
-func (a *arrival) event(at routing.Micros) routing.Event {
+func (a *arrival) event(at clock.Time) routing.Event {
 	a.q.due = min(at, a.since) + a.waits
 	a.came.ValidUntil = at + a.waits
 	return a.came
@@ -53,22 +54,22 @@
 	q      *request
 	nth    routing.Attempt
 	server *server
-	sent   routing.Micros
-	within routing.Micros // its time-out
+	sent   clock.Time
+	within clock.Time // its time-out
 	timer  *timer
-	late   *timer         // at until; nil: that is its time-out
-	until  routing.Micros // not begun by then, it is not begun any more
-	up     *upstream      // nil: it waits for a connection
-	whole  bool           // its last byte has left us
+	late   *timer     // at until; nil: that is its time-out
+	until  clock.Time // not begun by then, it is not begun any more
+	up     *upstream  // nil: it waits for a connection
+	whole  bool       // its last byte has left us
 }
 
 // remaining is how long an answer can still be of use: until the router stops waiting for it, or the client does.
-func (w *attempt) remaining(now routing.Micros) routing.Micros {
+func (w *attempt) remaining(now clock.Time) clock.Time {
 	return min(w.sent+w.within, w.q.due) - now
 }
 
 // take makes a request of this router's what a front has read whole; its client waits so long from when its last byte came, since.
-func (r *Router) take(q *request, came routing.RequestCame, waits, since routing.Micros) {
+func (r *Router) take(q *request, came routing.RequestCame, waits, since clock.Time) {
 	r.requests[q.ID] = q
 	r.held += q.size
 	r.counts.Taken++
@@ -122,7 +123,7 @@
 	}
 }
 
-func (r *Router) reject(id routing.RequestID, hint routing.Micros) {
+func (r *Router) reject(id routing.RequestID, hint clock.Time) {
 	if q := r.requests[id]; q != nil {
 		r.answer(q, wire.Answer{Kind: wire.Rejected, RetryAfter: hint})
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -19,6 +19,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"github.com/sirupsen/logrus"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/config"
 	"spurtrestle/internal/counters"
@@ -37,16 +38,16 @@
 	counts counters.Counters
 
 	start time.Time
-	began routing.Micros // the wall clock at the start; the time is that and what has passed by the monotonic clock
+	began clock.Time // the wall clock at the start; the time is that and what has passed by the monotonic clock
 	loop  gnet.EventLoop
 	ready chan struct{} // closed once loop is set
 
 	core    *routing.Router
 	methods map[string]routing.Method
-	now     routing.Micros // of the batch at hand
+	now     clock.Time // of the batch at hand
 	// After the loop stood still since stoodFrom, until stoodUntil, what is read may have come at any time since then.
-	stoodFrom, stoodUntil routing.Micros
-	behindUntil           routing.Micros // until then the ends of clients may lie unread
+	stoodFrom, stoodUntil clock.Time
+	behindUntil           clock.Time // until then the ends of clients may lie unread
 	inputs                []routing.Event
 	decided               []routing.Decision
 	queued                bool // a batch is on its way
@@ -67,7 +68,7 @@
 	dialer    func(addr string, p peer, failed func(error)) // dialOff, but in tests
 	dials     int
 	upstreams int // open connections to servers
-	waryUntil routing.Micros
+	waryUntil clock.Time
 	starved   []*server // with attempts that wait for a dial
 	conns     int       // open connections of all kinds
 	book      *discovery.Book
@@ -83,7 +84,7 @@
 
 	ended                      chan struct{} // the loop is to end, or has
 	draining, closing, stopped bool
-	endBy                      routing.Micros // all that is taken is answered by then; 0: no end is in sight
+	endBy                      clock.Time // all that is taken is answered by then; 0: no end is in sight
 	scratch                    []byte
 }
 
@@ -102,7 +103,7 @@
 		origin: http1.Back{Bounds: cfg.Limits.Origin}}
 	r.ops.barred = map[routing.ServerID]bool{}
 	r.counts.Ended = make([][3]int, len(cfg.Settings.Methods))
-	r.dialer, r.began = r.dialOff, routing.Micros(r.start.UnixMicro())
+	r.dialer, r.began = r.dialOff, clock.Time(r.start.UnixMicro())
 	for i, m := range cfg.Settings.Methods {
 		r.methods[m.Name] = routing.Method(i)
 	}
@@ -160,11 +161,11 @@
 }
 
 // clock is the time in microseconds since 1970. It never goes back.
-func (r *Router) clock() routing.Micros {
-	return r.began + routing.Micros(time.Since(r.start)/time.Microsecond)
+func (r *Router) clock() clock.Time {
+	return r.began + clock.Time(time.Since(r.start)/time.Microsecond)
 }
 
-func span(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t clock.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
 func (r *Router) begin(loop gnet.EventLoop) {
 	r.loop = loop
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -8,6 +8,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/wire"
 )
@@ -35,11 +36,11 @@
 	server  *server
 	addr    string // where it leads; the server may have another by now
 	conn    gnet.Conn
-	carries *attempt       // nil: idle
-	since   routing.Micros // idle since
-	writing bool           // gnet may close it within a write
-	away    bool           // off the loop: a big value comes on it
-	used    bool           // it has carried an attempt
+	carries *attempt   // nil: idle
+	since   clock.Time // idle since
+	writing bool       // gnet may close it within a write
+	away    bool       // off the loop: a big value comes on it
+	used    bool       // it has carried an attempt
 }
 
 func (s *server) forget(w *attempt) {
@@ -430,7 +431,7 @@
 			s = &server{id: e.Server}
 			r.servers[e.Server] = s
 			uid := string(r.book.UID(e.Server))
-			r.bar(s, r.isOut(uid), routing.Micros(r.ops.wanted.Back[uid])) // before anything is sent there
+			r.bar(s, r.isOut(uid), clock.Time(r.ops.wanted.Back[uid])) // before anything is sent there
 		}
 		s.isOrigin = r.cfg.Settings.OriginKind != "" && e.Kind == r.cfg.Settings.OriginKind
 		if s.speaks = r.cache; s.isOrigin {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -4,12 +4,12 @@
 	"container/heap"
 	"time"
 
-	"spurtrestle/core/routing"
+	"spurtrestle/core/clock"
 )
 
 // timer is one thing to do at a time.
 type timer struct {
-	at   routing.Micros
+	at   clock.Time
 	seq  uint64
 	do   func()
 	slot int // place in the heap; -1: not in it
@@ -20,7 +20,7 @@
 	due   []*timer
 	seq   uint64
 	alarm *time.Timer
-	set   routing.Micros // when the alarm goes off; 0: it does not
+	set   clock.Time // when the alarm goes off; 0: it does not
 }
 
 func (t *timers) Len() int { return len(t.due) }
@@ -56,7 +56,7 @@
 }
 
 // after sets a timer from now on.
-func (r *Router) after(d routing.Micros, do func()) *timer {
+func (r *Router) after(d clock.Time, do func()) *timer {
 	r.timers.seq++
 	t := &timer{at: r.clock() + d, seq: r.timers.seq, do: do}
 	heap.Push(&r.timers, t)
@@ -78,7 +78,7 @@
 }
 
 // fire does what is due.
-func (r *Router) fire(now routing.Micros) {
+func (r *Router) fire(now clock.Time) {
 	for len(r.timers.due) > 0 && r.timers.due[0].at <= now {
 		heap.Pop(&r.timers).(*timer).do()
 	}
--- a/internal/router/told_test.go
+++ b/internal/router/told_test.go
@@ -5,18 +5,18 @@
 	"slices"
 	"testing"
 
-	"spurtrestle/core/routing"
+	"spurtrestle/core/clock"
 )
 
 // outage is a discovery that cannot be reached in one way, and then answers each call after its turn.
 type outage struct {
 	l     *notedLoop
 	fails string
-	turn  routing.Micros // a call waits so long for its answer
+	turn  clock.Time // a call waits so long for its answer
 	ended bool
 	conns []*notedConn
-	due   map[*notedConn]routing.Micros // when the call on a connection is answered
-	has   string                        // the list
+	due   map[*notedConn]clock.Time // when the call on a connection is answered
+	has   string                    // the list
 }
 
 const (
@@ -65,7 +65,7 @@
 }
 
 // answersBadly is when the call on c is answered: never.
-func (o *outage) answersBadly(c *notedConn, now routing.Micros) routing.Micros {
+func (o *outage) answersBadly(c *notedConn, now clock.Time) clock.Time {
 	const never = 1 << 60
 	switch o.fails {
 	case callRefused:
@@ -89,8 +89,8 @@
 	for _, asked := range []string{"pushed", "on_request"} {
 		for _, fails := range []string{dialRefused, dialHangs, callSilent, callRefused, callReset, callHalfTold} {
 			t.Run(asked+", "+fails, func(t *testing.T) {
-				longest := routing.Micros(0)
-				for phase := range routing.Micros(40) {
+				longest := clock.Time(0)
+				for phase := range clock.Time(40) {
 					longest = max(longest, listAfterOutage(t, asked, fails, 30e6+phase*150e3, step))
 					if asked == "pushed" { // where a wait of 20 s may be out, its end goes before
 						longest = max(longest, listAfterOutage(t, asked, fails, phase*150e3, step))
@@ -106,9 +106,9 @@
 }
 
 // listAfterOutage is the time from the end of an outage until the list is here.
-func listAfterOutage(t *testing.T, asked, fails string, lasts, step routing.Micros) routing.Micros {
+func listAfterOutage(t *testing.T, asked, fails string, lasts, step clock.Time) clock.Time {
 	l, _ := loaded(t, asked)
-	o := &outage{l: l, fails: fails, due: map[*notedConn]routing.Micros{},
+	o := &outage{l: l, fails: fails, due: map[*notedConn]clock.Time{},
 		has: `{"rev":5,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`}
 	if asked == "on_request" {
 		o.turn = 2e6 - step // an answer in the very last moment crosses its call's end
@@ -127,12 +127,12 @@
 		}
 		o.ended = false
 	}
-	for passed := routing.Micros(0); passed < lasts; passed += step {
+	for passed := clock.Time(0); passed < lasts; passed += step {
 		advance()
 	}
 	before := l.r.counts.Lists
 	o.ended = true // what was asked in the outage stays without an answer
-	for passed := routing.Micros(0); passed < 20e6; passed += step {
+	for passed := clock.Time(0); passed < 20e6; passed += step {
 		if l.r.counts.Lists > before {
 			return passed
 		}
@@ -145,13 +145,13 @@
 // Discovery refuses what is beyond the calls that it can take, of all routers together. Routers that asked again too soon
 // kept each other out: some had no list for fourteen seconds.
 func TestRefusedCallsAreSpread(t *testing.T) {
-	const lasts, step, most = routing.Micros(40e6), routing.Micros(50e3), 20 // with 1.5 s at most between two there were over 30
+	const lasts, step, most = clock.Time(40e6), clock.Time(50e3), 20 // with 1.5 s at most between two there were over 30
 	l, _ := loaded(t, "on_request")
-	o := &outage{l: l, fails: callRefused, due: map[*notedConn]routing.Micros{}}
+	o := &outage{l: l, fails: callRefused, due: map[*notedConn]clock.Time{}}
 	l.r.dialer = o.dial
 	l.r.rewatch(l.r.cfg.Discovery)
 	l.rounds()
-	for passed := routing.Micros(0); passed < lasts; passed += step {
+	for passed := clock.Time(0); passed < lasts; passed += step {
 		o.step()
 		l.pass(step)
 	}
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"spurtrestle/core/policycommit"
+	"spurtrestle/core/clock"
 	"spurtrestle/core/sharelease"
 	"spurtrestle/internal/scale/leader"
 	"spurtrestle/internal/scale/result"
@@ -413,7 +413,7 @@
 
 func TestAskingsOfAHolder(t *testing.T) {
 	for _, c := range []struct {
-		delay                policycommit.Micros
+		delay                clock.Time
 		least, most, covered float64
 	}{
 		{1_000, 5, 5, 1},      // each 0.2 s, as it should
--- a/internal/scale/capacity/today.go
+++ b/internal/scale/capacity/today.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/policycommit"
 	"spurtrestle/core/sharelease"
 )
@@ -128,10 +129,10 @@
 	return d
 }
 
-func seconds(span policycommit.Micros) float64 { return float64(span) / microseconds }
+func seconds(span clock.Time) float64 { return float64(span) / microseconds }
 
 func renewing(t Target, w wire, delay time.Duration) Renewing {
-	perSecond, covered := playAskings(policycommit.Micros(delay / time.Microsecond))
+	perSecond, covered := playAskings(clock.Time(delay / time.Microsecond))
 	bytes := perSecond * (w.Renewal + w.Grant)
 	return Renewing{Delay: delay.Seconds(), Askings: perSecond, Covered: covered, Bytes: bytes,
 		Leader: perSecond * t.Routers, LeaderIO: bytes * t.Routers}
@@ -140,13 +141,13 @@
 // playAskings plays a router's side of the policy for a minute against a leader that grants each asking after a delay, and
 // counts its askings a second and the share of the time in which it may take clients. The first ten seconds
 // are left out.
-func playAskings(delay policycommit.Micros) (perSecond, covered float64) {
+func playAskings(delay clock.Time) (perSecond, covered float64) {
 	const step, begin, end = 20_000, 10 * microseconds, 70 * microseconds // internal/controlplane looks every 20 ms
 	rules := policycommit.DefaultRules()
 	holder := policycommit.NewFollower(rules, sampleName, 1, false, sampleBuild, func(string) error { return nil })
 	var underWay []policycommit.Renewal
 	asked, may, looks := 0, 0, 0
-	for now := policycommit.Micros(0); now < end; now += step {
+	for now := clock.Time(0); now < end; now += step {
 		for len(underWay) > 0 && underWay[0].At+delay <= now {
 			holder.Granted(now, policycommit.Lease{Process: 1, At: underWay[0].At, For: rules.Lease, Index: 1, Revision: 1})
 			underWay = underWay[1:]
--- a/internal/scale/leader/leader.go
+++ b/internal/scale/leader/leader.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"time"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/policycommit"
 )
 
@@ -54,7 +55,7 @@
 	council *policycommit.Leader
 	askings [][]byte
 	decoded []policycommit.Renewal
-	now     policycommit.Micros
+	now     clock.Time
 }
 
 func newFleet(routers int, seed uint64) *fleet {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,6 +9,7 @@
 	"math"
 	"slices"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
@@ -24,7 +25,7 @@
 )
 
 // Micros is a span told in seconds.
-func Micros(s float64) routing.Micros { return routing.Micros(math.Round(s * 1e6)) }
+func Micros(s float64) clock.Time { return clock.Time(math.Round(s * 1e6)) }
 
 // Parse reads the settings object. Unknown keys are ignored; a needed one that is missing or
 // contradicts another is named, with what helps.
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -16,6 +16,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
@@ -54,7 +55,7 @@
 // Method is the smoothed time of one method.
 type Method struct {
 	Name string
-	Time routing.Micros
+	Time clock.Time
 }
 
 // Errors of a file that cannot be used.
@@ -224,9 +225,9 @@
 
 func (p parsed) number(field protowire.Number) int64 { return protowire.DecodeZigZag(p.numbers[field]) }
 
-func (p parsed) micros(field protowire.Number) routing.Micros {
+func (p parsed) micros(field protowire.Number) clock.Time {
 	// A time past the year 2200 or a span of centuries is damage that a checksum does not see.
-	return routing.Micros(max(0, min(p.number(field), 1<<53)))
+	return clock.Time(max(0, min(p.number(field), 1<<53)))
 }
 
 // real is a rate or a count: neither below zero nor endless.
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"spurtrestle/core/clock"
 
-	"spurtrestle/core/routing"
+	"github.com/sirupsen/logrus"
 )
 
 // Keeper writes states in a goroutine of its own, the newest that it was given; who gives them never waits.
@@ -56,7 +56,7 @@
 	return &s
 }
 
-func written(at routing.Micros) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
+func written(at clock.Time) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
 
 // locked takes the folder's lock, where it is not held yet.
 func (k *Keeper) locked() bool {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -22,6 +22,7 @@
 	"github.com/sirupsen/logrus"
 	"pgregory.net/rapid"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
@@ -38,13 +39,13 @@
 // sample is a state that tells its number in several places.
 func sample(n int) State {
 	x := float64(n)
-	s := State{Version: Version, Router: name(uint64(n)), Methods: []Method{{"read", routing.Micros(1000 + n)}},
-		Knowledge: routing.Knowledge{At: 1e15 + routing.Micros(n), Span: 5e6, Seen: routing.Times{Time: 900, Long: 1000, Best: 500, N: 32},
+	s := State{Version: Version, Router: name(uint64(n)), Methods: []Method{{"read", clock.Time(1000 + n)}},
+		Knowledge: routing.Knowledge{At: 1e15 + clock.Time(n), Span: 5e6, Seen: routing.Times{Time: 900, Long: 1000, Best: 500, N: 32},
 			Traffic: 10 + x, Hits: 9, Asked: 8, Answered: 7, Used: 6, Noise: 0.5, Retries: 4, Reads: x,
 			Keys: []routing.KeyKnowledge{{Key: 0xfeedbeef, Count: 3 + x}, {Key: 7, Count: 2}}}}
 	for i := range 20 {
 		s.Servers = append(s.Servers, Server{UID: fmt.Sprintf("s-%d.%02d", n, i), ServerKnowledge: routing.ServerKnowledge{
-			Started: routing.Micros(i), At: 1e15, Times: routing.Times{Time: 5, Long: 6, Best: 4, N: i}, Rate: x, Told: 77, Lost: i % 3,
+			Started: clock.Time(i), At: 1e15, Times: routing.Times{Time: 5, Long: 6, Best: 4, N: i}, Rate: x, Told: 77, Lost: i % 3,
 			Aside: i%2 == 0, Unheard: i%5 == 0}})
 	}
 	return s
--- a/internal/wire/attempt.go
+++ b/internal/wire/attempt.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"strconv"
 
-	"spurtrestle/core/routing"
+	"spurtrestle/core/clock"
 )
 
 // Attempt is one send of a request to one server. Its properties can be written out only with the deadline that the
@@ -17,7 +17,7 @@
 
 // NewAttempt makes an attempt of a request. remaining is how long its server's answer can still be of use: until the
 // router stops waiting or the client does, whichever is first, as of the moment in which the attempt is written.
-func NewAttempt(request *Request, host string, remaining routing.Micros) Attempt {
+func NewAttempt(request *Request, host string, remaining clock.Time) Attempt {
 	return Attempt{Request: request, Host: host, deadline: deadlineOf(remaining)}
 }
 
@@ -30,7 +30,7 @@
 const microsPerMilli = 1000
 
 // deadlineOf rounds down, so that a server never counts on more time than is left.
-func deadlineOf(remaining routing.Micros) Deadline {
+func deadlineOf(remaining clock.Time) Deadline {
 	return Deadline(max(1, remaining/microsPerMilli))
 }
 
--- a/internal/wire/attempt_test.go
+++ b/internal/wire/attempt_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"spurtrestle/core/routing"
+	"spurtrestle/core/clock"
 	"spurtrestle/internal/resp"
 	"spurtrestle/internal/wire"
 	"spurtrestle/internal/wire/http1"
@@ -67,7 +67,7 @@
 			properties = append(properties, pieces[random.IntN(len(pieces))]+pieces[random.IntN(len(pieces))])
 		}
 		text := strings.Join(properties, ",")
-		remaining := routing.Micros(random.Int64N(3e6) - 1e3)
+		remaining := clock.Time(random.Int64N(3e6) - 1e3)
 		write := random.IntN(2) == 0
 		request := &wire.Request{ID: "id", Key: []byte("k"), Props: wire.NewProps([]byte(text)), Write: write, Value: []byte("abc")}
 		sent := sentProps(t, wire.NewAttempt(request, "o:1", remaining), write && random.IntN(2) == 0)
@@ -81,7 +81,7 @@
 					continue
 				}
 				ms, err := strconv.ParseInt(strings.TrimPrefix(after[i], "d="), 10, 64)
-				if err != nil || ms < 1 || ms > 1 && routing.Micros(ms)*1000 > remaining {
+				if err != nil || ms < 1 || ms > 1 && clock.Time(ms)*1000 > remaining {
 					t.Fatalf("%s: with %d us left %q became %q", protocol, remaining, text, props)
 				}
 			}
--- a/internal/wire/resp2/resp2.go
+++ b/internal/wire/resp2/resp2.go
@@ -7,6 +7,7 @@
 	"errors"
 	"strconv"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/resp"
 	"spurtrestle/internal/wire"
@@ -107,7 +108,7 @@
 type Props struct {
 	Method []byte
 	Tenant []byte
-	Waits  routing.Micros // how long its client waits; 0: not told
+	Waits  clock.Time // how long its client waits; 0: not told
 	Resent bool
 	Bad    bool // d is no time
 }
@@ -128,7 +129,7 @@
 				p.Bad = true
 				continue
 			}
-			p.Waits = routing.Micros(ms * 1e3)
+			p.Waits = clock.Time(ms * 1e3)
 		case "r":
 			p.Resent = string(value) == "1"
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -3,7 +3,10 @@
 // knowing the router.
 package wire
 
-import "spurtrestle/core/routing"
+import (
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+)
 
 // Request is one request as it is passed on. Its bytes belong to it until it is over.
 type Request struct {
@@ -27,9 +30,9 @@
 // Answer is the one final answer of a request.
 type Answer struct {
 	Kind       Kind
-	Value      []byte         // of a served one; it may change once the answer is written
-	Long       bool           // of a failed one: there is a value, too big for who asked
-	RetryAfter routing.Micros // of a rejected one: when to come back; 0: not told
+	Value      []byte     // of a served one; it may change once the answer is written
+	Long       bool       // of a failed one: there is a value, too big for who asked
+	RetryAfter clock.Time // of a rejected one: when to come back; 0: not told
 }
 
 // Outcome is how an attempt ended, by what its server said.
