--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	test -z "$$(gofmt -l $$(go list -f '{{.Dir}}' ./...))"
 	go vet ./...
 	go tool staticcheck ./...
+	.ci/revive
 
 fuzz:
 	go test -run - -fuzz FuzzRead -fuzztime 30s ./internal/resp
--- a/core/policycommit/leader.go
+++ b/core/policycommit/leader.go
@@ -21,7 +21,7 @@
 	Rest     clock.Time // after the end of a router's last grant until nothing that it had in hand, or had lent, can be left
 }
 
-// DefaultRules: the window stays under a second, also by a clock that runs a hundredth slow. A lease is renewed four
+// DefaultRules are those of a fleet: the window stays under a second, also by a clock that runs a hundredth slow. A lease is renewed four
 // times over, and asked for again soon where packets get lost.
 func DefaultRules() Rules {
 	// What a router leaves to others as it ends counts for ten seconds (package sharelease); requests in hand for less.
--- a/core/sharelease/sharelease.go
+++ b/core/sharelease/sharelease.go
@@ -32,7 +32,7 @@
 	Slack    clock.Time // what a lender waits longer, beside a hundredth of the span for clocks that do not run alike
 }
 
-// DefaultRules: a lease is renewed three times over, since packets get lost; a bequest covers a restart, and is the time
+// DefaultRules are those of a fleet: a lease is renewed three times over, since packets get lost; a bequest covers a restart, and is the time
 // for which a start that reaches nobody does without the pieces.
 func DefaultRules() Rules {
 	return Rules{Lease: 2e6, Transfer: 10e6, Ask: 500e3, Slack: 50e3}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -32,7 +32,7 @@
 	Ask(request string) (string, error)
 }
 
-// ErrUnknown: nobody has that id.
+// ErrUnknown reports an id that no cache server of the endpoint list has.
 var ErrUnknown = errors.New("no cache server has that id; see discovery's list")
 
 const (
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// NotifyJoin: a process is there.
+// NotifyJoin records a process that has joined.
 func (p *Node) NotifyJoin(node *memberlist.Node) {
 	m, err := memberOf(node)
 	if err != nil {
@@ -134,10 +134,10 @@
 	p.view.Joined(p.micros(), m)
 }
 
-// NotifyUpdate: it says otherwise of itself; no process of ours does.
+// NotifyUpdate records changed metadata of a process.
 func (p *Node) NotifyUpdate(node *memberlist.Node) { p.NotifyJoin(node) }
 
-// NotifyLeave: it is there no more.
+// NotifyLeave forgets a process that has left.
 func (p *Node) NotifyLeave(node *memberlist.Node) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,7 +152,7 @@
 	return p.encode(p.view.Heartbeat())
 }
 
-// NotifyPingComplete: a probe was answered.
+// NotifyPingComplete records that a process has answered a probe.
 func (p *Node) NotifyPingComplete(node *memberlist.Node, _ time.Duration, payload []byte) {
 	p.mu.Lock()
 	p.view.Heard(p.micros(), processOf(node))
@@ -208,7 +208,7 @@
 	}
 }
 
-// GetBroadcasts: what is to be passed on.
+// GetBroadcasts returns the messages to send along with the next packet.
 func (p *Node) GetBroadcasts(overhead, limit int) [][]byte {
 	return p.queue.GetBroadcasts(overhead, limit)
 }
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -184,7 +184,7 @@
 	return s.machine.Cold(s.fleet.Log.Now())
 }
 
-// Drain: it finishes what it has, and turns away what comes after the grace.
+// Drain has the server finish its requests, and reject what arrives after the grace.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// PastGrace: from now on a draining server turns away what comes.
+// PastGrace has a draining server reject every further request.
 func (s *Server) PastGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -19,15 +19,23 @@
 // Close gives the network back.
 func (n Network) Close() { n.a.close() }
 
-// Routers, Discovery and Server are the addresses, one for each router.
-func (n Network) Routers() []string         { return n.a.routers() }
-func (n Network) Discovery() []string       { return n.a.discovery(0) }
+// Routers returns the address at which clients reach each router.
+func (n Network) Routers() []string { return n.a.routers() }
+
+// Discovery returns the address of discovery for each router.
+func (n Network) Discovery() []string { return n.a.discovery(0) }
+
+// Server returns the address of the cache server at a place for each router.
 func (n Network) Server(place int) []string { return n.a.server(place, 0) }
 
-// Doors, Views and Ways are the operators' admin endpoints, and where routers listen for one another and are reached by them.
+// Doors returns the address of each router's admin endpoint.
 func (n Network) Doors() []string { return n.a.doors(0) }
+
+// Views returns the address at which each router listens for the others.
 func (n Network) Views() []string { return n.a.views() }
-func (n Network) Ways() []string  { return n.a.ways() }
+
+// Ways returns the address at which the others reach each router.
+func (n Network) Ways() []string { return n.a.ways() }
 
 // addresses says who listens where. A run has 127.K.0.0/16 for itself, so that a server that comes back finds its
 // address free: connections within the machine leave from 127.0.0.1. K is claimed by a listener that is held.
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -307,7 +307,7 @@
 	}
 }
 
-// Restarted: a router has begun anew, and has to be told all again.
+// Restarted records that a router was restarted, so that its next list is complete.
 func (r *Registry) Restarted(router event.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -8,10 +8,10 @@
 	"spurtrestle/internal/tomlfile"
 )
 
-// Effects, as a file and the settings on the wire name them.
+// Effects maps each effect of a method, as a scenario names it, to its name in the settings on the wire.
 var Effects = map[string]string{"retryable": "free", "deduplicated": "guarded", "non-retryable": "single_shot"}
 
-// Figures, as a file and a load report name them.
+// Figures maps each figure of a load report, as a scenario names it, to its name on the wire.
 var Figures = map[string]string{"latency": "avg_ms", "queue": "waiting", "in_flight": "active", "busy": "cpu",
 	"errors": "err_rps", "hits": "x0"}
 
--- a/internal/operatorstate/operatorstate.go
+++ b/internal/operatorstate/operatorstate.go
@@ -30,33 +30,33 @@
 func (s State) Out(uid string) bool { return slices.Contains(s.Down, uid) }
 
 // TakeOut and GiveBack say what they change; asked twice they change nothing more.
-func (i *State) TakeOut(uid string) error {
-	if i.Out(uid) {
+func (s *State) TakeOut(uid string) error {
+	if s.Out(uid) {
 		return nil
 	}
-	if len(i.Down) >= most {
+	if len(s.Down) >= most {
 		return fmt.Errorf("%d cache servers are out already", most)
 	}
-	i.Down = append(slices.Clone(i.Down), uid)
-	slices.Sort(i.Down)
-	delete(i.Back, uid)
+	s.Down = append(slices.Clone(s.Down), uid)
+	slices.Sort(s.Down)
+	delete(s.Back, uid)
 	return nil
 }
 
 // GiveBack notes when, since the cache server is cold from then on. What is long past is forgotten.
-func (i *State) GiveBack(uid string, now time.Time) error {
+func (s *State) GiveBack(uid string, now time.Time) error {
 	const cold = 5 * time.Minute // longer than any warm-up
-	for other, at := range i.Back {
+	for other, at := range s.Back {
 		if now.Sub(time.UnixMicro(at)) > cold {
-			delete(i.Back, other)
+			delete(s.Back, other)
 		}
 	}
-	if i.Out(uid) {
-		i.Down = slices.DeleteFunc(slices.Clone(i.Down), func(x string) bool { return x == uid })
-		if i.Back == nil {
-			i.Back = map[string]int64{}
+	if s.Out(uid) {
+		s.Down = slices.DeleteFunc(slices.Clone(s.Down), func(x string) bool { return x == uid })
+		if s.Back == nil {
+			s.Back = map[string]int64{}
 		}
-		i.Back[uid] = now.UnixMicro()
+		s.Back[uid] = now.UnixMicro()
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	return i, nil
 }
 
-// NotKept: what was asked holds in this process alone.
+// NotKept reports that what operators asked holds in this process alone.
 type NotKept struct{ Err error }
 
 func (e *NotKept) Error() string {
