--- a/Makefile
+++ b/Makefile
@@ -31,41 +31,41 @@
 
 # A minute with faults on real routers; the report's folder is printed at the end.
 demo: build
-	bin/spurctl lab run lab/scenarios/demo.toml
+	bin/cache-routerctl lab run lab/scenarios/demo.toml
 
 # All scenarios of the shelf: some ten minutes.
 lab: build
-	bin/spurctl lab run lab/scenarios/*.toml
+	bin/cache-routerctl lab run lab/scenarios/*.toml
 
 # Fleets without load, through faults between the processes: some twenty minutes.
 fleet-long: build
-	bin/spurctl lab views --rounds 100 --routers 12
-	bin/spurctl lab views --measure --routers 60
-	bin/spurctl lab views --measure --routers 20 --drop 0.3
+	bin/cache-routerctl lab views --rounds 100 --routers 12
+	bin/cache-routerctl lab views --measure --routers 60
+	bin/cache-routerctl lab views --measure --routers 20 --drop 0.3
 
 # Changes of policy all the time under faults: a quarter of an hour.
 policy-long: build
-	bin/spurctl lab policies --rounds 200 --parallel 6
+	bin/cache-routerctl lab policies --rounds 200 --parallel 6
 
 # Losses of whole sites under faults between the routers: ten minutes.
 site-long: build
-	bin/spurctl lab sites --rounds 50
+	bin/cache-routerctl lab sites --rounds 50
 
 # What a fleet's size costs its routers, small: under a minute, and it fails when a router's bytes grow with the fleet.
 scale: build
-	bin/spurctl scale run lab/scale/quick.toml
+	bin/cache-routerctl scale run lab/scale/quick.toml
 
 # The same at all sizes and under all faults: some two hours. Trials that are finished are kept in scale-*.json.
 scale-long: build
-	for s in flat flat-faults tiered tiered-faults tiered-region-cut; do bin/spurctl scale run --json scale-$$s.json lab/scale/$$s.toml || exit 1; done
+	for s in flat flat-faults tiered tiered-faults tiered-region-cut; do bin/cache-routerctl scale run --json scale-$$s.json lab/scale/$$s.toml || exit 1; done
 
 # Every order of a small fleet that asks, loses, doubles, begins anew and changes its leader: minutes, and some GB.
 accord-long:
 	go test -count=1 -timeout 60m -run TestEveryOrder -long -v ./core/policycommit
 
 bench: build
-	bin/spurctl lab bench --self
-	bin/spurctl lab bench
+	bin/cache-routerctl lab bench --self
+	bin/cache-routerctl lab bench
 	go test -run - -bench . ./internal/lab/...
 
 # The operators' standing test, quick, where their bench is at hand: STANDING_BENCH is its program, STANDING_SITE a site's
@@ -83,4 +83,4 @@
 
 # EDGE_CONFIG names the configuration, see README.md.
 run: build
-	exec bin/spurtrestle
+	exec bin/cache-router
--- a/cmd/spurtrestle-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -1,5 +1,5 @@
-// Command spurtrestle-grpc is the router on sockets, for RESP2 clients and, where the operator's file says so, for those of
-// gRPC. Elsewhere it is the same as spurtrestle.
+// Command cache-router-grpc is the router on sockets, for RESP2 clients and, where the operator's file says so, for those of
+// gRPC. Elsewhere it is the same as cache-router.
 package main
 
 import (
--- a/cmd/spurtrestle/main_test.go
+++ b/cmd/cache-router/main_test.go
@@ -28,7 +28,7 @@
 	program := exec.Command(os.Args[0])
 	program.Env = append(os.Environ(), "SPURTRESTLE_TEST=run", "EDGE_CONFIG="+file)
 	out, err := program.CombinedOutput()
-	want := "spurtrestle: " + file + ": listen: \"nowhere\" is no address and port; write it as \"127.0.0.1:6379\"\n"
+	want := "cache-router: " + file + ": listen: \"nowhere\" is no address and port; write it as \"127.0.0.1:6379\"\n"
 	if program.ProcessState.ExitCode() != 1 || string(out) != want {
 		t.Errorf("%v: %s", err, out)
 	}
@@ -51,15 +51,15 @@
 		code int
 		says string
 	}{
-		{"--help", 0, "spurtrestle check"},
+		{"--help", 0, "cache-router check"},
 		{"check --config " + file, 0, "good; n1 listens on 127.0.0.1:1, 1 methods"},
 		{"check --config /nowhere", 1, "no such file"},
 		{"check", 1, "EDGE_CONFIG is not set"},
 		{"check --file ../../deploy/spurtrestle.toml", 0, "good; no state is kept"},
 		{"check --file " + file, 1, "line 1"},
-		{"check --file " + grpc, 1, "grpc.listen: this program has no gRPC; start spurtrestle-grpc in its place"},
+		{"check --file " + grpc, 1, "grpc.listen: this program has no gRPC; start cache-router-grpc in its place"},
 		{"--file /nowhere", 1, "EDGE_CONFIG is not set"},
-		{"version", 0, "spurtrestle "},
+		{"version", 0, "cache-router "},
 		{"serve", 2, `"serve" is no command`},
 		{"check more", 2, `"more" is one word too many`},
 		{"--log-format xml", 2, `--log-format: "xml" is neither text nor json`},
--- a/cmd/spurtrestle/platform_test.go
+++ b/cmd/cache-router/platform_test.go
@@ -19,7 +19,7 @@
 // as it is deployed, must hold no other before it says yes; and where the Unix socket for the next process cannot be, it
 // serves with one warning. Either way SIGHUP and SIGTERM do what they do elsewhere.
 func TestStartsWithIPv4Alone(t *testing.T) {
-	built := filepath.Join(t.TempDir(), "spurtrestle")
+	built := filepath.Join(t.TempDir(), "cache-router")
 	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", built, ".")
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
--- a/cmd/spurctl/bench.go
+++ b/cmd/cache-routerctl/bench.go
@@ -23,7 +23,7 @@
 	c := &cobra.Command{Use: "bench", Short: "Measure the router's ordinary path: one key, one server, a hit",
 		Long: "Puts one router process on one core between a load generator and servers that answer at once, and tells\n" +
 			"answers a second, latency, CPU and allocations a req. --self measures the generator against a null router.",
-		Example: "  spurctl lab bench\n  spurctl lab bench --values 64,8192 --depths 1,8 --length 3s\n  spurctl lab bench --self --rate 50000",
+		Example: "  cache-routerctl lab bench\n  cache-routerctl lab bench --values 64,8192 --depths 1,8 --length 3s\n  cache-routerctl lab bench --self --rate 50000",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.conns < 1 || o.conns > 300 || o.servers < 1 || o.servers > 100 || o.length < 100*time.Millisecond || o.length > time.Minute {
@@ -42,7 +42,7 @@
 			if o.self {
 				return self(c, o.values[0], o.conns, o.rate, o.length, o.output)
 			}
-			program, err := routerProgram(o.router, "spurtrestle")
+			program, err := routerProgram(o.router, "cache-router")
 			if err != nil {
 				return err
 			}
@@ -77,7 +77,7 @@
 			return t.Flush()
 		}}
 	f := c.Flags()
-	f.StringVar(&o.router, "router", "", "program of the router (default: spurtrestle beside this program)")
+	f.StringVar(&o.router, "router", "", "program of the router (default: cache-router beside this program)")
 	f.IntSliceVar(&o.values, "values", []int{512, 65536}, "bytes of a value")
 	f.IntSliceVar(&o.depths, "depths", []int{1, 32}, "reqs in hand on a connection")
 	f.IntVar(&o.conns, "conns", 64, "connections of clients")
--- a/cmd/spurctl/fleet.go
+++ b/cmd/cache-routerctl/fleet.go
@@ -24,7 +24,7 @@
 	c := &cobra.Command{Use: "fleet", Short: "See which routers are there, as they see one another",
 		Long: "Every command asks the operators' doors of one router or of several, by their addresses; those of several are compared.\n" +
 			"Exit codes: 0 settled, 1 bad input, 2 wrong usage, 6 not settled or at odds, 7 a router cannot be reached. See docs/fleet.md.",
-		Example: "  spurctl fleet status 10.1.2.3:8400", Args: cobra.NoArgs,
+		Example: "  cache-routerctl fleet status 10.1.2.3:8400", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.AddCommand(fleetStatus(), fleetWatch(), fleetWait(), fleetSite())
 	return c
@@ -169,7 +169,7 @@
 func fleetStatus() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "status DOOR...", Short: "Show the view of one router, and where others differ from it",
-		Example: "  spurctl fleet status 10.1.2.3:8400 10.1.2.4:8400\n  spurctl fleet status 10.1.2.3:8400 --output json", Args: doors,
+		Example: "  cache-routerctl fleet status 10.1.2.3:8400 10.1.2.4:8400\n  cache-routerctl fleet status 10.1.2.3:8400 --output json", Args: doors,
 		RunE: func(c *cobra.Command, args []string) error {
 			all, out := askFleet(c.Context(), args), c.OutOrStdout()
 			if output == "json" {
@@ -205,7 +205,7 @@
 func fleetWatch() *cobra.Command {
 	var every time.Duration
 	c := &cobra.Command{Use: "watch DOOR...", Short: "Print a line for each change, until it is stopped",
-		Example: "  spurctl fleet watch 10.1.2.3:8400", Args: doors,
+		Example: "  cache-routerctl fleet watch 10.1.2.3:8400", Args: doors,
 		RunE: func(c *cobra.Command, args []string) error {
 			if every < 100*time.Millisecond || every > time.Hour {
 				return usage("--every: %v is not from 100ms to 1h", every)
@@ -272,7 +272,7 @@
 	var settled bool
 	var forSpan, within time.Duration
 	c := &cobra.Command{Use: "wait DOOR... --settled", Short: "Wait until the routers asked are settled on one view",
-		Example: "  spurctl fleet wait 10.1.2.3:8400 10.1.2.4:8400 --settled --for 10s --within 2m", Args: doors,
+		Example: "  cache-routerctl fleet wait 10.1.2.3:8400 10.1.2.4:8400 --settled --for 10s --within 2m", Args: doors,
 		RunE: func(c *cobra.Command, args []string) error {
 			if !settled {
 				return usage("say what to wait for: --settled")
--- a/cmd/spurctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -21,7 +21,7 @@
 	c := &cobra.Command{Use: "site", Short: "See and steer what the fleet does about the loss of a whole site",
 		Long: "Every command but plan asks by the operators' door of any router, which asks the keepers of the policy.\n" +
 			"Exit codes: 0 done, 1 bad input, 2 wrong usage, 7 the router or the keepers cannot be reached. See docs/site.md.",
-		Example: "  spurctl fleet site status 10.1.2.3:8400", Args: cobra.NoArgs,
+		Example: "  cache-routerctl fleet site status 10.1.2.3:8400", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.AddCommand(siteStatus(), sitePlan(),
 		siteWord("lost", "Say that a site is lost: its servers get nothing until it is said to be back"),
@@ -34,7 +34,7 @@
 func siteWord(word, short string) *cobra.Command {
 	var x statement
 	c := &cobra.Command{Use: word + " SITE DOOR", Short: short, Args: lastArg(2),
-		Example: "  spurctl fleet site " + word + " coast 10.1.2.3:8400 --reason 'the carrier says so'",
+		Example: "  cache-routerctl fleet site " + word + " coast 10.1.2.3:8400 --reason 'the carrier says so'",
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := x.check(); err != nil {
 				return err
@@ -51,7 +51,7 @@
 
 func siteStatus() *cobra.Command {
 	return keeperQuery{use: "status DOOR", short: "Tell what each site counts as, what is refused, and what the next step waits for",
-		example: "  spurctl fleet site status 10.1.2.3:8400", what: "sites", show: showSites}.command()
+		example: "  cache-routerctl fleet site status 10.1.2.3:8400", what: "sites", show: showSites}.command()
 }
 
 func showSites(w io.Writer, s policycommit.Reply) error {
@@ -95,7 +95,7 @@
 	c := &cobra.Command{Use: "plan FILE", Short: "Tell beforehand what the loss of a site would be like", Args: cobra.ExactArgs(1),
 		Long: "What would be refused, by method and tenant, if sites were lost: from what a policy's [sites] tells of loads and of what each\n" +
 			"site bears, or, with --door, from what the routers measure now.",
-		Example: "  spurctl fleet site plan policy.toml --lose coast --config router.json",
+		Example: "  cache-routerctl fleet site plan policy.toml --lose coast --config router.json",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := readPolicy(args[0])
 			if err != nil {
--- a/cmd/spurctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -24,7 +24,7 @@
 		Short: "Play a fleet on loopback: stand-in servers, load, faults and a referee",
 		Long: "The lab starts real router processes between stand-in clients, cache servers, an origin and discovery,\n" +
 			"lets faults strike, and judges the four rules from what the stand-ins saw. See docs/lab.md.",
-		Example: "  spurctl lab init > day.toml\n  spurctl lab run day.toml",
+		Example: "  cache-routerctl lab init > day.toml\n  cache-routerctl lab run day.toml",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -34,7 +34,7 @@
 
 func (a *app) initLab() *cobra.Command {
 	return &cobra.Command{Use: "init", Short: "Write a commented scenario to standard output",
-		Example: "  spurctl lab init > day.toml", Args: cobra.NoArgs,
+		Example: "  cache-routerctl lab init > day.toml", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := io.WriteString(c.OutOrStdout(), scenario.Commented)
 			return err
@@ -43,7 +43,7 @@
 
 func (a *app) check() *cobra.Command {
 	return &cobra.Command{Use: "check FILE...", Short: "Tell what is wrong in scenario files",
-		Example: "  spurctl lab check lab/scenarios/*.toml", Args: cobra.MinimumNArgs(1),
+		Example: "  cache-routerctl lab check lab/scenarios/*.toml", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			var wrong []error
 			for _, file := range files {
@@ -62,7 +62,7 @@
 	var seed uint64
 	var output string
 	c := &cobra.Command{Use: "plan FILE", Short: "Show what a seed makes of a scenario: faults, and a digest of all arrivals",
-		Example: "  spurctl lab plan lab/scenarios/demo.toml --seed 3", Args: cobra.ExactArgs(1),
+		Example: "  cache-routerctl lab plan lab/scenarios/demo.toml --seed 3", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.Read(args[0])
 			if err != nil {
@@ -146,7 +146,7 @@
 		return s, fmt.Errorf("%s: %w; name the report.json of a run", file, err)
 	}
 	if s.Version > report.Version || s.Version < 1 {
-		return s, fmt.Errorf("%s: version %d is not known here; read it with the spurctl that wrote it", file, s.Version)
+		return s, fmt.Errorf("%s: version %d is not known here; read it with the cache-routerctl that wrote it", file, s.Version)
 	}
 	return s, nil
 }
@@ -161,7 +161,7 @@
 func (a *app) compare() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "compare A B", Short: "Set two report.json side by side, by pairs of runs with the same seed",
-		Example: "  spurctl lab compare lab-reports/before/report.json lab-reports/after/report.json", Args: cobra.ExactArgs(2),
+		Example: "  cache-routerctl lab compare lab-reports/before/report.json lab-reports/after/report.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
 			before, after, err := readSets(files)
 			if err != nil {
@@ -183,7 +183,7 @@
 func (a *app) recovery() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "recovery A B", Short: "Compare how two sets of runs come back from a restart of routers",
-		Example: "  spurctl lab recovery without/report.json with/report.json", Args: cobra.ExactArgs(2),
+		Example: "  cache-routerctl lab recovery without/report.json with/report.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
 			before, after, err := readSets(files)
 			if err != nil {
@@ -205,7 +205,7 @@
 func (a *app) show() *cobra.Command {
 	var output, pages string
 	c := &cobra.Command{Use: "show FILE", Short: "Show the runs of a report.json again",
-		Example: "  spurctl lab show lab-reports/calm-20261201T120000/report.json", Args: cobra.ExactArgs(1),
+		Example: "  cache-routerctl lab show lab-reports/calm-20261201T120000/report.json", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			set, err := readSet(files[0])
 			if err != nil {
@@ -234,7 +234,7 @@
 func (a *app) record() *cobra.Command {
 	var seed uint64
 	c := &cobra.Command{Use: "record SCENARIO TRACE", Short: "Write the traffic of a scenario to a trace file, for `run --trace`",
-		Example: "  spurctl lab record lab/scenarios/demo.toml demo.trace", Args: cobra.ExactArgs(2),
+		Example: "  cache-routerctl lab record lab/scenarios/demo.toml demo.trace", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.Read(args[0])
 			if err != nil {
--- a/cmd/spurctl/labpolicies.go
+++ b/cmd/cache-routerctl/labpolicies.go
@@ -26,12 +26,12 @@
 			"off and packets are lost, doubled and late, puts all in order, and judges: no two revisions served at once, every change\n" +
 			"everywhere or nowhere, and a history that fits one order. Odd seeds serve when cut off, even ones refuse.\n" +
 			"Exit codes: 0 all kept, 1 it could not be played, 2 wrong usage, 3 a rule was broken.",
-		Example: "  spurctl lab policies --rounds 200\n  spurctl lab policies --measure --routers 60", Args: cobra.NoArgs,
+		Example: "  cache-routerctl lab policies --rounds 200\n  cache-routerctl lab policies --measure --routers 60", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if routers < 3 || routers > 250 || changes < 1 || rounds < 1 || acts < 1 || parallel < 1 {
 				return usage("--routers is from 3 to 250; --rounds, --acts, --parallel and --changes are 1 at least")
 			}
-			program, err := routerProgram(router, "spurtrestle-fleet")
+			program, err := routerProgram(router, "cache-router-fleet")
 			if err == nil {
 				err = os.MkdirAll(out, 0o755)
 			}
@@ -93,7 +93,7 @@
 			return err
 		}}
 	f := c.Flags()
-	f.StringVar(&router, "router", "", "program of the router (default: spurtrestle-fleet beside this program)")
+	f.StringVar(&router, "router", "", "program of the router (default: cache-router-fleet beside this program)")
 	f.StringVar(&out, "out", "lab-policies", "folder for the files of what went wrong")
 	f.IntVar(&routers, "routers", 7, "of each fleet; the first three keep the policy")
 	f.IntVar(&rounds, "rounds", 1, "with seeds that follow each other")
--- a/cmd/spurctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -24,7 +24,7 @@
 		Long: "Plays each scenario, prints its figures, and leaves report.json and a page a run in --out.\n" +
 			"Exit codes: 0 all rules kept, 1 it could not be played, 2 wrong usage, 3 a rule was broken, 4 the run does\n" +
 			"not count, 5 the scenario's expectation was missed.",
-		Example: "  spurctl lab run lab/scenarios/calm.toml --seeds 3\n  spurctl lab run day.toml --output json > day.json",
+		Example: "  cache-routerctl lab run lab/scenarios/calm.toml --seeds 3\n  cache-routerctl lab run day.toml --output json > day.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			if o.seeds < 1 || o.seeds > 100 {
@@ -33,7 +33,7 @@
 			if o.protocol != "" && o.protocol != "resp2" && o.protocol != "grpc" {
 				return usage("--protocol: %q is neither resp2 nor grpc", o.protocol)
 			}
-			usual := "spurtrestle"
+			usual := "cache-router"
 			var all []scenario.Scenario
 			for _, file := range files {
 				s, err := scenario.Read(file)
@@ -62,7 +62,7 @@
 					s.Clients.Protocol = o.protocol
 				}
 				if s.Routers.Fleet {
-					usual = "spurtrestle-fleet"
+					usual = "cache-router-fleet"
 				}
 				all = append(all, s)
 			}
@@ -92,11 +92,11 @@
 	f := c.Flags()
 	f.Uint64Var(&o.seed, "seed", 0, "of the first run, instead of the scenario's own")
 	f.IntVar(&o.seeds, "seeds", 1, "runs, with seeds that follow each other")
-	f.StringVar(&o.router, "router", "", "program of the router (default: spurtrestle, or spurtrestle-fleet, beside this program)")
+	f.StringVar(&o.router, "router", "", "program of the router (default: cache-router, or cache-router-fleet, beside this program)")
 	f.StringVar(&o.out, "out", "lab-reports", "folder for reports")
 	f.StringVar(&o.label, "label", "", "name of what is run, for comparisons (default: the router's path)")
 	f.StringVar(&o.replay, "trace", "", "recorded traffic to play instead of the scenario's own")
-	f.StringVar(&o.protocol, "protocol", "", "that clients speak, whatever the scenario says: resp2 or grpc (name spurtrestle-grpc with --router)")
+	f.StringVar(&o.protocol, "protocol", "", "that clients speak, whatever the scenario says: resp2 or grpc (name cache-router-grpc with --router)")
 	f.BoolVar(&o.state, "state", false, "give each router a folder that outlives it, whatever the scenario says")
 	f.BoolVar(&o.noPage, "no-page", false, "leave out the HTML pages")
 	f.StringVar(&o.fleet, "fleet", "", "on: the routers keep a view of one another, whatever the scenario says; off: they do not, and links are not struck")
--- a/cmd/spurctl/labsites.go
+++ b/cmd/cache-routerctl/labsites.go
@@ -24,12 +24,12 @@
 			"in order. Judged: no site is called lost while its servers are there, none returns before it is there or skips a step, routers\n" +
 			"with orders keep to the same shares, and in the end every site is up.\n" +
 			"Exit codes: 0 all kept, 1 it could not be played, 2 wrong usage, 3 a rule was broken.",
-		Example: "  spurctl lab sites --rounds 50", Args: cobra.NoArgs,
+		Example: "  cache-routerctl lab sites --rounds 50", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if rounds < 1 || acts < 1 || parallel < 1 {
 				return usage("--rounds, --acts and --parallel are 1 at least")
 			}
-			program, err := routerProgram(router, "spurtrestle-fleet")
+			program, err := routerProgram(router, "cache-router-fleet")
 			if err == nil {
 				out, err = filepath.Abs(out)
 			}
@@ -89,7 +89,7 @@
 			return err
 		}}
 	f := c.Flags()
-	f.StringVar(&router, "router", "", "program of the router (default: spurtrestle-fleet beside this program)")
+	f.StringVar(&router, "router", "", "program of the router (default: cache-router-fleet beside this program)")
 	f.StringVar(&out, "out", "lab-sites", "folder for the files of what went wrong")
 	f.IntVar(&rounds, "rounds", 1, "with seeds that follow each other")
 	f.IntVar(&acts, "acts", 6, "troubles of a round")
--- a/cmd/spurctl/labviews.go
+++ b/cmd/cache-routerctl/labviews.go
@@ -35,7 +35,7 @@
 		Long: "Each round starts routers, has faults strike at random (crashes, restarts, stalls, cuts, one-way cuts, lost packets),\n" +
 			"puts all in order and judges every view that was shown. With --measure one fleet goes through each event once.\n" +
 			"Exit codes: 0 all kept, 1 it could not be played, 2 wrong usage, 3 a rule was broken.",
-		Example: "  spurctl lab views --rounds 100 --routers 12\n  spurctl lab views --measure --routers 60 --drop 0.05", Args: cobra.NoArgs,
+		Example: "  cache-routerctl lab views --rounds 100 --routers 12\n  cache-routerctl lab views --measure --routers 60 --drop 0.05", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
 			case o.routers < 2 || o.routers > 100:
@@ -47,7 +47,7 @@
 			case o.probe < 100*time.Millisecond || o.probe > 10*time.Second:
 				return usage("--probe: %v is not from 100ms to 10s", o.probe)
 			}
-			program, err := routerProgram(o.router, "spurtrestle-fleet")
+			program, err := routerProgram(o.router, "cache-router-fleet")
 			if err != nil {
 				return err
 			}
@@ -74,7 +74,7 @@
 			return err
 		}}
 	f := c.Flags()
-	f.StringVar(&o.router, "router", "", "program of the router (default: spurtrestle-fleet beside this program)")
+	f.StringVar(&o.router, "router", "", "program of the router (default: cache-router-fleet beside this program)")
 	f.StringVar(&o.out, "out", "lab-views", "folder for the files of what went wrong")
 	f.IntVar(&o.routers, "routers", 12, "of each fleet")
 	f.IntVar(&o.rounds, "rounds", 1, "with seeds that follow each other")
--- a/cmd/spurctl/main.go
+++ b/cmd/cache-routerctl/main.go
@@ -1,4 +1,4 @@
-// Command spurctl is everything around the router: the lab that plays a fleet on loopback, and what looks at its runs.
+// Command cache-routerctl is everything around the router: the lab that plays a fleet on loopback, and what looks at its runs.
 package main
 
 import (
@@ -45,7 +45,7 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "spurctl:", err)
+	fmt.Fprintln(os.Stderr, "cache-routerctl:", err)
 	var c coded
 	if errors.As(err, &c) {
 		os.Exit(c.code)
@@ -62,9 +62,9 @@
 	a := &app{log: logrus.New()}
 	var level, format string
 	root := &cobra.Command{
-		Use:           "spurctl",
+		Use:           "cache-routerctl",
 		Short:         "Run, break and measure spurtrestle routers",
-		Example:       "  spurctl lab run lab/scenarios/calm.toml",
+		Example:       "  cache-routerctl lab run lab/scenarios/calm.toml",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -109,9 +109,9 @@
 }
 
 func version() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Tell what this program was built from", Example: "  spurctl version",
+	return &cobra.Command{Use: "version", Short: "Tell what this program was built from", Example: "  cache-routerctl version",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintln(c.OutOrStdout(), "spurctl", builtFrom())
+			_, err := fmt.Fprintln(c.OutOrStdout(), "cache-routerctl", builtFrom())
 			return err
 		}}
 }
--- a/cmd/spurctl/main_test.go
+++ b/cmd/cache-routerctl/main_test.go
@@ -62,7 +62,7 @@
 	if err == nil {
 		return out.String(), 0
 	}
-	fmt.Fprintln(&out, "spurctl:", err)
+	fmt.Fprintln(&out, "cache-routerctl:", err)
 	var with coded
 	if errors.As(err, &with) {
 		return out.String(), with.code
@@ -79,7 +79,7 @@
 			t.Fatal(err)
 		}
 		if c.Short == "" || c.Example == "" {
-			t.Errorf("spurctl%s has no short text or no example", path)
+			t.Errorf("cache-routerctl%s has no short text or no example", path)
 		}
 		for _, sub := range c.Commands() {
 			if sub.Name() != "help" && sub.Name() != "completion" {
--- a/cmd/spurctl/policy.go
+++ b/cmd/cache-routerctl/policy.go
@@ -25,9 +25,9 @@
 	c := &cobra.Command{Use: "policy", Short: "See and change the policy that all routers of a fleet hold",
 		Long: "Every command but check asks by the operators' door of any router, which asks the keepers.\n" +
 			"Exit codes: 0 done, 1 bad input, 2 wrong usage, 7 the router or the keepers cannot be reached, 8 nowhere. See docs/policy.md.",
-		Example: "  spurctl policy apply policy.toml 10.1.2.3:8400 --base 3 --reason 'less for the importers'", Args: cobra.NoArgs,
+		Example: "  cache-routerctl policy apply policy.toml 10.1.2.3:8400 --base 3 --reason 'less for the importers'", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	keeper := &cobra.Command{Use: "keeper", Short: "Change who keeps the policy", Example: "  spurctl policy keeper replace r2 10.1.2.3:8400",
+	keeper := &cobra.Command{Use: "keeper", Short: "Change who keeps the policy", Example: "  cache-routerctl policy keeper replace r2 10.1.2.3:8400",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	keeper.AddCommand(policyWord("replace NAME DOOR", "Let a keeper's lost folder count no more; its new one is taken up", "replace"))
 	c.AddCommand(policyCheck(), policyApply(), policyUndo(), policyShow(), policyDiff(), policyHistory(), policyStatus(), policyFound(),
@@ -86,7 +86,7 @@
 func policyCheck() *cobra.Command {
 	var file string
 	c := &cobra.Command{Use: "check FILE", Short: "Tell what is wrong in a policy, by the configuration of a router", Args: cobra.ExactArgs(1),
-		Example: "  spurctl policy check policy.toml --config router.json",
+		Example: "  cache-routerctl policy check policy.toml --config router.json",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := readPolicy(args[0])
 			if err != nil {
@@ -183,14 +183,14 @@
 func policyApply() *cobra.Command {
 	var x change
 	c := &cobra.Command{Use: "apply FILE DOOR", Short: "Change the policy, everywhere or nowhere", Args: lastArg(2),
-		Example: "  spurctl policy apply policy.toml 10.1.2.3:8400 --base 3 --reason 'less for the importers'",
+		Example: "  cache-routerctl policy apply policy.toml 10.1.2.3:8400 --base 3 --reason 'less for the importers'",
 		RunE: func(c *cobra.Command, args []string) error {
 			doc, err := readPolicy(args[0])
 			if err != nil {
 				return err
 			}
 			if !c.Flags().Changed("base") {
-				return usage("--base is missing: say which revision the change was made for; spurctl policy status tells the one in force")
+				return usage("--base is missing: say which revision the change was made for; cache-routerctl policy status tells the one in force")
 			}
 			return x.apply(c, args[1], doc)
 		}}
@@ -202,7 +202,7 @@
 	var x change
 	var to uint64
 	c := &cobra.Command{Use: "undo DOOR", Short: "Put an earlier revision into force again, as a new one", Args: lastArg(1),
-		Example: "  spurctl policy undo 10.1.2.3:8400 --to 2 --reason 'the last one shed too much'",
+		Example: "  cache-routerctl policy undo 10.1.2.3:8400 --to 2 --reason 'the last one shed too much'",
 		RunE: func(c *cobra.Command, args []string) error {
 			s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{What: "status"})
 			if err != nil {
@@ -234,7 +234,7 @@
 		return "", err
 	}
 	if len(h.History) != 1 {
-		return "", fmt.Errorf("revision %d is not kept any more, or never was; spurctl policy history lists them", n)
+		return "", fmt.Errorf("revision %d is not kept any more, or never was; cache-routerctl policy history lists them", n)
 	}
 	return h.History[0].Doc, nil
 }
@@ -242,7 +242,7 @@
 func policyShow() *cobra.Command {
 	var n uint64
 	c := &cobra.Command{Use: "show DOOR", Short: "Print the document in force, or that of a revision", Args: lastArg(1),
-		Example: "  spurctl policy show 10.1.2.3:8400 --revision 2",
+		Example: "  cache-routerctl policy show 10.1.2.3:8400 --revision 2",
 		RunE: func(c *cobra.Command, args []string) error {
 			if !c.Flags().Changed("revision") {
 				s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{What: "status"})
@@ -267,7 +267,7 @@
 
 func policyDiff() *cobra.Command {
 	return &cobra.Command{Use: "diff FILE DOOR", Short: "Compare a file with the document in force", Args: lastArg(2),
-		Example: "  spurctl policy diff policy.toml 10.1.2.3:8400",
+		Example: "  cache-routerctl policy diff policy.toml 10.1.2.3:8400",
 		RunE: func(c *cobra.Command, args []string) error {
 			doc, err := readPolicy(args[0])
 			if err != nil {
@@ -313,7 +313,7 @@
 
 func policyHistory() *cobra.Command {
 	return keeperQuery{use: "history DOOR", short: "List the last changes, with who made them and why",
-		example: "  spurctl policy history 10.1.2.3:8400", what: "history", show: showHistory}.command()
+		example: "  cache-routerctl policy history 10.1.2.3:8400", what: "history", show: showHistory}.command()
 }
 
 func showHistory(w io.Writer, s policycommit.Reply) error {
@@ -330,7 +330,7 @@
 
 func policyStatus() *cobra.Command {
 	return keeperQuery{use: "status DOOR", short: "Show the revision in force, and how each router stands to it",
-		example: "  spurctl policy status 10.1.2.3:8400", what: "status", show: showPolicyStatus}.command()
+		example: "  cache-routerctl policy status 10.1.2.3:8400", what: "status", show: showPolicyStatus}.command()
 }
 
 func showPolicyStatus(w io.Writer, s policycommit.Reply) error {
@@ -358,7 +358,7 @@
 
 func policyFound() *cobra.Command {
 	return &cobra.Command{Use: "found DOOR", Short: "Begin the policy of a fleet at a keeper, once", Args: lastArg(1),
-		Example: "  spurctl policy found 10.1.2.3:8400",
+		Example: "  cache-routerctl policy found 10.1.2.3:8400",
 		RunE: func(c *cobra.Command, args []string) error {
 			_, text, err := askPolicy(c.Context(), args[0], policycommit.Request{What: "found"})
 			if err != nil {
@@ -372,7 +372,7 @@
 // policyWord is an operator's word on a router.
 func policyWord(use, short, what string) *cobra.Command {
 	var x statement
-	c := &cobra.Command{Use: use, Short: short, Args: lastArg(2), Example: "  spurctl policy " + strings.NewReplacer("NAME", "r2", "DOOR", "10.1.2.3:8400").Replace(use),
+	c := &cobra.Command{Use: use, Short: short, Args: lastArg(2), Example: "  cache-routerctl policy " + strings.NewReplacer("NAME", "r2", "DOOR", "10.1.2.3:8400").Replace(use),
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := x.check(); err != nil {
 				return err
--- a/cmd/spurctl/scale.go
+++ b/cmd/cache-routerctl/scale.go
@@ -11,7 +11,7 @@
 		Short: "Measure what a fleet's size costs its routers",
 		Long: "Hollow routers - the real membership without clients - are started on loopback in growing numbers, and what each of them\n" +
 			"sends, receives and uses is counted. See docs/scale.md.",
-		Example: "  spurctl scale run lab/scale/quick.toml",
+		Example: "  cache-routerctl scale run lab/scale/quick.toml",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
--- a/cmd/spurctl/scalecapacity.go
+++ b/cmd/cache-routerctl/scalecapacity.go
@@ -19,8 +19,8 @@
 		Short: "Work out what a fleet of a given size needs, and what breaks first",
 		Long: "Reads the fleet that is asked about and the results of scale runs, and prints the page of capacity: slopes, needs of each\n" +
 			"role, limits, what breaks at which size. What no run has measured is said so. A page is written whole or not at all.",
-		Example: "  spurctl scale capacity --target docs/scale/target.toml --measured docs/scale/flat.json docs/scale/tiered.json --leader docs/scale/leader/leader.json --write docs/CAPACITY.md\n" +
-			"  spurctl scale capacity --target docs/scale/target.toml --measured docs/scale/flat.json docs/scale/tiered.json --leader docs/scale/leader/leader.json --check docs/CAPACITY.md",
+		Example: "  cache-routerctl scale capacity --target docs/scale/target.toml --measured docs/scale/flat.json docs/scale/tiered.json --leader docs/scale/leader/leader.json --write docs/CAPACITY.md\n" +
+			"  cache-routerctl scale capacity --target docs/scale/target.toml --measured docs/scale/flat.json docs/scale/tiered.json --leader docs/scale/leader/leader.json --check docs/CAPACITY.md",
 		RunE: func(c *cobra.Command, more []string) error {
 			if target == "" {
 				return usage("--target: names no file; give that of the fleet, as docs/scale/target.toml")
@@ -40,7 +40,7 @@
 	}
 	c.Flags().StringVar(&target, "target", "", "file of the fleet that is asked about")
 	c.Flags().StringSliceVar(&measured, "measured", nil, "results of scale runs; more may follow, by the shell's *.json")
-	c.Flags().StringVar(&ofLeader, "leader", "", "what spurctl scale leader measured")
+	c.Flags().StringVar(&ofLeader, "leader", "", "what cache-routerctl scale leader measured")
 	c.Flags().StringVar(&write, "write", "", "write the page into this file")
 	c.Flags().StringVar(&check, "check", "", "tell whether this page follows from its figures")
 	outputFlag(c, &output)
@@ -74,7 +74,7 @@
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, capacity.FieldError{File: file, Field: "the file", What: err.Error(), Remedy: "name a file that spurctl scale leader wrote"}
+		return nil, capacity.FieldError{File: file, Field: "the file", What: err.Error(), Remedy: "name a file that cache-routerctl scale leader wrote"}
 	}
 	f, err := capacity.DecodeLeader(file, text)
 	if err != nil {
--- a/cmd/spurctl/scalecapacity_test.go
+++ b/cmd/cache-routerctl/scalecapacity_test.go
@@ -162,7 +162,7 @@
 	if err != nil || !strings.Contains(page, "not fitted") && !strings.Contains(page, "no trial of the leader") {
 		t.Error("two sizes tell no slope:", err)
 	}
-	if _, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--leader", ourFleet); err == nil || !strings.Contains(err.Error(), "spurctl scale leader") {
+	if _, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--leader", ourFleet); err == nil || !strings.Contains(err.Error(), "cache-routerctl scale leader") {
 		t.Error(err)
 	}
 	if _, err := execute((&app{}).scaleLeader(), "--sizes", "0"); err == nil {
--- a/cmd/spurctl/scaleleader.go
+++ b/cmd/cache-routerctl/scaleleader.go
@@ -23,7 +23,7 @@
 		Short: "Measure what the leader of the policy's keepers computes, by the size of the roster",
 		Long: "Times decoding and answering of each router's asking, and a pass beside them, in this process, by its processor time:\n" +
 			"without sockets and without the replicated log. Ctrl-C keeps what is finished.",
-		Example: "  spurctl scale leader --write docs/scale/leader/leader.json",
+		Example: "  cache-routerctl scale leader --write docs/scale/leader/leader.json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := checkLeaderFlags(sizes, seeds, span); err != nil {
--- a/cmd/spurctl/scalerun.go
+++ b/cmd/cache-routerctl/scalerun.go
@@ -26,7 +26,7 @@
 	c := &cobra.Command{Use: "run FILE", Short: "Play a scale scenario and count what each router uses",
 		Long: "Plays a trial for each fault, seed and size of the scenario. Ctrl-C ends it and keeps the trials that are finished.\n" +
 			"Exit codes: 0 done, 1 it could not be played, 2 wrong usage, 4 a trial is incomplete, 5 the scenario's bound was not kept.",
-		Example: "  spurctl scale run lab/scale/quick.toml\n  spurctl scale run --json flat.json lab/scale/flat.toml",
+		Example: "  cache-routerctl scale run lab/scale/quick.toml\n  cache-routerctl scale run --json flat.json lab/scale/flat.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scale.Read(args[0])
@@ -42,7 +42,7 @@
 				return err
 			}
 			if part.Real > 0 {
-				if options.Router, err = routerProgram(router, "spurtrestle-fleet"); err != nil {
+				if options.Router, err = routerProgram(router, "cache-router-fleet"); err != nil {
 					return err
 				}
 			}
@@ -60,7 +60,7 @@
 			return scaleVerdict(part, file.Trials)
 		}}
 	c.Flags().StringVar(&into, "json", "", "file for the result as JSON, written after each trial")
-	c.Flags().StringVar(&router, "router", "", "program of the real routers (default: spurtrestle-fleet beside this program)")
+	c.Flags().StringVar(&router, "router", "", "program of the real routers (default: cache-router-fleet beside this program)")
 	c.Flags().BoolVar(&more, "append", false, "keep the trials that the file of --json has, and add to them")
 	c.Flags().IntSliceVar(&sizes, "sizes", nil, "these of the scenario's sizes alone")
 	c.Flags().UintSliceVar(&seeds, "seeds", nil, "these of the scenario's seeds alone")
@@ -186,7 +186,7 @@
 
 // scaleWorker holds hollow routers for scale run.
 func (a *app) scaleWorker() *cobra.Command {
-	return &cobra.Command{Use: "worker", Hidden: true, Short: "Hold hollow routers for spurctl scale run, steered by standard input",
-		Example: "  spurctl scale worker < requests", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "worker", Hidden: true, Short: "Hold hollow routers for cache-routerctl scale run, steered by standard input",
+		Example: "  cache-routerctl scale worker < requests", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return scale.Work(c.InOrStdin(), c.OutOrStdout()) }}
 }
--- a/cmd/spurctl/scaleslopes.go
+++ b/cmd/cache-routerctl/scaleslopes.go
@@ -20,7 +20,7 @@
 		Long: "Fits constant, log n, n, n log n and n^2 to each figure over the sizes and seeds of all files together, and chooses the\n" +
 			"form by its residuals with a penalty for parameters (AICc). Fewer than five sizes, or less than a factor of 16 between\n" +
 			"the smallest and the largest, are not fitted.",
-		Example: "  spurctl scale slopes docs/scale/flat.json docs/scale/tiered.json",
+		Example: "  cache-routerctl scale slopes docs/scale/flat.json docs/scale/tiered.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			measured, err := readMeasured(files)
--- a/cmd/spurctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -21,7 +21,7 @@
 	c := &cobra.Command{Use: "state", Short: "Look at what a router has kept of what it learned",
 		Long: "Every command takes a state file, or the folder of a router, of which it reads the newest generation that is good.\n" +
 			"None of them changes anything but `upgrade`. See docs/state.md.",
-		Example: "  spurctl state show /var/lib/spurtrestle/n1", Args: cobra.NoArgs,
+		Example: "  cache-routerctl state show /var/lib/spurtrestle/n1", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.AddCommand(a.showState(), a.verifyState(), a.diffState(), a.upgradeState())
 	return c
@@ -137,7 +137,7 @@
 func (a *app) showState() *cobra.Command {
 	var output, at string
 	c := &cobra.Command{Use: "show FILE|FOLDER", Short: "Show a state, and what of it a router would begin with now",
-		Example: "  spurctl state show /var/lib/spurtrestle/n1\n  spurctl state show state.7 --at 2026-12-01T08:00:00Z --output json",
+		Example: "  cache-routerctl state show /var/lib/spurtrestle/n1\n  cache-routerctl state show state.7 --at 2026-12-01T08:00:00Z --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			now := time.Now()
@@ -182,7 +182,7 @@
 func (a *app) verifyState() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "verify FILE|FOLDER...", Short: "Tell whether states are whole; exit 1 where one is not",
-		Example: "  spurctl state verify /var/lib/spurtrestle/*", Args: cobra.MinimumNArgs(1),
+		Example: "  cache-routerctl state verify /var/lib/spurtrestle/*", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
 			type row struct {
 				Path    string `json:"path"`
@@ -230,7 +230,7 @@
 func (a *app) diffState() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "diff A B", Short: "Show in what two states differ, of one router at two times or of two routers",
-		Example: "  spurctl state diff n1/state.7 n1/state.8\n  spurctl state diff n1 n2", Args: cobra.ExactArgs(2),
+		Example: "  cache-routerctl state diff n1/state.7 n1/state.8\n  cache-routerctl state diff n1 n2", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			a, fromA, _, errA := readState(args[0])
 			b, fromB, _, errB := readState(args[1])
@@ -307,7 +307,7 @@
 	return &cobra.Command{Use: "upgrade FOLDER", Short: "Write a folder's state as a new generation in the newest version",
 		Long: "A router reads older versions by itself and writes the newest. This is for looking at it before, with no router running\n" +
 			"on the folder: the lock is taken, and the older generation stays until the next one is written.",
-		Example: "  spurctl state upgrade /var/lib/spurtrestle/n1", Args: cobra.ExactArgs(1),
+		Example: "  cache-routerctl state upgrade /var/lib/spurtrestle/n1", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			dir := snapshot.Dir(args[0])
 			if info, err := os.Stat(args[0]); err != nil || !info.IsDir() {
--- a/cmd/wirehost/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts router instances that share nothing and speaks the bench's wire.
+// Command sim-adapter hosts router instances that share nothing and speaks the bench's wire.
 package main
 
 import (
@@ -7,21 +7,21 @@
 	"os"
 	"runtime/debug"
 
-	"spurtrestle/benchwire"
 	"spurtrestle/core/routing"
+	"spurtrestle/simwire"
 )
 
 func main() {
 	debug.SetGCPercent(400) // hundreds of small instances: memory is at hand, time is what is counted
 	if err := host(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "sim-adapter:", err)
 		os.Exit(1)
 	}
 }
 
 func host(in io.Reader, out io.Writer) error {
-	r, w := benchwire.NewReader(in), benchwire.NewWriter(out)
-	routers := map[benchwire.Instance]*routing.Router{}
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
+	routers := map[simwire.Instance]*routing.Router{}
 	for {
 		b, err := r.Next()
 		if err == io.EOF {
@@ -33,9 +33,9 @@
 		for _, input := range b.Inputs {
 			var decided []routing.Decision
 			switch ev := input.Event.(type) {
-			case benchwire.Launch:
+			case simwire.Launch:
 				routers[input.Instance], decided = routing.New(b.Now, ev.Settings, ev.Seed)
-			case benchwire.Shutdown:
+			case simwire.Shutdown:
 				delete(routers, input.Instance)
 			default:
 				if router := routers[input.Instance]; router != nil {
--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -428,7 +428,7 @@
 func Command(p *Plan, site Site, decisions map[Site]Decision, word, by, reason string) (*Order, error) {
 	r := decisions[site]
 	if !slices.ContainsFunc(p.Sites, func(x Place) bool { return x.Name == site }) {
-		return nil, fmt.Errorf("%q is no site of the plan; spurctl fleet site status names them", site)
+		return nil, fmt.Errorf("%q is no site of the plan; cache-routerctl fleet site status names them", site)
 	}
 	o := &Order{Site: site, On: r.Index, Decision: r}
 	o.By, o.Reason = by, reason
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -106,8 +106,8 @@
 		but       []string // of these none
 		forbidden []string
 	}{
-		{"decisions know nothing of what carries them out", []string{"core"}, nil, []string{"internal", "cmd", "benchwire"}},
-		{"the lab and the tools stand above the router", []string{"core", "internal", "benchwire", "cmd"}, []string{"internal/lab", "cmd/spurctl"},
+		{"decisions know nothing of what carries them out", []string{"core"}, nil, []string{"internal", "cmd", "simwire"}},
+		{"the lab and the tools stand above the router", []string{"core", "internal", "simwire", "cmd"}, []string{"internal/lab", "cmd/cache-routerctl"},
 			[]string{"internal/lab", "internal/scale"}},
 		{"scale's results and slopes are read without the harness", []string{"internal/scale"}, nil, []string{"internal/lab"}},
 		{"the router knows no fleet, no policy's log and no front but its own", []string{"internal/router"}, nil,
@@ -140,7 +140,7 @@
 // The plain program is without the fleet and its libraries: what they link in costs each start some time.
 func TestPlainProgramLinksNoFleet(t *testing.T) {
 	for _, p := range list(t) {
-		if p.ImportPath != module+"/cmd/spurtrestle" {
+		if p.ImportPath != module+"/cmd/cache-router" {
 			continue
 		}
 		for _, dep := range p.Deps {
@@ -151,5 +151,5 @@
 		}
 		return
 	}
-	t.Error("there is no cmd/spurtrestle")
+	t.Error("there is no cmd/cache-router")
 }
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -13,7 +13,7 @@
 
 // mixed tells of settings that are of both. A mixed file is mostly one that was half moved: it serves, and only its figures
 // tell. But there are customers who mean it (copies beside lists without sizes, sizes without copies), and a router that
-// refused to start there served nobody: a start only warns, and spurtrestle check refuses.
+// refused to start there served nobody: a start only warns, and cache-router check refuses.
 func mixed(s routing.Settings) error {
 	const own = "policy-limits.parallel-tries is true, as where each client process has a router of its own"
 	for _, c := range []struct {
--- a/internal/controlplane/log.go
+++ b/internal/controlplane/log.go
@@ -146,7 +146,7 @@
 	}
 	if last < promised {
 		return fmt.Errorf("the folder ends at entry %d, and its keeper has spoken of %d: it %w; "+
-			"empty it, and have the keeper taken up anew with spurctl policy keeper replace", last, promised, errPutBack)
+			"empty it, and have the keeper taken up anew with cache-routerctl policy keeper replace", last, promised, errPutBack)
 	}
 	ln, err := net.Listen("tcp", l.cfg.Listen.String())
 	if err != nil {
--- a/internal/gossip/tiers_test.go
+++ b/internal/gossip/tiers_test.go
@@ -14,10 +14,11 @@
 	"github.com/sirupsen/logrus"
 
 	"os"
+	"sync/atomic"
+
 	"spurtrestle/core/hierarchy"
 	"spurtrestle/core/membership"
 	"spurtrestle/internal/fleet"
-	"sync/atomic"
 )
 
 // idle is a router that takes clients and has none.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -29,8 +29,8 @@
 
 // The verdict is on the rules, never on times: it must be the same on a slow machine.
 func TestRulesHoldOnRealRouters(t *testing.T) {
-	programs := map[string]string{"resp2": build(t, "spurtrestle"), "grpc": build(t, "spurtrestle-grpc")}
-	withFleet := build(t, "spurtrestle-fleet")
+	programs := map[string]string{"resp2": build(t, "cache-router"), "grpc": build(t, "cache-router-grpc")}
+	withFleet := build(t, "cache-router-fleet")
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no scenarios found", err)
@@ -133,7 +133,7 @@
 
 // Stopped at any moment, a run leaves no process, goroutine or address behind.
 func TestStoppedRunLeavesNothing(t *testing.T) {
-	program := build(t, "spurtrestle")
+	program := build(t, "cache-router")
 	s, err := scenario.Read("testdata/deploy.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/rig/site_test.go
+++ b/internal/lab/rig/site_test.go
@@ -157,7 +157,7 @@
 		r.must(err)
 		return a.Error
 	}
-	for _, x := range [][3]string{{"moon", "lost", `"moon" is no site of the plan; spurctl fleet site status names them`},
+	for _, x := range [][3]string{{"moon", "lost", `"moon" is no site of the plan; cache-routerctl fleet site status names them`},
 		{"hill", "back", "hill is up"}, {"hill", "hold", "hill is up: there is no return to hold"}, {"hill", "shut", `"shut" is none of lost, back, hold, go`}} {
 		if got := word(x[0], x[1]); got != x[2] {
 			t.Errorf("%v: %q", x, got)
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -35,7 +35,7 @@
 // Parse reads the text of a scenario file.
 func Parse(text []byte) (Scenario, error) {
 	s := Default()
-	if err := tomlfile.Decode(text, &s, "`spurctl lab init`"); err != nil {
+	if err := tomlfile.Decode(text, &s, "`cache-routerctl lab init`"); err != nil {
 		return s, err
 	}
 	return s, errors.Join(check(&s, tomlfile.PlacesIn(text))...)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -22,7 +22,7 @@
 func TestWrongFilesAreExplained(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`length = "20s" `, `length = "soon"`, `"soon" is no span; write it as "250ms", "4s" or "2m30s"`},
-		{`rate = 300.0`, `rates = 300.0`, "load.rates: is no field here; see `spurctl lab init` for all fields"},
+		{`rate = 300.0`, `rates = 300.0`, "load.rates: is no field here; see `cache-routerctl lab init` for all fields"},
 		{`rate = 300.0`, `rate = -1.0`, "load.rate: -1 is not above zero; write a number above zero"},
 		{`effect = "deduplicated"`, `effect = "odd"`, `method[1].effect: "odd" is not known; write one of retryable, deduplicated, non-retryable`},
 		{`write = true`, `write = false`, "method[1].write: is false though the effect is deduplicated; set write = true: only writes have an effect"},
--- a/internal/lab/testprogram/testprogram.go
+++ b/internal/lab/testprogram/testprogram.go
@@ -9,14 +9,14 @@
 	"sync"
 )
 
-// Fleet builds spurtrestle-fleet, once for all tests of a package, and returns its path. It stays in a folder for temporary
+// Fleet builds cache-router-fleet, once for all tests of a package, and returns its path. It stays in a folder for temporary
 // files, since the tests of a package end at no common point.
 var Fleet = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "spurtrestle-fleet")
+	dir, err := os.MkdirTemp("", "cache-router-fleet")
 	if err != nil {
 		return "", err
 	}
-	return Build(dir, "spurtrestle-fleet")
+	return Build(dir, "cache-router-fleet")
 })
 
 // Build builds the program of cmd/name in a folder, and returns its path.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -29,19 +29,20 @@
 	"spurtrestle/internal/snapshot"
 )
 
-const usage = `spurtrestle is a router for fleets of cache servers.
+const usage = `cache-router is a router for fleets of cache servers.
 
-  spurtrestle [--file FILE] [--log-format text|json] [--log-level LEVEL]
+  cache-router [--file FILE] [--log-format text|json] [--log-level LEVEL]
                        serve; EDGE_CONFIG names the configuration, FILE is the operator's own (deploy/spurtrestle.toml)
-  spurtrestle check [--config FILE] [--file FILE]
+  cache-router check [--config FILE] [--file FILE]
                        tell what is wrong in a configuration
-  spurtrestle version  tell what it was built from
+  cache-router version
+                       tell what it was built from
 
-Example: EDGE_CONFIG=config.json spurtrestle --file deploy/spurtrestle.toml --log-format json
+Example: EDGE_CONFIG=config.json cache-router --file deploy/spurtrestle.toml --log-format json
 Exit codes: 0 ended in order, 1 bad configuration or the loop ended by itself, 2 wrong usage.
 `
 
-var errUsage = errors.New("wrong usage; see spurtrestle --help")
+var errUsage = errors.New("wrong usage; see cache-router --help")
 
 // Parts are what a program has linked in beside the router; nil: it has not. Each costs memory and time at the start.
 type Parts struct {
@@ -60,7 +61,7 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "spurtrestle:", err)
+	fmt.Fprintln(os.Stderr, "cache-router:", err)
 	if errors.Is(err, errUsage) {
 		os.Exit(2)
 	}
@@ -121,10 +122,10 @@
 func load(own string, has Parts) (operator.File, error) {
 	mine, err := operator.Load(own)
 	if err == nil && mine.GRPC.Listen != "" && has.GRPC == nil {
-		err = fmt.Errorf("%s: grpc.listen: this program has no gRPC; start spurtrestle-grpc in its place, or leave the field empty", own)
+		err = fmt.Errorf("%s: grpc.listen: this program has no gRPC; start cache-router-grpc in its place, or leave the field empty", own)
 	}
 	if err == nil && mine.Fleet.Name != "" && has.Fleet == nil {
-		err = mine.Refused("fleet.name", "this program keeps no view of a fleet", "start spurtrestle-fleet or spurtrestle-grpc in its place, or leave the field empty")
+		err = mine.Refused("fleet.name", "this program keeps no view of a fleet", "start cache-router-fleet or cache-router-grpc in its place, or leave the field empty")
 	}
 	return mine, err
 }
@@ -201,7 +202,7 @@
 }
 
 func version(out io.Writer) error {
-	_, err := fmt.Fprintln(out, "spurtrestle", revision())
+	_, err := fmt.Fprintln(out, "cache-router", revision())
 	return err
 }
 
--- a/internal/scale/capacity/leader.go
+++ b/internal/scale/capacity/leader.go
@@ -15,7 +15,7 @@
 	var f leader.File
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	const remedy = "name a file that spurctl scale leader wrote, by this build or one of its format"
+	const remedy = "name a file that cache-routerctl scale leader wrote, by this build or one of its format"
 	if err := decoder.Decode(&f); err != nil {
 		return f, FieldError{file, 0, "the file", err.Error(), remedy}
 	}
--- a/internal/scale/capacity/page.go
+++ b/internal/scale/capacity/page.go
@@ -410,7 +410,7 @@
 }
 
 func (e StaleError) Error() string {
-	return fmt.Sprintf("%s: line %d: it has %q, and its figures give %q; write it anew: spurctl scale capacity --target FILE --measured FILE... --leader FILE --write %s",
+	return fmt.Sprintf("%s: line %d: it has %q, and its figures give %q; write it anew: cache-routerctl scale capacity --target FILE --measured FILE... --leader FILE --write %s",
 		e.Page, e.Line, e.Has, e.Want, e.Page)
 }
 
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -49,7 +49,7 @@
 		k.log.Info("no state yet: beginning anew")
 		return nil
 	case err != nil:
-		k.log.WithError(err).Warn("no state can be used: beginning anew; `spurctl state verify` tells what is wrong")
+		k.log.WithError(err).Warn("no state can be used: beginning anew; `cache-routerctl state verify` tells what is wrong")
 		return nil
 	}
 	k.log.WithFields(logrus.Fields{"file": from, "servers": len(s.Servers), "written": written(s.Knowledge.At)}).Info("state read")
@@ -150,5 +150,5 @@
 	case errors.Is(err, syscall.ENOTDIR):
 		return "Name a folder in state.dir, not a file."
 	}
-	return "`spurctl state verify " + dir + "` tells more."
+	return "`cache-routerctl state verify " + dir + "` tells more."
 }
--- a/benchwire/benchwire.go
+++ b/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package benchwire reads and writes the bench's wire, slate-8695. The wire's names end here: what comes
+// Package simwire reads and writes the bench's wire, slate-8695. The wire's names end here: what comes
 // out are the inputs of package routing, and what goes in are its decisions.
-package benchwire
+package simwire
 
 import (
 	"bufio"
