--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -177,13 +177,6 @@
 	s.store.Drop(key)
 }
 
-// Cold tells whether it is still warming up.
-func (s *Server) Cold() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.machine.Cold(s.fleet.Log.Now())
-}
-
 // Drain has the server finish its requests, and reject what arrives after the grace.
 func (s *Server) Drain() {
 	s.mu.Lock()
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -495,12 +495,6 @@
 	return r.doors[i]
 }
 
-// Listen is where a router's clients come to.
-func (r *Rig) Listen(i int) string { return r.net.Routers()[i] }
-
-// Way is where a router is reached by the others.
-func (r *Rig) Way(i int) string { return r.net.Ways()[i] }
-
 // Usage is what a router has used.
 func (r *Rig) Usage(i int) (cpu time.Duration, rss int64, ok bool) {
 	if p := r.running(i); p != nil {
