--- /dev/null
+++ b/internal/gossip/golden_test.go
@@ -0,0 +1,154 @@
+package gossip
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"spurtrestle/core/hierarchy"
+	"spurtrestle/core/membership"
+	"spurtrestle/internal/fleet"
+)
+
+// updateGolden has the golden files written anew. They were written by the build of commit bfb4b5c and stay as they are.
+var updateGolden = flag.Bool("update-golden", false, "write the golden files")
+
+// checkGolden compares bytes with those of a file under testdata.
+func checkGolden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	name := "testdata/golden/" + file
+	if *updateGolden {
+		if err := os.WriteFile(name, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+	}
+}
+
+var goldenHeartbeats = []membership.Heartbeat{
+	{Process: 1, Seq: 1},
+	{Process: 1 << 63, Seq: 1 << 40, Takes: true, Draining: true, Passing: true, Out: true, Left: true, Rival: 7, Revision: 1 << 50, Digest: 1 << 63},
+	{Process: 9, Seq: 3, Leads: true, Folder: 5, Keeper: "10.0.0.1:7947", Member: true, Last: 77},
+	{Process: 10, Seq: 300, Takes: true, Revision: 300, Digest: 5, Rival: 1 << 33},
+	{Process: 11, Seq: 2, Keeper: strings.Repeat("k", 70), Last: 1 << 20},
+}
+
+// goldenNode is a router's node that listens nowhere, with a view of three routers.
+func goldenNode(tiered bool) *Node {
+	cfg := fleet.Config{Fleet: "harvest", Name: "hill-0", Site: "hill", Tiered: tiered, Region: "north",
+		Advertise: netip.MustParseAddrPort("10.0.0.1:7946"), Probe: time.Second, Seats: 3, Seat: 2}
+	p := &Node{cfg: cfg, start: time.Unix(1700000000, 0)}
+	p.me = membership.Member{Fleet: "harvest", Name: "hill-0", Site: "hill", Process: 0xfedcba9876543211, Seat: 2, Started: 1700000000000001, Build: "bfb4b5c",
+		Addr: "10.0.0.1:7946"}
+	p.view = membership.New(0, membership.DefaultRules(1e6), p.me)
+	p.view.Joined(1e6, membership.Member{Fleet: "harvest", Name: "hill-1", Site: "hill", Process: 21, Seat: 0, Started: 5, Addr: "10.0.0.2:7946"})
+	p.view.Joined(1e6, membership.Member{Fleet: "harvest", Name: "hill-2", Site: "hill", Process: 23, Seat: 1, Started: 6, Addr: "10.0.0.3:7946"})
+	p.view.Said(2e6, goldenHeartbeats[3])
+	p.view.Gone(3e6, 23)
+	p.view.SayMore(4e6, func(w *membership.Heartbeat) { w.Revision, w.Leads = 9, true })
+	return p
+}
+
+// Heartbeats of a tiered fleet, alone and as the full state.
+func TestGolden_PackedHeartbeats(t *testing.T) {
+	lines := ""
+	for _, heartbeat := range goldenHeartbeats {
+		lines += fmt.Sprintf("%x\n", packWord(nil, heartbeat))
+	}
+	lines += fmt.Sprintf("%x\n", packWords(goldenHeartbeats))
+	checkGolden(t, "packed.hex", []byte(lines))
+	read, err := unpackWords(packWords(goldenHeartbeats[:4]))
+	if err != nil || !slices.Equal(read, goldenHeartbeats[:4]) {
+		t.Errorf("packed heartbeats are read as %+v, %v", read, err)
+	}
+}
+
+// What memberlist carries for a flat and for a tiered fleet: broadcasts, the payload of a probe's answer, the full state.
+func TestGolden_Messages(t *testing.T) {
+	text := ""
+	for _, tiered := range []bool{false, true} {
+		p := goldenNode(tiered)
+		for _, heartbeat := range goldenHeartbeats {
+			broadcast := p.wordOf(heartbeat)
+			text += fmt.Sprintf("tiered=%v broadcast %s: %q\n", tiered, broadcast.Name(), broadcast.Message())
+		}
+		text += fmt.Sprintf("tiered=%v ack: %q\n", tiered, p.AckPayload())
+		text += fmt.Sprintf("tiered=%v state: %q\n", tiered, p.LocalState(false))
+	}
+	kinds := []byte{kindWord, kindPacked, kindAsk, kindParts, kindTalk, kindTiers}
+	checkGolden(t, "messages.txt", fmt.Appendf(nil, "%skinds: %q\n", text, kinds))
+}
+
+func TestGolden_NodeMeta(t *testing.T) {
+	text := ""
+	for _, tiered := range []bool{false, true} {
+		p := goldenNode(tiered)
+		text += string(p.NodeMeta(512)) + "\n"
+		p.me.Follows = 77
+		for i := range 40 {
+			p.cfg.Methods = append(p.cfg.Methods, fmt.Sprintf("cache.Cache/Method%d", i))
+		}
+		text += string(p.NodeMeta(512)) + "\n"
+	}
+	checkGolden(t, "meta.txt", []byte(text))
+}
+
+// The file of known peers, as it is written and as it is read.
+func TestGolden_PeersFile(t *testing.T) {
+	p := goldenNode(false)
+	p.cfg.Dir = t.TempDir()
+	p.keepKnown()
+	got, err := os.ReadFile(filepath.Join(p.cfg.Dir, "peers.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "peers.json", got)
+
+	tiered, err := json.MarshalIndent(known{"harvest", "hill-0", []string{"10.0.0.2:7946"}, []string{"10.1.0.1:7946", "10.2.0.1:7946"}}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "peers-tiered.json", tiered)
+	if err := os.WriteFile(filepath.Join(p.cfg.Dir, "peers.json"), tiered, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	peers, err := p.readKnown()
+	if err != nil || !slices.Equal(peers, []string{"10.0.0.2:7946"}) || !slices.Equal(p.cfg.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
+		t.Errorf("peers are read as %q, remote %q, %v", peers, p.cfg.Remote, err)
+	}
+}
+
+// The view on the admin endpoint, of a flat and of a tiered fleet.
+func TestGolden_AdminView(t *testing.T) {
+	flat, err := json.MarshalIndent(whole{Snapshot: goldenNode(false).view.Snapshot(5e6)}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "view-flat.json", flat)
+	tiered, err := json.MarshalIndent(whole{Snapshot: goldenNode(true).view.Snapshot(5e6), Tiers: &hierarchy.Status{}}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "view-tiered.json", tiered)
+}
+
+// The figures' names, which dashboards read.
+func TestGolden_Figures(t *testing.T) {
+	p := goldenNode(false)
+	p.told = share{now: 0.25}
+	p.traffic.Sent(fleet.Heartbeat, 100, 2)
+	checkGolden(t, "figures.txt", []byte(p.Figures()))
+}
