--- a/cmd/cache-routerctl/fleet.go
+++ b/cmd/cache-routerctl/fleet.go
@@ -111,13 +111,13 @@
 	for i, a := range all {
 		switch {
 		case !a.View.Settled:
-			return coded{exitUnsettled, fmt.Errorf("%s is not settled; at odds with %v", a.View.By, a.View.Disagree)}
+			return coded{exitUnsettled, fmt.Errorf("%s is not settled; at odds with %v", a.View.ReportedBy, a.View.Disagreeing)}
 		case a.Tiers != nil && !a.Tiers.Settled:
-			return coded{exitUnsettled, fmt.Errorf("%s is not settled on the other sites and regions", a.View.By)}
+			return coded{exitUnsettled, fmt.Errorf("%s is not settled on the other sites and regions", a.View.ReportedBy)}
 		}
 		for _, b := range all[:i] {
 			if !sameViews(a, b) {
-				return coded{exitUnsettled, fmt.Errorf("%s and %s are settled on different views", b.View.By, a.View.By)}
+				return coded{exitUnsettled, fmt.Errorf("%s and %s are settled on different views", b.View.ReportedBy, a.View.ReportedBy)}
 			}
 		}
 	}
@@ -137,12 +137,12 @@
 	if w.Settled {
 		state = "settled"
 	}
-	fmt.Fprintf(out, "fleet %s by %s: %s for %s, digest %s\n", w.Fleet, w.By, state, spanOf(w.For), w.Digest)
-	if w.Out != "" {
-		fmt.Fprintf(out, "%s is out of service: %s\n", w.By, w.Out)
+	fmt.Fprintf(out, "fleet %s by %s: %s for %s, digest %s\n", w.Fleet, w.ReportedBy, state, spanOf(w.SettledFor), w.Digest)
+	if w.YieldReason != "" {
+		fmt.Fprintf(out, "%s is out of service: %s\n", w.ReportedBy, w.YieldReason)
 	}
 	for _, s := range w.Sites {
-		fmt.Fprintf(out, "site %s: %d of %d alive, %d take clients\n", s.Site, s.Alive, s.Of, s.Takes)
+		fmt.Fprintf(out, "site %s: %d of %d alive, %d take clients\n", s.Site, s.Alive, s.Known, s.Accepting)
 	}
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "router\tsite\tstate\tfor\tclients\tpolicy\tincarnation\tbuild\theard\taddress")
@@ -153,15 +153,15 @@
 			clients = "-"
 		case r.Draining:
 			clients = "draining"
-		case r.Takes:
+		case r.Accepting:
 			clients = "yes"
 		}
 		state := r.State.String()
-		if r.Conflict {
+		if r.NameConflict {
 			state += ", two of the name"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s ago\t%s\n", r.Name, r.Site, state, spanOf(r.For), clients, r.Revision, r.Incarnation,
-			r.Build, spanOf(r.Age), r.Addr)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s ago\t%s\n", r.Name, r.Site, state, spanOf(r.InStateFor), clients, r.PolicyRevision, r.Incarnation,
+			r.Build, spanOf(r.ContactAge), r.Addr)
 	}
 	return t.Flush()
 }
@@ -191,7 +191,7 @@
 					tiers = a.Tiers
 				case otherSite(tiers, a.Tiers): // it knows other routers, and the same summaries
 				default:
-					for _, line := range membership.Differ(*first, *a.View) {
+					for _, line := range membership.Diff(*first, *a.View) {
 						fmt.Fprintln(out, line)
 					}
 				}
@@ -246,24 +246,24 @@
 	if was.View != nil {
 		before = *was.View
 	}
-	rows := map[membership.Name]membership.Router{}
+	rows := map[membership.Name]membership.RouterStatus{}
 	for _, r := range before.Routers {
 		rows[r.Name] = r
 	}
 	for _, r := range w.Routers {
 		b := rows[r.Name]
 		delete(rows, r.Name)
-		if b.State != r.State || b.Incarnation != r.Incarnation || b.Takes != r.Takes || b.Draining != r.Draining || b.Conflict != r.Conflict ||
-			b.Revision != r.Revision {
+		if b.State != r.State || b.Incarnation != r.Incarnation || b.Accepting != r.Accepting || b.Draining != r.Draining || b.NameConflict != r.NameConflict ||
+			b.PolicyRevision != r.PolicyRevision {
 			lines = append(lines, fmt.Sprintf("%s: %v, process %s, takes clients: %v, draining: %v, two of the name: %v, policy %d", r.Name, r.State,
-				r.Incarnation, r.Takes, r.Draining, r.Conflict, r.Revision))
+				r.Incarnation, r.Accepting, r.Draining, r.NameConflict, r.PolicyRevision))
 		}
 	}
 	for name := range rows {
 		lines = append(lines, fmt.Sprintf("%s: forgotten", name))
 	}
 	if was.View == nil || before.Settled != w.Settled {
-		lines = append(lines, fmt.Sprintf("%s: settled: %v, at odds with %v", w.By, w.Settled, w.Disagree))
+		lines = append(lines, fmt.Sprintf("%s: settled: %v, at odds with %v", w.ReportedBy, w.Settled, w.Disagreeing))
 	}
 	return append(lines, tierChanges(was.Tiers, now.Tiers)...)
 }
--- a/cmd/cache-routerctl/fleettiers_test.go
+++ b/cmd/cache-routerctl/fleettiers_test.go
@@ -12,7 +12,7 @@
 // Sites and regions are shown by their summaries; routers of several sites are compared by what both know.
 func TestTiersAreShownAndCompared(t *testing.T) {
 	at := func(region, site, digest string) answer {
-		return answer{Door: "d", View: &membership.Snapshot{By: membership.Name(site), Settled: true, Digest: digest},
+		return answer{Door: "d", View: &membership.Snapshot{ReportedBy: membership.Name(site), Settled: true, Digest: digest},
 			Tiers: &hierarchy.Status{Region: region, Site: site, RepresentsSite: true, Settled: true, SitesDigest: region, RegionsDigest: "1",
 				Sites:   []hierarchy.Group{{Name: site, Counts: hierarchy.Counts{Alive: 17, Takes: 16, Of: 18}}},
 				Regions: []hierarchy.Group{{Name: "south", State: hierarchy.Lost, Sites: 19, SitesLost: 2, Counts: hierarchy.Counts{Alive: 300, Takes: 299, Of: 342}}}}}
--- a/core/membership/golden_test.go
+++ b/core/membership/golden_test.go
@@ -30,29 +30,29 @@
 
 // goldenHeartbeats have each field set in one of them at least.
 var goldenHeartbeats = []Heartbeat{
-	{Process: 1, Seq: 1},
-	{Process: 1 << 63, Seq: 1 << 40, Takes: true, Draining: true, Passing: true, Out: true, Left: true, Rival: 7, Revision: 1 << 50, Digest: 1 << 63},
-	{Process: 9, Seq: 3, Leads: true, Folder: 5, Keeper: "10.0.0.1:7947", Member: true, Last: 77},
+	{Incarnation: 1, Seq: 1},
+	{Incarnation: 1 << 63, Seq: 1 << 40, Accepting: true, Draining: true, HandingOver: true, Yielded: true, Left: true, Duplicate: 7, PolicyRevision: 1 << 50, ViewDigest: 1 << 63},
+	{Incarnation: 9, Seq: 3, Leader: true, VoterID: 5, VoterAddr: "10.0.0.1:7947", Voter: true, LastIndex: 77},
 }
 
 // goldenView is a view of six routers in all states, two of them of one name.
 func goldenView() *View {
-	view := New(0, DefaultRules(1e6), Member{Fleet: "harvest", Name: "me", Site: "hill", Process: 1, Seat: 0, Started: 1000, Build: "b1", Addr: "10.0.0.1:7946"})
-	view.Joined(1e6, Member{Fleet: "harvest", Name: "a", Site: "hill", Process: 2, Seat: 1, Started: 2000, Build: "b2", Addr: "10.0.0.2:7946"})
-	view.Joined(1e6, Member{Fleet: "harvest", Name: "a", Site: "hill", Process: 3, Seat: 1, Started: 3000, Build: "b2", Addr: "10.0.0.3:7946"})
-	view.Joined(1e6, Member{Fleet: "harvest", Name: "b", Site: "coast", Process: 4, Seat: 2, Started: 4000, Build: "b1", Addr: "10.0.1.1:7946"})
-	view.Joined(1e6, Member{Fleet: "harvest", Name: "c", Site: "coast", Process: 5, Seat: 3, Started: 5000, Build: "b1", Addr: "10.0.1.2:7946"})
-	view.Joined(1e6, Member{Fleet: "harvest", Name: "d", Site: "coast", Process: 6, Seat: 4, Started: 6000, Build: "b1", Addr: "10.0.1.3:7946"})
-	view.Said(2e6, Heartbeat{Process: 2, Seq: 5, Takes: true, Rival: 3, Revision: 12})
-	view.Said(2e6, Heartbeat{Process: 4, Seq: 2, Takes: true, Draining: true, Revision: 11, Digest: 0xabc})
-	view.Said(2e6, Heartbeat{Process: 5, Seq: 2, Left: true})
-	view.Said(2e6, Heartbeat{Process: 6, Seq: 2, Passing: true, Out: true})
-	view.Gone(3e6, 6)
-	view.Joined(3e6, Member{Fleet: "harvest", Name: "e", Site: "plain", Process: 7, Seat: 5, Started: 7000, Addr: "10.0.2.1:7946"})
-	view.Gone(4e6, 7)
-	view.Joined(80e6, Member{Fleet: "harvest", Name: "f", Site: "plain", Process: 8, Seat: 6, Started: 8000, Follows: 7, Addr: "10.0.2.2:7946"})
-	view.Say(81e6, true, false)
-	view.Step(95e6)
+	view := New(0, DefaultConfig(1e6), Member{Fleet: "harvest", Name: "me", Site: "hill", Incarnation: 1, Slot: 0, StartedAt: 1000, Build: "b1", Addr: "10.0.0.1:7946"})
+	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "a", Site: "hill", Incarnation: 2, Slot: 1, StartedAt: 2000, Build: "b2", Addr: "10.0.0.2:7946"})
+	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "a", Site: "hill", Incarnation: 3, Slot: 1, StartedAt: 3000, Build: "b2", Addr: "10.0.0.3:7946"})
+	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "b", Site: "coast", Incarnation: 4, Slot: 2, StartedAt: 4000, Build: "b1", Addr: "10.0.1.1:7946"})
+	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "c", Site: "coast", Incarnation: 5, Slot: 3, StartedAt: 5000, Build: "b1", Addr: "10.0.1.2:7946"})
+	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "d", Site: "coast", Incarnation: 6, Slot: 4, StartedAt: 6000, Build: "b1", Addr: "10.0.1.3:7946"})
+	view.ReceiveHeartbeat(2e6, Heartbeat{Incarnation: 2, Seq: 5, Accepting: true, Duplicate: 3, PolicyRevision: 12})
+	view.ReceiveHeartbeat(2e6, Heartbeat{Incarnation: 4, Seq: 2, Accepting: true, Draining: true, PolicyRevision: 11, ViewDigest: 0xabc})
+	view.ReceiveHeartbeat(2e6, Heartbeat{Incarnation: 5, Seq: 2, Left: true})
+	view.ReceiveHeartbeat(2e6, Heartbeat{Incarnation: 6, Seq: 2, HandingOver: true, Yielded: true})
+	view.MemberFailed(3e6, 6)
+	view.MemberJoined(3e6, Member{Fleet: "harvest", Name: "e", Site: "plain", Incarnation: 7, Slot: 5, StartedAt: 7000, Addr: "10.0.2.1:7946"})
+	view.MemberFailed(4e6, 7)
+	view.MemberJoined(80e6, Member{Fleet: "harvest", Name: "f", Site: "plain", Incarnation: 8, Slot: 6, StartedAt: 8000, Predecessor: 7, Addr: "10.0.2.2:7946"})
+	view.UpdateLocal(81e6, true, false)
+	view.Tick(95e6)
 	return view
 }
 
@@ -90,7 +90,7 @@
 		Digest    uint64
 		Heartbeat Heartbeat
 		Known     []string
-	}{digest, view.Heartbeat(), view.Known()})
+	}{digest, view.Heartbeat(), view.KnownAddrs()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -18,43 +18,43 @@
 
 // The ids are types of their own, so that one cannot stand for another.
 type (
-	Name    string // of a router, over all of its processes
-	Site    string
-	Process uint64 // one life of a router; drawn at its start
-	Seat    int    // which of the settings' routers it is, from 0
+	Name        string // of a router, over all of its processes
+	Site        string
+	Incarnation uint64 // one life of a router; drawn at its start
+	Slot        int    // which of the settings' routers it is, from 0
 )
 
 // Member is what a process says of itself for all of its life.
 type Member struct {
-	Fleet   string
-	Name    Name
-	Site    Site
-	Process Process
-	Seat    Seat
-	Started int64 // the wall clock at its start, in microseconds since 1970; orders processes of one name, nothing else
-	Build   string
-	Addr    string  // where others reach it
-	Follows Process // of the same router, which it takes over from while that serves; 0: none
+	Fleet       string
+	Name        Name
+	Site        Site
+	Incarnation Incarnation
+	Slot        Slot
+	StartedAt   int64 // the wall clock at its start, in microseconds since 1970; orders processes of one name, nothing else
+	Build       string
+	Addr        string      // where others reach it
+	Predecessor Incarnation // of the same router, which it takes over from while that serves; 0: none
 }
 
 // Heartbeat is what a process says of itself now. Of two words the one with the higher Seq holds, however late it comes.
 type Heartbeat struct {
-	Process  Process
-	Seq      uint64
-	Takes    bool    // it takes clients
-	Draining bool    // operators drain it, or it is ending
-	Passing  bool    // it has handed over to a process that follows, and is about to end
-	Out      bool    // it keeps out of service, since its name is another's
-	Left     bool    // it ends now, in order
-	Rival    Process // a younger process of its name that it has seen alive
-	Revision uint64  // of the policy that it holds; 0: there is none
-	Digest   uint64  // of its view, when it last was calm
-
-	Leads  bool   // it leads the keepers of the policy
-	Folder uint64 // the number of its folder as a keeper; 0: it is none
-	Keeper string // where it is reached as one
-	Member bool   // its folder takes part
-	Last   uint64 // the last entry of the log that it has
+	Incarnation    Incarnation `json:"Process"`
+	Seq            uint64      `json:"Seq"`
+	Accepting      bool        `json:"Takes"`    // it takes clients
+	Draining       bool        `json:"Draining"` // operators drain it, or it is ending
+	HandingOver    bool        `json:"Passing"`  // it has handed over to a process that follows, and is about to end
+	Yielded        bool        `json:"Out"`      // it keeps out of service, since its name is another's
+	Left           bool        `json:"Left"`     // it ends now, in order
+	Duplicate      Incarnation `json:"Rival"`    // a younger process of its name that it has seen alive
+	PolicyRevision uint64      `json:"Revision"` // of the policy that it holds; 0: there is none
+	ViewDigest     uint64      `json:"Digest"`   // of its view, when it last was calm
+
+	Leader    bool   `json:"Leads"`  // it leads the keepers of the policy
+	VoterID   uint64 `json:"Folder"` // the number of its folder as a keeper; 0: it is none
+	VoterAddr string `json:"Keeper"` // where it is reached as one
+	Voter     bool   `json:"Member"` // its folder takes part
+	LastIndex uint64 `json:"Last"`   // the last entry of the log that it has
 }
 
 // State is what a router is held to be.
@@ -87,28 +87,28 @@
 }
 
 // Rules are the spans by which a view is kept.
-type Rules struct {
-	Calm      clock.Time // without a change until it is told, and may be settled
-	Suspect   clock.Time // without a sign of its own until an alive router is suspect
-	Passing   clock.Time // for which a router that is being replaced stays alive without a process
-	Stall     clock.Time // between two steps, from which on the view is held to be old
-	Forget    clock.Time // after which a lost or left router is no longer shown
-	Call      clock.Time // between two calls to who is not there, in a small fleet
-	Addresses int        // kept to call at, beyond those of the living
+type Config struct {
+	StableFor         clock.Time // without a change until it is told, and may be settled
+	SuspectAfter      clock.Time // without a sign of its own until an alive router is suspect
+	HandoverTimeout   clock.Time // for which a router that is being replaced stays alive without a process
+	StallThreshold    clock.Time // between two steps, from which on the view is held to be old
+	ForgetAfter       clock.Time // after which a lost or left router is no longer shown
+	ReconnectInterval clock.Time // between two calls to who is not there, in a small fleet
+	MaxReconnectAddrs int        // kept to call at, beyond those of the living
 }
 
 // DefaultRules are those for a probe each so many microseconds.
-func DefaultRules(probe clock.Time) Rules {
-	return Rules{
-		Calm: probe / 2, // over two turns of gossip
+func DefaultConfig(probe clock.Time) Config {
+	return Config{
+		StableFor: probe / 2, // over two turns of gossip
 		// A router is probed by each other about once in as many probes as there are routers; of sixty, most within this.
-		Suspect: 90 * probe,
-		Stall:   2 * probe, // others may have called this one suspect, and it them
-		Passing: 5 * probe, // the next process takes the address some 0.1 s after the old one has ended
-		Forget:  600e6,     // long enough for someone on call to come and look
-		Call:    2 * probe,
+		SuspectAfter:      90 * probe,
+		StallThreshold:    2 * probe, // others may have called this one suspect, and it them
+		HandoverTimeout:   5 * probe, // the next process takes the address some 0.1 s after the old one has ended
+		ForgetAfter:       600e6,     // long enough for someone on call to come and look
+		ReconnectInterval: 2 * probe,
 		// A name of 60 bytes each: 64 kB.
-		Addresses: 1024,
+		MaxReconnectAddrs: 1024,
 	}
 }
 
@@ -124,9 +124,9 @@
 
 // View is one router's view. It is not safe for use by several goroutines at once.
 type View struct {
-	rules Rules
+	rules Config
 	me    Member
-	procs map[Process]*process
+	procs map[Incarnation]*process
 
 	digest  uint64
 	changed clock.Time // the content
@@ -145,24 +145,24 @@
 // row is what is shown of a name, as far as a change of it is worth a line.
 type row struct {
 	state    State
-	process  Process
+	process  Incarnation
 	conflict bool
 	word     Heartbeat
 }
 
 // New begins with the own process alone.
-func New(now clock.Time, rules Rules, me Member) *View {
-	v := &View{rules: rules, me: me, procs: map[Process]*process{}, last: map[Name]row{}, changed: now, since: now}
-	v.procs[me.Process] = &process{Member: me, word: Heartbeat{Process: me.Process, Seq: 1}, there: true, state: Alive, since: now, heard: now}
-	v.callAt = now + rules.Call
+func New(now clock.Time, rules Config, me Member) *View {
+	v := &View{rules: rules, me: me, procs: map[Incarnation]*process{}, last: map[Name]row{}, changed: now, since: now}
+	v.procs[me.Incarnation] = &process{Member: me, word: Heartbeat{Incarnation: me.Incarnation, Seq: 1}, there: true, state: Alive, since: now, heard: now}
+	v.callAt = now + rules.ReconnectInterval
 	v.look(now)
 	return v
 }
 
 // Joined takes in that a process is there, or is there again.
-func (v *View) Joined(now clock.Time, m Member) {
-	p := v.process(now, m.Process)
-	if p == nil || m.Process == v.me.Process || p.word.Left {
+func (v *View) MemberJoined(now clock.Time, m Member) {
+	p := v.process(now, m.Incarnation)
+	if p == nil || m.Incarnation == v.me.Incarnation || p.word.Left {
 		return
 	}
 	if !p.there || p.state != Alive {
@@ -173,8 +173,8 @@
 }
 
 // Gone takes in that a process is no more, as was found out.
-func (v *View) Gone(now clock.Time, id Process) {
-	if p := v.procs[id]; p != nil && p.there && p.state == Alive && id != v.me.Process {
+func (v *View) MemberFailed(now clock.Time, id Incarnation) {
+	if p := v.procs[id]; p != nil && p.there && p.state == Alive && id != v.me.Incarnation {
 		v.over(now, p, Lost)
 		v.look(now)
 	}
@@ -189,9 +189,9 @@
 }
 
 // Said takes in a process's word. It tells whether it is news, which is passed on.
-func (v *View) Said(now clock.Time, w Heartbeat) bool {
-	p := v.process(now, w.Process)
-	if p == nil || w.Process == v.me.Process || w.Seq <= p.word.Seq {
+func (v *View) ReceiveHeartbeat(now clock.Time, w Heartbeat) bool {
+	p := v.process(now, w.Incarnation)
+	if p == nil || w.Incarnation == v.me.Incarnation || w.Seq <= p.word.Seq {
 		return false
 	}
 	if p.word = w; p.there && w.Left && p.state != Left {
@@ -202,35 +202,35 @@
 }
 
 // Heard takes in a sign of life from a process itself.
-func (v *View) Heard(now clock.Time, id Process) {
+func (v *View) RecordContact(now clock.Time, id Incarnation) {
 	if p := v.procs[id]; p != nil {
 		p.heard = now
 	}
 }
 
 // Say sets what this router says of itself beyond what the view knows. It tells whether the own word is another now.
-func (v *View) Say(now clock.Time, takes, draining bool) bool {
+func (v *View) UpdateLocal(now clock.Time, takes, draining bool) bool {
 	w := v.Heartbeat()
-	w.Takes, w.Draining = takes, draining
+	w.Accepting, w.Draining = takes, draining
 	return v.say(now, w)
 }
 
 // SayMore sets the rest of what this router says of itself. It tells whether the own word is another now.
-func (v *View) SayMore(now clock.Time, change func(*Heartbeat)) bool {
+func (v *View) UpdateHeartbeat(now clock.Time, change func(*Heartbeat)) bool {
 	w := v.Heartbeat()
 	change(&w)
 	return v.say(now, w)
 }
 
 // End says that this process ends: in order, or to one that follows.
-func (v *View) End(now clock.Time, passing bool) {
+func (v *View) AnnounceEnd(now clock.Time, passing bool) {
 	w := v.Heartbeat()
-	w.Passing, w.Left = passing, !passing
+	w.HandingOver, w.Left = passing, !passing
 	v.say(now, w)
 }
 
 func (v *View) say(now clock.Time, w Heartbeat) bool {
-	me := v.procs[v.me.Process]
+	me := v.procs[v.me.Incarnation]
 	if w == me.word {
 		return false
 	}
@@ -241,15 +241,15 @@
 }
 
 // Step lets time pass. It tells whether the own word is another now, and what has changed since the last step, a line each.
-func (v *View) Step(now clock.Time) (news bool, lines []Line) {
-	if gap := now - v.stepped; v.stepped > 0 && gap > v.rules.Stall {
+func (v *View) Tick(now clock.Time) (news bool, lines []Change) {
+	if gap := now - v.stepped; v.stepped > 0 && gap > v.rules.StallThreshold {
 		v.changed, v.stood = now, gap // what it knows is old, however calm it looks
 	}
 	v.stepped = now
-	v.procs[v.me.Process].heard = now
+	v.procs[v.me.Incarnation].heard = now
 	stale := v.passed(now)
 	for id, p := range v.procs {
-		if p.state != Alive && now-p.since > v.rules.Forget {
+		if p.state != Alive && now-p.since > v.rules.ForgetAfter {
 			delete(v.procs, id)
 			stale = true
 		}
@@ -258,23 +258,23 @@
 		v.look(now)
 	}
 	// A rival is named by the elder alone: the elder of a restart is dead and says nothing.
-	w := v.procs[v.me.Process].word
-	w.Rival, w.Out = 0, false
+	w := v.procs[v.me.Incarnation].word
+	w.Duplicate, w.Yielded = 0, false
 	for _, p := range v.living(v.me.Name) {
-		if p.Process == v.me.Process {
+		if p.Incarnation == v.me.Incarnation {
 			continue
 		}
-		if older(v.me, p.Member) && p.Follows != v.me.Process {
-			w.Rival = p.Process
-		} else if older(p.Member, v.me) && p.word.Rival == v.me.Process {
-			w.Out = true
+		if older(v.me, p.Member) && p.Predecessor != v.me.Incarnation {
+			w.Duplicate = p.Incarnation
+		} else if older(p.Member, v.me) && p.word.Duplicate == v.me.Incarnation {
+			w.Yielded = true
 		}
 	}
-	if now-v.changed >= v.rules.Calm {
-		w.Digest = v.digest
+	if now-v.changed >= v.rules.StableFor {
+		w.ViewDigest = v.digest
 	}
 	news = v.say(now, w)
-	if ok := now-v.changed >= v.rules.Calm && len(v.Disagree()) == 0; ok != v.settled {
+	if ok := now-v.changed >= v.rules.StableFor && len(v.Disagreeing()) == 0; ok != v.settled {
 		v.settled, v.since = ok, now
 	}
 	return news, v.lines()
@@ -282,7 +282,7 @@
 
 // Whom tells whom to call now, of those who are not there: a way back from a partition that outlasted all memory of
 // the others. Over the whole fleet there are some calls a second, however large it is. always are called as well.
-func (v *View) Whom(now clock.Time, always []string) (addr string, ok bool) {
+func (v *View) NextReconnect(now clock.Time, always []string) (addr string, ok bool) {
 	if now < v.callAt {
 		return "", false
 	}
@@ -293,7 +293,7 @@
 			there[p.Addr] = true
 		}
 	}
-	v.callAt = now + max(v.rules.Call, v.rules.Call*clock.Time(alive)/8)
+	v.callAt = now + max(v.rules.ReconnectInterval, v.rules.ReconnectInterval*clock.Time(alive)/8)
 	all := slices.Concat(always, v.call)
 	for range all {
 		addr = all[v.next%len(all)]
@@ -306,10 +306,10 @@
 }
 
 // Known are the addresses of all others that are there or are missed, for a file that a restart reads.
-func (v *View) Known() []string {
+func (v *View) KnownAddrs() []string {
 	all := slices.Clone(v.call)
 	for _, p := range v.procs {
-		if p.there && p.state == Alive && p.Process != v.me.Process {
+		if p.there && p.state == Alive && p.Incarnation != v.me.Incarnation {
 			all = append(all, p.Addr)
 		}
 	}
@@ -318,7 +318,7 @@
 }
 
 // Heartbeat is what this process says of itself.
-func (v *View) Heartbeat() Heartbeat { return v.procs[v.me.Process].word }
+func (v *View) Heartbeat() Heartbeat { return v.procs[v.me.Incarnation].word }
 
 // Heartbeats are all that have been heard, for a router that has just come.
 func (v *View) Heartbeats() []Heartbeat {
@@ -328,12 +328,12 @@
 			all = append(all, p.word)
 		}
 	}
-	slices.SortFunc(all, func(a, b Heartbeat) int { return cmp.Compare(a.Process, b.Process) })
+	slices.SortFunc(all, func(a, b Heartbeat) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	return all
 }
 
 // Living are the processes that speak for a name, by name; this one as well.
-func (v *View) Living() []Member {
+func (v *View) AliveMembers() []Member {
 	var all []Member
 	for name, ps := range v.names() {
 		if p, state, _ := v.speaker(name, ps); state == Alive {
@@ -345,9 +345,9 @@
 }
 
 // Disagree names the living routers whose last word on their view is not this router's.
-func (v *View) Disagree() (names []Name) {
+func (v *View) Disagreeing() (names []Name) {
 	for name, ps := range v.names() {
-		if p, state, _ := v.speaker(name, ps); state == Alive && p.Process != v.me.Process && p.word.Digest != v.digest {
+		if p, state, _ := v.speaker(name, ps); state == Alive && p.Incarnation != v.me.Incarnation && p.word.ViewDigest != v.digest {
 			names = append(names, name)
 		}
 	}
@@ -356,10 +356,10 @@
 }
 
 // process finds or makes one; nil where there are too many: a flood of words does not grow without end.
-func (v *View) process(now clock.Time, id Process) *process {
+func (v *View) process(now clock.Time, id Incarnation) *process {
 	p := v.procs[id]
-	if p == nil && id != 0 && len(v.procs) < 4*v.rules.Addresses {
-		p = &process{Member: Member{Process: id}, since: now}
+	if p == nil && id != 0 && len(v.procs) < 4*v.rules.MaxReconnectAddrs {
+		p = &process{Member: Member{Incarnation: id}, since: now}
 		v.procs[id] = p
 	}
 	return p
@@ -369,14 +369,14 @@
 	if slices.Contains(v.call, addr) {
 		return
 	}
-	if v.call = append(v.call, addr); len(v.call) > v.rules.Addresses {
+	if v.call = append(v.call, addr); len(v.call) > v.rules.MaxReconnectAddrs {
 		v.call = v.call[1:]
 	}
 }
 
 // older orders processes of one name: by their starts, and by number where a clock told the same or was stepped.
 func older(a, b Member) bool {
-	return a.Started < b.Started || a.Started == b.Started && a.Process < b.Process
+	return a.StartedAt < b.StartedAt || a.StartedAt == b.StartedAt && a.Incarnation < b.Incarnation
 }
 
 func (v *View) names() map[Name][]*process {
@@ -420,9 +420,9 @@
 			if young.state != Alive || !older(p.Member, young.Member) {
 				continue
 			}
-			if p.word.Rival == young.Process {
+			if p.word.Duplicate == young.Incarnation {
 				at, conflict = p, true
-			} else if young.Follows == p.Process && !p.word.Passing && at == young {
+			} else if young.Predecessor == p.Incarnation && !p.word.HandingOver && at == young {
 				at = p
 			}
 		}
@@ -435,7 +435,7 @@
 			at = p
 		}
 	}
-	if at.word.Passing { // its successor takes the address in a moment
+	if at.word.HandingOver { // its successor takes the address in a moment
 		return at, Alive, false
 	}
 	return at, at.state, false
@@ -444,8 +444,8 @@
 // passed turns one whose successor never came into a lost one. It tells whether there was one.
 func (v *View) passed(now clock.Time) (any bool) {
 	for _, p := range v.procs {
-		if p.there && p.state != Alive && p.word.Passing && now-p.since > v.rules.Passing {
-			p.word.Passing, p.state, p.since = false, Lost, now
+		if p.there && p.state != Alive && p.word.HandingOver && now-p.since > v.rules.HandoverTimeout {
+			p.word.HandingOver, p.state, p.since = false, Lost, now
 			any = true
 		}
 	}
@@ -464,8 +464,8 @@
 		}
 		row := append([]byte(name), 0)
 		row = append(append(row, p.Site...), 0)
-		for _, n := range []uint64{uint64(p.Process), uint64(p.Seat), p.word.Revision,
-			bits(p.word.Takes, p.word.Draining, p.word.Passing, p.word.Out, conflict)} {
+		for _, n := range []uint64{uint64(p.Incarnation), uint64(p.Slot), p.word.PolicyRevision,
+			bits(p.word.Accepting, p.word.Draining, p.word.HandingOver, p.word.Yielded, conflict)} {
 			row = binary.BigEndian.AppendUint64(row, n)
 		}
 		rows = append(rows, row)
@@ -495,7 +495,7 @@
 func (v *View) Digest() (digest uint64, settled bool) { return v.digest, v.settled }
 
 // HeartbeatOf is what a process last said of itself; false where nothing of it was heard.
-func (v *View) HeartbeatOf(id Process) (Heartbeat, bool) {
+func (v *View) HeartbeatOf(id Incarnation) (Heartbeat, bool) {
 	p := v.procs[id]
 	if p == nil || p.word.Seq == 0 {
 		return Heartbeat{}, false
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -11,11 +11,11 @@
 	"spurtrestle/internal/tracetest"
 )
 
-const me = Process(1)
+const me = Incarnation(1)
 
-func rules() Rules {
-	r := DefaultRules(1e6)
-	r.Forget = 60e6
+func rules() Config {
+	r := DefaultConfig(1e6)
+	r.ForgetAfter = 60e6
 	return r
 }
 
@@ -23,7 +23,7 @@
 func member(words []string) Member {
 	name, id, _ := strings.Cut(words[0], "/")
 	n, _ := strconv.ParseUint(id, 10, 64)
-	m := Member{Fleet: "f", Name: Name(name), Site: "s", Process: Process(n), Started: int64(n), Addr: "at-" + id}
+	m := Member{Fleet: "f", Name: Name(name), Site: "s", Incarnation: Incarnation(n), StartedAt: int64(n), Addr: "at-" + id}
 	for _, w := range words[1:] {
 		field, value, _ := strings.Cut(w, "=")
 		n, _ := strconv.ParseUint(value, 10, 64)
@@ -31,11 +31,11 @@
 		case "site":
 			m.Site = Site(value)
 		case "start":
-			m.Started = int64(n)
+			m.StartedAt = int64(n)
 		case "follows":
-			m.Follows = Process(n)
+			m.Predecessor = Incarnation(n)
 		case "seat":
-			m.Seat = Seat(n)
+			m.Slot = Slot(n)
 		case "addr":
 			m.Addr = value
 		}
@@ -48,7 +48,7 @@
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		v := New(0, rules(), member([]string{"me/1"}))
-		seq, at := map[Process]uint64{}, clock.Time(0)
+		seq, at := map[Incarnation]uint64{}, clock.Time(0)
 		return tracetest.Steps(script, func(line string, say func(string, ...any)) {
 			words := strings.Fields(line)
 			seconds, err := strconv.ParseFloat(words[0], 64)
@@ -57,9 +57,9 @@
 			}
 			now := clock.Time(seconds * 1e6)
 			log := func() {
-				_, lines := v.Step(at)
+				_, lines := v.Tick(at)
 				for _, l := range lines {
-					say("%v log: %s %s%s", float64(at)/1e6, l.Router, l.What, map[bool]string{true: "!"}[l.Bad])
+					say("%v log: %s %s%s", float64(at)/1e6, l.Router, l.Event, map[bool]string{true: "!"}[l.Warning])
 				}
 			}
 			for at+500e3 < now && words[1] != "woke" {
@@ -67,51 +67,51 @@
 				log()
 			}
 			at = now
-			id := func() Process {
+			id := func() Incarnation {
 				n, _ := strconv.ParseUint(words[2], 10, 64)
-				return Process(n)
+				return Incarnation(n)
 			}
 			switch words[1] {
 			case "joined":
-				v.Joined(now, member(words[2:]))
+				v.MemberJoined(now, member(words[2:]))
 			case "gone":
-				v.Gone(now, id())
+				v.MemberFailed(now, id())
 			case "heard":
-				v.Heard(now, id())
+				v.RecordContact(now, id())
 			case "said":
-				w := Heartbeat{Process: id(), Digest: v.digest}
-				seq[w.Process]++
-				w.Seq = seq[w.Process]
+				w := Heartbeat{Incarnation: id(), ViewDigest: v.digest}
+				seq[w.Incarnation]++
+				w.Seq = seq[w.Incarnation]
 				for _, x := range words[3:] {
 					field, value, _ := strings.Cut(x, "=")
 					n, _ := strconv.ParseUint(value, 10, 64)
 					switch field {
 					case "takes":
-						w.Takes = true
+						w.Accepting = true
 					case "draining":
 						w.Draining = true
 					case "passing":
-						w.Passing = true
+						w.HandingOver = true
 					case "left":
 						w.Left = true
 					case "odd":
-						w.Digest++
+						w.ViewDigest++
 					case "rival":
-						w.Rival = Process(n)
+						w.Duplicate = Incarnation(n)
 					case "policy":
-						w.Revision = n
+						w.PolicyRevision = n
 					case "seq":
 						w.Seq = n
 					default:
 						t.Fatalf("what is %q?", x)
 					}
 				}
-				if !v.Said(now, w) {
+				if !v.ReceiveHeartbeat(now, w) {
 					say("no news")
 				}
 			case "whom":
 				for range 2 {
-					if addr, ok := v.Whom(now, []string{"at-join"}); ok {
+					if addr, ok := v.NextReconnect(now, []string{"at-join"}); ok {
 						say("call %s", addr)
 						v.callAt = now
 					}
@@ -125,23 +125,23 @@
 			out := fmt.Sprintf("settled=%v", w.Settled)
 			for _, r := range w.Routers {
 				out += fmt.Sprintf(" %s/%s:%v", r.Name, r.Incarnation, r.State)
-				for on, what := range map[bool]string{r.Conflict: "+two"} {
+				for on, what := range map[bool]string{r.NameConflict: "+two"} {
 					if on {
 						out += what
 					}
 				}
-				if r.Takes {
+				if r.Accepting {
 					out += "+takes"
 				}
 				if r.Draining {
 					out += "+draining"
 				}
 			}
-			if len(w.Disagree) > 0 {
-				out += fmt.Sprintf("; at odds with %v", w.Disagree)
+			if len(w.Disagreeing) > 0 {
+				out += fmt.Sprintf("; at odds with %v", w.Disagreeing)
 			}
-			if w.Out != "" {
-				out += "; out: " + w.Out
+			if w.YieldReason != "" {
+				out += "; out: " + w.YieldReason
 			}
 			say("%s", out)
 		})
@@ -160,38 +160,38 @@
 		for i := range n {
 			name := Name(strconv.Itoa(i))
 			for range 1 + rng.IntN(2) {
-				p := Process(10 + rng.IntN(40))
-				members = append(members, Member{Name: name, Site: "s", Process: p, Started: int64(p), Addr: fmt.Sprint(p)})
+				p := Incarnation(10 + rng.IntN(40))
+				members = append(members, Member{Name: name, Site: "s", Incarnation: p, StartedAt: int64(p), Addr: fmt.Sprint(p)})
 				for seq := range uint64(3) {
-					words = append(words, Heartbeat{Process: p, Seq: seq + 2, Takes: rng.IntN(2) == 0, Revision: uint64(rng.IntN(2))})
+					words = append(words, Heartbeat{Incarnation: p, Seq: seq + 2, Accepting: rng.IntN(2) == 0, PolicyRevision: uint64(rng.IntN(2))})
 				}
 			}
 		}
-		unique := map[Process]bool{}
+		unique := map[Incarnation]bool{}
 		kept := members[:0]
 		for _, m := range members { // a number is one process's
-			if !unique[m.Process] {
-				unique[m.Process] = true
+			if !unique[m.Incarnation] {
+				unique[m.Incarnation] = true
 				kept = append(kept, m)
 			}
 		}
-		last := map[Process]Heartbeat{}
+		last := map[Incarnation]Heartbeat{}
 		for i, w := range words { // and a word has one content
-			if l, ok := last[w.Process]; ok && l.Seq >= w.Seq {
+			if l, ok := last[w.Incarnation]; ok && l.Seq >= w.Seq {
 				words[i] = l
 				continue
 			}
-			last[w.Process] = w
+			last[w.Incarnation] = w
 		}
 		digest := uint64(0)
 		for try := range 3 {
-			v := New(0, rules(), Member{Name: "me", Process: me})
+			v := New(0, rules(), Member{Name: "me", Incarnation: me})
 			acts := []func(){}
 			for _, m := range kept {
-				acts = append(acts, func() { v.Joined(1, m) })
+				acts = append(acts, func() { v.MemberJoined(1, m) })
 			}
 			for _, w := range append(words, words...) {
-				acts = append(acts, func() { v.Said(1, w) })
+				acts = append(acts, func() { v.ReceiveHeartbeat(1, w) })
 			}
 			rng.Shuffle(len(acts), func(i, j int) { acts[i], acts[j] = acts[j], acts[i] })
 			for _, act := range acts {
@@ -203,7 +203,7 @@
 			digest = v.digest
 			text := ""
 			for _, r := range v.Snapshot(1).Routers {
-				text += fmt.Sprintln(r.Name, r.Site, r.Incarnation, r.Takes, r.Draining, r.Conflict, r.Revision)
+				text += fmt.Sprintln(r.Name, r.Site, r.Incarnation, r.Accepting, r.Draining, r.NameConflict, r.PolicyRevision)
 			}
 			if was, known := stands[digest]; known && was != text {
 				t.Fatalf("one digest for\n%s\nand\n%s", was, text)
@@ -217,15 +217,15 @@
 func TestFloodOfWordsIsBounded(t *testing.T) {
 	r := rules()
 	v := New(0, r, member([]string{"me/1"}))
-	for i := range Process(100000) {
-		v.Said(1e6, Heartbeat{Process: 10 + i, Seq: 1})
+	for i := range Incarnation(100000) {
+		v.ReceiveHeartbeat(1e6, Heartbeat{Incarnation: 10 + i, Seq: 1})
 	}
-	if len(v.procs) > 4*r.Addresses {
+	if len(v.procs) > 4*r.MaxReconnectAddrs {
 		t.Errorf("%d processes are held", len(v.procs))
 	}
-	v.Step(1e6 + r.Forget + 1)
-	v.Joined(1e6+r.Forget+2, member([]string{"a/7"}))
-	if len(v.Living()) != 2 {
+	v.Tick(1e6 + r.ForgetAfter + 1)
+	v.MemberJoined(1e6+r.ForgetAfter+2, member([]string{"a/7"}))
+	if len(v.AliveMembers()) != 2 {
 		t.Error("a router that joins after a flood is not seen")
 	}
 }
--- a/core/sharelease/golden_test.go
+++ b/core/sharelease/golden_test.go
@@ -14,10 +14,10 @@
 func TestGolden_MessageJSON(t *testing.T) {
 	const name = "testdata/golden/messages.json"
 	messages := []Message{
-		{Kind: Ask, From: 1, To: 2, Lender: 1 << 62, Borrower: 1<<63 + 1, At: 123456789},
-		{Kind: Grant, From: 2, To: 1, Lender: 1 << 62, Borrower: 1<<63 + 1, At: 123456789, For: 2e6},
-		{Kind: Recall, From: 2, To: 1, Lender: 1 << 62, Borrower: 1<<63 + 1, At: 17},
-		{Kind: Return, From: 1, To: 2, Lender: 1 << 62, Borrower: 1<<63 + 1, At: 17},
+		{Kind: Request, From: 1, To: 2, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 123456789},
+		{Kind: Grant, From: 2, To: 1, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 123456789, Duration: 2e6},
+		{Kind: Revoke, From: 2, To: 1, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 17},
+		{Kind: Release, From: 1, To: 2, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 17},
 	}
 	got, err := json.MarshalIndent(messages, "", " ")
 	if err != nil {
--- a/core/sharelease/sharelease.go
+++ b/core/sharelease/sharelease.go
@@ -20,22 +20,22 @@
 
 // The ids are types of their own, so that one cannot stand for another.
 type (
-	Seat    int    // which of the routers, from 0
-	Process uint64 // one life of a router
+	Slot        int    // which of the routers, from 0
+	Incarnation uint64 // one life of a router
 )
 
 // Rules are the spans of lending.
-type Rules struct {
-	Lease    clock.Time // for which a piece is lent to each asking
-	Transfer clock.Time // the same, by one that ends: it cannot be asked again
-	Ask      clock.Time // between two askings, or recalls
-	Slack    clock.Time // what a lender waits longer, beside a hundredth of the span for clocks that do not run alike
+type Timing struct {
+	Lease         clock.Time // for which a piece is lent to each asking
+	Transfer      clock.Time // the same, by one that ends: it cannot be asked again
+	RetryInterval clock.Time // between two askings, or recalls
+	ExpiryMargin  clock.Time // what a lender waits longer, beside a hundredth of the span for clocks that do not run alike
 }
 
 // DefaultRules are those of a fleet: a lease is renewed three times over, since packets get lost; a bequest covers a restart, and is the time
 // for which a start that reaches nobody does without the pieces.
-func DefaultRules() Rules {
-	return Rules{Lease: 2e6, Transfer: 10e6, Ask: 500e3, Slack: 50e3}
+func DefaultTiming() Timing {
+	return Timing{Lease: 2e6, Transfer: 10e6, RetryInterval: 500e3, ExpiryMargin: 50e3}
 }
 
 // Kind is what a message says.
@@ -43,73 +43,74 @@
 
 // Ask and Return go from borrower to lender, Grant and Recall the other way.
 const (
-	Ask    Kind = iota + 1 // lend me your piece: At is the borrower's time
-	Grant                  // it is yours for a span from At on, which is that of the asking
-	Recall                 // give it back: At is the lender's count
-	Return                 // I do not hold it: At is the count of the recall
+	Request Kind = iota + 1 // lend me your piece: At is the borrower's time
+	Grant                   // it is yours for a span from At on, which is that of the asking
+	Revoke                  // give it back: At is the lender's count
+	Release                 // I do not hold it: At is the count of the recall
 )
 
 // Message goes from one seat's process to another's.
 type Message struct {
-	Kind     Kind
-	From, To Seat
-	Lender   Process // 0 in an asking: whichever it is
-	Borrower Process
-	At       int64
-	For      clock.Time
+	Kind     Kind        `json:"Kind"`
+	From     Slot        `json:"From"`
+	To       Slot        `json:"To"`
+	Grantor  Incarnation `json:"Lender"` // 0 in an asking: whichever it is
+	Holder   Incarnation `json:"Borrower"`
+	Stamp    int64       `json:"At"`
+	Duration clock.Time  `json:"For"`
 }
 
 // Peer is a seat whose router is there.
 type Peer struct {
-	Process Process
-	Lends   bool
+	Incarnation Incarnation
+	Granting    bool
 }
 
 // Share is what a router may use: Now until a time, Then afterwards, until it is told anew.
 type Share struct {
-	Now   float64
-	Until clock.Time // 0: there is no end
-	Then  float64
+	Current     float64
+	ExpiresAt   clock.Time // 0: there is no end
+	AfterExpiry float64
 }
 
 type loan struct { // of an own piece
 	until clock.Time
-	to    Process // 0: to whom the process before this one lent it is not known
-	count int64   // of the last grant
+	to    Incarnation // 0: to whom the process before this one lent it is not known
+	count int64       // of the last grant
 }
 
 type held struct { // of another's piece
 	until clock.Time
-	from  Process
+	from  Incarnation
 }
 
 // Leases is one process's side. It is not safe for use by several goroutines at once.
 type Leases struct {
-	rules   Rules
+	rules   Timing
 	seats   int
-	me      Seat
-	process Process
+	me      Slot
+	process Incarnation
 	lends   bool
 	ends    bool
 	count   int64
-	out     map[Seat]loan
-	has     map[Seat]held
-	refuse  map[Seat]clock.Time // grants of askings up to then are not taken
-	asked   map[Seat]clock.Time // or recalled
-	waiting map[Seat]Message    // the last asking of each
+	out     map[Slot]loan
+	has     map[Slot]held
+	refuse  map[Slot]clock.Time // grants of askings up to then are not taken
+	asked   map[Slot]clock.Time // or recalled
+	waiting map[Slot]Message    // the last asking of each
 }
 
 const keeps = 1.0 / 8 // so that a router that takes clients again does not stand still until its pieces are back
 
 // Least is what a router of so many has in any case, as part of the whole.
-func Least(seats int) float64 { return keeps / float64(max(1, seats)) }
+func MinimumShare(seats int) float64 { return keeps / float64(max(1, seats)) }
 
 // New begins with all pieces out, as the process before may have left them; clear says that it has lent none.
-func New(now clock.Time, rules Rules, seats int, me Seat, process Process, clear bool) *Leases {
-	p := &Leases{rules: rules, seats: max(1, seats), me: me, process: process, out: map[Seat]loan{}, has: map[Seat]held{},
-		refuse: map[Seat]clock.Time{}, asked: map[Seat]clock.Time{}, waiting: map[Seat]Message{}}
+func New(now clock.Time, rules Timing, seats int, me Slot, process Incarnation, clear bool) *Leases {
+	p := &Leases{rules: rules, seats: max(1, seats), me: me, process: process, out: map[Slot]loan{}, has: map[Slot]held{},
+		refuse: map[Slot]clock.Time{}, asked: map[Slot]clock.Time{}, waiting: map[Slot]Message{}}
 	for s := range p.seats {
-		if s := Seat(s); s != me && !clear {
+		if s := Slot(s); s != me && !clear {
 			p.out[s] = loan{until: p.later(now, rules.Transfer)}
 		}
 	}
@@ -117,35 +118,37 @@
 }
 
 // later is the end of a span as its lender counts it.
-func (p *Leases) later(now, span clock.Time) clock.Time { return now + span + span/100 + p.rules.Slack }
+func (p *Leases) later(now, span clock.Time) clock.Time {
+	return now + span + span/100 + p.rules.ExpiryMargin
+}
 
 // Lend has the router lend its pieces, or take them back. Share without them has to be in force before: call it then.
 // ends says that the process is about to end.
-func (p *Leases) Lend(on, ends bool) { p.lends, p.ends = on, ends }
+func (p *Leases) SetGranting(on, ends bool) { p.lends, p.ends = on, ends }
 
 // Lent is the share while the router lends.
-func (p *Leases) Lent() Share {
-	return Share{Now: Least(p.seats), Then: Least(p.seats)}
+func (p *Leases) ReducedShare() Share {
+	return Share{Current: MinimumShare(p.seats), AfterExpiry: MinimumShare(p.seats)}
 }
 
 // Share is what may be used.
 func (p *Leases) Share(now clock.Time) Share {
 	if p.lends {
-		return p.Lent()
+		return p.ReducedShare()
 	}
 	piece := p.piece()
-	s := Share{Now: 1 / float64(p.seats)}
+	s := Share{Current: 1 / float64(p.seats)}
 	for _, l := range p.out {
 		if l.until > now {
-			s.Now -= piece
+			s.Current -= piece
 		}
 	}
-	s.Then = s.Now
+	s.AfterExpiry = s.Current
 	for _, h := range p.has {
 		if h.until > now {
-			s.Now += piece
-			if s.Until == 0 || h.until < s.Until {
-				s.Until = h.until
+			s.Current += piece
+			if s.ExpiresAt == 0 || h.until < s.ExpiresAt {
+				s.ExpiresAt = h.until
 			}
 		}
 	}
@@ -160,7 +163,7 @@
 }
 
 // Step lets time pass. there are the other seats that are there now; takes says that this router could use more.
-func (p *Leases) Step(now clock.Time, there map[Seat]Peer, takes bool) (send []Message) {
+func (p *Leases) Tick(now clock.Time, there map[Slot]Peer, takes bool) (send []Message) {
 	for s, l := range p.out {
 		if l.until <= now {
 			delete(p.out, s)
@@ -171,26 +174,26 @@
 			delete(p.has, s)
 		}
 	}
-	seats := make([]Seat, 0, len(there))
+	seats := make([]Slot, 0, len(there))
 	for s := range there {
 		seats = append(seats, s)
 	}
-	slices.SortFunc(seats, func(a, b Seat) int { return cmp.Compare(a, b) })
+	slices.SortFunc(seats, func(a, b Slot) int { return cmp.Compare(a, b) })
 	for _, s := range seats {
 		peer := there[s]
 		if s == p.me || s < 0 || int(s) >= p.seats {
 			continue
 		}
-		if at, did := p.asked[s]; did && now-at < p.rules.Ask {
+		if at, did := p.asked[s]; did && now-at < p.rules.RetryInterval {
 			continue
 		}
 		_, out := p.out[s]
 		switch {
 		case out && !p.lends:
 			p.count++
-			send = append(send, Message{Kind: Recall, From: p.me, To: s, Lender: p.process, Borrower: peer.Process, At: p.count})
-		case peer.Lends && takes && !p.lends:
-			send = append(send, Message{Kind: Ask, From: p.me, To: s, Lender: peer.Process, Borrower: p.process, At: int64(now)})
+			send = append(send, Message{Kind: Revoke, From: p.me, To: s, Grantor: p.process, Holder: peer.Incarnation, Stamp: p.count})
+		case peer.Granting && takes && !p.lends:
+			send = append(send, Message{Kind: Request, From: p.me, To: s, Grantor: peer.Incarnation, Holder: p.process, Stamp: int64(now)})
 		default:
 			continue
 		}
@@ -201,9 +204,9 @@
 
 // TransferAll answers all that have asked, as the last thing that a process does.
 func (p *Leases) TransferAll(now clock.Time) (send []Message) {
-	p.Lend(true, true)
+	p.SetGranting(true, true)
 	for _, m := range p.waiting {
-		if a, ok := p.Take(now, m); ok {
+		if a, ok := p.Receive(now, m); ok {
 			send = append(send, a)
 		}
 	}
@@ -212,20 +215,20 @@
 }
 
 // Take takes in a message, and answers it.
-func (p *Leases) Take(now clock.Time, m Message) (answer Message, ok bool) {
+func (p *Leases) Receive(now clock.Time, m Message) (answer Message, ok bool) {
 	if m.To != p.me || m.From == p.me || m.From < 0 || int(m.From) >= p.seats {
 		return Message{}, false
 	}
 	switch m.Kind {
-	case Ask:
-		if m.Lender != p.process {
+	case Request:
+		if m.Grantor != p.process {
 			return Message{}, false
 		}
 		p.waiting[m.From] = m
 		if !p.lends {
 			return Message{}, false
 		}
-		if l, out := p.out[m.From]; out && l.to != m.Borrower && l.until > now {
+		if l, out := p.out[m.From]; out && l.to != m.Holder && l.until > now {
 			return Message{}, false // an earlier process of that seat may still use it
 		}
 		span := p.rules.Lease
@@ -233,26 +236,26 @@
 			span = p.rules.Transfer
 		}
 		p.count++
-		p.out[m.From] = loan{until: max(p.out[m.From].until, p.later(now, span)), to: m.Borrower, count: p.count}
-		return Message{Kind: Grant, From: p.me, To: m.From, Lender: p.process, Borrower: m.Borrower, At: m.At, For: span}, true
+		p.out[m.From] = loan{until: max(p.out[m.From].until, p.later(now, span)), to: m.Holder, count: p.count}
+		return Message{Kind: Grant, From: p.me, To: m.From, Grantor: p.process, Holder: m.Holder, Stamp: m.Stamp, Duration: span}, true
 	case Grant:
-		until := clock.Time(m.At) + m.For // from the asking: how long the answer took does not matter
-		if m.Borrower != p.process || clock.Time(m.At) <= p.refuse[m.From] || clock.Time(m.At) > now || until <= now {
+		until := clock.Time(m.Stamp) + m.Duration // from the asking: how long the answer took does not matter
+		if m.Holder != p.process || clock.Time(m.Stamp) <= p.refuse[m.From] || clock.Time(m.Stamp) > now || until <= now {
 			return Message{}, false
 		}
 		if h := p.has[m.From]; until > h.until {
-			p.has[m.From] = held{until, m.Lender}
+			p.has[m.From] = held{until, m.Grantor}
 		}
-	case Recall:
-		if m.Borrower != p.process {
+	case Revoke:
+		if m.Holder != p.process {
 			return Message{}, false
 		}
 		delete(p.has, m.From)
 		p.refuse[m.From] = now // a grant that is still on its way comes too late
-		return Message{Kind: Return, From: p.me, To: m.From, Lender: m.Lender, Borrower: p.process, At: m.At}, true
-	case Return:
+		return Message{Kind: Release, From: p.me, To: m.From, Grantor: m.Grantor, Holder: p.process, Stamp: m.Stamp}, true
+	case Release:
 		l, out := p.out[m.From]
-		if out && m.Lender == p.process && m.At > l.count && (l.to == 0 || l.to == m.Borrower) {
+		if out && m.Grantor == p.process && m.Stamp > l.count && (l.to == 0 || l.to == m.Holder) {
 			delete(p.out, m.From)
 		}
 	}
--- a/core/sharelease/sharelease_test.go
+++ b/core/sharelease/sharelease_test.go
@@ -22,7 +22,7 @@
 
 type router struct {
 	p       *Leases // nil: it is not there
-	process Process
+	process Incarnation
 	offset  int64
 	rate    float64 // of its clock
 	stalled bool
@@ -40,8 +40,8 @@
 
 func (w *world) start(i int) {
 	r := w.routers[i]
-	r.process = Process(w.now<<8 | int64(i) | 1<<40)
-	r.p = New(w.clock(r), DefaultRules(), len(w.routers), Seat(i), r.process, false)
+	r.process = Incarnation(w.now<<8 | int64(i) | 1<<40)
+	r.p = New(w.clock(r), DefaultTiming(), len(w.routers), Slot(i), r.process, false)
 	r.stalled = false
 	r.using = r.p.Share(w.clock(r))
 }
@@ -71,7 +71,7 @@
 		if m.at > w.now || r.stalled && r.p != nil {
 			w.mail = append(w.mail, m)
 		} else if r.p != nil {
-			if a, ok := r.p.Take(w.clock(r), m.m); ok {
+			if a, ok := r.p.Receive(w.clock(r), m.m); ok {
 				w.send(int(m.m.To), a)
 			}
 		}
@@ -80,13 +80,13 @@
 		if r.p == nil || r.stalled {
 			continue
 		}
-		there := map[Seat]Peer{}
+		there := map[Slot]Peer{}
 		for j, o := range w.routers {
 			if o.p != nil {
-				there[Seat(j)] = Peer{o.process, o.p.lends}
+				there[Slot(j)] = Peer{o.process, o.p.lends}
 			}
 		}
-		w.send(i, r.p.Step(w.clock(r), there, !r.p.lends)...)
+		w.send(i, r.p.Tick(w.clock(r), there, !r.p.lends)...)
 		r.using = r.p.Share(w.clock(r))
 	}
 	sum := 0.0
@@ -94,9 +94,9 @@
 		if r.p == nil {
 			continue
 		}
-		share := r.using.Now // a stalled loop looks at the end before it sends anything
-		if r.using.Until != 0 && w.clock(r) >= r.using.Until {
-			share = r.using.Then
+		share := r.using.Current // a stalled loop looks at the end before it sends anything
+		if r.using.ExpiresAt != 0 && w.clock(r) >= r.using.ExpiresAt {
+			share = r.using.AfterExpiry
 		}
 		sum += share
 		if !r.stalled {
@@ -126,10 +126,10 @@
 		case r.p == nil:
 			w.start(i)
 		case act < 4 && live && !r.p.lends:
-			r.using = r.p.Lent()
-			r.p.Lend(true, w.IntN(3) == 0)
+			r.using = r.p.ReducedShare()
+			r.p.SetGranting(true, w.IntN(3) == 0)
 		case act < 6 && live:
-			r.p.Lend(false, false)
+			r.p.SetGranting(false, false)
 		case act == 6 && (r.p.ends || w.IntN(3) == 0):
 			if live && w.IntN(2) == 0 {
 				w.send(i, r.p.TransferAll(w.clock(r))...)
@@ -167,18 +167,18 @@
 // One of six is drained: the others have its part within moments, and it has its own back when it takes clients again.
 func TestDrainedPartFollows(t *testing.T) {
 	const n = 6
-	rules, now := DefaultRules(), clock.Time(1e6)
+	rules, now := DefaultTiming(), clock.Time(1e6)
 	var all []*Leases
-	there := map[Seat]Peer{}
+	there := map[Slot]Peer{}
 	for i := range n {
-		all = append(all, New(now, rules, n, Seat(i), Process(i+1), false))
-		there[Seat(i)] = Peer{Process(i + 1), false}
+		all = append(all, New(now, rules, n, Slot(i), Incarnation(i+1), false))
+		there[Slot(i)] = Peer{Incarnation(i + 1), false}
 	}
 	pass := func(span clock.Time) {
 		for end := now + span; now < end; now += 10e3 {
 			for _, p := range all {
-				for todo := p.Step(now, there, !p.lends); len(todo) > 0; todo = todo[1:] {
-					if a, ok := all[todo[0].To].Take(now+1, todo[0]); ok {
+				for todo := p.Tick(now, there, !p.lends); len(todo) > 0; todo = todo[1:] {
+					if a, ok := all[todo[0].To].Receive(now+1, todo[0]); ok {
 						todo = append(todo, a)
 					}
 				}
@@ -187,23 +187,23 @@
 	}
 	shares := func() (s string) {
 		for _, p := range all {
-			s += fmt.Sprintf(" %.4f", p.Share(now).Now)
+			s += fmt.Sprintf(" %.4f", p.Share(now).Current)
 		}
 		return s
 	}
 	same := func(when string, i int, want float64) {
-		if got := all[i].Share(now).Now; math.Abs(got-want) > 1e-9 {
+		if got := all[i].Share(now).Current; math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s: router %d has %.4f, not %.4f; all:%s", when, i, got, want, shares())
 		}
 	}
 	pass(20e3)
 	same("a moment after the start", 3, 1.0/n)
-	all[0].Lend(true, false)
+	all[0].SetGranting(true, false)
 	there[0] = Peer{1, true}
 	pass(600e3)
 	same("drained", 0, keeps/n)
 	same("drained", 3, 1.0/n+(1-keeps)/n/(n-1))
-	all[0].Lend(false, false)
+	all[0].SetGranting(false, false)
 	there[0] = Peer{1, false}
 	pass(600e3)
 	same("taking clients again", 0, 1.0/n)
@@ -211,7 +211,7 @@
 	there[0] = Peer{1, true} // it says that it drains, and still sends
 	pass(600e3)
 	for _, m := range all[0].TransferAll(now) {
-		all[m.To].Take(now, m)
+		all[m.To].Receive(now, m)
 	}
 	delete(there, 0)
 	pass(5e6)
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -82,11 +82,11 @@
 
 type ask struct {
 	policycommit.Renewal
-	from fleet.Process
+	from fleet.Incarnation
 }
 
 type waiting struct {
-	from fleet.Process
+	from fleet.Incarnation
 	id   uint64
 }
 
@@ -95,7 +95,7 @@
 }
 
 // Open begins to hold the fleet's policy, and to keep it where this router is a keeper.
-func Open(cfg Config, process fleet.Process, build string, router Router, transport fleet.Transport, logger *logrus.Logger) (*Keeper, error) {
+func Open(cfg Config, process fleet.Incarnation, build string, router Router, transport fleet.Transport, logger *logrus.Logger) (*Keeper, error) {
 	k := &Keeper{cfg: cfg, router: router, fleet: transport, log: logger, start: time.Now(), build: build, wants: map[policycommit.Token][]waiting{}, calls: map[uint64]chan policycommit.Reply{},
 		entering: map[policycommit.Name]clock.Time{}, kick: make(chan struct{}, 1), stop: make(chan struct{})}
 	k.follower = policycommit.NewFollower(policycommit.DefaultRules(), policycommit.Name(cfg.Name), policycommit.Process(process), cfg.Serves, build, k.check)
@@ -108,7 +108,7 @@
 	}
 	router.MayTake(time.Unix(0, 1)) // not before it is told what is in force
 	router.Inherit(k.inherit)
-	transport.Hear(k.heard)
+	transport.OnMessage(k.heard)
 	k.ended.Go(k.run)
 	k.ended.Go(k.tendSites)
 	if k.raftLog != nil {
@@ -187,13 +187,13 @@
 	Orders *sitefailover.Orders `json:"o,omitempty"` // with a grant
 }
 
-func (k *Keeper) tell(to fleet.Process, s said) {
+func (k *Keeper) tell(to fleet.Incarnation, s said) {
 	body, _ := json.Marshal(s) // plain fields: it cannot fail
-	k.fleet.Tell(to, body)
+	k.fleet.Send(to, body)
 }
 
 // heard takes in what another keeper or router says; it must not wait.
-func (k *Keeper) heard(from fleet.Process, body []byte) {
+func (k *Keeper) heard(from fleet.Incarnation, body []byte) {
 	var s said
 	if json.Unmarshal(body, &s) != nil {
 		return
@@ -222,7 +222,7 @@
 // granted is called with the lock held.
 func (k *Keeper) granted(g policycommit.Lease) {
 	adopt, news := k.follower.Granted(k.micros(), g)
-	if g.Process == policycommit.Process(k.fleet.Me()) {
+	if g.Process == policycommit.Process(k.fleet.Self()) {
 		k.extra = g.Extra
 		k.router.SetExtra(g.Extra, k.start.Add(time.Duration(g.At+g.For)*time.Microsecond))
 	}
@@ -296,7 +296,7 @@
 	}
 	k.inForce, k.sites.plan = revision, plan
 	k.wake() // it takes requests again at once: by the next look ten milliseconds of the fleet were lost in each change
-	k.fleet.Holds(uint64(revision))
+	k.fleet.SetPolicyRevision(uint64(revision))
 	k.log.WithFields(logrus.Fields{"revision": uint64(revision), "mono_us": fleet.Monotonic()}).Info("policy: in force")
 }
 
@@ -326,7 +326,7 @@
 	}
 	if k.raftLog != nil {
 		number, last, member := k.raftLog.last()
-		k.fleet.Keeps(fleet.Keeping{Folder: number, Addr: k.cfg.Log.Advertise.String(), Member: member, Last: last})
+		k.fleet.SetVoter(fleet.VoterStatus{VoterID: number, Addr: k.cfg.Log.Advertise.String(), Voter: member, LastIndex: last})
 	}
 }
 
@@ -342,7 +342,7 @@
 			s.coordinator, s.reports, s.given, s.stepped = sitefailover.NewCoordinator(clock.Time(k.micros())), nil, nil, -leadEach
 		}
 		k.asks = nil
-		k.fleet.Leads(leads)
+		k.fleet.SetLeader(leads)
 		k.log.WithField("leads", leads).Info("policy: leading the keepers")
 	}
 	leader, asks := k.leader, k.asks
--- a/internal/controlplane/door.go
+++ b/internal/controlplane/door.go
@@ -62,7 +62,7 @@
 }
 
 // serve answers what an operator asked at another router, or this one, where this keeper leads.
-func (k *Keeper) serve(from fleet.Process, q policycommit.Request) {
+func (k *Keeper) serve(from fleet.Incarnation, q policycommit.Request) {
 	k.mu.Lock()
 	raftLog, leader := k.raftLog, k.leader
 	k.mu.Unlock()
@@ -138,8 +138,8 @@
 	if k.raftLog == nil {
 		return "", fmt.Errorf("this router is no keeper; found the policy at one of %q", k.cfg.Keepers)
 	}
-	for _, x := range k.fleet.Keepers() {
-		if x.Member {
+	for _, x := range k.fleet.Voters() {
+		if x.Voter {
 			return "", fmt.Errorf("the policy was founded before: %s takes part in it", x.Name)
 		}
 	}
@@ -154,8 +154,8 @@
 }
 
 // welcome tells a keeper that its folder may take part.
-func (k *Keeper) welcome(x fleet.Keeping) {
-	k.tell(x.Process, said{Welcome: strconv.FormatUint(x.Folder, 16)})
+func (k *Keeper) welcome(x fleet.VoterStatus) {
+	k.tell(x.Incarnation, said{Welcome: strconv.FormatUint(x.VoterID, 16)})
 }
 
 // welcomed begins to take part, if this folder is meant.
@@ -183,7 +183,7 @@
 		return
 	}
 	const patience = 3 * time.Second
-	for end := time.Now().Add(patience); time.Now().Before(end) && !k.fleet.Met(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(patience); time.Now().Before(end) && !k.fleet.HasJoined(); time.Sleep(50 * time.Millisecond) {
 		select {
 		case <-k.stop:
 			return
@@ -191,7 +191,7 @@
 		}
 	}
 	for said := false; ; said = true {
-		err := k.raftLog.begin(k.fleet.Promised(number), false)
+		err := k.raftLog.begin(k.fleet.AcknowledgedIndex(number), false)
 		if err == nil {
 			return
 		}
--- a/internal/controlplane/log.go
+++ b/internal/controlplane/log.go
@@ -314,7 +314,7 @@
 func (s snapshot) Release() {}
 
 // tend takes up keepers that the file names and that were never there, one at a time.
-func (l *log) tend(transport fleet.Transport, names []string, welcome func(fleet.Keeping)) {
+func (l *log) tend(transport fleet.Transport, names []string, welcome func(fleet.VoterStatus)) {
 	node := l.node()
 	f := node.GetConfiguration()
 	if f.Error() != nil {
@@ -324,8 +324,8 @@
 	for _, s := range f.Configuration().Servers {
 		have[nameOf(s.ID)] = s
 	}
-	for _, k := range transport.Keepers() {
-		if _, there := have[k.Name]; there || k.Folder == 0 {
+	for _, k := range transport.Voters() {
+		if _, there := have[k.Name]; there || k.VoterID == 0 {
 			continue
 		}
 		for _, name := range names {
@@ -333,8 +333,8 @@
 				continue
 			}
 			welcome(k) // it has to listen before it can be counted on
-			if k.Member {
-				_ = node.AddVoter(id(k.Name, k.Folder), raft.ServerAddress(k.Addr), 0, answerWithin).Error() // tried again
+			if k.Voter {
+				_ = node.AddVoter(id(k.Name, k.VoterID), raft.ServerAddress(k.Addr), 0, answerWithin).Error() // tried again
 			}
 			return
 		}
--- a/internal/controlplane/take.go
+++ b/internal/controlplane/take.go
@@ -15,13 +15,13 @@
 func Take(p operator.Policy, at fleet.Config, own routing.Settings, r *router.Router, member fleet.Node, log *logrus.Logger) (fleet.Policy, error) {
 	talk, ok := member.(fleet.Transport)
 	if !ok {
-		return nil, at.Refused("policy.cut_off", "is set, and routers of this program do not speak to one another", "leave it empty")
+		return nil, at.ConfigError("policy.cut_off", "is set, and routers of this program do not speak to one another", "leave it empty")
 	}
-	c := Config{Name: at.Name, Serves: p.CutOff == "serve", Keepers: p.Keepers, Own: own, Site: at.Site, Sites: at.Sites, Refused: at.Refused}
+	c := Config{Name: at.Name, Serves: p.CutOff == "serve", Keepers: p.Keepers, Own: own, Site: at.Site, Sites: at.Sites, Refused: at.ConfigError}
 	c.Log.Listen, c.Log.Advertise = p.Addresses()
 	c.Log.Dir = p.Dir
 	if c.keeps() && p.Dir == "" {
-		return nil, at.Refused("policy.dir", fmt.Sprintf("is empty, and this router, %q, is a keeper", at.Name), "give it a folder, and listen an address")
+		return nil, at.ConfigError("policy.dir", fmt.Sprintf("is empty, and this router, %q, is a keeper", at.Name), "give it a folder, and listen an address")
 	}
-	return Open(c, talk.Me(), at.Build, r, talk, log)
+	return Open(c, talk.Self(), at.Build, r, talk, log)
 }
--- a/internal/fleet/talk.go
+++ b/internal/fleet/talk.go
@@ -3,30 +3,30 @@
 import "golang.org/x/sys/unix"
 
 // Process is one life of a router.
-type Process uint64
+type Incarnation uint64
 
 // Keeping is what a router says of itself as a keeper of the policy.
-type Keeping struct {
-	Name    string
-	Process Process
-	Folder  uint64 // its number; 0: the router is no keeper
-	Addr    string // where it is reached for the log
-	Member  bool   // it takes part
-	Last    uint64 // the last entry that it has
+type VoterStatus struct {
+	Name        string
+	Incarnation Incarnation
+	VoterID     uint64 // its number; 0: the router is no keeper
+	Addr        string // where it is reached for the log
+	Voter       bool   // it takes part
+	LastIndex   uint64 // the last entry that it has
 }
 
 // Transport is how routers of a fleet speak to one another. Nothing of it waits, and what is told may be lost.
 type Transport interface {
-	Me() Process
-	Tell(to Process, body []byte)
-	Hear(func(from Process, body []byte)) // called by what reads; it must not wait
-	Leaders() []Process                   // who say that they lead the keepers
-	Leads(on bool)                        // this one does
-	Holds(revision uint64)
-	Keeps(Keeping)
-	Keepers() []Keeping // of the living routers, this one as well
-	Met() bool          // another router has been heard
-	Promised(folder uint64) (last uint64)
+	Self() Incarnation
+	Send(to Incarnation, body []byte)
+	OnMessage(func(from Incarnation, body []byte)) // called by what reads; it must not wait
+	Leaders() []Incarnation                        // who say that they lead the keepers
+	SetLeader(on bool)                             // this one does
+	SetPolicyRevision(revision uint64)
+	SetVoter(VoterStatus)
+	Voters() []VoterStatus // of the living routers, this one as well
+	HasJoined() bool       // another router has been heard
+	AcknowledgedIndex(folder uint64) (last uint64)
 	Members() []Member // the routers that are there or were lost lately, this one as well
 }
 
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -8,24 +8,24 @@
 )
 
 // Mechanism is what traffic between routers is for.
-type Mechanism uint8
+type TrafficKind uint8
 
 // The mechanisms that traffic is counted by.
 const (
-	Probe      Mechanism = iota // pings, their answers, and the heartbeats that go with these
-	Gossip                      // membership's changes passed on
-	Heartbeat                   // heartbeats passed on
-	FullState                   // whole states over connections
-	Lending                     // of parts
-	Grant                       // talk of the policy's keepers and holders
-	Summary                     // of sites and regions
-	Other                       // what none of the above explains
-	Mechanisms                  // how many there are
+	Probe         TrafficKind = iota // pings, their answers, and the heartbeats that go with these
+	Gossip                           // membership's changes passed on
+	Heartbeat                        // heartbeats passed on
+	FullState                        // whole states over connections
+	ShareLease                       // of parts
+	PolicyMessage                    // talk of the policy's keepers and holders
+	Summary                          // of sites and regions
+	Other                            // what none of the above explains
+	TrafficKinds                     // how many there are
 )
 
-var mechanismNames = [Mechanisms]string{"probe", "gossip", "heartbeat", "full_state", "lending", "grant", "summary", "other"}
+var mechanismNames = [TrafficKinds]string{"probe", "gossip", "heartbeat", "full_state", "lending", "grant", "summary", "other"}
 
-func (m Mechanism) String() string { return mechanismNames[m] }
+func (m TrafficKind) String() string { return mechanismNames[m] }
 
 // Count is bytes, headers included, and messages.
 type Count struct {
@@ -35,8 +35,8 @@
 
 // TrafficCounts are what a router has sent and received so far for its place among the others, by mechanism.
 type TrafficCounts struct {
-	Sent     [Mechanisms]Count `json:"s"`
-	Received [Mechanisms]Count `json:"r"`
+	Sent     [TrafficKinds]Count `json:"s"`
+	Received [TrafficKinds]Count `json:"r"`
 }
 
 // The names of a count in statsd's form, which the mechanism's follows.
@@ -50,7 +50,7 @@
 
 // statsd gives each count by its name.
 func (c *TrafficCounts) statsd(of func(name string, count *int64)) {
-	for m := range Mechanisms {
+	for m := range TrafficKinds {
 		of(sentBytes+m.String(), &c.Sent[m].Bytes)
 		of(sentMessages+m.String(), &c.Sent[m].Messages)
 		of(receivedBytes+m.String(), &c.Received[m].Bytes)
@@ -84,7 +84,7 @@
 
 // Add sums two counts.
 func (c *TrafficCounts) Add(o TrafficCounts) {
-	for m := range Mechanisms {
+	for m := range TrafficKinds {
 		c.Sent[m].add(o.Sent[m])
 		c.Received[m].add(o.Received[m])
 	}
@@ -96,7 +96,7 @@
 }
 
 // Traffic counts what a router sends and receives. Its functions may be called from several goroutines at once.
-type Traffic struct{ sent, received [Mechanisms]counter }
+type Traffic struct{ sent, received [TrafficKinds]counter }
 
 type counter struct{ bytes, messages atomic.Int64 }
 
@@ -108,14 +108,14 @@
 func (c *counter) read() Count { return Count{c.bytes.Load(), c.messages.Load()} }
 
 // Sent counts bytes, headers included, and messages that go out.
-func (t *Traffic) Sent(m Mechanism, bytes, messages int) { t.sent[m].add(bytes, messages) }
+func (t *Traffic) Sent(m TrafficKind, bytes, messages int) { t.sent[m].add(bytes, messages) }
 
 // Received counts bytes, headers included, and messages that come in.
-func (t *Traffic) Received(m Mechanism, bytes, messages int) { t.received[m].add(bytes, messages) }
+func (t *Traffic) Received(m TrafficKind, bytes, messages int) { t.received[m].add(bytes, messages) }
 
 // Counts reads what was counted so far. Counts of different mechanisms may be of slightly different moments.
 func (t *Traffic) Counts() (c TrafficCounts) {
-	for m := range Mechanisms {
+	for m := range TrafficKinds {
 		c.Sent[m], c.Received[m] = t.sent[m].read(), t.received[m].read()
 	}
 	return c
@@ -123,9 +123,9 @@
 
 // Links is the network between the routers of a trial, which may lose what is sent. Its functions are called from several
 // goroutines at once.
-type Links interface {
+type FaultyLinks interface {
 	// Lose tells whether a packet that is about to be sent to an address gets lost. It is counted as sent all the same.
-	Lose(to string) bool
+	DropsPacket(to string) bool
 	// Refuse tells whether no connection to an address can be had now.
-	Refuse(to string) bool
+	RejectsConnection(to string) bool
 }
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -14,7 +14,7 @@
 			if rapid.Bool().Draw(t, "received") {
 				tell = traffic.Received
 			}
-			tell(Mechanism(rapid.IntRange(0, int(Mechanisms)-1).Draw(t, "mechanism")), rapid.IntRange(0, 1<<40).Draw(t, "bytes"), 1)
+			tell(TrafficKind(rapid.IntRange(0, int(TrafficKinds)-1).Draw(t, "mechanism")), rapid.IntRange(0, 1<<40).Draw(t, "bytes"), 1)
 		}
 		want := traffic.Counts()
 		got, err := ParseStatsd("router.fleet.alive:3|g\n" + want.Statsd() + "another:1|c\n")
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -49,8 +49,8 @@
 // NodeMeta is called by memberlist.
 func (p *Node) NodeMeta(limit int) []byte {
 	m := p.me
-	said := meta{F: pool(p.cfg), N: string(m.Name), S: string(m.Site), P: uint64(m.Process), I: int(m.Seat), T: m.Started, B: m.Build,
-		O: uint64(m.Follows), M: p.cfg.Methods}
+	said := meta{F: pool(p.cfg), N: string(m.Name), S: string(m.Site), P: uint64(m.Incarnation), I: int(m.Slot), T: m.StartedAt, B: m.Build,
+		O: uint64(m.Predecessor), M: p.cfg.Methods}
 	for {
 		text, _ := json.Marshal(said) // plain fields: it cannot fail
 		if len(text) <= limit || len(said.M) == 0 {
@@ -76,12 +76,12 @@
 	if err := json.Unmarshal(node.Meta, &m); err != nil {
 		return membership.Member{}, fmt.Errorf("what %s says of itself cannot be read: %w", node.Address(), err)
 	}
-	if m.N == "" || m.P == 0 || processOf(node) != membership.Process(m.P) {
+	if m.N == "" || m.P == 0 || processOf(node) != membership.Incarnation(m.P) {
 		return membership.Member{}, fmt.Errorf("what %s says of itself is not whole", node.Address())
 	}
 	addr, _ := netip.AddrFromSlice(node.Addr)
-	return membership.Member{Fleet: m.F, Name: membership.Name(m.N), Site: membership.Site(m.S), Process: membership.Process(m.P), Seat: membership.Seat(m.I),
-		Started: m.T, Build: m.B, Follows: membership.Process(m.O), Addr: netip.AddrPortFrom(addr.Unmap(), node.Port).String()}, nil
+	return membership.Member{Fleet: m.F, Name: membership.Name(m.N), Site: membership.Site(m.S), Incarnation: membership.Incarnation(m.P), Slot: membership.Slot(m.I),
+		StartedAt: m.T, Build: m.B, Predecessor: membership.Incarnation(m.O), Addr: netip.AddrPortFrom(addr.Unmap(), node.Port).String()}, nil
 }
 
 // NotifyAlive refuses routers of other fleets and of other services. It is called by memberlist, as all below.
@@ -130,8 +130,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := *node // the library goes on with its own
-	p.nodes[m.Process] = &n
-	p.view.Joined(p.micros(), m)
+	p.nodes[m.Incarnation] = &n
+	p.view.MemberJoined(p.micros(), m)
 }
 
 // NotifyUpdate records changed metadata of a process.
@@ -142,7 +142,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.nodes, processOf(node))
-	p.view.Gone(p.micros(), processOf(node))
+	p.view.MemberFailed(p.micros(), processOf(node))
 }
 
 // AckPayload goes with each answer to a probe: who missed a word has it then.
@@ -155,7 +155,7 @@
 // NotifyPingComplete records that a process has answered a probe.
 func (p *Node) NotifyPingComplete(node *memberlist.Node, _ time.Duration, payload []byte) {
 	p.mu.Lock()
-	p.view.Heard(p.micros(), processOf(node))
+	p.view.RecordContact(p.micros(), processOf(node))
 	p.mu.Unlock()
 	p.NotifyMsg(payload)
 }
@@ -188,7 +188,7 @@
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if a, ok := p.parts.Take(clock.Time(p.micros()), m); !ok {
+		if a, ok := p.parts.Receive(clock.Time(p.micros()), m); !ok {
 			return
 		} else if len(p.answers) < mostAnswer {
 			p.answers = append(p.answers, a)
@@ -201,7 +201,7 @@
 // said passes on what is news.
 func (p *Node) said(w membership.Heartbeat) {
 	p.mu.Lock()
-	news := p.view.Said(p.micros(), w)
+	news := p.view.ReceiveHeartbeat(p.micros(), w)
 	p.mu.Unlock()
 	if news {
 		p.queue.QueueBroadcast(p.wordOf(w))
@@ -263,12 +263,12 @@
 func (p *Node) wordOf(w membership.Heartbeat) word { return word{w, p.encode(w)} }
 
 // Name, Invalidates, Message and Finished are what memberlist's queue wants.
-func (w word) Name() string { return fmt.Sprintf("%x", uint64(w.Process)) }
+func (w word) Name() string { return fmt.Sprintf("%x", uint64(w.Incarnation)) }
 
 // Invalidates tells whether another needs no passing on any more.
 func (w word) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(word)
-	return ok && o.Process == w.Process && o.Seq <= w.Seq
+	return ok && o.Incarnation == w.Incarnation && o.Seq <= w.Seq
 }
 
 // Message is what goes out.
--- a/internal/gossip/file.go
+++ b/internal/gossip/file.go
@@ -41,7 +41,7 @@
 		return nil, nil
 	}
 	if k.Fleet != p.me.Fleet || k.Router != p.me.Name {
-		return nil, p.cfg.Refused("fleet.dir", fmt.Sprintf("%s is that of router %q of fleet %q, and this one is %q of %q", p.cfg.Dir,
+		return nil, p.cfg.ConfigError("fleet.dir", fmt.Sprintf("%s is that of router %q of fleet %q, and this one is %q of %q", p.cfg.Dir,
 			k.Router, k.Fleet, p.me.Name, p.me.Fleet), "give each router a folder of its own")
 	}
 	p.cfg.Remote = append(slices.Clone(p.cfg.Remote), k.Remote...)
@@ -54,7 +54,7 @@
 		return
 	}
 	p.mu.Lock()
-	k := known{p.me.Fleet, p.me.Name, p.view.Known(), p.knownRemote()}
+	k := known{p.me.Fleet, p.me.Name, p.view.KnownAddrs(), p.knownRemote()}
 	p.mu.Unlock()
 	text, err := json.MarshalIndent(k, "", " ")
 	name := filepath.Join(p.cfg.Dir, file)
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -39,26 +39,26 @@
 }
 
 var goldenHeartbeats = []membership.Heartbeat{
-	{Process: 1, Seq: 1},
-	{Process: 1 << 63, Seq: 1 << 40, Takes: true, Draining: true, Passing: true, Out: true, Left: true, Rival: 7, Revision: 1 << 50, Digest: 1 << 63},
-	{Process: 9, Seq: 3, Leads: true, Folder: 5, Keeper: "10.0.0.1:7947", Member: true, Last: 77},
-	{Process: 10, Seq: 300, Takes: true, Revision: 300, Digest: 5, Rival: 1 << 33},
-	{Process: 11, Seq: 2, Keeper: strings.Repeat("k", 70), Last: 1 << 20},
+	{Incarnation: 1, Seq: 1},
+	{Incarnation: 1 << 63, Seq: 1 << 40, Accepting: true, Draining: true, HandingOver: true, Yielded: true, Left: true, Duplicate: 7, PolicyRevision: 1 << 50, ViewDigest: 1 << 63},
+	{Incarnation: 9, Seq: 3, Leader: true, VoterID: 5, VoterAddr: "10.0.0.1:7947", Voter: true, LastIndex: 77},
+	{Incarnation: 10, Seq: 300, Accepting: true, PolicyRevision: 300, ViewDigest: 5, Duplicate: 1 << 33},
+	{Incarnation: 11, Seq: 2, VoterAddr: strings.Repeat("k", 70), LastIndex: 1 << 20},
 }
 
 // goldenNode is a router's node that listens nowhere, with a view of three routers.
 func goldenNode(tiered bool) *Node {
 	cfg := fleet.Config{Fleet: "harvest", Name: "hill-0", Site: "hill", Tiered: tiered, Region: "north",
-		Advertise: netip.MustParseAddrPort("10.0.0.1:7946"), Probe: time.Second, Seats: 3, Seat: 2}
+		Advertise: netip.MustParseAddrPort("10.0.0.1:7946"), ProbeInterval: time.Second, FleetSize: 3, Slot: 2}
 	p := &Node{cfg: cfg, start: time.Unix(1700000000, 0)}
-	p.me = membership.Member{Fleet: "harvest", Name: "hill-0", Site: "hill", Process: 0xfedcba9876543211, Seat: 2, Started: 1700000000000001, Build: "bfb4b5c",
+	p.me = membership.Member{Fleet: "harvest", Name: "hill-0", Site: "hill", Incarnation: 0xfedcba9876543211, Slot: 2, StartedAt: 1700000000000001, Build: "bfb4b5c",
 		Addr: "10.0.0.1:7946"}
-	p.view = membership.New(0, membership.DefaultRules(1e6), p.me)
-	p.view.Joined(1e6, membership.Member{Fleet: "harvest", Name: "hill-1", Site: "hill", Process: 21, Seat: 0, Started: 5, Addr: "10.0.0.2:7946"})
-	p.view.Joined(1e6, membership.Member{Fleet: "harvest", Name: "hill-2", Site: "hill", Process: 23, Seat: 1, Started: 6, Addr: "10.0.0.3:7946"})
-	p.view.Said(2e6, goldenHeartbeats[3])
-	p.view.Gone(3e6, 23)
-	p.view.SayMore(4e6, func(w *membership.Heartbeat) { w.Revision, w.Leads = 9, true })
+	p.view = membership.New(0, membership.DefaultConfig(1e6), p.me)
+	p.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-1", Site: "hill", Incarnation: 21, Slot: 0, StartedAt: 5, Addr: "10.0.0.2:7946"})
+	p.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-2", Site: "hill", Incarnation: 23, Slot: 1, StartedAt: 6, Addr: "10.0.0.3:7946"})
+	p.view.ReceiveHeartbeat(2e6, goldenHeartbeats[3])
+	p.view.MemberFailed(3e6, 23)
+	p.view.UpdateHeartbeat(4e6, func(w *membership.Heartbeat) { w.PolicyRevision, w.Leader = 9, true })
 	return p
 }
 
@@ -97,7 +97,7 @@
 	for _, tiered := range []bool{false, true} {
 		p := goldenNode(tiered)
 		text += string(p.NodeMeta(512)) + "\n"
-		p.me.Follows = 77
+		p.me.Predecessor = 77
 		for i := range 40 {
 			p.cfg.Methods = append(p.cfg.Methods, fmt.Sprintf("cache.Cache/Method%d", i))
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -40,12 +40,12 @@
 	mu      sync.Mutex // of all below; never held while memberlist is called
 	view    *membership.View
 	parts   *sharelease.Leases
-	nodes   map[membership.Process]*memberlist.Node
+	nodes   map[membership.Incarnation]*memberlist.Node
 	answers []sharelease.Message // for the next step, which makes sure that they are true
 	refused map[string]time.Time
 	lending bool
 	told    share
-	hear    func(fleet.Process, []byte)
+	hear    func(fleet.Incarnation, []byte)
 	tiers   *hierarchy.Hierarchy // nil: the fleet is flat
 	site    hierarchy.Local      // as the tiers were last told
 	seen    uint64               // digest of the view that site is of
@@ -79,21 +79,21 @@
 // Open takes the router's place. Errors are about the configuration: they name file, field and remedy. What is wrong later
 // is logged, and the router serves as if it were alone.
 func Open(cfg fleet.Config, router fleet.Router, logger *logrus.Logger) (fleet.Node, error) {
-	p := &Node{cfg: cfg, router: router, log: logger, start: time.Now(), nodes: map[membership.Process]*memberlist.Node{},
+	p := &Node{cfg: cfg, router: router, log: logger, start: time.Now(), nodes: map[membership.Incarnation]*memberlist.Node{},
 		refused: map[string]time.Time{}, stop: make(chan struct{}), told: share{now: -1}}
 	var id [8]byte
 	if _, err := crand.Read(id[:]); err != nil {
 		return nil, err
 	}
 	process := binary.BigEndian.Uint64(id[:]) | 1
-	p.me = membership.Member{Fleet: cfg.Fleet, Name: membership.Name(cfg.Name), Site: membership.Site(cfg.Site), Process: membership.Process(process),
-		Seat: membership.Seat(cfg.Seat), Started: p.start.UnixMicro(), Build: cfg.Build[:min(12, len(cfg.Build))], Addr: cfg.Advertise.String()}
-	rules := membership.DefaultRules(clock.Time(cfg.Probe / time.Microsecond))
-	if cfg.Forget > 0 {
-		rules.Forget = clock.Time(cfg.Forget / time.Microsecond)
+	p.me = membership.Member{Fleet: cfg.Fleet, Name: membership.Name(cfg.Name), Site: membership.Site(cfg.Site), Incarnation: membership.Incarnation(process),
+		Slot: membership.Slot(cfg.Slot), StartedAt: p.start.UnixMicro(), Build: cfg.Build[:min(12, len(cfg.Build))], Addr: cfg.Advertise.String()}
+	rules := membership.DefaultConfig(clock.Time(cfg.ProbeInterval / time.Microsecond))
+	if cfg.ForgetAfter > 0 {
+		rules.ForgetAfter = clock.Time(cfg.ForgetAfter / time.Microsecond)
 	}
 	p.view = membership.New(p.micros(), rules, p.me)
-	p.parts = sharelease.New(clock.Time(p.micros()), sharelease.DefaultRules(), cfg.Seats, sharelease.Seat(cfg.Seat), sharelease.Process(process), cfg.Clear)
+	p.parts = sharelease.New(clock.Time(p.micros()), sharelease.DefaultTiming(), cfg.FleetSize, sharelease.Slot(cfg.Slot), sharelease.Incarnation(process), cfg.NoSharesGranted)
 	known, err := p.readKnown()
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	p.cfg.Join = slices.Compact(slices.Sorted(slices.Values(append(known, cfg.Join...))))
-	if cfg.Follows { // the process before has the address until it ends
+	if cfg.HasPredecessor { // the process before has the address until it ends
 		p.ended.Go(func() {
 			for p.begin() != nil {
 				if p.wait(50 * time.Millisecond) {
@@ -114,7 +114,7 @@
 		return p, nil
 	}
 	if err := p.begin(); err != nil {
-		return nil, cfg.Refused("fleet.listen", err.Error(), "give it an address of this machine that nobody listens on")
+		return nil, cfg.ConfigError("fleet.listen", err.Error(), "give it an address of this machine that nobody listens on")
 	}
 	if err := p.greet(); err != nil {
 		close(p.stop)
@@ -127,9 +127,9 @@
 
 // begin listens, and begins to answer others.
 func (p *Node) begin() error {
-	probe := p.cfg.Probe
+	probe := p.cfg.ProbeInterval
 	c := memberlist.DefaultLANConfig()
-	c.Name = fmt.Sprintf("%s#%x", p.me.Name, uint64(p.me.Process))
+	c.Name = fmt.Sprintf("%s#%x", p.me.Name, uint64(p.me.Incarnation))
 	c.AdvertiseAddr, c.AdvertisePort = p.cfg.Advertise.Addr().String(), int(p.cfg.Advertise.Port())
 	// As many turns of each to a probe as the library has by default.
 	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = probe, probe/2, probe/5
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	c.Transport = meter(from{sockets, &net.TCPAddr{IP: at.Addr().AsSlice()}}, &p.traffic, p.cfg.Links)
+	c.Transport = meter(from{sockets, &net.TCPAddr{IP: at.Addr().AsSlice()}}, &p.traffic, p.cfg.FaultyLinks)
 	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: p.transmits(c), NumNodes: p.size}
 	list, err := memberlist.Create(c)
 	if err != nil {
@@ -193,16 +193,16 @@
 	case <-time.After(patience):
 		return nil
 	}
-	for until := time.Now().Add(3 * p.cfg.Probe); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(3 * p.cfg.ProbeInterval); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		p.mu.Lock()
-		news, _ := p.view.Step(p.micros())
-		why, twin := p.view.Out(), p.view.Twin()
+		news, _ := p.view.Tick(p.micros())
+		why, twin := p.view.YieldReason(), p.view.HasOlderDuplicate()
 		p.mu.Unlock()
 		if news {
 			p.pass()
 		}
 		if why != "" {
-			return p.cfg.Refused("fleet.router", why, "give this one a name of its own")
+			return p.cfg.ConfigError("fleet.router", why, "give this one a name of its own")
 		}
 		if !twin {
 			return nil
@@ -234,21 +234,21 @@
 
 // step is all that is done by time.
 func (p *Node) step() {
-	takes, draining, empty := p.router.Standing()
+	takes, draining, empty := p.router.FleetStatus()
 	p.lend(draining && empty)
 
 	p.mu.Lock()
 	now := p.micros()
-	p.news = p.view.Say(now, takes, draining) || p.news
-	news, lines := p.view.Step(now)
+	p.news = p.view.UpdateLocal(now, takes, draining) || p.news
+	news, lines := p.view.Tick(now)
 	p.news = news || p.news
-	pass, out := p.news, p.view.Out()
+	pass, out := p.news, p.view.YieldReason()
 	p.news = false
-	send := p.parts.Step(clock.Time(now), p.seats(), takes)
+	send := p.parts.Tick(clock.Time(now), p.seats(), takes)
 	send = append(send, p.answers...)
 	p.answers = nil
 	s := p.share(p.parts.Share(clock.Time(now)))
-	addr, call := p.view.Whom(now, p.cfg.Join)
+	addr, call := p.view.NextReconnect(now, p.cfg.Join)
 	if !call {
 		addr, call = p.atOdds(now)
 	}
@@ -269,7 +269,7 @@
 	p.tell(lines)
 	if out != p.out {
 		p.out = out
-		p.router.KeepOut(out)
+		p.router.SetOutOfService(out)
 	}
 	if len(lines) > 0 {
 		p.keepKnown()
@@ -285,27 +285,27 @@
 // lend begins or ends the lending of the own part: first the loop does without it, then it may be asked for.
 func (p *Node) lend(on bool) {
 	p.mu.Lock()
-	lent, same := p.share(p.parts.Lent()), on == p.lending
+	lent, same := p.share(p.parts.ReducedShare()), on == p.lending
 	p.mu.Unlock()
 	if same || on && !p.set(lent) {
 		return
 	}
 	p.mu.Lock()
 	p.lending = on
-	p.parts.Lend(on, false)
+	p.parts.SetGranting(on, false)
 	p.mu.Unlock()
 }
 
 func (p *Node) share(s sharelease.Share) share {
-	out := share{now: s.Now, then: s.Then}
-	if s.Until != 0 {
-		out.until = p.start.Add(time.Duration(s.Until) * time.Microsecond)
+	out := share{now: s.Current, then: s.AfterExpiry}
+	if s.ExpiresAt != 0 {
+		out.until = p.start.Add(time.Duration(s.ExpiresAt) * time.Microsecond)
 	}
 	return out
 }
 
 func (p *Node) set(s share) bool {
-	err := p.router.SetPart(s.now, s.until, s.then)
+	err := p.router.SetShare(s.now, s.until, s.then)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.told = s; err != nil {
@@ -315,18 +315,18 @@
 }
 
 // seats are the other seats that one router holds. Two on one seat are lent nothing.
-func (p *Node) seats() map[sharelease.Seat]sharelease.Peer {
-	there, twice := map[sharelease.Seat]sharelease.Peer{}, map[sharelease.Seat]bool{}
-	words := map[membership.Process]membership.Heartbeat{}
+func (p *Node) seats() map[sharelease.Slot]sharelease.Peer {
+	there, twice := map[sharelease.Slot]sharelease.Peer{}, map[sharelease.Slot]bool{}
+	words := map[membership.Incarnation]membership.Heartbeat{}
 	for _, w := range p.view.Heartbeats() {
-		words[w.Process] = w
+		words[w.Incarnation] = w
 	}
-	for _, m := range p.view.Living() {
-		seat := sharelease.Seat(m.Seat)
-		if _, two := there[seat]; two || seat == sharelease.Seat(p.cfg.Seat) && m.Process != p.me.Process {
+	for _, m := range p.view.AliveMembers() {
+		seat := sharelease.Slot(m.Slot)
+		if _, two := there[seat]; two || seat == sharelease.Slot(p.cfg.Slot) && m.Incarnation != p.me.Incarnation {
 			twice[seat] = true
 		}
-		there[seat] = sharelease.Peer{Process: sharelease.Process(m.Process), Lends: words[m.Process].Draining}
+		there[seat] = sharelease.Peer{Incarnation: sharelease.Incarnation(m.Incarnation), Granting: words[m.Incarnation].Draining}
 	}
 	for seat := range twice {
 		delete(there, seat)
@@ -336,12 +336,12 @@
 
 func (p *Node) send(messages []sharelease.Message) {
 	for _, m := range messages {
-		to := m.Borrower
-		if m.Kind == sharelease.Ask || m.Kind == sharelease.Return {
-			to = m.Lender
+		to := m.Holder
+		if m.Kind == sharelease.Request || m.Kind == sharelease.Release {
+			to = m.Grantor
 		}
 		p.mu.Lock()
-		node := p.nodes[membership.Process(to)]
+		node := p.nodes[membership.Incarnation(to)]
 		p.mu.Unlock()
 		if node == nil {
 			continue
@@ -359,13 +359,13 @@
 	p.queue.QueueBroadcast(p.wordOf(w))
 }
 
-func (p *Node) tell(lines []membership.Line) {
+func (p *Node) tell(lines []membership.Change) {
 	for _, l := range lines {
 		entry := p.log.WithFields(l.Fields).WithFields(logrus.Fields{"router": string(l.Router), "mono_us": fleet.Monotonic()})
-		if l.Bad {
-			entry.Warn("fleet: " + l.What)
+		if l.Warning {
+			entry.Warn("fleet: " + l.Event)
 		} else {
-			entry.Info("fleet: " + l.What)
+			entry.Info("fleet: " + l.Event)
 		}
 	}
 }
@@ -397,7 +397,7 @@
 		out += fmt.Sprintf("router.fleet.%v:%d|g\n", s, counts[s])
 	}
 	return out + fmt.Sprintf("router.fleet.settled:%d|g\nrouter.fleet.disagree:%d|g\nrouter.fleet.part_ppm:%d|g\n"+
-		"router.fleet.messages_dropped:%d|c\n", settled, len(w.Disagree), int(part*1e6), p.dropped.Load()) + p.traffic.Counts().Statsd()
+		"router.fleet.messages_dropped:%d|c\n", settled, len(w.Disagreeing), int(part*1e6), p.dropped.Load()) + p.traffic.Counts().Statsd()
 }
 
 // Traffic is what was sent and received so far for the router's place, by mechanism.
@@ -412,7 +412,7 @@
 	var last []sharelease.Message
 	if list != nil {
 		now := p.micros()
-		p.view.End(now, handed)
+		p.view.AnnounceEnd(now, handed)
 		if !handed {
 			last = p.parts.TransferAll(clock.Time(now))
 		}
@@ -422,10 +422,10 @@
 		return
 	}
 	p.pass()
-	p.send(append(last, last...))   // nobody asks again
-	time.Sleep(2 * p.cfg.Probe / 5) // two turns of gossip
+	p.send(append(last, last...))           // nobody asks again
+	time.Sleep(2 * p.cfg.ProbeInterval / 5) // two turns of gossip
 	if !handed {
-		_ = list.Leave(p.cfg.Probe) // else the others find out
+		_ = list.Leave(p.cfg.ProbeInterval) // else the others find out
 	}
 	_ = list.Shutdown()
 	p.keepKnown()
@@ -449,11 +449,11 @@
 	return len(p.nodes)
 }
 
-func processOf(node *memberlist.Node) membership.Process {
+func processOf(node *memberlist.Node) membership.Incarnation {
 	for i := len(node.Name) - 1; i >= 0; i-- {
 		if node.Name[i] == '#' {
 			n, _ := strconv.ParseUint(node.Name[i+1:], 16, 64) // 0 is nobody
-			return membership.Process(n)
+			return membership.Incarnation(n)
 		}
 	}
 	return 0
--- a/internal/gossip/meter.go
+++ b/internal/gossip/meter.go
@@ -39,7 +39,7 @@
 type metered struct {
 	memberlist.NodeAwareTransport
 	traffic *fleet.Traffic
-	links   fleet.Links
+	links   fleet.FaultyLinks
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	stop    chan struct{}
@@ -49,10 +49,10 @@
 // noLoss are links that lose nothing on purpose.
 type noLoss struct{}
 
-func (noLoss) Lose(string) bool   { return false }
-func (noLoss) Refuse(string) bool { return false }
+func (noLoss) DropsPacket(string) bool       { return false }
+func (noLoss) RejectsConnection(string) bool { return false }
 
-func meter(below memberlist.NodeAwareTransport, traffic *fleet.Traffic, links fleet.Links) memberlist.NodeAwareTransport {
+func meter(below memberlist.NodeAwareTransport, traffic *fleet.Traffic, links fleet.FaultyLinks) memberlist.NodeAwareTransport {
 	if links == nil {
 		links = noLoss{}
 	}
@@ -94,7 +94,7 @@
 
 func (m metered) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	countPacket(b, m.traffic.Sent)
-	if m.links.Lose(to.Addr) {
+	if m.links.DropsPacket(to.Addr) {
 		return time.Now(), nil
 	}
 	return m.NodeAwareTransport.WriteToAddress(b, to)
@@ -107,7 +107,7 @@
 var errCut = errors.New("the link is cut")
 
 func (m metered) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if m.links.Refuse(to.Addr) {
+	if m.links.RejectsConnection(to.Addr) {
 		return nil, errCut
 	}
 	c, err := m.NodeAwareTransport.DialAddressTimeout(to, timeout)
@@ -132,7 +132,7 @@
 	net.Conn
 	traffic *fleet.Traffic
 	known   bool // what it is for
-	use     fleet.Mechanism
+	use     fleet.TrafficKind
 }
 
 func (c *meteredConn) Read(b []byte) (int, error) {
@@ -163,7 +163,7 @@
 }
 
 // countPacket tells what a packet's bytes are for. The header counts for the first message, as does what frames several.
-func countPacket(b []byte, tell func(fleet.Mechanism, int, int)) {
+func countPacket(b []byte, tell func(fleet.TrafficKind, int, int)) {
 	parts, whole := messages(b)
 	if !whole || len(parts) == 0 {
 		tell(fleet.Other, packetHeader+len(b), 1)
@@ -207,7 +207,7 @@
 	return parts, true
 }
 
-func mechanism(message []byte) fleet.Mechanism {
+func mechanism(message []byte) fleet.TrafficKind {
 	if len(message) == 0 {
 		return fleet.Other
 	}
@@ -222,7 +222,7 @@
 	return fleet.Other
 }
 
-func userMechanism(b []byte) fleet.Mechanism {
+func userMechanism(b []byte) fleet.TrafficKind {
 	if len(b) == 0 {
 		return fleet.Other
 	}
@@ -230,9 +230,9 @@
 	case kindWord, kindPacked, kindAsk:
 		return fleet.Heartbeat
 	case kindParts:
-		return fleet.Lending
+		return fleet.ShareLease
 	case kindTalk:
-		return fleet.Grant
+		return fleet.PolicyMessage
 	case kindTiers:
 		return fleet.Summary
 	}
--- a/internal/gossip/meter_test.go
+++ b/internal/gossip/meter_test.go
@@ -7,9 +7,9 @@
 	"spurtrestle/internal/fleet"
 )
 
-type tally [fleet.Mechanisms]struct{ bytes, messages int }
+type tally [fleet.TrafficKinds]struct{ bytes, messages int }
 
-func (t *tally) add(m fleet.Mechanism, bytes, messages int) {
+func (t *tally) add(m fleet.TrafficKind, bytes, messages int) {
 	t[m].bytes += bytes
 	t[m].messages += messages
 }
@@ -38,7 +38,7 @@
 	want.add(fleet.Probe, framing+len(ping), 1)
 	want.add(fleet.Gossip, len(alive), 1)
 	want.add(fleet.Heartbeat, len(heartbeat), 1)
-	want.add(fleet.Lending, packetHeader+3, 1)
+	want.add(fleet.ShareLease, packetHeader+3, 1)
 	want.add(fleet.Summary, packetHeader+3, 1)
 	if got != want {
 		t.Errorf("got %v, want %v", got, want)
--- a/internal/gossip/talk.go
+++ b/internal/gossip/talk.go
@@ -10,10 +10,10 @@
 // What follows makes Node a fleet.Transport.
 
 // Me is this process.
-func (p *Node) Me() fleet.Process { return fleet.Process(p.me.Process) }
+func (p *Node) Self() fleet.Incarnation { return fleet.Incarnation(p.me.Incarnation) }
 
 // Hear has what others tell come to a function.
-func (p *Node) Hear(f func(fleet.Process, []byte)) {
+func (p *Node) OnMessage(f func(fleet.Incarnation, []byte)) {
 	p.mu.Lock()
 	p.hear = f
 	p.mu.Unlock()
@@ -24,14 +24,14 @@
 	hear := p.hear
 	p.mu.Unlock()
 	if len(b) > 8 && hear != nil {
-		hear(fleet.Process(binary.BigEndian.Uint64(b)), append([]byte(nil), b[8:]...)) // the library uses its buffer again
+		hear(fleet.Incarnation(binary.BigEndian.Uint64(b)), append([]byte(nil), b[8:]...)) // the library uses its buffer again
 	}
 }
 
 // Tell sends a message to a process. What does not fit into a packet goes over a connection, on a goroutine of its own.
-func (p *Node) Tell(to fleet.Process, body []byte) {
+func (p *Node) Send(to fleet.Incarnation, body []byte) {
 	const packet = 1200
-	if to == p.Me() {
+	if to == p.Self() {
 		p.mu.Lock()
 		hear := p.hear
 		p.mu.Unlock()
@@ -39,12 +39,12 @@
 		return
 	}
 	p.mu.Lock()
-	node, list := p.nodes[membership.Process(to)], p.list
+	node, list := p.nodes[membership.Incarnation(to)], p.list
 	p.mu.Unlock()
 	if node == nil || list == nil {
 		return
 	}
-	text := append(binary.BigEndian.AppendUint64([]byte{kindTalk}, uint64(p.me.Process)), body...)
+	text := append(binary.BigEndian.AppendUint64([]byte{kindTalk}, uint64(p.me.Incarnation)), body...)
 	if len(text) <= packet {
 		_ = list.SendBestEffort(node, text) // asked again
 		return
@@ -53,61 +53,61 @@
 }
 
 // Leaders are the processes that say that they lead the keepers.
-func (p *Node) Leaders() (all []fleet.Process) {
+func (p *Node) Leaders() (all []fleet.Incarnation) {
 	p.words(func(m membership.Member, w membership.Heartbeat) {
-		if w.Leads {
-			all = append(all, fleet.Process(m.Process))
+		if w.Leader {
+			all = append(all, fleet.Incarnation(m.Incarnation))
 		}
 	})
 	return all
 }
 
 // Leads says whether this one does.
-func (p *Node) Leads(on bool) { p.sayMore(func(w *membership.Heartbeat) { w.Leads = on }) }
+func (p *Node) SetLeader(on bool) { p.sayMore(func(w *membership.Heartbeat) { w.Leader = on }) }
 
 // Holds says which revision of the policy this router holds.
-func (p *Node) Holds(revision uint64) {
-	p.sayMore(func(w *membership.Heartbeat) { w.Revision = revision })
+func (p *Node) SetPolicyRevision(revision uint64) {
+	p.sayMore(func(w *membership.Heartbeat) { w.PolicyRevision = revision })
 }
 
 // Keeps says what this router is as a keeper.
-func (p *Node) Keeps(k fleet.Keeping) {
+func (p *Node) SetVoter(k fleet.VoterStatus) {
 	p.sayMore(func(w *membership.Heartbeat) {
-		w.Folder, w.Keeper, w.Member, w.Last = k.Folder, k.Addr, k.Member, k.Last
+		w.VoterID, w.VoterAddr, w.Voter, w.LastIndex = k.VoterID, k.Addr, k.Voter, k.LastIndex
 	})
 }
 
 func (p *Node) sayMore(change func(*membership.Heartbeat)) {
 	p.mu.Lock()
-	p.news = p.view.SayMore(p.micros(), change) || p.news
+	p.news = p.view.UpdateHeartbeat(p.micros(), change) || p.news
 	p.mu.Unlock()
 }
 
 // Keepers are the living routers that are keepers.
-func (p *Node) Keepers() (all []fleet.Keeping) {
+func (p *Node) Voters() (all []fleet.VoterStatus) {
 	p.words(func(m membership.Member, w membership.Heartbeat) {
-		if w.Folder != 0 {
-			all = append(all, fleet.Keeping{Name: string(m.Name), Process: fleet.Process(m.Process), Folder: w.Folder, Addr: w.Keeper,
-				Member: w.Member, Last: w.Last})
+		if w.VoterID != 0 {
+			all = append(all, fleet.VoterStatus{Name: string(m.Name), Incarnation: fleet.Incarnation(m.Incarnation), VoterID: w.VoterID, Addr: w.VoterAddr,
+				Voter: w.Voter, LastIndex: w.LastIndex})
 		}
 	})
 	return all
 }
 
 // Met tells whether another router is there.
-func (p *Node) Met() bool {
+func (p *Node) HasJoined() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.view.Living()) > 1
+	return len(p.view.AliveMembers()) > 1
 }
 
 // Promised is the highest entry that any process with a folder of this number has spoken of.
-func (p *Node) Promised(folder uint64) (last uint64) {
+func (p *Node) AcknowledgedIndex(folder uint64) (last uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.view.Heartbeats() {
-		if w.Folder == folder {
-			last = max(last, w.Last)
+		if w.VoterID == folder {
+			last = max(last, w.LastIndex)
 		}
 	}
 	return last
@@ -128,12 +128,12 @@
 func (p *Node) words(do func(membership.Member, membership.Heartbeat)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	words := map[membership.Process]membership.Heartbeat{}
+	words := map[membership.Incarnation]membership.Heartbeat{}
 	for _, w := range p.view.Heartbeats() {
-		words[w.Process] = w
+		words[w.Incarnation] = w
 	}
-	for _, m := range p.view.Living() {
-		do(m, words[m.Process])
+	for _, m := range p.view.AliveMembers() {
+		do(m, words[m.Incarnation])
 	}
 }
 
@@ -145,9 +145,9 @@
 }
 
 // RevisionOf is the policy's revision that a process last said that it holds; 0: none is known.
-func (p *Node) RevisionOf(process fleet.Process) uint64 {
+func (p *Node) RevisionOf(process fleet.Incarnation) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w, _ := p.view.HeartbeatOf(membership.Process(process))
-	return w.Revision
+	w, _ := p.view.HeartbeatOf(membership.Incarnation(process))
+	return w.PolicyRevision
 }
--- a/internal/gossip/tiers.go
+++ b/internal/gossip/tiers.go
@@ -40,14 +40,14 @@
 		return nil
 	}
 	if p.cfg.Region == "" || p.cfg.Site == "" {
-		return p.cfg.Refused("fleet.region", "is empty, or the site is", "name the region of the site, and the site")
+		return p.cfg.ConfigError("fleet.region", "is empty, or the site is", "name the region of the site, and the site")
 	}
 	c := hierarchy.Config{Fleet: p.cfg.Fleet, Region: p.cfg.Region, Site: p.cfg.Site, Name: p.cfg.Name, Addr: p.cfg.Advertise,
 		Wall: uint32(p.start.Unix()), Seed: process}
 	for _, text := range p.cfg.Remote {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return p.cfg.Refused("fleet.remote", err.Error(), `write addresses and ports as "10.1.2.3:7946"`)
+			return p.cfg.ConfigError("fleet.remote", err.Error(), `write addresses and ports as "10.1.2.3:7946"`)
 		}
 		c.Remote = append(c.Remote, addr)
 	}
@@ -69,16 +69,16 @@
 // tune has the library send less than its defaults, within a site.
 func (p *Node) tune(c *memberlist.Config) {
 	if p.cfg.Tiered {
-		c.PushPullInterval = stateEveryProbes * p.cfg.Probe
+		c.PushPullInterval = stateEveryProbes * p.cfg.ProbeInterval
 	}
 }
 
 // between is the span between two steps.
 func (p *Node) between() time.Duration {
 	if p.cfg.Tiered {
-		return min(p.cfg.Probe/5, tieredSteps)
+		return min(p.cfg.ProbeInterval/5, tieredSteps)
 	}
-	return min(p.cfg.Probe/5, 100*time.Millisecond)
+	return min(p.cfg.ProbeInterval/5, 100*time.Millisecond)
 }
 
 func (p *Node) transmits(c *memberlist.Config) int {
@@ -97,13 +97,13 @@
 	if _, settled := p.view.Digest(); settled {
 		p.asks = now
 	}
-	if now-p.asks < clock.Time(p.cfg.Probe/time.Microsecond) {
+	if now-p.asks < clock.Time(p.cfg.ProbeInterval/time.Microsecond) {
 		return nil
 	}
 	p.asks = now
-	names := p.view.Disagree()
-	for _, m := range p.view.Living() {
-		if node := p.nodes[m.Process]; node != nil && len(nodes) < mostAsked && slices.Contains(names, m.Name) {
+	names := p.view.Disagreeing()
+	for _, m := range p.view.AliveMembers() {
+		if node := p.nodes[m.Incarnation]; node != nil && len(nodes) < mostAsked && slices.Contains(names, m.Name) {
 			nodes = append(nodes, node)
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 func (p *Node) ask(nodes []*memberlist.Node) {
-	body := binary.BigEndian.AppendUint64([]byte{kindAsk}, uint64(p.me.Process))
+	body := binary.BigEndian.AppendUint64([]byte{kindAsk}, uint64(p.me.Incarnation))
 	for _, node := range nodes {
 		_ = p.list.SendBestEffort(node, body) // asked again
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	p.mu.Lock()
-	node, list, body := p.nodes[membership.Process(binary.BigEndian.Uint64(b))], p.list, p.encode(p.view.Heartbeat())
+	node, list, body := p.nodes[membership.Incarnation(binary.BigEndian.Uint64(b))], p.list, p.encode(p.view.Heartbeat())
 	p.mu.Unlock()
 	if node != nil && list != nil {
 		_ = list.SendBestEffort(node, body) // asked again
@@ -135,7 +135,7 @@
 	if !p.cfg.Tiered {
 		return "", false
 	}
-	span := oddsProbes * clock.Time(p.cfg.Probe/time.Microsecond)
+	span := oddsProbes * clock.Time(p.cfg.ProbeInterval/time.Microsecond)
 	if _, settled := p.view.Digest(); settled {
 		p.odds = now
 	}
@@ -143,12 +143,12 @@
 		return "", false
 	}
 	p.odds = now
-	names := p.view.Disagree()
+	names := p.view.Disagreeing()
 	if len(names) == 0 {
 		return "", false
 	}
 	name := names[int(now/span)%len(names)]
-	for _, m := range p.view.Living() {
+	for _, m := range p.view.AliveMembers() {
 		if m.Name == name {
 			return m.Addr, true
 		}
@@ -180,23 +180,23 @@
 func (p *Node) local(now clock.Time) (l hierarchy.Local) {
 	for _, s := range p.view.Snapshot(now).Sites {
 		l.Counts.Alive += uint32(s.Alive)
-		l.Counts.Takes += uint32(s.Takes)
-		l.Counts.Of += uint32(s.Of)
+		l.Counts.Takes += uint32(s.Accepting)
+		l.Counts.Of += uint32(s.Known)
 	}
-	revisions := map[membership.Process]uint64{}
+	revisions := map[membership.Incarnation]uint64{}
 	for _, w := range p.view.Heartbeats() {
-		revisions[w.Process] = w.Revision
+		revisions[w.Incarnation] = w.PolicyRevision
 	}
 	var text []byte
-	for i, m := range p.view.Living() {
-		text = binary.BigEndian.AppendUint64(append(append(text, m.Name...), 0), uint64(m.Process))
-		if r := revisions[m.Process]; i == 0 {
+	for i, m := range p.view.AliveMembers() {
+		text = binary.BigEndian.AppendUint64(append(append(text, m.Name...), 0), uint64(m.Incarnation))
+		if r := revisions[m.Incarnation]; i == 0 {
 			l.Least, l.Most = r, r
 		} else {
 			l.Least, l.Most = min(l.Least, r), max(l.Most, r)
 		}
 		if addr, err := netip.ParseAddrPort(m.Addr); err == nil {
-			l.Members = append(l.Members, hierarchy.Member{Name: string(m.Name), Addr: addr, Started: m.Started})
+			l.Members = append(l.Members, hierarchy.Member{Name: string(m.Name), Addr: addr, Started: m.StartedAt})
 		}
 	}
 	l.Digest = crc64.Checksum(text, crcTable)
@@ -223,7 +223,7 @@
 var errFlat = errors.New("this router is of no tiered fleet; set fleet.tiered")
 
 // Tiers is what this router knows of sites and regions. An error: the fleet is flat.
-func (p *Node) Tiers() (hierarchy.Status, error) {
+func (p *Node) HierarchyStatus() (hierarchy.Status, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers == nil {
@@ -233,7 +233,7 @@
 }
 
 // Role is what this router represents in a tiered fleet; nothing in a flat one.
-func (p *Node) Role() hierarchy.Role {
+func (p *Node) HierarchyRole() hierarchy.Role {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers == nil {
@@ -255,7 +255,7 @@
 
 // TierDigests are over the summaries held of sites and of regions; zero in a flat fleet. All routers of a region that know
 // the same have the same first, all of the fleet the same second.
-func (p *Node) TierDigests() (sites, regions uint64) {
+func (p *Node) HierarchyDigests() (sites, regions uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers == nil {
@@ -266,7 +266,7 @@
 
 // NewestRevision is the highest revision of the policy that is told of, by this site's routers or any summary.
 func (p *Node) NewestRevision() (newest uint64) {
-	p.words(func(_ membership.Member, w membership.Heartbeat) { newest = max(newest, w.Revision) })
+	p.words(func(_ membership.Member, w membership.Heartbeat) { newest = max(newest, w.PolicyRevision) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers != nil {
--- a/internal/gossip/tiers_test.go
+++ b/internal/gossip/tiers_test.go
@@ -24,9 +24,9 @@
 // idle is a router that takes clients and has none.
 type idle struct{}
 
-func (idle) Standing() (takes, draining, empty bool)           { return true, false, false }
-func (idle) SetPart(now float64, _ time.Time, _ float64) error { return nil }
-func (idle) KeepOut(string)                                    {}
+func (idle) FleetStatus() (takes, draining, empty bool)         { return true, false, false }
+func (idle) SetShare(now float64, _ time.Time, _ float64) error { return nil }
+func (idle) SetOutOfService(string)                             {}
 
 // addresses counts those that this process has given out.
 var addresses atomic.Uint32
@@ -59,8 +59,8 @@
 		for r := range perSite {
 			at := address(t)
 			c := fleet.Config{Fleet: "harvest", Name: fmt.Sprintf("%s-%d", site, r), Site: site, Tiered: true, Region: []string{"north", "south"}[i/2],
-				Listen: at, Advertise: at, Probe: 100 * time.Millisecond, Seats: 4 * perSite, Seat: len(all), Build: "test",
-				Refused: func(field, what, remedy string) error { return fmt.Errorf("%s: %s; %s", field, what, remedy) }}
+				Listen: at, Advertise: at, ProbeInterval: 100 * time.Millisecond, FleetSize: 4 * perSite, Slot: len(all), Build: "test",
+				ConfigError: func(field, what, remedy string) error { return fmt.Errorf("%s: %s; %s", field, what, remedy) }}
 			for _, mate := range all[i*perSite:] {
 				c.Join = append(c.Join, mate.Advertise.String())
 			}
@@ -119,7 +119,7 @@
 }
 
 func status(p *Node) hierarchy.Status {
-	s, _ := p.Tiers()
+	s, _ := p.HierarchyStatus()
 	return s
 }
 
@@ -134,8 +134,8 @@
 
 func agree(f *testFleet) func(*Node) bool {
 	return func(p *Node) bool {
-		_, regions := p.TierDigests()
-		_, want := f.routers[0].TierDigests()
+		_, regions := p.HierarchyDigests()
+		_, want := f.routers[0].HierarchyDigests()
 		return p.Settled() && regions == want && alive(status(p).Regions, "north") == 2*perSite && alive(status(p).Regions, "south") == 2*perSite
 	}
 }
@@ -152,7 +152,7 @@
 		}
 	}
 
-	f.routers[0].Holds(7)
+	f.routers[0].SetPolicyRevision(7)
 	t.Logf("revision known after %v", f.until("told of revision 7", func(p *Node) bool { return p.NewestRevision() == 7 }))
 
 	last := f.routers[len(f.routers)-1]
@@ -170,7 +170,7 @@
 			break
 		}
 	}
-	if !first.Role().Site {
+	if !first.HierarchyRole().Site {
 		t.Error("the first router of hill does not represent it")
 	}
 	first.Kill()
@@ -237,7 +237,7 @@
 	c.Tiered, c.Region, c.Remote = false, "", nil
 	f := open(t, []fleet.Config{c})
 	p := f.routers[0]
-	want := fmt.Sprintf(`{"f":"harvest","n":"hill-0","s":"hill","p":%d,"i":0,"t":%d,"b":"test"}`, p.me.Process, p.me.Started)
+	want := fmt.Sprintf(`{"f":"harvest","n":"hill-0","s":"hill","p":%d,"i":0,"t":%d,"b":"test"}`, p.me.Incarnation, p.me.StartedAt)
 	if got := string(p.NodeMeta(512)); got != want {
 		t.Errorf("meta is %s, want %s", got, want)
 	}
@@ -249,7 +249,7 @@
 	if err := json.Unmarshal([]byte(text), &shown); err != nil || len(shown) != 9 {
 		t.Errorf("it shows %s, %v", text, err)
 	}
-	if _, err := p.Tiers(); err == nil {
+	if _, err := p.HierarchyStatus(); err == nil {
 		t.Error("a flat router has tiers")
 	}
 }
@@ -271,9 +271,9 @@
 // A packed heartbeat is read as it was; a part of one is refused.
 func TestHeartbeatsPacked(t *testing.T) {
 	for _, w := range []membership.Heartbeat{
-		{Process: 1, Seq: 1},
-		{Process: 1 << 63, Seq: 1 << 40, Takes: true, Draining: true, Passing: true, Out: true, Left: true, Rival: 7, Revision: 1 << 50, Digest: 1 << 63},
-		{Process: 9, Seq: 3, Leads: true, Folder: 5, Keeper: "10.0.0.1:7947", Member: true, Last: 77},
+		{Incarnation: 1, Seq: 1},
+		{Incarnation: 1 << 63, Seq: 1 << 40, Accepting: true, Draining: true, HandingOver: true, Yielded: true, Left: true, Duplicate: 7, PolicyRevision: 1 << 50, ViewDigest: 1 << 63},
+		{Incarnation: 9, Seq: 3, Leader: true, VoterID: 5, VoterAddr: "10.0.0.1:7947", Voter: true, LastIndex: 77},
 	} {
 		b := packWord(nil, w)
 		got, rest, err := unpackWord(append(b, 'x'))
@@ -289,7 +289,7 @@
 }
 
 func FuzzUnpackWords(f *testing.F) {
-	f.Add(packWords([]membership.Heartbeat{{Process: 1, Seq: 1}, {Process: 9, Seq: 3, Folder: 5, Keeper: "10.0.0.1:7947", Rival: 4}}))
+	f.Add(packWords([]membership.Heartbeat{{Incarnation: 1, Seq: 1}, {Incarnation: 9, Seq: 3, VoterID: 5, VoterAddr: "10.0.0.1:7947", Duplicate: 4}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if len(b) == 0 {
 			return
--- a/internal/gossip/wordcode.go
+++ b/internal/gossip/wordcode.go
@@ -35,21 +35,21 @@
 
 // packWord appends a heartbeat.
 func packWord(b []byte, w membership.Heartbeat) []byte {
-	keeps := w.Folder != 0 || w.Keeper != "" || w.Member || w.Last != 0
-	b = binary.BigEndian.AppendUint64(b, uint64(w.Process))
+	keeps := w.VoterID != 0 || w.VoterAddr != "" || w.Voter || w.LastIndex != 0
+	b = binary.BigEndian.AppendUint64(b, uint64(w.Incarnation))
 	b = binary.AppendUvarint(b, w.Seq)
-	b = append(b, setFlags(map[byte]bool{flagTakes: w.Takes, flagDraining: w.Draining, flagPassing: w.Passing, flagOut: w.Out,
-		flagLeft: w.Left, flagLeads: w.Leads, flagRival: w.Rival != 0, flagKeeper: keeps}))
-	b = binary.AppendUvarint(b, w.Revision)
-	b = binary.BigEndian.AppendUint64(b, w.Digest)
-	if w.Rival != 0 {
-		b = binary.BigEndian.AppendUint64(b, uint64(w.Rival))
+	b = append(b, setFlags(map[byte]bool{flagTakes: w.Accepting, flagDraining: w.Draining, flagPassing: w.HandingOver, flagOut: w.Yielded,
+		flagLeft: w.Left, flagLeads: w.Leader, flagRival: w.Duplicate != 0, flagKeeper: keeps}))
+	b = binary.AppendUvarint(b, w.PolicyRevision)
+	b = binary.BigEndian.AppendUint64(b, w.ViewDigest)
+	if w.Duplicate != 0 {
+		b = binary.BigEndian.AppendUint64(b, uint64(w.Duplicate))
 	}
 	if keeps {
-		b = binary.BigEndian.AppendUint64(b, w.Folder)
-		b = append(b, bit(w.Member), byte(min(len(w.Keeper), mostKeeper)))
-		b = append(b, w.Keeper[:min(len(w.Keeper), mostKeeper)]...)
-		b = binary.AppendUvarint(b, w.Last)
+		b = binary.BigEndian.AppendUint64(b, w.VoterID)
+		b = append(b, bit(w.Voter), byte(min(len(w.VoterAddr), mostKeeper)))
+		b = append(b, w.VoterAddr[:min(len(w.VoterAddr), mostKeeper)]...)
+		b = binary.AppendUvarint(b, w.LastIndex)
 	}
 	return b
 }
@@ -66,18 +66,18 @@
 // unpackWord reads a heartbeat and returns what comes after it.
 func unpackWord(b []byte) (w membership.Heartbeat, rest []byte, err error) {
 	r := &unpacker{b: b}
-	w.Process, w.Seq = membership.Process(r.uint64()), r.uvarint()
+	w.Incarnation, w.Seq = membership.Incarnation(r.uint64()), r.uvarint()
 	flags := r.bytes(1)[0]
-	w.Takes, w.Draining, w.Passing = flags&flagTakes != 0, flags&flagDraining != 0, flags&flagPassing != 0
-	w.Out, w.Left, w.Leads = flags&flagOut != 0, flags&flagLeft != 0, flags&flagLeads != 0
-	w.Revision, w.Digest = r.uvarint(), r.uint64()
+	w.Accepting, w.Draining, w.HandingOver = flags&flagTakes != 0, flags&flagDraining != 0, flags&flagPassing != 0
+	w.Yielded, w.Left, w.Leader = flags&flagOut != 0, flags&flagLeft != 0, flags&flagLeads != 0
+	w.PolicyRevision, w.ViewDigest = r.uvarint(), r.uint64()
 	if flags&flagRival != 0 {
-		w.Rival = membership.Process(r.uint64())
+		w.Duplicate = membership.Incarnation(r.uint64())
 	}
 	if flags&flagKeeper != 0 {
-		w.Folder, w.Member = r.uint64(), r.bytes(1)[0] != 0
-		w.Keeper = string(r.bytes(min(mostKeeper, int(r.bytes(1)[0]))))
-		w.Last = r.uvarint()
+		w.VoterID, w.Voter = r.uint64(), r.bytes(1)[0] != 0
+		w.VoterAddr = string(r.bytes(min(mostKeeper, int(r.bytes(1)[0]))))
+		w.LastIndex = r.uvarint()
 	}
 	if r.short {
 		return membership.Heartbeat{}, nil, errWord
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -552,7 +552,7 @@
 			running++
 			w, err := r.View(i)
 			if err != nil || !w.Settled {
-				why = fmt.Sprintf("router %d: %v, at odds with %v", i, err, w.Disagree)
+				why = fmt.Sprintf("router %d: %v, at odds with %v", i, err, w.Disagreeing)
 			}
 			digests[w.Digest] = true
 		}
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -172,7 +172,7 @@
 				if first[r.Name] == "" {
 					first[r.Name] = r.Incarnation
 				}
-				if r.Name != w.By {
+				if r.Name != w.ReportedBy {
 					w.Routers[i].Incarnation = first[r.Name]
 				}
 			}
@@ -198,7 +198,7 @@
 		rec.Samples = nil
 		for _, s := range honest.Samples {
 			if s.By == 0 {
-				s.View.Routers = append([]membership.Router(nil), s.View.Routers...)
+				s.View.Routers = append([]membership.RouterStatus(nil), s.View.Routers...)
 				c.cheat(&s.View)
 			}
 			rec.Samples = append(rec.Samples, s)
@@ -306,8 +306,8 @@
 		time.Sleep(span)
 		r.must(r.Stall(fmt.Sprintf("wake after %v", span), false, 2))
 		w, err := r.View(2)
-		if err == nil && w.Settled && w.For > 1e6 {
-			t.Errorf("awake after %v it is settled for %v µs", span, w.For)
+		if err == nil && w.Settled && w.SettledFor > 1e6 {
+			t.Errorf("awake after %v it is settled for %v µs", span, w.SettledFor)
 		}
 		time.Sleep(4 * time.Second)
 		r.settle()
@@ -355,7 +355,7 @@
 	r.until("all say that two have the name", func() bool {
 		for _, i := range []int{0, 1, 2, 4} {
 			w, err := r.View(i)
-			if err != nil || !row(w, "r1").Conflict {
+			if err != nil || !row(w, "r1").NameConflict {
 				return false
 			}
 		}
@@ -368,13 +368,13 @@
 	})
 }
 
-func row(w membership.Snapshot, name membership.Name) membership.Router {
+func row(w membership.Snapshot, name membership.Name) membership.RouterStatus {
 	for _, r := range w.Routers {
 		if r.Name == name {
 			return r
 		}
 	}
-	return membership.Router{}
+	return membership.RouterStatus{}
 }
 
 func (t trial) until(what string, ok func() bool) {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -29,7 +29,7 @@
 	h.links = &faultyLinks{link: link, index: s.Index, random: rand.New(rand.NewPCG(s.Seed, uint64(s.Index)))}
 	at := address(s.Network, s.Index)
 	cfg := fleet.Config{Fleet: fleetName, Name: routerName(s), Site: siteName(s), Listen: at, Advertise: at,
-		Join: addresses(s.Network, s.Join), Probe: s.Probe, Seats: s.Fleet, Seat: s.Index, Build: "scale", Links: h.links, Refused: refused}
+		Join: addresses(s.Network, s.Join), ProbeInterval: s.Probe, FleetSize: s.Fleet, Slot: s.Index, Build: "scale", FaultyLinks: h.links, ConfigError: refused}
 	if s.Topology == result.Tiered {
 		cfg.Tiered, cfg.Region, cfg.Remote = true, regionName(s), addresses(s.Network, s.Remote)
 	}
@@ -65,9 +65,9 @@
 // hollowRouter is what a place sees of its router: it takes clients, of which there are none.
 type hollowRouter struct{}
 
-func (hollowRouter) Standing() (takes, draining, empty bool)         { return true, false, true }
-func (hollowRouter) SetPart(_ float64, _ time.Time, _ float64) error { return nil }
-func (hollowRouter) KeepOut(string)                                  {}
+func (hollowRouter) FleetStatus() (takes, draining, empty bool)       { return true, false, true }
+func (hollowRouter) SetShare(_ float64, _ time.Time, _ float64) error { return nil }
+func (hollowRouter) SetOutOfService(string)                           {}
 
 // faultyLinks lose what the faults of the run say.
 type faultyLinks struct {
@@ -79,7 +79,7 @@
 	random *rand.Rand
 }
 
-func (l *faultyLinks) Lose(to string) bool {
+func (l *faultyLinks) DropsPacket(to string) bool {
 	link := l.link.Load()
 	if l.dead.Load() || l.cutFrom(to, link) {
 		return true
@@ -92,7 +92,9 @@
 	return l.random.Float64() < link.Loss
 }
 
-func (l *faultyLinks) Refuse(to string) bool { return l.dead.Load() || l.cutFrom(to, l.link.Load()) }
+func (l *faultyLinks) RejectsConnection(to string) bool {
+	return l.dead.Load() || l.cutFrom(to, l.link.Load())
+}
 
 func (l *faultyLinks) cutFrom(to string, link *linkState) bool {
 	if len(link.Cut) == 0 {
--- a/internal/lab/scale/protocol.go
+++ b/internal/lab/scale/protocol.go
@@ -26,12 +26,12 @@
 )
 
 type request struct {
-	Kind     requestKind   `json:"kind"`
-	Routers  []routerSpec  `json:"routers,omitempty"`
-	Router   int           `json:"router,omitempty"`
-	Revision uint64        `json:"revision,omitempty"`
-	Process  fleet.Process `json:"process,omitempty"`
-	Link     linkState     `json:"link,omitzero"`
+	Kind     requestKind       `json:"kind"`
+	Routers  []routerSpec      `json:"routers,omitempty"`
+	Router   int               `json:"router,omitempty"`
+	Revision uint64            `json:"revision,omitempty"`
+	Process  fleet.Incarnation `json:"process,omitempty"`
+	Link     linkState         `json:"link,omitzero"`
 }
 
 // routerSpec is how one hollow router is started.
@@ -59,14 +59,14 @@
 }
 
 type reply struct {
-	Error   string         `json:"error,omitempty"`
-	Process fleet.Process  `json:"process,omitempty"` // of the router that a change was made at
-	Known   int            `json:"known,omitempty"`
-	Routers int            `json:"routers"` // that run
-	Usage   *processUsage  `json:"usage,omitempty"`
-	Counts  []routerCounts `json:"counts,omitempty"`
-	Status  *status        `json:"status,omitempty"`
-	Roles   []int          `json:"roles,omitempty"` // routers that represent their sites
+	Error   string            `json:"error,omitempty"`
+	Process fleet.Incarnation `json:"process,omitempty"` // of the router that a change was made at
+	Known   int               `json:"known,omitempty"`
+	Routers int               `json:"routers"` // that run
+	Usage   *processUsage     `json:"usage,omitempty"`
+	Counts  []routerCounts    `json:"counts,omitempty"`
+	Status  *status           `json:"status,omitempty"`
+	Roles   []int             `json:"roles,omitempty"` // routers that represent their sites
 }
 
 // processUsage is what a worker used so far.
--- a/internal/lab/scale/rates.go
+++ b/internal/lab/scale/rates.go
@@ -38,7 +38,7 @@
 	used := result.Usage{CPU: max(0, cpu.Seconds()/span.Seconds()/each-t.out.Harness.CPU), Memory: max(0, float64(memory)/each-t.out.Harness.Memory)}
 	t.out.PerRouter, t.out.Worst = sum.usage(each, used), worst.usage(1, used)
 	t.out.Mechanisms = nil
-	for m := range fleet.Mechanisms {
+	for m := range fleet.TrafficKinds {
 		in, out := sum[m].received, sum[m].sent
 		if in.messages+out.messages > 0 {
 			t.out.Mechanisms = append(t.out.Mechanisms, result.Mechanism{Name: m.String(), Bytes: (in.bytes + out.bytes) / each,
@@ -64,7 +64,7 @@
 type rate struct{ bytes, messages float64 }
 
 // routerRate is a router's traffic by mechanism.
-type routerRate [fleet.Mechanisms]struct{ sent, received rate }
+type routerRate [fleet.TrafficKinds]struct{ sent, received rate }
 
 // rateSince is the traffic between two counts.
 func rateSince(was, now fleet.TrafficCounts, span time.Duration) (r routerRate) {
--- a/internal/lab/scale/trial.go
+++ b/internal/lab/scale/trial.go
@@ -386,7 +386,7 @@
 	return nil
 }
 
-func (t *trial) known(process fleet.Process) (known, running int, err error) {
+func (t *trial) known(process fleet.Incarnation) (known, running int, err error) {
 	replies, err := t.workers.askAllTheSame(request{Kind: requestKnown, Process: process, Revision: t.revision})
 	for _, r := range replies {
 		known, running = known+r.Known, running+r.Routers
--- a/internal/lab/scale/trial_test.go
+++ b/internal/lab/scale/trial_test.go
@@ -50,14 +50,14 @@
 	inside, outside := address(80, 0).String(), address(80, 2).String()
 
 	link.Store(&linkState{Cut: []int{0, 2}})
-	if w.Lose(inside) || w.Refuse(inside) || !w.Lose(outside) || !w.Refuse(outside) {
+	if w.DropsPacket(inside) || w.RejectsConnection(inside) || !w.DropsPacket(outside) || !w.RejectsConnection(outside) {
 		t.Error("a cut holds within the region, or does not hold beyond it")
 	}
 	link.Store(&linkState{Loss: 0.25})
 	lost := 0
 	const packets = 10000
 	for range packets {
-		if w.Lose(outside) {
+		if w.DropsPacket(outside) {
 			lost++
 		}
 	}
@@ -65,11 +65,11 @@
 		t.Errorf("%v of the packets are lost, and 0.25 were to be", share)
 	}
 	link.Store(&linkState{})
-	if w.Lose(outside) {
+	if w.DropsPacket(outside) {
 		t.Error("a packet is lost by a link that loses none")
 	}
 	w.dead.Store(true)
-	if !w.Lose(inside) || !w.Refuse(inside) {
+	if !w.DropsPacket(inside) || !w.RejectsConnection(inside) {
 		t.Error("a killed router speaks")
 	}
 }
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -129,7 +129,7 @@
 		if h.spec.Topology == result.Flat {
 			add("fleet", digest)
 		} else {
-			sites, regions := h.place.TierDigests()
+			sites, regions := h.place.HierarchyDigests()
 			add("fleet", regions)
 			add(fmt.Sprintf("region %d", h.spec.Region), sites)
 			add(fmt.Sprintf("site %d", h.spec.Site), digest)
@@ -144,7 +144,7 @@
 
 func (w *worker) representatives() (all []int) {
 	for i, h := range w.routers {
-		if h.place.Role().Site {
+		if h.place.HierarchyRole().Site {
 			all = append(all, i)
 		}
 	}
@@ -157,11 +157,11 @@
 	if h == nil {
 		return reply{}, fmt.Errorf("router %d does not run here", router)
 	}
-	h.place.Holds(revision)
-	return reply{Process: h.place.Me()}, nil
+	h.place.SetPolicyRevision(revision)
+	return reply{Process: h.place.Self()}, nil
 }
 
-func (w *worker) known(process fleet.Process, revision uint64) (n int) {
+func (w *worker) known(process fleet.Incarnation, revision uint64) (n int) {
 	for _, h := range w.routers {
 		newest := h.place.RevisionOf(process)
 		if h.spec.Topology == result.Tiered {
--- a/internal/lab/viewref/viewref.go
+++ b/internal/lab/viewref/viewref.go
@@ -155,7 +155,7 @@
 		if !w.does(s.By) {
 			continue
 		}
-		i, living := s.By, map[membership.Name]membership.Router{}
+		i, living := s.By, map[membership.Name]membership.RouterStatus{}
 		for _, row := range s.View.Routers {
 			if row.State <= membership.Suspect {
 				living[row.Name] = row
@@ -185,7 +185,7 @@
 			}
 		}
 		if s.At-w.since > b.Settle && !s.View.Settled && w.even() {
-			tell(s.At, "settles", fmt.Sprint(i), "%s is not settled %v after the last event; at odds with %v", r.Names[i], s.At-w.since, s.View.Disagree)
+			tell(s.At, "settles", fmt.Sprint(i), "%s is not settled %v after the last event; at odds with %v", r.Names[i], s.At-w.since, s.View.Disagreeing)
 		}
 	}
 	return broken
@@ -223,7 +223,7 @@
 	var rows []string
 	for _, r := range w.Routers {
 		if r.State <= membership.Suspect {
-			rows = append(rows, fmt.Sprint(r.Name, r.Site, r.Incarnation, r.Seat, r.Takes, r.Draining, r.Conflict, r.Revision))
+			rows = append(rows, fmt.Sprint(r.Name, r.Site, r.Incarnation, r.Slot, r.Accepting, r.Draining, r.NameConflict, r.PolicyRevision))
 		}
 	}
 	return strings.Join(rows, "\n")
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -134,29 +134,29 @@
 func placeOf(mine operator.File, cfg config.Config) (fleet.Config, error) {
 	f := mine.Fleet
 	c := fleet.Config{Fleet: f.Name, Name: f.Router, Site: f.Site, Tiered: f.Tiered, Region: f.Region, Remote: f.Remote, Join: f.Join, Dir: f.Dir,
-		Seats: cfg.Settings.Routers, Seat: cfg.Seat,
-		Build: revision(), Methods: settings.Methods(cfg.Settings), Refused: mine.Refused}
+		FleetSize: cfg.Settings.Routers, Slot: cfg.Seat,
+		Build: revision(), Methods: settings.Methods(cfg.Settings), ConfigError: mine.Refused}
 	c.Listen, c.Advertise = f.Addresses()
-	c.Probe, c.Forget = f.Spans()
+	c.ProbeInterval, c.ForgetAfter = f.Spans()
 	if c.Name == "" {
 		c.Name = cfg.Name
 	}
 	if c.Name == "" {
-		return c, c.Refused("fleet.router", "is empty, and so is name in the configuration", "give the router a name")
+		return c, c.ConfigError("fleet.router", "is empty, and so is name in the configuration", "give the router a name")
 	}
 	if c.Site == "" {
 		c.Site = cfg.Site
 	}
 	c.Sites = cfg.Sites
 	if len(cfg.Sites) > 0 && !slices.Contains(cfg.Sites, c.Site) {
-		return c, c.Refused("fleet.site", fmt.Sprintf("%q is none of the settings' zones", c.Site), fmt.Sprintf("write one of %q", cfg.Sites))
+		return c, c.ConfigError("fleet.site", fmt.Sprintf("%q is none of the settings' zones", c.Site), fmt.Sprintf("write one of %q", cfg.Sites))
 	}
 	if c.Tiered && c.Site == "" {
-		return c, c.Refused("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet is made of them")
+		return c, c.ConfigError("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet is made of them")
 	}
 	if c.Dir != "" {
 		if info, err := os.Stat(c.Dir); err == nil && !info.IsDir() {
-			return c, c.Refused("fleet.dir", c.Dir+" is no folder", "name a folder, one for each router")
+			return c, c.ConfigError("fleet.dir", c.Dir+" is no folder", "name a folder, one for each router")
 		}
 	}
 	return c, nil
@@ -289,7 +289,7 @@
 	}
 	leave := func() {}
 	if at.Fleet != "" {
-		at.Follows, at.Clear = r.Place(sharelease.Least(at.Seats))
+		at.HasPredecessor, at.NoSharesGranted = r.Place(sharelease.MinimumShare(at.FleetSize))
 		member, err := has.Fleet(at, r, log)
 		if err != nil {
 			return err
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -49,7 +49,7 @@
 
 // Standing tells whether the router takes clients, and if not, whether operators drain it or it ends, and whether nothing
 // of any client is in hand or can come in.
-func (r *Router) Standing() (takes, draining, empty bool) {
+func (r *Router) FleetStatus() (takes, draining, empty bool) {
 	f := r.ops.told.Load()
 	if f == nil {
 		return false, false, false
@@ -59,7 +59,7 @@
 
 // SetPart has the router keep to a part of what all may send together: now until a time (zero: for ever), then
 // afterwards. It is in force once it returns nil; with an error it may come into force later.
-func (r *Router) SetPart(now float64, until time.Time, then float64) (err error) {
+func (r *Router) SetShare(now float64, until time.Time, then float64) (err error) {
 	<-r.ready
 	least := 1 / float64(max(1, r.cfg.Settings.Routers)) // of a router that has lent nothing
 	busy := r.soon(func() {
@@ -84,7 +84,7 @@
 }
 
 // KeepOut has the router take no clients; an empty reason: it may again.
-func (r *Router) KeepOut(why string) {
+func (r *Router) SetOutOfService(why string) {
 	<-r.ready
 	r.execute(func() {
 		if r.place.out == why {
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -355,7 +355,7 @@
 		"../../controlplane/controlplane.go":    {fmt.Sprintf(`const most = %d\b`, mostAskings), fmt.Sprintf(`time\.After\(%d \* time\.Millisecond\)`, int(leaderRest*1e3))},
 		"../../gossip/delegate.go":              {fmt.Sprintf(`mostWords +=\s*%d\b`, mostWords), fmt.Sprintf(`mostAnswer +=\s*%d\b`, mostAnswers)},
 		"../../gossip/gossip.go":                {fmt.Sprintf(`HandoffQueueDepth = %d\b`, handoffQueue)},
-		"../../gossip/tiers.go":                 {fmt.Sprintf(`return min\(p\.cfg\.Probe/5, %d\*time\.Millisecond\)`, int(peersStep*1e3))},
+		"../../gossip/tiers.go":                 {fmt.Sprintf(`return min\(p\.cfg\.ProbeInterval/5, %d\*time\.Millisecond\)`, int(peersStep*1e3))},
 		"../../config/limits.go":                {fmt.Sprintf(`Watch: +%de6,`, int(watchWaitPush)), fmt.Sprintf(`l\.Watch, .* = %de6,`, int(watchWait))},
 		"../../../docs/operating.md":            {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
 		"../../../internal/controlplane/log.go": {`l\.decided\.Clone\(\)`},
@@ -367,7 +367,7 @@
 			}
 		}
 	}
-	if sharelease.DefaultRules().Ask != lendingAsk*microseconds {
+	if sharelease.DefaultTiming().RetryInterval != lendingAsk*microseconds {
 		t.Error("lending asks by another span")
 	}
 }
--- a/internal/scale/capacity/today.go
+++ b/internal/scale/capacity/today.go
@@ -86,7 +86,7 @@
 const nearDelay = 5 * time.Millisecond
 
 func today(t Target, slopes *LeaderSlopes) Today {
-	w, ask, lend := wireSizes(), policycommit.DefaultRules(), sharelease.DefaultRules()
+	w, ask, lend := wireSizes(), policycommit.DefaultRules(), sharelease.DefaultTiming()
 	others, patience := t.Routers-1, seconds(ask.Patience)
 	d := Today{RenewalBytes: w.Renewal, GrantBytes: w.Grant, AskEvery: seconds(ask.Ask), AskAgain: seconds(ask.Again), Lease: seconds(ask.Lease)}
 
@@ -115,7 +115,7 @@
 	d.LendingBurst = 2 * others
 	d.LendingBytes = others * w.PartsPair
 	d.LendingMean = t.RestartsPerSecond() * w.PartsPair
-	d.LendingDrain = 2 * others / (float64(lend.Ask) / microseconds)
+	d.LendingDrain = 2 * others / (float64(lend.RetryInterval) / microseconds)
 
 	d.WatchesPushed = t.Routers / watchWaitPush
 	d.WatchesRequest = t.Routers / watchWait
--- a/internal/scale/capacity/wire.go
+++ b/internal/scale/capacity/wire.go
@@ -37,8 +37,8 @@
 	renewal := policycommit.Renewal{Name: sampleName, Process: sampleProcess, At: sampleTime, Serves: true, Build: sampleBuild, Site: sampleSite,
 		Held: sampleCount, Index: sampleCount}
 	grant := policycommit.Lease{Process: sampleProcess, At: sampleTime, For: policycommit.DefaultRules().Lease, Index: sampleCount, Revision: sampleCount}
-	lending := sharelease.Message{Kind: sharelease.Recall, From: 10_000, To: 10_001, Lender: sampleProcess, Borrower: sampleProcess, At: sampleTime}
-	word := membership.Heartbeat{Process: sampleProcess, Seq: sampleCount, Takes: true, Revision: sampleCount, Digest: sampleProcess}
+	lending := sharelease.Message{Kind: sharelease.Revoke, From: 10_000, To: 10_001, Grantor: sampleProcess, Holder: sampleProcess, Stamp: sampleTime}
+	word := membership.Heartbeat{Incarnation: sampleProcess, Seq: sampleCount, Accepting: true, PolicyRevision: sampleCount, ViewDigest: sampleProcess}
 	member := map[policycommit.Name]policycommit.Member{sampleName: {Process: sampleProcess, Serves: true, Build: sampleBuild, Site: sampleSite}}
 	return wire{
 		Renewal:   encoded(renewal) + float64(talkFrame),
