--- a/cmd/cache-routerctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -62,15 +62,15 @@
 	fmt.Fprintln(t, "site\tstage\tkeys\tservers\trouters\tbears\tby\twhy\twaits for\t")
 	for _, x := range s.Sites.Sites {
 		source := "seen"
-		if x.Told {
+		if x.CapacityPlanned {
 			source = "told"
 		}
 		held := ""
-		if x.Held {
+		if x.Paused {
 			held = ", held"
 		}
-		fmt.Fprintf(t, "%s\t%s%s\t%.0f%%\t%.0f%%\t%d of %d\t%.0f/s (%s)\t%s\t%s\t%s\t\n", x.Name, x.Shows(), held, 100*x.Share, 100*x.There, x.Heard, x.Routers,
-			x.Bears, source, x.By, x.Reason, x.Waits)
+		fmt.Fprintf(t, "%s\t%s%s\t%.0f%%\t%.0f%%\t%d of %d\t%.0f/s (%s)\t%s\t%s\t%s\t\n", x.Name, x.DisplayStage(), held, 100*x.KeyShare, 100*x.Responding, x.ReportingRouters, x.Routers,
+			x.Capacity, source, x.DecidedBy, x.Reason, x.WaitingFor)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -80,12 +80,12 @@
 		asked += o.Rate
 	}
 	o := s.Sites.Orders
-	if o.Target == 0 {
+	if o.AdmissionTarget == 0 {
 		_, err := fmt.Fprintf(w, "asked %.0f/s; nothing is refused by plan\n", asked)
 		return err
 	}
 	_, err := fmt.Fprintf(w, "asked %.0f/s, let in %.0f/s (%s binds, at %.0f/s); given up of what is let in: %.0f/s\nrefused: all below worth %.3f of the highest, and %.0f%% of what has just that\n",
-		asked, o.Target, s.Sites.Binds, s.Sites.Bears, s.Sites.Lost, float64(o.Least)/1e6, 100*(1-o.Some))
+		asked, o.AdmissionTarget, s.Sites.LimitingSite, s.Sites.Capacity, s.Sites.FailedRate, float64(o.MinRank)/1e6, 100*(1-o.MinRankFraction))
 	return err
 }
 
@@ -144,25 +144,25 @@
 			known = known || string(x.Name) == name
 		}
 		if !known {
-			return fmt.Errorf("--lose: %q is no site of the plan, which has %q", name, plan.Names())
+			return fmt.Errorf("--lose: %q is no site of the plan, which has %q", name, plan.SiteNames())
 		}
 		lost = append(lost, sitefailover.Site(name))
 	}
 	if len(lost) >= len(plan.Sites) {
 		return errors.New("--lose: no site is left; leave one out")
 	}
-	bearing := make([]sitefailover.Bearing, len(plan.Sites))
+	bearing := make([]sitefailover.SiteCapacity, len(plan.Sites))
 	for i, x := range plan.Sites {
-		bearing[i] = sitefailover.Bearing{Name: x.Name, Bears: x.Bears, Prefer: x.Prefer}
+		bearing[i] = sitefailover.SiteCapacity{Site: x.Name, Capacity: x.Capacity, PreferredTargets: x.PreferredTargets}
 		for _, y := range siteRows(seen) {
-			if y.Name == x.Name && x.Bears == 0 {
-				bearing[i].Bears = y.Bears
+			if y.Name == x.Name && x.Capacity == 0 {
+				bearing[i].Capacity = y.Capacity
 			}
 		}
 		if seen != nil {
-			bearing[i].Bears *= max(1, seen.More)
+			bearing[i].Capacity *= max(1, seen.MeasuredCapacityRatio)
 		}
-		if bearing[i].Bears == 0 {
+		if bearing[i].Capacity == 0 {
 			return fmt.Errorf("sites.site: what %s bears is not told; write bears, or ask a router with --door", x.Name)
 		}
 	}
@@ -176,29 +176,29 @@
 	for _, t := range s.Tenants {
 		shares[string(t.Name)] = t.Share
 	}
-	asked := sitefailover.Spread(plan.Loads, worth, shares, s.OverShareWorth)
+	asked := sitefailover.DistributeLoads(plan.ExpectedLoads, worth, shares, s.OverShareWorth)
 	if seen != nil {
 		asked = measured(seen, s.Methods, worth)
 	}
 	if len(asked) == 0 {
 		return errors.New("sites.load: none is told; add a [[sites.load]] with method and rate for each method, or ask a router with --door")
 	}
-	o := sitefailover.Rehearse(bearing, asked, lost)
+	o := sitefailover.ForecastLoss(bearing, asked, lost)
 	verdict := "the rest bears it"
-	if o.Asked > o.Bears {
-		verdict = fmt.Sprintf("%.0f/s are refused", o.Asked-o.Bears)
+	if o.OfferedRate > o.Capacity {
+		verdict = fmt.Sprintf("%.0f/s are refused", o.OfferedRate-o.Capacity)
 	}
-	fmt.Fprintf(w, "without %s: asked %.0f/s, borne %.0f/s (%s binds): %s\n", strings.Join(lose, ", "), o.Asked, o.Bears, o.Binds, verdict)
+	fmt.Fprintf(w, "without %s: asked %.0f/s, borne %.0f/s (%s binds): %s\n", strings.Join(lose, ", "), o.OfferedRate, o.Capacity, o.LimitingSite, verdict)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, x := range []struct {
 		title string
-		rows  []sitefailover.Refused
-	}{{"method", o.Method}, {"tenant", o.Tenant}} {
+		rows  []sitefailover.ShedLoad
+	}{{"method", o.ByMethod}, {"tenant", o.ByTenant}} {
 		if len(x.rows) > 0 {
 			fmt.Fprintf(t, "%s\tasked\trefused\t\t\n", x.title)
 		}
 		for _, r := range x.rows {
-			fmt.Fprintf(t, "%s\t%.0f/s\t%.0f/s\t%.1f%%\t\n", r.Name, r.Asked, r.Refuse, 100*r.Part())
+			fmt.Fprintf(t, "%s\t%.0f/s\t%.0f/s\t%.1f%%\t\n", r.Name, r.OfferedRate, r.ShedRate, 100*r.ShedFraction())
 		}
 	}
 	return t.Flush()
@@ -212,7 +212,7 @@
 }
 
 // measured names what the routers count by rank: of methods of one worth they cannot tell, and they are named together.
-func measured(s *sitefailover.Status, methods []routing.MethodSettings, worth map[string]float64) (all []sitefailover.Asked) {
+func measured(s *sitefailover.Status, methods []routing.MethodSettings, worth map[string]float64) (all []sitefailover.RequestLoad) {
 	for _, o := range s.Offered {
 		var names []string
 		for _, m := range methods {
@@ -224,7 +224,7 @@
 		if name == "" {
 			name = fmt.Sprintf("over share or asked again, worth %.3f", float64(o.Rank)/1e6)
 		}
-		all = append(all, sitefailover.Asked{Method: name, Rank: o.Rank, Rate: o.Rate})
+		all = append(all, sitefailover.RequestLoad{Method: name, Rank: o.Rank, Rate: o.Rate})
 	}
 	return all
 }
--- a/cmd/cache-routerctl/fleetsite_test.go
+++ b/cmd/cache-routerctl/fleetsite_test.go
@@ -16,8 +16,8 @@
 		Methods: []routing.MethodSettings{{Name: "alert", Criticality: 5}, {Name: "status", Criticality: 3}, {Name: "report", Criticality: 1}}}
 	const sites = "schema = 1\n[[sites.site]]\nname = \"hill\"\nbears = 320.0\n[[sites.site]]\nname = \"coast\"\nbears = 320.0\n[[sites.site]]\nname = \"valley\"\n"
 	const loads = "[[sites.load]]\nmethod = \"status\"\nrate = 540.0\n[[sites.load]]\nmethod = \"alert\"\nrate = 135.0\n[[sites.load]]\nmethod = \"report\"\nrate = 225.0\n"
-	seen := &sitefailover.Status{Offered: []sitefailover.Offer{{Rank: 1000001, Rate: 100}, {Rank: 600001, Rate: 300}, {Rank: 594002, Rate: 50}, {Rank: 200001, Rate: 100}},
-		Sites: []sitefailover.SiteStatus{{Name: "valley", Bears: 200}}}
+	seen := &sitefailover.Status{Offered: []sitefailover.OfferedLoad{{Rank: 1000001, Rate: 100}, {Rank: 600001, Rate: 300}, {Rank: 594002, Rate: 50}, {Rank: 200001, Rate: 100}},
+		Sites: []sitefailover.SiteStatus{{Name: "valley", Capacity: 200}}}
 	for _, x := range []struct {
 		doc  string
 		seen *sitefailover.Status
--- a/cmd/cache-routerctl/fleettiers.go
+++ b/cmd/cache-routerctl/fleettiers.go
@@ -42,26 +42,26 @@
 	if s.Settled {
 		settled = "settled"
 	}
-	fmt.Fprintf(out, "\nsite %s of region %s, %s; tiers %s, newest policy %d\n", s.Site, s.Region, role, settled, s.Newest)
+	fmt.Fprintf(out, "\nsite %s of region %s, %s; tiers %s, newest policy %d\n", s.Site, s.Region, role, settled, s.NewestRevision)
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "summary\tstate\tsites\talive\tclients\tpolicy\theard")
 	for _, x := range []struct {
 		kind   string
-		groups []hierarchy.Group
+		groups []hierarchy.GroupStatus
 	}{{"site", s.Sites}, {"region", s.Regions}} {
 		for _, g := range x.groups {
-			fmt.Fprintf(t, "%s %s\t%v\t%s\t%d of %d\t%d\t%d-%d\t%s ago\n", x.kind, g.Name, g.State, sitesOf(g), g.Alive, g.Of, g.Takes, g.Least, g.Most,
+			fmt.Fprintf(t, "%s %s\t%v\t%s\t%d of %d\t%d\t%d-%d\t%s ago\n", x.kind, g.Name, g.State, sitesOf(g), g.Alive, g.Total, g.Accepting, g.MinRevision, g.MaxRevision,
 				spanOf(clock.Time(g.Age)))
 		}
 	}
 	return t.Flush()
 }
 
-func sitesOf(g hierarchy.Group) string {
-	if g.Sites == 0 {
+func sitesOf(g hierarchy.GroupStatus) string {
+	if g.SiteCount == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d of %d", g.Sites-g.SitesLost, g.Sites)
+	return fmt.Sprintf("%d of %d", g.SiteCount-g.LostSites, g.SiteCount)
 }
 
 // tierChanges are the lines of what is shown of sites and regions otherwise than before.
@@ -79,14 +79,14 @@
 	return lines
 }
 
-func groupChanges(kind string, was, now []hierarchy.Group) (lines []string) {
-	before := map[string]hierarchy.Group{}
+func groupChanges(kind string, was, now []hierarchy.GroupStatus) (lines []string) {
+	before := map[string]hierarchy.GroupStatus{}
 	for _, g := range was {
 		before[g.Name] = g
 	}
 	for _, g := range now {
-		if b, known := before[g.Name]; !known || b.State != g.State || b.Counts != g.Counts || b.SitesLost != g.SitesLost {
-			lines = append(lines, fmt.Sprintf("%s %s: %v, %d of %d alive, %d take clients", kind, g.Name, g.State, g.Alive, g.Of, g.Takes))
+		if b, known := before[g.Name]; !known || b.State != g.State || b.Counts != g.Counts || b.LostSites != g.LostSites {
+			lines = append(lines, fmt.Sprintf("%s %s: %v, %d of %d alive, %d take clients", kind, g.Name, g.State, g.Alive, g.Total, g.Accepting))
 		}
 	}
 	return lines
--- a/cmd/cache-routerctl/fleettiers_test.go
+++ b/cmd/cache-routerctl/fleettiers_test.go
@@ -14,8 +14,8 @@
 	at := func(region, site, digest string) answer {
 		return answer{Door: "d", View: &membership.Snapshot{By: membership.Name(site), Settled: true, Digest: digest},
 			Tiers: &hierarchy.Status{Region: region, Site: site, RepresentsSite: true, Settled: true, SitesDigest: region, RegionsDigest: "1",
-				Sites:   []hierarchy.Group{{Name: site, Counts: hierarchy.Counts{Alive: 17, Takes: 16, Of: 18}}},
-				Regions: []hierarchy.Group{{Name: "south", State: hierarchy.Lost, Sites: 19, SitesLost: 2, Counts: hierarchy.Counts{Alive: 300, Takes: 299, Of: 342}}}}}
+				Sites:   []hierarchy.GroupStatus{{Name: site, Counts: hierarchy.Counts{Alive: 17, Accepting: 16, Total: 18}}},
+				Regions: []hierarchy.GroupStatus{{Name: "south", State: hierarchy.Lost, SiteCount: 19, LostSites: 2, Counts: hierarchy.Counts{Alive: 300, Accepting: 299, Total: 342}}}}}
 	}
 	hill, coast, plain := at("north", "hill", "a"), at("north", "coast", "b"), at("south", "plain", "c")
 	if err := fleetVerdict([]answer{hill, coast, plain}); err != nil {
--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -97,16 +97,16 @@
 	here, there := w.sites[0].nodes[3], w.sites[1].nodes[3]
 	both := func(s State) func() bool {
 		return func() bool {
-			return stateOf(here, Regions, there.site.region) == s && stateOf(there, Regions, cut) == s
+			return stateOf(here, RegionTier, there.site.region) == s && stateOf(there, RegionTier, cut) == s
 		}
 	}
-	t.Logf("stale after %.0f s", float64(w.until("stale", w.rules.Stale+40*clock.Second, both(Stale)))/1e6)
-	w.until("lost", w.rules.Lost, both(Lost))
+	t.Logf("stale after %.0f s", float64(w.until("stale", w.rules.StaleAfter+40*clock.Second, both(Stale)))/1e6)
+	w.until("lost", w.rules.LostAfter, both(Lost))
 	w.run(3600 * clock.Second)
-	if s := here.h.tables[Regions].entries[keyOf(there.site.region)]; s == nil || s.Counts.Alive != 8 {
+	if s := here.h.tables[RegionTier].entries[keyOf(there.site.region)]; s == nil || s.Counts.Alive != 8 {
 		t.Errorf("the last counts of the other region are not kept: %+v", s)
 	}
-	if s := stateOf(here, Sites, w.sites[3].name); s != Fresh {
+	if s := stateOf(here, SiteTier, w.sites[3].name); s != Fresh {
 		t.Errorf("a site of the own region is %v", s)
 	}
 	w.falselyLost = 0
@@ -124,12 +124,12 @@
 	w.until("settled", 20*clock.Second, w.settled)
 	gone, other := w.sites[0], w.sites[1].nodes[2]
 	w.killWhere(gone, func(*node) bool { return true })
-	took := w.until("counted without the site", w.rules.Lost+40*clock.Second, func() bool {
-		e := other.h.tables[Regions].entries[keyOf(gone.region)]
-		return e.Counts.Alive == 8 && e.Gone == 1
+	took := w.until("counted without the site", w.rules.LostAfter+40*clock.Second, func() bool {
+		e := other.h.tables[RegionTier].entries[keyOf(gone.region)]
+		return e.Counts.Alive == 8 && e.LostSites == 1
 	})
 	t.Logf("no longer counted after %.0f s", float64(took)/1e6)
-	if took < w.rules.Stale {
+	if took < w.rules.StaleAfter {
 		t.Errorf("given up after %.0f s", float64(took)/1e6)
 	}
 	for _, n := range gone.nodes {
@@ -145,7 +145,7 @@
 	w.startAll(clock.Second)
 	w.until("settled", 20*clock.Second, w.settled)
 	for _, n := range w.living(func(n *node) bool {
-		return n.site == w.sites[0] && n.h.Role().Rank < w.rules.Representatives+w.rules.Standbys
+		return n.site == w.sites[0] && n.h.Role().Rank < w.rules.RepresentativesPerSite+w.rules.StandbysPerSite
 	}) {
 		w.kill(n)
 	}
@@ -164,7 +164,7 @@
 	w.startAll(clock.Second)
 	w.run(60 * clock.Second)
 	w.cut = func(_, _ *node) bool { return false }
-	took := w.until("one", w.rules.CallCalm+20*clock.Second, w.agreed)
+	took := w.until("one", w.rules.IdleReconnectInterval+20*clock.Second, w.agreed)
 	t.Logf("one after %.1f s", float64(took)/1e6)
 }
 
@@ -175,15 +175,15 @@
 	w.run(5 * clock.Second)
 	n, other := w.nodes[0], w.nodes[4]
 	for i := range uint64(100000) {
-		e := &entry{Summary: Summary{Name: hex(i), Version: 1 << 40}, Beat: Beat{Count: n.h.wall()}}
-		n.h.Take(w.now, append(other.h.header(kindNews), appendRecord(nil, Tier(i%2), e)...))
-		n.h.Take(w.now, other.h.hello(withinArea, ids{}))
+		e := &entry{Summary: Summary{Name: hex(i), Version: 1 << 40}, Heartbeat: Heartbeat{Sequence: n.h.wall()}}
+		n.h.Receive(w.now, append(other.h.header(kindNews), appendRecord(nil, Tier(i%2), e)...))
+		n.h.Receive(w.now, other.h.hello(withinArea, ids{}))
 	}
-	if s, r := len(n.h.tables[Sites].entries), len(n.h.tables[Regions].entries); s > maxSites || r > maxRegions {
+	if s, r := len(n.h.tables[SiteTier].entries), len(n.h.tables[RegionTier].entries); s > maxSites || r > maxRegions {
 		t.Errorf("%d sites and %d regions are held", s, r)
 	}
 	sent := 0
-	for _, d := range n.h.Step(w.now, w.local(n)) {
+	for _, d := range n.h.Tick(w.now, w.local(n)) {
 		sent += len(d.Body)
 	}
 	t.Logf("%d bytes in the step after a flood", sent)
@@ -200,16 +200,16 @@
 	n := w.nodes[0]
 	before, _ := n.h.Digests()
 	stranger := New(w.now, w.rules, Config{Fleet: "other", Region: n.site.region, Site: "x", Addr: w.nodes[1].addr})
-	record := appendRecord(nil, Sites, &entry{Summary: Summary{Name: "x", Version: 1 << 60}, Beat: Beat{Count: n.h.wall()}})
-	n.h.Take(w.now, append(stranger.header(kindNews), record...))
+	record := appendRecord(nil, SiteTier, &entry{Summary: Summary{Name: "x", Version: 1 << 60}, Heartbeat: Heartbeat{Sequence: n.h.wall()}})
+	n.h.Receive(w.now, append(stranger.header(kindNews), record...))
 	whole := append(w.nodes[1].h.header(kindNews), record...)
 	for cut := range whole {
-		n.h.Take(w.now, whole[:cut])
+		n.h.Receive(w.now, whole[:cut])
 	}
 	if after, _ := n.h.Digests(); after != before {
 		t.Error("another fleet's datagram, or a part of one, was taken")
 	}
-	n.h.Take(w.now, whole)
+	n.h.Receive(w.now, whole)
 	if after, _ := n.h.Digests(); after == before {
 		t.Error("the whole datagram was not taken")
 	}
@@ -220,9 +220,9 @@
 	w.startAll(clock.Second)
 	w.run(10 * clock.Second)
 	h := w.nodes[0].h
-	h.tables[Sites].entries[keyOf(w.sites[0].name)].Most = 9
-	for _, body := range [][]byte{h.header(kindPing), h.hello(withinArea, h.everything()), h.digests(Sites)[0], h.want(Regions, []key{1, 2}),
-		h.packed(kindNews, h.records(Sites, h.everything()[Sites]))[0], h.packed(kindRepair, h.records(Regions, h.everything()[Regions]))[0]} {
+	h.tables[SiteTier].entries[keyOf(w.sites[0].name)].MaxRevision = 9
+	for _, body := range [][]byte{h.header(kindPing), h.hello(withinArea, h.everything()), h.digests(SiteTier)[0], h.want(RegionTier, []key{1, 2}),
+		h.packed(kindNews, h.records(SiteTier, h.everything()[SiteTier]))[0], h.packed(kindRepair, h.records(RegionTier, h.everything()[RegionTier]))[0]} {
 		f.Add(body)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -230,30 +230,30 @@
 		if err != nil {
 			return
 		}
-		if n := len(m.beats[Sites]) + len(m.beats[Regions]) + len(m.versions) + len(m.records); n > MaxDatagram {
+		if n := len(m.beats[SiteTier]) + len(m.beats[RegionTier]) + len(m.versions) + len(m.records); n > MaxDatagramSize {
 			t.Errorf("%d entries of %d bytes", n, len(body))
 		}
 		for _, r := range m.records {
-			again := &reader{b: appendRecord(nil, r.tier, &entry{Summary: r.Summary, Beat: r.Beat})}
-			if got := again.record(); again.bad || !same(got.Summary, r.Summary) || got.Version != r.Version || got.Beat != r.Beat {
+			again := &reader{b: appendRecord(nil, r.tier, &entry{Summary: r.Summary, Heartbeat: r.Heartbeat})}
+			if got := again.record(); again.bad || !same(got.Summary, r.Summary) || got.Version != r.Version || got.Heartbeat != r.Heartbeat {
 				t.Errorf("%+v became %+v", r, got)
 			}
 		}
-		h.Take(w.now, body)
+		h.Receive(w.now, body)
 	})
 }
 
 // The checker sees what is not as it should be.
 func TestCheckerSees(t *testing.T) {
 	for what, x := range map[string]struct {
-		change func(*Rules)
+		change func(*Parameters)
 		seen   func(*world) bool
 	}{
-		"a site given up too soon":      {func(r *Rules) { r.Lost = clock.Second }, func(w *world) bool { return w.falselyLost > 0 }},
-		"too many representatives":      {func(r *Rules) { r.Silence = clock.Second / 10 }, func(w *world) bool { return w.longestOver > 5*clock.Second }},
-		"no representative":             {func(r *Rules) { r.Listen = 3600 * clock.Second }, func(w *world) bool { return len(w.living(represents)) == 0 }},
-		"nobody tells what has changed": {func(r *Rules) { r.Fanout, r.Partners = 0, 0 }, func(w *world) bool { return !w.agreed() }},
-		"a change that is not known":    {func(r *Rules) { r.Fanout, r.Partners = 0, 0 }, func(w *world) bool { return !w.known(1) }},
+		"a site given up too soon":      {func(r *Parameters) { r.LostAfter = clock.Second }, func(w *world) bool { return w.falselyLost > 0 }},
+		"too many representatives":      {func(r *Parameters) { r.SilenceTimeout = clock.Second / 10 }, func(w *world) bool { return w.longestOver > 5*clock.Second }},
+		"no representative":             {func(r *Parameters) { r.SiteRoleDelay = 3600 * clock.Second }, func(w *world) bool { return len(w.living(represents)) == 0 }},
+		"nobody tells what has changed": {func(r *Parameters) { r.PushFanout, r.ExchangePartners = 0, 0 }, func(w *world) bool { return !w.agreed() }},
+		"a change that is not known":    {func(r *Parameters) { r.PushFanout, r.ExchangePartners = 0, 0 }, func(w *world) bool { return !w.known(1) }},
 	} {
 		w := newWorld(t, 8, 5, 2, 6)
 		x.change(&w.rules)
--- a/core/hierarchy/golden_test.go
+++ b/core/hierarchy/golden_test.go
@@ -50,10 +50,10 @@
 		for index := range 2 {
 			address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(site), byte(index + 1)}), 7946)
 			router := &goldenRouter{address: address, site: site}
-			router.hierarchy = New(0, DefaultRules(), Config{Fleet: "harvest", Region: fmt.Sprintf("region%d", site%2), Site: fmt.Sprintf("site%d", site),
-				Name: fmt.Sprintf("site%d-%d", site, index), Addr: address, Wall: 1_800_000_000, Seed: uint64(10*site + index),
-				Remote: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:7946"), netip.MustParseAddrPort("10.0.1.1:7946")}})
-			sites[site] = append(sites[site], Member{Name: fmt.Sprintf("site%d-%d", site, index), Addr: address, Started: int64(index)})
+			router.hierarchy = New(0, DefaultParameters(), Config{Fleet: "harvest", Region: fmt.Sprintf("region%d", site%2), Site: fmt.Sprintf("site%d", site),
+				Name: fmt.Sprintf("site%d-%d", site, index), Addr: address, WallClockSeconds: 1_800_000_000, RandomSeed: uint64(10*site + index),
+				SeedAddrs: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:7946"), netip.MustParseAddrPort("10.0.1.1:7946")}})
+			sites[site] = append(sites[site], Member{Name: fmt.Sprintf("site%d-%d", site, index), Addr: address, StartedAt: int64(index)})
 			routers = append(routers, router)
 		}
 	}
@@ -65,9 +65,9 @@
 		now = 200_000 * clock.Time(step+1)
 		var flights []Datagram
 		for _, router := range routers {
-			local := Local{Members: append([]Member(nil), sites[router.site]...), Counts: Counts{Alive: 2, Takes: 1, Of: 3}, Digest: 77 + uint64(router.site),
-				Least: 3, Most: 3 + uint64(step/20*(router.site%2))}
-			flights = append(flights, router.hierarchy.Step(now, local)...)
+			local := LocalSite{Members: append([]Member(nil), sites[router.site]...), Counts: Counts{Alive: 2, Accepting: 1, Total: 3}, Digest: 77 + uint64(router.site),
+				MinRevision: 3, MaxRevision: 3 + uint64(step/20*(router.site%2))}
+			flights = append(flights, router.hierarchy.Tick(now, local)...)
 		}
 		for _, datagram := range flights {
 			kind := datagram.Body[0]
@@ -80,7 +80,7 @@
 			}
 			for _, router := range routers {
 				if router.address == datagram.To {
-					router.hierarchy.Take(now, datagram.Body)
+					router.hierarchy.Receive(now, datagram.Body)
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		role := router.hierarchy.Role()
-		fmt.Fprintf(&golden, "%s {Rank:%d Site:%v Region:%v} %v\n", text, role.Rank, role.Site, role.Region, router.hierarchy.Known())
+		fmt.Fprintf(&golden, "%s {Rank:%d Site:%v Region:%v} %v\n", text, role.Rank, role.RepresentsSite, role.RepresentsRegion, router.hierarchy.KnownRepresentatives())
 	}
 	return golden.Bytes()
 }
--- a/core/hierarchy/hierarchy_test.go
+++ b/core/hierarchy/hierarchy_test.go
@@ -37,7 +37,7 @@
 	if w.falselyLost > 0 {
 		w.t.Errorf("%d times in %d one with living routers counted as lost", w.falselyLost, w.judged)
 	}
-	if w.longestFlight > MaxDatagram {
+	if w.longestFlight > MaxDatagramSize {
 		w.t.Errorf("a datagram of %d bytes", w.longestFlight)
 	}
 }
@@ -108,7 +108,7 @@
 	w.run(20 * clock.Second)
 	t.Logf("settled after %.1f s", float64(took)/1e6)
 	t.Logf("the oldest sign of life is %.1f s old", float64(w.oldest())/1e6)
-	if w.oldest() > w.rules.Stale {
+	if w.oldest() > w.rules.StaleAfter {
 		t.Error("a summary is stale at rest")
 	}
 	if most := w.rates(20 * clock.Second); most > 1500 {
--- a/core/hierarchy/role.go
+++ b/core/hierarchy/role.go
@@ -9,9 +9,9 @@
 // Role is what a router does beyond its site. Nobody votes for it: each router follows the same rule over the membership of
 // its site, and two that follow it from different views for a moment do no harm, since summaries carry versions.
 type Role struct {
-	Rank   int  // among the living of the site, by age; -1: not known
-	Site   bool // it represents its site
-	Region bool // and its region
+	Rank             int  // among the living of the site, by age; -1: not known
+	RepresentsSite   bool // it represents its site
+	RepresentsRegion bool // and its region
 }
 
 // Role is what this router does now.
@@ -24,20 +24,20 @@
 	h.role = Role{Rank: -1}
 	defer func() { h.begin(before) }()
 	rank, there := h.ranks[h.cfg.Addr]
-	if !there || h.now-h.start < h.rules.Listen {
+	if !there || h.now-h.start < h.rules.SiteRoleDelay {
 		return
 	}
 	h.role.Rank = rank
-	h.role.Site = h.represents(rank)
-	h.role.Region = h.role.Site && h.now-h.start >= h.rules.ListenArea && h.inFront()
+	h.role.RepresentsSite = h.represents(rank)
+	h.role.RepresentsRegion = h.role.RepresentsSite && h.now-h.start >= h.rules.RegionRoleDelay && h.inFront()
 }
 
 // begin has a router that has a new role tell what it knows at once.
 func (h *Hierarchy) begin(before Role) {
-	if h.role.Site && !before.Site {
+	if h.role.RepresentsSite && !before.RepresentsSite {
 		h.spread.begin(withinArea)
 	}
-	if h.role.Region && !before.Region {
+	if h.role.RepresentsRegion && !before.RepresentsRegion {
 		h.spread.begin(between)
 	}
 }
@@ -47,7 +47,7 @@
 func (h *Hierarchy) rank() {
 	clear(h.ranks)
 	slices.SortFunc(h.local.Members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Name, b.Name))
 	})
 	for i, m := range h.local.Members {
 		h.ranks[m.Addr] = i
@@ -65,7 +65,7 @@
 // represents tells whether a router of this rank represents the site. One of the first ranks does always; a standby does
 // while too few of those before it were heard lately: the membership needs some seconds to find a dead router.
 func (h *Hierarchy) represents(rank int) bool {
-	if rank < h.rules.Representatives {
+	if rank < h.rules.RepresentativesPerSite {
 		return true
 	}
 	if rank >= h.candidates() {
@@ -77,17 +77,19 @@
 			awake++
 		}
 	}
-	return awake < h.rules.Representatives
+	return awake < h.rules.RepresentativesPerSite
 }
 
-func (h *Hierarchy) candidates() int { return h.rules.Representatives + h.rules.Standbys }
+func (h *Hierarchy) candidates() int { return h.rules.RepresentativesPerSite + h.rules.StandbysPerSite }
 
-func (h *Hierarchy) awake(addr netip.AddrPort) bool { return h.now-h.silent[addr] <= h.rules.Silence }
+func (h *Hierarchy) awake(addr netip.AddrPort) bool {
+	return h.now-h.silent[addr] <= h.rules.SilenceTimeout
+}
 
 // representatives are those of the own site, as far as this router knows: the first that are awake.
 func (h *Hierarchy) representatives() (all []netip.AddrPort) {
 	for i, m := range h.local.Members {
-		if i >= h.candidates() || len(all) == h.rules.Representatives {
+		if i >= h.candidates() || len(all) == h.rules.RepresentativesPerSite {
 			break
 		}
 		if m.Addr == h.cfg.Addr || h.awake(m.Addr) {
@@ -99,8 +101,8 @@
 
 // front are the sites of the region whose representatives speak for it: the first by name that show signs of life.
 func (h *Hierarchy) front() (all []*entry) {
-	for _, e := range h.tables[Sites].byName() {
-		if len(all) < h.rules.SitesInFront && h.now-e.heard <= h.rules.Stale {
+	for _, e := range h.tables[SiteTier].byName() {
+		if len(all) < h.rules.RepresentingSites && h.now-e.heard <= h.rules.StaleAfter {
 			all = append(all, e)
 		}
 	}
--- a/core/hierarchy/sim_test.go
+++ b/core/hierarchy/sim_test.go
@@ -53,7 +53,7 @@
 type world struct {
 	t      testing.TB
 	rng    *rand.Rand
-	rules  Rules
+	rules  Parameters
 	now    clock.Time
 	sites  []*site
 	nodes  []*node
@@ -75,7 +75,7 @@
 
 // newWorld makes a fleet of dead routers. The regions have about equally many sites.
 func newWorld(t testing.TB, seed uint64, sites, regions, perSite int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), rules: DefaultRules(), byAddr: map[netip.AddrPort]*node{}, delay: 20e3,
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), rules: DefaultParameters(), byAddr: map[netip.AddrPort]*node{}, delay: 20e3,
 		cut: func(_, _ *node) bool { return false }, least: 4e6, most: 7e6}
 	for i := range sites {
 		s := &site{name: fmt.Sprintf("site%03d", i), region: fmt.Sprintf("region%02d", i%regions)}
@@ -98,8 +98,8 @@
 func (w *world) start(n *node) {
 	n.life++
 	n.since, n.started = w.now, w.now
-	n.h = New(w.now, w.rules, Config{Fleet: "harvest", Region: n.site.region, Site: n.site.name, Name: n.name, Addr: n.addr, Remote: n.remote,
-		Wall: uint32(1.8e9 + float64(w.now+n.skew)/1e6), Seed: w.rng.Uint64()})
+	n.h = New(w.now, w.rules, Config{Fleet: "harvest", Region: n.site.region, Site: n.site.name, Name: n.name, Addr: n.addr, SeedAddrs: n.remote,
+		WallClockSeconds: uint32(1.8e9 + float64(w.now+n.skew)/1e6), RandomSeed: w.rng.Uint64()})
 }
 
 func (w *world) kill(n *node) { n.h, n.since = nil, w.now }
@@ -132,13 +132,13 @@
 	for _, f := range *slot {
 		if f.to.h != nil {
 			f.to.in += len(f.body) + overhead
-			f.to.h.Take(w.now, f.body)
+			f.to.h.Receive(w.now, f.body)
 		}
 	}
 	*slot = (*slot)[:0]
 	for _, n := range w.nodes {
 		if n.h != nil && w.now%stepEvery == n.phase {
-			w.send(n, n.h.Step(w.now, w.local(n)))
+			w.send(n, n.h.Tick(w.now, w.local(n)))
 		}
 	}
 	if w.now%stepEvery == 0 {
@@ -178,22 +178,22 @@
 
 // local is what a router's membership tells of its site: deaths are found late, and joins a little late, by each router at
 // another time.
-func (w *world) local(n *node) (l Local) {
-	l.Counts.Of = uint32(len(n.site.nodes))
-	l.Least = ^uint64(0)
+func (w *world) local(n *node) (l LocalSite) {
+	l.Counts.Total = uint32(len(n.site.nodes))
+	l.MinRevision = ^uint64(0)
 	for _, m := range n.site.nodes {
 		if !w.sees(n, m) {
 			continue
 		}
 		l.Members = append(l.Members, Member{m.name, m.addr, int64(m.started + m.skew)})
 		l.Counts.Alive++
-		l.Counts.Takes++
+		l.Counts.Accepting++
 		l.Digest = mix(mix(l.Digest, uint64(m.index)), m.life)
 		r := m.most
 		if n != m && w.now-m.held < 500e3 { // until the site's gossip has told it
 			r = m.before
 		}
-		l.Least, l.Most = min(l.Least, r), max(l.Most, r)
+		l.MinRevision, l.MaxRevision = min(l.MinRevision, r), max(l.MaxRevision, r)
 	}
 	return l
 }
@@ -220,14 +220,14 @@
 			if n.h == nil {
 				continue
 			}
-			if w.now-n.since > w.rules.Listen+clock.Second {
+			if w.now-n.since > w.rules.SiteRoleDelay+clock.Second {
 				living++
 			}
-			if n.h.Role().Site {
+			if n.h.Role().RepresentsSite {
 				representatives++
 			}
 		}
-		w.longestOver = max(w.longestOver, w.lasts(&s.over, representatives > w.rules.Representatives))
+		w.longestOver = max(w.longestOver, w.lasts(&s.over, representatives > w.rules.RepresentativesPerSite))
 		w.longestNone = max(w.longestNone, w.lasts(&s.none, representatives == 0 && living > 0))
 	}
 }
@@ -315,7 +315,7 @@
 		return "no router lives"
 	}
 	for region, n := range alive {
-		e := first.h.tables[Regions].entries[keyOf(region)]
+		e := first.h.tables[RegionTier].entries[keyOf(region)]
 		if e == nil || e.Counts.Alive != n {
 			return fmt.Sprintf("%s does not know of %d alive in %s: %+v", first.name, n, region, e)
 		}
@@ -346,16 +346,16 @@
 // hold has a router hold a revision.
 func (w *world) hold(n *node, revision uint64) { n.before, n.most, n.held = n.most, revision, w.now }
 
-func ordinary(n *node) bool { return !n.h.Role().Site && n.h.Role().Rank >= 0 }
+func ordinary(n *node) bool { return !n.h.Role().RepresentsSite && n.h.Role().Rank >= 0 }
 
-func represents(n *node) bool { return n.h.Role().Site }
+func represents(n *node) bool { return n.h.Role().RepresentsSite }
 
 func (w *world) pick(all []*node) *node { return all[w.rng.IntN(len(all))] }
 
 // known tells whether all living routers that have been there for a while know of a revision.
 func (w *world) known(revision uint64) bool {
 	for _, n := range w.nodes {
-		if n.h != nil && w.now-n.since > 5*clock.Second && n.h.Newest() < revision {
+		if n.h != nil && w.now-n.since > 5*clock.Second && n.h.NewestRevision() < revision {
 			return false
 		}
 	}
@@ -390,9 +390,9 @@
 	return most
 }
 
-func forSite(n *node) bool { return n.h.Role().Site && !n.h.Role().Region }
+func forSite(n *node) bool { return n.h.Role().RepresentsSite && !n.h.Role().RepresentsRegion }
 
-func forRegion(n *node) bool { return n.h.Role().Region }
+func forRegion(n *node) bool { return n.h.Role().RepresentsRegion }
 
 // mix is what a router sends a second of each kind, on average.
 func (w *world) mix(span clock.Time) (all []int) {
--- a/core/hierarchy/spread.go
+++ b/core/hierarchy/spread.go
@@ -22,9 +22,9 @@
 // tiersOn are the tables that are exchanged on a link.
 func tiersOn(l link) []Tier {
 	if l == between {
-		return []Tier{Regions}
+		return []Tier{RegionTier}
 	}
-	return []Tier{Sites, Regions}
+	return []Tier{SiteTier, RegionTier}
 }
 
 const (
@@ -46,7 +46,7 @@
 	x[t][k] = true
 }
 
-func (x *ids) empty() bool { return len(x[Sites]) == 0 && len(x[Regions]) == 0 }
+func (x *ids) empty() bool { return len(x[SiteTier]) == 0 && len(x[RegionTier]) == 0 }
 
 // spread is the state of telling others.
 type spread struct {
@@ -83,7 +83,7 @@
 
 // active tells whether this router uses a link.
 func (h *Hierarchy) active(l link) bool {
-	return l == withinSite || l == withinArea && h.role.Site || l == between && h.role.Region
+	return l == withinSite || l == withinArea && h.role.RepresentsSite || l == between && h.role.RepresentsRegion
 }
 
 // partners draws up to n routers at the other end of a link.
@@ -97,9 +97,9 @@
 		h.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		return all[:min(n, len(all))]
 	}
-	tier, own := Sites, h.cfg.Site
+	tier, own := SiteTier, h.cfg.Site
 	if l == between {
-		tier, own = Regions, h.cfg.Region
+		tier, own = RegionTier, h.cfg.Region
 	}
 	others, begin := h.shuffled(tier), h.random.IntN(maxRepresentatives)
 	for turn := range maxRepresentatives { // a clock.Second of the same only where there are fewer than n others
@@ -107,7 +107,7 @@
 			if len(all) == n {
 				return all
 			}
-			if e.Name != own && turn < len(e.Representatives) && h.now-e.heard <= h.rules.Lost {
+			if e.Name != own && turn < len(e.Representatives) && h.now-e.heard <= h.rules.LostAfter {
 				all = append(all, e.Representatives[(begin+turn)%len(e.Representatives)])
 			}
 		}
@@ -124,16 +124,16 @@
 // push tells some partners on each link what is news, at once.
 func (h *Hierarchy) push() {
 	s := &h.spread
-	if s.summaries.empty() && !s.urgent || h.now-s.pushed < h.rules.Push {
+	if s.summaries.empty() && !s.urgent || h.now-s.pushed < h.rules.PushInterval {
 		return
 	}
 	for l := range links {
 		if !h.active(l) {
 			continue
 		}
-		to := h.partners(l, h.rules.Fanout)
+		to := h.partners(l, h.rules.PushFanout)
 		if l == withinSite {
-			to = h.ring(h.rules.Fanout)
+			to = h.ring(h.rules.PushFanout)
 		}
 		h.sendAll(to, h.newsOn(l))
 	}
@@ -203,7 +203,7 @@
 		}
 		s.exchanged[l] = h.now
 		s.turns[l]++
-		for i, to := range h.partners(l, h.rules.Partners) {
+		for i, to := range h.partners(l, h.rules.ExchangePartners) {
 			which := s.beats[l]
 			if i == 0 && s.turns[l]%everyBeat == 0 {
 				which = h.everything()
@@ -215,15 +215,15 @@
 }
 
 func (h *Hierarchy) exchangeEvery() clock.Time {
-	if h.now-h.start < h.rules.CallFirst {
-		return h.rules.Exchange / 2
+	if h.now-h.start < h.rules.StartupPeriod {
+		return h.rules.ExchangeInterval / 2
 	}
-	return h.rules.Exchange
+	return h.rules.ExchangeInterval
 }
 
 // ping tells the standbys and the other representatives of the site that this one is awake.
 func (h *Hierarchy) ping() {
-	if !h.role.Site || h.now-h.spread.pinged < h.rules.Ping {
+	if !h.role.RepresentsSite || h.now-h.spread.pinged < h.rules.PingInterval {
 		return
 	}
 	h.spread.pinged = h.now
@@ -247,7 +247,7 @@
 // back from a cut, however long that was.
 func (h *Hierarchy) call() {
 	s := &h.spread
-	if !h.role.Site || h.now < s.call {
+	if !h.role.RepresentsSite || h.now < s.call {
 		return
 	}
 	every := h.callEvery()
@@ -262,18 +262,18 @@
 
 func (h *Hierarchy) callEvery() clock.Time {
 	switch {
-	case h.alone() || h.now-h.start < h.rules.CallFirst:
-		return h.rules.Call
+	case h.alone() || h.now-h.start < h.rules.StartupPeriod:
+		return h.rules.IsolatedReconnectInterval
 	case h.missing():
-		return h.rules.CallLost
+		return h.rules.StaleReconnectInterval
 	}
-	return h.rules.CallCalm
+	return h.rules.IdleReconnectInterval
 }
 
 // introduce tells a router that may know nothing of this one: the own summaries, and the digests of the tables.
 func (h *Hierarchy) introduce(to netip.AddrPort) {
-	records := h.records(Sites, map[key]bool{keyOf(h.cfg.Site): true})
-	records = append(records, h.records(Regions, map[key]bool{keyOf(h.cfg.Region): true})...)
+	records := h.records(SiteTier, map[key]bool{keyOf(h.cfg.Site): true})
+	records = append(records, h.records(RegionTier, map[key]bool{keyOf(h.cfg.Region): true})...)
 	h.answer(to, h.packed(kindNews, records), 1)
 	h.answer(to, [][]byte{h.hello(withinArea, ids{})}, 1)
 }
@@ -281,12 +281,12 @@
 // alone tells whether this router should know of others in a tier, and has heard of none lately.
 func (h *Hierarchy) alone() bool {
 	for tier, own := range []string{h.cfg.Site, h.cfg.Region} {
-		if Tier(tier) == Regions && !h.role.Region {
+		if Tier(tier) == RegionTier && !h.role.RepresentsRegion {
 			continue
 		}
 		others := false
 		for _, e := range h.tables[tier].entries {
-			others = others || e.Name != own && h.now-e.heard <= h.rules.Stale
+			others = others || e.Name != own && h.now-e.heard <= h.rules.StaleAfter
 		}
 		if !others {
 			return true
@@ -299,7 +299,7 @@
 func (h *Hierarchy) missing() bool {
 	for tier := range tiers {
 		for _, e := range h.tables[tier].entries {
-			if h.now-e.heard > h.rules.Stale && (tier == Sites || h.role.Region) {
+			if h.now-e.heard > h.rules.StaleAfter && (tier == SiteTier || h.role.RepresentsRegion) {
 				return true
 			}
 		}
@@ -308,13 +308,13 @@
 }
 
 func (h *Hierarchy) strangers() (all []netip.AddrPort) {
-	all = append(all, h.cfg.Remote...)
+	all = append(all, h.cfg.SeedAddrs...)
 	for tier := range tiers {
-		if tier == Regions && !h.role.Region {
+		if tier == RegionTier && !h.role.RepresentsRegion {
 			continue
 		}
 		for _, e := range h.tables[tier].entries {
-			if h.now-e.heard > h.rules.Stale {
+			if h.now-e.heard > h.rules.StaleAfter {
 				all = append(all, e.Representatives...)
 			}
 		}
@@ -323,7 +323,7 @@
 }
 
 // Take takes a datagram in. What it is answered with goes out with the next step.
-func (h *Hierarchy) Take(now clock.Time, body []byte) {
+func (h *Hierarchy) Receive(now clock.Time, body []byte) {
 	m, err := decode(body)
 	if err != nil || m.fleet != keyOf(h.cfg.Fleet) {
 		h.dropped++
@@ -339,7 +339,7 @@
 		h.takeBeats(m, near)
 		h.compare(m, near)
 	case kindDigest:
-		if near || m.tier == Regions {
+		if near || m.tier == RegionTier {
 			h.repair(m)
 		}
 	case kindWant:
@@ -351,16 +351,16 @@
 
 func (h *Hierarchy) takeBeats(m message, near bool) {
 	for tier := range tiers {
-		if tier == Sites && !near {
+		if tier == SiteTier && !near {
 			continue
 		}
 		t := h.tables[tier]
 		for _, b := range m.beats[tier] {
 			newest := h.told()
-			if !t.beat(h.now, b.key, b.Beat) {
+			if !t.beat(h.now, b.key, b.Heartbeat) {
 				continue
 			}
-			h.newsBeat(tier, b.key, b.Most > newest)
+			h.newsBeat(tier, b.key, b.MaxRevision > newest)
 		}
 	}
 }
@@ -369,7 +369,7 @@
 func (h *Hierarchy) compare(m message, near bool) {
 	h.compared = true
 	for tier := range tiers {
-		if tier == Sites && !near || m.sums[tier] == h.tables[tier].sum() {
+		if tier == SiteTier && !near || m.sums[tier] == h.tables[tier].sum() {
 			continue
 		}
 		h.unlike = h.now
@@ -403,16 +403,16 @@
 }
 
 func (h *Hierarchy) takeRecords(m message, near bool) {
-	relay := m.kind == kindNews || len(m.records) <= mostRelayed || h.role.Site
+	relay := m.kind == kindNews || len(m.records) <= mostRelayed || h.role.RepresentsSite
 	for _, r := range m.records {
-		if r.tier == Sites && !near || h.outdated(r.Beat) {
+		if r.tier == SiteTier && !near || h.outdated(r.Heartbeat) {
 			continue
 		}
-		if r.tier == Regions && r.Name == h.cfg.Region {
+		if r.tier == RegionTier && r.Name == h.cfg.Region {
 			h.greet(r.Representatives)
 		}
 		k := keyOf(r.Name)
-		if !h.tables[r.tier].merge(h.now, r.Summary, r.Beat) {
+		if !h.tables[r.tier].merge(h.now, r.Summary, r.Heartbeat) {
 			continue
 		}
 		h.spread.changed[r.tier] = h.now
@@ -425,11 +425,11 @@
 // greet calls those who speak for the own region and whose sites this router does not know: two sites of a region may have
 // nothing to begin with but the addresses of a third elsewhere.
 func (h *Hierarchy) greet(representatives []netip.AddrPort) {
-	if !h.role.Site {
+	if !h.role.RepresentsSite {
 		return
 	}
 	known := map[netip.AddrPort]bool{}
-	for _, e := range h.tables[Sites].entries {
+	for _, e := range h.tables[SiteTier].entries {
 		for _, addr := range e.Representatives {
 			known[addr] = true
 		}
@@ -442,9 +442,9 @@
 }
 
 // outdated tells whether a summary is so old that it would be dropped: one that is dropped here is still held elsewhere.
-func (h *Hierarchy) outdated(b Beat) bool {
-	forget := int64(h.rules.Forget / clock.Second)
-	return int64(h.wall())-int64(b.Count) > forget
+func (h *Hierarchy) outdated(b Heartbeat) bool {
+	forget := int64(h.rules.ExpireAfter / clock.Second)
+	return int64(h.wall())-int64(b.Sequence) > forget
 }
 
 func (h *Hierarchy) answer(to netip.AddrPort, bodies [][]byte, most int) {
@@ -459,7 +459,7 @@
 
 // Known are representatives of other sites, for a file that a restart reads: those of the region's sites and of the regions, as many as
 // there is room for.
-func (h *Hierarchy) Known() (all []netip.AddrPort) {
+func (h *Hierarchy) KnownRepresentatives() (all []netip.AddrPort) {
 	const most = 64
 	for tier := range tiers {
 		for _, e := range h.tables[tier].byName() {
--- a/core/hierarchy/table.go
+++ b/core/hierarchy/table.go
@@ -16,8 +16,8 @@
 
 // A router holds one table for each tier.
 const (
-	Sites   Tier = iota // of the own region
-	Regions             // all
+	SiteTier   Tier = iota // of the own region
+	RegionTier             // all
 	tiers
 )
 
@@ -31,19 +31,19 @@
 
 // Counts are of routers.
 type Counts struct {
-	Alive uint32 `json:"alive"`
-	Takes uint32 `json:"takes_clients"`
-	Of    uint32 `json:"of"`
+	Alive     uint32 `json:"alive"`
+	Accepting uint32 `json:"takes_clients"`
+	Total     uint32 `json:"of"`
 }
 
 // Summary is what others are told of a site or of a region. Of two of one name the one of the higher version holds.
 type Summary struct {
-	Name            string
-	Version         Version
-	Counts          Counts
-	Groups, Gone    uint32 // of a region: its sites, and those of them that are lost
-	Digest          uint64 // of the site's membership; of a region: over its sites
-	Representatives []netip.AddrPort
+	Name                 string
+	Version              Version
+	Counts               Counts
+	SiteCount, LostSites uint32 // of a region: its sites, and those of them that are lost
+	Digest               uint64 // of the site's membership; of a region: over its sites
+	Representatives      []netip.AddrPort
 }
 
 // Version orders the summaries of one name: 32 bits of the wall clock at which the line of versions began, 16 of a count, and
@@ -60,9 +60,9 @@
 
 // Beat is a sign of life of a site or a region, with what changes too often for a version. Of two the one of the higher
 // count holds.
-type Beat struct {
-	Count       uint32
-	Least, Most uint64 // revisions of the policy that its routers hold
+type Heartbeat struct {
+	Sequence                 uint32
+	MinRevision, MaxRevision uint64 // revisions of the policy that its routers hold
 }
 
 // key stands for a name in what is sent often.
@@ -77,7 +77,7 @@
 // entry is a summary as it is held.
 type entry struct {
 	Summary
-	Beat
+	Heartbeat
 	heard clock.Time // when Beat.Count last rose
 }
 
@@ -92,7 +92,7 @@
 func newTable(limit int) *table { return &table{limit: limit, entries: map[key]*entry{}} }
 
 // merge takes a summary in. It tells whether that is news.
-func (t *table) merge(now clock.Time, s Summary, b Beat) bool {
+func (t *table) merge(now clock.Time, s Summary, b Heartbeat) bool {
 	k := keyOf(s.Name)
 	e := t.entries[k]
 	if e == nil {
@@ -116,12 +116,12 @@
 }
 
 // beat takes a sign of life in. It tells whether that is news.
-func (t *table) beat(now clock.Time, k key, b Beat) bool {
+func (t *table) beat(now clock.Time, k key, b Heartbeat) bool {
 	e := t.entries[k]
-	if e == nil || b.Count <= e.Beat.Count {
+	if e == nil || b.Sequence <= e.Heartbeat.Sequence {
 		return false
 	}
-	e.Beat, e.heard = b, now
+	e.Heartbeat, e.heard = b, now
 	return true
 }
 
@@ -177,7 +177,7 @@
 func (t *table) newest(now, lost clock.Time) (most uint64) {
 	for _, e := range t.entries {
 		if now-e.heard <= lost {
-			most = max(most, e.Most)
+			most = max(most, e.MaxRevision)
 		}
 	}
 	return most
@@ -186,7 +186,7 @@
 // leader is an entry that tells of the highest revision of the policy; nil where none tells of any.
 func (t *table) leader() (k key, leader *entry) {
 	for _, x := range t.keys() {
-		if e := t.entries[x]; e.Most > 0 && (leader == nil || e.Most > leader.Most) {
+		if e := t.entries[x]; e.MaxRevision > 0 && (leader == nil || e.MaxRevision > leader.MaxRevision) {
 			k, leader = x, e
 		}
 	}
--- a/core/hierarchy/wire.go
+++ b/core/hierarchy/wire.go
@@ -8,7 +8,7 @@
 )
 
 // MaxDatagram is the length that no datagram exceeds, in bytes; one that is taken may be as long.
-const MaxDatagram = 1300
+const MaxDatagramSize = 1300
 
 // What a datagram is, by its first byte. The form of all others follows from it, so that a later form has kinds of its own.
 const (
@@ -36,7 +36,7 @@
 
 type beatOf struct {
 	key
-	Beat
+	Heartbeat
 }
 
 type versionOf struct {
@@ -47,7 +47,7 @@
 type record struct {
 	tier Tier
 	Summary
-	Beat
+	Heartbeat
 }
 
 func (m message) wanted() map[key]bool {
@@ -86,14 +86,14 @@
 	b = binary.BigEndian.AppendUint32(b, h.wall())
 	for _, tier := range tiersOn(l) {
 		t := h.tables[tier]
-		keys := h.chosen(t, which[tier], (MaxDatagram-len(b))/longestBeat-1)
+		keys := h.chosen(t, which[tier], (MaxDatagramSize-len(b))/longestBeat-1)
 		if len(keys) == 0 {
 			continue
 		}
 		b = append(b, byte(tier), byte(len(keys)))
 		for _, k := range keys {
 			b = binary.BigEndian.AppendUint32(b, uint32(k))
-			b = h.appendLag(b, t.entries[k].Beat)
+			b = h.appendLag(b, t.entries[k].Heartbeat)
 		}
 	}
 	return b
@@ -114,16 +114,16 @@
 }
 
 // appendLag is a sign of life in few bytes: its count is never far from the clock.
-func (h *Hierarchy) appendLag(b []byte, x Beat) []byte {
-	b = binary.AppendVarint(b, int64(h.wall())-int64(x.Count))
-	b = binary.AppendUvarint(b, x.Most)
-	return binary.AppendUvarint(b, x.Most-x.Least)
+func (h *Hierarchy) appendLag(b []byte, x Heartbeat) []byte {
+	b = binary.AppendVarint(b, int64(h.wall())-int64(x.Sequence))
+	b = binary.AppendUvarint(b, x.MaxRevision)
+	return binary.AppendUvarint(b, x.MaxRevision-x.MinRevision)
 }
 
-func appendBeat(b []byte, x Beat) []byte {
-	b = binary.BigEndian.AppendUint32(b, x.Count)
-	b = binary.AppendUvarint(b, x.Most)
-	return binary.AppendUvarint(b, x.Most-x.Least)
+func appendBeat(b []byte, x Heartbeat) []byte {
+	b = binary.BigEndian.AppendUint32(b, x.Sequence)
+	b = binary.AppendUvarint(b, x.MaxRevision)
+	return binary.AppendUvarint(b, x.MaxRevision-x.MinRevision)
 }
 
 // digests are datagrams with all versions of a tier.
@@ -133,7 +133,7 @@
 	keys, first := t.keys(), key(0)
 	for {
 		b := append(h.header(kindDigest), byte(tier))
-		n := min(len(keys), (MaxDatagram-len(b)-fixed)/size)
+		n := min(len(keys), (MaxDatagramSize-len(b)-fixed)/size)
 		last := ^key(0)
 		if n < len(keys) {
 			last = keys[n] - 1
@@ -154,7 +154,7 @@
 func (h *Hierarchy) want(tier Tier, keys []key) []byte {
 	b := append(h.header(kindWant), byte(tier))
 	for _, k := range keys {
-		if len(b)+4 > MaxDatagram {
+		if len(b)+4 > MaxDatagramSize {
 			break // asked for the next time
 		}
 		b = binary.BigEndian.AppendUint32(b, uint32(k))
@@ -166,7 +166,7 @@
 	b = append(b, byte(tier), byte(len(e.Name)))
 	b = append(b, e.Name...)
 	b = binary.BigEndian.AppendUint64(b, uint64(e.Version))
-	for _, n := range []uint32{e.Counts.Alive, e.Counts.Takes, e.Counts.Of, e.Groups, e.Gone} {
+	for _, n := range []uint32{e.Counts.Alive, e.Counts.Accepting, e.Counts.Total, e.SiteCount, e.LostSites} {
 		b = binary.AppendUvarint(b, uint64(n))
 	}
 	b = binary.BigEndian.AppendUint64(b, e.Digest)
@@ -174,14 +174,14 @@
 	for _, a := range e.Representatives {
 		b = appendAddress(b, a)
 	}
-	return appendBeat(b, e.Beat)
+	return appendBeat(b, e.Heartbeat)
 }
 
 // packed puts records into as few datagrams as hold them.
 func (h *Hierarchy) packed(kind byte, records [][]byte) (bodies [][]byte) {
 	var b []byte
 	for _, r := range records {
-		if b != nil && len(b)+len(r) > MaxDatagram {
+		if b != nil && len(b)+len(r) > MaxDatagramSize {
 			bodies, b = append(bodies, b), nil
 		}
 		if b == nil {
@@ -249,24 +249,24 @@
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(r.take(2)))
 }
 
-func (r *reader) beat() Beat { return r.revisions(r.uint32()) }
+func (r *reader) beat() Heartbeat { return r.revisions(r.uint32()) }
 
 // lag reads a sign of life whose count lags behind a clock.
-func (r *reader) lag(wall uint32) Beat {
+func (r *reader) lag(wall uint32) Heartbeat {
 	lag, size := binary.Varint(r.b)
 	if size <= 0 || lag < int64(wall)-math.MaxUint32 || lag > int64(wall) {
 		r.bad = true
-		return Beat{}
+		return Heartbeat{}
 	}
 	r.b = r.b[size:]
 	return r.revisions(uint32(int64(wall) - lag))
 }
 
-func (r *reader) revisions(count uint32) Beat {
-	b := Beat{Count: count, Most: r.uvarint()}
+func (r *reader) revisions(count uint32) Heartbeat {
+	b := Heartbeat{Sequence: count, MaxRevision: r.uvarint()}
 	older := r.uvarint()
-	r.bad = r.bad || older > b.Most
-	b.Least = b.Most - older
+	r.bad = r.bad || older > b.MaxRevision
+	b.MinRevision = b.MaxRevision - older
 	return b
 }
 
@@ -276,7 +276,7 @@
 	r.bad = r.bad || len(name) == 0 || len(name) > maxName
 	x.Name = string(name)
 	x.Version = Version(r.uint64())
-	for _, n := range []*uint32{&x.Counts.Alive, &x.Counts.Takes, &x.Counts.Of, &x.Groups, &x.Gone} {
+	for _, n := range []*uint32{&x.Counts.Alive, &x.Counts.Accepting, &x.Counts.Total, &x.SiteCount, &x.LostSites} {
 		*n = r.count()
 	}
 	x.Digest = r.uint64()
@@ -285,13 +285,13 @@
 	for i := 0; i < n && !r.bad; i++ {
 		x.Representatives = append(x.Representatives, r.address())
 	}
-	x.Beat = r.beat()
+	x.Heartbeat = r.beat()
 	return x
 }
 
 // decode reads a datagram. What it returns is bounded by the datagram's length.
 func decode(body []byte) (message, error) {
-	r := &reader{b: body, bad: len(body) > MaxDatagram}
+	r := &reader{b: body, bad: len(body) > MaxDatagramSize}
 	m := message{kind: r.byte(), fleet: r.key(), region: r.key(), from: r.address()}
 	switch m.kind {
 	case kindPing:
--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -58,7 +58,7 @@
 	Build   string   `json:"build,omitempty"`
 	Site    string   `json:"site,omitempty"`
 
-	Order *sitefailover.Order `json:"order,omitempty"`
+	Order *sitefailover.Transition `json:"order,omitempty"`
 }
 
 // Change is one that was decided, or is pending.
@@ -174,7 +174,7 @@
 		}
 	case Site:
 		// Made for what the site counted as then: of an operator's word and the leader's the later one is void.
-		if o := e.Order; o != nil && b.Sites[o.Site].Index == o.On {
+		if o := e.Order; o != nil && b.Sites[o.Site].Index == o.PreviousIndex {
 			if b.Sites == nil {
 				b.Sites = map[sitefailover.Site]sitefailover.Decision{}
 			}
--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -10,11 +10,11 @@
 )
 
 // Row is one router that is there, or was lately, as the leader knows it.
-type Row struct {
-	Name   string
-	Site   Site
-	Heard  bool // its last report is new
-	Report Report
+type RouterState struct {
+	Name      string
+	Site      Site
+	Reporting bool // its last report is new
+	Report    Report
 }
 
 // Coordinator is the leader's side; a new leader begins with a new one. It is not safe for use by several goroutines at once.
@@ -51,32 +51,32 @@
 
 // Order is an entry that is to be in the log: what a site counts as from then on. It holds only while Decision is what the
 // site counted as when it was made.
-type Order struct {
-	Site Site
-	On   uint64 // the index of the decision that it follows
+type Transition struct {
+	Site          Site
+	PreviousIndex uint64 `json:"On"` // the index of the decision that it follows
 	Decision
 }
 
 // Step looks at all routers anew. It tells what they are to keep to, and rules on a site where it is time to.
-func (c *Coordinator) Step(now clock.Time, p *Plan, decisions map[Site]Decision, rows []Row) (Orders, *Order) {
-	if !p.On() {
+func (c *Coordinator) Evaluate(now clock.Time, p *Plan, decisions map[Site]Decision, rows []RouterState) (Orders, *Transition) {
+	if !p.Enabled() {
 		c.throttle, c.status = throttle{}, Status{}
 		return Orders{}, nil
 	}
-	slices.SortFunc(rows, func(a, b Row) int { return cmp.Compare(a.Name, b.Name) })
-	heard := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return !r.Heard })
+	slices.SortFunc(rows, func(a, b RouterState) int { return cmp.Compare(a.Name, b.Name) })
+	heard := slices.DeleteFunc(slices.Clone(rows), func(r RouterState) bool { return !r.Reporting })
 	if c.throttle.target == 0 && now-c.began < settle {
 		c.throttle.target = told(heard) // that another leader had come to
 	}
 	offered, let, lost, worth, missed, origin := pool(heard), 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, r := range heard {
-		let, lost, origin = let+r.Report.Let, lost+r.Report.Lost, max(origin, r.Report.Origin)
-		worth, missed = worth+r.Report.Worth, missed+r.Report.Missed
+		let, lost, origin = let+r.Report.AdmittedRate, lost+r.Report.FailedRate, max(origin, r.Report.OriginSlowdown)
+		worth, missed = worth+r.Report.AdmittedWeight, missed+r.Report.FailedWeight
 	}
 	missed /= max(1, worth)
-	s := Status{Now: now, Origin: origin, Let: let, Lost: lost}
+	s := Status{Now: now, OriginSlowdown: origin, AdmittedRate: let, FailedRate: lost}
 	var orders Orders
-	var order *Order
+	var order *Transition
 	var stands []standing
 	trouble, latest, away := false, uint64(0), 0.0
 	for _, place := range p.Sites {
@@ -84,37 +84,37 @@
 		e := evidence(place.Name, rows, heard)
 		w.see(now, e)
 		share := w.decision.share(p)
-		bears := cmp.Or(place.Bears, w.best)
+		bears := cmp.Or(place.Capacity, w.best)
 		there := e.there
 		if w.decision.Stage != Lost && now-c.began >= settle && !e.known {
 			there = 0
 		}
-		row := SiteStatus{Decision: w.decision, Name: place.Name, Share: share, Bears: bears * share * there, Told: place.Bears > 0, There: there,
-			Routers: e.routers, Heard: e.heard}
+		row := SiteStatus{Decision: w.decision, Name: place.Name, KeyShare: share, Capacity: bears * share * there, CapacityPlanned: place.Capacity > 0, Responding: there,
+			Routers: e.routers, ReportingRouters: e.heard}
 		if row.degraded() {
 			trouble = true
 		}
 		away += float64(e.usual) * (1 - share)
-		stands = append(stands, standing{place.Name, float64(e.usual) * share * there, row.Bears})
+		stands = append(stands, standing{place.Name, float64(e.usual) * share * there, row.Capacity})
 		if share < 1 {
-			orders.Shares = append(orders.Shares, Share{place.Name, share})
+			orders.KeyShares = append(orders.KeyShares, SiteShare{place.Name, share})
 			if w.decision.Index >= latest { // of two that are away the last one's
-				latest, orders.Spare = w.decision.Index, w.decision.Spare
+				latest, orders.FailoverWeights = w.decision.Index, w.decision.FailoverWeights
 			}
 		}
 		if now-c.began >= settle {
 			next, why := w.next(now, p, e, missed, origin)
-			row.Waits = why
+			row.WaitingFor = why
 			if next != nil && next.Stage == Lost && last(p, place.Name, decisions) {
-				next, row.Waits = nil, "it is the only site that is not lost"
+				next, row.WaitingFor = nil, "it is the only site that is not lost"
 			}
 			if next != nil && order == nil { // one at a time
-				next.Site, next.On = place.Name, w.decision.Index
+				next.Site, next.PreviousIndex = place.Name, w.decision.Index
 				switch {
 				case next.Stage == Lost && w.decision.Stage == Up:
-					next.Spare = c.Spare(p, place.Name, decisions)
+					next.FailoverWeights = c.FailoverWeights(p, place.Name, decisions)
 				case next.Stage != Up:
-					next.Spare = w.decision.Spare
+					next.FailoverWeights = w.decision.FailoverWeights
 				}
 				order = next
 			}
@@ -124,14 +124,14 @@
 	if !trouble {
 		c.load += (let - lost - c.load) / 20
 	}
-	settleOn(stands, away, orders.Spare)
-	s.Bears, s.Binds = bears(stands)
-	s.More = c.throttle.more
-	c.throttle.step(now, offered, let-lost, missed, s.Bears, trouble)
+	settleOn(stands, away, orders.FailoverWeights)
+	s.Capacity, s.LimitingSite = bears(stands)
+	s.MeasuredCapacityRatio = c.throttle.more
+	c.throttle.step(now, offered, let-lost, missed, s.Capacity, trouble)
 	if t := c.throttle.target; t > 0 {
-		orders.Target = t
-		orders.Least, orders.Some = cut(offered, t)
-		orders.Back, orders.Fetches = comeBack, p.Fetches
+		orders.AdmissionTarget = t
+		orders.MinRank, orders.MinRankFraction = cut(offered, t)
+		orders.RetryAfter, orders.OriginReadRate = comeBack, p.OriginReadRate
 	}
 	s.Orders, s.Offered = orders, offered
 	c.status = s
@@ -143,10 +143,10 @@
 const comeBack = 30e6
 
 // told is the target that most routers keep to.
-func told(rows []Row) float64 {
+func told(rows []RouterState) float64 {
 	var all []float64
 	for _, r := range rows {
-		all = append(all, r.Report.Target)
+		all = append(all, r.Report.AdmissionTarget)
 	}
 	if len(all) == 0 {
 		return 0
@@ -189,11 +189,11 @@
 	half       = 0.5
 )
 
-func evidence(site Site, rows, heard []Row) (e proof) {
+func evidence(site Site, rows, heard []RouterState) (e proof) {
 	for _, r := range rows {
 		if r.Site == site {
 			e.routers++
-			if r.Heard {
+			if r.Reporting {
 				e.heard++
 			}
 		}
@@ -201,14 +201,14 @@
 	bad, badHalf, all := map[Site]int{}, map[Site]int{}, map[Site]int{}
 	ownN, seen := 0.0, map[Site][2]float64{}
 	for _, r := range heard {
-		i := slices.IndexFunc(r.Report.Seen, func(s Seen) bool { return s.Site == site })
-		if i < 0 || r.Report.Seen[i].Usual == 0 {
+		i := slices.IndexFunc(r.Report.Observations, func(s SiteObservation) bool { return s.Site == site })
+		if i < 0 || r.Report.Observations[i].ExpectedServers == 0 {
 			continue
 		}
-		x := r.Report.Seen[i]
-		e.known, e.usual = true, max(e.usual, x.Usual)
-		e.listed = max(e.listed, float64(x.Listed)/float64(x.Usual))
-		e.answers += x.Answers
+		x := r.Report.Observations[i]
+		e.known, e.usual = true, max(e.usual, x.ExpectedServers)
+		e.listed = max(e.listed, float64(x.ListedServers)/float64(x.ExpectedServers))
+		e.answers += x.AnswerRate
 		seen[r.Site] = [2]float64{seen[r.Site][0] + x.there(), seen[r.Site][1] + 1}
 		if r.Site == site {
 			ownN++
@@ -270,7 +270,7 @@
 			*at = now
 		}
 	}
-	since(&w.gone, w.decision.Stage == Up && e.lost() || w.decision.Stage == Returning && (e.lost() || e.failing()))
+	since(&w.gone, w.decision.Stage == Up && e.lost() || w.decision.Stage == Recovering && (e.lost() || e.failing()))
 	since(&w.there, w.decision.Stage == Lost && e.back())
 	w.servers = max(w.servers, e.usual)
 	if w.decision.Stage == Up && (e.answers >= w.best || now-w.bestAt > remembered) {
@@ -285,7 +285,7 @@
 )
 
 // next is the decision that is due, or what the next one waits for.
-func (w *watch) next(now clock.Time, p *Plan, e proof, lost, origin float64) (*Order, string) {
+func (w *watch) next(now clock.Time, p *Plan, e proof, lost, origin float64) (*Transition, string) {
 	r := w.decision
 	after := func(at, span clock.Time) bool { return at != 0 && now-at >= span }
 	switch {
@@ -298,16 +298,16 @@
 		}
 		fails := 0
 		if r.Index > 0 && now-w.since < soon {
-			fails = r.Fails + 1
+			fails = r.RepeatedLosses + 1
 		}
-		return rule(Decision{Stage: Lost, Fails: fails},
+		return rule(Decision{Stage: Lost, RepeatedLosses: fails},
 			fmt.Sprintf("%d of %d other sites find its servers silent, and %d of its %d routers are heard", e.against, e.others, e.heard, e.routers)), ""
-	case r.Stage == Returning && after(w.gone, p.LostAfter/2):
-		return rule(Decision{Stage: Lost, Fails: r.Fails + 1}, fmt.Sprintf("%.0f%% of its servers answer, in step %d of its return", 100*e.there, r.Step+1)), ""
-	case r.Held:
+	case r.Stage == Recovering && after(w.gone, p.LostAfter/2):
+		return rule(Decision{Stage: Lost, RepeatedLosses: r.RepeatedLosses + 1}, fmt.Sprintf("%.0f%% of its servers answer, in step %d of its return", 100*e.there, r.Step+1)), ""
+	case r.Paused:
 		return nil, "an operator holds it"
 	case r.Stage == Lost:
-		wait := min(longestWait, p.BackAfter<<min(r.Fails, 20))
+		wait := min(longestWait, p.RecoverAfter<<min(r.RepeatedLosses, 20))
 		switch {
 		case w.there == 0 && 2*e.heard < e.routers:
 			return nil, fmt.Sprintf("%d of its %d routers are heard", e.heard, e.routers)
@@ -316,8 +316,8 @@
 		case !after(w.there, wait):
 			return nil, fmt.Sprintf("it is to be there for %.1f s", float64(wait)/1e6)
 		}
-		return rule(Decision{Stage: Returning, Fails: r.Fails}, "its routers and servers are there again"), ""
-	case now-w.since < p.Hold:
+		return rule(Decision{Stage: Recovering, RepeatedLosses: r.RepeatedLosses}, "its routers and servers are there again"), ""
+	case now-w.since < p.MinStepDuration:
 		return nil, "the step has just been taken"
 	case e.there < wellThere:
 		return nil, fmt.Sprintf("%.0f%% of its servers answer", 100*e.there)
@@ -325,28 +325,28 @@
 		return nil, fmt.Sprintf("%.0f%% of what is let in is given up, and %.0f%% was before the step", 100*lost, 100*w.lost)
 	case origin > crowdedOrigin:
 		return nil, fmt.Sprintf("the origin takes %.1f times as long as it should", origin)
-	case r.Step+1 < len(p.Steps):
-		return rule(Decision{Stage: Returning, Step: r.Step + 1, Fails: r.Fails}, fmt.Sprintf("step %d held", r.Step+1)), ""
+	case r.Step+1 < len(p.RecoverySteps):
+		return rule(Decision{Stage: Recovering, Step: r.Step + 1, RepeatedLosses: r.RepeatedLosses}, fmt.Sprintf("step %d held", r.Step+1)), ""
 	}
-	return rule(Decision{Stage: Up, Fails: r.Fails}, "the last step held"), ""
+	return rule(Decision{Stage: Up, RepeatedLosses: r.RepeatedLosses}, "the last step held"), ""
 }
 
-func rule(r Decision, reason string) *Order {
-	r.By, r.Reason = "evidence", reason
-	return &Order{Decision: r}
+func rule(r Decision, reason string) *Transition {
+	r.DecidedBy, r.Reason = "evidence", reason
+	return &Transition{Decision: r}
 }
 
 // Spare is how a lost site's keys are to go to the servers of the others. None: evenly, since it is nearly that, or nothing is
 // known. It is settled once for a loss, since each change moves keys.
-func (c *Coordinator) Spare(p *Plan, site Site, decisions map[Site]Decision) []Share {
-	var all []Bearing
+func (c *Coordinator) FailoverWeights(p *Plan, site Site, decisions map[Site]Decision) []SiteShare {
+	var all []SiteCapacity
 	lost := []Site{}
 	for _, x := range p.Sites {
 		w := c.sites[x.Name]
 		if w == nil || w.servers == 0 {
 			return nil
 		}
-		all = append(all, Bearing{x.Name, w.servers, cmp.Or(x.Bears, w.best), x.Prefer})
+		all = append(all, SiteCapacity{x.Name, w.servers, cmp.Or(x.Capacity, w.best), x.PreferredTargets})
 		if x.Name != site && decisions[x.Name].Stage == Lost {
 			lost = append(lost, x.Name)
 		}
@@ -357,16 +357,16 @@
 // weigh has keys of lost sites go to the servers of the others so that all of these are full together: by what each can bear
 // beside its own keys. Where the last of them prefers some, these take at this load what they can bear, in order. The weights
 // are of servers, the highest 1.
-func weigh(sites []Bearing, lost []Site, load float64) []Share {
+func weigh(sites []SiteCapacity, lost []Site, load float64) []SiteShare {
 	servers, most, need, prefer := 0.0, 0.0, 0.0, []Site(nil)
 	for _, s := range sites {
-		if servers += float64(s.Servers); slices.Contains(lost, s.Name) {
+		if servers += float64(s.Servers); slices.Contains(lost, s.Site) {
 			need += float64(s.Servers)
 		} else {
-			most += s.Bears
+			most += s.Capacity
 		}
-		if len(lost) > 0 && s.Name == lost[len(lost)-1] {
-			prefer = s.Prefer
+		if len(lost) > 0 && s.Site == lost[len(lost)-1] {
+			prefer = s.PreferredTargets
 		}
 	}
 	if len(prefer) == 0 || load > most { // beyond what they bear nobody has anything to spare
@@ -377,22 +377,22 @@
 	}
 	spare := map[Site]float64{}
 	for _, s := range sites {
-		if !slices.Contains(lost, s.Name) {
-			spare[s.Name] = max(0, s.Bears-load*float64(s.Servers)/servers)
+		if !slices.Contains(lost, s.Site) {
+			spare[s.Site] = max(0, s.Capacity-load*float64(s.Servers)/servers)
 		}
 	}
 	gets := divide(load*need/servers, spare, prefer)
-	var weights []Share
+	var weights []SiteShare
 	highest, least := 0.0, 1.0
 	for _, s := range sites {
-		if _, left := spare[s.Name]; left && s.Servers > 0 {
-			weights = append(weights, Share{s.Name, gets[s.Name] / float64(s.Servers)})
-			highest = max(highest, weights[len(weights)-1].Part)
+		if _, left := spare[s.Site]; left && s.Servers > 0 {
+			weights = append(weights, SiteShare{s.Site, gets[s.Site] / float64(s.Servers)})
+			highest = max(highest, weights[len(weights)-1].Fraction)
 		}
 	}
 	for i := range weights {
-		weights[i].Part = max(fewest, weights[i].Part/max(1e-9, highest))
-		least = min(least, weights[i].Part)
+		weights[i].Fraction = max(fewest, weights[i].Fraction/max(1e-9, highest))
+		least = min(least, weights[i].Fraction)
 	}
 	if least > nearlyEven || highest == 0 {
 		return nil
@@ -425,29 +425,29 @@
 )
 
 // Command is what an operator may say of a site: lost, back, hold, go. The order that it makes, or why it makes none.
-func Command(p *Plan, site Site, decisions map[Site]Decision, word, by, reason string) (*Order, error) {
+func Command(p *Plan, site Site, decisions map[Site]Decision, word, by, reason string) (*Transition, error) {
 	r := decisions[site]
-	if !slices.ContainsFunc(p.Sites, func(x Place) bool { return x.Name == site }) {
+	if !slices.ContainsFunc(p.Sites, func(x SitePlan) bool { return x.Name == site }) {
 		return nil, fmt.Errorf("%q is no site of the plan; cache-routerctl fleet site status names them", site)
 	}
-	o := &Order{Site: site, On: r.Index, Decision: r}
-	o.By, o.Reason = by, reason
+	o := &Transition{Site: site, PreviousIndex: r.Index, Decision: r}
+	o.DecidedBy, o.Reason = by, reason
 	switch word {
 	case "lost":
 		if last(p, site, decisions) {
 			return nil, fmt.Errorf("%s is the only site that is not lost: its load could go nowhere", site)
 		}
-		o.Stage, o.Step, o.Held = Lost, 0, true
+		o.Stage, o.Step, o.Paused = Lost, 0, true
 	case "back":
 		if r.Stage == Up {
 			return nil, fmt.Errorf("%s is up", site)
 		}
-		o.Stage, o.Step, o.Held, o.Fails = Returning, 0, false, 0
+		o.Stage, o.Step, o.Paused, o.RepeatedLosses = Recovering, 0, false, 0
 	case "hold", "go":
 		if r.Stage == Up {
 			return nil, fmt.Errorf("%s is up: there is no return to hold", site)
 		}
-		o.Held = word == "hold"
+		o.Paused = word == "hold"
 	default:
 		return nil, fmt.Errorf("%q is none of lost, back, hold, go", word)
 	}
@@ -456,40 +456,40 @@
 
 // last tells whether all other sites are lost.
 func last(p *Plan, site Site, decisions map[Site]Decision) bool {
-	return !slices.ContainsFunc(p.Sites, func(x Place) bool { return x.Name != site && decisions[x.Name].Stage != Lost })
+	return !slices.ContainsFunc(p.Sites, func(x SitePlan) bool { return x.Name != site && decisions[x.Name].Stage != Lost })
 }
 
 // Status is what the leader knows, for people.
 type Status struct {
-	Now     clock.Time   `json:"now"`
-	Sites   []SiteStatus `json:"sites"`
-	Bears   float64      `json:"bears"` // requests a second, by all sites together
-	More    float64      `json:"more"`  // times as much has been answered lately, by the origin as well; 0: less
-	Binds   Site         `json:"binds"` // the site that sets it
-	Offered []Offer      `json:"offered"`
-	Let     float64      `json:"let"`
-	Lost    float64      `json:"lost"`
-	Origin  float64      `json:"origin"`
-	Orders  Orders       `json:"orders"`
+	Now                   clock.Time    `json:"now"`
+	Sites                 []SiteStatus  `json:"sites"`
+	Capacity              float64       `json:"bears"` // requests a second, by all sites together
+	MeasuredCapacityRatio float64       `json:"more"`  // times as much has been answered lately, by the origin as well; 0: less
+	LimitingSite          Site          `json:"binds"` // the site that sets it
+	Offered               []OfferedLoad `json:"offered"`
+	AdmittedRate          float64       `json:"let"`
+	FailedRate            float64       `json:"lost"`
+	OriginSlowdown        float64       `json:"origin"`
+	Orders                Orders        `json:"orders"`
 }
 
 // SiteStatus is a site as the leader sees it.
 type SiteStatus struct {
 	Decision
-	Name    Site    `json:"name"`
-	Share   float64 `json:"share"`
-	Bears   float64 `json:"bears"` // answers a second, now
-	Told    bool    `json:"told"`  // by the plan; else as seen lately
-	There   float64 `json:"there"` // part of its servers that answer
-	Routers int     `json:"routers"`
-	Heard   int     `json:"heard"`
-	Waits   string  `json:"waits"` // what the next step waits for
+	Name             Site    `json:"name"`
+	KeyShare         float64 `json:"share"`
+	Capacity         float64 `json:"bears"` // answers a second, now
+	CapacityPlanned  bool    `json:"told"`  // by the plan; else as seen lately
+	Responding       float64 `json:"there"` // part of its servers that answer
+	Routers          int     `json:"routers"`
+	ReportingRouters int     `json:"heard"`
+	WaitingFor       string  `json:"waits"` // what the next step waits for
 }
 
 // Shows is the stage for people.
-func (s SiteStatus) Shows() string {
+func (s SiteStatus) DisplayStage() string {
 	switch {
-	case s.Stage == Returning:
+	case s.Stage == Recovering:
 		return fmt.Sprintf("returning, step %d", s.Step+1)
 	case s.Stage == Up && s.degraded():
 		return "degraded"
@@ -499,14 +499,14 @@
 
 // degraded tells that a site is not whole.
 func (s SiteStatus) degraded() bool {
-	return s.Stage != Up || s.There < wellThere || float64(s.Heard) < wellThere*float64(s.Routers)
+	return s.Stage != Up || s.Responding < wellThere || float64(s.ReportingRouters) < wellThere*float64(s.Routers)
 }
 
 // Status is as of the last step.
 func (c *Coordinator) Status() Status { return c.status }
 
 // Names are those of the sites of a plan, sorted.
-func (p *Plan) Names() []Site {
+func (p *Plan) SiteNames() []Site {
 	names := map[Site]bool{}
 	for _, s := range p.Sites {
 		names[s.Name] = true
--- a/core/sitefailover/golden_test.go
+++ b/core/sitefailover/golden_test.go
@@ -34,8 +34,8 @@
 func goldenDay(t *testing.T) []byte {
 	t.Helper()
 	d := newDay()
-	d.plan.Fetches = 180.5
-	d.plan.Sites[0].Bears = 330
+	d.plan.OriginReadRate = 180.5
+	d.plan.Sites[0].Capacity = 330
 	var golden bytes.Buffer
 	all := sha256.New()
 	write := func(full bool, name string, value any) {
@@ -49,7 +49,7 @@
 		}
 	}
 	step := 0
-	d.check = func(orders Orders, order *Order, rows []Row) {
+	d.check = func(orders Orders, order *Transition, rows []RouterState) {
 		full := step%60 == 0
 		write(full, "report", rows[len(rows)-1].Report)
 		write(full, "orders", orders)
@@ -75,7 +75,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			o.Spare = d.chief.Spare(&d.plan, "c", d.rulings)
+			o.FailoverWeights = d.chief.FailoverWeights(&d.plan, "c", d.rulings)
 			write(true, "command", o)
 			d.take(o)
 		case 450:
--- a/core/sitefailover/plan.go
+++ b/core/sitefailover/plan.go
@@ -26,42 +26,42 @@
 
 // Plan is what operators have planned. The zero value: nothing.
 type Plan struct {
-	Sites     []Place
-	Fetches   float64    // that the origin bears for reads, a second; 0: not told, and there is no bound beside each router's own
-	Steps     []float64  // parts of its keys that a returning site has, one after the other; the last is 1
-	LostAfter clock.Time // for so long the evidence must hold
-	BackAfter clock.Time // and that of its return; each loss that follows soon doubles it
-	Hold      clock.Time // a step takes so long at least
-	Loads     []Load     // for rehearsals
+	Sites           []SitePlan
+	OriginReadRate  float64        // that the origin bears for reads, a second; 0: not told, and there is no bound beside each router's own
+	RecoverySteps   []float64      // parts of its keys that a returning site has, one after the other; the last is 1
+	LostAfter       clock.Time     // for so long the evidence must hold
+	RecoverAfter    clock.Time     // and that of its return; each loss that follows soon doubles it
+	MinStepDuration clock.Time     // a step takes so long at least
+	ExpectedLoads   []ExpectedLoad // for rehearsals
 }
 
 // Place is one site of a plan.
-type Place struct {
-	Name   Site
-	Bears  float64 // answers a second of all its cache servers; 0: as many as were seen lately
-	Prefer []Site  // where its load goes first while it is lost; empty: by what each has to spare
+type SitePlan struct {
+	Name             Site
+	Capacity         float64 // answers a second of all its cache servers; 0: as many as were seen lately
+	PreferredTargets []Site  // where its load goes first while it is lost; empty: by what each has to spare
 }
 
 // Load is a part of what is asked for.
-type Load struct {
+type ExpectedLoad struct {
 	Method string
 	Tenant string // empty: all, by their shares
 	Rate   float64
 }
 
 // On tells whether anything is planned.
-func (p *Plan) On() bool { return len(p.Sites) > 0 }
+func (p *Plan) Enabled() bool { return len(p.Sites) > 0 }
 
 // DefaultPlan has the spans and steps of a plan that says nothing of them.
 func DefaultPlan() Plan {
 	return Plan{
 		// Longer than a stall of a process that is busy, and short against what requests in hand can bear.
-		LostAfter: 1e6,
-		BackAfter: 3e6,
+		LostAfter:    1e6,
+		RecoverAfter: 3e6,
 		// A quarter, a half and all had a dip of a seventh of the service at the last step, when half of the keys of a site
 		// whose servers counted as warm had to be fetched at once; by eighths it was a third of that.
-		Steps: []float64{0.125, 0.25, 0.375, 0.5, 0.625, 0.75, 0.875, 1},
-		Hold:  500e3,
+		RecoverySteps:   []float64{0.125, 0.25, 0.375, 0.5, 0.625, 0.75, 0.875, 1},
+		MinStepDuration: 500e3,
 	}
 }
 
@@ -70,24 +70,24 @@
 
 // The stages that are ruled on. Degraded is none: it is seen, and nothing but the capacity hangs on it.
 const (
-	Up        Stage = ""
-	Lost      Stage = "lost"
-	Returning Stage = "returning"
+	Up         Stage = ""
+	Lost       Stage = "lost"
+	Recovering Stage = "returning"
 )
 
 func (s Stage) String() string { return cmp.Or(string(s), "up") }
 
 // Decision is what was decided on a site; the zero value is that it is up, which nobody had to decide.
 type Decision struct {
-	Stage  Stage   `json:"stage"`
-	Step   int     `json:"step"`  // of the return
-	Held   bool    `json:"held"`  // by an operator: no step is taken, and no return begins
-	Fails  int     `json:"fails"` // losses that followed soon on a return
-	By     string  `json:"by"`    // an operator, or "evidence"
-	Reason string  `json:"reason"`
-	Spare  []Share `json:"spare,omitempty"` // how its keys go to the others, by weights of their servers; none: evenly
-	At     int64   `json:"at"`              // by the wall clock, in microseconds since 1970, for people
-	Index  uint64  `json:"index"`
+	Stage           Stage       `json:"stage"`
+	Step            int         `json:"step"`  // of the return
+	Paused          bool        `json:"held"`  // by an operator: no step is taken, and no return begins
+	RepeatedLosses  int         `json:"fails"` // losses that followed soon on a return
+	DecidedBy       string      `json:"by"`    // an operator, or "evidence"
+	Reason          string      `json:"reason"`
+	FailoverWeights []SiteShare `json:"spare,omitempty"` // how its keys go to the others, by weights of their servers; none: evenly
+	DecidedAt       int64       `json:"at"`              // by the wall clock, in microseconds since 1970, for people
+	Index           uint64      `json:"index"`
 }
 
 // share is the part of its keys that a site may have.
@@ -95,67 +95,69 @@
 	switch r.Stage {
 	case Lost:
 		return 0
-	case Returning:
-		return p.Steps[min(max(0, r.Step), len(p.Steps)-1)]
+	case Recovering:
+		return p.RecoverySteps[min(max(0, r.Step), len(p.RecoverySteps)-1)]
 	}
 	return 1
 }
 
 // Offer is what comes in of one rank.
-type Offer struct {
+type OfferedLoad struct {
 	Rank Rank    `json:"k"`
 	Rate float64 `json:"r"` // a second
 }
 
 // Seen is what a router sees of a site's cache servers.
-type Seen struct {
-	Site    Site    `json:"s"`
-	Usual   int     `json:"u"` // as many as have been listed at once lately
-	Listed  int     `json:"l"` // now
-	Silent  int     `json:"q"` // of these
-	Answers float64 `json:"a"` // a second
+type SiteObservation struct {
+	Site            Site    `json:"s"`
+	ExpectedServers int     `json:"u"` // as many as have been listed at once lately
+	ListedServers   int     `json:"l"` // now
+	SilentServers   int     `json:"q"` // of these
+	AnswerRate      float64 `json:"a"` // a second
 }
 
 // there is the part of the usual servers that answer, as far as this router knows.
-func (s Seen) there() float64 {
-	return min(1, float64(max(0, s.Listed-s.Silent))/float64(max(1, s.Usual)))
+func (s SiteObservation) there() float64 {
+	return min(1, float64(max(0, s.ListedServers-s.SilentServers))/float64(max(1, s.ExpectedServers)))
 }
 
 // Report is what a router tells of about the last second.
 type Report struct {
-	Site    Site    `json:"site"`
-	Offered []Offer `json:"offered"`
-	Let     float64 `json:"let"`    // requests a second that were let in and have ended
-	Lost    float64 `json:"lost"`   // of these: given up
-	Worth   float64 `json:"worth"`  // of what was let in, a second
-	Missed  float64 `json:"missed"` // of this: given up
-	Origin  float64 `json:"origin"` // the time of its answers over what it should be; 0: not known
-	Target  float64 `json:"target"` // of the orders that it keeps to
-	Seen    []Seen  `json:"seen"`
+	Site            Site              `json:"site"`
+	Offered         []OfferedLoad     `json:"offered"`
+	AdmittedRate    float64           `json:"let"`    // requests a second that were let in and have ended
+	FailedRate      float64           `json:"lost"`   // of these: given up
+	AdmittedWeight  float64           `json:"worth"`  // of what was let in, a second
+	FailedWeight    float64           `json:"missed"` // of this: given up
+	OriginSlowdown  float64           `json:"origin"` // the time of its answers over what it should be; 0: not known
+	AdmissionTarget float64           `json:"target"` // of the orders that it keeps to
+	Observations    []SiteObservation `json:"seen"`
 }
 
 // Orders are what all routers keep to.
 type Orders struct {
-	Shares  []Share    `json:"shares,omitempty"` // of sites that are not up
-	Spare   []Share    `json:"spare,omitempty"`  // weights of sites for the keys of those
-	Least   Rank       `json:"least"`            // less is refused
-	Some    float64    `json:"some"`             // of what has just that rank so much is let in
-	Back    clock.Time `json:"back"`             // what is refused is to come back within so long
-	Fetches float64    `json:"fetches"`          // at the origin for reads, a second, of all routers; 0: no bound
-	Target  float64    `json:"target"`           // requests a second that are let in; 0: all
+	KeyShares       []SiteShare `json:"shares,omitempty"` // of sites that are not up
+	FailoverWeights []SiteShare `json:"spare,omitempty"`  // weights of sites for the keys of those
+	MinRank         Rank        `json:"least"`            // less is refused
+	MinRankFraction float64     `json:"some"`             // of what has just that rank so much is let in
+	RetryAfter      clock.Time  `json:"back"`             // what is refused is to come back within so long
+	OriginReadRate  float64     `json:"fetches"`          // at the origin for reads, a second, of all routers; 0: no bound
+	AdmissionTarget float64     `json:"target"`           // requests a second that are let in; 0: all
 }
 
 // Share is the part of its keys that a site's cache servers may have.
-type Share struct {
-	Site Site    `json:"s"`
-	Part float64 `json:"p"`
+type SiteShare struct {
+	Site     Site    `json:"s"`
+	Fraction float64 `json:"p"`
 }
 
 // None tells that the orders ask for nothing.
-func (o *Orders) None() bool { return len(o.Shares) == 0 && o.Target == 0 && o.Fetches == 0 }
+func (o *Orders) Empty() bool {
+	return len(o.KeyShares) == 0 && o.AdmissionTarget == 0 && o.OriginReadRate == 0
+}
 
 // Memory keeps how many cache servers a site has had lately, which a list no longer tells once they are gone.
-type Memory struct {
+type ServerCounts struct {
 	most map[Site][]count
 }
 
@@ -167,24 +169,24 @@
 const remembered = 600e6 // longer than an outage during which somebody has to look at the figures
 
 // Note fills in what is usual.
-func (m *Memory) Note(now clock.Time, all []Seen) []Seen {
+func (m *ServerCounts) Record(now clock.Time, all []SiteObservation) []SiteObservation {
 	if m.most == nil {
 		m.most = map[Site][]count{}
 	}
 	for _, s := range all {
 		// Only what nothing later surpasses counts.
-		kept := slices.DeleteFunc(m.most[s.Site], func(c count) bool { return c.n <= s.Listed || now-c.at > remembered })
-		m.most[s.Site] = append(kept, count{now, s.Listed})
+		kept := slices.DeleteFunc(m.most[s.Site], func(c count) bool { return c.n <= s.ListedServers || now-c.at > remembered })
+		m.most[s.Site] = append(kept, count{now, s.ListedServers})
 	}
-	out := make([]Seen, 0, len(m.most))
+	out := make([]SiteObservation, 0, len(m.most))
 	for site, counts := range m.most {
-		seen := Seen{Site: site}
-		if i := slices.IndexFunc(all, func(s Seen) bool { return s.Site == site }); i >= 0 {
+		seen := SiteObservation{Site: site}
+		if i := slices.IndexFunc(all, func(s SiteObservation) bool { return s.Site == site }); i >= 0 {
 			seen = all[i]
 		}
-		seen.Usual = max(seen.Listed, counts[0].n)
+		seen.ExpectedServers = max(seen.ListedServers, counts[0].n)
 		out = append(out, seen)
 	}
-	slices.SortFunc(out, func(a, b Seen) int { return cmp.Compare(a.Site, b.Site) })
+	slices.SortFunc(out, func(a, b SiteObservation) int { return cmp.Compare(a.Site, b.Site) })
 	return out
 }
--- a/core/sitefailover/shed.go
+++ b/core/sitefailover/shed.go
@@ -8,23 +8,23 @@
 )
 
 // pool adds up what routers are offered, the highest rank first.
-func pool(rows []Row) []Offer {
+func pool(rows []RouterState) []OfferedLoad {
 	rates := map[Rank]float64{}
 	for _, r := range rows {
 		for _, o := range r.Report.Offered {
 			rates[o.Rank] += o.Rate
 		}
 	}
-	all := make([]Offer, 0, len(rates))
+	all := make([]OfferedLoad, 0, len(rates))
 	for rank, rate := range rates {
-		all = append(all, Offer{rank, rate})
+		all = append(all, OfferedLoad{rank, rate})
 	}
-	slices.SortFunc(all, func(a, b Offer) int { return cmp.Compare(b.Rank, a.Rank) })
+	slices.SortFunc(all, func(a, b OfferedLoad) int { return cmp.Compare(b.Rank, a.Rank) })
 	return all
 }
 
 // cut is the rank that a target reaches down to, and how much of what has just that rank still fits.
-func cut(offered []Offer, target float64) (least Rank, some float64) {
+func cut(offered []OfferedLoad, target float64) (least Rank, some float64) {
 	left := target
 	for _, o := range offered {
 		if o.Rate > left {
@@ -54,13 +54,13 @@
 }
 
 // settleOn has the keys of servers that are away count with those of the sites that have them, by weights.
-func settleOn(sites []standing, away float64, weights []Share) {
+func settleOn(sites []standing, away float64, weights []SiteShare) {
 	each, sum := make([]float64, len(sites)), 0.0
 	for i, s := range sites {
 		each[i] = s.servers
 		for _, w := range weights {
 			if w.Site == s.name {
-				each[i] *= w.Part
+				each[i] *= w.Fraction
 			}
 		}
 		sum += each[i]
@@ -115,7 +115,7 @@
 
 // step takes the sums over all routers: what is offered and answered, the part of the worth let in that was given up, and
 // what is borne; trouble: a site is not whole.
-func (t *throttle) step(now clock.Time, offered []Offer, answered, lost, borne float64, trouble bool) {
+func (t *throttle) step(now clock.Time, offered []OfferedLoad, answered, lost, borne float64, trouble bool) {
 	if now-t.stepped < turn {
 		return
 	}
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -23,25 +23,25 @@
 	down    map[Site]bool        // its routers are not heard
 	there   map[Site]float64     // part of its servers that answer
 	blind   map[[2]Site]bool     // what routers of the first see of the second: nothing
-	offered []Offer              // of each router
+	offered []OfferedLoad        // of each router
 	can     float64              // answers a second of a whole site
 	said    func(string, ...any) // an order
-	check   func(Orders, *Order, []Row)
+	check   func(Orders, *Transition, []RouterState)
 }
 
 var sites = []Site{"a", "b", "c"}
 
 func newDay() *day {
 	d := &day{plan: DefaultPlan(), chief: NewCoordinator(0), rulings: map[Site]Decision{}, down: map[Site]bool{}, there: map[Site]float64{},
-		blind: map[[2]Site]bool{}, offered: []Offer{{1000001, 20}, {600001, 60}, {200001, 20}}, can: 250, said: func(string, ...any) {}}
+		blind: map[[2]Site]bool{}, offered: []OfferedLoad{{1000001, 20}, {600001, 60}, {200001, 20}}, can: 250, said: func(string, ...any) {}}
 	for _, s := range sites {
-		d.plan.Sites = append(d.plan.Sites, Place{Name: s, Bears: d.can})
+		d.plan.Sites = append(d.plan.Sites, SitePlan{Name: s, Capacity: d.can})
 		d.there[s] = 1
 	}
 	return d
 }
 
-func (d *day) rows() (rows []Row) {
+func (d *day) rows() (rows []RouterState) {
 	let, answered, heard := 0.0, 0.0, 0.0
 	for _, s := range sites {
 		if !d.down[s] {
@@ -53,21 +53,21 @@
 		let += o.Rate * heard
 	}
 	asked := let
-	if t := d.orders.Target; t > 0 {
+	if t := d.orders.AdmissionTarget; t > 0 {
 		let = min(let, t)
 	}
 	lost := max(0, let-answered)
 	for _, s := range sites {
 		for i := range 2 {
-			r := Row{Name: fmt.Sprint(s, i), Site: s, Heard: !d.down[s]}
-			if r.Heard {
-				r.Report = Report{Site: s, Offered: d.offered, Let: let / heard, Lost: lost / heard, Worth: let / heard, Missed: lost / heard, Target: d.orders.Target}
+			r := RouterState{Name: fmt.Sprint(s, i), Site: s, Reporting: !d.down[s]}
+			if r.Reporting {
+				r.Report = Report{Site: s, Offered: d.offered, AdmittedRate: let / heard, FailedRate: lost / heard, AdmittedWeight: let / heard, FailedWeight: lost / heard, AdmissionTarget: d.orders.AdmissionTarget}
 				for _, of := range sites {
 					n := int(4*d.there[of] + 0.5)
 					if d.blind[[2]Site{s, of}] {
 						n = 0
 					}
-					r.Report.Seen = append(r.Report.Seen, Seen{Site: of, Usual: 4, Listed: 4, Silent: 4 - n, Answers: min(d.can, asked/3) * d.there[of] / heard})
+					r.Report.Observations = append(r.Report.Observations, SiteObservation{Site: of, ExpectedServers: 4, ListedServers: 4, SilentServers: 4 - n, AnswerRate: min(d.can, asked/3) * d.there[of] / heard})
 				}
 			}
 			rows = append(rows, r)
@@ -78,7 +78,7 @@
 
 func (d *day) step() {
 	rows := d.rows()
-	orders, order := d.chief.Step(d.now, &d.plan, d.rulings, rows)
+	orders, order := d.chief.Evaluate(d.now, &d.plan, d.rulings, rows)
 	if d.check != nil {
 		d.check(orders, order, rows)
 	}
@@ -87,14 +87,14 @@
 	d.now += 100e3
 }
 
-func (d *day) take(o *Order) {
-	if o == nil || d.rulings[o.Site].Index != o.On {
+func (d *day) take(o *Transition) {
+	if o == nil || d.rulings[o.Site].Index != o.PreviousIndex {
 		return
 	}
 	d.index++
 	o.Decision.Index = d.index
 	d.rulings[o.Site] = o.Decision
-	d.said("%.1f %s: %s step %d fails %d by %s: %s", float64(d.now)/1e6, o.Site, o.Stage, o.Step+1, o.Fails, o.By, o.Reason)
+	d.said("%.1f %s: %s step %d fails %d by %s: %s", float64(d.now)/1e6, o.Site, o.Stage, o.Step+1, o.RepeatedLosses, o.DecidedBy, o.Reason)
 }
 
 // A script has what happens at a time, in seconds; below stands what was ruled up to then, and what the fleet keeps to.
@@ -123,12 +123,12 @@
 			case "look":
 				s := d.chief.Status()
 				for _, x := range s.Sites {
-					say("%s %s keys %.2f bears %.0f %s", x.Name, x.Shows(), x.Share, x.Bears, x.Waits)
+					say("%s %s keys %.2f bears %.0f %s", x.Name, x.DisplayStage(), x.KeyShare, x.Capacity, x.WaitingFor)
 				}
-				for _, x := range s.Orders.Spare {
-					say("of lost keys to servers of %s: %.2f", x.Site, x.Part)
+				for _, x := range s.Orders.FailoverWeights {
+					say("of lost keys to servers of %s: %.2f", x.Site, x.Fraction)
 				}
-				say("bears %.0f (%s) target %.0f least %d some %.2f", s.Bears, s.Binds, s.Orders.Target, s.Orders.Least, s.Orders.Some)
+				say("bears %.0f (%s) target %.0f least %d some %.2f", s.Capacity, s.LimitingSite, s.Orders.AdmissionTarget, s.Orders.MinRank, s.Orders.MinRankFraction)
 			case "down", "up": // the whole site
 				d.down[site()], d.there[site()] = words[1] == "down", map[string]float64{"down": 0, "up": 1}[words[1]]
 			case "servers":
@@ -144,9 +144,9 @@
 			case "bears", "prefer": // "bears a 400", "prefer b a"
 				for i := range d.plan.Sites {
 					if p := &d.plan.Sites[i]; p.Name == site() && words[1] == "bears" {
-						p.Bears = part(words[3])
+						p.Capacity = part(words[3])
 					} else if p.Name == site() {
-						p.Prefer = append(p.Prefer, Site(words[3]))
+						p.PreferredTargets = append(p.PreferredTargets, Site(words[3]))
 					}
 				}
 			case "leader":
@@ -173,18 +173,18 @@
 		for i := range d.offered {
 			d.offered[i].Rate *= 0.5 + 1.5*r.Float64()
 		}
-		d.check = func(o Orders, order *Order, rows []Row) {
+		d.check = func(o Orders, order *Transition, rows []RouterState) {
 			sum := 0.0
 			for _, x := range pool(rows) {
 				switch {
-				case x.Rank > o.Least:
+				case x.Rank > o.MinRank:
 					sum += x.Rate
-				case x.Rank == o.Least:
-					sum += x.Rate * o.Some
+				case x.Rank == o.MinRank:
+					sum += x.Rate * o.MinRankFraction
 				}
 			}
-			if o.Target > 0 && sum > o.Target+1e-6 {
-				t.Fatalf("seed %d, %v: %.1f is let in, and the target is %.1f", seed, d.now, sum, o.Target)
+			if o.AdmissionTarget > 0 && sum > o.AdmissionTarget+1e-6 {
+				t.Fatalf("seed %d, %v: %.1f is let in, and the target is %.1f", seed, d.now, sum, o.AdmissionTarget)
 			}
 			if order == nil {
 				return
@@ -201,11 +201,11 @@
 				if deaf < 2 && deaf < len(sites)-1-boolCount(d.down, order.Site) {
 					t.Fatalf("seed %d, %v: %s is called lost by %d sites", seed, d.now, order.Site, deaf)
 				}
-			case order.Stage == Returning && was.Stage == Lost:
+			case order.Stage == Recovering && was.Stage == Lost:
 				if d.down[order.Site] || d.there[order.Site] < half {
 					t.Fatalf("seed %d, %v: %s returns, and is not there", seed, d.now, order.Site)
 				}
-			case order.Stage == Returning && order.Step != was.Step+1, order.Stage == Up && was.Step != len(d.plan.Steps)-1:
+			case order.Stage == Recovering && order.Step != was.Step+1, order.Stage == Up && was.Step != len(d.plan.RecoverySteps)-1:
 				t.Fatalf("seed %d, %v: from step %d to %v", seed, d.now, was.Step, order.Decision)
 			}
 		}
@@ -267,13 +267,13 @@
 }
 
 // A tenant over its share goes first, whatever its method.
-func ExampleRehearse() {
-	loads := []Load{{Method: "status", Rate: 420}, {Method: "alert", Rate: 70}, {Method: "report", Rate: 150}, {Method: "report", Tenant: "dairy", Rate: 60}}
-	asked := Spread(loads, map[string]float64{"status": 0.6, "alert": 1, "report": 0.2}, map[string]float64{"grain": 0.8, "dairy": 0.2}, 0.1)
-	o := Rehearse([]Bearing{{Name: "hill", Servers: 3, Bears: 250}, {Name: "coast", Servers: 3, Bears: 250}, {Name: "valley", Servers: 2, Bears: 200}}, asked, []Site{"coast"})
-	fmt.Printf("asked %.0f, borne %.0f, %s binds\n", o.Asked, o.Bears, o.Binds)
-	for _, r := range slices.Concat(o.Method, o.Tenant) {
-		fmt.Printf("%s %.0f of %.0f\n", r.Name, r.Refuse, r.Asked)
+func ExampleForecastLoss() {
+	loads := []ExpectedLoad{{Method: "status", Rate: 420}, {Method: "alert", Rate: 70}, {Method: "report", Rate: 150}, {Method: "report", Tenant: "dairy", Rate: 60}}
+	asked := DistributeLoads(loads, map[string]float64{"status": 0.6, "alert": 1, "report": 0.2}, map[string]float64{"grain": 0.8, "dairy": 0.2}, 0.1)
+	o := ForecastLoss([]SiteCapacity{{Site: "hill", Servers: 3, Capacity: 250}, {Site: "coast", Servers: 3, Capacity: 250}, {Site: "valley", Servers: 2, Capacity: 200}}, asked, []Site{"coast"})
+	fmt.Printf("asked %.0f, borne %.0f, %s binds\n", o.OfferedRate, o.Capacity, o.LimitingSite)
+	for _, r := range slices.Concat(o.ByMethod, o.ByTenant) {
+		fmt.Printf("%s %.0f of %.0f\n", r.Name, r.ShedRate, r.OfferedRate)
 	}
 	// Output:
 	// asked 700, borne 450, hill binds
@@ -285,13 +285,13 @@
 }
 
 // What a site had is known once its servers are gone from the list, and forgotten in the end.
-func ExampleMemory() {
-	var m Memory
+func ExampleServerCounts() {
+	var m ServerCounts
 	for _, x := range []struct {
 		at     clock.Time
 		listed int
 	}{{0, 3}, {10e6, 4}, {20e6, 0}, {500e6, 2}, {700e6, 1}, {2000e6, 1}} {
-		fmt.Println(x.at/1e6, x.listed, m.Note(x.at, []Seen{{Site: "a", Listed: x.listed}})[0].Usual)
+		fmt.Println(x.at/1e6, x.listed, m.Record(x.at, []SiteObservation{{Site: "a", ListedServers: x.listed}})[0].ExpectedServers)
 	}
 	// Output:
 	// 0 3 3
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -432,7 +432,7 @@
 	if k.raftLog != nil {
 		w.Folder = k.raftLog.state()
 	}
-	if o := k.sites.orders; k.sites.came != 0 && now < k.sites.came+ordersLast && !o.None() {
+	if o := k.sites.orders; k.sites.came != 0 && now < k.sites.came+ordersLast && !o.Empty() {
 		w.Orders = &o
 	}
 	text, err := json.MarshalIndent(w, "", " ")
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -16,7 +16,7 @@
 // sites is what a router does about the loss of a site (package sitefailover), and the leader's part of it.
 type sites struct {
 	plan   sitefailover.Plan // of the policy in force here
-	memory sitefailover.Memory
+	memory sitefailover.ServerCounts
 	report *sitefailover.Report // of late; nil: nothing is planned
 	orders sitefailover.Orders  // as last told
 	came   clock.Time           // when; 0: never
@@ -54,7 +54,7 @@
 		}
 		k.mu.Lock()
 		s := &k.sites
-		on, orders, until := s.plan.On(), s.orders, s.came+ordersLast
+		on, orders, until := s.plan.Enabled(), s.orders, s.came+ordersLast
 		if !on || s.came == 0 || k.micros() >= until {
 			orders = sitefailover.Orders{}
 		}
@@ -76,28 +76,28 @@
 			continue
 		}
 		k.mu.Lock()
-		r := sitefailover.Report{Site: sitefailover.Site(k.cfg.Site), Let: f.Ended, Lost: f.GivenUp, Worth: f.Worth, Missed: f.WorthLost, Origin: f.Origin, Target: orders.Target}
+		r := sitefailover.Report{Site: sitefailover.Site(k.cfg.Site), AdmittedRate: f.Ended, FailedRate: f.GivenUp, AdmittedWeight: f.Worth, FailedWeight: f.WorthLost, OriginSlowdown: f.Origin, AdmissionTarget: orders.AdmissionTarget}
 		for _, o := range f.Offered {
 			if o.Rate >= 0.05 { // a second; less says nothing, and makes a packet long
-				r.Offered = append(r.Offered, sitefailover.Offer{Rank: sitefailover.Rank(o.Rank), Rate: o.Rate})
+				r.Offered = append(r.Offered, sitefailover.OfferedLoad{Rank: sitefailover.Rank(o.Rank), Rate: o.Rate})
 			}
 		}
 		for _, z := range f.Zones {
-			r.Seen = append(r.Seen, sitefailover.Seen{Site: sitefailover.Site(z.Zone), Listed: z.Listed, Silent: z.Silent, Answers: z.Answers})
+			r.Observations = append(r.Observations, sitefailover.SiteObservation{Site: sitefailover.Site(z.Zone), ListedServers: z.Listed, SilentServers: z.Silent, AnswerRate: z.Answers})
 		}
-		r.Seen = s.memory.Note(clock.Time(k.micros()), r.Seen)
+		r.Observations = s.memory.Record(clock.Time(k.micros()), r.Observations)
 		s.report = &r
 		k.mu.Unlock()
 	}
 }
 
 func planned(o sitefailover.Orders) routing.Planned {
-	p := routing.Planned{Least: routing.Rank(o.Least), Some: o.Some, Back: clock.Time(o.Back), Fetches: o.Fetches}
-	for _, s := range o.Spare {
-		p.Spare = append(p.Spare, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Part})
+	p := routing.Planned{Least: routing.Rank(o.MinRank), Some: o.MinRankFraction, Back: clock.Time(o.RetryAfter), Fetches: o.OriginReadRate}
+	for _, s := range o.FailoverWeights {
+		p.Spare = append(p.Spare, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Fraction})
 	}
-	for _, s := range o.Shares {
-		p.Parts = append(p.Parts, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Part})
+	for _, s := range o.KeyShares {
+		p.Parts = append(p.Parts, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Fraction})
 	}
 	return p
 }
@@ -126,9 +126,9 @@
 func (k *Keeper) leadSites(raftLog *log) {
 	k.mu.Lock()
 	s, now := &k.sites, k.micros()
-	due := s.coordinator != nil && k.leader != nil && s.plan.On() && now-s.stepped >= leadEach
+	due := s.coordinator != nil && k.leader != nil && s.plan.Enabled() && now-s.stepped >= leadEach
 	if !due {
-		if !s.plan.On() {
+		if !s.plan.Enabled() {
 			s.given = nil
 		}
 		k.mu.Unlock()
@@ -149,13 +149,13 @@
 		k.mu.Unlock()
 		return
 	}
-	var rows []sitefailover.Row
+	var rows []sitefailover.RouterState
 	for _, m := range members {
 		last := s.reports[policycommit.Name(m.Name)]
-		rows = append(rows, sitefailover.Row{Name: m.Name, Site: sitefailover.Site(m.Site), Heard: last.at != 0 && now-last.at < heardFor, Report: last.Report})
+		rows = append(rows, sitefailover.RouterState{Name: m.Name, Site: sitefailover.Site(m.Site), Reporting: last.at != 0 && now-last.at < heardFor, Report: last.Report})
 	}
-	orders, order := s.coordinator.Step(clock.Time(now), &s.plan, b.Sites, rows)
-	if s.given = &orders; orders.None() {
+	orders, order := s.coordinator.Evaluate(clock.Time(now), &s.plan, b.Sites, rows)
+	if s.given = &orders; orders.Empty() {
 		s.given = nil
 	}
 	const again = 500e3 // an entry that was asked for may still be on its way
@@ -168,7 +168,7 @@
 	if order == nil {
 		return
 	}
-	order.At = time.Now().UnixMicro()
+	order.DecidedAt = time.Now().UnixMicro()
 	k.log.WithFields(logrus.Fields{"site": order.Site, "stage": order.Stage.String(), "step": order.Step + 1, "why": order.Reason,
 		"mono_us": fleet.Monotonic(), "formerly": "site: ruling"}).Warn("site: decision") // the earlier words for one release
 	go raftLog.put(policycommit.Entry{Kind: policycommit.Site, Order: order}) // decided anew if it does not get there
@@ -179,7 +179,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, doc := b.Current()
-	if k.sites.coordinator == nil || !k.sites.plan.On() {
+	if k.sites.coordinator == nil || !k.sites.plan.Enabled() {
 		return nil, doc
 	}
 	s := k.sites.coordinator.Status()
@@ -191,20 +191,20 @@
 	b := raftLog.now()
 	k.mu.Lock()
 	plan, site := k.sites.plan, sitefailover.Site(q.Name)
-	var spare []sitefailover.Share
+	var spare []sitefailover.SiteShare
 	if k.sites.coordinator != nil && q.Word == "lost" {
-		spare = k.sites.coordinator.Spare(&plan, site, b.Sites)
+		spare = k.sites.coordinator.FailoverWeights(&plan, site, b.Sites)
 	}
 	k.mu.Unlock()
-	if r := b.Sites[site]; r.At == q.At && r.By == q.Author {
+	if r := b.Sites[site]; r.DecidedAt == q.At && r.DecidedBy == q.Author {
 		return nil // asked again: the answer was late
 	}
 	order, err := sitefailover.Command(&plan, site, b.Sites, q.Word, q.Author, q.Reason)
 	if err != nil {
 		return err
 	}
-	if order.At = q.At; q.Word == "lost" {
-		order.Spare = spare
+	if order.DecidedAt = q.At; q.Word == "lost" {
+		order.FailoverWeights = spare
 	}
 	k.log.WithFields(logrus.Fields{"site": q.Name, "word": q.Word, "by": q.Author, "reason": q.Reason}).Warn("site: an operator's word")
 	return raftLog.put(policycommit.Entry{Kind: policycommit.Site, Order: order})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -47,7 +47,7 @@
 	told    share
 	hear    func(fleet.Process, []byte)
 	tiers   *hierarchy.Hierarchy // nil: the fleet is flat
-	site    hierarchy.Local      // as the tiers were last told
+	site    hierarchy.LocalSite  // as the tiers were last told
 	seen    uint64               // digest of the view that site is of
 	looked  clock.Time           // when site was made
 	asks    clock.Time           // when the views of the site last were alike, or mates were asked for their heartbeats
--- a/internal/gossip/tiers.go
+++ b/internal/gossip/tiers.go
@@ -43,15 +43,15 @@
 		return p.cfg.Refused("fleet.region", "is empty, or the site is", "name the region of the site, and the site")
 	}
 	c := hierarchy.Config{Fleet: p.cfg.Fleet, Region: p.cfg.Region, Site: p.cfg.Site, Name: p.cfg.Name, Addr: p.cfg.Advertise,
-		Wall: uint32(p.start.Unix()), Seed: process}
+		WallClockSeconds: uint32(p.start.Unix()), RandomSeed: process}
 	for _, text := range p.cfg.Remote {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return p.cfg.Refused("fleet.remote", err.Error(), `write addresses and ports as "10.1.2.3:7946"`)
 		}
-		c.Remote = append(c.Remote, addr)
+		c.SeedAddrs = append(c.SeedAddrs, addr)
 	}
-	p.tiers = hierarchy.New(clock.Time(p.micros()), hierarchy.DefaultRules(), c)
+	p.tiers = hierarchy.New(clock.Time(p.micros()), hierarchy.DefaultParameters(), c)
 	return nil
 }
 
@@ -60,7 +60,7 @@
 	if p.tiers == nil {
 		return nil
 	}
-	for _, addr := range p.tiers.Known() {
+	for _, addr := range p.tiers.KnownRepresentatives() {
 		all = append(all, addr.String())
 	}
 	return all
@@ -173,15 +173,15 @@
 	if digest, _ := p.view.Digest(); digest != p.seen || now-p.looked >= lookEvery {
 		p.seen, p.looked, p.site = digest, now, p.local(now)
 	}
-	return p.tiers.Step(clock.Time(now), p.site)
+	return p.tiers.Tick(clock.Time(now), p.site)
 }
 
 // local is what the tiers are told of the site. p.mu is held.
-func (p *Node) local(now clock.Time) (l hierarchy.Local) {
+func (p *Node) local(now clock.Time) (l hierarchy.LocalSite) {
 	for _, s := range p.view.Snapshot(now).Sites {
 		l.Counts.Alive += uint32(s.Alive)
-		l.Counts.Takes += uint32(s.Takes)
-		l.Counts.Of += uint32(s.Of)
+		l.Counts.Accepting += uint32(s.Takes)
+		l.Counts.Total += uint32(s.Of)
 	}
 	revisions := map[membership.Process]uint64{}
 	for _, w := range p.view.Heartbeats() {
@@ -191,12 +191,12 @@
 	for i, m := range p.view.Living() {
 		text = binary.BigEndian.AppendUint64(append(append(text, m.Name...), 0), uint64(m.Process))
 		if r := revisions[m.Process]; i == 0 {
-			l.Least, l.Most = r, r
+			l.MinRevision, l.MaxRevision = r, r
 		} else {
-			l.Least, l.Most = min(l.Least, r), max(l.Most, r)
+			l.MinRevision, l.MaxRevision = min(l.MinRevision, r), max(l.MaxRevision, r)
 		}
 		if addr, err := netip.ParseAddrPort(m.Addr); err == nil {
-			l.Members = append(l.Members, hierarchy.Member{Name: string(m.Name), Addr: addr, Started: m.Started})
+			l.Members = append(l.Members, hierarchy.Member{Name: string(m.Name), Addr: addr, StartedAt: m.Started})
 		}
 	}
 	l.Digest = crc64.Checksum(text, crcTable)
@@ -216,7 +216,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers != nil {
-		p.tiers.Take(clock.Time(p.micros()), body)
+		p.tiers.Receive(clock.Time(p.micros()), body)
 	}
 }
 
@@ -270,7 +270,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tiers != nil {
-		newest = max(newest, p.tiers.Newest())
+		newest = max(newest, p.tiers.NewestRevision())
 	}
 	return newest
 }
--- a/internal/gossip/tiers_test.go
+++ b/internal/gossip/tiers_test.go
@@ -123,7 +123,7 @@
 	return s
 }
 
-func alive(groups []hierarchy.Group, name string) uint32 {
+func alive(groups []hierarchy.GroupStatus, name string) uint32 {
 	for _, g := range groups {
 		if g.Name == name {
 			return g.Alive
@@ -170,7 +170,7 @@
 			break
 		}
 	}
-	if !first.Role().Site {
+	if !first.Role().RepresentsSite {
 		t.Error("the first router of hill does not represent it")
 	}
 	first.Kill()
--- a/internal/lab/rig/site_test.go
+++ b/internal/lab/rig/site_test.go
@@ -37,7 +37,7 @@
 	if err != nil || s == nil || len(s.Sites) != 3 {
 		return fmt.Sprint("unknown: ", err)
 	}
-	return s.Sites[0].Shows() + " " + s.Sites[1].Shows() + " " + s.Sites[2].Shows()
+	return s.Sites[0].DisplayStage() + " " + s.Sites[1].DisplayStage() + " " + s.Sites[2].DisplayStage()
 }
 
 func (t trial) keepsTo(site sitefailover.Site, share float64, who ...int) {
@@ -50,9 +50,9 @@
 			}
 			has := 1.0
 			if o != nil {
-				for _, s := range o.Shares {
+				for _, s := range o.KeyShares {
 					if s.Site == site {
-						has = s.Part
+						has = s.Fraction
 					}
 				}
 			}
@@ -81,7 +81,7 @@
 	r.keepsTo(sitefailover.Site(site), 1, upTo(6)...)
 	s, err := r.Sites(left[0])
 	r.must(err)
-	if x := s.Sites[leader]; x.Stage == sitefailover.Up && x.Fails == 0 {
+	if x := s.Sites[leader]; x.Stage == sitefailover.Up && x.RepeatedLosses == 0 {
 		t.Errorf("its second loss did not count: %+v", x)
 	}
 }
@@ -201,15 +201,15 @@
 func TestJudgeOfSites(t *testing.T) {
 	at := func(s float64, stage sitefailover.Stage, step int, index uint64, orders map[int]map[sitefailover.Site]float64) SiteSample {
 		return SiteSample{At: time.Duration(s * float64(time.Second)), Orders: orders,
-			Sites: []sitefailover.SiteStatus{{Name: "a", Decision: sitefailover.Decision{Stage: stage, Step: step, Index: index, By: "evidence"}}}}
+			Sites: []sitefailover.SiteStatus{{Name: "a", Decision: sitefailover.Decision{Stage: stage, Step: step, Index: index, DecidedBy: "evidence"}}}}
 	}
 	lost := SiteTruth{At: 4 * time.Second, Site: "a"}
 	back := SiteTruth{At: 9 * time.Second, Site: "a", Listed: 1, Routers: true}
 	both := func(x, y float64) map[int]map[sitefailover.Site]float64 {
 		return map[int]map[sitefailover.Site]float64{0: {"a": x}, 1: {"a": y}}
 	}
-	good := []SiteSample{at(1, sitefailover.Up, 0, 0, nil), at(5, sitefailover.Lost, 0, 1, both(0, 0)), at(11, sitefailover.Returning, 0, 2, both(0.25, 0.25)),
-		at(12, sitefailover.Returning, 1, 3, both(0.5, 0.25)), at(13, sitefailover.Up, 0, 4, nil)}
+	good := []SiteSample{at(1, sitefailover.Up, 0, 0, nil), at(5, sitefailover.Lost, 0, 1, both(0, 0)), at(11, sitefailover.Recovering, 0, 2, both(0.25, 0.25)),
+		at(12, sitefailover.Recovering, 1, 3, both(0.5, 0.25)), at(13, sitefailover.Up, 0, 4, nil)}
 	steps := []float64{0.25, 0.5, 1}
 	if broken := JudgeSites(good, []SiteTruth{lost, back}, steps); len(broken) > 0 {
 		t.Error(broken)
@@ -220,7 +220,7 @@
 	}{
 		"lost while it is there": {good, nil},
 		"back while it is not":   {good, []SiteTruth{lost}},
-		"a step is skipped":      {[]SiteSample{good[1], good[2], at(12, sitefailover.Returning, 3, 3, nil)}, []SiteTruth{lost, back}},
+		"a step is skipped":      {[]SiteSample{good[1], good[2], at(12, sitefailover.Recovering, 3, 3, nil)}, []SiteTruth{lost, back}},
 		"shares at odds":         {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0, 1)), at(8, sitefailover.Lost, 0, 1, both(0, 1))}, []SiteTruth{lost}},
 		"no step":                {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0.3, 0.3))}, []SiteTruth{lost}},
 	} {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -144,7 +144,7 @@
 
 func (w *worker) representatives() (all []int) {
 	for i, h := range w.routers {
-		if h.place.Role().Site {
+		if h.place.Role().RepresentsSite {
 			all = append(all, i)
 		}
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -90,7 +90,7 @@
 		t.Error(err)
 	}
 	p, err := d.Plan(own, nil)
-	if err != nil || !p.On() || p.Sites[1].Bears != 100 || p.BackAfter != 3e6 || len(p.Steps) != 8 {
+	if err != nil || !p.Enabled() || p.Sites[1].Capacity != 100 || p.RecoverAfter != 3e6 || len(p.RecoverySteps) != 8 {
 		t.Errorf("%+v %v", p, err)
 	}
 }
--- a/internal/policy/sites.go
+++ b/internal/policy/sites.go
@@ -60,12 +60,12 @@
 		}
 		*into = clock.Time(x / time.Microsecond)
 	}
-	p.Fetches = above("fetches", s.Fetches)
+	p.OriginReadRate = above("fetches", s.Fetches)
 	span("lost_after", s.LostAfter, &p.LostAfter, 500*time.Millisecond) // less is what a busy process stands still for
-	span("back_after", s.BackAfter, &p.BackAfter, 500*time.Millisecond)
-	span("hold", s.Hold, &p.Hold, 100*time.Millisecond)
+	span("back_after", s.BackAfter, &p.RecoverAfter, 500*time.Millisecond)
+	span("hold", s.Hold, &p.MinStepDuration, 100*time.Millisecond)
 	if len(s.Steps) > 0 {
-		p.Steps = s.Steps
+		p.RecoverySteps = s.Steps
 		for i, x := range s.Steps {
 			if !(x > 0 && x <= 1) || i > 0 && x <= s.Steps[i-1] {
 				wrong("steps", fmt.Sprintf("its entry %d, %v, is no part of one above the one before", i+1, x), "write them in order, such as [0.25, 0.5, 1.0]")
@@ -86,12 +86,12 @@
 			wrong(f+"name", fmt.Sprintf("%q is no site that the routers know", x.Name), fmt.Sprintf("write one of %q", sites))
 		}
 		names = append(names, x.Name)
-		p.Sites = append(p.Sites, sitefailover.Place{Name: sitefailover.Site(x.Name), Bears: above(f+"bears", x.Bears)})
+		p.Sites = append(p.Sites, sitefailover.SitePlan{Name: sitefailover.Site(x.Name), Capacity: above(f+"bears", x.Bears)})
 		for j, name := range x.Prefer {
 			if name == x.Name || slices.Contains(x.Prefer[:j], name) || !slices.ContainsFunc(s.Sites, func(y Place) bool { return y.Name == name }) {
 				wrong(f+"prefer", fmt.Sprintf("its entry %d, %q, is the site itself, there twice or none of the plan", j+1, name), "name other sites of the plan, the first choice first")
 			}
-			p.Sites[i].Prefer = append(p.Sites[i].Prefer, sitefailover.Site(name))
+			p.Sites[i].PreferredTargets = append(p.Sites[i].PreferredTargets, sitefailover.Site(name))
 		}
 	}
 	if len(s.Sites) == 1 {
@@ -114,7 +114,7 @@
 			wrong(f+"tenant", fmt.Sprintf("%q is no tenant of the settings", x.Tenant), "write one of them, or leave it out for all")
 		}
 		above(f+"rate", &x.Rate)
-		p.Loads = append(p.Loads, sitefailover.Load(x))
+		p.ExpectedLoads = append(p.ExpectedLoads, sitefailover.ExpectedLoad(x))
 	}
 	for _, err := range errs {
 		if err != nil {
