--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -424,34 +424,54 @@
 	nearlyEven = 0.8  // by less keys are better off where plain hashing has them
 )
 
-// Command is what an operator may say of a site: lost, back, hold, go. The order that it makes, or why it makes none.
-func Command(p *Plan, site Site, decisions map[Site]Decision, word, by, reason string) (*Transition, error) {
-	r := decisions[site]
-	if !slices.ContainsFunc(p.Sites, func(x SitePlan) bool { return x.Name == site }) {
-		return nil, fmt.Errorf("%q is no site of the plan; cache-routerctl fleet site status names them", site)
-	}
-	o := &Transition{Site: site, PreviousIndex: r.Index, Decision: r}
-	o.DecidedBy, o.Reason = by, reason
-	switch word {
-	case "lost":
-		if last(p, site, decisions) {
-			return nil, fmt.Errorf("%s is the only site that is not lost: its load could go nowhere", site)
+// Action is an operator's command on a site.
+type Action string
+
+// The actions.
+const (
+	ActionLose    Action = "lost" // count the site as lost until ActionRecover
+	ActionRecover Action = "back" // begin the recovery without waiting for evidence
+	ActionPause   Action = "hold" // take no further recovery step
+	ActionResume  Action = "go"   // let evidence decide again
+)
+
+// Command is an operator's request to change what a site counts as.
+type Command struct {
+	Site   Site
+	Action Action
+	Author string
+	Reason string
+}
+
+// Transition returns the transition that carries the command out, or why the site's decision does not allow it.
+func (c Command) Transition(plan *Plan, decisions map[Site]Decision) (*Transition, error) {
+	isPlanned := slices.ContainsFunc(plan.Sites, func(planned SitePlan) bool { return planned.Name == c.Site })
+	if !isPlanned {
+		return nil, fmt.Errorf("%q is no site of the plan; cache-routerctl fleet site status names them", c.Site)
+	}
+	current := decisions[c.Site]
+	transition := &Transition{Site: c.Site, PreviousIndex: current.Index, Decision: current}
+	transition.DecidedBy, transition.Reason = c.Author, c.Reason
+	switch c.Action {
+	case ActionLose:
+		if last(plan, c.Site, decisions) {
+			return nil, fmt.Errorf("%s is the only site that is not lost: its load could go nowhere", c.Site)
 		}
-		o.Stage, o.Step, o.Paused = Lost, 0, true
-	case "back":
-		if r.Stage == Up {
-			return nil, fmt.Errorf("%s is up", site)
+		transition.Stage, transition.Step, transition.Paused = Lost, 0, true
+	case ActionRecover:
+		if current.Stage == Up {
+			return nil, fmt.Errorf("%s is up", c.Site)
 		}
-		o.Stage, o.Step, o.Paused, o.RepeatedLosses = Recovering, 0, false, 0
-	case "hold", "go":
-		if r.Stage == Up {
-			return nil, fmt.Errorf("%s is up: there is no return to hold", site)
+		transition.Stage, transition.Step, transition.Paused, transition.RepeatedLosses = Recovering, 0, false, 0
+	case ActionPause, ActionResume:
+		if current.Stage == Up {
+			return nil, fmt.Errorf("%s is up: there is no return to hold", c.Site)
 		}
-		o.Paused = word == "hold"
+		transition.Paused = c.Action == ActionPause
 	default:
-		return nil, fmt.Errorf("%q is none of lost, back, hold, go", word)
+		return nil, fmt.Errorf("%q is none of lost, back, hold, go", c.Action)
 	}
-	return o, nil
+	return transition, nil
 }
 
 // last tells whether all other sites are lost.
--- a/core/sitefailover/golden_test.go
+++ b/core/sitefailover/golden_test.go
@@ -71,7 +71,7 @@
 		case 300: // a partial fault
 			d.there["c"] = 0.5
 		case 400:
-			o, err := Command(&d.plan, "c", d.rulings, "lost", "ann", "by phone")
+			o, err := Command{Site: "c", Action: ActionLose, Author: "ann", Reason: "by phone"}.Transition(&d.plan, d.rulings)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -80,7 +80,7 @@
 			d.take(o)
 		case 450:
 			d.there["c"] = 1
-			o, err := Command(&d.plan, "c", d.rulings, "back", "ann", "seen")
+			o, err := Command{Site: "c", Action: ActionRecover, Author: "ann", Reason: "seen"}.Transition(&d.plan, d.rulings)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -152,7 +152,7 @@
 			case "leader":
 				d.chief = NewCoordinator(d.now)
 			case "word":
-				o, err := Command(&d.plan, site(), d.rulings, words[3], "ann", "told by phone")
+				o, err := Command{Site: site(), Action: Action(words[3]), Author: "ann", Reason: "told by phone"}.Transition(&d.plan, d.rulings)
 				if err != nil {
 					say("%v", err)
 				}
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -199,7 +199,8 @@
 	if r := b.Sites[site]; r.DecidedAt == q.At && r.DecidedBy == q.Author {
 		return nil // asked again: the answer was late
 	}
-	order, err := sitefailover.Command(&plan, site, b.Sites, q.Word, q.Author, q.Reason)
+	command := sitefailover.Command{Site: site, Action: sitefailover.Action(q.Word), Author: q.Author, Reason: q.Reason}
+	order, err := command.Transition(&plan, b.Sites)
 	if err != nil {
 		return err
 	}
