--- /dev/null
+++ b/core/routing/golden_test.go
@@ -0,0 +1,462 @@
+package routing_test
+
+import (
+	"cmp"
+	"container/heap"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+)
+
+// updateGolden rewrites the golden file. A change of what the router decides is the only reason to do so.
+var updateGolden = flag.Bool("update-golden", false, "rewrite testdata/golden-drive.txt")
+
+const goldenFile = "testdata/golden-drive.txt"
+
+// TestRouter_DecidesAsTheGoldenDrive drives routers of several settings through pseudo-random events and compares a hash of
+// all decisions, figures and knowledge, in their order and to the last bit, with the one that an earlier build wrote.
+func TestRouter_DecidesAsTheGoldenDrive(t *testing.T) {
+	var got strings.Builder
+	for _, name := range goldenSettingsNames {
+		for seed := range uint64(4) {
+			d := newDrive(goldenSettings(name), seed)
+			d.run(10000)
+			fmt.Fprintf(&got, "%s %d: %d decisions, hash %016x\n", name, seed, d.decisions, d.sum.Sum64())
+		}
+	}
+	if *updateGolden {
+		if err := os.WriteFile(goldenFile, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("decisions differ from the golden drive:\ngot\n%swant\n%s", got.String(), want)
+	}
+}
+
+var goldenSettingsNames = []string{"plain", "through", "large", "sparse", "hedged", "sized", "on-request"}
+
+// goldenSettings are the settings of one deployment.
+func goldenSettings(name string) routing.Settings {
+	s := routing.Settings{Routers: 3, Aside: true, OriginKind: "origin", Resolution: 1e3, ColdShare: 0.2,
+		ColdSpan: 10e6, FallSpan: 1e6, FallMultiple: 2, MayCancel: true, MaxHint: 1e6,
+		MaxAttempts: 3, OverShareWorth: 0.1, DrainGrace: 1e6, AskEvery: 10e6, AnswerSlack: 20e3,
+		ConnectTimeout: 200e3, WorstMethod: 0.3,
+		Tenants: []routing.TenantSettings{{Name: "big", Share: 0.7}, {Name: "small", Share: 0.1}},
+		Methods: []routing.MethodSettings{
+			{Name: "read", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 2},
+			{Name: "hold", Effect: routing.Deduplicated, Window: 600e3, LatencyBudget: 400e3, Deadline: 800e3,
+				Criticality: 5, LateShare: 0.5},
+			{Name: "pay", Effect: routing.NonIdempotent, LatencyBudget: 1500e3, Deadline: 3000e3, Criticality: 5,
+				LateShare: 0.5},
+			{Name: "low", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 0.2},
+			{Name: "look", Effect: routing.Deduplicated, Group: routing.GroupZone, Window: 600e3, LatencyBudget: 400e3,
+				Deadline: 800e3, Criticality: 2},
+			{Name: "cell", Effect: routing.Deduplicated, Group: routing.GroupCell, Window: 300e3, LatencyBudget: 700e3,
+				Deadline: 800e3, Criticality: 1, LateShare: 0.2},
+			{Name: "urgent", LatencyBudget: 25e3, Deadline: 200e3, Criticality: 3},
+		}}
+	switch name {
+	case "through":
+		s.Aside, s.OriginKind = false, ""
+	case "large":
+		s.Routers, s.ConnectionFee, s.HandshakeFee = 300, 0.12, 0.08
+		s.ReportFields = []routing.Figure{routing.FigureQueue, routing.FigureServiceTime}
+	case "sparse":
+		s.Routers, s.ConnectionFee, s.HandshakeFee = 100, 0.12, 0.08
+		s.MayTwoAtOnce, s.WasteFee, s.CrossFee = true, 0.01, 0.002
+		s.ReportFields = []routing.Figure{routing.FigureServiceTime}
+	case "hedged":
+		s.Routers, s.MayTwoAtOnce, s.WasteFee = 1, true, 0.02
+	case "sized":
+		s.ListsSizes, s.MayCancel, s.MaxHint = true, false, 0
+	case "on-request":
+		s.ListOnRequest, s.Routers = true, 8
+	}
+	return s
+}
+
+// scheduled is an event that is due at an instant; a nil event is the next client request.
+type scheduled struct {
+	at    clock.Time
+	order int
+	event routing.Event
+}
+
+type schedule []scheduled
+
+func (s schedule) Len() int { return len(s) }
+func (s schedule) Less(i, j int) bool {
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].order < s[j].order
+}
+func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *schedule) Push(x any)   { *s = append(*s, x.(scheduled)) }
+func (s *schedule) Pop() any {
+	last := (*s)[len(*s)-1]
+	*s = (*s)[:len(*s)-1]
+	return last
+}
+
+// goldenServer is a simulated server: what it does to the attempts that it gets.
+type goldenServer struct {
+	entry    routing.Entry
+	listed   bool
+	slowness float64 // factor of its service time
+	faults   float64 // probability of a fault for each attempt
+	silent   bool
+	missing  float64 // probability of a miss
+}
+
+type drive struct {
+	random    *rand.Rand
+	settings  routing.Settings
+	seed      uint64
+	router    *routing.Router
+	now       clock.Time
+	pending   schedule
+	scheduled int
+	servers   []*goldenServer
+	sent      map[routing.RequestID]routing.Attempt
+	open      []routing.RequestID
+	requests  int
+	rate      float64 // client requests a second
+	keys      float64 // distinct keys
+	decisions int
+	sum       hash.Hash64
+}
+
+func newDrive(settings routing.Settings, seed uint64) *drive {
+	d := &drive{random: rand.New(rand.NewPCG(seed, 11)), settings: settings, seed: seed, now: 1e6,
+		sent: map[routing.RequestID]routing.Attempt{}, rate: 60, keys: 300, sum: fnv.New64a()}
+	if settings.ListsSizes { // more keys than the table of hot keys has places
+		d.keys = 30000
+	}
+	for i := range 14 {
+		s := &goldenServer{listed: true, slowness: 1, missing: 0.05,
+			entry: routing.Entry{Server: routing.ServerID(i*7 + 1), Kind: "cache", Zone: routing.Zone("abc"[i%3 : i%3+1]),
+				Cell: routing.Cell(i % 5), Weight: float64(1 + i%4)}}
+		if i == 13 && settings.OriginKind != "" {
+			s.entry.Kind, s.slowness, s.missing = settings.OriginKind, 3, 0
+		}
+		d.servers = append(d.servers, s)
+	}
+	router, decided := routing.New(d.now, settings, seed)
+	d.router = router
+	d.carryOut(decided)
+	d.step(routing.ListCame{Kind: routing.ListSaved, Entries: d.list()})
+	d.step(routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+	d.after(0, nil)
+	return d
+}
+
+// run plays events until so many have been played.
+func (d *drive) run(events int) {
+	for n := range events {
+		next := heap.Pop(&d.pending).(scheduled)
+		d.now = max(d.now, next.at)
+		if next.event == nil {
+			d.request()
+		} else {
+			d.step(next.event)
+		}
+		if d.random.IntN(25) == 0 {
+			d.disturb()
+		}
+		if n%100 == 99 {
+			d.recordFigures()
+		}
+	}
+	d.recordKnowledge()
+	d.step(routing.Ending{By: d.now + 200e3})
+	d.step(routing.Elapsed{Ref: 1})
+}
+
+func (d *drive) after(wait clock.Time, event routing.Event) {
+	d.scheduled++
+	heap.Push(&d.pending, scheduled{d.now + wait, d.scheduled, event})
+}
+
+func (d *drive) step(event routing.Event) {
+	d.carryOut(slices.Clone(d.router.Step(d.now, event)))
+}
+
+// carryOut records the decisions and schedules what they lead to.
+func (d *drive) carryOut(decided []routing.Decision) {
+	for _, x := range decided {
+		d.decisions++
+		d.record(uint64(d.now), uint64(x.Action), uint64(x.Server), uint64(x.Attempt), uint64(x.After), uint64(x.By), uint64(x.Ref))
+		d.sum.Write([]byte(x.Request))
+		switch x.Action {
+		case routing.Send:
+			d.attempt(x)
+		case routing.Wake:
+			d.after(x.After, routing.Elapsed{Ref: x.Ref})
+		case routing.Subscribe:
+			if d.random.IntN(3) == 0 {
+				d.after(5e3, routing.ListCame{Kind: routing.ListFailed, Refused: d.random.IntN(2) == 0})
+			} else {
+				d.after(8e3, routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+			}
+		}
+	}
+}
+
+// attempt schedules the outcome of one attempt.
+func (d *drive) attempt(x routing.Decision) {
+	i := slices.IndexFunc(d.servers, func(s *goldenServer) bool { return s.entry.Server == x.Server })
+	server := d.servers[i]
+	attempt := d.sent[x.Request]
+	d.sent[x.Request]++
+	status := routing.OK
+	took := clock.Time(8e3 * server.slowness * (0.5 + d.random.ExpFloat64()))
+	switch {
+	case server.silent:
+		status, took = routing.TimedOut, x.After
+		if d.random.IntN(4) == 0 {
+			status, took = routing.ConnectError, min(x.After, 200e3)
+		}
+	case d.random.Float64() < server.faults:
+		status = []routing.Status{routing.Failed, routing.Reset, routing.QueueFull, routing.ConnectError, routing.Ignored,
+			routing.Canceled}[d.random.IntN(6)]
+		took /= 4
+	case d.random.Float64() < server.missing:
+		status = routing.Miss
+	}
+	if took > x.After {
+		status, took = routing.TimedOut, x.After
+	}
+	var report routing.Report
+	for _, figure := range d.settings.ReportFields {
+		value := float64(d.random.IntN(5))
+		if figure == routing.FigureServiceTime {
+			value = float64(took) / 2e3
+		}
+		report = append(report, value)
+	}
+	if d.random.IntN(20) == 0 {
+		d.after(took/2, routing.Streaming{Request: x.Request, Attempt: attempt})
+	}
+	over := status == routing.OK || status == routing.Failed && d.random.IntN(10) == 0
+	d.after(took, routing.Returned{Request: x.Request, Server: x.Server, Attempt: attempt, Status: status, Took: took,
+		Over: over, Report: report})
+}
+
+// request is one request of a client, and the next one is scheduled.
+func (d *drive) request() {
+	d.requests++
+	id := routing.RequestID(fmt.Sprint("r", d.requests))
+	method := d.random.IntN(len(d.settings.Methods))
+	if d.random.IntN(2) == 0 {
+		method = 0
+	}
+	key := routing.Key(fmt.Sprint("k", int(d.keys*math.Pow(d.random.Float64(), 3))))
+	switch d.random.IntN(8) {
+	case 0:
+		key = "hot"
+	case 1:
+		key = ""
+	}
+	settings := d.settings.Methods[method]
+	d.step(routing.RequestCame{Request: id, Method: routing.Method(method),
+		Tenant: []routing.Tenant{"", "big", "small", "unknown"}[d.random.IntN(4)], Key: key,
+		ValidUntil: d.now + clock.Time(float64(settings.Deadline)*(0.1+0.9*d.random.Float64())),
+		Resent:     d.random.IntN(10) == 0, Write: settings.Effect != routing.Idempotent && method != 4,
+		Once: d.random.IntN(15) == 0})
+	if d.random.IntN(12) == 0 {
+		d.after(clock.Time(d.random.Float64()*100e3), routing.Left{Request: id})
+	}
+	d.after(clock.Time(d.random.ExpFloat64()*1e6/d.rate), nil)
+}
+
+// disturb changes what the servers do, or sends an event other than requests and outcomes.
+func (d *drive) disturb() {
+	server := d.servers[d.random.IntN(len(d.servers))]
+	switch d.random.IntN(22) {
+	case 0:
+		server.slowness = 1 + 20*d.random.Float64()
+	case 1, 2:
+		server.slowness = 1
+	case 3:
+		server.faults = d.random.Float64()
+	case 4, 5:
+		for _, s := range d.servers {
+			s.faults, s.silent, s.slowness = 0.02*d.random.Float64(), false, 1
+		}
+	case 6:
+		server.silent = !server.silent
+	case 7:
+		for _, s := range d.servers {
+			s.silent = s.silent || s.entry.Zone == server.entry.Zone && s.entry.Kind == "cache"
+		}
+	case 8:
+		server.entry.Started = d.now
+		server.missing = 0.6
+		d.after(0, routing.ListCame{Kind: routing.ListChanges, Entries: []routing.Entry{server.entry}})
+	case 9:
+		server.missing = 0.05
+	case 10:
+		server.listed = !server.listed
+		d.after(0, routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+	case 11:
+		server.entry.State = []routing.State{routing.Ready, routing.Ready, routing.Draining, routing.Gone}[d.random.IntN(4)]
+		server.entry.Weight = float64(d.random.IntN(5))
+		d.after(0, routing.ListCame{Kind: routing.ListChanges, Entries: []routing.Entry{server.entry}})
+	case 12:
+		d.after(0, routing.ListCame{Kind: routing.ListFailed, Refused: d.random.IntN(2) == 0})
+	case 13:
+		id := server.entry.Server
+		d.step(routing.Barred{Server: id, On: true})
+		d.after(clock.Time(d.random.Float64()*2e6), routing.Barred{Server: id, Since: d.now})
+	case 14:
+		d.step(routing.Parted{Part: []float64{0, 0.05, 1 / float64(d.settings.Routers), 1}[d.random.IntN(4)]})
+		d.after(1e6, routing.Parted{Part: 1 / float64(d.settings.Routers)})
+	case 15, 16:
+		d.plan()
+	case 17:
+		changed := d.settings
+		changed.MaxAttempts, changed.MaxHint = 1+d.random.IntN(4), clock.Time(d.random.IntN(3))*500e3
+		changed.WorstMethod, changed.ColdShare = d.random.Float64(), d.random.Float64()
+		changed.Tenants = slices.Clone(changed.Tenants)
+		changed.Tenants[0].Share = d.random.Float64()
+		d.step(routing.Changed{Settings: changed})
+	case 18:
+		d.now += clock.Time(d.random.ExpFloat64() * 500e3) // the process stood still
+	case 19:
+		before := d.now
+		d.now -= 3e6 // an instant before the last one
+		d.step(routing.Elapsed{Ref: 1})
+		d.now = before
+		d.step(routing.Probed{Server: server.entry.Server, Status: routing.OK, Took: 1e3})
+	case 20:
+		d.rate = 20 + 400*d.random.Float64()*d.random.Float64()
+	case 21:
+		if d.random.IntN(4) == 0 {
+			d.restart()
+		}
+	}
+}
+
+// plan is an order of the fleet for a lost site; it ends after a while.
+func (d *drive) plan() {
+	p := routing.Planned{Least: routing.Rank(d.random.IntN(1e6)), Some: d.random.Float64(),
+		Back: clock.Time(d.random.IntN(3e6))}
+	switch d.random.IntN(4) {
+	case 0:
+		p.Parts = []routing.ZonePart{{Zone: "a"}}
+	case 1:
+		p.Parts = []routing.ZonePart{{Zone: "b", Part: d.random.Float64()}}
+		p.Spare = []routing.ZonePart{{Zone: "a", Part: 0.3}, {Zone: "b", Part: 0.1}}
+	}
+	if d.random.IntN(2) == 0 {
+		p.Fetches = 100 * d.random.Float64()
+	}
+	d.step(p)
+	d.after(clock.Time(d.random.Float64()*3e6), routing.Planned{})
+}
+
+// restart begins a new process with the knowledge of the one before.
+func (d *drive) restart() {
+	knowledge := sortedKnowledge(d.router, d.now)
+	d.seed += 1000
+	router, decided := routing.New(d.now, d.settings, d.seed)
+	d.router = router
+	d.pending = slices.DeleteFunc(d.pending, func(s scheduled) bool {
+		_, elapsed := s.event.(routing.Elapsed)
+		return elapsed
+	})
+	heap.Init(&d.pending)
+	d.carryOut(decided)
+	d.step(routing.Learned{Knowledge: knowledge})
+	d.step(routing.LearnedServers{Servers: knowledge.Servers})
+	d.step(routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+}
+
+func (d *drive) list() []routing.Entry {
+	var entries []routing.Entry
+	for _, s := range d.servers {
+		if s.listed {
+			entries = append(entries, s.entry)
+		}
+	}
+	return entries
+}
+
+func sortedKnowledge(router *routing.Router, now clock.Time) routing.Knowledge {
+	k := router.Knows(now)
+	slices.SortFunc(k.Servers, func(a, b routing.ServerKnowledge) int { return cmp.Compare(a.Server, b.Server) })
+	return k
+}
+
+func (d *drive) record(values ...uint64) {
+	var b [8]byte
+	for _, value := range values {
+		binary.LittleEndian.PutUint64(b[:], value)
+		d.sum.Write(b[:])
+	}
+}
+
+func (d *drive) recordFloats(values ...float64) {
+	for _, value := range values {
+		d.record(math.Float64bits(value))
+	}
+}
+
+func (d *drive) recordFigures() {
+	f := d.router.Figures(d.now)
+	d.recordFloats(f.Ended, f.GivenUp, f.Worth, f.WorthLost, f.Origin)
+	for _, x := range f.Offered {
+		d.record(uint64(x.Rank))
+		d.recordFloats(x.Rate)
+	}
+	for _, z := range f.Zones {
+		d.sum.Write([]byte(z.Zone))
+		d.record(uint64(z.Listed), uint64(z.Silent))
+		d.recordFloats(z.Answers)
+	}
+	listed, avoided := d.router.Avoided()
+	d.record(uint64(listed), uint64(avoided))
+}
+
+func (d *drive) recordKnowledge() {
+	k := sortedKnowledge(d.router, d.now)
+	times := func(x routing.Times) { d.record(uint64(x.Time), uint64(x.Long), uint64(x.Best), uint64(x.N)) }
+	flag := func(x bool) {
+		if x {
+			d.record(1)
+		} else {
+			d.record(0)
+		}
+	}
+	d.record(uint64(k.At), uint64(k.Span))
+	times(k.Seen)
+	d.recordFloats(k.Traffic, k.Hits, k.Asked, k.Answered, k.Used, k.Noise, k.Retries, k.Reads)
+	for _, x := range k.Methods {
+		d.record(uint64(x))
+	}
+	for _, s := range k.Servers {
+		d.record(uint64(s.Server), uint64(s.Started), uint64(s.At), uint64(s.Told), uint64(s.Lost))
+		times(s.Times)
+		d.recordFloats(s.Rate, s.Used)
+		flag(s.Aside)
+		flag(s.Unheard)
+	}
+	for _, x := range k.Keys {
+		d.record(uint64(x.Key))
+		d.recordFloats(x.Count)
+	}
+}
