--- a/cmd/cache-routerctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -176,7 +176,7 @@
 	for _, t := range s.Tenants {
 		shares[string(t.Name)] = t.Share
 	}
-	asked := sitefailover.Spread(plan.Loads, worth, shares, s.OverShareWorth)
+	asked := sitefailover.Spread(plan.Loads, worth, shares, s.OverShareWeight)
 	if seen != nil {
 		asked = measured(seen, s.Methods, worth)
 	}
--- a/cmd/cache-routerctl/fleetsite_test.go
+++ b/cmd/cache-routerctl/fleetsite_test.go
@@ -12,7 +12,7 @@
 
 // A rehearsal says what a loss would be like, from told figures and from measured ones, and what it lacks.
 func TestRehearsal(t *testing.T) {
-	s := routing.Settings{OverShareWorth: 0.1, Tenants: []routing.TenantSettings{{Name: "grain", Share: 0.7}, {Name: "dairy", Share: 0.3}},
+	s := routing.Settings{OverShareWeight: 0.1, Tenants: []routing.TenantSettings{{Name: "grain", Share: 0.7}, {Name: "dairy", Share: 0.3}},
 		Methods: []routing.MethodSettings{{Name: "alert", Criticality: 5}, {Name: "status", Criticality: 3}, {Name: "report", Criticality: 1}}}
 	const sites = "schema = 1\n[[sites.site]]\nname = \"hill\"\nbears = 320.0\n[[sites.site]]\nname = \"coast\"\nbears = 320.0\n[[sites.site]]\nname = \"valley\"\n"
 	const loads = "[[sites.load]]\nmethod = \"status\"\nrate = 540.0\n[[sites.load]]\nmethod = \"alert\"\nrate = 135.0\n[[sites.load]]\nmethod = \"report\"\nrate = 225.0\n"
--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -100,9 +100,9 @@
 // explain tells what a state holds, and what of it would be restored at a time.
 func explain(s snapshot.State, file string, now clock.Time) shown {
 	k := s.Knowledge
-	age := staleness.Age(now, k.At)
-	out := shown{File: file, Version: s.Version, Router: s.Router, Written: stamp(k.At), Age: since(now, k.At), SeenMs: ms(k.Seen.Time),
-		QuickMs: ms(k.Seen.Best), Traffic: k.Traffic, Budget: k.Retries, HotKeys: len(k.Keys), Methods: map[string]float64{},
+	age := staleness.Age(now, k.CapturedAt)
+	out := shown{File: file, Version: s.Version, Router: s.Router, Written: stamp(k.CapturedAt), Age: since(now, k.CapturedAt), SeenMs: ms(k.CacheLatency.Recent),
+		QuickMs: ms(k.CacheLatency.Fastest), Traffic: k.RequestRate, Budget: k.RetryBudget, HotKeys: len(k.Keys), Methods: map[string]float64{},
 		Servers: []shownServer{}, Weights: map[string]float64{}}
 	for name, half := range map[string]clock.Time{"times": staleness.Times, "quickest": staleness.Quick, "rates": staleness.Rates,
 		"health": staleness.Health, "hot keys": staleness.HotKeys, "retry budget": staleness.Budget} {
@@ -116,18 +116,18 @@
 		k.Servers = append(k.Servers, x.ServerKnowledge)
 	}
 	left := staleness.Fade(k, now)
-	out.Watched = (time.Duration(left.Span) * time.Microsecond).Round(time.Millisecond).String()
-	out.BudgetIs, out.KeysNow = left.Retries, len(left.Keys)
+	out.Watched = (time.Duration(left.ObservedFor) * time.Microsecond).Round(time.Millisecond).String()
+	out.BudgetIs, out.KeysNow = left.RetryBudget, len(left.Keys)
 	restored := map[routing.ServerID]routing.ServerKnowledge{}
 	for _, x := range left.Servers {
 		restored[x.Server] = x
 	}
 	for i, x := range s.Servers {
 		r := restored[routing.ServerID(i)]
-		row := shownServer{UID: x.UID, Age: since(now, x.At), TimeMs: ms(x.Times.Time), QuickMs: ms(x.Times.Best), Answers: x.Times.N,
-			Restored: min(r.Times.N, routing.MostRecalled), Rate: x.Rate, Aside: x.Aside, AsideNow: r.Aside}
-		if x.Started > 0 {
-			row.Started = stamp(x.Started)
+		row := shownServer{UID: x.UID, Age: since(now, x.ObservedAt), TimeMs: ms(x.Latency.Recent), QuickMs: ms(x.Latency.Fastest), Answers: x.Latency.Samples,
+			Restored: min(r.Latency.Samples, routing.MaxRestoredSamples), Rate: x.AnswerRate, Aside: x.Ejected, AsideNow: r.Ejected}
+		if x.StartedAt > 0 {
+			row.Started = stamp(x.StartedAt)
 		}
 		out.Servers = append(out.Servers, row)
 	}
@@ -237,7 +237,7 @@
 			if err := errors.Join(errA, errB); err != nil {
 				return err
 			}
-			rows := differences(explain(a, fromA, a.Knowledge.At), explain(b, fromB, b.Knowledge.At))
+			rows := differences(explain(a, fromA, a.Knowledge.CapturedAt), explain(b, fromB, b.Knowledge.CapturedAt))
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), rows)
 			}
--- a/core/routing/admission.go
+++ b/core/routing/admission.go
@@ -72,7 +72,7 @@
 			d.After += r.wait(s)
 		}
 		if q.shed { // spread out, so that they do not come in one wave
-			d.After = clock.Time(float64(min(r.planned.Back, r.maxHint)) * (1 + r.chance()) / 2)
+			d.After = clock.Time(float64(min(r.planned.RetryAfter, r.maxHint)) * (1 + r.chance()) / 2)
 		}
 		d.After = min(d.After, r.maxHint)
 	}
--- a/core/routing/coldstart.go
+++ b/core/routing/coldstart.go
@@ -10,7 +10,7 @@
 
 // coldAge is the time since a server's start, as far as it is known.
 func (r *Router) coldAge(s *server) clock.Time {
-	start := max(s.Started, s.coldFrom)
+	start := max(s.StartedAt, s.coldFrom)
 	if start == 0 || s.origin {
 		return r.coldSpan
 	}
@@ -35,7 +35,7 @@
 	since := 1 - math.Exp(-float64(r.now+1-r.began)/trafficSpan)
 	hits := max(r.hits.now(r.now, trafficSpan), r.traffic.now(r.now, trafficSpan)/2) / since
 	mean := hits / float64(len(r.caches))
-	if start := max(s.Started, s.coldFrom); s.coldRun != start {
+	if start := max(s.StartedAt, s.coldFrom); s.coldRun != start {
 		// Of hundreds of routers each saves up less than one in all of the span: what it begins with is all that
 		// it sends. Where some is lost, more is asked than caches carry, and fewer routers may begin; where a
 		// quarter is, none may: at half of that a cache was still pushed over.
--- a/core/routing/figures.go
+++ b/core/routing/figures.go
@@ -52,37 +52,37 @@
 func (r *Router) isShed(q *request) bool { return q.shed }
 
 // replan keeps what the fleet keeps to now; the caches to be used may be others by it.
-func (r *Router) replan(p Planned) {
-	others := !slices.Equal(r.planned.Parts, p.Parts) || !slices.Equal(r.planned.Spare, p.Spare)
+func (r *Router) replan(p FailoverOrders) {
+	others := !slices.Equal(r.planned.ZoneShares, p.ZoneShares) || !slices.Equal(r.planned.FailoverWeights, p.FailoverWeights)
 	if r.planned = p; others {
 		clear(r.ways) // of a zone that is let in again the last word is old
 		clear(r.table)
-		r.listCame(ListCame{Kind: ListChanges})
+		r.listCame(EndpointsUpdated{Kind: IncrementalUpdate})
 	}
 }
 
 // spend counts a read that goes to the origin.
 func (r *Router) spend(q *request, s *server) {
-	if s.origin && !q.write && r.planned.Fetches > 0 {
+	if s.origin && !q.write && r.planned.OriginReadLimit > 0 {
 		r.fetchLeft--
 	}
 }
 
 // refill saves up reads at the origin for a quarter of a second, at this router's rate; without a part it is one in long.
 func (r *Router) refill() (rate float64) {
-	rate = max(0.02, r.planned.Fetches*r.part)
+	rate = max(0.02, r.planned.OriginReadLimit*r.part)
 	r.fetchLeft = min(max(1, rate/4), r.fetchLeft+rate*float64(r.now-r.fetchAt)/1e6)
 	r.fetchAt = r.now
 	return rate
 }
 
 // share is the part of its keys that a zone may have: all, but while the fleet has it out or lets it back in.
-func (r *Router) share(zone Zone) float64 { return partOf(r.planned.Parts, zone) }
+func (r *Router) share(zone Zone) float64 { return partOf(r.planned.ZoneShares, zone) }
 
-func partOf(parts []ZonePart, zone Zone) float64 {
+func partOf(parts []ZoneShare, zone Zone) float64 {
 	for _, p := range parts {
 		if p.Zone == zone {
-			return p.Part
+			return p.Share
 		}
 	}
 	return 1
@@ -115,57 +115,57 @@
 	Rate float64 // requests a second
 }
 
-// ZoneFigures is what a router sees of the caches of a zone.
-type ZoneFigures struct {
-	Zone    Zone
-	Listed  int
-	Silent  int     // of them: their last word was none, or the way to all of them rests
-	Answers float64 // a second
+// ZoneLoad is what a router sees of the caches of a zone.
+type ZoneLoad struct {
+	Zone        Zone
+	Listed      int
+	Unreachable int     // of them: their last word was none, or the way to all of them rests
+	AnswerRate  float64 // a second
 }
 
-// Figures are a router's load over about the last second.
-type Figures struct {
-	Offered          []RankRate // the highest first
-	Ended            float64    // requests a second that were let in
-	GivenUp          float64    // and of them given up
-	Worth, WorthLost float64    // the same by worth, of the highest
-	Zones            []ZoneFigures
-	Origin           float64 // the time of its last answers over what it should take; 0: not known
+// RouterLoad is a router's load over about the last second.
+type RouterLoad struct {
+	Offered                       []RankRate // the highest first
+	EndedRate                     float64    // requests a second that were let in
+	UnansweredRate                float64    // and of them given up
+	EndedWeight, UnansweredWeight float64    // the same by worth, of the highest
+	Zones                         []ZoneLoad
+	OriginLatencyRatio            float64 // the time of its last answers over what it should take; 0: not known
 }
 
-// Figures gives them as of now. It does not change the router but for the fading of its rates.
-func (r *Router) Figures(now clock.Time) Figures {
+// Load gives the load as of now. It does not change the router but for the fading of its rates.
+func (r *Router) Load(now clock.Time) RouterLoad {
 	r.now = max(now, r.now)
 	t := &r.tally
-	f := Figures{Ended: t.ended.now(r.now, tallySpan), GivenUp: t.givenUp.now(r.now, tallySpan),
-		Worth: t.worth.now(r.now, tallySpan), WorthLost: t.worthLost.now(r.now, tallySpan)}
+	f := RouterLoad{EndedRate: t.ended.now(r.now, tallySpan), UnansweredRate: t.givenUp.now(r.now, tallySpan),
+		EndedWeight: t.worth.now(r.now, tallySpan), UnansweredWeight: t.worthLost.now(r.now, tallySpan)}
 	for _, rank := range slices.Sorted(maps.Keys(t.offered)) {
 		f.Offered = append(f.Offered, RankRate{rank, t.offered[rank].now(r.now, tallySpan)})
 	}
 	slices.Reverse(f.Offered)
-	zones := map[Zone]*ZoneFigures{}
+	zones := map[Zone]*ZoneLoad{}
 	for _, s := range r.all {
-		if s.origin || s.State == Gone || r.barred[s.Server] {
+		if s.origin || s.State == Removed || r.barred[s.Server] {
 			continue
 		}
 		z := zones[s.Zone]
 		if z == nil {
-			z = &ZoneFigures{Zone: s.Zone}
+			z = &ZoneLoad{Zone: s.Zone}
 			zones[s.Zone] = z
 		}
 		z.Listed++
-		z.Answers += s.rate.now(r.now, rateSpan)
+		z.AnswerRate += s.rate.now(r.now, rateSpan)
 		quiet := r.seen.long > 0 && s.inFlight > 0 && r.now-s.heard > 3*r.seen.long // as usable has it
 		if r.ways[s.Zone].rest > 0 || s.aside > 0 || quiet {
-			z.Silent++
+			z.Unreachable++
 		}
 	}
 	for _, z := range zones {
 		f.Zones = append(f.Zones, *z)
 	}
-	slices.SortFunc(f.Zones, func(a, b ZoneFigures) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(f.Zones, func(a, b ZoneLoad) int { return cmp.Compare(a.Zone, b.Zone) })
 	if o := r.origin; o != nil && r.originGoal > 0 {
-		f.Origin = float64(o.time) / float64(max(r.originGoal, o.best))
+		f.OriginLatencyRatio = float64(o.time) / float64(max(r.originGoal, o.best))
 	}
 	return f
 }
--- a/core/routing/fleet_test.go
+++ b/core/routing/fleet_test.go
@@ -72,19 +72,19 @@
 )
 
 // list is what discovery tells.
-func (f *fleet) list(withCold bool) ListCame {
-	l := ListCame{Entries: []Entry{{Server: fleetOrigin, Kind: "origin"}}}
+func (f *fleet) list(withCold bool) EndpointsUpdated {
+	l := EndpointsUpdated{Endpoints: []Endpoint{{Server: fleetOrigin, Kind: "origin"}}}
 	for i := range f.caches {
-		e := Entry{Server: ServerID(i + 1)}
+		e := Endpoint{Server: ServerID(i + 1)}
 		if e.Server == f.cold {
 			if !withCold && !f.restart {
 				continue
 			}
 			if withCold {
-				e.Started = f.started
+				e.StartedAt = f.started
 			}
 		}
-		l.Entries = append(l.Entries, e)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l
 }
@@ -135,10 +135,10 @@
 		switch d.Action {
 		case Send:
 			f.attempt(i, r, d)
-		case Wake:
+		case SetTimer:
 			f.after(d.After, func() {
 				if f.routers[i] == r {
-					f.step(i, Elapsed{Ref: d.Ref})
+					f.step(i, TimerFired{Timer: d.Timer})
 				}
 			})
 		}
@@ -171,7 +171,7 @@
 	}
 	f.after(took, func() {
 		if f.routers[i] == r {
-			f.step(i, Returned{Request: d.Request, Server: d.Server, Attempt: nth, Status: status, Took: took, Over: status == OK})
+			f.step(i, AttemptEnded{Request: d.Request, Server: d.Server, Attempt: nth, Status: status, Took: took, Answered: status == OK})
 		}
 	})
 }
@@ -196,7 +196,7 @@
 	if f.open[id] = Key(fmt.Sprint("k", at)); f.rand.Float64() < f.hot/float64(f.caches) {
 		f.open[id] = f.hotKey
 	}
-	f.step(i, RequestCame{Request: id, Key: f.open[id], ValidUntil: f.now + 1200e3})
+	f.step(i, RequestArrived{Request: id, Key: f.open[id], ValidUntil: f.now + 1200e3})
 	rate := f.load * f.capacity * float64(f.caches)
 	if f.now >= f.started {
 		rate *= f.burst
@@ -207,19 +207,19 @@
 // play returns by what part of the bound the cold server got most in the time in which it may fall.
 func (f *fleet) play() (worst float64, n int, allowed float64) {
 	f.ask()
-	for end := f.started + f.settings.ColdSpan; f.now < end; {
+	for end := f.started + f.settings.WarmUpDuration; f.now < end; {
 		next := heap.Pop(&f.due).(due)
 		f.now = max(f.now, next.at)
 		next.do()
 	}
 	first := 0
 	for i, at := range f.sends {
-		for at-f.sends[first] > f.settings.FallSpan {
+		for at-f.sends[first] > f.settings.OverloadWindow {
 			first++
 		}
-		age := float64(at-f.started) / float64(f.settings.ColdSpan)
-		share := f.settings.ColdShare + (1-f.settings.ColdShare)*age
-		most := f.settings.FallMultiple * share * f.capacity * float64(f.settings.FallSpan) / 1e6
+		age := float64(at-f.started) / float64(f.settings.WarmUpDuration)
+		share := f.settings.WarmUpShare + (1-f.settings.WarmUpShare)*age
+		most := f.settings.OverloadMultiple * share * f.capacity * float64(f.settings.OverloadWindow) / 1e6
 		most += 2*math.Sqrt(most) + 2
 		if got := i - first + 1; float64(got)/most > worst {
 			worst, n, allowed = float64(got)/most, got, most
@@ -232,7 +232,7 @@
 func deployments() map[string]Settings {
 	rules := func(multiple, share float64, span, cold clock.Time) Settings {
 		s := base()
-		s.FallMultiple, s.ColdShare, s.FallSpan, s.ColdSpan = multiple, share, span, cold
+		s.OverloadMultiple, s.WarmUpShare, s.OverloadWindow, s.WarmUpDuration = multiple, share, span, cold
 		return s
 	}
 	return map[string]Settings{
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -53,40 +53,40 @@
 
 // goldenSettings are the settings of one deployment.
 func goldenSettings(name string) routing.Settings {
-	s := routing.Settings{Routers: 3, Aside: true, OriginKind: "origin", Resolution: 1e3, ColdShare: 0.2,
-		ColdSpan: 10e6, FallSpan: 1e6, FallMultiple: 2, MayCancel: true, MaxHint: 1e6,
-		MaxAttempts: 3, OverShareWorth: 0.1, DrainGrace: 1e6, AskEvery: 10e6, AnswerSlack: 20e3,
-		ConnectTimeout: 200e3, WorstMethod: 0.3,
+	s := routing.Settings{Routers: 3, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, WarmUpShare: 0.2,
+		WarmUpDuration: 10e6, OverloadWindow: 1e6, OverloadMultiple: 2, CancelAllowed: true, MaxRetryAfter: 1e6,
+		MaxAttempts: 3, OverShareWeight: 0.1, DrainTimeout: 1e6, PollInterval: 10e6, ResponseSlack: 20e3,
+		ConnectTimeout: 200e3, WorstMethodWeight: 0.3,
 		Tenants: []routing.TenantSettings{{Name: "big", Share: 0.7}, {Name: "small", Share: 0.1}},
 		Methods: []routing.MethodSettings{
 			{Name: "read", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 2},
-			{Name: "hold", Effect: routing.Deduplicated, Window: 600e3, LatencyBudget: 400e3, Deadline: 800e3,
-				Criticality: 5, LateShare: 0.5},
-			{Name: "pay", Effect: routing.NonIdempotent, LatencyBudget: 1500e3, Deadline: 3000e3, Criticality: 5,
-				LateShare: 0.5},
+			{Name: "hold", Idempotency: routing.Deduplicated, DeduplicationWindow: 600e3, LatencyBudget: 400e3, Deadline: 800e3,
+				Criticality: 5, LateValue: 0.5},
+			{Name: "pay", Idempotency: routing.NonIdempotent, LatencyBudget: 1500e3, Deadline: 3000e3, Criticality: 5,
+				LateValue: 0.5},
 			{Name: "low", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 0.2},
-			{Name: "look", Effect: routing.Deduplicated, Group: routing.GroupZone, Window: 600e3, LatencyBudget: 400e3,
+			{Name: "look", Idempotency: routing.Deduplicated, DeduplicationScope: routing.ScopeZone, DeduplicationWindow: 600e3, LatencyBudget: 400e3,
 				Deadline: 800e3, Criticality: 2},
-			{Name: "cell", Effect: routing.Deduplicated, Group: routing.GroupCell, Window: 300e3, LatencyBudget: 700e3,
-				Deadline: 800e3, Criticality: 1, LateShare: 0.2},
+			{Name: "cell", Idempotency: routing.Deduplicated, DeduplicationScope: routing.ScopeCell, DeduplicationWindow: 300e3, LatencyBudget: 700e3,
+				Deadline: 800e3, Criticality: 1, LateValue: 0.2},
 			{Name: "urgent", LatencyBudget: 25e3, Deadline: 200e3, Criticality: 3},
 		}}
 	switch name {
 	case "through":
-		s.Aside, s.OriginKind = false, ""
+		s.CacheAside, s.OriginKind = false, ""
 	case "large":
-		s.Routers, s.ConnectionFee, s.HandshakeFee = 300, 0.12, 0.08
+		s.Routers, s.ConnectionCost, s.HandshakeCost = 300, 0.12, 0.08
 		s.ReportFields = []routing.Figure{routing.FigureQueue, routing.FigureServiceTime}
 	case "sparse":
-		s.Routers, s.ConnectionFee, s.HandshakeFee = 100, 0.12, 0.08
-		s.MayTwoAtOnce, s.WasteFee, s.CrossFee = true, 0.01, 0.002
+		s.Routers, s.ConnectionCost, s.HandshakeCost = 100, 0.12, 0.08
+		s.HedgingAllowed, s.WastedWorkCost, s.CrossZoneCost = true, 0.01, 0.002
 		s.ReportFields = []routing.Figure{routing.FigureServiceTime}
 	case "hedged":
-		s.Routers, s.MayTwoAtOnce, s.WasteFee = 1, true, 0.02
+		s.Routers, s.HedgingAllowed, s.WastedWorkCost = 1, true, 0.02
 	case "sized":
-		s.ListsSizes, s.MayCancel, s.MaxHint = true, false, 0
+		s.WeightsAreCapacity, s.CancelAllowed, s.MaxRetryAfter = true, false, 0
 	case "on-request":
-		s.ListOnRequest, s.Routers = true, 8
+		s.PollEndpoints, s.Routers = true, 8
 	}
 	return s
 }
@@ -114,7 +114,7 @@
 
 // goldenServer is a simulated server: what it does to the attempts that it gets.
 type goldenServer struct {
-	entry    routing.Entry
+	entry    routing.Endpoint
 	listed   bool
 	slowness float64 // factor of its service time
 	faults   float64 // probability of a fault for each attempt
@@ -132,7 +132,6 @@
 	scheduled int
 	servers   []*goldenServer
 	sent      map[routing.RequestID]routing.Attempt
-	open      []routing.RequestID
 	requests  int
 	rate      float64 // client requests a second
 	keys      float64 // distinct keys
@@ -143,12 +142,12 @@
 func newDrive(settings routing.Settings, seed uint64) *drive {
 	d := &drive{random: rand.New(rand.NewPCG(seed, 11)), settings: settings, seed: seed, now: 1e6,
 		sent: map[routing.RequestID]routing.Attempt{}, rate: 60, keys: 300, sum: fnv.New64a()}
-	if settings.ListsSizes { // more keys than the table of hot keys has places
+	if settings.WeightsAreCapacity { // more keys than the table of hot keys has places
 		d.keys = 30000
 	}
 	for i := range 14 {
 		s := &goldenServer{listed: true, slowness: 1, missing: 0.05,
-			entry: routing.Entry{Server: routing.ServerID(i*7 + 1), Kind: "cache", Zone: routing.Zone("abc"[i%3 : i%3+1]),
+			entry: routing.Endpoint{Server: routing.ServerID(i*7 + 1), Kind: "cache", Zone: routing.Zone("abc"[i%3 : i%3+1]),
 				Cell: routing.Cell(i % 5), Weight: float64(1 + i%4)}}
 		if i == 13 && settings.OriginKind != "" {
 			s.entry.Kind, s.slowness, s.missing = settings.OriginKind, 3, 0
@@ -158,8 +157,8 @@
 	router, decided := routing.New(d.now, settings, seed)
 	d.router = router
 	d.carryOut(decided)
-	d.step(routing.ListCame{Kind: routing.ListSaved, Entries: d.list()})
-	d.step(routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+	d.step(routing.EndpointsUpdated{Kind: routing.CachedUpdate, Endpoints: d.list()})
+	d.step(routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 	d.after(0, nil)
 	return d
 }
@@ -182,8 +181,8 @@
 		}
 	}
 	d.recordKnowledge()
-	d.step(routing.Ending{By: d.now + 200e3})
-	d.step(routing.Elapsed{Ref: 1})
+	d.step(routing.ShutdownScheduled{Deadline: d.now + 200e3})
+	d.step(routing.TimerFired{Timer: 1})
 }
 
 func (d *drive) after(wait clock.Time, event routing.Event) {
@@ -199,18 +198,18 @@
 func (d *drive) carryOut(decided []routing.Decision) {
 	for _, x := range decided {
 		d.decisions++
-		d.record(uint64(d.now), uint64(x.Action), uint64(x.Server), uint64(x.Attempt), uint64(x.After), uint64(x.By), uint64(x.Ref))
+		d.record(uint64(d.now), uint64(x.Action), uint64(x.Server), uint64(x.Attempt), uint64(x.After), uint64(x.StartBy), uint64(x.Timer))
 		d.sum.Write([]byte(x.Request))
 		switch x.Action {
 		case routing.Send:
 			d.attempt(x)
-		case routing.Wake:
-			d.after(x.After, routing.Elapsed{Ref: x.Ref})
+		case routing.SetTimer:
+			d.after(x.After, routing.TimerFired{Timer: x.Timer})
 		case routing.Subscribe:
 			if d.random.IntN(3) == 0 {
-				d.after(5e3, routing.ListCame{Kind: routing.ListFailed, Refused: d.random.IntN(2) == 0})
+				d.after(5e3, routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: d.random.IntN(2) == 0})
 			} else {
-				d.after(8e3, routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+				d.after(8e3, routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 			}
 		}
 	}
@@ -231,7 +230,7 @@
 			status, took = routing.ConnectError, min(x.After, 200e3)
 		}
 	case d.random.Float64() < server.faults:
-		status = []routing.Status{routing.Failed, routing.Reset, routing.QueueFull, routing.ConnectError, routing.Ignored,
+		status = []routing.Status{routing.Failed, routing.Reset, routing.QueueFull, routing.ConnectError, routing.NotSent,
 			routing.Canceled}[d.random.IntN(6)]
 		took /= 4
 	case d.random.Float64() < server.missing:
@@ -249,11 +248,11 @@
 		report = append(report, value)
 	}
 	if d.random.IntN(20) == 0 {
-		d.after(took/2, routing.Streaming{Request: x.Request, Attempt: attempt})
+		d.after(took/2, routing.ResponseStarted{Request: x.Request, Attempt: attempt})
 	}
 	over := status == routing.OK || status == routing.Failed && d.random.IntN(10) == 0
-	d.after(took, routing.Returned{Request: x.Request, Server: x.Server, Attempt: attempt, Status: status, Took: took,
-		Over: over, Report: report})
+	d.after(took, routing.AttemptEnded{Request: x.Request, Server: x.Server, Attempt: attempt, Status: status, Took: took,
+		Answered: over, Report: report})
 }
 
 // request is one request of a client, and the next one is scheduled.
@@ -272,13 +271,13 @@
 		key = ""
 	}
 	settings := d.settings.Methods[method]
-	d.step(routing.RequestCame{Request: id, Method: routing.Method(method),
+	d.step(routing.RequestArrived{Request: id, Method: routing.Method(method),
 		Tenant: []routing.Tenant{"", "big", "small", "unknown"}[d.random.IntN(4)], Key: key,
-		ValidUntil: d.now + clock.Time(float64(settings.Deadline)*(0.1+0.9*d.random.Float64())),
-		Resent:     d.random.IntN(10) == 0, Write: settings.Effect != routing.Idempotent && method != 4,
-		Once: d.random.IntN(15) == 0})
+		ValidUntil:  d.now + clock.Time(float64(settings.Deadline)*(0.1+0.9*d.random.Float64())),
+		ClientRetry: d.random.IntN(10) == 0, Write: settings.Idempotency != routing.Idempotent && method != 4,
+		SingleAttempt: d.random.IntN(15) == 0})
 	if d.random.IntN(12) == 0 {
-		d.after(clock.Time(d.random.Float64()*100e3), routing.Left{Request: id})
+		d.after(clock.Time(d.random.Float64()*100e3), routing.ClientDisconnected{Request: id})
 	}
 	d.after(clock.Time(d.random.ExpFloat64()*1e6/d.rate), nil)
 }
@@ -304,44 +303,44 @@
 			s.silent = s.silent || s.entry.Zone == server.entry.Zone && s.entry.Kind == "cache"
 		}
 	case 8:
-		server.entry.Started = d.now
+		server.entry.StartedAt = d.now
 		server.missing = 0.6
-		d.after(0, routing.ListCame{Kind: routing.ListChanges, Entries: []routing.Entry{server.entry}})
+		d.after(0, routing.EndpointsUpdated{Kind: routing.IncrementalUpdate, Endpoints: []routing.Endpoint{server.entry}})
 	case 9:
 		server.missing = 0.05
 	case 10:
 		server.listed = !server.listed
-		d.after(0, routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+		d.after(0, routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 	case 11:
-		server.entry.State = []routing.State{routing.Ready, routing.Ready, routing.Draining, routing.Gone}[d.random.IntN(4)]
+		server.entry.State = []routing.EndpointState{routing.Ready, routing.Ready, routing.Draining, routing.Removed}[d.random.IntN(4)]
 		server.entry.Weight = float64(d.random.IntN(5))
-		d.after(0, routing.ListCame{Kind: routing.ListChanges, Entries: []routing.Entry{server.entry}})
+		d.after(0, routing.EndpointsUpdated{Kind: routing.IncrementalUpdate, Endpoints: []routing.Endpoint{server.entry}})
 	case 12:
-		d.after(0, routing.ListCame{Kind: routing.ListFailed, Refused: d.random.IntN(2) == 0})
+		d.after(0, routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: d.random.IntN(2) == 0})
 	case 13:
 		id := server.entry.Server
-		d.step(routing.Barred{Server: id, On: true})
-		d.after(clock.Time(d.random.Float64()*2e6), routing.Barred{Server: id, Since: d.now})
+		d.step(routing.BanChanged{Server: id, Banned: true})
+		d.after(clock.Time(d.random.Float64()*2e6), routing.BanChanged{Server: id, Since: d.now})
 	case 14:
-		d.step(routing.Parted{Part: []float64{0, 0.05, 1 / float64(d.settings.Routers), 1}[d.random.IntN(4)]})
-		d.after(1e6, routing.Parted{Part: 1 / float64(d.settings.Routers)})
+		d.step(routing.FleetShareChanged{Share: []float64{0, 0.05, 1 / float64(d.settings.Routers), 1}[d.random.IntN(4)]})
+		d.after(1e6, routing.FleetShareChanged{Share: 1 / float64(d.settings.Routers)})
 	case 15, 16:
 		d.plan()
 	case 17:
 		changed := d.settings
-		changed.MaxAttempts, changed.MaxHint = 1+d.random.IntN(4), clock.Time(d.random.IntN(3))*500e3
-		changed.WorstMethod, changed.ColdShare = d.random.Float64(), d.random.Float64()
+		changed.MaxAttempts, changed.MaxRetryAfter = 1+d.random.IntN(4), clock.Time(d.random.IntN(3))*500e3
+		changed.WorstMethodWeight, changed.WarmUpShare = d.random.Float64(), d.random.Float64()
 		changed.Tenants = slices.Clone(changed.Tenants)
 		changed.Tenants[0].Share = d.random.Float64()
-		d.step(routing.Changed{Settings: changed})
+		d.step(routing.SettingsChanged{Settings: changed})
 	case 18:
 		d.now += clock.Time(d.random.ExpFloat64() * 500e3) // the process stood still
 	case 19:
 		before := d.now
 		d.now -= 3e6 // an instant before the last one
-		d.step(routing.Elapsed{Ref: 1})
+		d.step(routing.TimerFired{Timer: 1})
 		d.now = before
-		d.step(routing.Probed{Server: server.entry.Server, Status: routing.OK, Took: 1e3})
+		d.step(routing.HealthChecked{Server: server.entry.Server, Status: routing.OK, Took: 1e3})
 	case 20:
 		d.rate = 20 + 400*d.random.Float64()*d.random.Float64()
 	case 21:
@@ -353,20 +352,20 @@
 
 // plan is an order of the fleet for a lost site; it ends after a while.
 func (d *drive) plan() {
-	p := routing.Planned{Least: routing.Rank(d.random.IntN(1e6)), Some: d.random.Float64(),
-		Back: clock.Time(d.random.IntN(3e6))}
+	p := routing.FailoverOrders{MinimumRank: routing.Rank(d.random.IntN(1e6)), MinimumRankShare: d.random.Float64(),
+		RetryAfter: clock.Time(d.random.IntN(3e6))}
 	switch d.random.IntN(4) {
 	case 0:
-		p.Parts = []routing.ZonePart{{Zone: "a"}}
+		p.ZoneShares = []routing.ZoneShare{{Zone: "a"}}
 	case 1:
-		p.Parts = []routing.ZonePart{{Zone: "b", Part: d.random.Float64()}}
-		p.Spare = []routing.ZonePart{{Zone: "a", Part: 0.3}, {Zone: "b", Part: 0.1}}
+		p.ZoneShares = []routing.ZoneShare{{Zone: "b", Share: d.random.Float64()}}
+		p.FailoverWeights = []routing.ZoneShare{{Zone: "a", Share: 0.3}, {Zone: "b", Share: 0.1}}
 	}
 	if d.random.IntN(2) == 0 {
-		p.Fetches = 100 * d.random.Float64()
+		p.OriginReadLimit = 100 * d.random.Float64()
 	}
 	d.step(p)
-	d.after(clock.Time(d.random.Float64()*3e6), routing.Planned{})
+	d.after(clock.Time(d.random.Float64()*3e6), routing.FailoverOrders{})
 }
 
 // restart begins a new process with the knowledge of the one before.
@@ -376,18 +375,18 @@
 	router, decided := routing.New(d.now, d.settings, d.seed)
 	d.router = router
 	d.pending = slices.DeleteFunc(d.pending, func(s scheduled) bool {
-		_, elapsed := s.event.(routing.Elapsed)
+		_, elapsed := s.event.(routing.TimerFired)
 		return elapsed
 	})
 	heap.Init(&d.pending)
 	d.carryOut(decided)
-	d.step(routing.Learned{Knowledge: knowledge})
-	d.step(routing.LearnedServers{Servers: knowledge.Servers})
-	d.step(routing.ListCame{Kind: routing.ListFull, Entries: d.list()})
+	d.step(routing.KnowledgeRestored{Knowledge: knowledge})
+	d.step(routing.ServersRestored{Servers: knowledge.Servers})
+	d.step(routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 }
 
-func (d *drive) list() []routing.Entry {
-	var entries []routing.Entry
+func (d *drive) list() []routing.Endpoint {
+	var entries []routing.Endpoint
 	for _, s := range d.servers {
 		if s.listed {
 			entries = append(entries, s.entry)
@@ -397,7 +396,7 @@
 }
 
 func sortedKnowledge(router *routing.Router, now clock.Time) routing.Knowledge {
-	k := router.Knows(now)
+	k := router.Knowledge(now)
 	slices.SortFunc(k.Servers, func(a, b routing.ServerKnowledge) int { return cmp.Compare(a.Server, b.Server) })
 	return k
 }
@@ -417,24 +416,26 @@
 }
 
 func (d *drive) recordFigures() {
-	f := d.router.Figures(d.now)
-	d.recordFloats(f.Ended, f.GivenUp, f.Worth, f.WorthLost, f.Origin)
+	f := d.router.Load(d.now)
+	d.recordFloats(f.EndedRate, f.UnansweredRate, f.EndedWeight, f.UnansweredWeight, f.OriginLatencyRatio)
 	for _, x := range f.Offered {
 		d.record(uint64(x.Rank))
 		d.recordFloats(x.Rate)
 	}
 	for _, z := range f.Zones {
 		d.sum.Write([]byte(z.Zone))
-		d.record(uint64(z.Listed), uint64(z.Silent))
-		d.recordFloats(z.Answers)
+		d.record(uint64(z.Listed), uint64(z.Unreachable))
+		d.recordFloats(z.AnswerRate)
 	}
-	listed, avoided := d.router.Avoided()
+	listed, avoided := d.router.CountCaches()
 	d.record(uint64(listed), uint64(avoided))
 }
 
 func (d *drive) recordKnowledge() {
 	k := sortedKnowledge(d.router, d.now)
-	times := func(x routing.Times) { d.record(uint64(x.Time), uint64(x.Long), uint64(x.Best), uint64(x.N)) }
+	times := func(x routing.LatencySummary) {
+		d.record(uint64(x.Recent), uint64(x.Mean), uint64(x.Fastest), uint64(x.Samples))
+	}
 	flag := func(x bool) {
 		if x {
 			d.record(1)
@@ -442,18 +443,18 @@
 			d.record(0)
 		}
 	}
-	d.record(uint64(k.At), uint64(k.Span))
-	times(k.Seen)
-	d.recordFloats(k.Traffic, k.Hits, k.Asked, k.Answered, k.Used, k.Noise, k.Retries, k.Reads)
-	for _, x := range k.Methods {
+	d.record(uint64(k.CapturedAt), uint64(k.ObservedFor))
+	times(k.CacheLatency)
+	d.recordFloats(k.RequestRate, k.HitRate, k.EndedRate, k.AnsweredRate, k.AttemptRate, k.FailureRate, k.RetryBudget, k.KeyReads)
+	for _, x := range k.MethodLatencies {
 		d.record(uint64(x))
 	}
 	for _, s := range k.Servers {
-		d.record(uint64(s.Server), uint64(s.Started), uint64(s.At), uint64(s.Told), uint64(s.Lost))
-		times(s.Times)
-		d.recordFloats(s.Rate, s.Used)
-		flag(s.Aside)
-		flag(s.Unheard)
+		d.record(uint64(s.Server), uint64(s.StartedAt), uint64(s.ObservedAt), uint64(s.ReportedServiceTime), uint64(s.FailurePoints))
+		times(s.Latency)
+		d.recordFloats(s.AnswerRate, s.AttemptRate)
+		flag(s.Ejected)
+		flag(s.ConnectFailed)
 	}
 	for _, x := range k.Keys {
 		d.record(uint64(x.Key))
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -17,7 +17,7 @@
 	const granted = 1e6 / useSpan // one use: so much is chance
 	mean := r.used.now(r.now, useSpan) / float64(len(r.caches)+1)
 	if s.inFlight == 0 && s.used.now(r.now, useSpan)+granted < r.keep*(mean+granted) {
-		r.decided = append(r.decided, Decision{Action: Disconnect, Server: s.Server})
+		r.decided = append(r.decided, Decision{Action: CloseIdle, Server: s.Server})
 	}
 }
 
@@ -90,7 +90,7 @@
 func (r *Router) follow(s *server, status Status, points int, took clock.Time) {
 	w := r.ways[s.Zone]
 	switch {
-	case s.origin || status == TimedOut && points == 0 || status == Ignored || status == Canceled:
+	case s.origin || status == TimedOut && points == 0 || status == NotSent || status == Canceled:
 	case status != TimedOut && (status != ConnectError || took < r.connect/2):
 		delete(r.ways, s.Zone)
 	case w.last != s:
@@ -112,17 +112,17 @@
 func (r *Router) recall(s *server) {
 	b, known := r.before[s.Server]
 	delete(r.before, s.Server)
-	if !known || b.Started != s.Started || s.n > 0 {
+	if !known || b.StartedAt != s.StartedAt || s.n > 0 {
 		return
 	}
-	s.gauge.recall(b.Times)
-	s.recalled, s.ended, s.unheard, s.rate = true, b.At, b.Unheard, decayed{b.Rate, r.now}
+	s.gauge.recall(b.Latency)
+	s.recalled, s.ended, s.unheard, s.rate = true, b.ObservedAt, b.ConnectFailed, decayed{b.AnswerRate, r.now}
 	// Else it would seem to be used once in many seconds, where one failure sets it aside.
-	s.used = decayed{b.Used * (1 - math.Exp(-float64(r.now-r.began)/useSpan)), r.now}
-	if b.Told > 0 {
-		s.report(r.now, b.Told)
+	s.used = decayed{b.AttemptRate * (1 - math.Exp(-float64(r.now-r.began)/useSpan)), r.now}
+	if b.ReportedServiceTime > 0 {
+		s.report(r.now, b.ReportedServiceTime)
 	}
-	if b.Aside {
-		s.lost, s.aside = b.Lost, max(1, r.now)
+	if b.Ejected {
+		s.lost, s.aside = b.FailurePoints, max(1, r.now)
 	}
 }
--- a/core/routing/knowledge_test.go
+++ b/core/routing/knowledge_test.go
@@ -21,23 +21,23 @@
 		if i%5 == 0 {
 			key = "hot"
 		}
-		for _, d := range r.Step(now, RequestCame{Request: RequestID(fmt.Sprint(i)), Key: key, ValidUntil: now + 1e6}) {
+		for _, d := range r.Step(now, RequestArrived{Request: RequestID(fmt.Sprint(i)), Key: key, ValidUntil: now + 1e6}) {
 			if d.Action == Send {
 				took := clock.Time(10e3)
 				if d.Server == 3 {
 					took = 40e3
 				}
-				r.Step(now, Returned{Request: d.Request, Server: d.Server, Status: OK, Took: took, Over: true})
+				r.Step(now, AttemptEnded{Request: d.Request, Server: d.Server, Status: OK, Took: took, Answered: true})
 			}
 		}
 	}
-	r.Step(10e6, RequestCame{Request: "in hand", Key: "k1", ValidUntil: 11e6})
+	r.Step(10e6, RequestArrived{Request: "in hand", Key: "k1", ValidUntil: 11e6})
 	return r
 }
 
 // knows is in order, for comparing.
 func knows(r *Router, now clock.Time) Knowledge {
-	k := r.Knows(now)
+	k := r.Knowledge(now)
 	slices.SortFunc(k.Servers, func(a, b ServerKnowledge) int { return cmp.Compare(a.Server, b.Server) })
 	return k
 }
@@ -46,30 +46,30 @@
 func TestKnowledgeIsKept(t *testing.T) {
 	k := knows(busy(1), 10e6)
 	r, _ := New(10e6, base(), 2)
-	r.Step(10e6, Learned{k})
-	r.Step(10e6, LearnedServers{k.Servers})
+	r.Step(10e6, KnowledgeRestored{k})
+	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
 	again := knows(r, 10e6)
 	if len(again.Servers) != 4 || len(k.Servers) != 4 {
 		t.Fatalf("%d servers were known, %d are", len(k.Servers), len(again.Servers))
 	}
 	for i := range again.Servers {
-		if n := again.Servers[i].Times.N; n != 8 {
+		if n := again.Servers[i].Latency.Samples; n != 8 {
 			t.Errorf("times weigh as %d answers", n)
 		}
-		again.Servers[i].Times.N = k.Servers[i].Times.N
-		if x := again.Servers[i].Used / k.Servers[i].Used; x < 0.99 || x > 1.01 {
-			t.Errorf("it was used %v times a second, and is %v", k.Servers[i].Used, again.Servers[i].Used)
+		again.Servers[i].Latency.Samples = k.Servers[i].Latency.Samples
+		if x := again.Servers[i].AttemptRate / k.Servers[i].AttemptRate; x < 0.99 || x > 1.01 {
+			t.Errorf("it was used %v times a second, and is %v", k.Servers[i].AttemptRate, again.Servers[i].AttemptRate)
 		}
-		again.Servers[i].Used = k.Servers[i].Used
+		again.Servers[i].AttemptRate = k.Servers[i].AttemptRate
 		if !reflect.DeepEqual(again.Servers[i], k.Servers[i]) {
 			t.Errorf("%+v\n%+v", again.Servers[i], k.Servers[i])
 		}
 	}
-	if !reflect.DeepEqual(again.Keys, k.Keys) || !reflect.DeepEqual(again.Methods, k.Methods) || again.Retries > k.Retries {
+	if !reflect.DeepEqual(again.Keys, k.Keys) || !reflect.DeepEqual(again.MethodLatencies, k.MethodLatencies) || again.RetryBudget > k.RetryBudget {
 		t.Errorf("%+v\n%+v", again, k)
 	}
-	for _, x := range [][2]float64{{again.Traffic, k.Traffic}, {again.Answered, k.Answered}, {again.Used, k.Used}, {again.Reads, k.Reads}} {
+	for _, x := range [][2]float64{{again.RequestRate, k.RequestRate}, {again.AnsweredRate, k.AnsweredRate}, {again.AttemptRate, k.AttemptRate}, {again.KeyReads, k.KeyReads}} {
 		if x[0] < 0.99*x[1] || x[0] > 1.01*x[1] {
 			t.Errorf("a rate of %v became %v", x[1], x[0])
 		}
@@ -86,7 +86,7 @@
 func TestNewProcessForgets(t *testing.T) {
 	k := knows(busy(1), 10e6)
 	r, _ := New(10e6, base(), 2)
-	r.Step(10e6, LearnedServers{k.Servers})
+	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"saved", "1", "2", "3", "4", "9"}))
 	if r.servers[3].time < 30e3 {
 		t.Errorf("server 3 is known to take %d", r.servers[3].time)
@@ -106,8 +106,8 @@
 func TestOneFailureSetsNobodyAside(t *testing.T) {
 	k := knows(busy(1), 10e6)
 	r, _ := New(10e6, base(), 2)
-	r.Step(10e6, Learned{k})
-	r.Step(10e6, LearnedServers{k.Servers})
+	r.Step(10e6, KnowledgeRestored{k})
+	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
 	for _, status := range []Status{Reset, QueueFull} {
 		s := r.servers[1]
@@ -122,8 +122,8 @@
 func TestOwnOutcomesOverrule(t *testing.T) {
 	k := knows(busy(1), 10e6)
 	r, _ := New(10e6, base(), 2)
-	r.Step(10e6, Learned{k})
-	r.Step(10e6, LearnedServers{k.Servers})
+	r.Step(10e6, KnowledgeRestored{k})
+	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
 	s := r.servers[1] // known as quick, slow now
 	for range 8 {
@@ -143,18 +143,18 @@
 	k := knows(busy(1), 10e6)
 	for i := range k.Servers {
 		if k.Servers[i].Server == 2 {
-			k.Servers[i].Aside, k.Servers[i].Lost = true, 3
+			k.Servers[i].Ejected, k.Servers[i].FailurePoints = true, 3
 		}
 	}
 	got, trials := map[ServerID]int{}, 0
 	for seed := range uint64(20) {
 		r, _ := New(10e6, base(), seed)
-		r.Step(10e6, Learned{k})
-		r.Step(10e6, LearnedServers{k.Servers})
+		r.Step(10e6, KnowledgeRestored{k})
+		r.Step(10e6, ServersRestored{k.Servers})
 		r.Step(10e6, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
 		tried := 0
 		for i := range 10 {
-			for _, d := range r.Step(10e6, RequestCame{Request: RequestID(fmt.Sprint(i)), Key: "hot", ValidUntil: 11e6}) {
+			for _, d := range r.Step(10e6, RequestArrived{Request: RequestID(fmt.Sprint(i)), Key: "hot", ValidUntil: 11e6}) {
 				if d.Action == Send {
 					got[d.Server]++
 					if d.Server == 2 {
@@ -182,9 +182,9 @@
 // BenchmarkKnows is what the loop pays for a state: it must stay below 100 us.
 func BenchmarkKnows(b *testing.B) {
 	r, _ := New(0, base(), 1)
-	l := ListCame{}
+	l := EndpointsUpdated{}
 	for i := range 150 {
-		l.Entries = append(l.Entries, Entry{Server: ServerID(i + 1), Kind: "cache"})
+		l.Endpoints = append(l.Endpoints, Endpoint{Server: ServerID(i + 1), Kind: "cache"})
 	}
 	r.Step(0, l)
 	for _, s := range r.servers {
@@ -200,7 +200,7 @@
 	worst := time.Duration(0)
 	for b.Loop() {
 		start := time.Now()
-		r.Knows(1e6)
+		r.Knowledge(1e6)
 		worst = max(worst, time.Since(start))
 	}
 	b.ReportMetric(float64(worst.Microseconds()), "us-at-worst")
--- a/core/routing/measure.go
+++ b/core/routing/measure.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// Avoided counts the caches in the list, and those of them that are not used now: taken out, or set aside.
-func (r *Router) Avoided() (listed, avoided int) {
+// CountCaches counts the caches in the list, and those of them that are not used now: taken out, or set aside.
+func (r *Router) CountCaches() (listed, avoided int) {
 	for _, s := range r.all {
 		if !s.origin {
 			listed++
--- a/core/routing/origin.go
+++ b/core/routing/origin.go
@@ -60,7 +60,7 @@
 // fetchWait is the time until one more read may go to the origin, behind so many that wait, where the fleet
 // has a bound on them: by this router's part of it, saved up for a quarter of a second.
 func (r *Router) fetchWait(ahead int) clock.Time {
-	if r.planned.Fetches == 0 {
+	if r.planned.OriginReadLimit == 0 {
 		return 0
 	}
 	rate := r.refill()
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -107,7 +107,7 @@
 	}
 	d := Decision{Action: Send, Request: q.id, Server: s.Server, After: max(timeout, r.tick)}
 	if q.maybeRan > 0 && q.method.effect == Deduplicated { // it may wait for a connection past the window
-		d.By = q.maybeRan + q.method.window - r.tick
+		d.StartBy = q.maybeRan + q.method.window - r.tick
 	}
 	r.decided = append(r.decided, d)
 }
--- a/core/routing/retry.go
+++ b/core/routing/retry.go
@@ -27,13 +27,13 @@
 // inGroup: a deduplicated request that may have run goes only where its repeat is known, and the origin may
 // not.
 func inGroup(q *request, s *server) bool {
-	if s == nil || q.maybeRan == 0 || q.method.effect != Deduplicated || q.method.group == GroupAll {
+	if s == nil || q.maybeRan == 0 || q.method.effect != Deduplicated || q.method.group == ScopeAll {
 		return s != nil
 	}
-	return s.Zone == q.ranAt.Zone && (q.method.group == GroupZone || s.Cell == q.ranAt.Cell)
+	return s.Zone == q.ranAt.Zone && (q.method.group == ScopeZone || s.Cell == q.ranAt.Cell)
 }
 
-func (r *Router) returned(e Returned) {
+func (r *Router) returned(e AttemptEnded) {
 	if s := r.servers[e.Server]; s != nil {
 		r.takeReport(s, e.Report, e.Took)
 	}
@@ -61,7 +61,7 @@
 		q.spoke = true
 		r.answered.add(r.now, trafficSpan)
 	}
-	if q.done || e.Over {
+	if q.done || e.Answered {
 		r.callOff(q)
 		r.finish(q)
 		return
@@ -76,7 +76,7 @@
 		} else {
 			q.retrying = r.answered.now(r.now, trafficSpan) < 0.8*r.asked.now(r.now, trafficSpan)
 		}
-	case ConnectError, Ignored:
+	case ConnectError, NotSent:
 		q.retrying = true
 	default:
 		if q.retrying = true; q.maybeRan == 0 {
@@ -98,7 +98,7 @@
 }
 
 // left: the client is gone; its attempt is called off.
-func (r *Router) left(e Left) {
+func (r *Router) left(e ClientDisconnected) {
 	q := r.requests[e.Request]
 	if q == nil || q.done {
 		return
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -42,7 +42,7 @@
 func sized(sizes ...float64) *Router {
 	r := &Router{table: map[uint32][groupCount]uint32{}}
 	for i, size := range sizes {
-		r.caches = append(r.caches, &server{Entry: Entry{Server: ServerID(i + 1)}, size: size})
+		r.caches = append(r.caches, &server{Endpoint: Endpoint{Server: ServerID(i + 1)}, size: size})
 	}
 	return r
 }
@@ -76,9 +76,9 @@
 func TestTableIsTheSameForAnyOrder(t *testing.T) {
 	firsts := func(ids ...ServerID) (of []ServerID) {
 		r, _ := New(0, base(), 1)
-		var l ListCame
+		var l EndpointsUpdated
 		for _, id := range ids {
-			l.Entries = append(l.Entries, Entry{Server: id})
+			l.Endpoints = append(l.Endpoints, Endpoint{Server: id})
 		}
 		r.Step(0, l)
 		for i := range uint64(slots) {
@@ -100,14 +100,14 @@
 			key = "hot"
 		}
 		id := RequestID(fmt.Sprint(i))
-		for _, d := range r.Step(now, RequestCame{Request: id, Key: key, ValidUntil: now + 1e6}) {
+		for _, d := range r.Step(now, RequestArrived{Request: id, Key: key, ValidUntil: now + 1e6}) {
 			if d.Action != Send {
 				continue
 			}
 			if key == "hot" {
 				to[d.Server]++
 			}
-			r.Step(now, Returned{Request: id, Server: d.Server, Status: OK, Took: 1e3, Over: true})
+			r.Step(now, AttemptEnded{Request: id, Server: d.Server, Status: OK, Took: 1e3, Answered: true})
 		}
 	}
 	return to
@@ -116,7 +116,7 @@
 func TestOnlyKeysOverTheBoundAreDrawn(t *testing.T) {
 	for _, c := range []struct{ every, caches int }{{10, 3}, {40, 1}} { // a tenth of the reads, a fortieth
 		r, _ := New(0, base(), 1)
-		r.Step(0, ListCame{Entries: []Entry{{Server: 1}, {Server: 2}, {Server: 3}, {Server: 4}, {Server: 5}}})
+		r.Step(0, EndpointsUpdated{Endpoints: []Endpoint{{Server: 1}, {Server: 2}, {Server: 3}, {Server: 4}, {Server: 5}}})
 		if to := reads(r, 2000, c.every); len(to) != c.caches {
 			t.Errorf("one read in %d over five caches went to %v", c.every, to)
 		}
@@ -129,13 +129,13 @@
 // A fleet that fails all requests is not asked many times over: the budget for the first seconds, then one in ten.
 func Example_retryBudget() {
 	r, _ := New(0, base(), 1)
-	r.Step(0, ListCame{Entries: []Entry{{Server: 1}, {Server: 2}, {Server: 3}}})
+	r.Step(0, EndpointsUpdated{Endpoints: []Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}})
 	retries := 0
 	for i := range 100 {
 		id, now := RequestID(fmt.Sprint(i)), clock.Time(i)*100e3
-		decided := r.Step(now, RequestCame{Request: id, Key: "k", ValidUntil: now + 1e6})
+		decided := r.Step(now, RequestArrived{Request: id, Key: "k", ValidUntil: now + 1e6})
 		for n := 0; len(decided) > 0 && decided[0].Action == Send; n++ {
-			decided = r.Step(now, Returned{Request: id, Server: decided[0].Server, Attempt: Attempt(n), Status: Failed})
+			decided = r.Step(now, AttemptEnded{Request: id, Server: decided[0].Server, Attempt: Attempt(n), Status: Failed})
 			if len(decided) > 0 && decided[0].Action == Send {
 				retries++
 			}
@@ -149,10 +149,10 @@
 // looked like a jam: the next request of a quiet router was rejected.
 func TestAReqWhoseClientLeftIsAskedOnce(t *testing.T) {
 	r, _ := New(0, base(), 1)
-	r.Step(0, ListCame{Entries: []Entry{{Server: 1}}})
-	r.Step(0, RequestCame{Request: "a", Key: "k", ValidUntil: 1e6})
-	r.Step(0, Left{Request: "a"})
-	r.Step(0, Returned{Request: "a", Server: 1, Status: Canceled, Over: true})
+	r.Step(0, EndpointsUpdated{Endpoints: []Endpoint{{Server: 1}}})
+	r.Step(0, RequestArrived{Request: "a", Key: "k", ValidUntil: 1e6})
+	r.Step(0, ClientDisconnected{Request: "a"})
+	r.Step(0, AttemptEnded{Request: "a", Server: 1, Status: Canceled, Answered: true})
 	if n := r.asked.now(0, trafficSpan) * trafficSpan / 1e6; n != 1 {
 		t.Errorf("one req counts as %v", n)
 	}
--- a/core/routing/selection.go
+++ b/core/routing/selection.go
@@ -73,7 +73,7 @@
 	slot := uint32(hash % slots)
 	places, known := r.table[slot]
 	if !known {
-		spare := r.planned.Spare
+		spare := r.planned.FailoverWeights
 		if len(spare) > 0 && r.share(r.ownerOf(slot).Zone) == 1 { // no slot of another zone moves
 			spare = nil
 		}
@@ -88,7 +88,7 @@
 }
 
 // rank draws for each cache an arrival of as many a second as its size is; the first three make the group.
-func rank(caches []*server, slot uint32, spare []ZonePart) (places [groupCount]uint32) {
+func rank(caches []*server, slot uint32, spare []ZoneShare) (places [groupCount]uint32) {
 	at := [groupCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for i, c := range caches {
 		u, size := spread(c, slot), c.size*partOf(spare, c.Zone)
--- a/core/routing/state.go
+++ b/core/routing/state.go
@@ -56,7 +56,7 @@
 // ---- State of one cache server, or of the origin ----
 
 type server struct {
-	Entry
+	Endpoint
 	origin   bool
 	size     float64 // as listed; 1 where lists tell none
 	inFlight int
@@ -96,8 +96,8 @@
 // ---- State of the instance ----
 
 type method struct {
-	effect    Effect
-	group     Group
+	effect    Idempotency
+	group     DeduplicationScope
 	window    clock.Time
 	aim       clock.Time
 	yields    clock.Time // the tightest latency budget of the methods worth as much or more
@@ -161,7 +161,7 @@
 	traffic     decayed
 	asked       decayed // requests for caches that ended, a second
 	answered    decayed // and answers of caches
-	planned     Planned
+	planned     FailoverOrders
 	fetchLeft   float64    // reads that may go to the origin now, where the fleet has a bound on them
 	fetchAt     clock.Time // when that was reckoned
 	tally       tally
@@ -180,7 +180,7 @@
 func (r *Router) wake(at clock.Time) {
 	if r.wakeAt <= r.now || at < r.wakeAt {
 		r.wakeAt = max(at, r.now+1)
-		r.decided = append(r.decided, Decision{Action: Wake, After: r.wakeAt - r.now, Ref: 1})
+		r.decided = append(r.decided, Decision{Action: SetTimer, After: r.wakeAt - r.now, Timer: 1})
 	}
 }
 
--- a/core/routing/trace_test.go
+++ b/core/routing/trace_test.go
@@ -25,17 +25,17 @@
 
 // base is a site in aside mode; scripts change it with lines such as "set routers=3 through".
 func base() Settings {
-	return Settings{Routers: 1, Aside: true, OriginKind: "origin", Resolution: 1e3, ColdShare: 0.2,
-		ColdSpan: 10e6, FallSpan: 1e6, FallMultiple: 2, MayCancel: true, MaxHint: 1e6,
-		MaxAttempts: 3, OverShareWorth: 0.1, DrainGrace: 1e6, AskEvery: 10e6, AnswerSlack: 20e3,
+	return Settings{Routers: 1, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, WarmUpShare: 0.2,
+		WarmUpDuration: 10e6, OverloadWindow: 1e6, OverloadMultiple: 2, CancelAllowed: true, MaxRetryAfter: 1e6,
+		MaxAttempts: 3, OverShareWeight: 0.1, DrainTimeout: 1e6, PollInterval: 10e6, ResponseSlack: 20e3,
 		Methods: []MethodSettings{
 			{Name: "read", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 2},
-			{Name: "hold", Effect: Deduplicated, Window: 600e3, LatencyBudget: 400e3, Deadline: 800e3,
-				Criticality: 5, LateShare: 0.5},
-			{Name: "pay", Effect: NonIdempotent, LatencyBudget: 1500e3, Deadline: 3000e3, Criticality: 5,
-				LateShare: 0.5},
+			{Name: "hold", Idempotency: Deduplicated, DeduplicationWindow: 600e3, LatencyBudget: 400e3, Deadline: 800e3,
+				Criticality: 5, LateValue: 0.5},
+			{Name: "pay", Idempotency: NonIdempotent, LatencyBudget: 1500e3, Deadline: 3000e3, Criticality: 5,
+				LateValue: 0.5},
 			{Name: "low", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 0.2},
-			{Name: "look", Effect: Deduplicated, Window: 600e3, LatencyBudget: 400e3, Deadline: 800e3, Criticality: 2},
+			{Name: "look", Idempotency: Deduplicated, DeduplicationWindow: 600e3, LatencyBudget: 400e3, Deadline: 800e3, Criticality: 2},
 		}}
 }
 
@@ -83,24 +83,24 @@
 			s.Tenants = []TenantSettings{{Name: "big", Share: 0.9}, {Name: "small", Share: 0.1}}
 			s.Tenants[1].Share, _ = strconv.ParseFloat(value, 64)
 		case "hint":
-			s.MaxHint = span(value)
+			s.MaxRetryAfter = span(value)
 		case "sends":
 			s.MaxAttempts, _ = strconv.Atoi(value)
 		case "through":
-			s.Aside, s.OriginKind = false, ""
+			s.CacheAside, s.OriginKind = false, ""
 		case "zone-group":
 			s.Methods = slices.Clone(s.Methods)
-			s.Methods[1].Group, s.Methods[4].Group = GroupZone, GroupZone
+			s.Methods[1].DeduplicationScope, s.Methods[4].DeduplicationScope = ScopeZone, ScopeZone
 		case "fees":
-			s.ConnectionFee, s.HandshakeFee = 0.12, 0.08
+			s.ConnectionCost, s.HandshakeCost = 0.12, 0.08
 		case "tells":
 			s.ReportFields = []Figure{FigureServiceTime}
 		case "connect":
 			s.ConnectTimeout = span(value)
 		case "copies":
-			s.MayTwoAtOnce, s.WasteFee = true, 0.02
+			s.HedgingAllowed, s.WastedWorkCost = true, 0.02
 		case "ask":
-			s.ListOnRequest = true
+			s.PollEndpoints = true
 		case "tenants":
 			s.Tenants = []TenantSettings{{Name: "big", Share: 0.9}, {Name: "small", Share: 0.1}}
 		default:
@@ -114,59 +114,59 @@
 	switch name {
 	case "list":
 		kinds := []string{"full", "changes", "saved", "failed"}
-		l := ListCame{Kind: ListKind(slices.Index(kinds, words[0]))}
+		l := EndpointsUpdated{Kind: EndpointUpdateKind(slices.Index(kinds, words[0]))}
 		for _, w := range words[1:] {
 			w, zone, _ := strings.Cut(w, "/")
 			w, start, _ := strings.Cut(w, "@")
 			id, state, _ := strings.Cut(w, ":")
 			n, _ := strconv.Atoi(id)
-			e := Entry{Server: ServerID(n), Kind: "cache", Zone: Zone(zone), Started: span("0" + start)}
+			e := Endpoint{Server: ServerID(n), Kind: "cache", Zone: Zone(zone), StartedAt: span("0" + start)}
 			if n == 9 {
 				e.Kind = "origin"
 			}
-			e.State = State(max(0, slices.Index([]string{"", "draining", "gone"}, state)))
-			l.Entries = append(l.Entries, e)
+			e.State = EndpointState(max(0, slices.Index([]string{"", "draining", "gone"}, state)))
+			l.Endpoints = append(l.Endpoints, e)
 		}
 		return l
 	case "bar":
 		n, _ := strconv.Atoi(words[0])
-		return Barred{Server: ServerID(n), On: true}
+		return BanChanged{Server: ServerID(n), Banned: true}
 	case "change":
 		set(&s, words)
-		return Changed{s}
+		return SettingsChanged{s}
 	case "part":
 		part, _ := strconv.ParseFloat(words[0], 64)
-		return Parted{Part: part}
+		return FleetShareChanged{Share: part}
 	case "planned": // "a=0 b=0.5 *c=0.1 least=600001 some=0.3 back=2 fetches=4"
-		p := Planned{Some: 1}
+		p := FailoverOrders{MinimumRankShare: 1}
 		for _, w := range words {
 			field, value, _ := strings.Cut(w, "=")
 			x, _ := strconv.ParseFloat(value, 64)
 			switch field {
 			case "least":
-				p.Least = Rank(x)
+				p.MinimumRank = Rank(x)
 			case "some":
-				p.Some = x
+				p.MinimumRankShare = x
 			case "back":
-				p.Back = clock.Time(x * 1e6)
+				p.RetryAfter = clock.Time(x * 1e6)
 			case "fetches":
-				p.Fetches = x
+				p.OriginReadLimit = x
 			default:
 				if zone, spare := strings.CutPrefix(field, "*"); spare {
-					p.Spare = append(p.Spare, ZonePart{Zone(zone), x})
+					p.FailoverWeights = append(p.FailoverWeights, ZoneShare{Zone(zone), x})
 					continue
 				}
-				p.Parts = append(p.Parts, ZonePart{Zone(field), x})
+				p.ZoneShares = append(p.ZoneShares, ZoneShare{Zone(field), x})
 			}
 		}
 		return p
 	case "unbar":
 		n, _ := strconv.Atoi(words[0])
-		return Barred{Server: ServerID(n), Since: span(words[1])}
+		return BanChanged{Server: ServerID(n), Since: span(words[1])}
 	case "req":
 		m := slices.IndexFunc(s.Methods, func(m MethodSettings) bool { return m.Name == words[1] })
-		q := RequestCame{Request: RequestID(words[0]), Method: Method(m), ValidUntil: span(words[3]),
-			Write: words[1] == "hold" || words[1] == "pay", Once: words[len(words)-1] == "once"}
+		q := RequestArrived{Request: RequestID(words[0]), Method: Method(m), ValidUntil: span(words[3]),
+			Write: words[1] == "hold" || words[1] == "pay", SingleAttempt: words[len(words)-1] == "once"}
 		if words[2] != "-" {
 			q.Key = Key(words[2])
 		}
@@ -185,26 +185,26 @@
 			ms, _ := strconv.ParseFloat(told, 64)
 			report = Report{ms}
 		}
-		return Returned{Request: RequestID(words[0]), Server: ServerID(server), Attempt: Attempt(n), Status: status,
-			Took: span(words[4]), Over: status == OK || last == "over", Report: report}
+		return AttemptEnded{Request: RequestID(words[0]), Server: ServerID(server), Attempt: Attempt(n), Status: status,
+			Took: span(words[4]), Answered: status == OK || last == "over", Report: report}
 	case "learned": // of all caches: their usual time, and the retry budget
-		return Learned{Knowledge{Span: 60e6, Seen: Times{span(words[0]), span(words[0]), span(words[0]), 32}, Traffic: 20,
-			Hits: 20, Asked: 20, Answered: 20, Used: 20, Retries: 5}}
+		return KnowledgeRestored{Knowledge{ObservedFor: 60e6, CacheLatency: LatencySummary{span(words[0]), span(words[0]), span(words[0]), 32}, RequestRate: 20,
+			HitRate: 20, EndedRate: 20, AnsweredRate: 20, AttemptRate: 20, RetryBudget: 5}}
 	case "learned-server": // its number, usual time, [aside] [@start]
 		n, _ := strconv.Atoi(words[0])
-		b := ServerKnowledge{Server: ServerID(n), At: 1, Times: Times{span(words[1]), span(words[1]), span(words[1]), 32}, Rate: 5, Used: 5}
+		b := ServerKnowledge{Server: ServerID(n), ObservedAt: 1, Latency: LatencySummary{span(words[1]), span(words[1]), span(words[1]), 32}, AnswerRate: 5, AttemptRate: 5}
 		for _, w := range words[2:] {
-			if b.Aside = w == "aside"; b.Aside {
-				b.Lost = 3
+			if b.Ejected = w == "aside"; b.Ejected {
+				b.FailurePoints = 3
 			} else {
-				b.Started = span(w[1:])
+				b.StartedAt = span(w[1:])
 			}
 		}
-		return LearnedServers{[]ServerKnowledge{b}}
+		return ServersRestored{[]ServerKnowledge{b}}
 	case "left":
-		return Left{Request: RequestID(words[0])}
+		return ClientDisconnected{Request: RequestID(words[0])}
 	case "timer":
-		return Elapsed{Ref: 1}
+		return TimerFired{Timer: 1}
 	}
 	panic("unknown input " + name)
 }
@@ -230,7 +230,7 @@
 		return fmt.Sprint("recall ", d.Request, " ", d.Attempt)
 	case Subscribe:
 		return "subscribe"
-	case Disconnect:
+	case CloseIdle:
 		return fmt.Sprint("close idle connections to ", d.Server)
 	}
 	return "wake after " + after
--- a/core/routing/types.go
+++ b/core/routing/types.go
@@ -14,47 +14,47 @@
 	Zone      string
 	Kind      string
 	Cell      int64
-	TimerRef  int64
+	TimerID   int64
 	Method    int // index into Settings.Methods
 	Attempt   int // a request's attempts count from 0
 	Rank      int // of a request, in millionths of the highest worth, and one: what is refused last
 )
 
-// ZonePart is the part of its keys that the caches of a zone may have.
-type ZonePart struct {
-	Zone Zone
-	Part float64 // 0: none, as if they were not listed
+// ZoneShare is the part of its keys that the caches of a zone may have.
+type ZoneShare struct {
+	Zone  Zone
+	Share float64 // 0: none, as if they were not listed
 }
 
-// Effect tells whether a method may run again.
-type Effect int
+// Idempotency tells whether a method may run again.
+type Idempotency int
 
 const (
-	Idempotent    Effect = iota // may run again
-	Deduplicated                // a group of servers drops repeats within a window
-	NonIdempotent               // must never run twice
+	Idempotent    Idempotency = iota // may run again
+	Deduplicated                     // a group of servers drops repeats within a window
+	NonIdempotent                    // must never run twice
 )
 
-// Group names the servers that drop repeats of a deduplicated request.
-type Group int
+// DeduplicationScope names the servers that drop repeats of a deduplicated request.
+type DeduplicationScope int
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	ScopeAll DeduplicationScope = iota
+	ScopeZone
+	ScopeCell
 )
 
 // MethodSettings describes one method.
 type MethodSettings struct {
-	Name          string
-	Effect        Effect
-	Group         Group
-	Window        clock.Time // deduplicated only: how long repeats are known
-	LatencyBudget clock.Time
-	Deadline      clock.Time
-	Criticality   float64
-	LateShare     float64 // part of the criticality that a late answer still earns
-	Stream        bool
+	Name                string
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow clock.Time // deduplicated only: how long repeats are known
+	LatencyBudget       clock.Time
+	Deadline            clock.Time
+	Criticality         float64
+	LateValue           float64 // part of the criticality that a late answer still earns
+	Stream              bool
 }
 
 // TenantSettings is one tenant's share of the service.
@@ -66,38 +66,38 @@
 
 // Settings is what a router is told at its start.
 type Settings struct {
-	Routers         int
-	Methods         []MethodSettings
-	Tenants         []TenantSettings
-	Aside           bool
-	OriginKind      Kind // empty: the origin is no server of the list
-	OriginFall      float64
-	OriginFallSpan  clock.Time
-	ReportFields    []Figure
-	ListOnRequest   bool
-	ListsSizes      bool // weights in lists are sizes, and stay
-	Resolution      clock.Time
-	AnswerSlack     clock.Time
-	AskEvery        clock.Time
-	ColdShare       float64
-	ColdSpan        clock.Time
-	FallSpan        clock.Time
-	FallMultiple    float64
-	DrainGrace      clock.Time
-	MayCancel       bool
-	MayProbe        bool
-	MayTwoAtOnce    bool
-	MaxAttempts     int
-	MaxHint         clock.Time // 0: rejections do not say when to come back
-	OverShareWorth  float64
-	WorstMethod     float64 // weight of the worst-served method in what the service is judged by
-	ConnectTimeout  clock.Time
-	IdleClose       clock.Time // when a server closes an idle connection at the latest
-	ConnectionFee   float64    // for a hundred connections kept open to each server
-	HandshakeFee    float64    // for a new connection with each request
-	WasteFee        float64    // for work that answers nothing, as a part of all
-	CrossFee        float64    // for each request crossing locations once
-	ReportsOnProbes bool
+	Routers                int
+	Methods                []MethodSettings
+	Tenants                []TenantSettings
+	CacheAside             bool
+	OriginKind             Kind // empty: the origin is no server of the list
+	OriginOverloadMultiple float64
+	OriginOverloadWindow   clock.Time
+	ReportFields           []Figure
+	PollEndpoints          bool
+	WeightsAreCapacity     bool // weights in lists are sizes, and stay
+	ClockGranularity       clock.Time
+	ResponseSlack          clock.Time
+	PollInterval           clock.Time
+	WarmUpShare            float64
+	WarmUpDuration         clock.Time
+	OverloadWindow         clock.Time
+	OverloadMultiple       float64
+	DrainTimeout           clock.Time
+	CancelAllowed          bool
+	HealthChecksAllowed    bool
+	HedgingAllowed         bool
+	MaxAttempts            int
+	MaxRetryAfter          clock.Time // 0: rejections do not say when to come back
+	OverShareWeight        float64
+	WorstMethodWeight      float64 // weight of the worst-served method in what the service is judged by
+	ConnectTimeout         clock.Time
+	ServerIdleTimeout      clock.Time // when a server closes an idle connection at the latest
+	ConnectionCost         float64    // for a hundred connections kept open to each server
+	HandshakeCost          float64    // for a new connection with each request
+	WastedWorkCost         float64    // for work that answers nothing, as a part of all
+	CrossZoneCost          float64    // for each request crossing locations once
+	ReportsOnHealthChecks  bool
 }
 
 // Figure names one value of a load report.
@@ -113,34 +113,34 @@
 	FigureHits               // recent share of hits
 )
 
-// State is what the list says of a server.
-type State int
+// EndpointState is what the list says of a server.
+type EndpointState int
 
 const (
-	Ready State = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Entry is one line of the list of servers.
-type Entry struct {
-	Server  ServerID
-	Zone    Zone
-	Kind    Kind
-	Cell    Cell
-	State   State
-	Weight  float64
-	Started clock.Time // 0: long ago
+// Endpoint is one line of the list of servers.
+type Endpoint struct {
+	Server    ServerID
+	Zone      Zone
+	Kind      Kind
+	Cell      Cell
+	State     EndpointState
+	Weight    float64
+	StartedAt clock.Time // 0: long ago
 }
 
-// ListKind tells what a list holds.
-type ListKind int
+// EndpointUpdateKind tells what a list holds.
+type EndpointUpdateKind int
 
 const (
-	ListFull ListKind = iota
-	ListChanges
-	ListSaved
-	ListFailed
+	FullUpdate EndpointUpdateKind = iota
+	IncrementalUpdate
+	CachedUpdate
+	FailedUpdate
 )
 
 // Status is how an attempt ended.
@@ -154,7 +154,7 @@
 	ConnectError
 	Reset
 	Canceled
-	Ignored
+	NotSent
 	Miss
 )
 
@@ -165,69 +165,69 @@
 type Event any
 
 type (
-	ListCame struct {
-		Kind    ListKind
-		Entries []Entry
-		Refused bool // of ListFailed: discovery answered that it takes no such call now
+	EndpointsUpdated struct {
+		Kind      EndpointUpdateKind
+		Endpoints []Endpoint
+		Rejected  bool // of ListFailed: discovery answered that it takes no such call now
 	}
-	RequestCame struct {
-		Request    RequestID
-		Method     Method
-		Tenant     Tenant
-		Key        Key
-		ValidUntil clock.Time
-		Resent     bool
-		Write      bool
-		Once       bool // its body is not kept: one attempt at most
+	RequestArrived struct {
+		Request       RequestID
+		Method        Method
+		Tenant        Tenant
+		Key           Key
+		ValidUntil    clock.Time
+		ClientRetry   bool
+		Write         bool
+		SingleAttempt bool // its body is not kept: one attempt at most
 	}
-	Returned struct {
-		Request RequestID
-		Server  ServerID
-		Attempt Attempt
-		Status  Status
-		Took    clock.Time
-		Over    bool // the request is answered
-		Report  Report
+	AttemptEnded struct {
+		Request  RequestID
+		Server   ServerID
+		Attempt  Attempt
+		Status   Status
+		Took     clock.Time
+		Answered bool // the request is answered
+		Report   Report
 	}
-	Streaming struct { // the answer has begun and belongs to the client
+	ResponseStarted struct { // the answer has begun and belongs to the client
 		Request RequestID
 		Attempt Attempt
 	}
-	Left struct { // the client is gone
+	ClientDisconnected struct { // the client is gone
 		Request RequestID
 	}
-	Learned struct { // what an earlier process knew, faded by its age; before anything else
+	KnowledgeRestored struct { // what an earlier process knew, faded by its age; before anything else
 		Knowledge
 	}
-	LearnedServers struct { // the same of servers, before the list that names them
+	ServersRestored struct { // the same of servers, before the list that names them
 		Servers []ServerKnowledge
 	}
-	Barred struct { // an operator has taken a server out, or given it back
+	BanChanged struct { // an operator has taken a server out, or given it back
 		Server ServerID
-		On     bool
+		Banned bool
 		Since  clock.Time // given back: it counts as started then
 	}
-	Parted struct { // the part of what all routers may send together is another now, of one; at first it is one of them
-		Part float64
+	FleetShareChanged struct { // the part of what all routers may send together is another now, of one; at first it is one of them
+		Share float64
 	}
-	Planned struct { // what the fleet keeps to while a site is lost; the zero value: nothing
-		Parts   []ZonePart
-		Spare   []ZonePart // weights of zones for the keys whose owner's zone has a part only; 1 where none is named
-		Least   Rank       // less is refused
-		Some    float64    // and of what has just that rank all but so much
-		Back    clock.Time // what is refused is to come back within so long
-		Fetches float64    // reads at the origin a second, of all routers together; 0: no bound but the router's own
+	FailoverOrders struct { // what the fleet keeps to while a site is lost; the zero value: nothing
+		ZoneShares       []ZoneShare
+		FailoverWeights  []ZoneShare // weights of zones for the keys whose owner's zone has a part only; 1 where none is named
+		MinimumRank      Rank        // less is refused
+		MinimumRankShare float64     // and of what has just that rank all but so much
+		RetryAfter       clock.Time  // what is refused is to come back within so long
+		OriginReadLimit  float64     // reads at the origin a second, of all routers together; 0: no bound but the router's own
 	}
-	Changed struct { // the settings are others now; the methods and tenants are the same ones, in the same order
+	SettingsChanged struct { // the settings are others now; the methods and tenants are the same ones, in the same order
 		Settings
 	}
-	Ending struct { // the process ends: no answer is of use after that
-		By clock.Time
+	ShutdownScheduled struct { // the process ends: no answer is of use after that
+		Deadline clock.Time
 	}
-	Elapsed struct {
-		Ref TimerRef
+	TimerFired struct {
+		Timer TimerID
 	}
-	Probed struct {
+	HealthChecked struct {
 		Server ServerID
 		Status Status
 		Took   clock.Time
@@ -239,14 +239,14 @@
 type Action int
 
 const (
-	Send   Action = iota // Request, Server, After (time-out)
-	Reject               // Request, After (when to come back; 0: no hint)
-	Fail                 // Request
-	Cancel               // Request, Attempt
-	Wake                 // After, Ref
+	Send     Action = iota // Request, Server, After (time-out)
+	Reject                 // Request, After (when to come back; 0: no hint)
+	Fail                   // Request
+	Cancel                 // Request, Attempt
+	SetTimer               // After, Ref
 	Subscribe
-	Probe      // Server
-	Disconnect // Server: close what is idle
+	HealthCheck // Server
+	CloseIdle   // Server: close what is idle
 )
 
 // Decision is one thing to do now.
@@ -256,6 +256,6 @@
 	Server  ServerID
 	Attempt Attempt
 	After   clock.Time
-	By      clock.Time // of an attempt: it is not begun later than that; 0: any time
-	Ref     TimerRef
+	StartBy clock.Time // of an attempt: it is not begun later than that; 0: any time
+	Timer   TimerID
 }
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -55,24 +55,24 @@
 
 // Fade is what is left of knowledge at a time. The knowledge given is not changed.
 func Fade(k routing.Knowledge, now clock.Time) routing.Knowledge {
-	age := Age(now, k.At)
+	age := Age(now, k.CapturedAt)
 	out := k
-	out.Seen = times(k.Seen, age)
+	out.CacheLatency = times(k.CacheLatency, age)
 	rates := Weight(age, Rates)
 	// The rates themselves stay: what fades is for how long they count as watched.
-	out.Span = clock.Time(rates * float64(min(max(k.Span, 0), MostWatched)))
-	out.Retries = newBudget - Weight(age, Budget)*max(0, newBudget-k.Retries)
+	out.ObservedFor = clock.Time(rates * float64(min(max(k.ObservedFor, 0), MostWatched)))
+	out.RetryBudget = newBudget - Weight(age, Budget)*max(0, newBudget-k.RetryBudget)
 	hot := Weight(age, HotKeys)
-	out.Reads = hot * k.Reads
+	out.KeyReads = hot * k.KeyReads
 	out.Keys = nil
 	for _, key := range k.Keys {
 		if key.Count *= hot; key.Count >= 1 {
 			out.Keys = append(out.Keys, key)
 		}
 	}
-	out.Methods = nil
-	for _, t := range k.Methods {
-		out.Methods = append(out.Methods, clock.Time(Weight(age, Times)*float64(t)))
+	out.MethodLatencies = nil
+	for _, t := range k.MethodLatencies {
+		out.MethodLatencies = append(out.MethodLatencies, clock.Time(Weight(age, Times)*float64(t)))
 	}
 	out.Servers = nil
 	for _, s := range k.Servers {
@@ -85,27 +85,27 @@
 
 // server fades by the time of its own evidence; false where nothing is left.
 func server(s routing.ServerKnowledge, now clock.Time) (routing.ServerKnowledge, bool) {
-	age := Age(now, s.At)
-	s.Times = times(s.Times, age)
-	s.Rate *= Weight(age, Rates)
+	age := Age(now, s.ObservedAt)
+	s.Latency = times(s.Latency, age)
+	s.AnswerRate *= Weight(age, Rates)
 	if Weight(age, Times) == 0 {
-		s.Told = 0
+		s.ReportedServiceTime = 0
 	}
 	if Weight(age, Health) < 0.25 { // two half-lives: it has had more trials since than it would be given now
-		s.Lost, s.Aside, s.Unheard = 0, false, false
+		s.FailurePoints, s.Ejected, s.ConnectFailed = 0, false, false
 	}
-	if s.At > now { // its time must not be from the future for those who come after
-		s.At = max(1, now-Unknown)
+	if s.ObservedAt > now { // its time must not be from the future for those who come after
+		s.ObservedAt = max(1, now-Unknown)
 	}
-	return s, s.Times.N > 0 || s.Aside
+	return s, s.Latency.Samples > 0 || s.Ejected
 }
 
 // times fades a gauge: fewer answers, and the quickest time goes over into the usual one.
-func times(t routing.Times, age clock.Time) routing.Times {
-	t.N = int(Weight(age, Times) * float64(max(0, t.N)))
-	if t.N == 0 {
-		return routing.Times{}
+func times(t routing.LatencySummary, age clock.Time) routing.LatencySummary {
+	t.Samples = int(Weight(age, Times) * float64(max(0, t.Samples)))
+	if t.Samples == 0 {
+		return routing.LatencySummary{}
 	}
-	t.Best += clock.Time((1 - Weight(age, Quick)) * float64(max(0, t.Long-t.Best)))
+	t.Fastest += clock.Time((1 - Weight(age, Quick)) * float64(max(0, t.Mean-t.Fastest)))
 	return t
 }
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -17,12 +17,12 @@
 
 // known is what a router knew at a time: two servers seen then, one of them set aside, and one not seen for an hour before.
 func known(at clock.Time) routing.Knowledge {
-	return routing.Knowledge{At: at, Span: 600e6, Seen: routing.Times{Time: 5000, Long: 6000, Best: 3000, N: 32}, Traffic: 200, Hits: 180,
-		Asked: 190, Answered: 185, Used: 400, Noise: 1, Retries: 2, Reads: 4000, Methods: []clock.Time{4000, 8000},
+	return routing.Knowledge{CapturedAt: at, ObservedFor: 600e6, CacheLatency: routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}, RequestRate: 200, HitRate: 180,
+		EndedRate: 190, AnsweredRate: 185, AttemptRate: 400, FailureRate: 1, RetryBudget: 2, KeyReads: 4000, MethodLatencies: []clock.Time{4000, 8000},
 		Servers: []routing.ServerKnowledge{
-			{Server: 1, At: at, Times: routing.Times{Time: 5000, Long: 6000, Best: 3000, N: 32}, Rate: 20, Told: 4000},
-			{Server: 2, At: at, Times: routing.Times{Time: 90000, Long: 80000, Best: 3000, N: 32}, Rate: 1, Lost: 3, Aside: true, Unheard: true},
-			{Server: 3, At: at - 3600e6, Times: routing.Times{Time: 5000, Long: 6000, Best: 3000, N: 32}},
+			{Server: 1, ObservedAt: at, Latency: routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}, AnswerRate: 20, ReportedServiceTime: 4000},
+			{Server: 2, ObservedAt: at, Latency: routing.LatencySummary{Recent: 90000, Mean: 80000, Fastest: 3000, Samples: 32}, AnswerRate: 1, FailurePoints: 3, Ejected: true, ConnectFailed: true},
+			{Server: 3, ObservedAt: at - 3600e6, Latency: routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}},
 		},
 		Keys: []routing.KeyKnowledge{{Key: 1, Count: 900}, {Key: 2, Count: 4}}}
 }
@@ -36,11 +36,11 @@
 				t.Fatal(err)
 			}
 			k := Fade(known(now-clock.Time(age/time.Microsecond)), now)
-			say("seen %+v, watched for %v, budget %.1f, reads %.0f, methods %v", k.Seen,
-				time.Duration(k.Span)*time.Microsecond, k.Retries, k.Reads, k.Methods)
+			say("seen %+v, watched for %v, budget %.1f, reads %.0f, methods %v", k.CacheLatency,
+				time.Duration(k.ObservedFor)*time.Microsecond, k.RetryBudget, k.KeyReads, k.MethodLatencies)
 			for _, s := range k.Servers {
-				say("server %d: %+v, rate %.2f, told %d, lost %d, aside %v, unheard %v, evidence %v old", s.Server, s.Times,
-					s.Rate, s.Told, s.Lost, s.Aside, s.Unheard, (time.Duration(now-s.At) * time.Microsecond).Round(time.Second))
+				say("server %d: %+v, rate %.2f, told %d, lost %d, aside %v, unheard %v, evidence %v old", s.Server, s.Latency,
+					s.AnswerRate, s.ReportedServiceTime, s.FailurePoints, s.Ejected, s.ConnectFailed, (time.Duration(now-s.ObservedAt) * time.Microsecond).Round(time.Second))
 			}
 			for _, key := range k.Keys {
 				say("key %d: %.0f", key.Key, key.Count)
@@ -55,15 +55,15 @@
 		age := clock.Time(rapid.Int64Range(0, 7200e6).Draw(t, "age"))
 		step := clock.Time(rapid.Int64Range(0, 1e6).Draw(t, "step"))
 		a, b := Fade(known(now-age), now), Fade(known(now-age-step), now)
-		if b.Seen.N > a.Seen.N || a.Seen.N-b.Seen.N > 1 || b.Span > a.Span || b.Reads > a.Reads || b.Retries < a.Retries ||
+		if b.CacheLatency.Samples > a.CacheLatency.Samples || a.CacheLatency.Samples-b.CacheLatency.Samples > 1 || b.ObservedFor > a.ObservedFor || b.KeyReads > a.KeyReads || b.RetryBudget < a.RetryBudget ||
 			len(b.Servers) > len(a.Servers) || len(b.Keys) > len(a.Keys) {
 			t.Fatalf("%v older by %v:\n%+v\n%+v", age, step, a, b)
 		}
-		if a.Seen.N > 0 && b.Seen.N > 0 && (b.Seen.Best < a.Seen.Best || b.Seen.Best > b.Seen.Long) {
-			t.Fatalf("the quickest time: %+v %+v", a.Seen, b.Seen)
+		if a.CacheLatency.Samples > 0 && b.CacheLatency.Samples > 0 && (b.CacheLatency.Fastest < a.CacheLatency.Fastest || b.CacheLatency.Fastest > b.CacheLatency.Mean) {
+			t.Fatalf("the quickest time: %+v %+v", a.CacheLatency, b.CacheLatency)
 		}
-		if math.Abs(a.Retries-b.Retries) > 0.5 {
-			t.Fatalf("the budget jumps: %v %v", a.Retries, b.Retries)
+		if math.Abs(a.RetryBudget-b.RetryBudget) > 0.5 {
+			t.Fatalf("the budget jumps: %v %v", a.RetryBudget, b.RetryBudget)
 		}
 	})
 }
@@ -75,12 +75,12 @@
 	for range 20 {
 		at += 60e6
 		k = Fade(k, at)
-		k.At = at // written again by the process that read it
+		k.CapturedAt = at // written again by the process that read it
 		for _, s := range k.Servers {
-			if s.At > now {
+			if s.ObservedAt > now {
 				t.Fatalf("evidence of %d became younger", s.Server)
 			}
-			if s.Server == 3 || s.Aside {
+			if s.Server == 3 || s.Ejected {
 				t.Fatalf("after %v: %+v", time.Duration(at-now)*time.Microsecond, s)
 			}
 		}
@@ -89,8 +89,8 @@
 	if len(k.Servers) > len(direct.Servers) {
 		t.Errorf("by twenty restarts %d servers are known, by one %d", len(k.Servers), len(direct.Servers))
 	}
-	if k.Retries < 2 {
-		t.Errorf("the budget fell to %v", k.Retries)
+	if k.RetryBudget < 2 {
+		t.Errorf("the budget fell to %v", k.RetryBudget)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -77,9 +77,9 @@
 	for _, text := range []string{whole, own} {
 		c, err := load(t, text, nil)
 		s := c.Settings
-		t.Log(err, s.MayTwoAtOnce, s.ListsSizes, s.WasteFee, s.CrossFee)
-		if new := text == own; err != nil || s.MayTwoAtOnce != new || s.ListsSizes != new || (s.WasteFee == 0.02) != new ||
-			(s.CrossFee == 0.06) != new {
+		t.Log(err, s.HedgingAllowed, s.WeightsAreCapacity, s.WastedWorkCost, s.CrossZoneCost)
+		if new := text == own; err != nil || s.HedgingAllowed != new || s.WeightsAreCapacity != new || (s.WastedWorkCost == 0.02) != new ||
+			(s.CrossZoneCost == 0.06) != new {
 			t.Errorf("%v: %+v", err, s)
 		}
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -111,7 +111,7 @@
 		HeldBytes: memory * mebibyte / 8,
 		Buffered:  memory * mebibyte / 4,
 		Connect:   s.ConnectTimeout,
-		Idle:      s.IdleClose * 9 / 10, // a request may be on its way when the server closes
+		Idle:      s.ServerIdleTimeout * 9 / 10, // a request may be on its way when the server closes
 		Sweep:     250e3,
 		Quiet:     50e3,  // many times the way from a client: what it sent with its connection has come
 		Silent:    2e6,   // no request is owed to it by then
@@ -146,7 +146,7 @@
 	if l.Idle <= 0 {
 		l.Idle = 15e6
 	}
-	if s.ListOnRequest {
+	if s.PollEndpoints {
 		// One service answers all routers: calls cost, and wait in turn for up to two seconds. Given up after half a
 		// second they only came again, and lists did not come at all. A watch is noticed a second before it counts as told.
 		l.Watch, l.WatchSlack, l.ListSlack = 20e6, 1e6, 2e6
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -20,13 +20,13 @@
 		wrong             bool
 		key, what, remedy string
 	}{
-		{s.MayTwoAtOnce && !s.ListsSizes, "weights", "lists that tell no sizes, though " + own, "say nominal or rough"},
-		{!s.MayTwoAtOnce && s.ListsSizes, "weights", "lists that tell sizes, as of routers in client processes, though " +
+		{s.HedgingAllowed && !s.WeightsAreCapacity, "weights", "lists that tell no sizes, though " + own, "say nominal or rough"},
+		{!s.HedgingAllowed && s.WeightsAreCapacity, "weights", "lists that tell sizes, as of routers in client processes, though " +
 			"policy-limits.parallel-tries is not true", "say silent, or set both"},
-		{s.MayTwoAtOnce && !s.MayCancel, "policy-limits.cancel", "attempts cannot be called off, though " + own, "say true"},
-		{s.MayTwoAtOnce && !s.Aside, "domain.mode", "the servers ask the origin themselves, though " + own,
+		{s.HedgingAllowed && !s.CancelAllowed, "policy-limits.cancel", "attempts cannot be called off, though " + own, "say true"},
+		{s.HedgingAllowed && !s.CacheAside, "domain.mode", "the servers ask the origin themselves, though " + own,
 			"say aside, or set parallel-tries to false"},
-		{s.MayTwoAtOnce && s.MaxAttempts < 3, "policy-limits.send-cap", "a cache, a copy and one more attempt do not " +
+		{s.HedgingAllowed && s.MaxAttempts < 3, "policy-limits.send-cap", "a cache, a copy and one more attempt do not " +
 			"fit, though " + own, "say 3 at least"},
 	} {
 		if c.wrong {
@@ -41,7 +41,7 @@
 	for _, f := range []struct {
 		key string
 		fee float64
-	}{{"waste", s.WasteFee}, {"cross-zone", s.CrossFee}} {
+	}{{"waste", s.WastedWorkCost}, {"cross-zone", s.CrossZoneCost}} {
 		if f.fee < 0 {
 			return fmt.Errorf("settings: fees.%s: less than nothing; say 0 or more", f.key)
 		}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -50,7 +50,7 @@
 	Inherit(func([]byte))
 	// SitePlan has it keep to what the fleet does about a lost site, until a time, and tells its load of late. It is in
 	// force once the error is nil.
-	SitePlan(p routing.Planned, until time.Time) (routing.Figures, error)
+	SitePlan(p routing.FailoverOrders, until time.Time) (routing.RouterLoad, error)
 }
 
 // Keeper is a router's side. Close ends it.
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -44,7 +44,7 @@
 
 // tendSites looks at the router's load, and has it keep to what the leader orders.
 func (k *Keeper) tendSites() {
-	var last *routing.Planned
+	var last *routing.FailoverOrders
 	for t := time.NewTicker(look); ; {
 		select {
 		case <-k.stop:
@@ -76,14 +76,14 @@
 			continue
 		}
 		k.mu.Lock()
-		r := sitefailover.Report{Site: sitefailover.Site(k.cfg.Site), Let: f.Ended, Lost: f.GivenUp, Worth: f.Worth, Missed: f.WorthLost, Origin: f.Origin, Target: orders.Target}
+		r := sitefailover.Report{Site: sitefailover.Site(k.cfg.Site), Let: f.EndedRate, Lost: f.UnansweredRate, Worth: f.EndedWeight, Missed: f.UnansweredWeight, Origin: f.OriginLatencyRatio, Target: orders.Target}
 		for _, o := range f.Offered {
 			if o.Rate >= 0.05 { // a second; less says nothing, and makes a packet long
 				r.Offered = append(r.Offered, sitefailover.Offer{Rank: sitefailover.Rank(o.Rank), Rate: o.Rate})
 			}
 		}
 		for _, z := range f.Zones {
-			r.Seen = append(r.Seen, sitefailover.Seen{Site: sitefailover.Site(z.Zone), Listed: z.Listed, Silent: z.Silent, Answers: z.Answers})
+			r.Seen = append(r.Seen, sitefailover.Seen{Site: sitefailover.Site(z.Zone), Listed: z.Listed, Silent: z.Unreachable, Answers: z.AnswerRate})
 		}
 		r.Seen = s.memory.Note(clock.Time(k.micros()), r.Seen)
 		s.report = &r
@@ -91,13 +91,13 @@
 	}
 }
 
-func planned(o sitefailover.Orders) routing.Planned {
-	p := routing.Planned{Least: routing.Rank(o.Least), Some: o.Some, Back: clock.Time(o.Back), Fetches: o.Fetches}
+func planned(o sitefailover.Orders) routing.FailoverOrders {
+	p := routing.FailoverOrders{MinimumRank: routing.Rank(o.Least), MinimumRankShare: o.Some, RetryAfter: clock.Time(o.Back), OriginReadLimit: o.Fetches}
 	for _, s := range o.Spare {
-		p.Spare = append(p.Spare, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Part})
+		p.FailoverWeights = append(p.FailoverWeights, routing.ZoneShare{Zone: routing.Zone(s.Site), Share: s.Part})
 	}
 	for _, s := range o.Shares {
-		p.Parts = append(p.Parts, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Part})
+		p.ZoneShares = append(p.ZoneShares, routing.ZoneShare{Zone: routing.Zone(s.Site), Share: s.Part})
 	}
 	return p
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -76,20 +76,20 @@
 	Targets *[]target `json:"targets"`
 }
 
-var states = map[string]routing.State{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Gone}
+var states = map[string]routing.EndpointState{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Removed}
 
 // Saved reads the list that a router starts with; it may be old, so that the next call asks for the whole one.
-func (b *Book) Saved(body []byte) (routing.ListCame, error) {
+func (b *Book) Saved(body []byte) (routing.EndpointsUpdated, error) {
 	l, err := b.Take(body)
-	l.Kind = routing.ListSaved
+	l.Kind = routing.CachedUpdate
 	b.whole = false
 	return l, err
 }
 
 // Take reads an answer. One that cannot be read changes nothing; an odd entry does not keep the others from counting.
-func (b *Book) Take(body []byte) (routing.ListCame, error) {
+func (b *Book) Take(body []byte) (routing.EndpointsUpdated, error) {
 	var a answer
-	l := routing.ListCame{Kind: routing.ListChanges}
+	l := routing.EndpointsUpdated{Kind: routing.IncrementalUpdate}
 	if err := json.Unmarshal(body, &a); err != nil {
 		return l, err
 	}
@@ -106,7 +106,7 @@
 	targets := *a.Targets
 	b.rev, b.whole = *a.Rev, b.whole || a.All
 	if a.All {
-		l.Kind = routing.ListFull
+		l.Kind = routing.FullUpdate
 	}
 	// In order of name, so that two names that share a number are told apart alike at every router.
 	slices.SortStableFunc(targets, func(x, y target) int { return strings.Compare(string(x.UID), string(y.UID)) })
@@ -125,21 +125,21 @@
 		if t.Endpoint != "" {
 			b.addrs[id] = t.Endpoint
 		}
-		l.Entries = append(l.Entries, routing.Entry{Server: id, Zone: routing.Zone(t.Zone), Kind: routing.Kind(t.Kind),
-			Cell: routing.Cell(t.Cell), State: state, Weight: t.Weight, Started: clock.Time(t.Boot * 1e3)})
+		l.Endpoints = append(l.Endpoints, routing.Endpoint{Server: id, Zone: routing.Zone(t.Zone), Kind: routing.Kind(t.Kind),
+			Cell: routing.Cell(t.Cell), State: state, Weight: t.Weight, StartedAt: clock.Time(t.Boot * 1e3)})
 	}
 	b.prune(l)
 	return l, nil
 }
 
 // prune forgets who is gone: servers come under ever new names.
-func (b *Book) prune(l routing.ListCame) {
+func (b *Book) prune(l routing.EndpointsUpdated) {
 	named := map[routing.ServerID]bool{}
-	for _, e := range l.Entries {
-		named[e.Server] = e.State != routing.Gone
+	for _, e := range l.Endpoints {
+		named[e.Server] = e.State != routing.Removed
 	}
 	for uid, id := range b.ids {
-		if keep, told := named[id]; told && !keep || !told && l.Kind == routing.ListFull {
+		if keep, told := named[id]; told && !keep || !told && l.Kind == routing.FullUpdate {
 			delete(b.ids, uid)
 			delete(b.uids, id)
 			delete(b.addrs, id)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -24,8 +24,8 @@
 	}
 	take := func(body []byte) {
 		l, err := b.Take(body)
-		fmt.Println("list of kind", l.Kind, "with", len(l.Entries), "entries:", err)
-		for _, e := range l.Entries {
+		fmt.Println("list of kind", l.Kind, "with", len(l.Endpoints), "entries:", err)
+		for _, e := range l.Endpoints {
 			fmt.Printf("  %+v at %q\n", e, b.Endpoint(e.Server))
 		}
 	}
@@ -48,20 +48,20 @@
 	// call /registry/instances for 0
 	// list of kind 1 with 0 entries: changes came where the whole list was asked for
 	// list of kind 0 with 2 entries: <nil>
-	//   {Server:412855716 Zone:a Kind:m Cell:0 State:0 Weight:0 Started:0} at "127.0.0.1:1"
-	//   {Server:463188573 Zone:a Kind:m Cell:3 State:0 Weight:2 Started:1500000} at "127.0.0.1:1"
+	//   {Server:412855716 Zone:a Kind:m Cell:0 State:0 Weight:0 StartedAt:0} at "127.0.0.1:1"
+	//   {Server:463188573 Zone:a Kind:m Cell:3 State:0 Weight:2 StartedAt:1500000} at "127.0.0.1:1"
 	// call /registry/instances?index=41&wait=20000 for 20000000
 	// list of kind 1 with 1 entries: <nil>
-	//   {Server:412855716 Zone: Kind: Cell:0 State:2 Weight:0 Started:0} at ""
+	//   {Server:412855716 Zone: Kind: Cell:0 State:2 Weight:0 StartedAt:0} at ""
 	// call /registry/instances?index=42&wait=20000 for 20000000
 	// list of kind 1 with 0 entries: targets is missing
 	// list of kind 1 with 0 entries: rev is missing
 	// list of kind 1 with 0 entries: unexpected end of JSON input
 	// list of kind 0 with 1 entries: <nil>
-	//   {Server:412855716 Zone: Kind: Cell:0 State:1 Weight:0 Started:0} at ""
+	//   {Server:412855716 Zone: Kind: Cell:0 State:1 Weight:0 StartedAt:0} at ""
 	// list of kind 0 with 0 entries: <nil>
 	// list of kind 0 with 1 entries: <nil>
-	//   {Server:412855716 Zone:a Kind:m Cell:0 State:0 Weight:0 Started:0} at "127.0.0.1:1"
+	//   {Server:412855716 Zone:a Kind:m Cell:0 State:0 Weight:0 StartedAt:0} at "127.0.0.1:1"
 	// call /registry/instances?index=43&wait=20000 for 20000000
 	// call /registry/instances for 0
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -116,14 +116,14 @@
 		return nil
 	}
 	const hour = 3600e6
-	errs := []error{part("over_share_worth", d.OverShareWorth, &s.OverShareWorth), span("max_hint", d.MaxHint, &s.MaxHint, 0, hour),
-		part("cold.share", d.Cold.Share, &s.ColdShare), span("cold.span", d.Cold.Span, &s.ColdSpan, 1, hour),
-		number("cold.fall_multiple", d.Cold.FallMultiple, &s.FallMultiple), span("cold.fall_span", d.Cold.FallSpan, &s.FallSpan, 1, hour)}
-	if d.MaxHint != nil && own.MaxHint == 0 && s.MaxHint > 0 {
+	errs := []error{part("over_share_worth", d.OverShareWorth, &s.OverShareWeight), span("max_hint", d.MaxHint, &s.MaxRetryAfter, 0, hour),
+		part("cold.share", d.Cold.Share, &s.WarmUpShare), span("cold.span", d.Cold.Span, &s.WarmUpDuration, 1, hour),
+		number("cold.fall_multiple", d.Cold.FallMultiple, &s.OverloadMultiple), span("cold.fall_span", d.Cold.FallSpan, &s.OverloadWindow, 1, hour)}
+	if d.MaxHint != nil && own.MaxRetryAfter == 0 && s.MaxRetryAfter > 0 {
 		errs = append(errs, d.wrong("max_hint", "is set, and the settings have nacks that say nothing of when to come back", "leave it out"))
 	}
 	if n := d.MaxWriteOuts; n != nil {
-		if *n < 1 || *n > 100 || own.MayTwoAtOnce && *n < 3 {
+		if *n < 1 || *n > 100 || own.HedgingAllowed && *n < 3 {
 			errs = append(errs, d.wrong("max_write_outs", fmt.Sprintf("is %d", *n), "write 1 to 100, and 3 at least where two may be out at once"))
 		}
 		s.MaxAttempts = *n
@@ -150,7 +150,7 @@
 		}
 		x := &s.Methods[at]
 		errs = append(errs, span(f+"latency_budget", m.LatencyBudget, &x.LatencyBudget, 1e3, x.Deadline),
-			number(f+"criticality", m.Criticality, &x.Criticality), part(f+"late_share", m.LateShare, &x.LateShare))
+			number(f+"criticality", m.Criticality, &x.Criticality), part(f+"late_share", m.LateShare, &x.LateValue))
 	}
 	named = map[string]bool{}
 	for i, t := range d.Tenants {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -7,7 +7,7 @@
 	"spurtrestle/core/routing"
 )
 
-var own = routing.Settings{MaxAttempts: 3, MaxHint: 2e6, OverShareWorth: 0.1, ColdShare: 0.3, ColdSpan: 6e6, FallMultiple: 3, FallSpan: 2e6,
+var own = routing.Settings{MaxAttempts: 3, MaxRetryAfter: 2e6, OverShareWeight: 0.1, WarmUpShare: 0.3, WarmUpDuration: 6e6, OverloadMultiple: 3, OverloadWindow: 2e6,
 	Methods: []routing.MethodSettings{{Name: "read", LatencyBudget: 200e3, Deadline: 700e3, Criticality: 2}, {Name: "hold", LatencyBudget: 300e3, Deadline: 900e3}},
 	Tenants: []routing.TenantSettings{{Name: "grain", Share: 0.6}, {Name: "dairy", Share: 0.4}}}
 
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.MaxAttempts != 2 || s.ColdSpan != 3e6 || s.Methods[1].Criticality != 7 || s.Tenants[1].Share != 0.2 || s.ColdShare != 0.3 ||
+	if s.MaxAttempts != 2 || s.WarmUpDuration != 3e6 || s.Methods[1].Criticality != 7 || s.Tenants[1].Share != 0.2 || s.WarmUpShare != 0.3 ||
 		s.Methods[0] != own.Methods[0] || s.Tenants[0].Share != 0.6 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -44,7 +44,7 @@
 	}
 	r.carryOut(r.decided)
 	for _, ev := range inputs {
-		if l, ok := ev.(routing.Left); ok && r.requests[l.Request] != nil {
+		if l, ok := ev.(routing.ClientDisconnected); ok && r.requests[l.Request] != nil {
 			r.requests[l.Request].leaving = false
 			r.settle(r.requests[l.Request])
 		}
@@ -83,14 +83,14 @@
 			r.fail(d.Request)
 		case routing.Cancel:
 			r.recall(d.Request, d.Attempt)
-		case routing.Wake:
-			ref := d.Ref
-			r.after(d.After, func() { r.input(routing.Elapsed{Ref: ref}) })
+		case routing.SetTimer:
+			ref := d.Timer
+			r.after(d.After, func() { r.input(routing.TimerFired{Timer: ref}) })
 		case routing.Subscribe:
 			if r.watch != nil {
 				r.watch.call()
 			}
-		case routing.Disconnect:
+		case routing.CloseIdle:
 			if s := r.servers[d.Server]; s != nil {
 				r.closeIdle(s)
 			}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -393,7 +393,7 @@
 var refusedReq = []byte("-ERR a req needs a new id, c, and d\r\n")
 
 // request makes the words of a command a request; ok is false where they are refused, which is counted.
-func (c *client) request(words [][]byte, write bool) (q *request, came routing.RequestCame, waits clock.Time, ok bool) {
+func (c *client) request(words [][]byte, write bool) (q *request, came routing.RequestArrived, waits clock.Time, ok bool) {
 	r := c.r
 	size := 0
 	for _, w := range words {
@@ -417,8 +417,8 @@
 		}
 		return q, came, 0, false
 	}
-	return q, routing.RequestCame{Request: q.ID, Key: routing.Key(q.Key), Write: write, Method: method, Tenant: routing.Tenant(p.Tenant),
-		Resent: p.Resent}, p.Waits, true
+	return q, routing.RequestArrived{Request: q.ID, Key: routing.Key(q.Key), Write: write, Method: method, Tenant: routing.Tenant(p.Tenant),
+		ClientRetry: p.Resent}, p.Waits, true
 }
 
 // hasAsked counts who has asked, once.
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -21,7 +21,7 @@
 		r.publish()
 		r.tellServing(false)
 		r.endBy = r.clock() + r.lim.Ending
-		r.input(routing.Ending{By: r.endBy})
+		r.input(routing.ShutdownScheduled{Deadline: r.endBy})
 		r.after(r.lim.Ending, r.endAttempts)
 		r.after(r.lim.LingerOpen, func() {
 			r.closing = true
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -27,9 +27,9 @@
 func held(t *testing.T, change func(*routing.Settings)) (l *notedLoop, up func() *notedConn) {
 	cfg := notedConfig()
 	cfg.Limits.Idle, cfg.Limits.Sweep, cfg.Limits.Quiet = 60e6, 250e3, 50e3
-	cfg.Settings.MaxAttempts, cfg.Settings.MayCancel = 3, true
+	cfg.Settings.MaxAttempts, cfg.Settings.CancelAllowed = 3, true
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 2e6, Criticality: 1},
-		routing.MethodSettings{Name: "look", Effect: routing.Deduplicated, Window: 400e3, LatencyBudget: 2e6, Criticality: 1})
+		routing.MethodSettings{Name: "look", Idempotency: routing.Deduplicated, DeduplicationWindow: 400e3, LatencyBudget: 2e6, Criticality: 1})
 	cfg.Known = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:2","model":"m","state":"active"}]}`)
 	if change != nil {
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -64,7 +64,7 @@
 			for _, q := range l.r.requests {
 				for _, w := range slices.Clone(q.attempts) {
 					if w.whole && q.Write {
-						l.r.giveUp(w, routing.Ignored)
+						l.r.giveUp(w, routing.NotSent)
 						return
 					}
 				}
@@ -142,7 +142,7 @@
 	cfg.Limits.Descriptors, cfg.Limits.MostDescriptors, cfg.Limits.Upstreams = 12, 14, 6
 	cfg.Limits.Pipeline, cfg.Limits.HeldBytes, cfg.Limits.Quiet, cfg.Limits.Linger = 3, 100, 10e3, 1e6
 	cfg.Limits.Idle = 2e6
-	cfg.Settings.MaxAttempts, cfg.Settings.MayCancel, cfg.Settings.MayTwoAtOnce = 3, true, len(steps)%2 == 1
+	cfg.Settings.MaxAttempts, cfg.Settings.CancelAllowed, cfg.Settings.HedgingAllowed = 3, true, len(steps)%2 == 1
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 6e6, Criticality: 1})
 	cfg.Known = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:2","model":"m","state":"active"},` +
@@ -306,7 +306,7 @@
 		}
 		for s, whole := range outs {
 			up, on := s.on.ctx.(*upstream)
-			if whole && s.w != never && r.cfg.Settings.Methods[s.w.q.method].Effect == routing.NonIdempotent && !(on && up.carries == s.w) {
+			if whole && s.w != never && r.cfg.Settings.Methods[s.w.q.method].Idempotency == routing.NonIdempotent && !(on && up.carries == s.w) {
 				ran[s.w.q.ID] = string(r.book.UID(s.w.server.id))
 			}
 		}
@@ -330,7 +330,7 @@
 					t.Fatalf("a write-out to %s, which is out", uid)
 				}
 				most := 1
-				if cfg.Settings.MayTwoAtOnce {
+				if cfg.Settings.HedgingAllowed {
 					most = 2
 				}
 				if carried[up.carries.q]++; carried[up.carries.q] > most {
--- a/internal/router/gone_test.go
+++ b/internal/router/gone_test.go
@@ -110,8 +110,8 @@
 // A client that closes its connection or cancels its call is gone: whatever its request was waiting for just then, no attempt
 // of it begins more than 0.1 s later, the first, a retry or a hedge.
 func TestNoAttemptForAClientThatIsGone(t *testing.T) {
-	never := func(s *routing.Settings) { s.MayCancel = false }
-	hedges := func(s *routing.Settings) { s.MayTwoAtOnce = true }
+	never := func(s *routing.Settings) { s.CancelAllowed = false }
+	hedges := func(s *routing.Settings) { s.HedgingAllowed = true }
 	tell := map[string]struct {
 		change func(*routing.Settings)
 		before func(d *departure) // what leads to it, of the request "gone"
--- a/internal/router/longwrite.go
+++ b/internal/router/longwrite.go
@@ -61,7 +61,7 @@
 		return true, true
 	}
 	q.body, b.q, s.q = b, q, q
-	came.Once = true
+	came.SingleAttempt = true
 	r.take(q, came, waits, c.idle)
 	c.hasAsked()
 	return true, true
@@ -176,7 +176,7 @@
 	r, up := b.r, w.up
 	if hungUp(b.fd) { // off the loop nobody has seen that the client went while it waited
 		r.left(b.q)
-		r.giveUp(w, routing.Ignored)
+		r.giveUp(w, routing.NotSent)
 		b.start(b.discard)
 		return
 	}
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -53,7 +53,7 @@
 				time = x.Time
 			}
 		}
-		k.Methods = append(k.Methods, time)
+		k.MethodLatencies = append(k.MethodLatencies, time)
 	}
 	for i, x := range s.Servers {
 		x.Server = routing.ServerID(i) // only to find it again: numbers are given by the list
@@ -64,7 +64,7 @@
 		m.waiting[discovery.UID(s.Servers[x.Server].UID)] = x
 	}
 	k.Servers = nil
-	r.carryOut(r.core.Step(r.now, routing.Learned{Knowledge: k}))
+	r.carryOut(r.core.Step(r.now, routing.KnowledgeRestored{Knowledge: k}))
 	m.learned = nil
 }
 
@@ -78,12 +78,12 @@
 }
 
 // name gives the decisions what is known of servers that a list names, ahead of the list.
-func (r *Router) name(l routing.ListCame) {
+func (r *Router) name(l routing.EndpointsUpdated) {
 	if r.memory == nil || len(r.memory.waiting) == 0 {
 		return
 	}
 	var known []routing.ServerKnowledge
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		uid := r.book.UID(e.Server)
 		if x, ok := r.memory.waiting[uid]; ok {
 			x.Server = e.Server
@@ -92,7 +92,7 @@
 		}
 	}
 	if len(known) > 0 {
-		r.input(routing.LearnedServers{Servers: known})
+		r.input(routing.ServersRestored{Servers: known})
 	}
 }
 
@@ -107,9 +107,9 @@
 
 // State is what the router knows, by names that outlive it. It belongs to the loop until Run is over.
 func (r *Router) State() snapshot.State {
-	k := r.core.Knows(r.clock())
+	k := r.core.Knowledge(r.clock())
 	s := snapshot.State{Version: snapshot.Version, Router: r.cfg.Name, Knowledge: k}
-	for i, t := range k.Methods {
+	for i, t := range k.MethodLatencies {
 		s.Methods = append(s.Methods, snapshot.Method{Name: r.cfg.Settings.Methods[i].Name, Time: t})
 	}
 	s.Servers = make([]snapshot.Server, 0, len(k.Servers))
@@ -118,6 +118,6 @@
 			s.Servers = append(s.Servers, snapshot.Server{UID: string(uid), ServerKnowledge: x})
 		}
 	}
-	s.Knowledge.Methods, s.Knowledge.Servers = nil, nil
+	s.Knowledge.MethodLatencies, s.Knowledge.Servers = nil, nil
 	return s
 }
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -31,10 +31,10 @@
 	client.asks(l.r, "r1")
 	l.rounds()
 	old := snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: l.r.cfg.Settings.Methods[0].Name, Time: 7000}},
-		Knowledge: routing.Knowledge{At: l.r.clock(), Span: 60e6, Seen: routing.Times{Time: 3000, Long: 3000, Best: 2000, N: 32}}}
+		Knowledge: routing.Knowledge{CapturedAt: l.r.clock(), ObservedFor: 60e6, CacheLatency: routing.LatencySummary{Recent: 3000, Mean: 3000, Fastest: 2000, Samples: 32}}}
 	for i := range 3 {
-		old.Servers = append(old.Servers, snapshot.Server{UID: fmt.Sprint("uid-", i), ServerKnowledge: routing.ServerKnowledge{At: l.r.clock(),
-			Times: routing.Times{Time: clock.Time(1000 * (i + 1)), Long: 1, Best: 1, N: 32}}})
+		old.Servers = append(old.Servers, snapshot.Server{UID: fmt.Sprint("uid-", i), ServerKnowledge: routing.ServerKnowledge{ObservedAt: l.r.clock(),
+			Latency: routing.LatencySummary{Recent: clock.Time(1000 * (i + 1)), Mean: 1, Fastest: 1, Samples: 32}}})
 	}
 	r := l.r
 	r.Remember(&old, 1e6, func(snapshot.State) {})
@@ -58,7 +58,7 @@
 	known := func() map[string]clock.Time {
 		out := map[string]clock.Time{}
 		for _, s := range r.State().Servers {
-			out[s.UID] = s.Times.Time
+			out[s.UID] = s.Latency.Recent
 		}
 		return out
 	}
@@ -106,15 +106,15 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	for _, e := range got.Entries {
-		known = append(known, routing.ServerKnowledge{Server: e.Server, At: 1, Times: routing.Times{Time: 5, Long: 5, Best: 5, N: 32}})
+	for _, e := range got.Endpoints {
+		known = append(known, routing.ServerKnowledge{Server: e.Server, ObservedAt: 1, Latency: routing.LatencySummary{Recent: 5, Mean: 5, Fastest: 5, Samples: 32}})
 	}
-	r.core.Step(r.clock(), routing.LearnedServers{Servers: known})
+	r.core.Step(r.clock(), routing.ServersRestored{Servers: known})
 	var keys []routing.KeyKnowledge
 	for i := range 1024 {
 		keys = append(keys, routing.KeyKnowledge{Key: routing.KeyHash(i), Count: 5})
 	}
-	r.core.Step(r.clock(), routing.Learned{Knowledge: routing.Knowledge{Keys: keys, Reads: 5000}})
+	r.core.Step(r.clock(), routing.KnowledgeRestored{Knowledge: routing.Knowledge{Keys: keys, KeyReads: 5000}})
 	r.core.Step(r.clock(), got)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/router/offers.go
+++ b/internal/router/offers.go
@@ -116,7 +116,7 @@
 	}
 	o.q = &request{Request: o.Request, size: size, from: o}
 	r.offers.open++
-	r.take(o.q, routing.RequestCame{Request: o.ID, Key: routing.Key(o.Key), Write: o.Write, Method: method, Tenant: o.Tenant, Resent: o.Resent}, waits, r.clock())
+	r.take(o.q, routing.RequestArrived{Request: o.ID, Key: routing.Key(o.Key), Write: o.Write, Method: method, Tenant: o.Tenant, ClientRetry: o.Resent}, waits, r.clock())
 	return 0
 }
 
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -221,7 +221,7 @@
 		return // as nearly all that a list names: the decisions know nothing else
 	}
 	r.ops.barred[s.id] = out
-	r.input(routing.Barred{Server: s.id, On: out, Since: since})
+	r.input(routing.BanChanged{Server: s.id, Banned: out, Since: since})
 	if s.ready = s.listed && !out; !s.ready {
 		r.dismiss(s)
 	}
@@ -234,7 +234,7 @@
 		open: c.Taken - c.Served - c.Rejected - c.Failed - c.Left, why: r.notReady(), draining: r.draining || r.ops.wanted.Empty}
 	f.empty = (r.ops.emptied || r.closing) && len(r.clients) == 0 && len(r.requests) == 0 && r.away == 0 && r.offers.open == 0
 	if r.core != nil {
-		f.listed, f.avoided = r.core.Avoided()
+		f.listed, f.avoided = r.core.CountCaches()
 	}
 	r.ops.told.Store(f)
 	r.ops.toldAt = r.clock()
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -25,9 +25,9 @@
 	may  atomic.Int64 // new requests may be taken until then, as clock.Time; 0: for ever. From any goroutine.
 	shut bool         // they may not
 
-	plan  routing.Planned // that the fleet keeps to
-	until clock.Time      // and so long; 0: there is none
-	gone  map[string]bool // cache servers that the fleet's policy leaves alone
+	plan  routing.FailoverOrders // that the fleet keeps to
+	until clock.Time             // and so long; 0: there is none
+	gone  map[string]bool        // cache servers that the fleet's policy leaves alone
 }
 
 var errHeir = errors.New("another process is taking over, which begins with the whole part")
@@ -73,7 +73,7 @@
 			r.place.part = r.began + clock.Time(until.Sub(r.start)/time.Microsecond)
 		}
 		if r.place.have = now; !r.place.shut {
-			r.input(routing.Parted{Part: now + r.place.extra})
+			r.input(routing.FleetShareChanged{Share: now + r.place.extra})
 		}
 		r.batch() // in force before the yes
 	})
@@ -124,8 +124,8 @@
 	}
 	if p.until != 0 && r.now >= p.until {
 		r.log.Info("site: no orders have come for a while; going by this router's own evidence")
-		r.place.plan, r.place.until = routing.Planned{}, 0
-		r.decided = append(r.decided, r.core.Step(r.now, routing.Planned{})...)
+		r.place.plan, r.place.until = routing.FailoverOrders{}, 0
+		r.decided = append(r.decided, r.core.Step(r.now, routing.FailoverOrders{})...)
 	}
 	if p.extra != 0 && r.now >= p.extraUntil {
 		p.extra, news = 0, true
@@ -141,17 +141,17 @@
 	if p.shut {
 		part = 0
 	}
-	r.decided = append(r.decided, r.core.Step(r.now, routing.Parted{Part: part})...)
+	r.decided = append(r.decided, r.core.Step(r.now, routing.FleetShareChanged{Share: part})...)
 }
 
 // SitePlan has the router keep to what the fleet does about a lost site, until a time, and tells its load of late. It is in
 // force once the error is nil; with one it may come into force later.
-func (r *Router) SitePlan(p routing.Planned, until time.Time) (routing.Figures, error) {
+func (r *Router) SitePlan(p routing.FailoverOrders, until time.Time) (routing.RouterLoad, error) {
 	<-r.ready
-	var f routing.Figures
+	var f routing.RouterLoad
 	busy := r.soon(func() {
 		r.place.until = r.began + clock.Time(until.Sub(r.start)/time.Microsecond)
-		if reflect.DeepEqual(p, routing.Planned{}) {
+		if reflect.DeepEqual(p, routing.FailoverOrders{}) {
 			r.place.until = 0
 		}
 		if !reflect.DeepEqual(p, r.place.plan) {
@@ -159,10 +159,10 @@
 			r.input(p)
 			r.batch() // in force before the yes
 		}
-		f = r.core.Figures(r.clock())
+		f = r.core.Load(r.clock())
 	})
 	if busy != nil {
-		return routing.Figures{}, busy // what is written to f later is nobody's
+		return routing.RouterLoad{}, busy // what is written to f later is nobody's
 	}
 	return f, nil
 }
@@ -182,7 +182,7 @@
 		}
 		p.extra = part
 		if !p.shut && p.have != 0 {
-			r.input(routing.Parted{Part: p.have + part})
+			r.input(routing.FleetShareChanged{Share: p.have + part})
 		}
 		r.batch()
 	})
@@ -213,7 +213,7 @@
 		for _, uid := range out {
 			r.place.gone[uid] = true
 		}
-		r.input(routing.Changed{Settings: s})
+		r.input(routing.SettingsChanged{Settings: s})
 		for _, x := range r.servers {
 			uid := string(r.book.UID(x.id))
 			if gone := r.place.gone[uid]; gone != was[uid] && !r.ops.wanted.Out(uid) {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -36,7 +36,7 @@
 // arrival is a request on its way into a batch; its deadline counts from there.
 type arrival struct {
 	q     *request
-	came  routing.RequestCame
+	came  routing.RequestArrived
 	waits clock.Time
 	since clock.Time // its last byte came then
 }
@@ -69,7 +69,7 @@
 }
 
 // take makes a request of this router's what a front has read whole; its client waits so long from when its last byte came, since.
-func (r *Router) take(q *request, came routing.RequestCame, waits, since clock.Time) {
+func (r *Router) take(q *request, came routing.RequestArrived, waits, since clock.Time) {
 	r.requests[q.ID] = q
 	r.held += q.size
 	r.counts.Taken++
@@ -143,11 +143,11 @@
 	}
 	q.over, q.leaving = true, true
 	r.counts.Left++
-	r.input(routing.Left{Request: q.ID})
+	r.input(routing.ClientDisconnected{Request: q.ID})
 	for _, w := range slices.Clone(q.attempts) {
 		if w.unsent() {
 			r.counts.LeftWaiting++
-			r.giveUp(w, routing.Ignored)
+			r.giveUp(w, routing.NotSent)
 		}
 	}
 }
@@ -169,18 +169,18 @@
 	// The request may have lost its client, and the server its place in the list, since this was decided: the news is in the
 	// batch behind the decision, or in the next. Nothing is sent then.
 	if q.over || s == nil || !s.ready {
-		r.input(routing.Returned{Request: d.Request, Server: d.Server, Attempt: nth, Status: routing.Ignored, Over: q.over})
+		r.input(routing.AttemptEnded{Request: d.Request, Server: d.Server, Attempt: nth, Status: routing.NotSent, Answered: q.over})
 		return
 	}
 	w := &attempt{q: q, nth: nth, server: s, sent: r.now, within: d.After, until: r.now + d.After}
 	q.attempts = append(q.attempts, w)
 	r.counts.Attempts++
 	w.timer = r.after(d.After, func() { r.timedOut(w) })
-	if d.By > 0 && d.By < w.until {
-		w.until = d.By
-		w.late = r.after(max(0, d.By-r.now), func() {
+	if d.StartBy > 0 && d.StartBy < w.until {
+		w.until = d.StartBy
+		w.late = r.after(max(0, d.StartBy-r.now), func() {
 			if slices.Contains(q.attempts, w) && w.unsent() {
-				r.giveUp(w, routing.Ignored)
+				r.giveUp(w, routing.NotSent)
 			}
 		})
 	}
@@ -208,15 +208,15 @@
 		r.counts.OK++
 	case routing.Miss:
 		r.counts.Miss++
-	case routing.QueueFull, routing.ConnectError, routing.Ignored:
+	case routing.QueueFull, routing.ConnectError, routing.NotSent:
 		r.counts.NeverRan++
 	case routing.Canceled:
 		r.counts.GivenUp++
 	default:
 		r.counts.MayHave++
 	}
-	r.input(routing.Returned{Request: q.ID, Server: w.server.id, Attempt: w.nth, Status: status,
-		Took: r.clock() - w.sent, Over: q.over, Report: report})
+	r.input(routing.AttemptEnded{Request: q.ID, Server: w.server.id, Attempt: w.nth, Status: status,
+		Took: r.clock() - w.sent, Answered: q.over, Report: report})
 	r.settle(q)
 }
 
@@ -236,7 +236,7 @@
 	switch {
 	case !slices.Contains(w.q.attempts, w):
 	case w.unsent():
-		r.giveUp(w, routing.Ignored)
+		r.giveUp(w, routing.NotSent)
 	default:
 		r.giveUp(w, routing.TimedOut)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -73,12 +73,12 @@
 	conns     int       // open connections of all kinds
 	book      *discovery.Book
 	watch     *watch
-	known     routing.ListCame // the list to start with
-	serving   bool             // a list with a server to use has come
-	memory    *memory          // nil: nothing is kept over a restart
-	offers    offers           // from fronts off the loop
-	ops       ops              // of operators
-	takeover  takeover         // from the process before, and by the next
+	known     routing.EndpointsUpdated // the list to start with
+	serving   bool                     // a list with a server to use has come
+	memory    *memory                  // nil: nothing is kept over a restart
+	offers    offers                   // from fronts off the loop
+	ops       ops                      // of operators
+	takeover  takeover                 // from the process before, and by the next
 	place     place
 	onServing func(bool)
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -105,8 +105,8 @@
 	cfg := config.Config{Listen: "-", Limits: config.Limits{Resp: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
 		Descriptors: 100, Upstreams: 50, Clients: 50, Askers: 50, Silent: 2e6, Slow: 2e6, MostDescriptors: 110, Pipeline: 10, HeldBytes: 1 << 20, ClientIn: 1 << 20, ClientOut: 1 << 20, Buffered: 1 << 20}}
 	cfg.Limits.Origin = httpwire.Bounds{Head: 1 << 10, Body: 1 << 16}
-	cfg.Settings = routing.Settings{Routers: 1, Aside: true, OriginKind: "origin", Resolution: 1e3, MaxAttempts: 1,
-		Methods: []routing.MethodSettings{{Name: "pay", Effect: routing.NonIdempotent, LatencyBudget: 5e6, Criticality: 1}}}
+	cfg.Settings = routing.Settings{Routers: 1, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, MaxAttempts: 1,
+		Methods: []routing.MethodSettings{{Name: "pay", Idempotency: routing.NonIdempotent, LatencyBudget: 5e6, Criticality: 1}}}
 	cfg.Known = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`)
 	return cfg
 }
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -153,7 +153,7 @@
 	up.since = up.r.clock()
 	// After a pause of the process its connections come up before its timers go off.
 	for len(s.waiting) > 0 && s.waiting[0].until <= up.since {
-		up.r.giveUp(s.waiting[0], routing.Ignored)
+		up.r.giveUp(s.waiting[0], routing.NotSent)
 	}
 	for len(s.waiting) > 0 && up.r.hasGone(s.waiting[0].q) {
 		up.r.left(s.waiting[0].q)
@@ -186,7 +186,7 @@
 // connection may have run for all that is known, so it is looked at where that forbids another try. The rest is told by the
 // loop in time, or tried again.
 func (up *upstream) open(w *attempt) bool {
-	if up.r.cfg.Settings.Methods[w.q.method].Effect == routing.Idempotent || !up.used {
+	if up.r.cfg.Settings.Methods[w.q.method].Idempotency == routing.Idempotent || !up.used {
 		return true
 	}
 	var one [1]byte
@@ -419,13 +419,13 @@
 }
 
 // listCame takes a list: who is named, and where.
-func (r *Router) listCame(l routing.ListCame) {
+func (r *Router) listCame(l routing.EndpointsUpdated) {
 	r.counts.Lists++
 	r.name(l)
 	r.input(l)
 	named := map[routing.ServerID]bool{}
-	for _, e := range l.Entries {
-		named[e.Server] = e.State != routing.Gone
+	for _, e := range l.Endpoints {
+		named[e.Server] = e.State != routing.Removed
 		s := r.servers[e.Server]
 		if s == nil {
 			s = &server{id: e.Server}
@@ -452,7 +452,7 @@
 	}
 	r.listKnown(l)
 	for id, s := range r.servers {
-		if keep, told := named[id]; told && !keep || !told && l.Kind != routing.ListChanges {
+		if keep, told := named[id]; told && !keep || !told && l.Kind != routing.IncrementalUpdate {
 			delete(r.servers, id)
 			s.ready, s.listed = false, false
 			r.dismiss(s)
@@ -464,6 +464,6 @@
 func (r *Router) dismiss(s *server) {
 	r.closeIdle(s)
 	for len(s.waiting) > 0 {
-		r.returned(s.waiting[0], routing.Ignored, nil)
+		r.returned(s.waiting[0], routing.NotSent, nil)
 	}
 }
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -170,8 +170,8 @@
 }
 
 // listKnown: with an old process at work there is time to wait for discovery's own list.
-func (r *Router) listKnown(l routing.ListCame) {
-	if r.serving && (r.takeover.old == nil || l.Kind != routing.ListSaved) {
+func (r *Router) listKnown(l routing.EndpointsUpdated) {
+	if r.serving && (r.takeover.old == nil || l.Kind != routing.CachedUpdate) {
 		r.takeClients()
 	}
 	r.showUp()
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -169,9 +169,9 @@
 		w.failing = true
 		w.r.log.WithError(err).Warn("a call to discovery failed; going on with the last list")
 	}
-	if w.r.cfg.Settings.ListOnRequest {
+	if w.r.cfg.Settings.PollEndpoints {
 		var refused *refusedError
-		w.r.input(routing.ListCame{Kind: routing.ListFailed, Refused: errors.As(err, &refused)})
+		w.r.input(routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: errors.As(err, &refused)})
 		return
 	}
 	w.r.cancel(w.again)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,10 +18,10 @@
 	Figures = map[string]routing.Figure{"avg_ms": routing.FigureServiceTime, "waiting": routing.FigureQueue,
 		"active": routing.FigureInFlight, "cpu": routing.FigureBusy, "err_rps": routing.FigureErrors,
 		"x0": routing.FigureHits}
-	effects = map[string]routing.Effect{"free": routing.Idempotent, "guarded": routing.Deduplicated,
+	effects = map[string]routing.Idempotency{"free": routing.Idempotent, "guarded": routing.Deduplicated,
 		"single_shot": routing.NonIdempotent}
-	groups = map[string]routing.Group{"": routing.GroupAll, "all": routing.GroupAll, "zone": routing.GroupZone,
-		"cell": routing.GroupCell}
+	groups = map[string]routing.DeduplicationScope{"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone,
+		"cell": routing.ScopeCell}
 )
 
 // Micros is a span told in seconds.
@@ -120,28 +120,28 @@
 		s.OriginKind = routing.Kind(p.Flavors[*k])
 	}
 	s.Routers = *p.Balancers
-	s.Aside = p.Domain.Mode == "aside"
-	s.OriginFall, s.OriginFallSpan = p.Domain.Fall, Micros(p.Domain.FallSpan)
+	s.CacheAside = p.Domain.Mode == "aside"
+	s.OriginOverloadMultiple, s.OriginOverloadWindow = p.Domain.Fall, Micros(p.Domain.FallSpan)
 	for _, name := range p.Report.Fields {
 		s.ReportFields = append(s.ReportFields, Figures[name])
 	}
-	s.ReportsOnProbes = p.Report.How == "pull"
-	s.ListOnRequest = p.Discovery == "on_request"
-	s.ListsSizes = p.Weights == "nominal" || p.Weights == "rough"
-	s.Resolution = Micros(p.Resolution)
-	s.OverShareWorth, s.WorstMethod = p.Over, p.Goal.WorstClass
-	s.WasteFee, s.CrossFee = p.Fees.Waste, p.Fees.Cross
-	s.ConnectionFee, s.HandshakeFee = p.Fees.Connection, p.Fees.Handshake
+	s.ReportsOnHealthChecks = p.Report.How == "pull"
+	s.PollEndpoints = p.Discovery == "on_request"
+	s.WeightsAreCapacity = p.Weights == "nominal" || p.Weights == "rough"
+	s.ClockGranularity = Micros(p.Resolution)
+	s.OverShareWeight, s.WorstMethodWeight = p.Over, p.Goal.WorstClass
+	s.WastedWorkCost, s.CrossZoneCost = p.Fees.Waste, p.Fees.Cross
+	s.ConnectionCost, s.HandshakeCost = p.Fees.Connection, p.Fees.Handshake
 	l, u := p.Limits, p.Rules
-	s.MayCancel, s.MayProbe, s.MayTwoAtOnce = l.Cancel, l.Probes, l.Parallel
-	s.MaxAttempts, s.MaxHint, s.ConnectTimeout = *l.SendCap, Micros(l.MaxHint), Micros(l.Connect)
+	s.CancelAllowed, s.HealthChecksAllowed, s.HedgingAllowed = l.Cancel, l.Probes, l.Parallel
+	s.MaxAttempts, s.MaxRetryAfter, s.ConnectTimeout = *l.SendCap, Micros(l.MaxHint), Micros(l.Connect)
 	if !l.Hint {
-		s.MaxHint = 0
+		s.MaxRetryAfter = 0
 	}
-	s.IdleClose = Micros(l.Idle)
-	s.AnswerSlack, s.AskEvery, s.DrainGrace = Micros(u.Slack), Micros(u.AskEvery), Micros(u.Grace)
-	s.ColdShare, s.ColdSpan = u.ColdShare, Micros(u.ColdSpan)
-	s.FallMultiple, s.FallSpan = u.Multiple, Micros(u.FallSpan)
+	s.ServerIdleTimeout = Micros(l.Idle)
+	s.ResponseSlack, s.PollInterval, s.DrainTimeout = Micros(u.Slack), Micros(u.AskEvery), Micros(u.Grace)
+	s.WarmUpShare, s.WarmUpDuration = u.ColdShare, Micros(u.ColdSpan)
+	s.OverloadMultiple, s.OverloadWindow = u.Multiple, Micros(u.FallSpan)
 	for _, c := range p.Classes {
 		e, ok := effects[c.Effect]
 		g, ok2 := groups[c.Group]
@@ -149,9 +149,9 @@
 			return s, fmt.Errorf("request-classes: %q lacks a name, an effect, a group or a deadline; effects are %s, groups %s",
 				c.Name, "free, guarded and single_shot", "all, zone and cell")
 		}
-		s.Methods = append(s.Methods, routing.MethodSettings{Name: c.Name, Effect: e, Group: g,
-			Window: Micros(c.Window), LatencyBudget: Micros(c.Aim), Deadline: Micros(c.Deadline),
-			Criticality: c.Worth, LateShare: c.Late, Stream: c.Stream})
+		s.Methods = append(s.Methods, routing.MethodSettings{Name: c.Name, Idempotency: e, DeduplicationScope: g,
+			DeduplicationWindow: Micros(c.Window), LatencyBudget: Micros(c.Aim), Deadline: Micros(c.Deadline),
+			Criticality: c.Worth, LateValue: c.Late, Stream: c.Stream})
 	}
 	for _, t := range p.Tenants {
 		s.Tenants = append(s.Tenants,
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -196,7 +196,7 @@
 					t.Fatalf("save %d, operation %d: %v", saves, at, err)
 				case got.Router != name(uint64(saves)) && (saves == 0 || got.Router != name(uint64(saves-1))):
 					t.Fatalf("save %d, operation %d: found %s", saves, at, got.Router)
-				case !sameState(got, sample(int(got.Knowledge.Reads))):
+				case !sameState(got, sample(int(got.Knowledge.KeyReads))):
 					t.Fatalf("save %d, operation %d: a mixture was found", saves, at)
 				}
 				// And the next start can go on from there.
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -121,11 +121,11 @@
 	}
 }
 
-func (m *message) times(field protowire.Number, t routing.Times) {
-	m.number(field, int64(t.Time))
-	m.number(field+1, int64(t.Long))
-	m.number(field+2, int64(t.Best))
-	m.number(field+3, int64(t.N))
+func (m *message) times(field protowire.Number, t routing.LatencySummary) {
+	m.number(field, int64(t.Recent))
+	m.number(field+1, int64(t.Mean))
+	m.number(field+2, int64(t.Fastest))
+	m.number(field+3, int64(t.Samples))
 }
 
 // Encode writes a state in the newest version.
@@ -138,10 +138,10 @@
 	put(kindHead, head)
 	k := s.Knowledge
 	var m message
-	m.number(1, int64(k.At))
-	m.number(2, int64(k.Span))
-	m.times(3, k.Seen)
-	for i, x := range []float64{k.Traffic, k.Hits, k.Asked, k.Answered, k.Used, k.Noise, k.Retries, k.Reads} {
+	m.number(1, int64(k.CapturedAt))
+	m.number(2, int64(k.ObservedFor))
+	m.times(3, k.CacheLatency)
+	for i, x := range []float64{k.RequestRate, k.HitRate, k.EndedRate, k.AnsweredRate, k.AttemptRate, k.FailureRate, k.RetryBudget, k.KeyReads} {
 		m.real(protowire.Number(7+i), x)
 	}
 	put(kindInstance, m)
@@ -155,15 +155,15 @@
 	for _, x := range servers[:min(len(servers), MostServers)] {
 		var m message
 		m.text(1, x.UID)
-		m.number(2, int64(x.Started))
-		m.times(3, x.Times)
-		m.real(7, x.Rate)
-		m.number(8, int64(x.Told))
-		m.number(9, int64(x.Lost))
-		m.flag(10, x.Aside)
-		m.flag(11, x.Unheard)
-		m.number(12, int64(x.At))
-		m.real(13, x.Used)
+		m.number(2, int64(x.StartedAt))
+		m.times(3, x.Latency)
+		m.real(7, x.AnswerRate)
+		m.number(8, int64(x.ReportedServiceTime))
+		m.number(9, int64(x.FailurePoints))
+		m.flag(10, x.Ejected)
+		m.flag(11, x.ConnectFailed)
+		m.number(12, int64(x.ObservedAt))
+		m.real(13, x.AttemptRate)
 		put(kindServer, m)
 	}
 	if len(k.Keys) > 0 {
@@ -239,9 +239,9 @@
 	return x
 }
 
-func (p parsed) times(field protowire.Number) routing.Times {
-	return routing.Times{Time: p.micros(field), Long: p.micros(field + 1), Best: p.micros(field + 2),
-		N: int(max(0, min(32, p.number(field+3))))}
+func (p parsed) times(field protowire.Number) routing.LatencySummary {
+	return routing.LatencySummary{Recent: p.micros(field), Mean: p.micros(field + 1), Fastest: p.micros(field + 2),
+		Samples: int(max(0, min(32, p.number(field+3))))}
 }
 
 func fields(payload []byte) (parsed, error) {
@@ -324,8 +324,8 @@
 	}
 	switch r.kind {
 	case kindInstance:
-		k.At, k.Span, k.Seen = f.micros(1), f.micros(2), f.times(3)
-		for i, x := range []*float64{&k.Traffic, &k.Hits, &k.Asked, &k.Answered, &k.Used, &k.Noise, &k.Retries, &k.Reads} {
+		k.CapturedAt, k.ObservedFor, k.CacheLatency = f.micros(1), f.micros(2), f.times(3)
+		for i, x := range []*float64{&k.RequestRate, &k.HitRate, &k.EndedRate, &k.AnsweredRate, &k.AttemptRate, &k.FailureRate, &k.RetryBudget, &k.KeyReads} {
 			*x = f.real(protowire.Number(7 + i))
 		}
 	case kindMethod:
@@ -338,9 +338,9 @@
 			return damaged("it names more than %d servers", MostServers)
 		}
 		x := Server{UID: f.texts[1]}
-		x.Started, x.Times, x.Rate, x.Told = f.micros(2), f.times(3), f.real(7), f.micros(8)
-		x.Lost, x.Aside, x.Unheard, x.At = int(max(0, min(64, f.number(9)))), f.number(10) != 0, f.number(11) != 0, f.micros(12)
-		x.Used = f.real(13)
+		x.StartedAt, x.Latency, x.AnswerRate, x.ReportedServiceTime = f.micros(2), f.times(3), f.real(7), f.micros(8)
+		x.FailurePoints, x.Ejected, x.ConnectFailed, x.ObservedAt = int(max(0, min(64, f.number(9)))), f.number(10) != 0, f.number(11) != 0, f.micros(12)
+		x.AttemptRate = f.real(13)
 		s.Servers = append(s.Servers, x)
 	}
 	return nil // a kind that is not known belongs to a later version of the same form
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -52,7 +52,7 @@
 		k.log.WithError(err).Warn("no state can be used: beginning anew; `cache-routerctl state verify` tells what is wrong")
 		return nil
 	}
-	k.log.WithFields(logrus.Fields{"file": from, "servers": len(s.Servers), "written": written(s.Knowledge.At)}).Info("state read")
+	k.log.WithFields(logrus.Fields{"file": from, "servers": len(s.Servers), "written": written(s.Knowledge.CapturedAt)}).Info("state read")
 	return &s
 }
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -40,13 +40,13 @@
 func sample(n int) State {
 	x := float64(n)
 	s := State{Version: Version, Router: name(uint64(n)), Methods: []Method{{"read", clock.Time(1000 + n)}},
-		Knowledge: routing.Knowledge{At: 1e15 + clock.Time(n), Span: 5e6, Seen: routing.Times{Time: 900, Long: 1000, Best: 500, N: 32},
-			Traffic: 10 + x, Hits: 9, Asked: 8, Answered: 7, Used: 6, Noise: 0.5, Retries: 4, Reads: x,
+		Knowledge: routing.Knowledge{CapturedAt: 1e15 + clock.Time(n), ObservedFor: 5e6, CacheLatency: routing.LatencySummary{Recent: 900, Mean: 1000, Fastest: 500, Samples: 32},
+			RequestRate: 10 + x, HitRate: 9, EndedRate: 8, AnsweredRate: 7, AttemptRate: 6, FailureRate: 0.5, RetryBudget: 4, KeyReads: x,
 			Keys: []routing.KeyKnowledge{{Key: 0xfeedbeef, Count: 3 + x}, {Key: 7, Count: 2}}}}
 	for i := range 20 {
 		s.Servers = append(s.Servers, Server{UID: fmt.Sprintf("s-%d.%02d", n, i), ServerKnowledge: routing.ServerKnowledge{
-			Started: clock.Time(i), At: 1e15, Times: routing.Times{Time: 5, Long: 6, Best: 4, N: i}, Rate: x, Told: 77, Lost: i % 3,
-			Aside: i%2 == 0, Unheard: i%5 == 0}})
+			StartedAt: clock.Time(i), ObservedAt: 1e15, Latency: routing.LatencySummary{Recent: 5, Mean: 6, Fastest: 4, Samples: i}, AnswerRate: x, ReportedServiceTime: 77, FailurePoints: i % 3,
+			Ejected: i%2 == 0, ConnectFailed: i%5 == 0}})
 	}
 	return s
 }
@@ -99,7 +99,7 @@
 		want.Version = v
 		for i := range want.Servers {
 			if v == 1 {
-				want.Servers[i].At = want.Knowledge.At
+				want.Servers[i].ObservedAt = want.Knowledge.CapturedAt
 			}
 		}
 		if !sameState(got, want) {
@@ -154,7 +154,7 @@
 	s := Open(Dir(dir))
 	n := 0
 	if old, _, passed, err := s.Load(); err == nil && len(passed) == 0 {
-		n = int(old.Knowledge.Reads)
+		n = int(old.Knowledge.KeyReads)
 	} else if !errors.Is(err, ErrNone) {
 		fmt.Println("corrupt", err, passed)
 		os.Exit(1)
@@ -199,7 +199,7 @@
 		if errors.Is(err, ErrNone) && told == 0 {
 			continue
 		}
-		if err != nil || len(passed) > 0 || int(got.Knowledge.Reads) < told || !sameState(got, sample(int(got.Knowledge.Reads))) {
+		if err != nil || len(passed) > 0 || int(got.Knowledge.KeyReads) < told || !sameState(got, sample(int(got.Knowledge.KeyReads))) {
 			t.Fatalf("kill %d: %v, %v, %v, after %d was kept", i, got.Router, passed, err, told)
 		}
 	}
--- a/internal/snapshot/upgrade.go
+++ b/internal/snapshot/upgrade.go
@@ -5,7 +5,7 @@
 	// Servers had no time of their own: their evidence is as old as the file.
 	1: func(s *State) {
 		for i := range s.Servers {
-			s.Servers[i].At = s.Knowledge.At
+			s.Servers[i].ObservedAt = s.Knowledge.CapturedAt
 		}
 	},
 }
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -48,7 +48,7 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists [listSlots][]routing.Entry
+	lists [listSlots][]routing.Endpoint
 	known [listSlots]bool
 	told  map[Instance]routing.Settings
 }
@@ -156,12 +156,12 @@
 }
 
 var (
-	listKinds = map[string]routing.ListKind{"INCREMENTAL": routing.ListChanges, "FULL": routing.ListFull,
-		"SAVED": routing.ListSaved, "FAILED": routing.ListFailed}
-	states   = map[string]routing.State{"U": routing.Ready, "L": routing.Draining, "D": routing.Gone}
+	listKinds = map[string]routing.EndpointUpdateKind{"INCREMENTAL": routing.IncrementalUpdate, "FULL": routing.FullUpdate,
+		"SAVED": routing.CachedUpdate, "FAILED": routing.FailedUpdate}
+	states   = map[string]routing.EndpointState{"U": routing.Ready, "L": routing.Draining, "D": routing.Removed}
 	statuses = map[string]routing.Status{"Ok": routing.OK, "Failed": routing.Failed,
 		"QueueFull": routing.QueueFull, "TimedOut": routing.TimedOut, "ConnectError": routing.ConnectError,
-		"ResetByPeer": routing.Reset, "Canceled": routing.Canceled, "Ignored": routing.Ignored,
+		"ResetByPeer": routing.Reset, "Canceled": routing.Canceled, "Ignored": routing.NotSent,
 		"Miss": routing.Miss}
 )
 
@@ -240,10 +240,10 @@
 		return l
 	},
 	"members": func(r *Reader, f *fields, _ Instance) any {
-		l := routing.ListCame{Kind: word(f, "how", listKinds)}
+		l := routing.EndpointsUpdated{Kind: word(f, "how", listKinds)}
 		f.text("seq-no")
-		if l.Kind == routing.ListFailed {
-			l.Refused = true // the wire does not tell why, and calls of many routers beyond what discovery can take are refused
+		if l.Kind == routing.FailedUpdate {
+			l.Rejected = true // the wire does not tell why, and calls of many routers beyond what discovery can take are refused
 			return l
 		}
 		slot := f.whole("slot", listSlots-1)
@@ -251,12 +251,12 @@
 			f.fail("slot", fmt.Sprintf("list %d was never sent", slot))
 		}
 		if f.err == nil {
-			l.Entries = r.lists[slot]
+			l.Endpoints = r.lists[slot]
 		}
 		return l
 	},
 	"demand": func(r *Reader, f *fields, inst Instance) any {
-		q := routing.RequestCame{Request: routing.RequestID(f.text("ticket"))}
+		q := routing.RequestArrived{Request: routing.RequestID(f.text("ticket"))}
 		name := f.text("kind")
 		methods := r.told[inst].Methods
 		i := slices.IndexFunc(methods, func(m routing.MethodSettings) bool { return m.Name == name })
@@ -271,15 +271,15 @@
 		q.ValidUntil = f.seconds("valid-until-s")
 		f.number("hint-s")
 		f.number("size")
-		q.Resent, q.Write = f.flag("resent"), f.flag("write")
+		q.ClientRetry, q.Write = f.flag("resent"), f.flag("write")
 		return q
 	},
 	"shutdown": func(_ *Reader, _ *fields, _ Instance) any { return Shutdown{} },
 	"accepted": func(_ *Reader, f *fields, _ Instance) any {
-		return routing.Streaming{Request: routing.RequestID(f.text("ticket")), Attempt: routing.Attempt(f.whole("n", 1<<31))}
+		return routing.ResponseStarted{Request: routing.RequestID(f.text("ticket")), Attempt: routing.Attempt(f.whole("n", 1<<31))}
 	},
 	"elapsed": func(_ *Reader, f *fields, _ Instance) any {
-		return routing.Elapsed{Ref: routing.TimerRef(f.whole("ref", 1<<63-1))}
+		return routing.TimerFired{Timer: routing.TimerID(f.whole("ref", 1<<63-1))}
 	},
 	"message": func(_ *Reader, f *fields, _ Instance) any { // routers tell each other nothing
 		f.text("sender")
@@ -287,21 +287,21 @@
 		return nil
 	},
 	"expired": func(_ *Reader, f *fields, _ Instance) any {
-		return routing.Left{Request: routing.RequestID(f.text("ticket"))}
+		return routing.ClientDisconnected{Request: routing.RequestID(f.text("ticket"))}
 	},
 	"returned": func(_ *Reader, f *fields, _ Instance) any {
-		o := routing.Returned{Request: routing.RequestID(f.text("ticket"))}
+		o := routing.AttemptEnded{Request: routing.RequestID(f.text("ticket"))}
 		f.number("detail")
 		o.Server = routing.ServerID(f.whole("server", math.MaxUint32))
 		o.Attempt = routing.Attempt(f.whole("n", 1<<31))
 		o.Status = word(f, "code", statuses)
 		o.Took = f.seconds("elapsed-s")
-		o.Over = f.flag("complete")
+		o.Answered = f.flag("complete")
 		o.Report = f.row("feedback")
 		return o
 	},
 	"probe_result": func(_ *Reader, f *fields, _ Instance) any {
-		p := routing.Probed{Server: routing.ServerID(f.whole("server", math.MaxUint32))}
+		p := routing.HealthChecked{Server: routing.ServerID(f.whole("server", math.MaxUint32))}
 		p.Status = word(f, "code", statuses)
 		p.Took = f.seconds("elapsed-s")
 		p.Report = f.row("feedback")
@@ -315,21 +315,21 @@
 	if f.err != nil {
 		return
 	}
-	entries := make([]routing.Entry, 0, min(n, 1024))
+	entries := make([]routing.Endpoint, 0, min(n, 1024))
 	for range n {
 		e, err := r.open()
 		if err != nil || e.name != "server" {
 			f.err = fmt.Errorf("a server line of list %d is missing", slot)
 			return
 		}
-		entries = append(entries, routing.Entry{
-			Server:  routing.ServerID(e.whole("server", math.MaxUint32)),
-			Zone:    routing.Zone(e.optional("az")),
-			Kind:    routing.Kind(e.optional("model")),
-			Cell:    routing.Cell(e.number("pod")),
-			State:   word(e, "phase", states),
-			Weight:  e.number("weight"),
-			Started: e.seconds("started-at-s"),
+		entries = append(entries, routing.Endpoint{
+			Server:    routing.ServerID(e.whole("server", math.MaxUint32)),
+			Zone:      routing.Zone(e.optional("az")),
+			Kind:      routing.Kind(e.optional("model")),
+			Cell:      routing.Cell(e.number("pod")),
+			State:     word(e, "phase", states),
+			Weight:    e.number("weight"),
+			StartedAt: e.seconds("started-at-s"),
 		})
 		if f.err = e.err; f.err != nil {
 			return
@@ -367,13 +367,13 @@
 		put("report_failure", string(d.Request))
 	case routing.Cancel:
 		put("recall", string(d.Request), strconv.Itoa(int(d.Attempt)))
-	case routing.Wake:
-		put("schedule", span(d.After), strconv.FormatInt(int64(d.Ref), 10))
+	case routing.SetTimer:
+		put("schedule", span(d.After), strconv.FormatInt(int64(d.Timer), 10))
 	case routing.Subscribe:
 		put("stream_changes", "1")
-	case routing.Probe:
+	case routing.HealthCheck:
 		put("probe", server)
-	case routing.Disconnect:
+	case routing.CloseIdle:
 		put("drop_conns", server)
 	}
 }
