--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -47,7 +47,7 @@
 // Handed tells, after Run, whether another process has taken over.
 func (r *Router) Handed() bool { return r.takeover.handing }
 
-// Standing tells whether the router takes clients, and if not, whether operators drain it or it ends, and whether nothing
+// FleetStatus tells whether the router takes clients, and if not, whether operators drain it or it ends, and whether nothing
 // of any client is in hand or can come in.
 func (r *Router) FleetStatus() (takes, draining, empty bool) {
 	f := r.ops.told.Load()
@@ -57,7 +57,7 @@
 	return f.why == nil, f.draining, f.empty
 }
 
-// SetPart has the router keep to a part of what all may send together: now until a time (zero: for ever), then
+// SetShare has the router keep to a part of what all may send together: now until a time (zero: for ever), then
 // afterwards. It is in force once it returns nil; with an error it may come into force later.
 func (r *Router) SetShare(now float64, until time.Time, then float64) (err error) {
 	<-r.ready
@@ -83,7 +83,7 @@
 	return err
 }
 
-// KeepOut has the router take no clients; an empty reason: it may again.
+// SetOutOfService has the router take no clients; an empty reason: it may again.
 func (r *Router) SetOutOfService(why string) {
 	<-r.ready
 	r.execute(func() {
