--- /dev/null
+++ b/core/membership/changes.go
@@ -0,0 +1,120 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+
+	"spurtrestle/core/clock"
+)
+
+// Event names a change of a view, as it stands in the log.
+type Event string
+
+// Events beside those named as the state that a router enters.
+const (
+	EventNewIncarnation    Event = "new incarnation"
+	EventDraining          Event = "draining"
+	EventDrainEnded        Event = "no longer draining"
+	EventAccepting         Event = "accepting clients"
+	EventNotAccepting      Event = "not accepting clients"
+	EventPolicyChanged     Event = "policy changed"
+	EventDuplicateName     Event = "duplicate name"
+	EventDuplicateResolved Event = "duplicate name resolved"
+	EventForgotten         Event = "forgotten"
+	EventStalled           Event = "process stalled; view is stale"
+)
+
+// Change is a change of the view that is logged.
+type Change struct {
+	Router         Name
+	Event          Event
+	Warning        bool           // it needs an operator's attention
+	Owner          *Member        // of the name; nil for EventForgotten and EventStalled
+	PolicyRevision uint64         // of the owner
+	StalledFor     clock.Duration // for EventStalled
+}
+
+// reportedState is the part of a router's state whose changes are logged.
+type reportedState struct {
+	state          State
+	incarnation    Incarnation
+	duplicated     bool
+	accepting      bool
+	draining       bool
+	policyRevision uint64
+}
+
+func (o nameOwner) reportedState() reportedState {
+	return reportedState{
+		state:          o.state,
+		incarnation:    o.Incarnation,
+		duplicated:     o.duplicated,
+		accepting:      o.heartbeat.Accepting,
+		draining:       o.heartbeat.Draining,
+		policyRevision: o.heartbeat.PolicyRevision,
+	}
+}
+
+// collectChanges returns what has changed since the last call, ordered by router.
+func (v *View) collectChanges() []Change {
+	var changes []Change
+	seen := map[Name]bool{}
+	for name, processes := range v.byName() {
+		seen[name] = true
+		owner := ownerOf(processes)
+		before, current := v.reported[name], owner.reportedState()
+		v.reported[name] = current
+		event := before.eventOf(current)
+		if event == "" {
+			continue
+		}
+		member := owner.Member
+		changes = append(changes, Change{
+			Router:         name,
+			Event:          event,
+			Warning:        current.state == Lost || event == EventDuplicateName,
+			Owner:          &member,
+			PolicyRevision: current.policyRevision,
+		})
+	}
+	for name := range v.reported {
+		if !seen[name] {
+			delete(v.reported, name)
+			changes = append(changes, Change{Router: name, Event: EventForgotten})
+		}
+	}
+	if v.stalledFor > 0 {
+		changes = append(changes, Change{Router: v.self.Name, Event: EventStalled, Warning: true, StalledFor: v.stalledFor})
+		v.stalledFor = 0
+	}
+	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Router, b.Router) })
+	return changes
+}
+
+// eventOf names the change from s to current, of several the most important one. It returns "" if there is nothing to log.
+// The zero state stands for a router that was not known.
+func (s reportedState) eventOf(current reportedState) Event {
+	switch {
+	case s == current:
+		return ""
+	case current.duplicated && !s.duplicated:
+		return EventDuplicateName
+	case s.state != current.state:
+		return Event(current.state.String())
+	case s.incarnation != current.incarnation:
+		return EventNewIncarnation
+	case current.state != Alive:
+		return ""
+	case !s.draining && current.draining:
+		return EventDraining
+	case s.draining && !current.draining:
+		return EventDrainEnded
+	case !s.accepting && current.accepting:
+		return EventAccepting
+	case s.accepting && !current.accepting:
+		return EventNotAccepting
+	case s.policyRevision != current.policyRevision:
+		return EventPolicyChanged
+	}
+	return EventDuplicateResolved
+}
--- /dev/null
+++ b/core/membership/diff.go
@@ -0,0 +1,62 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Diff compares the snapshots of two routers and returns a line for each router that they show differently. Spans are not
+// compared, and a router that is gone in one snapshot may be missing in the other.
+func Diff(a, b Snapshot) []string {
+	inA, inB := a.routersByName(), b.routersByName()
+	var names []Name
+	for _, router := range slices.Concat(a.Routers, b.Routers) {
+		names = append(names, router.Name)
+	}
+	slices.Sort(names)
+
+	var lines []string
+	for _, name := range slices.Compact(names) {
+		routerA, isInA := inA[name]
+		routerB, isInB := inB[name]
+		isGoneInB := !isInA && !routerB.State.isPresent()
+		isGoneInA := !isInB && !routerA.State.isPresent()
+		if isGoneInA || isGoneInB {
+			continue
+		}
+		textA, textB := describe(routerA, isInA), describe(routerB, isInB)
+		if textA != textB {
+			lines = append(lines, fmt.Sprintf("%s: %s by %s; %s by %s", name, textA, a.ReportedBy, textB, b.ReportedBy))
+		}
+	}
+	return lines
+}
+
+func (s Snapshot) routersByName() map[Name]RouterStatus {
+	byName := map[Name]RouterStatus{}
+	for _, router := range s.Routers {
+		byName[router.Name] = router
+	}
+	return byName
+}
+
+// describe returns the compared part of a router's status. Suspect counts as Alive: it is one router's own observation.
+func describe(router RouterStatus, isKnown bool) string {
+	if !isKnown {
+		return "not there"
+	}
+	text := router.State.String()
+	if router.State == Suspect {
+		text = Alive.String()
+	}
+	if router.Accepting {
+		text += ", takes clients"
+	}
+	if router.Draining {
+		text += ", draining"
+	}
+	if router.NameConflict {
+		text += ", two of the name"
+	}
+	return fmt.Sprintf("%s, process %s, policy %d", text, router.Incarnation, router.PolicyRevision)
+}
--- /dev/null
+++ b/core/membership/owner.go
@@ -0,0 +1,114 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+)
+
+// nameOwner is the process that owns a router's name, with the state of the router.
+type nameOwner struct {
+	*process
+	state      State
+	duplicated bool // an older alive process has seen a younger alive one of its name
+}
+
+// ownerOf decides which of the processes of one name owns it. It orders processes by age.
+//
+// Of several alive processes the youngest owns the name, since the failure detector will find the others dead, with two
+// exceptions: an older process that announces the younger one as a duplicate is alive, and keeps the name; and a predecessor
+// keeps it until it has handed over. Without an alive process, the one that was alive last owns the name; the router stays
+// Alive if that process has handed over to a successor that has yet to join.
+func ownerOf(processes []*process) nameOwner {
+	slices.SortFunc(processes, youngerFirst)
+	if owner := aliveOwnerOf(processes); owner.process != nil {
+		return owner
+	}
+	last := processes[0]
+	for _, p := range processes {
+		if p.stateSince > last.stateSince {
+			last = p
+		}
+	}
+	if last.heartbeat.HandingOver {
+		return nameOwner{process: last, state: Alive}
+	}
+	return nameOwner{process: last, state: last.state}
+}
+
+func youngerFirst(a, b *process) int {
+	if a.olderThan(b.Member) {
+		return 1
+	}
+	return -1
+}
+
+// aliveOwnerOf decides among the alive processes of one name, ordered from the youngest. The result has no process if none
+// is alive.
+func aliveOwnerOf(processes []*process) nameOwner {
+	owner := nameOwner{state: Alive}
+	for _, p := range processes {
+		if p.state != Alive {
+			continue
+		}
+		if owner.process == nil {
+			owner.process = p
+			continue
+		}
+		for _, younger := range processes {
+			if younger.state != Alive || !p.olderThan(younger.Member) {
+				continue
+			}
+			stillServes := younger.Predecessor == p.Incarnation && !p.heartbeat.HandingOver
+			if p.heartbeat.Duplicate == younger.Incarnation {
+				owner.process = p
+				owner.duplicated = true
+			} else if stillServes && owner.process == younger {
+				owner.process = p
+			}
+		}
+	}
+	return owner
+}
+
+// checkOwnName compares this process with the other alive ones of its name. It returns the younger duplicate that this
+// process announces, and whether this process yields to an older one. Only a living older process announces a duplicate: the
+// predecessor of a restart is dead, and announces nothing.
+func (v *View) checkOwnName() (duplicate Incarnation, yielded bool) {
+	for _, p := range v.aliveOf(v.self.Name) {
+		if p.Incarnation == v.self.Incarnation {
+			continue
+		}
+		isSuccessor := p.Predecessor == v.self.Incarnation
+		if v.self.olderThan(p.Member) && !isSuccessor {
+			duplicate = p.Incarnation
+		} else if p.olderThan(v.self) && p.heartbeat.Duplicate == v.self.Incarnation {
+			yielded = true
+		}
+	}
+	return duplicate, yielded
+}
+
+// YieldReason returns why this process stays out of service, or "" if it does not.
+func (v *View) YieldReason() string {
+	if !v.Heartbeat().Yielded {
+		return ""
+	}
+	for _, p := range v.aliveOf(v.self.Name) {
+		if p.heartbeat.Duplicate == v.self.Incarnation {
+			return fmt.Sprintf("the name %q is that of a router at %s, which has been there for longer; give this one a name of its own",
+				v.self.Name, p.Addr)
+		}
+	}
+	return "the name is another router's; give this one a name of its own"
+}
+
+// HasOlderDuplicate reports whether an older process of this one's name counts as alive at another address. One at this
+// process's own address has ended, since this process could not listen there otherwise.
+func (v *View) HasOlderDuplicate() bool {
+	for _, p := range v.aliveOf(v.self.Name) {
+		if p.Incarnation != v.self.Incarnation && p.olderThan(v.self) && p.Addr != v.self.Addr {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -359,13 +359,21 @@
 	p.queue.QueueBroadcast(p.wordOf(w))
 }
 
-func (p *Node) tell(lines []membership.Change) {
-	for _, l := range lines {
-		entry := p.log.WithFields(l.Fields).WithFields(logrus.Fields{"router": string(l.Router), "mono_us": fleet.Monotonic()})
-		if l.Warning {
-			entry.Warn("fleet: " + l.Event)
+func (p *Node) tell(changes []membership.Change) {
+	for _, change := range changes {
+		entry := p.log.WithFields(logrus.Fields{"router": string(change.Router), "mono_us": fleet.Monotonic()})
+		if owner := change.Owner; owner != nil {
+			entry = entry.WithFields(logrus.Fields{"site": owner.Site, "incarnation": strconv.FormatUint(uint64(owner.Incarnation), 16),
+				"address": owner.Addr, "policy": change.PolicyRevision})
+		}
+		if change.Event == membership.EventStalled {
+			entry = entry.WithField("for_us", int64(change.StalledFor))
+		}
+		message := fmt.Sprintf("fleet: %s", change.Event)
+		if change.Warning {
+			entry.Warn(message)
 		} else {
-			entry.Info("fleet: " + l.Event)
+			entry.Info(message)
 		}
 	}
 }
