--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -50,7 +50,7 @@
 	Inherit(func([]byte))
 	// SitePlan has it keep to what the fleet does about a lost site, until a time, and tells its load of late. It is in
 	// force once the error is nil.
-	SitePlan(p routing.Planned, until time.Time) (routing.Figures, error)
+	SitePlan(p routing.FailoverOrders, until time.Time) (routing.RouterLoad, error)
 }
 
 // Keeper is a router's side. Close ends it.
@@ -432,7 +432,7 @@
 	if k.raftLog != nil {
 		w.Folder = k.raftLog.state()
 	}
-	if o := k.sites.orders; k.sites.came != 0 && now < k.sites.came+ordersLast && !o.None() {
+	if o := k.sites.orders; k.sites.came != 0 && now < k.sites.came+ordersLast && !o.Empty() {
 		w.Orders = &o
 	}
 	text, err := json.MarshalIndent(w, "", " ")
