--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,82 @@
+package config
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden holds a text to the golden file that build bfb4b5c wrote.
+func checkGolden(t *testing.T, file, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(file, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s:\ngot\n%s\nwant\n%s", file, got, want)
+	}
+}
+
+// TestGolden_Limits holds all limits, in the order of the struct's fields, to those of build bfb4b5c.
+func TestGolden_Limits(t *testing.T) {
+	var all strings.Builder
+	for _, replaced := range [][]string{
+		{},
+		{`"discovery":"pushed"`, `"discovery":"on_request"`},
+		{`"discovery":"127`, `"admin":"127.0.0.1:1","discovery":"127`},
+		{`"connect-timeout-s":0.1,"idle-close-s":60`, `"connect-timeout-s":0`},
+		{`"idle-close-s":60`, `"idle-close-s":0.5`},
+		{`"deadline-s":1`, `"deadline-s":7`, `"memory_mb":192,"sockets":1024`, `"memory_mb":16,"sockets":50`},
+		{`"discovery":"127`, `"admin":"127.0.0.1:1","discovery":"127`, `"sockets":1024`, `"sockets":100`},
+	} {
+		c, err := load(t, strings.NewReplacer(replaced...).Replace(whole), nil)
+		fmt.Fprintf(&all, "%q\n%v %v\n", replaced, c.Limits, err)
+	}
+	checkGolden(t, "testdata/limits.golden", all.String())
+}
+
+// TestGolden_Errors holds the texts of errors to those of build bfb4b5c.
+func TestGolden_Errors(t *testing.T) {
+	var all strings.Builder
+	add := func(text string, variables map[string]string, label any) {
+		c, err := load(t, text, variables)
+		show := func(err error) string { return strings.ReplaceAll(fmt.Sprint(err), c.File, "FILE") }
+		fmt.Fprintf(&all, "%q\n  error %s\n  mixed %s\n", label, show(err), show(c.Mixed))
+	}
+	for _, replaced := range [][]string{
+		{`"listen":"127.0.0.4:6379"`, `"listen":7`}, {`"limits":{`, `"limits":[`}, {`"seed":"8c1f30d27a5be964"`, `"seed":""`},
+		{`"sockets":1024`, `"sockets":49`}, {`"memory_mb":192`, `"memory_mb":15`}, {`"rules":{},`, ``}, {`"send-cap":3`, `"send-cap":0`},
+		{`"send-cap":3,`, ``}, {`"discovery":"pushed"`, `"discovery":"odd"`}, {`"mode":"aside"`, `"mode":"x"`}, {`"origin-kind":1`, `"origin-kind":2`},
+		{`,"origin-kind":1`, ``}, {`"deadline-s":1`, `"deadline-s":0`}, {`"name":"get"`, `"name":""`}, {`"effect":"free"`, `"effect":"free","group":"odd"`},
+		{`"request-classes":`, `"classes":`}, {`"balancers":2`, `"balancers":"x"`}, {`"balancers":2`, `"balancers":2,"me":2`},
+		{`"balancers":2`, `"balancers":2,"me":-1`}, {`"balancers":2`, `"balancers":2,"me":"a"`}, {`"balancers":2`, `"balancers":2,"zone":"c","zones":["a","b"]`},
+		{`"balancers":2`, `"balancers":2,"fees":{"waste":-1}`}, {`"balancers":2`, `"balancers":2,"fees":{"cross-zone":-1}`},
+		{`"send-cap":3`, `"send-cap":3,"parallel-tries":true`}, {`"balancers":2`, `"balancers":2,"weights":"rough"`},
+		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":3,"parallel-tries":true`},
+		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":3,"parallel-tries":true,"cancel":true`},
+		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":2,"parallel-tries":true,"cancel":true`},
+		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":4,"parallel-tries":true,"cancel":true`, `"mode":"aside"`, `"mode":"through"`},
+		{`"settings":`, `"settings":7,"set":`}, {`"settings":`, `"settings":`},
+	} {
+		add(strings.NewReplacer(replaced...).Replace(whole), nil, replaced)
+	}
+	for _, variables := range []map[string]string{
+		{"EDGE_LISTEN": "x"}, {"EDGE_ADMIN": "x"}, {"EDGE_DISCOVERY": "x"}, {"EDGE_ADMIN": "127.0.0.4:6379"},
+		{"EDGE_ADMIN": "127.0.0.1:1", "EDGE_LISTEN": "127.0.0.1:1"},
+	} {
+		add(whole, variables, variables)
+	}
+	_, err := Load(func(string) string { return "/nowhere/config.json" })
+	fmt.Fprintln(&all, err)
+	checkGolden(t, "testdata/errors.golden", all.String())
+}
--- /dev/null
+++ b/internal/operatorstate/golden_test.go
@@ -0,0 +1,53 @@
+package operatorstate
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden file anew")
+
+// goldenFile is an operator-state file as build bfb4b5c wrote it.
+const goldenFile = "testdata/spurtrestle-router.intent"
+
+// TestGolden_FileOfOlderBuild reads a file that build bfb4b5c wrote, and holds the file that the same changes write to
+// its bytes.
+func TestGolden_FileOfOlderBuild(t *testing.T) {
+	methods := []string{"get", "put"}
+	dir := t.TempDir()
+	store := Open(dir, "router", methods)
+	for _, change := range []func(*State) error{
+		take("cache-b"), take("cache-a"), take("cache-c"), take("cache-d"), give("cache-c"),
+		func(i *State) error { return i.GiveBack("cache-d", time.UnixMicro(8e6)) },
+		func(i *State) error { i.Empty = true; return nil },
+	} {
+		if _, err := store.Change(State{}, change); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got, err := os.ReadFile(filepath.Join(dir, filepath.Base(goldenFile)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *update {
+		if err := os.WriteFile(goldenFile, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("file:\ngot  %s\nwant %s", got, want)
+	}
+	state, err := Open(filepath.Dir(goldenFile), "router", methods).Read()
+	if got, want := fmt.Sprint(state, err), "{[cache-a cache-b] map[cache-c:7000000 cache-d:8000000] true} <nil>"; got != want {
+		t.Errorf("state read from the older build's file: got %s, want %s", got, want)
+	}
+}
