--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -34,13 +34,13 @@
 		return s, path, nil, err
 	}
 	if info.IsDir() {
-		s, name, passed, err := snapshot.Open(snapshot.Dir(path)).Load()
+		s, name, passed, err := snapshot.NewStore(snapshot.Dir(path)).Load()
 		if err != nil {
 			return s, path, passed, fmt.Errorf("%s: %w", path, err)
 		}
 		return s, filepath.Join(path, name), passed, nil
 	}
-	if info.Size() > snapshot.MostBytes {
+	if info.Size() > snapshot.MaxFileBytes {
 		return s, path, nil, fmt.Errorf("%s: %d bytes are too many for a state", path, info.Size())
 	}
 	file, err := os.ReadFile(path)
@@ -318,7 +318,7 @@
 				return fmt.Errorf("%s: %w; %s", args[0], err, snapshot.Remedy(args[0], err))
 			}
 			defer lock.Close()
-			store := snapshot.Open(dir)
+			store := snapshot.NewStore(dir)
 			s, from, _, err := store.Load()
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,9 +16,9 @@
 type Router interface {
 	Ready() error // nil: it takes clients; else why not
 	Figures() string
-	TakeOut(uid string) error
-	GiveBack(uid string) error
-	Empty(on bool) error
+	BanServer(uid string) error
+	UnbanServer(uid string) error
+	SetDraining(on bool) error
 }
 
 // Fleet is a router that keeps a view of its fleet.
@@ -32,8 +32,8 @@
 	Ask(request string) (string, error)
 }
 
-// ErrUnknown reports an id that no cache server of the endpoint list has.
-var ErrUnknown = errors.New("no cache server has that id; see discovery's list")
+// ErrUnknownServer reports an id that no cache server of the endpoint list has.
+var ErrUnknownServer = errors.New("no cache server has that id; see discovery's list")
 
 const (
 	longestID   = 256
@@ -53,10 +53,10 @@
 	}{
 		"/ops/readiness":          {"GET", func(string) (string, error) { return "ready\n", r.Ready() }},
 		"/ops/stats":              {"GET", func(string) (string, error) { return r.Figures(), nil }},
-		"/ops/cache-servers/down": {"PUT", func(id string) (string, error) { return "out\n", withID(id, r.TakeOut) }},
-		"/ops/cache-servers/up":   {"PUT", func(id string) (string, error) { return "in use\n", withID(id, r.GiveBack) }},
-		"/ops/drain/start":        {"PUT", func(string) (string, error) { return "draining\n", r.Empty(true) }},
-		"/ops/drain/stop":         {"PUT", func(string) (string, error) { return "taking clients\n", r.Empty(false) }},
+		"/ops/cache-servers/down": {"PUT", func(id string) (string, error) { return "out\n", withID(id, r.BanServer) }},
+		"/ops/cache-servers/up":   {"PUT", func(id string) (string, error) { return "in use\n", withID(id, r.UnbanServer) }},
+		"/ops/drain/start":        {"PUT", func(string) (string, error) { return "draining\n", r.SetDraining(true) }},
+		"/ops/drain/stop":         {"PUT", func(string) (string, error) { return "taking clients\n", r.SetDraining(false) }},
 		"/ops/policy": {"GET", func(string) (string, error) {
 			if p, ok := r.(Policy); ok {
 				return p.Policy()
@@ -96,7 +96,7 @@
 			switch {
 			case err == nil:
 				_, _ = io.WriteString(w, text) // the caller may be gone
-			case errors.Is(err, ErrUnknown), errors.Is(err, errNoView), errors.Is(err, errNoPolicy):
+			case errors.Is(err, ErrUnknownServer), errors.Is(err, errNoView), errors.Is(err, errNoPolicy):
 				http.Error(w, err.Error(), http.StatusNotFound)
 			case errors.Is(err, errBody):
 				http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,19 +15,19 @@
 
 // Config is what a router is told.
 type Config struct {
-	File      string // where it stands
-	Name      string
-	Listen    string
-	Admin     string // the admin endpoint; empty: there is none
-	Discovery string
-	Seed      uint64
-	Settings  routing.Settings
-	Known     json.RawMessage // the list as this router last had it, in discovery's form
-	Limits    Limits
-	Seat      int      // which of the routers it is, from 0
-	Site      string   // empty: not told
-	Sites     []string // all that there are; none: not told
-	Mixed     error    // the settings are of both shapes; nil: of one
+	File           string // where it stands
+	Name           string
+	Listen         string
+	Admin          string // the admin endpoint; empty: there is none
+	Discovery      string
+	Seed           uint64
+	Settings       routing.Settings
+	SavedEndpoints json.RawMessage // the list as this router last had it, in discovery's form
+	Limits         Limits
+	Slot           int      // which of the routers it is, from 0
+	Site           string   // empty: not told
+	Sites          []string // all that there are; none: not told
+	ShapeConflict  error    // the settings are of both shapes; nil: of one
 }
 
 // Load reads the variables through get, os.Getenv in service. An error names the file, or the variable, the field, and what helps.
@@ -46,8 +46,8 @@
 	if err != nil && !errors.As(err, &of) {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Mixed != nil {
-		c.Mixed = fmt.Errorf("%s: %w", path, c.Mixed)
+	if c.ShapeConflict != nil {
+		c.ShapeConflict = fmt.Errorf("%s: %w", path, c.ShapeConflict)
 	}
 	return c, err
 }
@@ -104,8 +104,8 @@
 	if err != nil {
 		return c, err
 	}
-	c.Mixed = mixed(c.Settings)
-	c.Known = f.Known
+	c.ShapeConflict = mixed(c.Settings)
+	c.SavedEndpoints = f.Known
 	c.Limits, err = newLimits(f.Limits.Memory, f.Limits.Sockets, c.Admin != "", c.Settings)
 	return c, err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 func TestLoad(t *testing.T) {
 	c, err := load(t, whole, map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"})
 	got := fmt.Sprintf("%v %s %s %s %x, %d routers, %d %d %d %s", err, c.Name, c.Listen, c.Discovery, c.Seed,
-		c.Settings.Routers, c.Limits.Connect, c.Limits.Idle, c.Limits.Descriptors, c.Known)
+		c.Settings.Routers, c.Limits.ConnectTimeout, c.Limits.ServerIdleTimeout, c.Limits.Descriptors, c.SavedEndpoints)
 	const want = "<nil> n9 127.0.0.9:1 127.0.1.1:8500 8c1f30d27a5be964, 2 routers, 100000 54000000 990 " +
 		`{"rev":1,"all":true,"targets":[]}`
 	if got != want {
@@ -102,7 +102,7 @@
 			if err != nil {
 				t.Errorf("with %s: %v", c.to, err)
 			}
-			err = cfg.Mixed
+			err = cfg.ShapeConflict
 		}
 		if err == nil || !strings.Contains(err.Error(), "config.json: settings: "+c.key+": ") {
 			t.Errorf("with %s: %v", c.to, err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -51,7 +51,7 @@
 	add := func(text string, variables map[string]string, label any) {
 		c, err := load(t, text, variables)
 		show := func(err error) string { return strings.ReplaceAll(fmt.Sprint(err), c.File, "FILE") }
-		fmt.Fprintf(&all, "%q\n  error %s\n  mixed %s\n", label, show(err), show(c.Mixed))
+		fmt.Fprintf(&all, "%q\n  error %s\n  mixed %s\n", label, show(err), show(c.ShapeConflict))
 	}
 	for _, replaced := range [][]string{
 		{`"listen":"127.0.0.4:6379"`, `"listen":7`}, {`"limits":{`, `"limits":[`}, {`"seed":"8c1f30d27a5be964"`, `"seed":""`},
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -68,6 +68,6 @@
 	if p.Zone != "" && len(p.Zones) > 0 && !slices.Contains(p.Zones, p.Zone) {
 		return fmt.Errorf("settings: zone: %q is not among zones %q; correct one of them", p.Zone, p.Zones)
 	}
-	c.Seat, c.Site, c.Sites = p.Me, p.Zone, p.Zones
+	c.Slot, c.Site, c.Sites = p.Me, p.Zone, p.Zones
 	return nil
 }
--- a/internal/controlplane/take.go
+++ b/internal/controlplane/take.go
@@ -17,7 +17,7 @@
 	if !ok {
 		return nil, at.Refused("policy.cut_off", "is set, and routers of this program do not speak to one another", "leave it empty")
 	}
-	c := Config{Name: at.Name, Serves: p.CutOff == "serve", Keepers: p.Keepers, Own: own, Site: at.Site, Sites: at.Sites, Refused: at.Refused}
+	c := Config{Name: at.Name, Serves: p.WhenIsolated == "serve", Keepers: p.Voters, Own: own, Site: at.Site, Sites: at.Sites, Refused: at.Refused}
 	c.Log.Listen, c.Log.Advertise = p.Addresses()
 	c.Log.Dir = p.Dir
 	if c.keeps() && p.Dir == "" {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,8 +19,8 @@
 // UID is a server's name in discovery, the same at every router.
 type UID string
 
-// Book holds what discovery has told.
-type Book struct {
+// EndpointList holds what discovery has told.
+type EndpointList struct {
 	rev   int64
 	whole bool // a whole list has come, so that the next call is a watch
 	ids   map[UID]routing.ServerID
@@ -29,14 +29,14 @@
 }
 
 // New returns an empty Book.
-func New() *Book {
-	return &Book{ids: map[UID]routing.ServerID{}, uids: map[routing.ServerID]UID{},
+func New() *EndpointList {
+	return &EndpointList{ids: map[UID]routing.ServerID{}, uids: map[routing.ServerID]UID{},
 		addrs: map[routing.ServerID]string{}}
 }
 
-// Call is the next call, and how long discovery may take over it: the whole list at once, then watches of the given
+// NextRequest is the next call, and how long discovery may take over it: the whole list at once, then watches of the given
 // length.
-func (b *Book) Call(wait clock.Time) (path string, most clock.Time) {
+func (b *EndpointList) NextRequest(wait clock.Time) (path string, most clock.Time) {
 	path = "/registry/instances"
 	if !b.whole {
 		return path, 0
@@ -44,20 +44,20 @@
 	return path + "?index=" + strconv.FormatInt(b.rev, 10) + "&wait=" + strconv.FormatInt(int64(wait/1e3), 10), wait
 }
 
-// Endpoint is where a server is reached.
-func (b *Book) Endpoint(id routing.ServerID) string { return b.addrs[id] }
+// Address is where a server is reached.
+func (b *EndpointList) Address(id routing.ServerID) string { return b.addrs[id] }
 
 // UID is a server's name; empty where its number is not known.
-func (b *Book) UID(id routing.ServerID) UID { return b.uids[id] }
+func (b *EndpointList) UID(id routing.ServerID) UID { return b.uids[id] }
 
 // ID is a server's number; false where nobody in the list has that name.
-func (b *Book) ID(uid UID) (routing.ServerID, bool) {
+func (b *EndpointList) ID(uid UID) (routing.ServerID, bool) {
 	id, ok := b.ids[uid]
 	return id, ok
 }
 
-// Forget makes the next call ask for the whole list: where an answer was odd, what it held may be lost.
-func (b *Book) Forget() { b.whole = false }
+// Invalidate makes the next call ask for the whole list: where an answer was odd, what it held may be lost.
+func (b *EndpointList) Invalidate() { b.whole = false }
 
 type target struct {
 	UID      UID     `json:"uid"`
@@ -78,16 +78,16 @@
 
 var states = map[string]routing.State{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Gone}
 
-// Saved reads the list that a router starts with; it may be old, so that the next call asks for the whole one.
-func (b *Book) Saved(body []byte) (routing.ListCame, error) {
-	l, err := b.Take(body)
+// ApplySaved reads the list that a router starts with; it may be old, so that the next call asks for the whole one.
+func (b *EndpointList) ApplySaved(body []byte) (routing.ListCame, error) {
+	l, err := b.Apply(body)
 	l.Kind = routing.ListSaved
 	b.whole = false
 	return l, err
 }
 
-// Take reads an answer. One that cannot be read changes nothing; an odd entry does not keep the others from counting.
-func (b *Book) Take(body []byte) (routing.ListCame, error) {
+// Apply reads an answer. One that cannot be read changes nothing; an odd entry does not keep the others from counting.
+func (b *EndpointList) Apply(body []byte) (routing.ListCame, error) {
 	var a answer
 	l := routing.ListCame{Kind: routing.ListChanges}
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -133,7 +133,7 @@
 }
 
 // prune forgets who is gone: servers come under ever new names.
-func (b *Book) prune(l routing.ListCame) {
+func (b *EndpointList) prune(l routing.ListCame) {
 	named := map[routing.ServerID]bool{}
 	for _, e := range l.Entries {
 		named[e.Server] = e.State != routing.Gone
@@ -149,7 +149,7 @@
 
 // id is the number of a server: a hash of its name, so that it is the same at every router. Of two names with one hash
 // the later gets the next hash of its own.
-func (b *Book) id(uid UID) routing.ServerID {
+func (b *EndpointList) id(uid UID) routing.ServerID {
 	if id, ok := b.ids[uid]; ok {
 		return id
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,17 +16,17 @@
 	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, all, strings.Join(entries, ","))
 }
 
-func ExampleBook_Take() {
+func ExampleEndpointList_Apply() {
 	b := New()
 	call := func() {
-		path, most := b.Call(20e6)
+		path, most := b.NextRequest(20e6)
 		fmt.Println("call", path, "for", most)
 	}
 	take := func(body []byte) {
-		l, err := b.Take(body)
+		l, err := b.Apply(body)
 		fmt.Println("list of kind", l.Kind, "with", len(l.Entries), "entries:", err)
 		for _, e := range l.Entries {
-			fmt.Printf("  %+v at %q\n", e, b.Endpoint(e.Server))
+			fmt.Printf("  %+v at %q\n", e, b.Address(e.Server))
 		}
 	}
 	call()
@@ -42,7 +42,7 @@
 	take(list(43, true, `{"state":"active"}`))
 	take(list(43, true, entry("s-1", `,"boot_ms":-5`)))
 	call()
-	b.Forget()
+	b.Invalidate()
 	call()
 	// Output:
 	// call /registry/instances for 0
@@ -72,7 +72,7 @@
 	ids := func(lists ...[]byte) map[UID]routing.ServerID {
 		b := New()
 		for _, l := range lists {
-			if _, err := b.Take(l); err != nil {
+			if _, err := b.Apply(l); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -95,7 +95,7 @@
 	b := New()
 	for i := range 100 {
 		gone := fmt.Sprintf(`{"uid":"s-%d","state":"left"}`, i-1)
-		if _, err := b.Take(list(i, i%10 == 0, entry(fmt.Sprint("s-", i), ""), gone)); err != nil {
+		if _, err := b.Apply(list(i, i%10 == 0, entry(fmt.Sprint("s-", i), ""), gone)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -68,7 +68,7 @@
 	if len(m.M) == 0 || m.C && slices.ContainsFunc(m.M, func(x string) bool { return slices.Contains(p.cfg.Methods, x) }) {
 		return nil
 	}
-	return settings.SameService(m.M, p.cfg.Methods)
+	return settings.CheckSameService(m.M, p.cfg.Methods)
 }
 
 func memberOf(node *memberlist.Node) (membership.Member, error) {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -19,9 +19,9 @@
 func TestGolden_Frames(t *testing.T) {
 	const golden = "testdata/frames.golden"
 	frames := []Frame{
-		{Kind: Hello}, {Kind: Listener, FDs: []int{0}}, {Kind: Asked, Body: []byte(`{"down":["a"]}`)},
-		{Kind: Learned, Body: bytes.Repeat([]byte{7}, 300)}, {Kind: Ready}, {Kind: Client, Body: []byte("*1\r\n"), FDs: []int{0}},
-		{Kind: Value, Body: []byte("value"), FDs: []int{0, 0}}, {Kind: Holds, Body: []byte("17")}, {Kind: LeaseTransfer, Body: []byte("lease")},
+		{Kind: Hello}, {Kind: Listener, FDs: []int{0}}, {Kind: OperatorState, Body: []byte(`{"down":["a"]}`)},
+		{Kind: Snapshot, Body: bytes.Repeat([]byte{7}, 300)}, {Kind: Ready}, {Kind: Client, Body: []byte("*1\r\n"), FDs: []int{0}},
+		{Kind: LargeValue, Body: []byte("value"), FDs: []int{0, 0}}, {Kind: DescriptorCount, Body: []byte("17")}, {Kind: LeaseTransfer, Body: []byte("lease")},
 	}
 	var sent strings.Builder
 	for _, frame := range frames {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,17 +20,17 @@
 type Kind byte
 
 const (
-	Hello         Kind = 'H' // new to old: I am to replace you
-	Listener      Kind = 'L' // old to new, with the listener
-	Asked         Kind = 'I' // old to new: what operators have asked of it
-	Learned       Kind = 'K' // old to new: what it knows; the last of what follows Hello
-	Ready         Kind = 'R' // new to old: clients are mine from now on
-	Client        Kind = 'C' // old to new, with a client's connection, and the bytes read of it that are not used yet
-	Value         Kind = 'V' // old to new, with a client's connection and a server's: a big value on its way
-	Holds         Kind = 'S' // both: how many descriptors I hold
-	LeaseTransfer Kind = 'P' // old to new: what it holds of the fleet's policy, for a moment
-	headBytes          = 5
-	most               = 4 << 20 // bytes of one frame
+	Hello           Kind = 'H' // new to old: I am to replace you
+	Listener        Kind = 'L' // old to new, with the listener
+	OperatorState   Kind = 'I' // old to new: what operators have asked of it
+	Snapshot        Kind = 'K' // old to new: what it knows; the last of what follows Hello
+	Ready           Kind = 'R' // new to old: clients are mine from now on
+	Client          Kind = 'C' // old to new, with a client's connection, and the bytes read of it that are not used yet
+	LargeValue      Kind = 'V' // old to new, with a client's connection and a server's: a big value on its way
+	DescriptorCount Kind = 'S' // both: how many descriptors I hold
+	LeaseTransfer   Kind = 'P' // old to new: what it holds of the fleet's policy, for a moment
+	headBytes            = 5
+	most                 = 4 << 20 // bytes of one frame
 )
 
 // Frame is one message. Its descriptors belong to who receives it.
@@ -40,21 +40,21 @@
 	FDs  []int
 }
 
-// Peer is the other process.
-type Peer struct {
+// Conn is the other process.
+type Conn struct {
 	conn *net.UnixConn
 	mu   sync.Mutex // of sending
 }
 
 // Dial finds the process that serves; an error: there is none that answers.
-func Dial(dir, name string, within time.Duration) (*Peer, error) {
+func Dial(dir, name string, within time.Duration) (*Conn, error) {
 	path, done := short(dir, name)
 	defer done()
 	c, err := net.DialTimeout("unix", path, within)
 	if err != nil {
 		return nil, err
 	}
-	return &Peer{conn: c.(*net.UnixConn)}, nil
+	return &Conn{conn: c.(*net.UnixConn)}, nil
 }
 
 // Listen waits for the process that is to replace this one, in the place of whoever waited under that name.
@@ -89,16 +89,16 @@
 }
 
 // Accept waits for the next process.
-func Accept(ln *net.UnixListener) (*Peer, error) {
+func Accept(ln *net.UnixListener) (*Conn, error) {
 	c, err := ln.AcceptUnix()
 	if err != nil {
 		return nil, err
 	}
-	return &Peer{conn: c}, nil
+	return &Conn{conn: c}, nil
 }
 
 // Send sends a frame; its descriptors stay the sender's.
-func (p *Peer) Send(f Frame) error {
+func (p *Conn) Send(f Frame) error {
 	const patience = 2 * time.Second
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +121,7 @@
 var errFrame = errors.New("a frame of no known form")
 
 // Receive waits for the next frame, for so long; 0: for ever.
-func (p *Peer) Receive(within time.Duration) (Frame, error) {
+func (p *Conn) Receive(within time.Duration) (Frame, error) {
 	by := time.Time{}
 	if within > 0 {
 		by = time.Now().Add(within)
@@ -156,13 +156,13 @@
 		}
 	}
 	if err != nil {
-		f.Drop()
+		f.CloseDescriptors()
 	}
 	return f, err
 }
 
-// Drop closes what came with a frame.
-func (f *Frame) Drop() {
+// CloseDescriptors closes what came with a frame.
+func (f *Frame) CloseDescriptors() {
 	for _, fd := range f.FDs {
 		unix.Close(fd)
 	}
@@ -170,4 +170,4 @@
 }
 
 // Close ends it; Receive returns.
-func (p *Peer) Close() { p.conn.Close() }
+func (p *Conn) Close() { p.conn.Close() }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -40,7 +40,7 @@
 	}
 	big := bytes.Repeat([]byte("x"), 1<<20)
 	go func() {
-		for _, f := range []Frame{{Hello, nil, nil}, {Value, big, []int{int(read.Fd()), int(write.Fd())}}, {Holds, []byte("7"), nil}} {
+		for _, f := range []Frame{{Hello, nil, nil}, {LargeValue, big, []int{int(read.Fd()), int(write.Fd())}}, {DescriptorCount, []byte("7"), nil}} {
 			_ = one.Send(f) // what is missing is seen below
 		}
 		write.Close()
@@ -54,7 +54,7 @@
 		if len(f.FDs) == 2 {
 			_, _ = unix.Write(f.FDs[1], []byte("hello"))
 		}
-		f.Drop()
+		f.CloseDescriptors()
 	}
 	got := make([]byte, 5)
 	if _, err := read.Read(got); string(got) != "hello" {
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -23,7 +23,7 @@
 )
 
 type checker struct {
-	at    tomlfile.Places
+	at    tomlfile.Lines
 	wrong []error
 }
 
@@ -52,7 +52,7 @@
 }
 
 // check tells all that is wrong with a scenario by itself, whatever the machine.
-func check(s *Scenario, at tomlfile.Places) []error {
+func check(s *Scenario, at tomlfile.Lines) []error {
 	c := &checker{at: at}
 	c.want(s.Title != "", "title", "is missing", "name the run in a few words")
 	oneOf(c, "topology", s.Topology, topologies)
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -107,7 +107,7 @@
 	if err := tomlfile.Decode(text, &s, "docs/scale.md"); err != nil {
 		return s, err
 	}
-	return s, errors.Join(check(&s, tomlfile.PlacesIn(text))...)
+	return s, errors.Join(check(&s, tomlfile.FieldLines(text))...)
 }
 
 // Sites and regions that a fleet of so many routers has.
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -66,7 +66,7 @@
 }
 
 type checker struct {
-	at    tomlfile.Places
+	at    tomlfile.Lines
 	wrong []error
 }
 
@@ -89,7 +89,7 @@
 }
 
 // check tells all that is wrong with a scenario.
-func check(s *Scenario, at tomlfile.Places) []error {
+func check(s *Scenario, at tomlfile.Lines) []error {
 	c := &checker{at: at}
 	c.want(s.Title != "", "title", "is missing", "name the scenario in a few words")
 	c.positive("length", float64(s.Length))
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -38,5 +38,5 @@
 	if err := tomlfile.Decode(text, &s, "`cache-routerctl lab init`"); err != nil {
 		return s, err
 	}
-	return s, errors.Join(check(&s, tomlfile.PlacesIn(text))...)
+	return s, errors.Join(check(&s, tomlfile.FieldLines(text))...)
 }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -40,7 +40,7 @@
 		}
 		f, err := Load(file)
 		if err == nil {
-			err = f.Refused("fleet.name", "is wrong here", "correct it")
+			err = f.FieldError("fleet.name", "is wrong here", "correct it")
 		}
 		fmt.Fprintf(&all, "%q\n%s\n", text, strings.ReplaceAll(err.Error(), file, "FILE"))
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,19 +21,19 @@
 	Fleet  Fleet  `toml:"fleet"`
 	Policy Policy `toml:"policy"`
 	where  string
-	at     tomlfile.Places
+	at     tomlfile.Lines
 }
 
-// Refused is an error about one field of the file, found where it is put to use.
-func (f File) Refused(field, what, remedy string) error {
+// FieldError is an error about one field of the file, found where it is put to use.
+func (f File) FieldError(field, what, remedy string) error {
 	return fmt.Errorf("%s: %w", f.where, tomlfile.Error{Line: f.at.Line(field), Field: field, What: what, Remedy: remedy})
 }
 
 // State is about learned state that survives a restart.
 type State struct {
-	Dir   string `toml:"dir"`   // folder, one for each router; empty: nothing is kept
-	Every string `toml:"every"` // between two files, give or take a quarter
-	span  time.Duration
+	Dir          string `toml:"dir"`   // folder, one for each router; empty: nothing is kept
+	IntervalText string `toml:"every"` // between two files, give or take a quarter
+	span         time.Duration
 }
 
 // Interval is Every as a span.
@@ -69,30 +69,30 @@
 
 // Policy is about one policy for the whole fleet.
 type Policy struct {
-	CutOff    string   `toml:"cut_off"`   // serve or refuse, where the keepers cannot be reached; empty: there is none
-	Keepers   []string `toml:"keepers"`   // names of the routers that keep it: three or five
-	Listen    string   `toml:"listen"`    // at a keeper: address and port for the log
-	Advertise string   `toml:"advertise"` // where the other keepers reach it; empty: listen
-	Dir       string   `toml:"dir"`       // at a keeper: the folder of the log
-	listen    netip.AddrPort
-	advertise netip.AddrPort
+	WhenIsolated string   `toml:"cut_off"`   // serve or refuse, where the keepers cannot be reached; empty: there is none
+	Voters       []string `toml:"keepers"`   // names of the routers that keep it: three or five
+	Listen       string   `toml:"listen"`    // at a keeper: address and port for the log
+	Advertise    string   `toml:"advertise"` // where the other keepers reach it; empty: listen
+	Dir          string   `toml:"dir"`       // at a keeper: the folder of the log
+	listen       netip.AddrPort
+	advertise    netip.AddrPort
 }
 
 // Addresses are those listened on, and told to other keepers.
 func (p Policy) Addresses() (listen, advertise netip.AddrPort) { return p.listen, p.advertise }
 
-func (p *Policy) check(at tomlfile.Places, f Fleet) error {
+func (p *Policy) check(at tomlfile.Lines, f Fleet) error {
 	wrong := func(field, what, remedy string) error {
 		return tomlfile.Error{Line: at.Line("policy." + field), Field: "policy." + field, What: what, Remedy: remedy}
 	}
-	if p.CutOff == "" {
-		if p.Dir != "" || len(p.Keepers) > 0 {
+	if p.WhenIsolated == "" {
+		if p.Dir != "" || len(p.Voters) > 0 {
 			return wrong("cut_off", "is empty, though other fields are set", "say serve or refuse, or leave all of them empty")
 		}
 		return nil
 	}
-	if p.CutOff != "serve" && p.CutOff != "refuse" {
-		return wrong("cut_off", fmt.Sprintf("%q is neither serve nor refuse", p.CutOff), "say what a router does that cannot reach the keepers")
+	if p.WhenIsolated != "serve" && p.WhenIsolated != "refuse" {
+		return wrong("cut_off", fmt.Sprintf("%q is neither serve nor refuse", p.WhenIsolated), "say what a router does that cannot reach the keepers")
 	}
 	if f.Name == "" {
 		return wrong("cut_off", "is set, and the router keeps no view of a fleet", "name the fleet under [fleet]")
@@ -101,11 +101,11 @@
 		return wrong("cut_off", "is set, and fleet.tiered is true: keepers and routers of several sites do not reach one another through it yet",
 			"leave policy.cut_off empty, or set fleet.tiered = false")
 	}
-	if n := len(p.Keepers); n != 1 && n != 3 && n != 5 {
+	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		return wrong("keepers", fmt.Sprintf("%d are named", n), "name three or five routers; one alone, where none may be lost")
 	}
-	for i, name := range p.Keepers {
-		if !plain.MatchString(name) || slices.Contains(p.Keepers[:i], name) {
+	for i, name := range p.Voters {
+		if !plain.MatchString(name) || slices.Contains(p.Voters[:i], name) {
 			return wrong("keepers", fmt.Sprintf("its entry %d, %q, is no name or there twice", i+1, name), "name each router once")
 		}
 	}
@@ -158,7 +158,7 @@
 	if err != nil {
 		return f, fmt.Errorf("%s: %w", name, err)
 	}
-	f.where, f.at = name, tomlfile.PlacesIn(text)
+	f.where, f.at = name, tomlfile.FieldLines(text)
 	return f, nil
 }
 
@@ -172,7 +172,7 @@
 }
 
 func (f *File) check(text []byte) error {
-	s, at := &f.State, tomlfile.PlacesIn(text)
+	s, at := &f.State, tomlfile.FieldLines(text)
 	wrong := func(field, what, remedy string) error {
 		return tomlfile.Error{Line: at.Line("state." + field), Field: "state." + field, What: what, Remedy: remedy}
 	}
@@ -180,10 +180,10 @@
 		return wrong("dir", fmt.Sprintf("%q is no absolute path", s.Dir), "write the whole path: what the router is started from may change")
 	}
 	s.span = usualEvery
-	if s.Every != "" {
-		d, err := time.ParseDuration(s.Every)
+	if s.IntervalText != "" {
+		d, err := time.ParseDuration(s.IntervalText)
 		if err != nil {
-			return wrong("every", fmt.Sprintf("%q is no span", s.Every), `write it as "10s" or "1m"`)
+			return wrong("every", fmt.Sprintf("%q is no span", s.IntervalText), `write it as "10s" or "1m"`)
 		}
 		s.span = d
 	}
@@ -223,7 +223,7 @@
 
 var plain = regexp.MustCompile(`^[A-Za-z0-9._-]{1,60}$`)
 
-func (f *Fleet) check(at tomlfile.Places) error {
+func (f *Fleet) check(at tomlfile.Lines) error {
 	wrong := func(field, what, remedy string) error {
 		return tomlfile.Error{Line: at.Line("fleet." + field), Field: "fleet." + field, What: what, Remedy: remedy}
 	}
--- a/internal/operatorstate/golden_test.go
+++ b/internal/operatorstate/golden_test.go
@@ -23,10 +23,10 @@
 	store := Open(dir, "router", methods)
 	for _, change := range []func(*State) error{
 		take("cache-b"), take("cache-a"), take("cache-c"), take("cache-d"), give("cache-c"),
-		func(i *State) error { return i.GiveBack("cache-d", time.UnixMicro(8e6)) },
-		func(i *State) error { i.Empty = true; return nil },
+		func(i *State) error { return i.Unban("cache-d", time.UnixMicro(8e6)) },
+		func(i *State) error { i.Drain = true; return nil },
 	} {
-		if _, err := store.Change(State{}, change); err != nil {
+		if _, err := store.Update(State{}, change); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -46,7 +46,7 @@
 	if !bytes.Equal(got, want) {
 		t.Errorf("file:\ngot  %s\nwant %s", got, want)
 	}
-	state, err := Open(filepath.Dir(goldenFile), "router", methods).Read()
+	state, err := Open(filepath.Dir(goldenFile), "router", methods).Load()
 	if got, want := fmt.Sprint(state, err), "{[cache-a cache-b] map[cache-c:7000000 cache-d:8000000] true} <nil>"; got != want {
 		t.Errorf("state read from the older build's file: got %s, want %s", got, want)
 	}
--- a/internal/operatorstate/operatorstate.go
+++ b/internal/operatorstate/operatorstate.go
@@ -19,44 +19,44 @@
 
 // State is what has been asked, as the file has it.
 type State struct {
-	Down  []string         `json:"down"`  // cache servers to leave alone, by their names in discovery
-	Back  map[string]int64 `json:"back"`  // when others were given back, Unix time in microseconds
-	Empty bool             `json:"empty"` // the router is to be drained
+	Banned     []string         `json:"down"`  // cache servers to leave alone, by their names in discovery
+	UnbannedAt map[string]int64 `json:"back"`  // when others were given back, Unix time in microseconds
+	Drain      bool             `json:"empty"` // the router is to be drained
 }
 
 const most = 4096 // names; no fleet has so many out
 
-// Out tells whether a cache server is to be left alone.
-func (s State) Out(uid string) bool { return slices.Contains(s.Down, uid) }
+// IsBanned tells whether a cache server is to be left alone.
+func (s State) IsBanned(uid string) bool { return slices.Contains(s.Banned, uid) }
 
-// TakeOut and GiveBack say what they change; asked twice they change nothing more.
-func (s *State) TakeOut(uid string) error {
-	if s.Out(uid) {
+// Ban and GiveBack say what they change; asked twice they change nothing more.
+func (s *State) Ban(uid string) error {
+	if s.IsBanned(uid) {
 		return nil
 	}
-	if len(s.Down) >= most {
+	if len(s.Banned) >= most {
 		return fmt.Errorf("%d cache servers are out already", most)
 	}
-	s.Down = append(slices.Clone(s.Down), uid)
-	slices.Sort(s.Down)
-	delete(s.Back, uid)
+	s.Banned = append(slices.Clone(s.Banned), uid)
+	slices.Sort(s.Banned)
+	delete(s.UnbannedAt, uid)
 	return nil
 }
 
-// GiveBack notes when, since the cache server is cold from then on. What is long past is forgotten.
-func (s *State) GiveBack(uid string, now time.Time) error {
+// Unban notes when, since the cache server is cold from then on. What is long past is forgotten.
+func (s *State) Unban(uid string, now time.Time) error {
 	const cold = 5 * time.Minute // longer than any warm-up
-	for other, at := range s.Back {
+	for other, at := range s.UnbannedAt {
 		if now.Sub(time.UnixMicro(at)) > cold {
-			delete(s.Back, other)
+			delete(s.UnbannedAt, other)
 		}
 	}
-	if s.Out(uid) {
-		s.Down = slices.DeleteFunc(slices.Clone(s.Down), func(x string) bool { return x == uid })
-		if s.Back == nil {
-			s.Back = map[string]int64{}
+	if s.IsBanned(uid) {
+		s.Banned = slices.DeleteFunc(slices.Clone(s.Banned), func(x string) bool { return x == uid })
+		if s.UnbannedAt == nil {
+			s.UnbannedAt = map[string]int64{}
 		}
-		s.Back[uid] = now.UnixMicro()
+		s.UnbannedAt[uid] = now.UnixMicro()
 	}
 	return nil
 }
@@ -80,9 +80,9 @@
 	return &Store{path: filepath.Join(dir, "spurtrestle-"+listen+".intent"), mine: methods}
 }
 
-// Read returns what the file has; nothing where there is none. A file that cannot be read, or that was asked of another
+// Load returns what the file has; nothing where there is none. A file that cannot be read, or that was asked of another
 // service's router, is told of by its name, and how to get rid of it.
-func (s *Store) Read() (i State, err error) {
+func (s *Store) Load() (i State, err error) {
 	s.stamp, _ = os.Stat(s.path)
 	data, err := os.ReadFile(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -93,7 +93,7 @@
 		err = json.Unmarshal(data, &k)
 	}
 	if err == nil && len(k.Service) > 0 {
-		err = settings.SameService(k.Service, s.mine)
+		err = settings.CheckSameService(k.Service, s.mine)
 	}
 	if err != nil {
 		return State{}, fmt.Errorf("%s: %w; what operators asked before is not known: ask again, which writes it anew", s.path, err)
@@ -101,11 +101,11 @@
 	return k.State, nil
 }
 
-// Behind tells whether the file is missing, or older than what was asked.
-func (s *Store) Behind() bool { return s.unkept || s.stamp == nil }
+// Stale tells whether the file is missing, or older than what was asked.
+func (s *Store) Stale() bool { return s.unkept || s.stamp == nil }
 
-// FallBehind notes that this process knows more than the file, which the next change writes anew.
-func (s *Store) FallBehind() { s.unkept = true }
+// MarkStale notes that this process knows more than the file, which the next change writes anew.
+func (s *Store) MarkStale() { s.unkept = true }
 
 // Changed tells whether another process has written since.
 func (s *Store) Changed() bool {
@@ -113,12 +113,12 @@
 	return err == nil && (s.stamp == nil || !os.SameFile(now, s.stamp) || !now.ModTime().Equal(s.stamp.ModTime()))
 }
 
-// Change reads, changes and writes the file under a lock that ends with the process. What f refuses is not written. A
+// Update reads, changes and writes the file under a lock that ends with the process. What f refuses is not written. A
 // file that is spoilt, missing or behind is written anew from otherwise, what this process knows.
-func (s *Store) Change(otherwise State, f func(*State) error) (State, error) {
+func (s *Store) Update(otherwise State, f func(*State) error) (State, error) {
 	i, refused := otherwise, error(nil)
 	err := s.locked(func() (err error) {
-		if was, err := s.Read(); err == nil && !s.Behind() {
+		if was, err := s.Load(); err == nil && !s.Stale() {
 			i = was
 		}
 		if refused = f(&i); refused != nil {
@@ -150,15 +150,15 @@
 		if refused = f(&i); refused != nil {
 			return i, refused
 		}
-		return i, &NotKept{err}
+		return i, &PersistError{err}
 	}
 	return i, nil
 }
 
-// NotKept reports that what operators asked holds in this process alone.
-type NotKept struct{ Err error }
+// PersistError reports that what operators asked holds in this process alone.
+type PersistError struct{ Err error }
 
-func (e *NotKept) Error() string {
+func (e *PersistError) Error() string {
 	return fmt.Sprintf("not kept for the next process: %v; see that TMPDIR is a folder with room", e.Err)
 }
 
--- a/internal/operatorstate/operatorstate_test.go
+++ b/internal/operatorstate/operatorstate_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-func take(uid string) func(*State) error { return func(i *State) error { return i.TakeOut(uid) } }
+func take(uid string) func(*State) error { return func(i *State) error { return i.Ban(uid) } }
 
 func give(uid string) func(*State) error {
-	return func(i *State) error { return i.GiveBack(uid, time.UnixMicro(7e6)) }
+	return func(i *State) error { return i.Unban(uid, time.UnixMicro(7e6)) }
 }
 
 // What one process is asked the other reads; asked twice nothing changes, and one call back undoes it.
@@ -22,21 +22,21 @@
 	dir := t.TempDir()
 	one, two := Open(dir, "127.0.0.1:1", nil), Open(dir, "127.0.0.1:1", nil)
 	for _, uid := range []string{"b", "a", "b"} {
-		if _, err := one.Change(State{}, take(uid)); err != nil {
+		if _, err := one.Update(State{}, take(uid)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if !two.Changed() || one.Changed() {
 		t.Error("who has written, and who has read?")
 	}
-	i, err := two.Change(State{Down: []string{"of no account"}}, give("b"))
+	i, err := two.Update(State{Banned: []string{"of no account"}}, give("b"))
 	if got := fmt.Sprint(i, err, two.Changed(), one.Changed()); got != "{[a] map[b:7000000] false} <nil> false true" {
 		t.Error(got)
 	}
-	if i, err = one.Read(); fmt.Sprint(i, err) != "{[a] map[b:7000000] false} <nil>" {
+	if i, err = one.Load(); fmt.Sprint(i, err) != "{[a] map[b:7000000] false} <nil>" {
 		t.Error(i, err)
 	}
-	if i, err = Open(dir, "127.0.0.1:2", nil).Read(); len(i.Down) > 0 || err != nil {
+	if i, err = Open(dir, "127.0.0.1:2", nil).Load(); len(i.Banned) > 0 || err != nil {
 		t.Error("another router's: ", i, err)
 	}
 }
@@ -49,15 +49,15 @@
 		all.Go(func() {
 			s := Open(dir, "r", nil)
 			for k := range 50 {
-				if _, err := s.Change(State{}, take(fmt.Sprint(n, "-", k))); err != nil {
+				if _, err := s.Update(State{}, take(fmt.Sprint(n, "-", k))); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
 	all.Wait()
-	if i, err := Open(dir, "r", nil).Read(); len(i.Down) != 100 || err != nil {
-		t.Error(len(i.Down), err)
+	if i, err := Open(dir, "r", nil).Load(); len(i.Banned) != 100 || err != nil {
+		t.Error(len(i.Banned), err)
 	}
 }
 
@@ -70,51 +70,51 @@
 	if err := os.WriteFile(file, []byte(`{"down":["x"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if i, err := s.Read(); err == nil || !strings.HasPrefix(err.Error(), file+": ") || len(i.Down) > 0 {
+	if i, err := s.Load(); err == nil || !strings.HasPrefix(err.Error(), file+": ") || len(i.Banned) > 0 {
 		t.Error(i, err)
 	}
-	if i, err := s.Change(State{Down: []string{"y"}}, take("z")); fmt.Sprint(i.Down, err) != "[y z] <nil>" {
+	if i, err := s.Update(State{Banned: []string{"y"}}, take("z")); fmt.Sprint(i.Banned, err) != "[y z] <nil>" {
 		t.Error(i, err)
 	}
 	refused := errors.New("no")
-	if _, err := s.Change(State{}, func(*State) error { return refused }); err != refused {
+	if _, err := s.Update(State{}, func(*State) error { return refused }); err != refused {
 		t.Error(err)
 	}
-	if i, _ := s.Read(); fmt.Sprint(i.Down) != "[y z]" {
+	if i, _ := s.Load(); fmt.Sprint(i.Banned) != "[y z]" {
 		t.Error(i)
 	}
-	var unkept *NotKept
+	var unkept *PersistError
 	gone := filepath.Join(dir, "gone")
 	s = Open(gone, "r", nil)
-	i, err := s.Change(State{}, take("a"))
-	if fmt.Sprint(i.Down) != "[a]" || !errors.As(err, &unkept) || !strings.Contains(err.Error(), "TMPDIR") {
+	i, err := s.Update(State{}, take("a"))
+	if fmt.Sprint(i.Banned) != "[a]" || !errors.As(err, &unkept) || !strings.Contains(err.Error(), "TMPDIR") {
 		t.Error(i, err)
 	}
 	// Once there is room again, what had not been kept is written with the next, whatever an older file says.
 	if err := os.Mkdir(gone, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(gone, "r", nil).Change(State{}, take("older")); err != nil {
+	if _, err := Open(gone, "r", nil).Update(State{}, take("older")); err != nil {
 		t.Fatal(err)
 	}
-	if !s.Behind() {
+	if !s.Stale() {
 		t.Error("it takes the file for what was asked")
 	}
-	if i, err := s.Change(i, take("b")); fmt.Sprint(i.Down, err, s.Behind()) != "[a b] <nil> false" {
+	if i, err := s.Update(i, take("b")); fmt.Sprint(i.Banned, err, s.Stale()) != "[a b] <nil> false" {
 		t.Error(i, err)
 	}
 }
 
 // What is long past is forgotten, and a list without end is refused.
 func TestBounds(t *testing.T) {
-	i := State{Back: map[string]int64{"old": 0}, Down: []string{"x"}}
-	if err := i.GiveBack("x", time.UnixMicro(1e9)); err != nil || fmt.Sprint(i.Back) != "map[x:1000000000]" {
+	i := State{UnbannedAt: map[string]int64{"old": 0}, Banned: []string{"x"}}
+	if err := i.Unban("x", time.UnixMicro(1e9)); err != nil || fmt.Sprint(i.UnbannedAt) != "map[x:1000000000]" {
 		t.Error(i, err)
 	}
 	for n := range most {
-		_ = i.TakeOut(fmt.Sprint(n))
+		_ = i.Ban(fmt.Sprint(n))
 	}
-	if err := i.TakeOut("one more"); err == nil {
+	if err := i.Ban("one more"); err == nil {
 		t.Error("no bound")
 	}
 }
@@ -124,17 +124,17 @@
 func TestOfAnotherService(t *testing.T) {
 	dir := t.TempDir()
 	theirs, ours := Open(dir, "r", []string{"tile", "put"}), Open(dir, "r", []string{"get", "put"})
-	if _, err := theirs.Change(State{}, take("a")); err != nil {
+	if _, err := theirs.Update(State{}, take("a")); err != nil {
 		t.Fatal(err)
 	}
-	i, err := ours.Read()
-	if len(i.Down) > 0 || err == nil || !strings.Contains(err.Error(), "r.intent: it is of a service with the methods tile, put, and this router serves one with get, put; ") {
+	i, err := ours.Load()
+	if len(i.Banned) > 0 || err == nil || !strings.Contains(err.Error(), "r.intent: it is of a service with the methods tile, put, and this router serves one with get, put; ") {
 		t.Error(i, err)
 	}
-	if i, err = ours.Change(State{}, take("b")); err != nil || len(i.Down) != 1 {
+	if i, err = ours.Update(State{}, take("b")); err != nil || len(i.Banned) != 1 {
 		t.Error(i, err)
 	}
-	if i, err = Open(dir, "r", []string{"get"}).Read(); err != nil || !i.Out("b") { // a part of the methods is the same service
+	if i, err = Open(dir, "r", []string{"get"}).Load(); err != nil || !i.IsBanned("b") { // a part of the methods is the same service
 		t.Error(i, err)
 	}
 }
@@ -144,15 +144,15 @@
 	const servers = 2000
 	i := State{}
 	for n := range servers {
-		if err := i.TakeOut(fmt.Sprint("s-", n)); err != nil {
+		if err := i.Ban(fmt.Sprint("s-", n)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	dir := t.TempDir()
-	if _, err := Open(dir, "r", nil).Change(i, take("last")); err != nil {
+	if _, err := Open(dir, "r", nil).Update(i, take("last")); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Open(dir, "r", nil).Read(); len(again.Down) != servers+1 || err != nil {
-		t.Error(len(again.Down), err)
+	if again, err := Open(dir, "r", nil).Load(); len(again.Banned) != servers+1 || err != nil {
+		t.Error(len(again.Banned), err)
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -36,7 +36,7 @@
 	Methods []Method `toml:"method"`
 	Tenants []Tenant `toml:"tenant"`
 	Sites   Sites    `toml:"sites"`
-	at      tomlfile.Places
+	at      tomlfile.Lines
 }
 
 // Method is what may change of a method.
@@ -67,7 +67,7 @@
 	if err := tomlfile.Decode([]byte(text), &d, "docs/policy.md"); err != nil {
 		return d, err
 	}
-	d.at = tomlfile.PlacesIn([]byte(text))
+	d.at = tomlfile.FieldLines([]byte(text))
 	if d.Schema != Schema {
 		return d, d.wrong("schema", fmt.Sprintf("is %d, and this build knows %d", d.Schema, Schema), "write schema = 1")
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -125,7 +125,7 @@
 		err = fmt.Errorf("%s: grpc.listen: this program has no gRPC; start cache-router-grpc in its place, or leave the field empty", own)
 	}
 	if err == nil && mine.Fleet.Name != "" && has.Fleet == nil {
-		err = mine.Refused("fleet.name", "this program keeps no view of a fleet", "start cache-router-fleet or cache-router-grpc in its place, or leave the field empty")
+		err = mine.FieldError("fleet.name", "this program keeps no view of a fleet", "start cache-router-fleet or cache-router-grpc in its place, or leave the field empty")
 	}
 	return mine, err
 }
@@ -134,8 +134,8 @@
 func placeOf(mine operator.File, cfg config.Config) (fleet.Config, error) {
 	f := mine.Fleet
 	c := fleet.Config{Fleet: f.Name, Name: f.Router, Site: f.Site, Tiered: f.Tiered, Region: f.Region, Remote: f.Remote, Join: f.Join, Dir: f.Dir,
-		Seats: cfg.Settings.Routers, Seat: cfg.Seat,
-		Build: revision(), Methods: settings.Methods(cfg.Settings), Refused: mine.Refused}
+		Seats: cfg.Settings.Routers, Seat: cfg.Slot,
+		Build: revision(), Methods: settings.MethodNames(cfg.Settings), Refused: mine.FieldError}
 	c.Listen, c.Advertise = f.Addresses()
 	c.Probe, c.Forget = f.Spans()
 	if c.Name == "" {
@@ -185,7 +185,7 @@
 		return os.Getenv(name)
 	})
 	if err == nil {
-		err = cfg.Mixed
+		err = cfg.ShapeConflict
 	}
 	if err == nil {
 		_, err = router.New(cfg, logrus.New())
@@ -250,23 +250,23 @@
 	if err != nil {
 		return err
 	}
-	if cfg.Mixed != nil {
-		log.WithError(cfg.Mixed).Warn("the settings are of two shapes; serving by each key as it stands")
+	if cfg.ShapeConflict != nil {
+		log.WithError(cfg.ShapeConflict).Warn("the settings are of two shapes; serving by each key as it stands")
 	}
 	mine, err := load(own, has)
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(cfg.Limits.Memory)
+	debug.SetMemoryLimit(cfg.Limits.MemoryBytes)
 	r, err := router.New(cfg, log)
 	if err != nil {
 		return err
 	}
-	var keeper *snapshot.Keeper
+	var keeper *snapshot.Writer
 	if dir := mine.State.Dir; dir != "" {
 		var learned *snapshot.State
-		keeper, learned = snapshot.Keep(dir, log)
-		r.Remember(learned, clock.Time(mine.State.Interval()/time.Microsecond), keeper.Put)
+		keeper, learned = snapshot.OpenWriter(dir, log)
+		r.Remember(learned, clock.Time(mine.State.Interval()/time.Microsecond), keeper.Submit)
 	}
 	var at fleet.Config
 	if mine.Fleet.Name != "" {
@@ -284,8 +284,8 @@
 		if err := r.Join(os.TempDir()); err != nil {
 			return err
 		}
-		r.Operate(operatorstate.Open(os.TempDir(), cfg.Listen, settings.Methods(cfg.Settings)))
-		serveDoor = func(seen admin.Router) { go admin.Serve(door, cfg.Limits.Callers, seen) }
+		r.Operate(operatorstate.Open(os.TempDir(), cfg.Listen, settings.MethodNames(cfg.Settings)))
+		serveDoor = func(seen admin.Router) { go admin.Serve(door, cfg.Limits.AdminConnections, seen) }
 	}
 	leave := func() {}
 	if at.Fleet != "" {
@@ -295,7 +295,7 @@
 			return err
 		}
 		seen := withFleet{r, member}
-		if mine.Policy.CutOff == "" {
+		if mine.Policy.WhenIsolated == "" {
 			serveDoor(seen)
 			leave = func() { member.Close(r.Handed()) }
 		} else {
@@ -332,7 +332,7 @@
 		for range reload {
 			again, err := config.Reload(os.Getenv)
 			if err == nil { // its discovery would send our requests to another's servers
-				if err = settings.SameService(settings.Methods(again.Settings), settings.Methods(cfg.Settings)); err != nil {
+				if err = settings.CheckSameService(settings.MethodNames(again.Settings), settings.MethodNames(cfg.Settings)); err != nil {
 					err = fmt.Errorf("settings: %w; start it anew, or give it a file of its own in place of %q", err, os.Getenv("EDGE_CONFIG"))
 				}
 			}
@@ -359,3 +359,9 @@
 	}
 	return nil
 }
+
+// The admin endpoint finds these by type assertion.
+var (
+	_ admin.Fleet  = withFleet{}
+	_ admin.Policy = withPolicy{}
+)
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -25,9 +25,9 @@
 func (r *Router) batch() {
 	r.queued = true // what is due goes into this batch
 	was := r.now
-	if r.now = r.clock(); r.now-was > r.lim.Stood {
+	if r.now = r.clock(); r.now-was > r.lim.StallThreshold {
 		r.log.WithField("for", span(r.now-was)).Warn("the loop stood still; what waited in the sockets counts as come when it began to")
-		r.stoodFrom, r.stoodUntil = was, r.now+r.lim.Quiet
+		r.stoodFrom, r.stoodUntil = was, r.now+r.lim.QuietClientAge
 	}
 	r.noteLag(was)
 	r.counts.Batches++
@@ -51,7 +51,7 @@
 	}
 	r.resume()
 	r.feed()
-	if r.now-r.ops.toldAt >= r.lim.Tell {
+	if r.now-r.ops.toldAt >= r.lim.MetricsInterval {
 		r.publish()
 	}
 	r.setAlarm()
--- a/internal/router/behind.go
+++ b/internal/router/behind.go
@@ -7,7 +7,7 @@
 
 // noteLag notes that the loop comes late to what waits in its sockets, as after a pause of the process or with too little of a core.
 func (r *Router) noteLag(since clock.Time) {
-	if r.now-since > r.lim.Behind {
+	if r.now-since > r.lim.LoopLagThreshold {
 		r.behindUntil = r.now + catchUp
 	}
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -102,7 +102,7 @@
 		return gnet.None
 	}
 	for !c.over {
-		if len(c.slots) >= c.r.lim.Pipeline || c.r.held >= c.r.lim.HeldBytes {
+		if len(c.slots) >= c.r.lim.PipelinedCommands || c.r.held >= c.r.lim.RequestBytes {
 			c.stall()
 			break
 		}
@@ -110,7 +110,7 @@
 		if len(buf) == 0 {
 			return gnet.None
 		}
-		words, used, err := resp.Command(buf, c.words, c.r.lim.Resp)
+		words, used, err := resp.Command(buf, c.words, c.r.lim.RESP)
 		c.words = words
 		if err != nil {
 			if ok, away := c.longWrite(buf); away {
@@ -138,7 +138,7 @@
 		c.read(used)
 	}
 	if !c.over {
-		if n := c.waiting(); n > c.r.lim.ClientIn && !c.first {
+		if n := c.waiting(); n > c.r.lim.ClientInput && !c.first {
 			// gnet reads on whatever the loop leaves, so a client that sends on is cut off here.
 			c.broken("too much is waiting")
 		} else {
@@ -161,11 +161,11 @@
 // A value may flow slowly, but not for ever.
 func (c *client) silent(now clock.Time) bool {
 	const values = 10 // times as long as a head
-	slow := c.r.lim.Slow
+	slow := c.r.lim.PartialCommandTimeout
 	switch {
 	case c.part == 0:
-		return !c.spoke && now-c.whole >= c.r.lim.Silent
-	case c.waiting() <= c.r.lim.Resp.Line:
+		return !c.spoke && now-c.whole >= c.r.lim.SilentClientTimeout
+	case c.waiting() <= c.r.lim.RESP.Line:
 		return now-c.part >= slow
 	}
 	return now-c.idle >= slow || now-c.part >= values*slow
@@ -184,7 +184,7 @@
 		return
 	}
 	if c.conn.OutboundBuffered() > 0 {
-		c.r.after(c.r.lim.Turn, c.firstNow)
+		c.r.after(c.r.lim.LargeValueRetryInterval, c.firstNow)
 		return
 	}
 	c.first = false
@@ -284,7 +284,7 @@
 	if _, err := c.conn.Write(text); err != nil { // gnet has closed it
 		return
 	}
-	if n := c.conn.OutboundBuffered(); n > c.r.lim.ClientOut { // it does not take its answers
+	if n := c.conn.OutboundBuffered(); n > c.r.lim.ClientOutput { // it does not take its answers
 		c.r.counts.Broken++
 		c.r.close(c.conn)
 	} else {
@@ -295,7 +295,7 @@
 // buffer notes bytes that a client's connection holds. Where all together may hold too much they are counted, and
 // those that hold most are closed.
 func (r *Router) buffer(n int) {
-	if r.buffered += n; r.buffered <= r.lim.Buffered {
+	if r.buffered += n; r.buffered <= r.lim.ClientBufferBytes {
 		return
 	}
 	for {
@@ -308,7 +308,7 @@
 				most = c
 			}
 		}
-		if r.buffered <= r.lim.Buffered/2 {
+		if r.buffered <= r.lim.ClientBufferBytes/2 {
 			return
 		}
 		r.counts.Shed++
@@ -338,7 +338,7 @@
 
 // ended: it is quiet, or it does not take its answers. gnet writes what it can at a close, and no more.
 func (c *client) ended() bool {
-	return c.conn == nil || c.quiet() || len(c.slots) == 0 && c.r.clock()-c.idle > c.r.lim.Linger
+	return c.conn == nil || c.quiet() || len(c.slots) == 0 && c.r.clock()-c.idle > c.r.lim.ClientWriteTimeout
 }
 
 func (c *client) command(words [][]byte) {
@@ -349,7 +349,7 @@
 		c.take(words, 5, true)
 	case "PING":
 		switch {
-		case c.r.ops.wanted.Empty:
+		case c.r.ops.wanted.Drain:
 			c.now([]byte("-DRAINING as operators asked\r\n"))
 		case c.r.place.out != "":
 			c.now([]byte("-DRAINING the name is another router's\r\n"))
@@ -428,7 +428,7 @@
 		r.askers++
 		// Clients hold only so many connections. Where they keep those that they have done with, they have none left to
 		// ask on, long before the descriptors are short here.
-		if r.askers > r.lim.Askers {
+		if r.askers > r.lim.ActiveClients {
 			r.shedClient(true)
 		}
 	}
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -46,7 +46,7 @@
 func TestDeadlineOfABigWriteWhoseConnectionComesUpLate(t *testing.T) {
 	l, up := held(t, nil)
 	l.r.loop = enrollsNobody{l}
-	l.r.lim.Resp.Long, l.r.lim.Piece, l.r.lim.Stuck = 1<<20, 1<<12, 5e6
+	l.r.lim.RESP.Long, l.r.lim.LargeValueWindow, l.r.lim.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
 	client := l.open(nil)
 	client.fd, _ = sockets(t)
 	const size = 1 << 17
@@ -138,7 +138,7 @@
 			s.Methods[i].Deadline = 3e6
 		}
 	})
-	l.r.lim.Offers = 10
+	l.r.lim.ExternalRequests = 10
 	close(l.r.ready)
 	answered := func(wire.Answer) {}
 	offer := &Offer{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Waits: 1900e3,
@@ -174,7 +174,7 @@
 // A command that waited unread, since its client had as many in hand as it may have, is dated by when it came.
 func TestDeadlineOfACommandThatWaitedUnread(t *testing.T) {
 	l, up := held(t, nil)
-	l.r.lim.Pipeline = 1
+	l.r.lim.PipelinedCommands = 1
 	client := l.open(nil)
 	for i := range 2 { // the second waits unread
 		l.comes(client, command("CACHE.GET", "k", fmt.Sprint("r", i), "c=get,d=1900"))
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -20,10 +20,10 @@
 		r.log.Info("draining")
 		r.publish()
 		r.tellServing(false)
-		r.endBy = r.clock() + r.lim.Ending
+		r.endBy = r.clock() + r.lim.ShutdownTimeout
 		r.input(routing.Ending{By: r.endBy})
-		r.after(r.lim.Ending, r.endAttempts)
-		r.after(r.lim.LingerOpen, func() {
+		r.after(r.lim.ShutdownTimeout, r.endAttempts)
+		r.after(r.lim.DrainAcceptPeriod, func() {
 			r.closing = true
 			r.queue()
 		})
@@ -73,13 +73,13 @@
 			continue // it is passed on
 		}
 		quiet := now - c.idle
-		if c.ended() && (c.used || quiet >= r.lim.Quiet) && (c.waiting() == 0 || quiet > r.lim.Sweep) && !c.unheard() {
+		if c.ended() && (c.used || quiet >= r.lim.QuietClientAge) && (c.waiting() == 0 || quiet > r.lim.IdleSweepInterval) && !c.unheard() {
 			r.close(c.conn)
 		}
 	}
 	if r.closing && r.takeover.unsent == 0 && len(r.clients) == 0 && r.away == 0 && r.offers.open == 0 && !r.stopped {
 		if r.someoneComes() && r.clock() < r.endBy {
-			r.after(r.lim.Turn, r.queue)
+			r.after(r.lim.LargeValueRetryInterval, r.queue)
 			return
 		}
 		r.stopped = true
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -26,11 +26,11 @@
 // held returns a router whose dials wait to be let through, with two servers and the origin.
 func held(t *testing.T, change func(*routing.Settings)) (l *notedLoop, up func() *notedConn) {
 	cfg := notedConfig()
-	cfg.Limits.Idle, cfg.Limits.Sweep, cfg.Limits.Quiet = 60e6, 250e3, 50e3
+	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.QuietClientAge = 60e6, 250e3, 50e3
 	cfg.Settings.MaxAttempts, cfg.Settings.MayCancel = 3, true
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 2e6, Criticality: 1},
 		routing.MethodSettings{Name: "look", Effect: routing.Deduplicated, Window: 400e3, LatencyBudget: 2e6, Criticality: 1})
-	cfg.Known = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
+	cfg.SavedEndpoints = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:2","model":"m","state":"active"}]}`)
 	if change != nil {
 		change(&cfg.Settings)
@@ -69,7 +69,7 @@
 // pass sets the clock on.
 func (l *notedLoop) pass(by clock.Time) {
 	l.r.began += by
-	l.r.lim.Stood = 1 << 60
+	l.r.lim.StallThreshold = 1 << 60
 	l.r.batch()
 	l.rounds()
 }
@@ -221,7 +221,7 @@
 	l, up := held(t, nil)
 	client := l.open(nil)
 	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	list, err := l.r.book.Take([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
+	list, err := l.r.book.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:9","model":"m","state":"active"}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -240,7 +240,7 @@
 func TestAllIsAnsweredByTheEnd(t *testing.T) {
 	l, up := held(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
 	close(l.r.ready)
-	l.r.lim.Ending, l.r.lim.LingerOpen = 3e6, 500e3
+	l.r.lim.ShutdownTimeout, l.r.lim.DrainAcceptPeriod = 3e6, 500e3
 	client := l.open(nil)
 	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer comes
 	up()
@@ -262,7 +262,7 @@
 // not used again before a second answer would have come: the next client got it for its own.
 func TestSecondAnswerMeetsNobody(t *testing.T) {
 	l, up := held(t, nil)
-	l.r.lim.Rest, l.r.lim.Wary = 50e3, 30e6
+	l.r.lim.ReuseDelay, l.r.lim.DuplicateMemory = 50e3, 30e6
 	client := l.open(nil)
 	ask := func(id string) { l.comes(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
 	ask("r1")
@@ -425,7 +425,7 @@
 		defer c.Close()
 	}
 	l, _ := loaded(t, "pushed")
-	l.r.lim.Connect, l.r.lim.WatchSlack = 60e6, 50e3
+	l.r.lim.ConnectTimeout, l.r.lim.WatchGrace = 60e6, 50e3
 	failed := make(chan error, 1)
 	l.r.dials++
 	l.r.dialOff(addr, l.r.watch, func(err error) { failed <- err })
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -94,7 +94,7 @@
 				}
 			}
 		},
-		"a drain leaves one in hand": func(l *notedLoop) { l.r.lim.Ending = 1e12 },
+		"a drain leaves one in hand": func(l *notedLoop) { l.r.lim.ShutdownTimeout = 1e12 },
 	} {
 		found := 0
 		for seed := range byte(10) {
@@ -139,12 +139,12 @@
 func inThisOrder(t testing.TB, steps []byte, also func(*notedLoop)) {
 	cfg := notedConfig()
 	// Little room, so that clients stall, dials wait and connections are shed.
-	cfg.Limits.Descriptors, cfg.Limits.MostDescriptors, cfg.Limits.Upstreams = 12, 14, 6
-	cfg.Limits.Pipeline, cfg.Limits.HeldBytes, cfg.Limits.Quiet, cfg.Limits.Linger = 3, 100, 10e3, 1e6
-	cfg.Limits.Idle = 2e6
+	cfg.Limits.Descriptors, cfg.Limits.MaxDescriptors, cfg.Limits.ServerConnections = 12, 14, 6
+	cfg.Limits.PipelinedCommands, cfg.Limits.RequestBytes, cfg.Limits.QuietClientAge, cfg.Limits.ClientWriteTimeout = 3, 100, 10e3, 1e6
+	cfg.Limits.ServerIdleTimeout = 2e6
 	cfg.Settings.MaxAttempts, cfg.Settings.MayCancel, cfg.Settings.MayTwoAtOnce = 3, true, len(steps)%2 == 1
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 6e6, Criticality: 1})
-	cfg.Known = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
+	cfg.SavedEndpoints = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:2","model":"m","state":"active"},` +
 		`{"uid":"u","endpoint":"127.0.0.1:3","model":"m","state":"active"}]}`)
 	l := newLoop(t, cfg)
@@ -158,7 +158,7 @@
 	clients, servers := []*notedConn{l.open(nil)}, []*notedConn(nil)
 	asked, out := map[*notedConn]int{}, map[string]clock.Time{}
 	close(r.ready)
-	r.lim.Ending, r.lim.LingerOpen, r.lim.Turn = 3e6, 500e3, 5e3
+	r.lim.ShutdownTimeout, r.lim.DrainAcceptPeriod, r.lim.LargeValueRetryInterval = 3e6, 500e3, 5e3
 	endBy := clock.Time(0)    // by when all is answered, after SIGTERM
 	gone := map[string]bool{} // that drain, or are no more, by the last list
 	type sent struct {
@@ -253,7 +253,7 @@
 		case 8:
 			state := []string{"active", "leaving", "left", "active", "active", "active", "active", "active"}[n%8]
 			uid, kind := []string{"o", "s", "u"}[n/8%3], []string{"origin", "m", "m"}[n/8%3]
-			if list, err := r.book.Take(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
+			if list, err := r.book.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
 				`"127.0.0.1:%d","model":%q,"state":%q}]}`, i+2, n%64 == 0, uid, 1+n/128%2, kind, state)); err == nil {
 				r.listCame(list)
 				if n%64 == 0 {
@@ -272,17 +272,17 @@
 			l.rounds()
 		case 12: // operators take out and give back, drain and undo it
 			asked, uid := r.ops.wanted, []string{"s", "u"}[n%2]
-			asked.Back = map[string]int64{}
+			asked.UnbannedAt = map[string]int64{}
 			switch n / 2 % 4 {
 			case 0:
-				if !asked.Out(uid) {
+				if !asked.IsBanned(uid) {
 					out[uid] = r.clock()
 				}
-				_ = asked.TakeOut(uid)
+				_ = asked.Ban(uid)
 			case 1:
-				_ = asked.GiveBack(uid, time.UnixMicro(int64(r.clock())))
+				_ = asked.Unban(uid, time.UnixMicro(int64(r.clock())))
 			default:
-				asked.Empty = n/2%4 == 2
+				asked.Drain = n/2%4 == 2
 			}
 			r.obey(asked)
 		case 13:
@@ -362,7 +362,7 @@
 	for _, c := range clients {
 		answers := 0
 		for rest := []byte(c.wrote); len(rest) > 0; answers++ {
-			a, used, err := resp.ReadReply(rest, r.lim.Resp)
+			a, used, err := resp.ReadReply(rest, r.lim.RESP)
 			if err != nil || used == 0 || bytes.Contains(a.Text, []byte("half")) && !bytes.HasSuffix(a.Text, []byte("whole")) {
 				t.Fatalf("a client got %q", c.wrote)
 			}
--- a/internal/router/gone_test.go
+++ b/internal/router/gone_test.go
@@ -37,7 +37,7 @@
 	l, _ := held(t, change)
 	d := &departure{t: t, l: l, clients: map[string]*notedConn{}, offers: map[string]*Offer{}, byGRPC: byGRPC}
 	close(l.r.ready)
-	l.r.lim.Offers = 100
+	l.r.lim.ExternalRequests = 100
 	for i := range l.r.cfg.Settings.Methods {
 		l.r.cfg.Settings.Methods[i].Deadline = getBudget
 	}
@@ -231,7 +231,7 @@
 func TestNoAttemptForAnEndThatLiesUnread(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		d := newDeparture(t, false, nil)
-		d.l.r.lim.Behind = 80e3
+		d.l.r.lim.LoopLagThreshold = 80e3
 		for range 30 { // it has been in time for long
 			d.l.pass(50e3)
 		}
--- a/internal/router/long.go
+++ b/internal/router/long.go
@@ -104,7 +104,7 @@
 	}
 	if c.conn.OutboundBuffered() > 0 { // answers before it have not left
 		c.leaving = true
-		c.r.after(c.r.lim.Turn, c.leave)
+		c.r.after(c.r.lim.LargeValueRetryInterval, c.leave)
 		return
 	}
 	l := c.slots[0].long
@@ -219,7 +219,7 @@
 		}
 		return
 	}
-	l.r.after(l.r.lim.Away, l.watchClient)
+	l.r.after(l.r.lim.ClientGoneCheckInterval, l.watchClient)
 }
 
 var errStopped = errors.New("stopped for another process")
@@ -270,12 +270,12 @@
 	r := l.r
 	piece := pieces.Get().(*[]byte)
 	defer pieces.Put(piece)
-	if len(*piece) != r.lim.Piece {
-		*piece = make([]byte, r.lim.Piece)
+	if len(*piece) != r.lim.LargeValueWindow {
+		*piece = make([]byte, r.lim.LargeValueWindow)
 	}
 	for {
 		for len(l.pending) > 0 {
-			_ = l.client.SetWriteDeadline(time.Now().Add(span(r.lim.Unread)))
+			_ = l.client.SetWriteDeadline(time.Now().Add(span(r.lim.LargeValueUnreadTimeout)))
 			if l.stopped.Load() { // behind the deadline, which stop sets as well
 				l.pending = append([]byte(nil), l.pending...)
 				return errStopped
@@ -292,11 +292,11 @@
 			l.ended, l.pending = true, []byte("\r\n")
 			continue
 		}
-		_ = l.server.SetReadDeadline(time.Now().Add(span(r.lim.Stuck)))
+		_ = l.server.SetReadDeadline(time.Now().Add(span(r.lim.LargeValueStallTimeout)))
 		if l.stopped.Load() {
 			return errStopped
 		}
-		n, err := l.server.Read((*piece)[:min(l.left, r.lim.Piece)])
+		n, err := l.server.Read((*piece)[:min(l.left, r.lim.LargeValueWindow)])
 		if l.pending, l.left = (*piece)[:n], l.left-n; err != nil && n == 0 && !l.stopped.Load() {
 			return err
 		}
@@ -368,7 +368,7 @@
 		r.askers--
 	}
 	t.unsent++
-	t.out <- passed{handover.Frame{Kind: handover.Value, Body: text, FDs: fds}}
+	t.out <- passed{handover.Frame{Kind: handover.LargeValue, Body: text, FDs: fds}}
 }
 
 // takeValue goes on with a big value that another process began.
@@ -404,7 +404,7 @@
 
 // rest reads what stands behind the value and tells whether the connection can carry another attempt.
 func (l *long) rest(server net.Conn) bool {
-	_ = server.SetDeadline(time.Now().Add(span(l.r.lim.Stuck)))
+	_ = server.SetDeadline(time.Now().Add(span(l.r.lim.LargeValueStallTimeout)))
 	for {
 		whole, keep, err := l.up.server.speaks.Behind(l.has)
 		if err != nil || whole {
--- a/internal/router/longwrite.go
+++ b/internal/router/longwrite.go
@@ -36,7 +36,7 @@
 // none; where the client is away its connection is to be closed.
 func (c *client) longWrite(buf []byte) (ok, away bool) {
 	r := c.r
-	words, at, size, ok := resp.LongCommand(buf, c.words, r.lim.Resp)
+	words, at, size, ok := resp.LongCommand(buf, c.words, r.lim.RESP)
 	if !ok || len(words) != 4 || string(bytes.ToUpper(words[0])) != "CACHE.SET" {
 		return false, false
 	}
@@ -127,12 +127,12 @@
 	b.c.rest = b.has[n:] // the client is off the loop: nothing else touches it
 	piece := pieces.Get().(*[]byte)
 	defer pieces.Put(piece)
-	if len(*piece) != b.r.lim.Piece {
-		*piece = make([]byte, b.r.lim.Piece)
+	if len(*piece) != b.r.lim.LargeValueWindow {
+		*piece = make([]byte, b.r.lim.LargeValueWindow)
 	}
 	for left > 0 {
-		_ = client.SetReadDeadline(time.Now().Add(span(b.r.lim.Stuck)))
-		n, err := client.Read((*piece)[:min(left, b.r.lim.Piece)])
+		_ = client.SetReadDeadline(time.Now().Add(span(b.r.lim.LargeValueStallTimeout)))
+		n, err := client.Read((*piece)[:min(left, b.r.lim.LargeValueWindow)])
 		if n > 0 {
 			pass((*piece)[:n])
 		}
@@ -205,7 +205,7 @@
 		b.hold(server)
 		put := func(p []byte) {
 			if err == nil {
-				_ = server.SetWriteDeadline(time.Now().Add(span(r.lim.Stuck)))
+				_ = server.SetWriteDeadline(time.Now().Add(span(r.lim.LargeValueStallTimeout)))
 				_, err = server.Write(p)
 			}
 		}
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -74,7 +74,7 @@
 	for _, m := range s.Methods {
 		theirs = append(theirs, m.Name)
 	}
-	return settings.SameService(theirs, settings.Methods(ours))
+	return settings.CheckSameService(theirs, settings.MethodNames(ours))
 }
 
 // name gives the decisions what is known of servers that a list names, ahead of the list.
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -48,7 +48,7 @@
 			}
 			body += fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","model":"cache","state":"active"}`, uid)
 		}
-		got, err := r.book.Take([]byte(body + "]}"))
+		got, err := r.book.Apply([]byte(body + "]}"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 		}
 		body += fmt.Sprintf(`{"uid":"server-%d","endpoint":"127.0.0.1:1","model":"cache","state":"active"}`, i)
 	}
-	got, err := r.book.Take([]byte(body + "]}"))
+	got, err := r.book.Apply([]byte(body + "]}"))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/router/offers.go
+++ b/internal/router/offers.go
@@ -47,7 +47,7 @@
 }
 
 // Offer hands over a request from any goroutine; false: too many wait already, or the loop does not run yet, and nothing will be called.
-func (r *Router) Offer(o *Offer) bool { return r.news(news{o: o}, r.lim.Offers) }
+func (r *Router) Offer(o *Offer) bool { return r.news(news{o: o}, r.lim.ExternalRequests) }
 
 // Withdraw tells that the client of an offer is gone: its attempts are called off, and neither function is called any
 // more once the loop has come to it.
@@ -99,7 +99,7 @@
 	method, known := r.methods[o.Method]
 	size := len(o.Key) + o.Props.Len() + len(o.Value)
 	switch {
-	case r.closing || r.ops.wanted.Empty || r.place.out != "":
+	case r.closing || r.ops.wanted.Drain || r.place.out != "":
 		return Ending
 	case !known:
 		return NoMethod
@@ -107,7 +107,7 @@
 		return SameID
 	case o.Waits < 0:
 		return Late
-	case r.held+size > r.lim.HeldBytes:
+	case r.held+size > r.lim.RequestBytes:
 		return Full
 	}
 	waits := r.cfg.Settings.Methods[method].Deadline // a longer wait does not lengthen it
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -52,16 +52,16 @@
 // Operate has the router keep to what is asked of it by operators, now and by the file. Call it before Run.
 func (r *Router) Operate(store *operatorstate.Store) {
 	r.ops.store = store
-	i, err := store.Read()
+	i, err := store.Load()
 	if err != nil {
 		r.log.WithError(err).Warn("going on without it")
 	}
-	if a := r.takeover.asked; a != nil && (err != nil || a.Unkept || store.Behind()) { // the process before this one knows
+	if a := r.takeover.asked; a != nil && (err != nil || a.Unkept || store.Stale()) { // the process before this one knows
 		i = a.State
-		store.FallBehind()
+		store.MarkStale()
 		r.ops.unkept.Store(true)
 	}
-	i.Empty = i.Empty && r.takeover.old != nil // else of a process that is gone
+	i.Drain = i.Drain && r.takeover.old != nil // else of a process that is gone
 	r.ops.wanted = i
 }
 
@@ -76,7 +76,7 @@
 		}
 		r.ops.mu.Lock()
 		if r.ops.store.Changed() {
-			if i, err := r.ops.store.Read(); err != nil {
+			if i, err := r.ops.store.Load(); err != nil {
 				r.log.WithError(err).Warn("what operators asked is kept as it was")
 			} else {
 				r.execute(func() { r.obey(i) })
@@ -98,7 +98,7 @@
 		return nil
 	case <-r.ended:
 		return errEnding
-	case <-time.After(span(r.lim.Door)):
+	case <-time.After(span(r.lim.AdminCallTimeout)):
 		return errBusy
 	}
 }
@@ -112,8 +112,8 @@
 	if err := r.soon(func() { has = r.ops.wanted }); err != nil {
 		return err
 	}
-	i, err := r.ops.store.Change(has, f)
-	var unkept *operatorstate.NotKept
+	i, err := r.ops.store.Update(has, f)
+	var unkept *operatorstate.PersistError
 	if errors.As(err, &unkept) {
 		r.log.WithError(err).Warn("what an operator asked holds in this process alone")
 	} else if err != nil {
@@ -129,9 +129,9 @@
 // tellAsked tells the other processes of this router what is wanted.
 func (r *Router) tellAsked(i operatorstate.State) {
 	text, _ := json.Marshal(asked{State: i, Unkept: r.ops.unkept.Load()}) // plain fields: it cannot fail
-	for _, p := range []*handover.Peer{r.takeover.old, r.takeover.heir} {
+	for _, p := range []*handover.Conn{r.takeover.old, r.takeover.heir} {
 		if p != nil {
-			go func() { _ = p.Send(handover.Frame{Kind: handover.Asked, Body: text}) }() // its end is noticed by who reads from it
+			go func() { _ = p.Send(handover.Frame{Kind: handover.OperatorState, Body: text}) }() // its end is noticed by who reads from it
 		}
 	}
 }
@@ -145,36 +145,36 @@
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
 	if a.Unkept {
-		r.ops.store.FallBehind()
+		r.ops.store.MarkStale()
 	}
 	r.ops.unkept.Store(a.Unkept)
 	r.execute(func() { r.obey(a.State) })
 }
 
-// TakeOut sends nothing new to a cache server until it is given back.
-func (r *Router) TakeOut(uid string) error {
+// BanServer sends nothing new to a cache server until it is given back.
+func (r *Router) BanServer(uid string) error {
 	return r.change(func(i *operatorstate.State) error {
-		if !i.Out(uid) && !r.has(uid) {
-			return admin.ErrUnknown
+		if !i.IsBanned(uid) && !r.has(uid) {
+			return admin.ErrUnknownServer
 		}
-		return i.TakeOut(uid)
+		return i.Ban(uid)
 	})
 }
 
-// GiveBack uses a cache server again.
-func (r *Router) GiveBack(uid string) error {
+// UnbanServer uses a cache server again.
+func (r *Router) UnbanServer(uid string) error {
 	return r.change(func(i *operatorstate.State) error {
-		if !i.Out(uid) && !r.has(uid) {
-			return admin.ErrUnknown
+		if !i.IsBanned(uid) && !r.has(uid) {
+			return admin.ErrUnknownServer
 		}
-		return i.GiveBack(uid, time.UnixMicro(int64(r.clock())))
+		return i.Unban(uid, time.UnixMicro(int64(r.clock())))
 	})
 }
 
-// Empty ends the clients' connections, each once nothing of it is in hand, or takes clients again.
-func (r *Router) Empty(on bool) error {
+// SetDraining ends the clients' connections, each once nothing of it is in hand, or takes clients again.
+func (r *Router) SetDraining(on bool) error {
 	return r.change(func(i *operatorstate.State) error {
-		i.Empty = on
+		i.Drain = on
 		return nil
 	})
 }
@@ -195,17 +195,17 @@
 	r.ops.wanted = i
 	for _, s := range r.servers {
 		uid := string(r.book.UID(s.id))
-		if out := i.Out(uid); out != was.Out(uid) && !r.place.gone[uid] {
+		if out := i.IsBanned(uid); out != was.IsBanned(uid) && !r.place.gone[uid] {
 			r.log.WithFields(map[string]any{"server": uid, "out": out}).Info("as operators asked")
-			r.bar(s, out, clock.Time(i.Back[uid]))
+			r.bar(s, out, clock.Time(i.UnbannedAt[uid]))
 		}
 	}
-	if i.Empty != was.Empty {
-		r.log.WithField("draining", i.Empty).Info("as operators asked")
+	if i.Drain != was.Drain {
+		r.log.WithField("draining", i.Drain).Info("as operators asked")
 		r.ops.emptied = false
-		r.tellServing(!i.Empty && r.serving && !r.draining)
-		if i.Empty {
-			r.after(r.lim.LingerOpen, func() { r.ops.emptied = r.ops.wanted.Empty })
+		r.tellServing(!i.Drain && r.serving && !r.draining)
+		if i.Drain {
+			r.after(r.lim.DrainAcceptPeriod, func() { r.ops.emptied = r.ops.wanted.Drain })
 		}
 	}
 	r.batch() // in force, and in the figures, before the yes
@@ -231,7 +231,7 @@
 func (r *Router) publish() {
 	c := &r.counts
 	f := &figures{ended: append([][3]int(nil), c.Ended...), forwards: c.Forwards, reloaded: c.Reloaded, notLoaded: c.NotLoaded,
-		open: c.Taken - c.Served - c.Rejected - c.Failed - c.Left, why: r.notReady(), draining: r.draining || r.ops.wanted.Empty}
+		open: c.Taken - c.Served - c.Rejected - c.Failed - c.Left, why: r.notReady(), draining: r.draining || r.ops.wanted.Drain}
 	f.empty = (r.ops.emptied || r.closing) && len(r.clients) == 0 && len(r.requests) == 0 && r.away == 0 && r.offers.open == 0
 	if r.core != nil {
 		f.listed, f.avoided = r.core.Avoided()
@@ -248,7 +248,7 @@
 		return errors.New("not ready: " + r.place.out)
 	case r.place.shut:
 		return errStale
-	case r.ops.wanted.Empty && r.takeover.old == nil: // while the old process lives yes means that it may be ended
+	case r.ops.wanted.Drain && r.takeover.old == nil: // while the old process lives yes means that it may be ended
 		return errEmptying
 	case r.takeover.handing:
 		return errPassed
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -103,7 +103,7 @@
 
 // refusing tells whether clients' connections are being ended.
 func (r *Router) refusing() bool {
-	return r.draining || r.ops.wanted.Empty || r.place.out != "" || r.place.shut
+	return r.draining || r.ops.wanted.Drain || r.place.out != "" || r.place.shut
 }
 
 // lapse ends what was held until now, the part and the leave to take requests: also in a process that stood still over its end.
@@ -216,7 +216,7 @@
 		r.input(routing.Changed{Settings: s})
 		for _, x := range r.servers {
 			uid := string(r.book.UID(x.id))
-			if gone := r.place.gone[uid]; gone != was[uid] && !r.ops.wanted.Out(uid) {
+			if gone := r.place.gone[uid]; gone != was[uid] && !r.ops.wanted.IsBanned(uid) {
 				r.bar(x, gone, r.clock()) // given back it counts as just started
 			}
 		}
@@ -225,4 +225,4 @@
 }
 
 // isOut tells whether a cache server is left alone, by an operator's word to this router or by the fleet's policy.
-func (r *Router) isOut(uid string) bool { return r.ops.wanted.Out(uid) || r.place.gone[uid] }
+func (r *Router) isOut(uid string) bool { return r.ops.wanted.IsBanned(uid) || r.place.gone[uid] }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -74,7 +74,7 @@
 	r.held += q.size
 	r.counts.Taken++
 	q.method = came.Method
-	r.input(&arrival{q: q, came: came, waits: max(waits-r.lim.Crossing, 1), since: since})
+	r.input(&arrival{q: q, came: came, waits: max(waits-r.lim.ClientNetworkMargin, 1), since: since})
 }
 
 // answer gives a request its only answer.
@@ -269,7 +269,7 @@
 	}
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(part, []byte("="))
-		figure, known := settings.Figures[string(name)]
+		figure, known := settings.ReportFields[string(name)]
 		i := slices.Index(r.cfg.Settings.ReportFields, figure)
 		if x, err := strconv.ParseFloat(string(value), 64); known && i >= 0 && err == nil {
 			out[i] = x
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -71,7 +71,7 @@
 	waryUntil clock.Time
 	starved   []*server // with attempts that wait for a dial
 	conns     int       // open connections of all kinds
-	book      *discovery.Book
+	book      *discovery.EndpointList
 	watch     *watch
 	known     routing.ListCame // the list to start with
 	serving   bool             // a list with a server to use has come
@@ -99,7 +99,7 @@
 func New(cfg config.Config, log *logrus.Logger) (*Router, error) {
 	r := &Router{cfg: cfg, lim: cfg.Limits, log: log, start: time.Now(), ready: make(chan struct{}), ended: make(chan struct{}),
 		methods: map[string]routing.Method{}, requests: map[routing.RequestID]*request{}, clients: map[*client]struct{}{}, passing: map[*long]struct{}{},
-		servers: map[routing.ServerID]*server{}, book: discovery.New(), cache: resp2.Back{Bounds: cfg.Limits.Resp},
+		servers: map[routing.ServerID]*server{}, book: discovery.New(), cache: resp2.Back{Bounds: cfg.Limits.RESP},
 		origin: http1.Back{Bounds: cfg.Limits.Origin}}
 	r.ops.barred = map[routing.ServerID]bool{}
 	r.counts.Ended = make([][3]int, len(cfg.Settings.Methods))
@@ -107,9 +107,9 @@
 	for i, m := range cfg.Settings.Methods {
 		r.methods[m.Name] = routing.Method(i)
 	}
-	if len(cfg.Known) > 0 {
+	if len(cfg.SavedEndpoints) > 0 {
 		var err error
-		if r.known, err = r.book.Saved(cfg.Known); err != nil {
+		if r.known, err = r.book.ApplySaved(cfg.SavedEndpoints); err != nil {
 			return nil, fmt.Errorf("%s: known: %w; give a list in discovery's form, or leave it out", cfg.File, err)
 		}
 	}
@@ -120,7 +120,7 @@
 func (r *Router) Run() error {
 	// A client engine has a loop and no listener: gnet's own listeners cannot be stopped before their loop is.
 	loop, err := gnet.NewClient(r, gnet.WithLogger(r.log), gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithReadBufferCap(r.lim.Read), gnet.WithWriteBufferCap(r.lim.ClientOut)) // up to there gnet keeps to one ring buffer
+		gnet.WithReadBufferCap(r.lim.ReadChunk), gnet.WithWriteBufferCap(r.lim.ClientOutput)) // up to there gnet keeps to one ring buffer
 	if err != nil {
 		return err
 	}
@@ -177,12 +177,12 @@
 	r.lapse() // a router that has to be told first what it may take begins with nothing
 	r.carryOut(r.decided)
 	r.remind()
-	if len(r.cfg.Known) > 0 {
+	if len(r.cfg.SavedEndpoints) > 0 {
 		r.listCame(r.known)
 	}
 	r.rewatch(r.cfg.Discovery)
-	r.after(r.lim.Sweep, r.sweep)
-	r.ops.emptied = r.ops.wanted.Empty // as asked of the process before
+	r.after(r.lim.IdleSweepInterval, r.sweep)
+	r.ops.emptied = r.ops.wanted.Drain // as asked of the process before
 	r.tell()
 	if r.ops.store != nil {
 		go r.follow()
@@ -190,7 +190,7 @@
 	if t := &r.takeover; t.old != nil {
 		r.shareMemory()
 		go r.followOld(t.old)
-		r.after(r.lim.Join, r.takeClients) // discovery may be down
+		r.after(r.lim.TakeoverListTimeout, r.takeClients) // discovery may be down
 	} else {
 		r.takeClients()
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -102,12 +102,12 @@
 
 // notedConfig is one of a method that must not run twice, with the origin alone.
 func notedConfig() config.Config {
-	cfg := config.Config{Listen: "-", Limits: config.Limits{Resp: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
-		Descriptors: 100, Upstreams: 50, Clients: 50, Askers: 50, Silent: 2e6, Slow: 2e6, MostDescriptors: 110, Pipeline: 10, HeldBytes: 1 << 20, ClientIn: 1 << 20, ClientOut: 1 << 20, Buffered: 1 << 20}}
+	cfg := config.Config{Listen: "-", Limits: config.Limits{RESP: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
+		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, SilentClientTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
 	cfg.Limits.Origin = httpwire.Bounds{Head: 1 << 10, Body: 1 << 16}
 	cfg.Settings = routing.Settings{Routers: 1, Aside: true, OriginKind: "origin", Resolution: 1e3, MaxAttempts: 1,
 		Methods: []routing.MethodSettings{{Name: "pay", Effect: routing.NonIdempotent, LatencyBudget: 5e6, Criticality: 1}}}
-	cfg.Known = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`)
+	cfg.SavedEndpoints = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`)
 	return cfg
 }
 
@@ -219,7 +219,7 @@
 func TestAnswersLeaveBeforeAClose(t *testing.T) {
 	l, client, _ := newNoted(t)
 	r := l.r
-	r.lim.Linger = 100e3
+	r.lim.ClientWriteTimeout = 100e3
 	client.in = resp.AppendCommand(nil, []byte("QUIT"))
 	client.left = 5
 	if action := r.OnTraffic(client); action != gnet.None || r.shedClient(false) {
@@ -244,7 +244,7 @@
 	s.dialing = 1 // one dial is out, and does not end
 	client.asks(l.r, "r")
 	l.rounds()
-	list, err := l.r.book.Take([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","model":"origin","state":"leaving"}]}`))
+	list, err := l.r.book.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","model":"origin","state":"leaving"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,7 +259,7 @@
 // A decision and the news that its server is gone, or that its client is, may meet in one batch. The program crashed.
 func TestDecisionsThatTheNewsOvertakes(t *testing.T) {
 	l, client, origin := newNoted(t)
-	list, err := l.r.book.Take([]byte(`{"rev":2,"all":true,"targets":[]}`))
+	list, err := l.r.book.Apply([]byte(`{"rev":2,"all":true,"targets":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,7 +302,7 @@
 func TestClientsThatHoldTooMuchAreClosed(t *testing.T) {
 	l, client, _ := newNoted(t)
 	other := l.open(nil)
-	l.r.lim.Buffered = 1000
+	l.r.lim.ClientBufferBytes = 1000
 	client.left, other.left = 300, 800
 	l.r.buffer(1001)
 	if client.closed || !other.closed {
@@ -320,7 +320,7 @@
 // Without a descriptor to spare an attempt waits for a connection that gets free, and none is dialled.
 func TestWriteOutsWaitForDescriptors(t *testing.T) {
 	l, client, origin := newNoted(t)
-	l.r.lim.Upstreams = 1
+	l.r.lim.ServerConnections = 1
 	client.asks(l.r, "r1", "r2")
 	l.rounds()
 	if strings.Count(origin.wrote, "PUT /k") != 1 || l.r.dials != 0 || l.r.counts.Attempts != 2 {
@@ -341,7 +341,7 @@
 	r := l.r
 	client.asks(r, "r1")
 	l.rounds()
-	r.lim.Descriptors, r.lim.MostDescriptors, r.lim.Quiet = r.used(), r.used()+1, 1e6
+	r.lim.Descriptors, r.lim.MaxDescriptors, r.lim.QuietClientAge = r.used(), r.used()+1, 1e6
 	if fresh := l.open(nil); fresh.closed || client.closed || origin.closed {
 		t.Error("a client that came in had another closed, or itself, though there was a descriptor")
 	}
@@ -349,7 +349,7 @@
 		t.Error("the last descriptor was given away")
 	}
 	time.Sleep(20 * time.Millisecond)
-	r.lim.Quiet = 10e3
+	r.lim.QuietClientAge = 10e3
 	newest := l.open(nil)
 	if client.closed || origin.closed || newest.closed || r.counts.Shed != 1 {
 		t.Error("one that waits for an answer was closed, or the newest")
@@ -374,7 +374,7 @@
 	defer unix.Close(pair[0])
 	defer unix.Close(pair[1])
 	c := peerOf(client)
-	l.r.lim.Linger = 1e6
+	l.r.lim.ClientWriteTimeout = 1e6
 	client.fd, c.carried, c.used = pair[0], true, true
 	if _, err := unix.Write(pair[0], []byte("the value's end")); err != nil {
 		t.Fatal(err)
@@ -403,7 +403,7 @@
 		}
 		client.in = append(client.in, strings.Repeat("v", 2000)...)
 	}
-	r.began += r.lim.Slow
+	r.began += r.lim.PartialCommandTimeout
 	if r.sweep(); !client.closed {
 		t.Error("it waits for ever")
 	}
@@ -421,12 +421,12 @@
 	never := l.open(nil) // what only pings is no better than one that is silent
 	never.in = resp.AppendCommand(nil, []byte("PING"))
 	r.OnTraffic(never)
-	r.lim.Clients, r.lim.Descriptors, r.lim.MostDescriptors = 1, r.used(), r.used()+1
+	r.lim.ClientConnections, r.lim.Descriptors, r.lim.MaxDescriptors = 1, r.used(), r.used()+1
 	time.Sleep(time.Millisecond) // the newest must be newer by the clock
 	if newest := l.open(nil); !never.closed || client.closed || origin.closed || newest.closed {
 		t.Error("the one that never asked should have gone:", never.closed, client.closed, origin.closed, newest.closed)
 	}
-	r.lim.Clients = 10
+	r.lim.ClientConnections = 10
 	if l.open(nil); client.closed || !origin.closed {
 		t.Error("within their part no client goes while a server's connection is idle:", client.closed, origin.closed)
 	}
@@ -459,7 +459,7 @@
 func TestClientsThatKeepTheirConnections(t *testing.T) {
 	l, first, origin := newNoted(t)
 	r := l.r
-	r.lim.Askers = 2
+	r.lim.ActiveClients = 2
 	first.asks(r, "r0")
 	l.rounds()
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -103,9 +103,9 @@
 
 // dialOff connects to an address and enrolls the connection for p; failed runs on the loop.
 func (r *Router) dialOff(addr string, p peer, failed func(error)) {
-	within := r.lim.Connect
+	within := r.lim.ConnectTimeout
 	if _, is := p.(*watch); is { // servers may be long in coming up, the agent may not: a call waits behind it
-		within = min(within, r.lim.WatchSlack)
+		within = min(within, r.lim.WatchGrace)
 	}
 	go func() {
 		c, err := net.DialTimeout("tcp", addr, span(within))
@@ -179,7 +179,7 @@
 // connection that has carried an attempt is left alone for as long, so that the second answer meets nobody.
 func (up *upstream) rested() bool {
 	now := up.r.clock()
-	return now >= up.r.waryUntil || !up.used || now-up.since >= up.r.lim.Rest
+	return now >= up.r.waryUntil || !up.used || now-up.since >= up.r.lim.ReuseDelay
 }
 
 // open: the server has not ended it, nor sent anything on it that the loop is still to read. What is written to an ended
@@ -195,7 +195,7 @@
 }
 
 // unasked: a server has sent what nobody asked for.
-func (r *Router) unasked() { r.waryUntil = r.clock() + r.lim.Wary }
+func (r *Router) unasked() { r.waryUntil = r.clock() + r.lim.DuplicateMemory }
 
 func (up *upstream) send(w *attempt) {
 	up.carries, w.up, up.used = w, up, true
@@ -307,13 +307,13 @@
 				r.close(c.conn)
 			}
 		// Some ask once and keep the connection for good. Clients may hold only so many, and had none left for requests.
-		case !c.over && now-c.idle >= r.lim.Silent && c.quiet() && c.waiting() == 0 && !c.unheard():
+		case !c.over && now-c.idle >= r.lim.SilentClientTimeout && c.quiet() && c.waiting() == 0 && !c.unheard():
 			r.close(c.conn)
 		}
 	}
-	r.after(r.lim.Sweep, r.sweep)
+	r.after(r.lim.IdleSweepInterval, r.sweep)
 	for _, s := range r.servers {
-		for len(s.idle) > 0 && now-s.idle[0].since >= r.lim.Idle {
+		for len(s.idle) > 0 && now-s.idle[0].since >= r.lim.ServerIdleTimeout {
 			r.close(s.idle[0].conn)
 		}
 	}
@@ -328,7 +328,7 @@
 // clients can always come in.
 func (r *Router) roomToDial() bool {
 	for {
-		mine := r.upstreams+descriptorsOfDial*(r.dials+1) <= r.lim.Upstreams
+		mine := r.upstreams+descriptorsOfDial*(r.dials+1) <= r.lim.ServerConnections
 		if mine && r.used()+descriptorsOfDial <= r.lim.Descriptors {
 			return true
 		}
@@ -348,7 +348,7 @@
 	if !r.handsOver() && r.dialsWait() && r.anotherIsQuiet(c) {
 		return r.used() <= r.lim.Descriptors-descriptorsOfDial
 	}
-	return r.used() <= r.lim.MostDescriptors
+	return r.used() <= r.lim.MaxDescriptors
 }
 
 // handsOver: another process of this router lives, and clients go from one to the other with requests that were taken. What both
@@ -359,7 +359,7 @@
 // Those that clients leave must then not go to the next client: of a crowd that came again at once it was each time younger than
 // may be closed, and no attempt ever got one.
 func (r *Router) dialsWait() bool {
-	return len(r.starved) > 0 && r.upstreams+descriptorsOfDial*(r.dials+1) <= r.lim.Upstreams
+	return len(r.starved) > 0 && r.upstreams+descriptorsOfDial*(r.dials+1) <= r.lim.ServerConnections
 }
 
 // anotherIsQuiet: a client can be closed, now or as soon as it has been quiet for long enough.
@@ -376,7 +376,7 @@
 // asked once and stayed, or never asked, took the descriptors of the servers' connections, and each attempt paid for
 // a new one.
 func (r *Router) shed() bool {
-	return len(r.clients) > r.lim.Clients && r.shedClient(false) || r.shedServer() || r.shedClient(false)
+	return len(r.clients) > r.lim.ClientConnections && r.shedClient(false) || r.shedServer() || r.shedClient(false)
 }
 
 // shedServer closes the connection to a server that has been idle longest.
@@ -401,7 +401,7 @@
 	now := r.clock()
 	var longest *client
 	for c := range r.clients {
-		if c.quiet() && (c.asked || !askers) && now-c.idle >= r.lim.Quiet && (longest == nil || c.asked == longest.asked && c.idle < longest.idle ||
+		if c.quiet() && (c.asked || !askers) && now-c.idle >= r.lim.QuietClientAge && (longest == nil || c.asked == longest.asked && c.idle < longest.idle ||
 			!c.asked && longest.asked) {
 			longest = c
 		}
@@ -431,13 +431,13 @@
 			s = &server{id: e.Server}
 			r.servers[e.Server] = s
 			uid := string(r.book.UID(e.Server))
-			r.bar(s, r.isOut(uid), clock.Time(r.ops.wanted.Back[uid])) // before anything is sent there
+			r.bar(s, r.isOut(uid), clock.Time(r.ops.wanted.UnbannedAt[uid])) // before anything is sent there
 		}
 		s.isOrigin = r.cfg.Settings.OriginKind != "" && e.Kind == r.cfg.Settings.OriginKind
 		if s.speaks = r.cache; s.isOrigin {
 			s.speaks = r.origin
 		}
-		if addr := r.book.Endpoint(e.Server); s.addr != addr {
+		if addr := r.book.Address(e.Server); s.addr != addr {
 			r.closeIdle(s)
 			s.addr = addr
 		}
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -30,7 +30,7 @@
 	ln        *net.TCPListener
 	unix      *net.UnixListener
 	asked     *asked         // of the old process, as it last knew; nil: not told
-	old, heir *handover.Peer // the processes before and behind this one, while they live
+	old, heir *handover.Conn // the processes before and behind this one, while they live
 	accepting bool           // clients come to this process
 	coming    atomic.Int32   // accepted, and not with the loop yet
 	findable  bool           // the next process can find it, or was to
@@ -77,10 +77,10 @@
 				if ln, err = listenerOf(f); err == nil {
 					t.ln, _ = ln.(*net.TCPListener)
 				}
-			case handover.Asked:
+			case handover.OperatorState:
 				t.asked = new(asked)
 				err = json.Unmarshal(f.Body, t.asked)
-			case handover.Learned:
+			case handover.Snapshot:
 				var s snapshot.State
 				if s, err = snapshot.Decode(f.Body); err == nil {
 					another = sameService(s, r.cfg.Settings)
@@ -117,7 +117,7 @@
 
 func listenerOf(f handover.Frame) (net.Listener, error) {
 	if len(f.FDs) != 1 {
-		f.Drop()
+		f.CloseDescriptors()
 		return nil, errors.New("no listener came")
 	}
 	file := os.NewFile(uintptr(f.FDs[0]), "")
@@ -246,7 +246,7 @@
 }
 
 // serveHeir speaks to one heir until it ends.
-func (r *Router) serveHeir(p *handover.Peer) {
+func (r *Router) serveHeir(p *handover.Conn) {
 	t := &r.takeover
 	if f, err := p.Receive(time.Second); err != nil || f.Kind != handover.Hello {
 		return
@@ -277,8 +277,8 @@
 		return
 	}
 	err = errors.Join(p.Send(handover.Frame{Kind: handover.Listener, FDs: []int{fd}}),
-		p.Send(handover.Frame{Kind: handover.Asked, Body: wanted}),
-		p.Send(handover.Frame{Kind: handover.Learned, Body: knows}))
+		p.Send(handover.Frame{Kind: handover.OperatorState, Body: wanted}),
+		p.Send(handover.Frame{Kind: handover.Snapshot, Body: knows}))
 	unix.Close(fd)
 	for err == nil {
 		var f handover.Frame
@@ -286,12 +286,12 @@
 			return
 		}
 		switch f.Kind {
-		case handover.Asked:
+		case handover.OperatorState:
 			r.heardAsked(f)
-		case handover.Holds:
+		case handover.DescriptorCount:
 			r.heard(1, f)
 		case handover.Ready:
-			out := make(chan passed, r.lim.MostDescriptors)
+			out := make(chan passed, r.lim.MaxDescriptors)
 			go r.passOn(p, out)
 			r.execute(func() { r.handOn(out) })
 		}
@@ -323,7 +323,7 @@
 	for _, s := range r.servers {
 		r.closeIdle(s)
 	}
-	r.after(r.lim.Tell/2, r.handingOn)
+	r.after(r.lim.MetricsInterval/2, r.handingOn)
 }
 
 // passClients passes on each client of which nothing is in hand, with what of it is not read yet.
@@ -353,14 +353,14 @@
 }
 
 // passOn sends off the loop. What cannot be sent comes back.
-func (r *Router) passOn(p *handover.Peer, out chan passed) {
+func (r *Router) passOn(p *handover.Conn, out chan passed) {
 	for x := range out {
 		err := p.Send(x.Frame)
 		if err == nil {
 			r.execute(func() {
 				r.takeover.unsent--
 				r.conns -= len(x.FDs)
-				x.Drop()
+				x.CloseDescriptors()
 				r.queue()
 			})
 			continue
@@ -376,12 +376,12 @@
 
 // takeOver takes a client that another process had, or was to have, with the big value that is on its way to it.
 func (r *Router) takeOver(f handover.Frame) {
-	if f.Kind == handover.Value && len(f.FDs) == 2 {
+	if f.Kind == handover.LargeValue && len(f.FDs) == 2 {
 		r.takeValue(f)
 		return
 	}
 	if f.Kind != handover.Client || len(f.FDs) != 1 {
-		f.Drop()
+		f.CloseDescriptors()
 		return
 	}
 	c, err := asConn(f.FDs[0])
@@ -393,16 +393,16 @@
 }
 
 // followOld speaks to the old process until it ends.
-func (r *Router) followOld(p *handover.Peer) {
+func (r *Router) followOld(p *handover.Conn) {
 	for {
 		f, err := p.Receive(0)
 		if err != nil {
 			break
 		}
 		switch f.Kind {
-		case handover.Asked:
+		case handover.OperatorState:
 			r.heardAsked(f)
-		case handover.Holds:
+		case handover.DescriptorCount:
 			r.heard(0, f)
 		case handover.LeaseTransfer:
 			if r.takeover.inherit != nil {
@@ -455,8 +455,8 @@
 	if t.old == nil && t.heir == nil {
 		return
 	}
-	f := handover.Frame{Kind: handover.Holds, Body: strconv.AppendInt(nil, int64(r.conns+descriptorsOfDial*r.dials+r.lim.Reserve), 10)}
-	for _, p := range []*handover.Peer{t.old, t.heir} {
+	f := handover.Frame{Kind: handover.DescriptorCount, Body: strconv.AppendInt(nil, int64(r.conns+descriptorsOfDial*r.dials+r.lim.ReservedDescriptors), 10)}
+	for _, p := range []*handover.Conn{t.old, t.heir} {
 		if p != nil {
 			go func() { _ = p.Send(f) }() // its end is noticed by who reads from it
 		}
@@ -469,6 +469,6 @@
 	if r.takeover.old != nil || r.takeover.heir != nil {
 		part = 2
 	}
-	r.lim.HeldBytes, r.lim.Buffered = r.cfg.Limits.HeldBytes/part, r.cfg.Limits.Buffered/part
-	debug.SetMemoryLimit(r.cfg.Limits.Memory / int64(part))
+	r.lim.RequestBytes, r.lim.ClientBufferBytes = r.cfg.Limits.RequestBytes/part, r.cfg.Limits.ClientBufferBytes/part
+	debug.SetMemoryLimit(r.cfg.Limits.MemoryBytes / int64(part))
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -74,7 +74,7 @@
 func (r *Router) tell() {
 	r.publish()
 	r.tellHolds()
-	r.after(2*r.lim.Tell, r.tell)
+	r.after(2*r.lim.MetricsInterval, r.tell)
 }
 
 // fire does what is due.
--- a/internal/router/told_test.go
+++ b/internal/router/told_test.go
@@ -37,7 +37,7 @@
 	case !o.ended && o.fails == dialRefused:
 		o.l.r.execute(fail)
 	case !o.ended && o.fails == dialHangs:
-		o.l.r.after(o.l.r.lim.WatchSlack, fail)
+		o.l.r.after(o.l.r.lim.WatchGrace, fail)
 	default:
 		o.l.r.execute(func() { o.conns = append(o.conns, o.l.open(p)) })
 	}
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -38,7 +38,7 @@
 		if old.conn != nil {
 			r.close(old.conn)
 		}
-		r.book.Forget()
+		r.book.Invalidate()
 	}
 	r.watch = &watch{r: r, addr: addr}
 	r.watch.call()
@@ -61,10 +61,10 @@
 	}
 	r := w.r
 	w.calling = true
-	path, wait := r.book.Call(r.lim.Watch)
-	slack := r.lim.WatchSlack
+	path, wait := r.book.NextRequest(r.lim.WatchTimeout)
+	slack := r.lim.WatchGrace
 	if wait == 0 {
-		slack = r.lim.ListSlack
+		slack = r.lim.ListTimeout
 	}
 	w.late = r.after(wait+slack, func() { r.close(w.conn) })
 	_, _ = w.conn.Write(httpwire.AppendRequest(nil, "GET", path, w.addr, nil, nil)) // an error: closed
@@ -133,7 +133,7 @@
 func (w *watch) took(answer httpwire.Response) {
 	w.calling = false
 	w.r.cancel(w.late)
-	l, err := w.r.book.Take(answer.Body)
+	l, err := w.r.book.Apply(answer.Body)
 	if answer.Status != http.StatusOK {
 		err = &refusedError{status: answer.Status}
 	}
@@ -162,7 +162,7 @@
 		return
 	}
 	w.calling = false
-	w.r.book.Forget()
+	w.r.book.Invalidate()
 	w.r.cancel(w.late)
 	w.r.counts.ListsFailed++
 	if !w.failing { // once for a row of them
@@ -175,5 +175,5 @@
 		return
 	}
 	w.r.cancel(w.again)
-	w.again = w.r.after(w.r.lim.AskAgain, w.call)
+	w.again = w.r.after(w.r.lim.DiscoveryRetryDelay, w.call)
 }
--- a/internal/scale/capacity/target.go
+++ b/internal/scale/capacity/target.go
@@ -125,7 +125,7 @@
 	if err := tomlfile.Decode(text, &t, "docs/scale/target.toml"); err != nil {
 		return Target{}, fmt.Errorf("%s: %w", file, err)
 	}
-	places := tomlfile.PlacesIn(text)
+	places := tomlfile.FieldLines(text)
 	var wrong []error
 	for _, c := range t.checks() {
 		if c.wrong {
--- a/internal/settings/service.go
+++ b/internal/settings/service.go
@@ -8,8 +8,8 @@
 	"spurtrestle/core/routing"
 )
 
-// Methods are the names of all methods.
-func Methods(s routing.Settings) []string {
+// MethodNames are the names of all methods.
+func MethodNames(s routing.Settings) []string {
 	var names []string
 	for _, m := range s.Methods {
 		names = append(names, m.Name)
@@ -17,9 +17,9 @@
 	return names
 }
 
-// SameService is nil where what has some methods may belong to the service that has the others: a service adds methods and
+// CheckSameService is nil where what has some methods may belong to the service that has the others: a service adds methods and
 // drops some, but what shares only a part of them with it, or none, is another's. The error names both.
-func SameService(theirs, ours []string) error {
+func CheckSameService(theirs, ours []string) error {
 	within := func(some, all []string) bool {
 		return !slices.ContainsFunc(some, func(m string) bool { return !slices.Contains(all, m) })
 	}
--- a/internal/settings/service_test.go
+++ b/internal/settings/service_test.go
@@ -14,7 +14,7 @@
 		{[]string{"tile"}, []string{"get"}, false},
 		{nil, []string{"get"}, false},
 	} {
-		if err := SameService(c.theirs, c.ours); (err == nil) != c.same {
+		if err := CheckSameService(c.theirs, c.ours); (err == nil) != c.same {
 			t.Errorf("%v of %v: %v", c.theirs, c.ours, err)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	// Figures names what load reports hold.
-	Figures = map[string]routing.Figure{"avg_ms": routing.FigureServiceTime, "waiting": routing.FigureQueue,
+	// ReportFields names what load reports hold.
+	ReportFields = map[string]routing.Figure{"avg_ms": routing.FigureServiceTime, "waiting": routing.FigureQueue,
 		"active": routing.FigureInFlight, "cpu": routing.FigureBusy, "err_rps": routing.FigureErrors,
 		"x0": routing.FigureHits}
 	effects = map[string]routing.Effect{"free": routing.Idempotent, "guarded": routing.Deduplicated,
@@ -24,8 +24,8 @@
 		"cell": routing.GroupCell}
 )
 
-// Micros is a span told in seconds.
-func Micros(s float64) clock.Time { return clock.Time(math.Round(s * 1e6)) }
+// Seconds is a span told in seconds.
+func Seconds(s float64) clock.Time { return clock.Time(math.Round(s * 1e6)) }
 
 // Parse reads the settings object. Unknown keys are ignored; a needed one that is missing or
 // contradicts another is named, with what helps.
@@ -121,27 +121,27 @@
 	}
 	s.Routers = *p.Balancers
 	s.Aside = p.Domain.Mode == "aside"
-	s.OriginFall, s.OriginFallSpan = p.Domain.Fall, Micros(p.Domain.FallSpan)
+	s.OriginFall, s.OriginFallSpan = p.Domain.Fall, Seconds(p.Domain.FallSpan)
 	for _, name := range p.Report.Fields {
-		s.ReportFields = append(s.ReportFields, Figures[name])
+		s.ReportFields = append(s.ReportFields, ReportFields[name])
 	}
 	s.ReportsOnProbes = p.Report.How == "pull"
 	s.ListOnRequest = p.Discovery == "on_request"
 	s.ListsSizes = p.Weights == "nominal" || p.Weights == "rough"
-	s.Resolution = Micros(p.Resolution)
+	s.Resolution = Seconds(p.Resolution)
 	s.OverShareWorth, s.WorstMethod = p.Over, p.Goal.WorstClass
 	s.WasteFee, s.CrossFee = p.Fees.Waste, p.Fees.Cross
 	s.ConnectionFee, s.HandshakeFee = p.Fees.Connection, p.Fees.Handshake
 	l, u := p.Limits, p.Rules
 	s.MayCancel, s.MayProbe, s.MayTwoAtOnce = l.Cancel, l.Probes, l.Parallel
-	s.MaxAttempts, s.MaxHint, s.ConnectTimeout = *l.SendCap, Micros(l.MaxHint), Micros(l.Connect)
+	s.MaxAttempts, s.MaxHint, s.ConnectTimeout = *l.SendCap, Seconds(l.MaxHint), Seconds(l.Connect)
 	if !l.Hint {
 		s.MaxHint = 0
 	}
-	s.IdleClose = Micros(l.Idle)
-	s.AnswerSlack, s.AskEvery, s.DrainGrace = Micros(u.Slack), Micros(u.AskEvery), Micros(u.Grace)
-	s.ColdShare, s.ColdSpan = u.ColdShare, Micros(u.ColdSpan)
-	s.FallMultiple, s.FallSpan = u.Multiple, Micros(u.FallSpan)
+	s.IdleClose = Seconds(l.Idle)
+	s.AnswerSlack, s.AskEvery, s.DrainGrace = Seconds(u.Slack), Seconds(u.AskEvery), Seconds(u.Grace)
+	s.ColdShare, s.ColdSpan = u.ColdShare, Seconds(u.ColdSpan)
+	s.FallMultiple, s.FallSpan = u.Multiple, Seconds(u.FallSpan)
 	for _, c := range p.Classes {
 		e, ok := effects[c.Effect]
 		g, ok2 := groups[c.Group]
@@ -150,7 +150,7 @@
 				c.Name, "free, guarded and single_shot", "all, zone and cell")
 		}
 		s.Methods = append(s.Methods, routing.MethodSettings{Name: c.Name, Effect: e, Group: g,
-			Window: Micros(c.Window), LatencyBudget: Micros(c.Aim), Deadline: Micros(c.Deadline),
+			Window: Seconds(c.Window), LatencyBudget: Seconds(c.Aim), Deadline: Seconds(c.Deadline),
 			Criticality: c.Worth, LateShare: c.Late, Stream: c.Stream})
 	}
 	for _, t := range p.Tenants {
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -179,7 +179,7 @@
 	for saves := range 4 { // the first, one that has a generation before it, and ones that let go of older ones
 		for at := 1; ; at++ {
 			c := newCrashFS()
-			s := Open(c)
+			s := NewStore(c)
 			for i := range saves {
 				if err := s.Save(Encode(sample(i))); err != nil {
 					t.Fatal(err)
@@ -189,9 +189,9 @@
 			err := s.Save(Encode(sample(saves)))
 			c.found(func(disk *crashFS) {
 				seen++
-				got, _, _, err := Open(disk).Load()
+				got, _, _, err := NewStore(disk).Load()
 				switch {
-				case saves == 0 && errors.Is(err, ErrNone):
+				case saves == 0 && errors.Is(err, ErrNoSnapshot):
 				case err != nil:
 					t.Fatalf("save %d, operation %d: %v", saves, at, err)
 				case got.Router != name(uint64(saves)) && (saves == 0 || got.Router != name(uint64(saves-1))):
@@ -200,12 +200,12 @@
 					t.Fatalf("save %d, operation %d: a mixture was found", saves, at)
 				}
 				// And the next start can go on from there.
-				after := Open(disk)
+				after := NewStore(disk)
 				_, _, _, _ = after.Load() // what it finds was just looked at
 				if err := after.Save(Encode(sample(9))); err != nil {
 					t.Fatal(err)
 				}
-				if got, _, _, err := Open(disk).Load(); err != nil || got.Router != name(9) {
+				if got, _, _, err := NewStore(disk).Load(); err != nil || got.Router != name(9) {
 					t.Fatalf("save %d, operation %d: after it %v, %v", saves, at, got.Router, err)
 				}
 			})
@@ -224,7 +224,7 @@
 	for _, cause := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		for at := 1; ; at++ {
 			c := newCrashFS()
-			s := Open(c)
+			s := NewStore(c)
 			for i := range 2 {
 				if err := s.Save(Encode(sample(i))); err != nil {
 					t.Fatal(err)
@@ -233,14 +233,14 @@
 			c.failAt, c.err = c.ops+at, cause
 			err := s.Save(Encode(sample(2)))
 			c.failAt = 0
-			got, _, _, loads := Open(c).Load()
+			got, _, _, loads := NewStore(c).Load()
 			if loads != nil || got.Router != name(1) && got.Router != name(2) {
 				t.Fatalf("%v at operation %d: %s, %v", cause, at, got.Router, loads)
 			}
 			if err := s.Save(Encode(sample(3))); err != nil {
 				t.Fatalf("%v at operation %d, and then: %v", cause, at, err)
 			}
-			if got, _, _, err := Open(c).Load(); err != nil || got.Router != name(3) {
+			if got, _, _, err := NewStore(c).Load(); err != nil || got.Router != name(3) {
 				t.Fatalf("%v at operation %d, and then: %s, %v", cause, at, got.Router, err)
 			}
 			if err == nil {
@@ -256,7 +256,7 @@
 // A disk that says it has synced and has not: the elder generation stands in for the torn one.
 func TestDiskThatLies(t *testing.T) {
 	c := newCrashFS()
-	s := Open(c)
+	s := NewStore(c)
 	if err := s.Save(Encode(sample(0))); err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +265,7 @@
 		t.Fatal(err)
 	}
 	c.found(func(disk *crashFS) {
-		got, from, passed, err := Open(disk).Load()
+		got, from, passed, err := NewStore(disk).Load()
 		if err != nil || got.Router != name(0) && got.Router != name(1) {
 			t.Errorf("%s from %s: %v, %v", got.Router, from, passed, err)
 		}
@@ -274,7 +274,7 @@
 
 func TestGenerations(t *testing.T) {
 	c := newCrashFS()
-	s := Open(c)
+	s := NewStore(c)
 	for i := range 5 {
 		if err := s.Save(Encode(sample(i))); err != nil {
 			t.Fatal(err)
@@ -285,16 +285,16 @@
 		t.Error(got)
 	}
 	c.names["state.5"].now[200] ^= 1
-	got, from, passed, err := Open(c).Load()
-	if err != nil || from != "state.4" || got.Router != name(3) || len(passed) != 1 || !errors.Is(passed[0], ErrDamaged) {
+	got, from, passed, err := NewStore(c).Load()
+	if err != nil || from != "state.4" || got.Router != name(3) || len(passed) != 1 || !errors.Is(passed[0], ErrCorrupt) {
 		t.Error(got.Router, from, passed, err)
 	}
 	// A file of a newer version is left alone, and so is what is no state.
 	newer := sample(6)
 	c.names["state.7"] = &inode{now: encodeAs(newer, Version+1)}
 	c.names["state.007"], c.names["notes"] = &inode{}, &inode{}
-	s = Open(c)
-	if _, from, passed, err := s.Load(); err != nil || from != "state.4" || !errors.Is(passed[0], ErrNewer) {
+	s = NewStore(c)
+	if _, from, passed, err := s.Load(); err != nil || from != "state.4" || !errors.Is(passed[0], ErrNewerVersion) {
 		t.Error(from, passed, err)
 	}
 	for i := 7; i < 10; i++ {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -28,11 +28,11 @@
 
 // Bounds of a file. A damaged one must not ask for all memory.
 const (
-	MostBytes   = 8 << 20
-	MostServers = 10000
-	MostKeys    = 1 << 14
-	MostMethods = 1 << 10
-	mostName    = 256
+	MaxFileBytes = 8 << 20
+	MaxServers   = 10000
+	MaxKeys      = 1 << 14
+	MaxMethods   = 1 << 10
+	mostName     = 256
 )
 
 const magic = "spurtrestle state"
@@ -60,12 +60,12 @@
 
 // Errors of a file that cannot be used.
 var (
-	ErrDamaged = errors.New("the file is damaged")
-	ErrNewer   = errors.New("the file was written by a newer version")
+	ErrCorrupt      = errors.New("the file is damaged")
+	ErrNewerVersion = errors.New("the file was written by a newer version")
 )
 
 func damaged(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrDamaged, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, args...))
 }
 
 // Kinds of records.
@@ -152,7 +152,7 @@
 		put(kindMethod, m)
 	}
 	servers := slices.SortedFunc(slices.Values(s.Servers), func(a, b Server) int { return strings.Compare(a.UID, b.UID) })
-	for _, x := range servers[:min(len(servers), MostServers)] {
+	for _, x := range servers[:min(len(servers), MaxServers)] {
 		var m message
 		m.text(1, x.UID)
 		m.number(2, int64(x.Started))
@@ -168,7 +168,7 @@
 	}
 	if len(k.Keys) > 0 {
 		keys := make([]byte, 0, 12*len(k.Keys))
-		for _, x := range k.Keys[:min(len(k.Keys), MostKeys)] {
+		for _, x := range k.Keys[:min(len(k.Keys), MaxKeys)] {
 			keys = binary.LittleEndian.AppendUint32(keys, uint32(x.Key))
 			keys = binary.LittleEndian.AppendUint64(keys, math.Float64bits(x.Count))
 		}
@@ -182,8 +182,8 @@
 
 // split cuts a file into its records and checks all checksums.
 func split(file []byte) ([]record, error) {
-	if len(file) > MostBytes {
-		return nil, damaged("%d bytes are more than %d", len(file), MostBytes)
+	if len(file) > MaxFileBytes {
+		return nil, damaged("%d bytes are more than %d", len(file), MaxFileBytes)
 	}
 	if len(file) < len(magic) || string(file[:len(magic)]) != magic {
 		return nil, damaged("it does not begin as a state does")
@@ -293,7 +293,7 @@
 	case s.Version < 1:
 		return State{}, damaged("version %d never was", s.Version)
 	case s.Version > Version:
-		return State{}, fmt.Errorf("%w: %d, and %d is the newest known here", ErrNewer, s.Version, Version)
+		return State{}, fmt.Errorf("%w: %d, and %d is the newest known here", ErrNewerVersion, s.Version, Version)
 	}
 	for _, r := range records[1:] {
 		if err := s.take(r); err != nil {
@@ -307,7 +307,7 @@
 func (s *State) take(r record) error {
 	k := &s.Knowledge
 	if r.kind == kindKeys {
-		if len(r.payload)%12 != 0 || len(r.payload)/12 > MostKeys {
+		if len(r.payload)%12 != 0 || len(r.payload)/12 > MaxKeys {
 			return damaged("the keys cannot be read")
 		}
 		for p := r.payload; len(p) > 0; p = p[12:] {
@@ -329,13 +329,13 @@
 			*x = f.real(protowire.Number(7 + i))
 		}
 	case kindMethod:
-		if len(s.Methods) >= MostMethods {
-			return damaged("it names more than %d methods", MostMethods)
+		if len(s.Methods) >= MaxMethods {
+			return damaged("it names more than %d methods", MaxMethods)
 		}
 		s.Methods = append(s.Methods, Method{f.texts[1], f.micros(2)})
 	case kindServer:
-		if len(s.Servers) >= MostServers {
-			return damaged("it names more than %d servers", MostServers)
+		if len(s.Servers) >= MaxServers {
+			return damaged("it names more than %d servers", MaxServers)
 		}
 		x := Server{UID: f.texts[1]}
 		x.Started, x.Times, x.Rate, x.Told = f.micros(2), f.times(3), f.real(7), f.micros(8)
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -38,7 +38,7 @@
 	if err := os.CopyFS(dir, os.DirFS(oldFolder)); err != nil {
 		t.Fatal(err)
 	}
-	k, learned := Keep(dir, log)
+	k, learned := OpenWriter(dir, log)
 	if learned == nil || !sameState(*learned, sample(5)) {
 		t.Fatalf("read from the older build's folder: got %+v, want sample 5", learned)
 	}
@@ -69,7 +69,7 @@
 func writeFolder(t *testing.T) {
 	t.Helper()
 	dir := t.TempDir()
-	store := Open(Dir(dir))
+	store := NewStore(Dir(dir))
 	for i := range 5 {
 		if err := store.Save(Encode(sample(i + 1))); err != nil {
 			t.Fatal(err)
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Keeper writes states in a goroutine of its own, the newest that it was given; who gives them never waits.
-type Keeper struct {
+// Writer writes states in a goroutine of its own, the newest that it was given; who gives them never waits.
+type Writer struct {
 	dir    Dir
 	store  *Store
 	log    *logrus.Entry
@@ -26,17 +26,17 @@
 	failed string // what was logged last; a row of the same is logged once
 }
 
-// Keep takes a folder and reads what is there. Whatever is wrong is logged with a remedy, and the router serves on
+// OpenWriter takes a folder and reads what is there. Whatever is wrong is logged with a remedy, and the router serves on
 // without: nil where there is nothing to start from.
-func Keep(dir string, log *logrus.Logger) (*Keeper, *State) {
-	k := &Keeper{dir: Dir(dir), store: Open(Dir(dir)), log: log.WithField("state", dir), in: make(chan State, 1),
+func OpenWriter(dir string, log *logrus.Logger) (*Writer, *State) {
+	k := &Writer{dir: Dir(dir), store: NewStore(Dir(dir)), log: log.WithField("state", dir), in: make(chan State, 1),
 		end: make(chan State, 1), done: make(chan struct{})}
 	learned := k.load()
 	go k.run()
 	return k, learned
 }
 
-func (k *Keeper) load() *State {
+func (k *Writer) load() *State {
 	if !k.locked() {
 		return nil
 	}
@@ -45,7 +45,7 @@
 		k.log.WithError(p).Warn("a state cannot be used; the one before it is tried")
 	}
 	switch {
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoSnapshot):
 		k.log.Info("no state yet: beginning anew")
 		return nil
 	case err != nil:
@@ -59,21 +59,21 @@
 func written(at clock.Time) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
 
 // locked takes the folder's lock, where it is not held yet.
-func (k *Keeper) locked() bool {
+func (k *Writer) locked() bool {
 	if k.lock != nil {
 		return true
 	}
 	lock, err := k.dir.Lock()
 	if err != nil {
-		k.trouble(err)
+		k.logFailure(err)
 		return false
 	}
 	k.lock = lock
 	return true
 }
 
-// Put hands over a state; one that waits is replaced by it.
-func (k *Keeper) Put(s State) {
+// Submit hands over a state; one that waits is replaced by it.
+func (k *Writer) Submit(s State) {
 	select {
 	case <-k.in:
 	default:
@@ -86,7 +86,7 @@
 
 // Close writes a last state and lets go of the folder. It waits so long at most: a disk that hangs must not keep the
 // program from ending.
-func (k *Keeper) Close(s State, most time.Duration) {
+func (k *Writer) Close(s State, most time.Duration) {
 	k.end <- s
 	select {
 	case <-k.done:
@@ -95,7 +95,7 @@
 	}
 }
 
-func (k *Keeper) run() {
+func (k *Writer) run() {
 	defer close(k.done)
 	for {
 		select {
@@ -111,12 +111,12 @@
 	}
 }
 
-func (k *Keeper) save(s State) {
+func (k *Writer) save(s State) {
 	if !k.locked() {
 		return
 	}
 	if err := k.store.Save(Encode(s)); err != nil {
-		k.trouble(err)
+		k.logFailure(err)
 		return
 	}
 	if k.failed != "" {
@@ -125,8 +125,8 @@
 	}
 }
 
-// trouble logs what is wrong, once for a row of the same, and what to do about it.
-func (k *Keeper) trouble(err error) {
+// logFailure logs what is wrong, once for a row of the same, and what to do about it.
+func (k *Writer) logFailure(err error) {
 	if err.Error() == k.failed {
 		return
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -76,10 +76,10 @@
 			t.Errorf("%v\n%+v\n%+v", err, got, sample(n))
 		}
 	}
-	if _, err := Decode(encodeAs(sample(1), Version+1)); !errors.Is(err, ErrNewer) {
+	if _, err := Decode(encodeAs(sample(1), Version+1)); !errors.Is(err, ErrNewerVersion) {
 		t.Error(err)
 	}
-	if _, err := Decode(encodeAs(sample(1), 0)); !errors.Is(err, ErrDamaged) {
+	if _, err := Decode(encodeAs(sample(1), 0)); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 }
@@ -122,7 +122,7 @@
 		case 2:
 			broken = append(broken, broken[at:]...)
 		}
-		if _, err := Decode(broken); !errors.Is(err, ErrDamaged) {
+		if _, err := Decode(broken); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("damage at %d gave %v", at, err)
 		}
 	})
@@ -133,7 +133,7 @@
 	f.Add(encodeAs(sample(1), 1))
 	f.Fuzz(func(t *testing.T, file []byte) {
 		s, err := Decode(file)
-		if err == nil && (len(s.Servers) > MostServers || len(s.Knowledge.Keys) > MostKeys) {
+		if err == nil && (len(s.Servers) > MaxServers || len(s.Knowledge.Keys) > MaxKeys) {
 			t.Error("over the bounds")
 		}
 		// What checksums would have caught must not be trusted either: records as they stand.
@@ -151,11 +151,11 @@
 		os.Exit(1)
 	}
 	defer k.Close()
-	s := Open(Dir(dir))
+	s := NewStore(Dir(dir))
 	n := 0
 	if old, _, passed, err := s.Load(); err == nil && len(passed) == 0 {
 		n = int(old.Knowledge.Reads)
-	} else if !errors.Is(err, ErrNone) {
+	} else if !errors.Is(err, ErrNoSnapshot) {
 		fmt.Println("corrupt", err, passed)
 		os.Exit(1)
 	}
@@ -195,8 +195,8 @@
 			}
 			told = max(told, n)
 		}
-		got, _, passed, err := Open(Dir(dir)).Load()
-		if errors.Is(err, ErrNone) && told == 0 {
+		got, _, passed, err := NewStore(Dir(dir)).Load()
+		if errors.Is(err, ErrNoSnapshot) && told == 0 {
 			continue
 		}
 		if err != nil || len(passed) > 0 || int(got.Knowledge.Reads) < told || !sameState(got, sample(int(got.Knowledge.Reads))) {
@@ -225,16 +225,16 @@
 func TestKeeper(t *testing.T) {
 	dir := t.TempDir()
 	log, lines := logged()
-	k, learned := Keep(dir, log)
+	k, learned := OpenWriter(dir, log)
 	if learned != nil {
 		t.Error("an empty folder holds a state")
 	}
-	if _, other := Keep(dir, log); other != nil {
+	if _, other := OpenWriter(dir, log); other != nil {
 		t.Error("two routers share a folder")
 	}
-	k.Put(sample(1))
+	k.Submit(sample(1))
 	k.Close(sample(2), time.Second)
-	again, learned := Keep(dir, log)
+	again, learned := OpenWriter(dir, log)
 	if learned == nil || learned.Router != name(2) {
 		t.Fatal(learned)
 	}
@@ -256,9 +256,9 @@
 		{file, "Name a folder in state.dir, not a file."},
 	} {
 		log, lines := logged()
-		k, learned := Keep(c.dir, log)
+		k, learned := OpenWriter(c.dir, log)
 		for i := range 5 {
-			k.Put(sample(i))
+			k.Submit(sample(i))
 			time.Sleep(5 * time.Millisecond)
 		}
 		k.Close(sample(9), time.Second)
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -18,8 +18,8 @@
 	good map[uint64]bool // those that this process has read or written
 }
 
-// Open returns a store on a folder. It reads nothing yet.
-func Open(fs FS) *Store { return &Store{fs: fs, good: map[uint64]bool{}} }
+// NewStore returns a store on a folder. It reads nothing yet.
+func NewStore(fs FS) *Store { return &Store{fs: fs, good: map[uint64]bool{}} }
 
 const (
 	prefix  = "state."
@@ -47,8 +47,8 @@
 
 func name(generation uint64) string { return prefix + strconv.FormatUint(generation, 10) }
 
-// ErrNone is a folder that holds no state yet.
-var ErrNone = errors.New("there is no state")
+// ErrNoSnapshot is a folder that holds no state yet.
+var ErrNoSnapshot = errors.New("there is no state")
 
 // Load reads the newest generation that can be read. passed tells of newer ones that cannot; they stay where they are.
 func (s *Store) Load() (state State, from string, passed []error, err error) {
@@ -60,7 +60,7 @@
 		s.last = max(s.last, all[0])
 	}
 	for _, g := range all {
-		file, err := s.fs.Read(name(g), MostBytes)
+		file, err := s.fs.Read(name(g), MaxFileBytes)
 		if err == nil {
 			state, err = Decode(file)
 		}
@@ -73,7 +73,7 @@
 	if len(passed) > 0 {
 		return State{}, "", passed, fmt.Errorf("no generation can be read: %w", errors.Join(passed...))
 	}
-	return State{}, "", nil, ErrNone
+	return State{}, "", nil, ErrNoSnapshot
 }
 
 // Save writes the next generation and lets go of those before the last. On an error what was there is still there.
@@ -103,12 +103,12 @@
 		var err error
 		if !s.good[g] { // they need no reading anew at each save
 			var old []byte
-			if old, err = s.fs.Read(name(g), MostBytes); err == nil {
+			if old, err = s.fs.Read(name(g), MaxFileBytes); err == nil {
 				_, err = Decode(old)
 			}
 		}
 		switch {
-		case errors.Is(err, ErrNewer):
+		case errors.Is(err, ErrNewerVersion):
 		case err == nil && readable < kept:
 			readable++
 		default:
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -47,17 +47,17 @@
 	return err
 }
 
-// Places tells the line on which a field stands. Fields are named as in "method[1].deadline".
-type Places map[string]int
+// Lines tells the line on which a field stands. Fields are named as in "method[1].deadline".
+type Lines map[string]int
 
 var (
 	table = regexp.MustCompile(`^\s*(\[\[?)\s*([A-Za-z_.]+)\s*\]\]?`)
 	entry = regexp.MustCompile(`^\s*([A-Za-z_]+)\s*=`)
 )
 
-// PlacesIn finds all fields of a text.
-func PlacesIn(text []byte) Places {
-	p, counts, under := Places{}, map[string]int{}, ""
+// FieldLines finds all fields of a text.
+func FieldLines(text []byte) Lines {
+	p, counts, under := Lines{}, map[string]int{}, ""
 	for i, line := range strings.Split(string(text), "\n") {
 		if m := table.FindStringSubmatch(line); m != nil {
 			under = m[2] + "."
@@ -74,7 +74,7 @@
 }
 
 // Line is that of the field, or of what it stands in; the first line where nothing of it is there.
-func (p Places) Line(field string) int {
+func (p Lines) Line(field string) int {
 	for {
 		if n := p[field]; n > 0 {
 			return n
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -115,7 +115,7 @@
 }
 
 func (f *fields) seconds(field string) clock.Time {
-	return settings.Micros(f.number(field))
+	return settings.Seconds(f.number(field))
 }
 
 func (f *fields) flag(field string) bool {
