--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	// Figures names what load reports hold.
-	Figures = map[string]routing.Figure{"avg_ms": routing.FigureServiceTime, "waiting": routing.FigureQueue,
+	// ReportFields names what load reports hold.
+	ReportFields = map[string]routing.Figure{"avg_ms": routing.FigureServiceTime, "waiting": routing.FigureQueue,
 		"active": routing.FigureInFlight, "cpu": routing.FigureBusy, "err_rps": routing.FigureErrors,
 		"x0": routing.FigureHits}
 	effects = map[string]routing.Idempotency{"free": routing.Idempotent, "guarded": routing.Deduplicated,
@@ -24,8 +24,8 @@
 		"cell": routing.ScopeCell}
 )
 
-// Micros is a span told in seconds.
-func Micros(s float64) clock.Time { return clock.Time(math.Round(s * 1e6)) }
+// Seconds is a span told in seconds.
+func Seconds(s float64) clock.Time { return clock.Time(math.Round(s * 1e6)) }
 
 // Parse reads the settings object. Unknown keys are ignored; a needed one that is missing or
 // contradicts another is named, with what helps.
@@ -121,27 +121,27 @@
 	}
 	s.Routers = *p.Balancers
 	s.CacheAside = p.Domain.Mode == "aside"
-	s.OriginOverloadMultiple, s.OriginOverloadWindow = p.Domain.Fall, Micros(p.Domain.FallSpan)
+	s.OriginOverloadMultiple, s.OriginOverloadWindow = p.Domain.Fall, Seconds(p.Domain.FallSpan)
 	for _, name := range p.Report.Fields {
-		s.ReportFields = append(s.ReportFields, Figures[name])
+		s.ReportFields = append(s.ReportFields, ReportFields[name])
 	}
 	s.ReportsOnHealthChecks = p.Report.How == "pull"
 	s.PollEndpoints = p.Discovery == "on_request"
 	s.WeightsAreCapacity = p.Weights == "nominal" || p.Weights == "rough"
-	s.ClockGranularity = Micros(p.Resolution)
+	s.ClockGranularity = Seconds(p.Resolution)
 	s.OverShareWeight, s.WorstMethodWeight = p.Over, p.Goal.WorstClass
 	s.WastedWorkCost, s.CrossZoneCost = p.Fees.Waste, p.Fees.Cross
 	s.ConnectionCost, s.HandshakeCost = p.Fees.Connection, p.Fees.Handshake
 	l, u := p.Limits, p.Rules
 	s.CancelAllowed, s.HealthChecksAllowed, s.HedgingAllowed = l.Cancel, l.Probes, l.Parallel
-	s.MaxAttempts, s.MaxRetryAfter, s.ConnectTimeout = *l.SendCap, Micros(l.MaxHint), Micros(l.Connect)
+	s.MaxAttempts, s.MaxRetryAfter, s.ConnectTimeout = *l.SendCap, Seconds(l.MaxHint), Seconds(l.Connect)
 	if !l.Hint {
 		s.MaxRetryAfter = 0
 	}
-	s.ServerIdleTimeout = Micros(l.Idle)
-	s.ResponseSlack, s.PollInterval, s.DrainTimeout = Micros(u.Slack), Micros(u.AskEvery), Micros(u.Grace)
-	s.WarmUpShare, s.WarmUpDuration = u.ColdShare, Micros(u.ColdSpan)
-	s.OverloadMultiple, s.OverloadWindow = u.Multiple, Micros(u.FallSpan)
+	s.ServerIdleTimeout = Seconds(l.Idle)
+	s.ResponseSlack, s.PollInterval, s.DrainTimeout = Seconds(u.Slack), Seconds(u.AskEvery), Seconds(u.Grace)
+	s.WarmUpShare, s.WarmUpDuration = u.ColdShare, Seconds(u.ColdSpan)
+	s.OverloadMultiple, s.OverloadWindow = u.Multiple, Seconds(u.FallSpan)
 	for _, c := range p.Classes {
 		e, ok := effects[c.Effect]
 		g, ok2 := groups[c.Group]
@@ -150,7 +150,7 @@
 				c.Name, "free, guarded and single_shot", "all, zone and cell")
 		}
 		s.Methods = append(s.Methods, routing.MethodSettings{Name: c.Name, Idempotency: e, DeduplicationScope: g,
-			DeduplicationWindow: Micros(c.Window), LatencyBudget: Micros(c.Aim), Deadline: Micros(c.Deadline),
+			DeduplicationWindow: Seconds(c.Window), LatencyBudget: Seconds(c.Aim), Deadline: Seconds(c.Deadline),
 			Criticality: c.Worth, LateValue: c.Late, Stream: c.Stream})
 	}
 	for _, t := range p.Tenants {
