--- /dev/null
+++ b/core/hierarchy/dissemination.go
@@ -0,0 +1,249 @@
+package hierarchy
+
+import (
+	"math"
+	"net/netip"
+	"slices"
+
+	"spurtrestle/core/clock"
+)
+
+// link is a group of routers among which summaries are disseminated.
+type link uint8
+
+const (
+	siteLink        link = iota // all routers of a site
+	regionLink                  // representatives of the sites of a region
+	interRegionLink             // representatives of all regions
+	linkCount
+)
+
+// exchangesPerFullDigest is the number of exchanges of which one carries all heartbeats to one partner.
+const exchangesPerFullDigest = 10
+
+// tiersOn returns the tiers that are disseminated on a link.
+func tiersOn(l link) []Tier {
+	if l == interRegionLink {
+		return []Tier{RegionTier}
+	}
+	return []Tier{SiteTier, RegionTier}
+}
+
+// entrySet is a set of table entries.
+type entrySet [tierCount]map[nameHash]bool
+
+func (s *entrySet) add(tier Tier, name nameHash) {
+	if s[tier] == nil {
+		s[tier] = map[nameHash]bool{}
+	}
+	s[tier][name] = true
+}
+
+func (s *entrySet) empty() bool { return len(s[SiteTier]) == 0 && len(s[RegionTier]) == 0 }
+
+// dissemination is the state of sending updates, digests and reconnects.
+type dissemination struct {
+	summaries        entrySet              // to push
+	heartbeats       [linkCount]entrySet   // to send with the next digest
+	newRevision      bool                  // a heartbeat has a higher policy revision than any before; pushed with the summaries
+	pushedAt         clock.Time            // last push
+	pingedAt         clock.Time            // last ping
+	exchangedAt      [linkCount]clock.Time // last exchange of digests
+	exchangeCount    [linkCount]int
+	versionsSentAt   [tierCount]clock.Time // last answer to a digest that differed
+	changedAt        [tierCount]clock.Time // last change of the table
+	nextReconnectAt  clock.Time
+	reconnectCounter int // selects the next unknown peer
+}
+
+// exchangeNow makes the next exchange on a link due at once and include all heartbeats.
+func (d *dissemination) exchangeNow(l link) { d.exchangedAt[l], d.exchangeCount[l] = 0, -1 }
+
+// queueSummary includes a changed summary in the next push.
+func (h *Hierarchy) queueSummary(tier Tier, name nameHash) {
+	h.dissemination.summaries.add(tier, name)
+	h.dissemination.changedAt[tier] = h.now
+}
+
+// queueHeartbeat includes a heartbeat in the next digests. One with a new policy revision is pushed as well.
+func (h *Hierarchy) queueHeartbeat(tier Tier, name nameHash, newRevision bool) {
+	for l := range linkCount {
+		if h.usesLink(l) {
+			h.dissemination.heartbeats[l].add(tier, name)
+		}
+	}
+	h.dissemination.newRevision = h.dissemination.newRevision || newRevision
+}
+
+// usesLink reports whether this router's role includes a link.
+func (h *Hierarchy) usesLink(l link) bool {
+	switch l {
+	case regionLink:
+		return h.role.RepresentsSite
+	case interRegionLink:
+		return h.role.RepresentsRegion
+	default:
+		return true
+	}
+}
+
+// drawPartners returns up to count random routers on a link.
+func (h *Hierarchy) drawPartners(l link, count int) []netip.AddrPort {
+	switch l {
+	case regionLink:
+		return h.drawRepresentatives(SiteTier, h.config.Site, count)
+	case interRegionLink:
+		return h.drawRepresentatives(RegionTier, h.config.Region, count)
+	default:
+		return h.drawSiteMembers(count)
+	}
+}
+
+func (h *Hierarchy) drawSiteMembers(count int) (members []netip.AddrPort) {
+	for _, member := range h.localSite.Members {
+		if member.Addr != h.config.Addr {
+			members = append(members, member.Addr)
+		}
+	}
+	h.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	return members[:min(count, len(members))]
+}
+
+// drawRepresentatives returns up to count representatives of other groups of a tier that are not lost. A second one of a group
+// is returned only where there are fewer groups than count.
+func (h *Hierarchy) drawRepresentatives(tier Tier, own string, count int) (representatives []netip.AddrPort) {
+	groups := h.tables[tier].entriesByName()
+	h.random.Shuffle(len(groups), func(i, j int) { groups[i], groups[j] = groups[j], groups[i] })
+	first := h.random.IntN(maxRepresentatives)
+	for turn := range maxRepresentatives {
+		for _, group := range groups {
+			if len(representatives) == count {
+				return representatives
+			}
+			isCandidate := group.Name != own && h.heartbeatAge(group) <= h.parameters.LostAfter
+			if isCandidate && turn < len(group.Representatives) {
+				representatives = append(representatives, group.Representatives[(first+turn)%len(group.Representatives)])
+			}
+		}
+	}
+	return representatives
+}
+
+// pushUpdates sends queued summaries, and heartbeats with a new policy revision, to some routers on each link.
+func (h *Hierarchy) pushUpdates() {
+	d := &h.dissemination
+	hasUpdates := !d.summaries.empty() || d.newRevision
+	if !hasUpdates || h.now-d.pushedAt < h.parameters.PushInterval {
+		return
+	}
+	for l := range linkCount {
+		if !h.usesLink(l) {
+			continue
+		}
+		receivers := h.drawPartners(l, h.parameters.PushFanout)
+		if l == siteLink {
+			receivers = h.successors(h.parameters.PushFanout)
+		}
+		h.sendAll(receivers, h.encodeUpdates(l))
+	}
+	d.summaries, d.newRevision, d.pushedAt = entrySet{}, false, h.now
+}
+
+func (h *Hierarchy) sendAll(receivers []netip.AddrPort, bodies [][]byte) {
+	for _, receiver := range receivers {
+		for _, body := range bodies {
+			h.outgoing = append(h.outgoing, Datagram{To: receiver, Body: body})
+		}
+	}
+}
+
+// successors returns up to count members of the site at distances 1, k, k^2 ... after this router in the cyclic order of ranks,
+// where k^count is the number of members. If each receiver forwards an update to its own successors, every member is reached
+// in a few hops by several paths; random receivers would leave some members out.
+func (h *Hierarchy) successors(count int) (members []netip.AddrPort) {
+	own, isMember := h.ranks[h.config.Addr]
+	if !isMember || count == 0 {
+		return nil
+	}
+	memberCount := len(h.localSite.Members)
+	distances := []int{}
+	for i := range count {
+		exponent := float64(i) / float64(count)
+		distance := int(math.Round(math.Pow(float64(memberCount), exponent)))
+		for slices.Contains(distances, distance) {
+			distance++
+		}
+		if distance < memberCount {
+			distances = append(distances, distance)
+			members = append(members, h.localSite.Members[(own+distance)%memberCount].Addr)
+		}
+	}
+	return members
+}
+
+// encodeUpdates returns the queued updates for a link.
+func (h *Hierarchy) encodeUpdates(l link) [][]byte {
+	var records [][]byte
+	for _, tier := range tiersOn(l) {
+		records = append(records, h.encodeSummaries(tier, h.dissemination.summaries[tier])...)
+	}
+	bodies := h.packRecords(kindUpdate, records)
+	if h.dissemination.newRevision {
+		bodies = append(bodies, h.encodeDigest(l, h.dissemination.heartbeats[l]))
+		h.dissemination.heartbeats[l] = entrySet{}
+	}
+	return bodies
+}
+
+// exchangeDigests sends the digests of the tables and the queued heartbeats to some routers on each link.
+func (h *Hierarchy) exchangeDigests() {
+	h.pingCandidates()
+	d := &h.dissemination
+	for l := range linkCount {
+		if !h.usesLink(l) || h.now-d.exchangedAt[l] < h.exchangeInterval() {
+			continue
+		}
+		d.exchangedAt[l] = h.now
+		d.exchangeCount[l]++
+		isFullExchange := d.exchangeCount[l]%exchangesPerFullDigest == 0
+		for i, partner := range h.drawPartners(l, h.parameters.ExchangePartners) {
+			heartbeats := d.heartbeats[l]
+			if i == 0 && isFullExchange {
+				heartbeats = h.allEntries()
+			}
+			h.outgoing = append(h.outgoing, Datagram{To: partner, Body: h.encodeDigest(l, heartbeats)})
+		}
+		d.heartbeats[l] = entrySet{}
+	}
+}
+
+func (h *Hierarchy) exchangeInterval() clock.Duration {
+	if h.now-h.startedAt < h.parameters.StartupPeriod {
+		return h.parameters.ExchangeInterval / 2
+	}
+	return h.parameters.ExchangeInterval
+}
+
+// pingCandidates shows the other candidates of the site that this representative is responsive.
+func (h *Hierarchy) pingCandidates() {
+	if !h.role.RepresentsSite || h.now-h.dissemination.pingedAt < h.parameters.PingInterval {
+		return
+	}
+	h.dissemination.pingedAt = h.now
+	candidates := h.localSite.Members[:min(len(h.localSite.Members), h.candidateCount())]
+	for _, member := range candidates {
+		if member.Addr != h.config.Addr {
+			h.outgoing = append(h.outgoing, Datagram{To: member.Addr, Body: h.newDatagram(kindPing)})
+		}
+	}
+}
+
+// allEntries returns the set of all entries of all tables.
+func (h *Hierarchy) allEntries() (all entrySet) {
+	for tier := range tierCount {
+		for _, name := range h.tables[tier].sortedKeys() {
+			all.add(tier, name)
+		}
+	}
+	return all
+}
--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -6,223 +6,226 @@
 	"spurtrestle/core/clock"
 )
 
-// Faults of all kinds, one after the other and at once; after the last all agree within a stated time, and nobody alive has
-// counted as gone.
-func TestRandomFaults(t *testing.T) {
-	const agreeWithin = 20 * clock.Second
+// After random faults, sequential and concurrent, all routers are consistent within the stated time, and no live router counted as lost.
+func TestHierarchy_ConvergesAfterRandomFaults(t *testing.T) {
+	const consistentWithin = 20 * clock.Second
 	for seed := range uint64(8) {
-		w := newWorld(t, 100+seed, 5, 2, 6)
-		w.startAll(clock.Second)
-		w.until("settled", 20*clock.Second, w.settled)
+		fleet := newFleet(t, 100+seed, 5, 2, 6)
+		fleet.startAll(clock.Second)
+		fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
 		for range 12 {
-			w.strike()
-			w.run(clock.Time(w.rng.IntN(20)) * clock.Second)
+			fleet.injectRandomFault()
+			fleet.run(clock.Time(fleet.random.IntN(20)) * clock.Second)
 		}
-		w.heal()
-		took := w.until("agreed after the last fault", agreeWithin, w.agreed)
-		t.Logf("seed %d: agreed %.1f s after the last fault", seed, float64(took)/1e6)
-		w.until("settled", agreeWithin, w.settled)
-		w.verdict(20 * clock.Second)
+		fleet.heal()
+		took := fleet.waitUntil("consistent after the last fault", consistentWithin, fleet.isConsistent)
+		t.Logf("seed %d: consistent %.1f s after the last fault", seed, seconds(took))
+		fleet.waitUntil("settled", consistentWithin, fleet.isSettled)
+		fleet.checkGuarantees(20 * clock.Second)
 	}
 }
 
-// strike begins a random fault, or ends those of the network.
-func (w *world) strike() {
-	s := w.sites[w.rng.IntN(len(w.sites))]
-	switch w.rng.IntN(8) {
+// injectRandomFault starts a random fault, or ends those of the network.
+func (f *simulatedFleet) injectRandomFault() {
+	site := f.sites[f.random.IntN(len(f.sites))]
+	switch f.random.IntN(8) {
 	case 0:
-		w.lose, w.double, w.delay = 0.3, 0.2, 2*clock.Second
+		f.lossRate, f.duplicateRate, f.maxDelay = 0.3, 0.2, 2*clock.Second
 	case 1:
-		w.cut = func(from, to *node) bool { return (from.site.region == s.region) != (to.site.region == s.region) }
-	case 2: // nothing comes in, all goes out
-		w.cut = func(from, to *node) bool { return to.site == s && from.site != s }
+		f.isCut = func(from, to *simulatedRouter) bool {
+			return (from.site.region == site.region) != (to.site.region == site.region)
+		}
+	case 2: // one-way partition: the site receives nothing
+		f.isCut = func(from, to *simulatedRouter) bool { return to.site == site && from.site != site }
 	case 3:
-		w.lose, w.double, w.delay = 0.02, 0, 20e3
-		w.cut = func(_, _ *node) bool { return false }
+		f.lossRate, f.duplicateRate, f.maxDelay = 0.02, 0, defaultMaxDelay
+		f.isCut = func(_, _ *simulatedRouter) bool { return false }
 	case 4:
-		w.killWhere(s, represents)
+		f.killMatching(site, representsSite)
 	case 5: // a rack
-		w.killWhere(s, func(n *node) bool { return n.index < 4 })
-	case 6: // all of the site, whose clocks are an hour back afterwards
-		w.killWhere(s, func(*node) bool { return true })
-		w.run(5 * clock.Second)
-		for _, n := range s.nodes {
-			n.skew = -3600 * clock.Second
-			w.start(n)
+		f.killMatching(site, func(router *simulatedRouter) bool { return router.index < 4 })
+	case 6: // the whole site restarts with clocks an hour back
+		f.killMatching(site, func(*simulatedRouter) bool { return true })
+		f.run(5 * clock.Second)
+		for _, router := range site.routers {
+			router.clockSkew = -3600 * clock.Second
+			f.start(router)
 		}
 	case 7:
-		w.startDead()
+		f.startAllDead()
 	}
 }
 
-func (w *world) killWhere(s *site, ok func(*node) bool) {
-	for _, n := range s.nodes {
-		if n.h != nil && ok(n) {
-			w.kill(n)
+func (f *simulatedFleet) killMatching(site *simulatedSite, ok func(*simulatedRouter) bool) {
+	for _, router := range site.routers {
+		if router.hierarchy != nil && ok(router) {
+			f.kill(router)
 		}
 	}
 }
 
-func (w *world) startDead() {
-	for _, n := range w.nodes {
-		if n.h == nil {
-			w.start(n)
+func (f *simulatedFleet) startAllDead() {
+	for _, router := range f.routers {
+		if router.hierarchy == nil {
+			f.start(router)
 		}
 	}
 }
 
-func (w *world) heal() {
-	w.lose, w.double, w.delay = 0, 0, 20e3
-	w.cut = func(_, _ *node) bool { return false }
-	w.startDead()
+func (f *simulatedFleet) heal() {
+	f.lossRate, f.duplicateRate, f.maxDelay = 0, 0, defaultMaxDelay
+	f.isCut = func(_, _ *simulatedRouter) bool { return false }
+	f.startAllDead()
 }
 
-// stateOf is what a router holds a site or region for.
-func stateOf(n *node, tier Tier, name string) State {
-	e := n.h.tables[tier].entries[keyOf(name)]
-	if e == nil {
+// stateOf returns the state of a site or region at a router; Lost + 1 if the router does not know it.
+func stateOf(router *simulatedRouter, tier Tier, name string) State {
+	entry := router.hierarchy.tables[tier].entries[hashName(name)]
+	if entry == nil {
 		return Lost + 1
 	}
-	return n.h.state(e)
+	return router.hierarchy.summaryState(entry)
 }
 
-// A region that is cut off for an hour keeps its own tiers, shows the others as stale and then as lost with their last
-// counts, and is one with them again soon after.
-func TestRegionCutForAnHour(t *testing.T) {
-	w := newWorld(t, 1, 6, 3, 4)
-	w.startAll(clock.Second)
-	w.until("settled", 20*clock.Second, w.settled)
-	cut := w.sites[0].region
-	w.cut = func(from, to *node) bool { return (from.site.region == cut) != (to.site.region == cut) }
-	here, there := w.sites[0].nodes[3], w.sites[1].nodes[3]
-	both := func(s State) func() bool {
+// A region partitioned for an hour keeps its own tiers, shows the others as stale and then as lost with their last counts, and converges
+// soon after the partition heals.
+func TestHierarchy_RegionPartitionedForAnHour(t *testing.T) {
+	fleet := newFleet(t, 1, 6, 3, 4)
+	fleet.startAll(clock.Second)
+	fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
+	partitioned := fleet.sites[0].region
+	fleet.isCut = func(from, to *simulatedRouter) bool {
+		return (from.site.region == partitioned) != (to.site.region == partitioned)
+	}
+	here, there := fleet.sites[0].routers[3], fleet.sites[1].routers[3]
+	bothSee := func(state State) func() bool {
 		return func() bool {
-			return stateOf(here, RegionTier, there.site.region) == s && stateOf(there, RegionTier, cut) == s
+			return stateOf(here, RegionTier, there.site.region) == state && stateOf(there, RegionTier, partitioned) == state
 		}
 	}
-	t.Logf("stale after %.0f s", float64(w.until("stale", w.rules.StaleAfter+40*clock.Second, both(Stale)))/1e6)
-	w.until("lost", w.rules.LostAfter, both(Lost))
-	w.run(3600 * clock.Second)
-	if s := here.h.tables[RegionTier].entries[keyOf(there.site.region)]; s == nil || s.Counts.Alive != 8 {
-		t.Errorf("the last counts of the other region are not kept: %+v", s)
+	t.Logf("stale after %.0f s", seconds(fleet.waitUntil("stale", fleet.parameters.StaleAfter+40*clock.Second, bothSee(Stale))))
+	fleet.waitUntil("lost", fleet.parameters.LostAfter, bothSee(Lost))
+	fleet.run(3600 * clock.Second)
+	if s := here.hierarchy.tables[RegionTier].entries[hashName(there.site.region)]; s == nil || s.Counts.Alive != 8 {
+		t.Errorf("last counts of the other region: got %+v, want 8 alive", s)
 	}
-	if s := stateOf(here, SiteTier, w.sites[3].name); s != Fresh {
-		t.Errorf("a site of the own region is %v", s)
+	if s := stateOf(here, SiteTier, fleet.sites[3].name); s != Fresh {
+		t.Errorf("site of the own region: got %v, want %v", s, Fresh)
 	}
-	w.falselyLost = 0
-	w.kill(w.sites[1].nodes[0])
-	w.run(20 * clock.Second)
-	w.cut = func(_, _ *node) bool { return false }
-	t.Logf("one again %.1f s after the cut", float64(w.until("agreed after the cut", 15*clock.Second, w.agreed))/1e6)
-	w.until("fresh", 20*clock.Second, both(Fresh))
+	fleet.falseLosses = 0
+	fleet.kill(fleet.sites[1].routers[0])
+	fleet.run(20 * clock.Second)
+	fleet.isCut = func(_, _ *simulatedRouter) bool { return false }
+	t.Logf("consistent %.1f s after the partition", seconds(fleet.waitUntil("consistent after the partition", 15*clock.Second, fleet.isConsistent)))
+	fleet.waitUntil("fresh", 20*clock.Second, bothSee(Fresh))
 }
 
-// A site that vanishes is stale, then lost, and its routers no longer count in its region.
-func TestSiteVanishes(t *testing.T) {
-	w := newWorld(t, 2, 6, 2, 4)
-	w.startAll(clock.Second)
-	w.until("settled", 20*clock.Second, w.settled)
-	gone, other := w.sites[0], w.sites[1].nodes[2]
-	w.killWhere(gone, func(*node) bool { return true })
-	took := w.until("counted without the site", w.rules.LostAfter+40*clock.Second, func() bool {
-		e := other.h.tables[RegionTier].entries[keyOf(gone.region)]
-		return e.Counts.Alive == 8 && e.LostSites == 1
+// A failed site is stale, then lost, and then its routers no longer count in its region.
+func TestHierarchy_SiteFails(t *testing.T) {
+	fleet := newFleet(t, 2, 6, 2, 4)
+	fleet.startAll(clock.Second)
+	fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
+	failed, other := fleet.sites[0], fleet.sites[1].routers[2]
+	fleet.killMatching(failed, func(*simulatedRouter) bool { return true })
+	took := fleet.waitUntil("counting without the failed site", fleet.parameters.LostAfter+40*clock.Second, func() bool {
+		entry := other.hierarchy.tables[RegionTier].entries[hashName(failed.region)]
+		return entry.Counts.Alive == 8 && entry.LostSites == 1
 	})
-	t.Logf("no longer counted after %.0f s", float64(took)/1e6)
-	if took < w.rules.StaleAfter {
-		t.Errorf("given up after %.0f s", float64(took)/1e6)
+	t.Logf("no longer counted after %.0f s", seconds(took))
+	if took < fleet.parameters.StaleAfter {
+		t.Errorf("failed site no longer counted: got after %.0f s, want after %.0f s or more", seconds(took), seconds(fleet.parameters.StaleAfter))
 	}
-	for _, n := range gone.nodes {
-		w.start(n)
+	for _, router := range failed.routers {
+		fleet.start(router)
 	}
-	w.until("agreed after the site is back", 20*clock.Second, w.agreed)
-	w.verdict(10 * clock.Second)
+	fleet.waitUntil("consistent after the site restarted", 20*clock.Second, fleet.isConsistent)
+	fleet.checkGuarantees(10 * clock.Second)
 }
 
-// All candidates of a site die at once; the next by age take over once the membership has found that.
-func TestAllCandidatesDie(t *testing.T) {
-	w := newWorld(t, 3, 5, 2, 18)
-	w.startAll(clock.Second)
-	w.until("settled", 20*clock.Second, w.settled)
-	for _, n := range w.living(func(n *node) bool {
-		return n.site == w.sites[0] && n.h.Role().Rank < w.rules.RepresentativesPerSite+w.rules.StandbysPerSite
+// All candidates of a site fail at once; the next by age are elected once the membership has detected the failures.
+func TestElection_AllCandidatesFail(t *testing.T) {
+	fleet := newFleet(t, 3, 5, 2, 18)
+	fleet.startAll(clock.Second)
+	fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
+	for _, router := range fleet.living(func(router *simulatedRouter) bool {
+		return router.site == fleet.sites[0] && router.hierarchy.Role().Rank < fleet.parameters.RepresentativesPerSite+fleet.parameters.StandbysPerSite
 	}) {
-		w.kill(n)
+		fleet.kill(router)
 	}
-	w.until("represented again", w.most+clock.Second, func() bool {
-		return len(w.living(func(n *node) bool { return n.site == w.sites[0] && represents(n) })) > 0
+	fleet.waitUntil("represented again", fleet.maxDeathDetection+clock.Second, func() bool {
+		return len(fleet.living(func(router *simulatedRouter) bool { return router.site == fleet.sites[0] && representsSite(router) })) > 0
 	})
-	w.until("agreed", 15*clock.Second, w.agreed)
-	w.verdict(10 * clock.Second)
+	fleet.waitUntil("consistent", 15*clock.Second, fleet.isConsistent)
+	fleet.checkGuarantees(10 * clock.Second)
 }
 
-// Two halves of a fleet that have never heard of each other become one by an address to begin with.
-func TestHalvesFindEachOther(t *testing.T) {
-	w := newWorld(t, 4, 4, 2, 3)
-	half := func(n *node) bool { return n.site.region == w.sites[0].region }
-	w.cut = func(from, to *node) bool { return half(from) != half(to) }
-	w.startAll(clock.Second)
-	w.run(60 * clock.Second)
-	w.cut = func(_, _ *node) bool { return false }
-	took := w.until("one", w.rules.IdleReconnectInterval+20*clock.Second, w.agreed)
-	t.Logf("one after %.1f s", float64(took)/1e6)
+// Two regions that never had contact join by a seed address.
+func TestReconnect_JoinsHalvesBySeedAddress(t *testing.T) {
+	fleet := newFleet(t, 4, 4, 2, 3)
+	half := func(router *simulatedRouter) bool { return router.site.region == fleet.sites[0].region }
+	fleet.isCut = func(from, to *simulatedRouter) bool { return half(from) != half(to) }
+	fleet.startAll(clock.Second)
+	fleet.run(60 * clock.Second)
+	fleet.isCut = func(_, _ *simulatedRouter) bool { return false }
+	took := fleet.waitUntil("joined", fleet.parameters.IdleReconnectInterval+20*clock.Second, fleet.isConsistent)
+	t.Logf("joined after %.1f s", seconds(took))
 }
 
-// What is held and sent stays bounded whatever comes in.
-func TestBoundedByWhatComesIn(t *testing.T) {
-	w := newWorld(t, 5, 2, 1, 3)
-	w.startAll(clock.Second)
-	w.run(5 * clock.Second)
-	n, other := w.nodes[0], w.nodes[4]
+// State and replies stay bounded under a flood of datagrams.
+func TestReceive_BoundsStateAndReplies(t *testing.T) {
+	fleet := newFleet(t, 5, 2, 1, 3)
+	fleet.startAll(clock.Second)
+	fleet.run(5 * clock.Second)
+	router, other := fleet.routers[0], fleet.routers[4]
 	for i := range uint64(100000) {
-		e := &entry{Summary: Summary{Name: hex(i), Version: 1 << 40}, Heartbeat: Heartbeat{Sequence: n.h.wall()}}
-		n.h.Receive(w.now, append(other.h.header(kindNews), appendRecord(nil, Tier(i%2), e)...))
-		n.h.Receive(w.now, other.h.hello(withinArea, ids{}))
+		entry := &entry{Summary: Summary{Name: formatHex(i), Version: 1 << 40}, Heartbeat: Heartbeat{Sequence: router.hierarchy.wallClock()}}
+		router.hierarchy.Receive(fleet.now, append(other.hierarchy.newDatagram(kindUpdate), appendSummary(nil, Tier(i%2), entry)...))
+		router.hierarchy.Receive(fleet.now, other.hierarchy.encodeDigest(regionLink, entrySet{}))
 	}
-	if s, r := len(n.h.tables[SiteTier].entries), len(n.h.tables[RegionTier].entries); s > maxSites || r > maxRegions {
-		t.Errorf("%d sites and %d regions are held", s, r)
+	if s, r := len(router.hierarchy.tables[SiteTier].entries), len(router.hierarchy.tables[RegionTier].entries); s > maxSites || r > maxRegions {
+		t.Errorf("table sizes: got %d sites and %d regions, want at most %d and %d", s, r, maxSites, maxRegions)
 	}
 	sent := 0
-	for _, d := range n.h.Tick(w.now, w.local(n)) {
-		sent += len(d.Body)
+	for _, datagram := range router.hierarchy.Tick(fleet.now, fleet.localSite(router)) {
+		sent += len(datagram.Body)
 	}
-	t.Logf("%d bytes in the step after a flood", sent)
+	t.Logf("%d bytes in the tick after the flood", sent)
 	if sent > 2<<20 {
-		t.Errorf("a step sends %d bytes", sent)
+		t.Errorf("bytes sent in a tick: got %d, want at most %d", sent, 2<<20)
 	}
 }
 
-// A datagram of another fleet, or one that is not whole, is not taken.
-func TestOthersAreNotTaken(t *testing.T) {
-	w := newWorld(t, 6, 2, 1, 2)
-	w.startAll(clock.Second)
-	w.until("settled", 20*clock.Second, w.settled)
-	n := w.nodes[0]
-	before, _ := n.h.Digests()
-	stranger := New(w.now, w.rules, Config{Fleet: "other", Region: n.site.region, Site: "x", Addr: w.nodes[1].addr})
-	record := appendRecord(nil, SiteTier, &entry{Summary: Summary{Name: "x", Version: 1 << 60}, Heartbeat: Heartbeat{Sequence: n.h.wall()}})
-	n.h.Receive(w.now, append(stranger.header(kindNews), record...))
-	whole := append(w.nodes[1].h.header(kindNews), record...)
-	for cut := range whole {
-		n.h.Receive(w.now, whole[:cut])
+// Datagrams of another fleet and truncated datagrams are dropped.
+func TestReceive_DropsForeignAndTruncatedDatagrams(t *testing.T) {
+	fleet := newFleet(t, 6, 2, 1, 2)
+	fleet.startAll(clock.Second)
+	fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
+	router := fleet.routers[0]
+	before, _ := router.hierarchy.Digests()
+	foreign := New(fleet.now, fleet.parameters, Config{Fleet: "other", Region: router.site.region, Site: "x", Addr: fleet.routers[1].address})
+	record := appendSummary(nil, SiteTier, &entry{Summary: Summary{Name: "x", Version: 1 << 60}, Heartbeat: Heartbeat{Sequence: router.hierarchy.wallClock()}})
+	router.hierarchy.Receive(fleet.now, append(foreign.newDatagram(kindUpdate), record...))
+	complete := append(fleet.routers[1].hierarchy.newDatagram(kindUpdate), record...)
+	for size := range complete {
+		router.hierarchy.Receive(fleet.now, complete[:size])
 	}
-	if after, _ := n.h.Digests(); after != before {
-		t.Error("another fleet's datagram, or a part of one, was taken")
+	if after, _ := router.hierarchy.Digests(); after != before {
+		t.Errorf("digest after foreign and truncated datagrams: got %x, want %x", after, before)
 	}
-	n.h.Receive(w.now, whole)
-	if after, _ := n.h.Digests(); after == before {
-		t.Error("the whole datagram was not taken")
+	router.hierarchy.Receive(fleet.now, complete)
+	if after, _ := router.hierarchy.Digests(); after == before {
+		t.Errorf("digest after a complete datagram: got %x, want a different one", after)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	w := newWorld(f, 7, 3, 2, 2)
-	w.startAll(clock.Second)
-	w.run(10 * clock.Second)
-	h := w.nodes[0].h
-	h.tables[SiteTier].entries[keyOf(w.sites[0].name)].MaxRevision = 9
-	for _, body := range [][]byte{h.header(kindPing), h.hello(withinArea, h.everything()), h.digests(SiteTier)[0], h.want(RegionTier, []key{1, 2}),
-		h.packed(kindNews, h.records(SiteTier, h.everything()[SiteTier]))[0], h.packed(kindRepair, h.records(RegionTier, h.everything()[RegionTier]))[0]} {
+	fleet := newFleet(f, 7, 3, 2, 2)
+	fleet.startAll(clock.Second)
+	fleet.run(10 * clock.Second)
+	h := fleet.routers[0].hierarchy
+	h.tables[SiteTier].entries[hashName(fleet.sites[0].name)].MaxRevision = 9
+	for _, body := range [][]byte{h.newDatagram(kindPing), h.encodeDigest(regionLink, h.allEntries()), h.encodeVersions(SiteTier)[0], h.encodeRequest(RegionTier, []nameHash{1, 2}),
+		h.packRecords(kindUpdate, h.encodeSummaries(SiteTier, h.allEntries()[SiteTier]))[0], h.packRecords(kindRepair, h.encodeSummaries(RegionTier, h.allEntries()[RegionTier]))[0]} {
 		f.Add(body)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -230,39 +233,39 @@
 		if err != nil {
 			return
 		}
-		if n := len(m.beats[SiteTier]) + len(m.beats[RegionTier]) + len(m.versions) + len(m.records); n > MaxDatagramSize {
-			t.Errorf("%d entries of %d bytes", n, len(body))
+		if n := len(m.heartbeats[SiteTier]) + len(m.heartbeats[RegionTier]) + len(m.versions) + len(m.names) + len(m.summaries); n > MaxDatagramSize {
+			t.Errorf("entries decoded from %d bytes: got %d, want at most %d", len(body), n, MaxDatagramSize)
 		}
-		for _, r := range m.records {
-			again := &reader{b: appendRecord(nil, r.tier, &entry{Summary: r.Summary, Heartbeat: r.Heartbeat})}
-			if got := again.record(); again.bad || !same(got.Summary, r.Summary) || got.Version != r.Version || got.Heartbeat != r.Heartbeat {
-				t.Errorf("%+v became %+v", r, got)
+		for _, record := range m.summaries {
+			copied := &reader{remaining: appendSummary(nil, record.tier, &entry{Summary: record.Summary, Heartbeat: record.Heartbeat})}
+			if got := copied.summary(); copied.malformed || !sameContent(got.Summary, record.Summary) || got.Version != record.Version || got.Heartbeat != record.Heartbeat {
+				t.Errorf("decoded summary: got %+v, want %+v", got, record)
 			}
 		}
-		h.Receive(w.now, body)
+		h.Receive(fleet.now, body)
 	})
 }
 
-// The checker sees what is not as it should be.
-func TestCheckerSees(t *testing.T) {
-	for what, x := range map[string]struct {
-		change func(*Parameters)
-		seen   func(*world) bool
+// The checker detects each violation it exists for.
+func TestChecker_DetectsViolations(t *testing.T) {
+	for name, violation := range map[string]struct {
+		configure func(*Parameters)
+		detected  func(*simulatedFleet) bool
 	}{
-		"a site given up too soon":      {func(r *Parameters) { r.LostAfter = clock.Second }, func(w *world) bool { return w.falselyLost > 0 }},
-		"too many representatives":      {func(r *Parameters) { r.SilenceTimeout = clock.Second / 10 }, func(w *world) bool { return w.longestOver > 5*clock.Second }},
-		"no representative":             {func(r *Parameters) { r.SiteRoleDelay = 3600 * clock.Second }, func(w *world) bool { return len(w.living(represents)) == 0 }},
-		"nobody tells what has changed": {func(r *Parameters) { r.PushFanout, r.ExchangePartners = 0, 0 }, func(w *world) bool { return !w.agreed() }},
-		"a change that is not known":    {func(r *Parameters) { r.PushFanout, r.ExchangePartners = 0, 0 }, func(w *world) bool { return !w.known(1) }},
+		"live site counted as lost": {func(p *Parameters) { p.LostAfter = clock.Second }, func(fleet *simulatedFleet) bool { return fleet.falseLosses > 0 }},
+		"too many representatives":  {func(p *Parameters) { p.SilenceTimeout = clock.Second / 10 }, func(fleet *simulatedFleet) bool { return fleet.longestOverrepresented > 5*clock.Second }},
+		"no representative":         {func(p *Parameters) { p.SiteRoleDelay = 3600 * clock.Second }, func(fleet *simulatedFleet) bool { return len(fleet.living(representsSite)) == 0 }},
+		"no dissemination":          {func(p *Parameters) { p.PushFanout, p.ExchangePartners = 0, 0 }, func(fleet *simulatedFleet) bool { return !fleet.isConsistent() }},
+		"unknown revision":          {func(p *Parameters) { p.PushFanout, p.ExchangePartners = 0, 0 }, func(fleet *simulatedFleet) bool { return !fleet.isRevisionKnown(1) }},
 	} {
-		w := newWorld(t, 8, 5, 2, 6)
-		x.change(&w.rules)
-		w.startAll(clock.Second)
-		w.run(10 * clock.Second)
-		w.hold(w.nodes[3], 1)
-		w.run(20 * clock.Second)
-		if !x.seen(w) {
-			t.Errorf("the checker does not see %s", what)
+		fleet := newFleet(t, 8, 5, 2, 6)
+		violation.configure(&fleet.parameters)
+		fleet.startAll(clock.Second)
+		fleet.run(10 * clock.Second)
+		fleet.setRevision(fleet.routers[3], 1)
+		fleet.run(20 * clock.Second)
+		if !violation.detected(fleet) {
+			t.Errorf("%s: got no violation detected, want one", name)
 		}
 	}
 }
--- a/core/hierarchy/hierarchy.go
+++ b/core/hierarchy/hierarchy.go
@@ -1,13 +1,21 @@
-// Package hierarchy decides what a router of a tiered fleet knows of the other sites and regions, and what it sends to whom
-// for that. Full membership ends at the site; each site is known to the others of its region by one summary, and each region
-// to the other regions by one. Summaries carry versions, so that they may be lost, doubled, reordered and written by two
-// routers at once, and all routers still come to hold the same.
+// Package hierarchy decides what a router of a tiered fleet knows of other sites and regions, and which datagrams it sends for
+// that. Full membership ends at the site. Elected representatives publish one versioned summary of their site to the other
+// sites of the region, and one of their region to the other regions. Summaries are disseminated by push and by anti-entropy
+// exchanges of digests, so datagrams may be lost, duplicated and reordered, and two routers may publish one summary at a time;
+// all routers converge to the summary with the highest version.
 //
-// The package does no I/O and knows no clock: the time is an argument, in microseconds of a clock that never goes back. It
-// holds no goroutines and no globals. All state and all datagrams are bounded.
+// Package internal/gossip owns a Hierarchy and calls it under its lock: Tick several times a second, Receive for each
+// datagram. This package does no I/O, starts no goroutine and reads no clock: each call is given the current time of a monotonic
+// clock. State and datagrams are bounded in size.
 //
-// The files: table.go holds the summaries of one tier; role.go decides who represents a site and a region; publish.go writes
-// summaries; spread.go chooses who is told what, and when; wire.go is the encoding; status.go is what people are shown.
+//   - election.go: representatives of a site and of a region
+//   - publication.go: writing summaries and heartbeats
+//   - table.go, summary.go: the summaries of one tier
+//   - dissemination.go: push of updates, periodic exchange of digests
+//   - repair.go: received datagrams, and repair of what digests show to be missing
+//   - reconnect.go: contact with routers that do not respond
+//   - encode.go, decode.go: datagrams
+//   - status.go: the state shown to operators
 package hierarchy
 
 import (
@@ -17,137 +25,107 @@
 	"spurtrestle/core/clock"
 )
 
-// Rules are the bounds and spans of a hierarchy.
-type Parameters struct {
-	RepresentativesPerSite int // of a site
-	StandbysPerSite        int // ranks below the representatives that take over after silence alone
-	RepresentingSites      int // sites of a region whose representatives speak for the region
-
-	SilenceTimeout          clock.Time // after which a candidate that was not heard counts as asleep
-	SiteRoleDelay           clock.Time // after a start, before the router represents its site
-	RegionRoleDelay         clock.Time // the same, its region
-	SitePublishInterval     clock.Time // at least, between two versions of a site's summary that a router writes
-	RegionPublishInterval   clock.Time // the same, of a region's
-	TakeoverDelay           clock.Time // a difference that lasts this long for each rank is published by the next in rank
-	SiteHeartbeatInterval   clock.Time // between two signs of life of a site
-	RegionHeartbeatInterval clock.Time // the same, of a region
-
-	PingInterval              clock.Time // between two signs of a representative to the standbys
-	PushInterval              clock.Time // at least, between two pushes
-	ExchangeInterval          clock.Time // between two exchanges of digests, of each kind
-	IsolatedReconnectInterval clock.Time // between two calls to addresses that do not answer, while nobody else is known
-	StartupPeriod             clock.Time // after a start, for which addresses are called as often as while nobody is known, and exchanges are twice as often
-	StaleReconnectInterval    clock.Time // the same, while others are known and some are missed
-	IdleReconnectInterval     clock.Time // the same, while none is missed
-	PushFanout                int        // routers that news is pushed to, on each kind of link
-	ExchangePartners          int        // routers of an exchange, on each kind of link
-
-	StaleAfter  clock.Time // without a sign of life, after which a summary is shown as stale
-	LostAfter   clock.Time // the same, after which its routers count as gone
-	ExpireAfter clock.Time // the same, after which it is dropped
-	SettleAfter clock.Time // without a difference, after which this router is settled
-}
-
-// DefaultRules are those that docs/tiers-design.md gives the reasons for.
-func DefaultParameters() Parameters {
-	return Parameters{
-		RepresentativesPerSite: 2, StandbysPerSite: 3, RepresentingSites: 2,
-		SilenceTimeout: 2500e3, SiteRoleDelay: clock.Second, RegionRoleDelay: 2500e3, SitePublishInterval: clock.Second, RegionPublishInterval: 2 * clock.Second, TakeoverDelay: clock.Second, SiteHeartbeatInterval: 10 * clock.Second, RegionHeartbeatInterval: 20 * clock.Second,
-		PingInterval: clock.Second, PushInterval: 200e3, ExchangeInterval: 2 * clock.Second, IsolatedReconnectInterval: clock.Second, StartupPeriod: 12 * clock.Second, StaleReconnectInterval: 5 * clock.Second, IdleReconnectInterval: 60 * clock.Second, PushFanout: 3, ExchangePartners: 2,
-		StaleAfter: 60 * clock.Second, LostAfter: 180 * clock.Second, ExpireAfter: 24 * 3600 * clock.Second, SettleAfter: 2 * clock.Second,
-	}
-}
-
-// Config is what a router is for all of its life.
+// Config identifies a router. It does not change while the router runs.
 type Config struct {
 	Fleet            string
 	Region           string
 	Site             string
 	Name             string
-	Addr             netip.AddrPort   // where others reach it
-	SeedAddrs        []netip.AddrPort // routers of other sites, to begin with
-	WallClockSeconds uint32           // seconds since 1970 at the time of New; orders summaries of a site that began anew, nothing else
-	RandomSeed       uint64           // of the choice of partners
+	Addr             netip.AddrPort   // at which other routers reach this one
+	SeedAddrs        []netip.AddrPort // of routers of other sites, for the first contact
+	WallClockSeconds uint32           // Unix time at New; orders the summaries of a site that restarted without any state
+	RandomSeed       uint64           // for the choice of partners
 }
 
-// Member is a living router of the own site.
+// Member is a live router of the local site.
 type Member struct {
 	Name      string
 	Addr      netip.AddrPort
-	StartedAt int64 // by its wall clock; orders the routers of a site, nothing else
+	StartedAt int64 // by the member's wall clock; orders the members of a site
 }
 
-// Local is what the router knows of its own site, from its full membership.
+// LocalSite is the state of the local site according to its full membership.
 type LocalSite struct {
-	Members     []Member // that live, this router as well
+	Members     []Member // live routers, including this one; Tick sorts them by age
 	Counts      Counts
 	Digest      uint64 // of the site's membership
-	MinRevision uint64 // revision of the policy that a living router holds
-	MaxRevision uint64 // the same
+	MinRevision uint64 // lowest policy revision at a live router
+	MaxRevision uint64 // highest policy revision at a live router
 }
 
-// Datagram is one that is to be sent. It is never longer than MaxDatagram.
+// Datagram is a message to send. Its body has at most MaxDatagramSize bytes.
 type Datagram struct {
 	To   netip.AddrPort
 	Body []byte
 }
 
-// Hierarchy is one router's knowledge of the tiers. It is not safe for use by several goroutines at once.
+// Hierarchy is one router's knowledge of the tiers. It is not safe for concurrent use.
 type Hierarchy struct {
-	rules  Parameters
-	cfg    Config
-	start  clock.Time
-	now    clock.Time
-	random *rand.Rand
-
-	local  LocalSite
-	ranks  map[netip.AddrPort]int // of the site's living routers
-	silent map[netip.AddrPort]clock.Time
-	role   Role
-	tables [tiers]*table
-
-	published [tiers]publication
-	spread    spread
-	out       []Datagram
-	unlike    clock.Time // when another router was last found to hold something else
-	compared  bool       // with another router
-	dropped   uint64     // datagrams that were not understood, or not answered since too many were
+	parameters Parameters
+	config     Config
+	startedAt  clock.Time
+	now        clock.Time
+	random     *rand.Rand
+
+	localSite      LocalSite
+	ranks          map[netip.AddrPort]int        // of the members of the local site
+	lastReceivedAt map[netip.AddrPort]clock.Time // last datagram from each member of the local site
+	role           Role
+	tables         [tierCount]*table
+
+	publications     [tierCount]publication
+	dissemination    dissemination
+	outgoing         []Datagram
+	lastMismatchAt   clock.Time // when a digest of another router last differed
+	compared         bool       // a digest of another router was received
+	droppedDatagrams uint64     // malformed or foreign ones received, and replies over the limit
 }
 
-// New begins with nothing known.
-func New(now clock.Time, rules Parameters, cfg Config) *Hierarchy {
-	h := &Hierarchy{rules: rules, cfg: cfg, start: now, now: now, random: rand.New(rand.NewPCG(cfg.RandomSeed, 1)),
-		ranks: map[netip.AddrPort]int{}, silent: map[netip.AddrPort]clock.Time{}, unlike: now}
+// New returns a Hierarchy that knows of no other site or region.
+func New(now clock.Time, parameters Parameters, config Config) *Hierarchy {
+	h := &Hierarchy{
+		parameters:     parameters,
+		config:         config,
+		startedAt:      now,
+		now:            now,
+		random:         rand.New(rand.NewPCG(config.RandomSeed, 1)),
+		ranks:          map[netip.AddrPort]int{},
+		lastReceivedAt: map[netip.AddrPort]clock.Time{},
+		lastMismatchAt: now,
+	}
 	h.tables[SiteTier] = newTable(maxSites)
 	h.tables[RegionTier] = newTable(maxRegions)
 	return h
 }
 
-// Step lets time pass and takes in what the site's membership is now. It returns what is to be sent. It is meant to be
-// called some ten times a second.
-func (h *Hierarchy) Tick(now clock.Time, local LocalSite) []Datagram {
-	h.now, h.local = now, local
-	h.assume()
-	h.publish()
-	h.expire()
-	h.push()
-	h.exchange()
-	h.call()
-	out := h.out
-	h.out = nil
-	return out
+// Tick advances the time, replaces the state of the local site and returns the datagrams to send, replies to received
+// datagrams included. The caller calls it several times a second.
+func (h *Hierarchy) Tick(now clock.Time, localSite LocalSite) []Datagram {
+	h.now, h.localSite = now, localSite
+	h.electRoles()
+	h.publishSummaries()
+	h.expireSummaries()
+	h.pushUpdates()
+	h.exchangeDigests()
+	h.reconnect()
+	outgoing := h.outgoing
+	h.outgoing = nil
+	return outgoing
 }
 
-// wall is about the time in seconds since 1970, as far as the start's was right.
-func (h *Hierarchy) wall() uint32 {
-	return h.cfg.WallClockSeconds + uint32((h.now-h.start)/clock.Second)
+// wallClock is the Unix time in seconds, as accurate as Config.WallClockSeconds.
+func (h *Hierarchy) wallClock() uint32 {
+	return h.config.WallClockSeconds + uint32((h.now-h.startedAt)/clock.Second)
 }
 
-func (h *Hierarchy) expire() {
-	for _, t := range h.tables {
-		for key, e := range t.entries {
-			if h.now-e.heard > h.rules.ExpireAfter {
-				t.drop(key)
+// heartbeatAge is the time since a newer heartbeat of the entry was last received or published.
+func (h *Hierarchy) heartbeatAge(e *entry) clock.Duration { return h.now - e.heartbeatAt }
+
+func (h *Hierarchy) expireSummaries() {
+	for _, table := range h.tables {
+		for name, entry := range table.entries {
+			if h.heartbeatAge(entry) > h.parameters.ExpireAfter {
+				table.remove(name)
 			}
 		}
 	}
--- /dev/null
+++ b/core/hierarchy/parameters.go
@@ -0,0 +1,97 @@
+package hierarchy
+
+import "spurtrestle/core/clock"
+
+// Parameters are the sizes and timings of a hierarchy.
+type Parameters struct {
+	RepresentativesPerSite int
+	StandbysPerSite        int // ranks below the representatives that replace unresponsive ones
+	RepresentingSites      int // sites of a region whose representatives also represent the region
+
+	SilenceTimeout          clock.Duration // without a datagram, after which a candidate counts as unresponsive
+	SiteRoleDelay           clock.Duration // from the start until the router may represent its site
+	RegionRoleDelay         clock.Duration // from the start until the router may represent its region
+	SitePublishInterval     clock.Duration // minimum between two versions of the site's summary by one router
+	RegionPublishInterval   clock.Duration // minimum between two versions of the region's summary by one router
+	TakeoverDelay           clock.Duration // for each rank, before a lower rank publishes in place of a higher one
+	SiteHeartbeatInterval   clock.Duration
+	RegionHeartbeatInterval clock.Duration
+
+	PingInterval              clock.Duration // between pings of a representative to the candidates of its site
+	PushInterval              clock.Duration // minimum between two pushes of updates
+	ExchangeInterval          clock.Duration // between two exchanges of digests on a link
+	IsolatedReconnectInterval clock.Duration // while no router of another site or region is known, and during StartupPeriod
+	StartupPeriod             clock.Duration // in which reconnects and exchanges are more frequent
+	StaleReconnectInterval    clock.Duration // while a summary is stale
+	IdleReconnectInterval     clock.Duration // while no summary is stale
+	PushFanout                int            // receivers of a push on each link
+	ExchangePartners          int            // receivers of a digest on each link
+
+	StaleAfter  clock.Duration // without a heartbeat, after which a summary is Stale
+	LostAfter   clock.Duration // without a heartbeat, after which a summary is Lost
+	ExpireAfter clock.Duration // without a heartbeat, after which a summary is removed
+	SettleAfter clock.Duration // without a change or a mismatch, after which this router is settled
+}
+
+const (
+	representativesPerSite = 2
+	standbysPerSite        = 3
+	representingSites      = 2
+
+	silenceTimeout          = 2500 * clock.Millisecond
+	siteRoleDelay           = 1 * clock.Second
+	regionRoleDelay         = 2500 * clock.Millisecond
+	sitePublishInterval     = 1 * clock.Second
+	regionPublishInterval   = 2 * clock.Second
+	takeoverDelay           = 1 * clock.Second
+	siteHeartbeatInterval   = 10 * clock.Second
+	regionHeartbeatInterval = 20 * clock.Second
+
+	pingInterval              = 1 * clock.Second
+	pushInterval              = 200 * clock.Millisecond
+	exchangeInterval          = 2 * clock.Second
+	isolatedReconnectInterval = 1 * clock.Second
+	startupPeriod             = 12 * clock.Second
+	staleReconnectInterval    = 5 * clock.Second
+	idleReconnectInterval     = 60 * clock.Second
+	pushFanout                = 3
+	exchangePartners          = 2
+
+	staleAfter  = 60 * clock.Second
+	lostAfter   = 180 * clock.Second
+	expireAfter = 24 * clock.Hour
+	settleAfter = 2 * clock.Second
+)
+
+// DefaultParameters returns the parameters that docs/tiers-design.md describes.
+func DefaultParameters() Parameters {
+	return Parameters{
+		RepresentativesPerSite: representativesPerSite,
+		StandbysPerSite:        standbysPerSite,
+		RepresentingSites:      representingSites,
+
+		SilenceTimeout:          silenceTimeout,
+		SiteRoleDelay:           siteRoleDelay,
+		RegionRoleDelay:         regionRoleDelay,
+		SitePublishInterval:     sitePublishInterval,
+		RegionPublishInterval:   regionPublishInterval,
+		TakeoverDelay:           takeoverDelay,
+		SiteHeartbeatInterval:   siteHeartbeatInterval,
+		RegionHeartbeatInterval: regionHeartbeatInterval,
+
+		PingInterval:              pingInterval,
+		PushInterval:              pushInterval,
+		ExchangeInterval:          exchangeInterval,
+		IsolatedReconnectInterval: isolatedReconnectInterval,
+		StartupPeriod:             startupPeriod,
+		StaleReconnectInterval:    staleReconnectInterval,
+		IdleReconnectInterval:     idleReconnectInterval,
+		PushFanout:                pushFanout,
+		ExchangePartners:          exchangePartners,
+
+		StaleAfter:  staleAfter,
+		LostAfter:   lostAfter,
+		ExpireAfter: expireAfter,
+		SettleAfter: settleAfter,
+	}
+}
--- a/core/hierarchy/sim_test.go
+++ b/core/hierarchy/sim_test.go
@@ -9,402 +9,436 @@
 	"spurtrestle/core/clock"
 )
 
-// A fleet in virtual time: routers of this package, a network that loses, doubles, reorders and is cut, a membership of each
-// site that finds joins and deaths late, and a checker of what the routers hold.
+// A simulated fleet in virtual time: routers of this package, a network that loses, duplicates, reorders and partitions, a membership of
+// each site that detects joins and failures late, and a checker of the state of the routers.
 
 const (
-	tick      = 10e3 // microseconds
-	stepEvery = 200e3
-	overhead  = 20 + 8 + 2 // IPv4, UDP, and the two bytes by which memberlist and internal/gossip mark a datagram
-	ring      = 1024       // ticks that a datagram may take
+	tickInterval     = 10 * clock.Millisecond  // of the simulation
+	stepInterval     = 200 * clock.Millisecond // between two calls of Tick
+	defaultMaxDelay  = 20 * clock.Millisecond
+	revisionInterval = 6600 * clock.Millisecond // between the 13,000 changes of configuration a day of the target
+	datagramOverhead = 20 + 8 + 2               // IPv4, UDP, and the two bytes by which memberlist and internal/gossip mark a datagram
+	gossipDelay      = 500 * clock.Millisecond  // until the other routers of a site know a new revision
+	inFlightSlots    = 1024                     // longest delivery, in ticks
 )
 
-type node struct {
-	site    *site
-	name    string
-	addr    netip.AddrPort
-	index   int // within its site
-	phase   clock.Time
-	h       *Hierarchy // nil: dead
-	since   clock.Time // alive or dead
-	life    uint64
-	started clock.Time
-	most    uint64     // revision of the policy
-	before  uint64     // the one before
-	held    clock.Time // since when it has most
-	skew    clock.Time // its wall clock's error
-	in      int        // bytes
-	out     int
-	remote  []netip.AddrPort
+type simulatedRouter struct {
+	site             *simulatedSite
+	name             string
+	address          netip.AddrPort
+	index            int // within its site
+	phase            clock.Time
+	hierarchy        *Hierarchy // nil: stopped
+	stateSince       clock.Time // when the router last started or stopped
+	incarnation      uint64
+	startedAt        clock.Time
+	revision         uint64     // of the policy
+	previousRevision uint64     // until revisionAt
+	revisionAt       clock.Time // when revision was set
+	clockSkew        clock.Time // error of its wall clock
+	bytesReceived    int
+	bytesSent        int
+	seedAddrs        []netip.AddrPort
 }
 
-type site struct {
-	name, region string
-	nodes        []*node
-	over         clock.Time // since when it has too many representatives; 0: it has not
-	none         clock.Time // since when it has none though a router lives; 0: it has
+type simulatedSite struct {
+	name, region         string
+	routers              []*simulatedRouter
+	overrepresentedSince clock.Time // 0: not too many representatives
+	unrepresentedSince   clock.Time // 0: represented, or no live router
 }
 
-type flight struct {
-	to   *node
-	body []byte
+type datagramInFlight struct {
+	receiver *simulatedRouter
+	body     []byte
 }
 
-type world struct {
-	t      testing.TB
-	rng    *rand.Rand
-	rules  Parameters
-	now    clock.Time
-	sites  []*site
-	nodes  []*node
-	byAddr map[netip.AddrPort]*node
-	air    [ring][]flight
-
-	lose, double float64
-	delay        clock.Time // at most
-	cut          func(from, to *node) bool
-	least, most  clock.Time // until a death is found by the membership
-
-	falselyLost   int                 // times that a router held a site or region for lost that had a living router, each clock.Second
-	judged        int                 // how often that was looked at
-	longestOver   clock.Time          // that a site had too many representatives
-	longestNone   clock.Time          // that it had none
-	longestFlight int                 // bytes of a datagram
-	sent          [kindRepair + 1]int // bytes of each kind of datagram
+type simulatedFleet struct {
+	t                testing.TB
+	random           *rand.Rand
+	parameters       Parameters
+	now              clock.Time
+	sites            []*simulatedSite
+	routers          []*simulatedRouter
+	routersByAddress map[netip.AddrPort]*simulatedRouter
+	inFlight         [inFlightSlots][]datagramInFlight
+
+	lossRate          float64
+	duplicateRate     float64
+	maxDelay          clock.Duration
+	isCut             func(from, to *simulatedRouter) bool
+	minDeathDetection clock.Duration // until the membership detects a failure
+	maxDeathDetection clock.Duration
+
+	falseLosses            int                 // observations of a lost site or region with a live router
+	checkedStates          int                 // observations
+	longestOverrepresented clock.Duration      // of a site with too many representatives
+	longestUnrepresented   clock.Duration      // of a site without
+	longestDatagram        int                 // in bytes
+	sentByKind             [kindRepair + 1]int // bytes of each kind of datagram
 }
 
-// newWorld makes a fleet of dead routers. The regions have about equally many sites.
-func newWorld(t testing.TB, seed uint64, sites, regions, perSite int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), rules: DefaultParameters(), byAddr: map[netip.AddrPort]*node{}, delay: 20e3,
-		cut: func(_, _ *node) bool { return false }, least: 4e6, most: 7e6}
+// newFleet returns a fleet of stopped routers. The regions have about equally many sites.
+func newFleet(t testing.TB, seed uint64, sites, regions, perSite int) *simulatedFleet {
+	f := &simulatedFleet{
+		t:                 t,
+		random:            rand.New(rand.NewPCG(seed, 7)),
+		parameters:        DefaultParameters(),
+		routersByAddress:  map[netip.AddrPort]*simulatedRouter{},
+		maxDelay:          defaultMaxDelay,
+		isCut:             func(_, _ *simulatedRouter) bool { return false },
+		minDeathDetection: 4 * clock.Second,
+		maxDeathDetection: 7 * clock.Second,
+	}
 	for i := range sites {
-		s := &site{name: fmt.Sprintf("site%03d", i), region: fmt.Sprintf("region%02d", i%regions)}
+		site := &simulatedSite{name: fmt.Sprintf("site%03d", i), region: fmt.Sprintf("region%02d", i%regions)}
 		for j := range perSite {
-			n := &node{site: s, name: fmt.Sprintf("%s-r%02d", s.name, j), index: j, phase: clock.Time(w.rng.IntN(stepEvery/tick)) * tick}
-			n.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), byte(j + 1)}), 7946)
-			s.nodes, w.nodes = append(s.nodes, n), append(w.nodes, n)
-			w.byAddr[n.addr] = n
+			router := &simulatedRouter{site: site, name: fmt.Sprintf("%s-r%02d", site.name, j), index: j, phase: clock.Duration(f.random.IntN(int(stepInterval/tickInterval))) * tickInterval}
+			router.address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), byte(j + 1)}), 7946)
+			site.routers, f.routers = append(site.routers, router), append(f.routers, router)
+			f.routersByAddress[router.address] = router
 		}
-		w.sites = append(w.sites, s)
+		f.sites = append(f.sites, site)
 	}
-	for i, s := range w.sites {
-		for _, n := range s.nodes { // the first router of the own region, and of the next
-			n.remote = []netip.AddrPort{w.sites[i%regions].nodes[0].addr, w.sites[(i%regions+1)%regions].nodes[0].addr}
+	for i, site := range f.sites {
+		for _, router := range site.routers { // seeds: the first router of the own region, and of the next
+			router.seedAddrs = []netip.AddrPort{f.sites[i%regions].routers[0].address, f.sites[(i%regions+1)%regions].routers[0].address}
 		}
 	}
-	return w
+	return f
 }
 
-func (w *world) start(n *node) {
-	n.life++
-	n.since, n.started = w.now, w.now
-	n.h = New(w.now, w.rules, Config{Fleet: "harvest", Region: n.site.region, Site: n.site.name, Name: n.name, Addr: n.addr, SeedAddrs: n.remote,
-		WallClockSeconds: uint32(1.8e9 + float64(w.now+n.skew)/1e6), RandomSeed: w.rng.Uint64()})
+func (f *simulatedFleet) start(router *simulatedRouter) {
+	router.incarnation++
+	router.stateSince, router.startedAt = f.now, f.now
+	router.hierarchy = New(f.now, f.parameters, Config{
+		Fleet:            "harvest",
+		Region:           router.site.region,
+		Site:             router.site.name,
+		Name:             router.name,
+		Addr:             router.address,
+		SeedAddrs:        router.seedAddrs,
+		WallClockSeconds: uint32(1.8e9 + float64(f.now+router.clockSkew)/1e6),
+		RandomSeed:       f.random.Uint64(),
+	})
 }
 
-func (w *world) kill(n *node) { n.h, n.since = nil, w.now }
+func (f *simulatedFleet) kill(router *simulatedRouter) {
+	router.hierarchy, router.stateSince = nil, f.now
+}
 
-// startAll starts all routers over a span.
-func (w *world) startAll(span clock.Time) {
-	begin := map[clock.Time][]*node{}
-	for _, n := range w.nodes {
-		at := clock.Time(w.rng.IntN(int(span/tick))) * tick
-		begin[at] = append(begin[at], n)
+// startAll starts all routers at random times within a period.
+func (f *simulatedFleet) startAll(span clock.Duration) {
+	begin := map[clock.Time][]*simulatedRouter{}
+	for _, router := range f.routers {
+		at := clock.Time(f.random.IntN(int(span/tickInterval))) * tickInterval
+		begin[at] = append(begin[at], router)
 	}
-	for at := clock.Time(0); at < span; at += tick {
-		for _, n := range begin[at] {
-			w.start(n)
+	for at := clock.Time(0); at < span; at += tickInterval {
+		for _, router := range begin[at] {
+			f.start(router)
 		}
-		w.step()
+		f.step()
 	}
 }
 
-// run lets time pass.
-func (w *world) run(span clock.Time) {
-	for end := w.now + span; w.now < end; {
-		w.step()
+// run advances the virtual time.
+func (f *simulatedFleet) run(span clock.Duration) {
+	for end := f.now + span; f.now < end; {
+		f.step()
 	}
 }
 
-func (w *world) step() {
-	w.now += tick
-	slot := &w.air[w.now/tick%ring]
-	for _, f := range *slot {
-		if f.to.h != nil {
-			f.to.in += len(f.body) + overhead
-			f.to.h.Receive(w.now, f.body)
+func (f *simulatedFleet) step() {
+	f.now += tickInterval
+	slot := &f.inFlight[f.now/tickInterval%inFlightSlots]
+	for _, flight := range *slot {
+		if flight.receiver.hierarchy != nil {
+			flight.receiver.bytesReceived += len(flight.body) + datagramOverhead
+			flight.receiver.hierarchy.Receive(f.now, flight.body)
 		}
 	}
 	*slot = (*slot)[:0]
-	for _, n := range w.nodes {
-		if n.h != nil && w.now%stepEvery == n.phase {
-			w.send(n, n.h.Tick(w.now, w.local(n)))
+	for _, router := range f.routers {
+		if router.hierarchy != nil && f.now%stepInterval == router.phase {
+			f.transmit(router, router.hierarchy.Tick(f.now, f.localSite(router)))
 		}
 	}
-	if w.now%stepEvery == 0 {
-		w.checkRoles()
+	if f.now%stepInterval == 0 {
+		f.checkRoles()
 	}
-	if w.now%clock.Second == 0 {
-		w.checkStates()
+	if f.now%clock.Second == 0 {
+		f.checkStates()
 	}
 }
 
-func (w *world) send(from *node, all []Datagram) {
-	for _, d := range all {
-		from.out += len(d.Body) + overhead
-		w.sent[d.Body[0]] += len(d.Body) + overhead
-		w.longestFlight = max(w.longestFlight, len(d.Body))
-		to := w.byAddr[d.To]
-		if to == nil || w.cut(from, to) {
+func (f *simulatedFleet) transmit(from *simulatedRouter, datagrams []Datagram) {
+	for _, datagram := range datagrams {
+		from.bytesSent += len(datagram.Body) + datagramOverhead
+		f.sentByKind[datagram.Body[0]] += len(datagram.Body) + datagramOverhead
+		f.longestDatagram = max(f.longestDatagram, len(datagram.Body))
+		to := f.routersByAddress[datagram.To]
+		if to == nil || f.isCut(from, to) {
 			continue
 		}
-		for range w.copies() {
-			at := w.now + tick + clock.Time(w.rng.Int64N(int64(w.delay)))
-			slot := at / tick % ring
-			w.air[slot] = append(w.air[slot], flight{to, d.Body})
+		for range f.copiesDelivered() {
+			at := f.now + tickInterval + clock.Time(f.random.Int64N(int64(f.maxDelay)))
+			slot := at / tickInterval % inFlightSlots
+			f.inFlight[slot] = append(f.inFlight[slot], datagramInFlight{to, datagram.Body})
 		}
 	}
 }
 
-func (w *world) copies() int {
-	switch x := w.rng.Float64(); {
-	case x < w.lose:
+func (f *simulatedFleet) copiesDelivered() int {
+	draw := f.random.Float64()
+	switch {
+	case draw < f.lossRate:
 		return 0
-	case x < w.lose+w.double:
+	case draw < f.lossRate+f.duplicateRate:
 		return 2
 	}
 	return 1
 }
 
-// local is what a router's membership tells of its site: deaths are found late, and joins a little late, by each router at
-// another time.
-func (w *world) local(n *node) (l LocalSite) {
-	l.Counts.Total = uint32(len(n.site.nodes))
+// localSite returns a router's membership view of its site. Each router detects failures late, and joins a little late, at its own time.
+func (f *simulatedFleet) localSite(router *simulatedRouter) (l LocalSite) {
+	l.Counts.Total = uint32(len(router.site.routers))
 	l.MinRevision = ^uint64(0)
-	for _, m := range n.site.nodes {
-		if !w.sees(n, m) {
+	for _, member := range router.site.routers {
+		if !f.isVisible(router, member) {
 			continue
 		}
-		l.Members = append(l.Members, Member{m.name, m.addr, int64(m.started + m.skew)})
+		l.Members = append(l.Members, Member{member.name, member.address, int64(member.startedAt + member.clockSkew)})
 		l.Counts.Alive++
 		l.Counts.Accepting++
-		l.Digest = mix(mix(l.Digest, uint64(m.index)), m.life)
-		r := m.most
-		if n != m && w.now-m.held < 500e3 { // until the site's gossip has told it
-			r = m.before
+		l.Digest = mixHash(mixHash(l.Digest, uint64(member.index)), member.incarnation)
+		revision := member.revision
+		if router != member && f.now-member.revisionAt < gossipDelay {
+			revision = member.previousRevision
 		}
-		l.MinRevision, l.MaxRevision = min(l.MinRevision, r), max(l.MaxRevision, r)
+		l.MinRevision, l.MaxRevision = min(l.MinRevision, revision), max(l.MaxRevision, revision)
 	}
 	return l
 }
 
-func (w *world) sees(n, m *node) bool {
-	if n == m {
+func (f *simulatedFleet) isVisible(router, member *simulatedRouter) bool {
+	if router == member {
 		return true
 	}
-	if m.life == 0 {
+	if member.incarnation == 0 {
 		return false
 	}
-	chance := clock.Time(mix(mix(uint64(n.index), uint64(m.index)), m.life) % 1000)
-	if m.h == nil {
-		return w.now-m.since < w.least+(w.most-w.least)*chance/1000
+	delay := clock.Time(mixHash(mixHash(uint64(router.index), uint64(member.index)), member.incarnation) % 1000)
+	if member.hierarchy == nil {
+		return f.now-member.stateSince < f.minDeathDetection+(f.maxDeathDetection-f.minDeathDetection)*delay/1000
 	}
-	return w.now-m.since > 100e3+500*chance
+	return f.now-member.stateSince > 100*clock.Millisecond+500*delay
 }
 
-// checkRoles judges who represents the sites.
-func (w *world) checkRoles() {
-	for _, s := range w.sites {
-		representatives, living := 0, 0
-		for _, n := range s.nodes {
-			if n.h == nil {
+// checkRoles records for how long sites have had too many representatives or none.
+func (f *simulatedFleet) checkRoles() {
+	for _, site := range f.sites {
+		representatives, established := 0, 0
+		for _, router := range site.routers {
+			if router.hierarchy == nil {
 				continue
 			}
-			if w.now-n.since > w.rules.SiteRoleDelay+clock.Second {
-				living++
+			if f.now-router.stateSince > f.parameters.SiteRoleDelay+clock.Second {
+				established++
 			}
-			if n.h.Role().RepresentsSite {
+			if router.hierarchy.Role().RepresentsSite {
 				representatives++
 			}
 		}
-		w.longestOver = max(w.longestOver, w.lasts(&s.over, representatives > w.rules.RepresentativesPerSite))
-		w.longestNone = max(w.longestNone, w.lasts(&s.none, representatives == 0 && living > 0))
+		f.longestOverrepresented = max(f.longestOverrepresented, f.durationSince(&site.overrepresentedSince, representatives > f.parameters.RepresentativesPerSite))
+		f.longestUnrepresented = max(f.longestUnrepresented, f.durationSince(&site.unrepresentedSince, representatives == 0 && established > 0))
 	}
 }
 
-// checkStates judges what the routers hold for lost.
-func (w *world) checkStates() {
-	lives := map[string]bool{}
-	for _, n := range w.living(func(n *node) bool { return w.now-n.since > 10*clock.Second }) {
-		lives[n.site.name], lives[n.site.region] = true, true
-	}
-	for _, n := range w.living(func(n *node) bool { return w.now-n.since > 10*clock.Second }) {
-		for _, t := range n.h.tables {
-			for _, e := range t.entries {
-				w.judged++
-				if lives[e.Name] && n.h.state(e) == Lost {
-					w.falselyLost++
+// checkStates counts sites and regions that a router holds for lost although a router of them is alive.
+func (f *simulatedFleet) checkStates() {
+	isAlive := map[string]bool{}
+	established := f.living(func(router *simulatedRouter) bool { return f.now-router.stateSince > 10*clock.Second })
+	for _, router := range established {
+		isAlive[router.site.name], isAlive[router.site.region] = true, true
+	}
+	for _, router := range established {
+		for _, table := range router.hierarchy.tables {
+			for _, entry := range table.entries {
+				f.checkedStates++
+				if isAlive[entry.Name] && router.hierarchy.summaryState(entry) == Lost {
+					f.falseLosses++
 				}
 			}
 		}
 	}
 }
 
-// lasts is for how long something has been so.
-func (w *world) lasts(since *clock.Time, so bool) clock.Time {
-	if !so {
+// durationSince returns for how long a condition has held, and keeps in since when it began.
+func (f *simulatedFleet) durationSince(since *clock.Time, holds bool) clock.Duration {
+	if !holds {
 		*since = 0
 		return 0
 	}
 	if *since == 0 {
-		*since = w.now
+		*since = f.now
 	}
-	return w.now - *since
+	return f.now - *since
 }
 
-// until is the time that passes until something is so; it fails after a limit.
-func (w *world) until(what string, limit clock.Time, so func() bool) clock.Time {
-	w.t.Helper()
-	began := w.now
-	for !so() {
-		if w.now-began >= limit {
-			w.t.Errorf("after %d s not %s: %s", limit/clock.Second, what, w.odd())
-			return w.now - began
+// waitUntil returns the time that passes until a condition holds. It fails the test after a limit.
+func (f *simulatedFleet) waitUntil(condition string, limit clock.Duration, holds func() bool) clock.Duration {
+	f.t.Helper()
+	began := f.now
+	for !holds() {
+		if f.now-began >= limit {
+			f.t.Errorf("not %s after %d s: %s", condition, limit/clock.Second, f.inconsistency())
+			return f.now - began
 		}
-		w.run(stepEvery)
+		f.run(stepInterval)
 	}
-	return w.now - began
+	return f.now - began
 }
 
-// agreed tells whether all living routers hold the same: of the regions in the fleet, of the sites in each region.
-func (w *world) agreed() bool { return w.odd() == "" }
+// isConsistent reports whether all live routers of a region know the same sites, and all of the fleet the same regions.
+func (f *simulatedFleet) isConsistent() bool { return f.inconsistency() == "" }
 
-// odd tells of one that does not.
-func (w *world) odd() string {
+// inconsistency describes a difference between two routers; empty if there is none.
+func (f *simulatedFleet) inconsistency() string {
 	var regions uint64
-	var first *node
+	var first *simulatedRouter
 	sites := map[string]uint64{}
-	for _, n := range w.nodes {
-		if n.h == nil {
+	for _, router := range f.routers {
+		if router.hierarchy == nil {
 			continue
 		}
-		s, r := n.h.Digests()
+		siteDigest, regionDigest := router.hierarchy.Digests()
 		if first == nil {
-			first, regions = n, r
+			first, regions = router, regionDigest
 		}
-		if was, known := sites[n.site.region]; known && was != s {
-			return fmt.Sprintf("%s differs on the sites of its region", n.name)
+		if was, known := sites[router.site.region]; known && was != siteDigest {
+			return fmt.Sprintf("%s differs on the sites of its region", router.name)
 		}
-		sites[n.site.region] = s
-		if r != regions {
-			return fmt.Sprintf("%s and %s differ on the regions", n.name, first.name)
+		sites[router.site.region] = siteDigest
+		if regionDigest != regions {
+			return fmt.Sprintf("%s and %s differ on the regions", router.name, first.name)
 		}
 	}
-	return w.wrong(first)
+	return f.regionMiscount(first)
 }
 
-// wrong tells what one router holds for so that is not.
-func (w *world) wrong(first *node) string {
+// regionMiscount describes a region whose number of live routers a router has wrong; empty if there is none.
+func (f *simulatedFleet) regionMiscount(first *simulatedRouter) string {
 	alive := map[string]uint32{}
-	for _, n := range w.nodes {
-		if n.h != nil {
-			alive[n.site.region]++
+	for _, router := range f.routers {
+		if router.hierarchy != nil {
+			alive[router.site.region]++
 		}
 	}
 	if first == nil {
-		return "no router lives"
+		return "no live router"
 	}
-	for region, n := range alive {
-		e := first.h.tables[RegionTier].entries[keyOf(region)]
-		if e == nil || e.Counts.Alive != n {
-			return fmt.Sprintf("%s does not know of %d alive in %s: %+v", first.name, n, region, e)
+	for region, want := range alive {
+		entry := first.hierarchy.tables[RegionTier].entries[hashName(region)]
+		if entry == nil || entry.Counts.Alive != want {
+			return fmt.Sprintf("%s on live routers of %s: got %+v, want %d", first.name, region, entry, want)
 		}
 	}
 	return ""
 }
 
-// settled tells whether all agree and say so.
-func (w *world) settled() bool {
-	for _, n := range w.nodes {
-		if n.h != nil && !n.h.Settled(w.now) {
+// isSettled reports whether all routers are consistent and report themselves settled.
+func (f *simulatedFleet) isSettled() bool {
+	for _, router := range f.routers {
+		if router.hierarchy != nil && !router.hierarchy.Settled(f.now) {
 			return false
 		}
 	}
-	return w.agreed()
+	return f.isConsistent()
 }
 
-// living are those that serve; of a kind, where that is asked.
-func (w *world) living(ok func(*node) bool) (all []*node) {
-	for _, n := range w.nodes {
-		if n.h != nil && ok(n) {
-			all = append(all, n)
+// living returns the live routers that match a condition.
+func (f *simulatedFleet) living(ok func(*simulatedRouter) bool) (all []*simulatedRouter) {
+	for _, router := range f.routers {
+		if router.hierarchy != nil && ok(router) {
+			all = append(all, router)
 		}
 	}
 	return all
 }
 
-// hold has a router hold a revision.
-func (w *world) hold(n *node, revision uint64) { n.before, n.most, n.held = n.most, revision, w.now }
+// setRevision gives a router a new policy revision.
+func (f *simulatedFleet) setRevision(router *simulatedRouter, revision uint64) {
+	router.previousRevision, router.revision, router.revisionAt = router.revision, revision, f.now
+}
 
-func ordinary(n *node) bool { return !n.h.Role().RepresentsSite && n.h.Role().Rank >= 0 }
+func hasNoRole(router *simulatedRouter) bool {
+	return !router.hierarchy.Role().RepresentsSite && router.hierarchy.Role().Rank >= 0
+}
 
-func represents(n *node) bool { return n.h.Role().RepresentsSite }
+func representsSite(router *simulatedRouter) bool { return router.hierarchy.Role().RepresentsSite }
 
-func (w *world) pick(all []*node) *node { return all[w.rng.IntN(len(all))] }
+func (f *simulatedFleet) pick(all []*simulatedRouter) *simulatedRouter {
+	return all[f.random.IntN(len(all))]
+}
 
-// known tells whether all living routers that have been there for a while know of a revision.
-func (w *world) known(revision uint64) bool {
-	for _, n := range w.nodes {
-		if n.h != nil && w.now-n.since > 5*clock.Second && n.h.NewestRevision() < revision {
+// isRevisionKnown reports whether all routers that have been alive for five seconds know a revision.
+func (f *simulatedFleet) isRevisionKnown(revision uint64) bool {
+	for _, router := range f.routers {
+		if router.hierarchy != nil && f.now-router.stateSince > 5*clock.Second && router.hierarchy.NewestRevision() < revision {
 			return false
 		}
 	}
 	return true
 }
 
-// oldest is the greatest age of a summary at any router.
-func (w *world) oldest() (most clock.Time) {
-	for _, n := range w.living(func(*node) bool { return true }) {
-		for _, t := range n.h.tables {
-			for _, e := range t.entries {
-				most = max(most, w.now-e.heard)
+// oldestHeartbeat returns the greatest age of a heartbeat at any router.
+func (f *simulatedFleet) oldestHeartbeat() (oldest clock.Duration) {
+	for _, router := range f.living(func(*simulatedRouter) bool { return true }) {
+		for _, table := range router.hierarchy.tables {
+			for _, entry := range table.entries {
+				oldest = max(oldest, f.now-entry.heartbeatAt)
 			}
 		}
 	}
-	return most
+	return oldest
 }
 
-// rates logs bytes a second since the last call, in and out together, by role, and returns the most.
-func (w *world) rates(span clock.Time) (most float64) {
-	for role, ok := range map[string]func(*node) bool{"router": ordinary, "site's representative": forSite, "region's representative": forRegion} {
-		sum, top, all := 0.0, 0.0, w.living(ok)
-		for _, n := range all {
-			rate := float64(n.in+n.out) * 1e6 / float64(span)
+// logRates logs the bytes per second since resetCounters, received and sent together, by role, and returns the highest rate.
+func (f *simulatedFleet) logRates(span clock.Duration) (highest float64) {
+	for role, ok := range map[string]func(*simulatedRouter) bool{"router": hasNoRole, "site's representative": representsOnlySite, "region's representative": representsRegion} {
+		sum, top, all := 0.0, 0.0, f.living(ok)
+		for _, router := range all {
+			rate := float64(router.bytesReceived+router.bytesSent) * 1e6 / float64(span)
 			sum, top = sum+rate, max(top, rate)
 		}
-		most = max(most, top)
-		w.t.Logf("%d of %s: %.0f B/s, %.0f at most", len(all), role, sum/float64(max(1, len(all))), top)
+		highest = max(highest, top)
+		f.t.Logf("%d of %s: %.0f B/s, %.0f at most", len(all), role, sum/float64(max(1, len(all))), top)
 	}
-	w.t.Logf("bytes a clock.Second sent by a router, by kind: %v", w.mix(span))
-	w.forget()
-	return most
+	f.t.Logf("bytes per second sent by a router, by kind: %v", f.ratesByKind(span))
+	f.resetCounters()
+	return highest
 }
 
-func forSite(n *node) bool { return n.h.Role().RepresentsSite && !n.h.Role().RepresentsRegion }
+func representsOnlySite(router *simulatedRouter) bool {
+	return router.hierarchy.Role().RepresentsSite && !router.hierarchy.Role().RepresentsRegion
+}
 
-func forRegion(n *node) bool { return n.h.Role().RepresentsRegion }
+func representsRegion(router *simulatedRouter) bool { return router.hierarchy.Role().RepresentsRegion }
 
-// mix is what a router sends a second of each kind, on average.
-func (w *world) mix(span clock.Time) (all []int) {
-	for _, n := range w.sent {
-		all = append(all, int(float64(n)*1e6/float64(span)/float64(len(w.nodes))))
+// ratesByKind returns the average bytes per second that a router sends of each kind of datagram.
+func (f *simulatedFleet) ratesByKind(span clock.Duration) (all []int) {
+	for _, n := range f.sentByKind {
+		all = append(all, int(float64(n)*1e6/float64(span)/float64(len(f.routers))))
 	}
 	return all
 }
 
-func (w *world) forget() {
-	for _, n := range w.nodes {
-		n.in, n.out = 0, 0
+func (f *simulatedFleet) resetCounters() {
+	for _, router := range f.routers {
+		router.bytesReceived, router.bytesSent = 0, 0
 	}
-	w.sent = [kindRepair + 1]int{}
+	f.sentByKind = [kindRepair + 1]int{}
 }
+
+func seconds(d clock.Duration) float64 { return float64(d) / float64(clock.Second) }
--- a/core/hierarchy/status.go
+++ b/core/hierarchy/status.go
@@ -7,119 +7,147 @@
 	"spurtrestle/core/clock"
 )
 
-// State is what a summary's age makes of it.
+// State classifies a summary by the age of its last heartbeat.
 type State uint8
 
 // The states of a summary.
 const (
 	Fresh State = iota
-	Stale       // no sign of life for Rules.Stale; its routers still count
-	Lost        // none for Rules.Lost; its routers count as gone
+	Stale       // no heartbeat for Parameters.StaleAfter; its routers still count
+	Lost        // no heartbeat for Parameters.LostAfter; its routers count as failed
 )
 
 func (s State) String() string { return [...]string{"fresh", "stale", "lost"}[min(s, Lost)] }
 
-// MarshalText writes a state as people read it.
+// MarshalText implements encoding.TextMarshaler.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads one.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *State) UnmarshalText(text []byte) error {
-	for x := Fresh; x <= Lost; x++ {
-		if x.String() == string(text) {
-			*s = x
+	for state := Fresh; state <= Lost; state++ {
+		if state.String() == string(text) {
+			*s = state
 			return nil
 		}
 	}
 	return fmt.Errorf("%q is none of fresh, stale, lost", text)
 }
 
-func (h *Hierarchy) state(e *entry) State {
-	switch age := h.now - e.heard; {
-	case age > h.rules.LostAfter:
-		return Lost
-	case age > h.rules.StaleAfter:
-		return Stale
-	}
-	return Fresh
-}
-
-// Group is a site or a region as it is shown.
+// GroupStatus is the state of a site or a region as shown to operators.
 type GroupStatus struct {
-	Name            string     `json:"name"`
-	State           State      `json:"state"`
-	Age             clock.Time `json:"age"` // since its last sign of life was heard
-	Counts                     // the last that were told
-	SiteCount       uint32     `json:"sites,omitempty"`      // of a region
-	LostSites       uint32     `json:"sites_lost,omitempty"` // of a region
-	MinRevision     uint64     `json:"least_policy_revision"`
-	MaxRevision     uint64     `json:"greatest_policy_revision"`
-	Version         string     `json:"version"`
-	Digest          string     `json:"digest"`
-	Representatives []string   `json:"representatives"`
+	Name            string         `json:"name"`
+	State           State          `json:"state"`
+	Age             clock.Duration `json:"age"` // of its last heartbeat
+	Counts                         // of its last summary
+	SiteCount       uint32         `json:"sites,omitempty"`      // of a region
+	LostSites       uint32         `json:"sites_lost,omitempty"` // of a region
+	MinRevision     uint64         `json:"least_policy_revision"`
+	MaxRevision     uint64         `json:"greatest_policy_revision"`
+	Version         string         `json:"version"`
+	Digest          string         `json:"digest"`
+	Representatives []string       `json:"representatives"`
 }
 
-// Status is what a router knows of the tiers, as people are shown it.
+// Status is a router's knowledge of the tiers as shown to operators.
 type Status struct {
 	Region           string        `json:"region"`
 	Site             string        `json:"site"`
 	RepresentsSite   bool          `json:"represents_site"`
 	RepresentsRegion bool          `json:"represents_region"`
 	Settled          bool          `json:"settled"`
-	NewestRevision   uint64        `json:"newest_policy_revision"` // that any summary which is not lost tells of
-	SitesDigest      string        `json:"sites_digest"`           // the same at all routers of a region that know the same
-	RegionsDigest    string        `json:"regions_digest"`         // the same at all routers that know the same
+	NewestRevision   uint64        `json:"newest_policy_revision"`
+	SitesDigest      string        `json:"sites_digest"`   // equal at all routers of a region with equal knowledge
+	RegionsDigest    string        `json:"regions_digest"` // equal at all routers of the fleet with equal knowledge
 	Sites            []GroupStatus `json:"sites"`
 	Regions          []GroupStatus `json:"regions"`
 	DatagramsDropped uint64        `json:"datagrams_dropped"`
 }
 
-// Status is what is known as of a time.
+// Status returns the state as of now.
 func (h *Hierarchy) Status(now clock.Time) Status {
 	h.now = max(h.now, now)
-	s := Status{Region: h.cfg.Region, Site: h.cfg.Site, RepresentsSite: h.role.RepresentsSite, RepresentsRegion: h.role.RepresentsRegion,
-		Settled: h.Settled(now), NewestRevision: h.NewestRevision(), DatagramsDropped: h.dropped,
-		SitesDigest: hex(h.tables[SiteTier].sum()), RegionsDigest: hex(h.tables[RegionTier].sum()), Sites: h.groups(SiteTier), Regions: h.groups(RegionTier)}
-	return s
+	sitesDigest, regionsDigest := h.Digests()
+	return Status{
+		Region:           h.config.Region,
+		Site:             h.config.Site,
+		RepresentsSite:   h.role.RepresentsSite,
+		RepresentsRegion: h.role.RepresentsRegion,
+		Settled:          h.Settled(now),
+		NewestRevision:   h.NewestRevision(),
+		SitesDigest:      formatHex(sitesDigest),
+		RegionsDigest:    formatHex(regionsDigest),
+		Sites:            h.groupStatuses(SiteTier),
+		Regions:          h.groupStatuses(RegionTier),
+		DatagramsDropped: h.droppedDatagrams,
+	}
 }
 
-// Settled tells whether this router knows of its own site and region, and nothing has changed or differed from what others
-// hold for a while.
+// Settled reports whether this router knows its own site and region, and for Parameters.SettleAfter no summary has changed and
+// no digest of another router has differed.
 func (h *Hierarchy) Settled(now clock.Time) bool {
 	h.now = max(h.now, now)
-	for tier, own := range []string{h.cfg.Site, h.cfg.Region} {
-		if h.tables[tier].entries[keyOf(own)] == nil || h.now-h.spread.changed[tier] < h.rules.SettleAfter {
+	for tier := range tierCount {
+		ownEntry := h.tables[tier].entries[hashName(h.ownName(tier))]
+		sinceChange := h.now - h.dissemination.changedAt[tier]
+		if ownEntry == nil || sinceChange < h.parameters.SettleAfter {
 			return false
 		}
 	}
-	return h.now-h.unlike >= h.rules.SettleAfter && (h.compared || len(h.local.Members) == 1)
+	hasComparison := h.compared || len(h.localSite.Members) == 1
+	return hasComparison && h.now-h.lastMismatchAt >= h.parameters.SettleAfter
 }
 
-// Newest is the highest revision of the policy that is told of by this router's site or any summary that is not lost.
-func (h *Hierarchy) NewestRevision() uint64 { return max(h.local.MaxRevision, h.told()) }
+// NewestRevision returns the highest policy revision of the local site and of all summaries that are not lost.
+func (h *Hierarchy) NewestRevision() uint64 {
+	return max(h.localSite.MaxRevision, h.maxPublishedRevision())
+}
 
-// told is the highest revision of the policy that any summary which is not lost tells of.
-func (h *Hierarchy) told() (newest uint64) {
-	for _, t := range h.tables {
-		newest = max(newest, t.newest(h.now, h.rules.LostAfter))
+// maxPublishedRevision returns the highest policy revision of all summaries that are not lost.
+func (h *Hierarchy) maxPublishedRevision() (revision uint64) {
+	for _, table := range h.tables {
+		revision = max(revision, table.maxRevision(h.now, h.parameters.LostAfter))
 	}
-	return newest
+	return revision
 }
 
-// Digests are over the versions held of sites and of regions.
+// Digests returns digests over the versions of the summaries of sites and of regions.
 func (h *Hierarchy) Digests() (sites, regions uint64) {
-	return h.tables[SiteTier].sum(), h.tables[RegionTier].sum()
+	return h.tables[SiteTier].versionDigest(), h.tables[RegionTier].versionDigest()
 }
 
-func (h *Hierarchy) groups(tier Tier) (all []GroupStatus) {
-	for _, e := range h.tables[tier].byName() {
-		g := GroupStatus{Name: e.Name, State: h.state(e), Age: h.now - e.heard, Counts: e.Counts, SiteCount: e.SiteCount, LostSites: e.LostSites, MinRevision: e.MinRevision,
-			MaxRevision: e.MaxRevision, Version: hex(uint64(e.Version)), Digest: hex(e.Digest), Representatives: []string{}}
-		for _, a := range e.Representatives {
-			g.Representatives = append(g.Representatives, a.String())
+func (h *Hierarchy) summaryState(entry *entry) State {
+	age := h.heartbeatAge(entry)
+	switch {
+	case age > h.parameters.LostAfter:
+		return Lost
+	case age > h.parameters.StaleAfter:
+		return Stale
+	default:
+		return Fresh
+	}
+}
+
+func (h *Hierarchy) groupStatuses(tier Tier) (groups []GroupStatus) {
+	for _, entry := range h.tables[tier].entriesByName() {
+		group := GroupStatus{
+			Name:            entry.Name,
+			State:           h.summaryState(entry),
+			Age:             h.heartbeatAge(entry),
+			Counts:          entry.Counts,
+			SiteCount:       entry.SiteCount,
+			LostSites:       entry.LostSites,
+			MinRevision:     entry.MinRevision,
+			MaxRevision:     entry.MaxRevision,
+			Version:         formatHex(uint64(entry.Version)),
+			Digest:          formatHex(entry.Digest),
+			Representatives: []string{},
+		}
+		for _, addr := range entry.Representatives {
+			group.Representatives = append(group.Representatives, addr.String())
 		}
-		all = append(all, g)
+		groups = append(groups, group)
 	}
-	return all
+	return groups
 }
 
-func hex(n uint64) string { return strconv.FormatUint(n, 16) }
+func formatHex(value uint64) string { return strconv.FormatUint(value, 16) }
--- /dev/null
+++ b/core/hierarchy/summary.go
@@ -0,0 +1,68 @@
+package hierarchy
+
+import (
+	"hash/fnv"
+	"net/netip"
+)
+
+// Tier is the kind of group that a summary describes.
+type Tier uint8
+
+// The tiers. The numbers are part of datagrams.
+const (
+	SiteTier   Tier = iota // sites of the local region
+	RegionTier             // all regions
+	tierCount
+)
+
+// Counts are numbers of routers.
+type Counts struct {
+	Alive     uint32 `json:"alive"`
+	Accepting uint32 `json:"takes_clients"` // alive and accepting clients
+	Total     uint32 `json:"of"`            // including failed ones that are still known
+}
+
+// Summary describes a site or a region to routers outside it. Of two summaries of one name the one with the higher version is
+// current.
+type Summary struct {
+	Name            string
+	Version         Version
+	Counts          Counts
+	SiteCount       uint32 // of a region
+	LostSites       uint32 // of a region
+	Digest          uint64 // of a site: of its membership; of a region: over its sites' digests
+	Representatives []netip.AddrPort
+}
+
+// Version orders the summaries of one name. From the high bits down: 32 bits of wall clock at which the sequence of versions
+// began, 16 bits of counter, 16 bits that identify the writer. A counter overflow carries into the clock's bits and keeps the
+// order.
+type Version uint64
+
+const (
+	wallClockShift = 32
+	writerBits     = 16
+)
+
+// next returns the version after v by a writer, at least that of a sequence that begins at wallClock.
+func (v Version) next(wallClock uint32, writer uint16) Version {
+	base := max(v, Version(wallClock)<<wallClockShift)
+	return (base>>writerBits+1)<<writerBits | Version(writer)
+}
+
+// Heartbeat shows that a site or region is alive, and carries the state that changes too often for a version of its own. The
+// heartbeat with the highest sequence number is current.
+type Heartbeat struct {
+	Sequence    uint32 // rises with the wall clock
+	MinRevision uint64 // lowest policy revision at a live router
+	MaxRevision uint64 // highest policy revision at a live router
+}
+
+// nameHash identifies a site or region in frequent datagrams.
+type nameHash uint32
+
+func hashName(name string) nameHash {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(name)) // a hash's Write never fails
+	return nameHash(hash.Sum32())
+}
--- a/core/hierarchy/table.go
+++ b/core/hierarchy/table.go
@@ -2,203 +2,152 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"iter"
 	"math/rand/v2"
-	"net/netip"
 	"slices"
 
 	"spurtrestle/core/clock"
 )
 
-// Tier is a kind of summary.
-type Tier uint8
-
-// A router holds one table for each tier.
-const (
-	SiteTier   Tier = iota // of the own region
-	RegionTier             // all
-	tiers
-)
-
-// Bounds of what is held and read.
+// Bounds of a table and of a summary.
 const (
 	maxSites           = 512
 	maxRegions         = 256
-	maxName            = 60
+	maxNameLength      = 60
 	maxRepresentatives = 4
 )
 
-// Counts are of routers.
-type Counts struct {
-	Alive     uint32 `json:"alive"`
-	Accepting uint32 `json:"takes_clients"`
-	Total     uint32 `json:"of"`
-}
-
-// Summary is what others are told of a site or of a region. Of two of one name the one of the higher version holds.
-type Summary struct {
-	Name                 string
-	Version              Version
-	Counts               Counts
-	SiteCount, LostSites uint32 // of a region: its sites, and those of them that are lost
-	Digest               uint64 // of the site's membership; of a region: over its sites
-	Representatives      []netip.AddrPort
-}
-
-// Version orders the summaries of one name: 32 bits of the wall clock at which the line of versions began, 16 of a count, and
-// 16 that tell writers apart. A count that overflows goes on into the clock's bits, which keeps the order.
-type Version uint64
-
-const writerBits = 16
-
-// next is the version after this one, no lower than one that begins at a wall time.
-func (v Version) next(wall uint32, writer uint16) Version {
-	v = max(v, Version(wall)<<32)
-	return (v>>writerBits+1)<<writerBits | Version(writer)
-}
-
-// Beat is a sign of life of a site or a region, with what changes too often for a version. Of two the one of the higher
-// count holds.
-type Heartbeat struct {
-	Sequence                 uint32
-	MinRevision, MaxRevision uint64 // revisions of the policy that its routers hold
-}
-
-// key stands for a name in what is sent often.
-type key uint32
-
-func keyOf(name string) key {
-	sum := fnv.New32a()
-	_, _ = sum.Write([]byte(name)) // it cannot fail
-	return key(sum.Sum32())
-}
-
-// entry is a summary as it is held.
+// entry is a summary in a table.
 type entry struct {
 	Summary
 	Heartbeat
-	heard clock.Time // when Beat.Count last rose
+	heartbeatAt clock.Time // when Heartbeat.Sequence last rose
 }
 
 // table holds the summaries of one tier.
 type table struct {
 	limit   int
-	entries map[key]*entry
-	sorted  []key  // of entries; nil: not made yet
-	digest  uint64 // over the versions held; made with sorted
+	entries map[nameHash]*entry
+	sorted  []nameHash // cached keys of entries; nil: to be computed
+	digest  uint64     // over the names and versions; valid with sorted
 }
 
-func newTable(limit int) *table { return &table{limit: limit, entries: map[key]*entry{}} }
+func newTable(limit int) *table { return &table{limit: limit, entries: map[nameHash]*entry{}} }
 
-// merge takes a summary in. It tells whether that is news.
-func (t *table) merge(now clock.Time, s Summary, b Heartbeat) bool {
-	k := keyOf(s.Name)
-	e := t.entries[k]
-	if e == nil {
+// merge stores the summary and the heartbeat where they are newer than the stored ones, and reports whether the summary was. A
+// full table accepts no new name, and of two names with one hash the first stays.
+func (t *table) merge(now clock.Time, summary Summary, heartbeat Heartbeat) bool {
+	name := hashName(summary.Name)
+	current := t.entries[name]
+	if current == nil {
 		if len(t.entries) >= t.limit {
 			return false
 		}
-		t.entries[k] = &entry{s, b, now}
+		t.entries[name] = &entry{Summary: summary, Heartbeat: heartbeat, heartbeatAt: now}
 		t.sorted = nil
 		return true
 	}
-	if e.Name != s.Name {
-		return false // two names of one key; the first is kept
+	if current.Name != summary.Name {
+		return false
 	}
-	t.beat(now, k, b)
-	if s.Version <= e.Version {
+	t.recordHeartbeat(now, name, heartbeat)
+	if summary.Version <= current.Version {
 		return false
 	}
-	e.Summary = s
+	current.Summary = summary
 	t.sorted = nil
 	return true
 }
 
-// beat takes a sign of life in. It tells whether that is news.
-func (t *table) beat(now clock.Time, k key, b Heartbeat) bool {
-	e := t.entries[k]
-	if e == nil || b.Sequence <= e.Heartbeat.Sequence {
+// recordHeartbeat stores a heartbeat of a known name and reports whether it was newer than the stored one.
+func (t *table) recordHeartbeat(now clock.Time, name nameHash, heartbeat Heartbeat) bool {
+	current := t.entries[name]
+	if current == nil || heartbeat.Sequence <= current.Sequence {
 		return false
 	}
-	e.Heartbeat, e.heard = b, now
+	current.Heartbeat, current.heartbeatAt = heartbeat, now
 	return true
 }
 
-func (t *table) drop(k key) {
-	delete(t.entries, k)
+func (t *table) remove(name nameHash) {
+	delete(t.entries, name)
 	t.sorted = nil
 }
 
-// keys are those of all entries, in order.
-func (t *table) keys() []key {
+// sortedKeys returns the keys of all entries in ascending order.
+func (t *table) sortedKeys() []nameHash {
 	if t.sorted != nil {
 		return t.sorted
 	}
-	t.sorted = make([]key, 0, len(t.entries))
-	for k := range t.entries {
-		t.sorted = append(t.sorted, k)
+	t.sorted = make([]nameHash, 0, len(t.entries))
+	for name := range t.entries {
+		t.sorted = append(t.sorted, name)
 	}
 	slices.Sort(t.sorted)
 	t.digest = 0
-	for _, k := range t.sorted {
-		t.digest = mix(mix(t.digest, uint64(k)), uint64(t.entries[k].Version))
+	for _, name := range t.sorted {
+		t.digest = mixHash(mixHash(t.digest, uint64(name)), uint64(t.entries[name].Version))
 	}
 	return t.sorted
 }
 
-// keysFrom are all keys, beginning at a random one.
-func (t *table) keysFrom(random *rand.Rand) iter.Seq[key] {
-	return func(yield func(key) bool) {
-		keys := t.keys()
+// keysFromRandom iterates over all keys in ascending order, cyclically from a random one.
+func (t *table) keysFromRandom(random *rand.Rand) iter.Seq[nameHash] {
+	return func(yield func(nameHash) bool) {
+		keys := t.sortedKeys()
 		if len(keys) == 0 {
 			return
 		}
-		for i, begin := 0, random.IntN(len(keys)); i < len(keys) && yield(keys[(begin+i)%len(keys)]); i++ {
+		first := random.IntN(len(keys))
+		for i := range keys {
+			if !yield(keys[(first+i)%len(keys)]) {
+				return
+			}
 		}
 	}
 }
 
-// sum is the digest over all versions held: two tables with the same summaries have the same one.
-func (t *table) sum() uint64 {
-	t.keys()
+// versionDigest returns a digest over the names and versions of all entries. Tables with equal summaries have equal digests.
+func (t *table) versionDigest() uint64 {
+	t.sortedKeys()
 	return t.digest
 }
 
-// mix is a step of a 64-bit hash (the finalizer of splitmix64).
-func mix(sum, value uint64) uint64 {
-	x := sum*0x9e3779b97f4a7c15 + value + 0x9e3779b97f4a7c15
+// mixHash adds a value to a 64-bit hash (the finalizer of splitmix64).
+func mixHash(hash, value uint64) uint64 {
+	x := hash*0x9e3779b97f4a7c15 + value + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// newest is the highest revision of the policy that any entry not lost tells of.
-func (t *table) newest(now, lost clock.Time) (most uint64) {
-	for _, e := range t.entries {
-		if now-e.heard <= lost {
-			most = max(most, e.MaxRevision)
+// maxRevision returns the highest policy revision of the entries with a heartbeat in the last lostAfter.
+func (t *table) maxRevision(now clock.Time, lostAfter clock.Duration) (revision uint64) {
+	for _, entry := range t.entries {
+		if now-entry.heartbeatAt <= lostAfter {
+			revision = max(revision, entry.MaxRevision)
 		}
 	}
-	return most
+	return revision
 }
 
-// leader is an entry that tells of the highest revision of the policy; nil where none tells of any.
-func (t *table) leader() (k key, leader *entry) {
-	for _, x := range t.keys() {
-		if e := t.entries[x]; e.MaxRevision > 0 && (leader == nil || e.MaxRevision > leader.MaxRevision) {
-			k, leader = x, e
+// newestRevisionEntry returns an entry with the highest policy revision and its key; nil if no entry has a revision.
+func (t *table) newestRevisionEntry() (name nameHash, newest *entry) {
+	for _, candidate := range t.sortedKeys() {
+		current := t.entries[candidate]
+		if current.MaxRevision > 0 && (newest == nil || current.MaxRevision > newest.MaxRevision) {
+			name, newest = candidate, current
 		}
 	}
-	return k, leader
+	return name, newest
 }
 
-// byName are all entries, in the order of their names.
-func (t *table) byName() []*entry {
-	all := make([]*entry, 0, len(t.entries))
-	for _, e := range t.entries {
-		all = append(all, e)
+// entriesByName returns all entries in the order of their names.
+func (t *table) entriesByName() []*entry {
+	entries := make([]*entry, 0, len(t.entries))
+	for _, entry := range t.entries {
+		entries = append(entries, entry)
 	}
-	slices.SortFunc(all, func(a, b *entry) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(entries, func(a, b *entry) int { return cmp.Compare(a.Name, b.Name) })
+	return entries
 }
