--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -44,7 +44,7 @@
 
 // tendSites looks at the router's load, and has it keep to what the leader orders.
 func (k *Keeper) tendSites() {
-	var last *routing.Planned
+	var last *routing.FailoverOrders
 	for t := time.NewTicker(look); ; {
 		select {
 		case <-k.stop:
@@ -76,14 +76,15 @@
 			continue
 		}
 		k.mu.Lock()
-		r := sitefailover.Report{Site: sitefailover.Site(k.cfg.Site), AdmittedRate: f.Ended, FailedRate: f.GivenUp, AdmittedWeight: f.Worth, FailedWeight: f.WorthLost, OriginSlowdown: f.Origin, AdmissionTarget: orders.AdmissionTarget}
+		r := sitefailover.Report{Site: sitefailover.Site(k.cfg.Site), AdmittedRate: f.EndedRate, FailedRate: f.UnansweredRate,
+			AdmittedWeight: f.EndedWeight, FailedWeight: f.UnansweredWeight, OriginSlowdown: f.OriginLatencyRatio, AdmissionTarget: orders.AdmissionTarget}
 		for _, o := range f.Offered {
 			if o.Rate >= 0.05 { // a second; less says nothing, and makes a packet long
 				r.Offered = append(r.Offered, sitefailover.OfferedLoad{Rank: sitefailover.Rank(o.Rank), Rate: o.Rate})
 			}
 		}
 		for _, z := range f.Zones {
-			r.Observations = append(r.Observations, sitefailover.SiteObservation{Site: sitefailover.Site(z.Zone), ListedServers: z.Listed, SilentServers: z.Silent, AnswerRate: z.Answers})
+			r.Observations = append(r.Observations, sitefailover.SiteObservation{Site: sitefailover.Site(z.Zone), ListedServers: z.Listed, SilentServers: z.Unreachable, AnswerRate: z.AnswerRate})
 		}
 		r.Observations = s.memory.Record(clock.Time(k.micros()), r.Observations)
 		s.report = &r
@@ -91,13 +92,13 @@
 	}
 }
 
-func planned(o sitefailover.Orders) routing.Planned {
-	p := routing.Planned{Least: routing.Rank(o.MinRank), Some: o.MinRankFraction, Back: clock.Time(o.RetryAfter), Fetches: o.OriginReadRate}
+func planned(o sitefailover.Orders) routing.FailoverOrders {
+	p := routing.FailoverOrders{MinimumRank: routing.Rank(o.MinRank), MinimumRankShare: o.MinRankFraction, RetryAfter: clock.Time(o.RetryAfter), OriginReadLimit: o.OriginReadRate}
 	for _, s := range o.FailoverWeights {
-		p.Spare = append(p.Spare, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Fraction})
+		p.FailoverWeights = append(p.FailoverWeights, routing.ZoneShare{Zone: routing.Zone(s.Site), Share: s.Fraction})
 	}
 	for _, s := range o.KeyShares {
-		p.Parts = append(p.Parts, routing.ZonePart{Zone: routing.Zone(s.Site), Part: s.Fraction})
+		p.ZoneShares = append(p.ZoneShares, routing.ZoneShare{Zone: routing.Zone(s.Site), Share: s.Fraction})
 	}
 	return p
 }
