--- a/core/sitefailover/golden_test.go
+++ b/core/sitefailover/golden_test.go
@@ -12,11 +12,11 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden file from this build")
 
-// Reports, orders, decisions and statuses of a day with losses, an operator's word and a change of leader, byte for byte as the
-// build before the renaming wrote them: some of each in full, and a digest over all in the order in which they were made.
+// Reports, orders, transitions and statuses of a run with losses, operator commands and a change of leader, byte for byte as the build
+// before the renames wrote them: some of each in full, and a digest over all in their order.
 func TestGolden_JSON(t *testing.T) {
 	const path = "testdata/json.golden"
-	got := goldenDay(t)
+	got := goldenRun(t)
 	if *updateGolden {
 		if err := os.WriteFile(path, got, 0o644); err != nil {
 			t.Fatal(err)
@@ -31,11 +31,11 @@
 	}
 }
 
-func goldenDay(t *testing.T) []byte {
+func goldenRun(t *testing.T) []byte {
 	t.Helper()
-	d := newDay()
-	d.plan.OriginReadRate = 180.5
-	d.plan.Sites[0].Capacity = 330
+	s := newSimulation()
+	s.plan.OriginReadRate = 180.5
+	s.plan.Sites[0].Capacity = 330
 	var golden bytes.Buffer
 	all := sha256.New()
 	write := func(full bool, name string, value any) {
@@ -49,45 +49,45 @@
 		}
 	}
 	step := 0
-	d.check = func(orders Orders, order *Transition, rows []RouterState) {
+	s.check = func(orders Orders, transition *Transition, routers []RouterState) {
 		full := step%60 == 0
-		write(full, "report", rows[len(rows)-1].Report)
+		write(full, "report", routers[len(routers)-1].Report)
 		write(full, "orders", orders)
-		write(order != nil, "order", order)
-		write(full, "status", d.chief.Status())
+		write(transition != nil, "order", transition)
+		write(full, "status", s.coordinator.Status())
 	}
 	for ; step < 600; step++ {
 		switch step {
-		case 50: // a site is lost
-			d.down["b"], d.there["b"] = true, 0
-		case 120: // overload
-			for i := range d.offered {
-				d.offered[i].Rate *= 1.5
+		case 50:
+			s.routersDown["b"], s.responding["b"] = true, 0
+		case 120:
+			for i := range s.offered {
+				s.offered[i].Rate *= 1.5
 			}
-		case 200: // it comes back
-			d.down["b"], d.there["b"] = false, 1
+		case 200:
+			s.routersDown["b"], s.responding["b"] = false, 1
 		case 260:
-			d.chief = NewCoordinator(d.now)
-		case 300: // a partial fault
-			d.there["c"] = 0.5
+			s.coordinator = NewCoordinator(s.now)
+		case 300:
+			s.responding["c"] = 0.5
 		case 400:
-			o, err := Command{Site: "c", Action: ActionLose, Author: "ann", Reason: "by phone"}.Transition(&d.plan, d.rulings)
+			transition, err := Command{Site: "c", Action: ActionLose, Author: "ann", Reason: "by phone"}.Transition(&s.plan, s.decisions)
 			if err != nil {
 				t.Fatal(err)
 			}
-			o.FailoverWeights = d.chief.FailoverWeights(&d.plan, "c", d.rulings)
-			write(true, "command", o)
-			d.take(o)
+			transition.FailoverWeights = s.coordinator.FailoverWeights(&s.plan, "c", s.decisions)
+			write(true, "command", transition)
+			s.apply(transition)
 		case 450:
-			d.there["c"] = 1
-			o, err := Command{Site: "c", Action: ActionRecover, Author: "ann", Reason: "seen"}.Transition(&d.plan, d.rulings)
+			s.responding["c"] = 1
+			transition, err := Command{Site: "c", Action: ActionRecover, Author: "ann", Reason: "seen"}.Transition(&s.plan, s.decisions)
 			if err != nil {
 				t.Fatal(err)
 			}
-			write(true, "command", o)
-			d.take(o)
+			write(true, "command", transition)
+			s.apply(transition)
 		}
-		d.step()
+		s.step()
 	}
 	fmt.Fprintf(&golden, "digest %x\n", all.Sum(nil))
 	return golden.Bytes()
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -12,271 +12,370 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// day is a fleet as its leader sees it: two routers and four servers a site, and a log that takes each order at once.
-type day struct {
-	now     clock.Time
-	plan    Plan
-	chief   *Coordinator
-	orders  Orders // that all keep to
-	rulings map[Site]Decision
-	index   uint64
-	down    map[Site]bool        // its routers are not heard
-	there   map[Site]float64     // part of its servers that answer
-	blind   map[[2]Site]bool     // what routers of the first see of the second: nothing
-	offered []OfferedLoad        // of each router
-	can     float64              // answers a second of a whole site
-	said    func(string, ...any) // an order
-	check   func(Orders, *Transition, []RouterState)
+const (
+	evaluationInterval = 100 * clock.Millisecond
+	routersPerSite     = 2
+	serversPerSite     = 4
+)
+
+// link is the direction in which routers of one site observe servers of another.
+type link struct{ from, to Site }
+
+// simulation is a fleet as the leader sees it. Each transition is applied at once.
+type simulation struct {
+	now         clock.Time
+	plan        Plan
+	coordinator *Coordinator
+	orders      Orders // in force at all routers
+	decisions   map[Site]Decision
+	index       uint64
+	routersDown map[Site]bool // its routers do not report
+	responding  map[Site]float64
+	blind       map[link]bool // routers of the first site find the second silent
+	offered     []OfferedLoad // of each router
+	capacity    float64       // answers per second of a complete site
+	logDecision func(string, ...any)
+	check       func(Orders, *Transition, []RouterState)
 }
 
 var sites = []Site{"a", "b", "c"}
 
-func newDay() *day {
-	d := &day{plan: DefaultPlan(), chief: NewCoordinator(0), rulings: map[Site]Decision{}, down: map[Site]bool{}, there: map[Site]float64{},
-		blind: map[[2]Site]bool{}, offered: []OfferedLoad{{1000001, 20}, {600001, 60}, {200001, 20}}, can: 250, said: func(string, ...any) {}}
-	for _, s := range sites {
-		d.plan.Sites = append(d.plan.Sites, SitePlan{Name: s, Capacity: d.can})
-		d.there[s] = 1
+func newSimulation() *simulation {
+	s := &simulation{
+		plan:        DefaultPlan(),
+		coordinator: NewCoordinator(0),
+		decisions:   map[Site]Decision{},
+		routersDown: map[Site]bool{},
+		responding:  map[Site]float64{},
+		blind:       map[link]bool{},
+		offered:     []OfferedLoad{{1000001, 20}, {600001, 60}, {200001, 20}},
+		capacity:    250,
+		logDecision: func(string, ...any) {},
 	}
-	return d
+	for _, site := range sites {
+		s.plan.Sites = append(s.plan.Sites, SitePlan{Name: site, Capacity: s.capacity})
+		s.responding[site] = 1
+	}
+	return s
 }
 
-func (d *day) rows() (rows []RouterState) {
-	let, answered, heard := 0.0, 0.0, 0.0
-	for _, s := range sites {
-		if !d.down[s] {
-			heard += 2
+// routers returns the state of all routers under the orders in force.
+func (s *simulation) routers() (routers []RouterState) {
+	admitted, answered, reporting := 0.0, 0.0, 0.0
+	for _, site := range sites {
+		if !s.routersDown[site] {
+			reporting += routersPerSite
 		}
-		answered += d.can * d.there[s] * d.rulings[s].share(&d.plan)
+		answered += s.capacity * s.responding[site] * s.decisions[site].keyShare(&s.plan)
 	}
-	for _, o := range d.offered {
-		let += o.Rate * heard
+	for _, offered := range s.offered {
+		admitted += offered.Rate * reporting
 	}
-	asked := let
-	if t := d.orders.AdmissionTarget; t > 0 {
-		let = min(let, t)
+	offeredRate := admitted
+	if s.orders.AdmissionTarget > 0 {
+		admitted = min(admitted, s.orders.AdmissionTarget)
 	}
-	lost := max(0, let-answered)
-	for _, s := range sites {
-		for i := range 2 {
-			r := RouterState{Name: fmt.Sprint(s, i), Site: s, Reporting: !d.down[s]}
-			if r.Reporting {
-				r.Report = Report{Site: s, Offered: d.offered, AdmittedRate: let / heard, FailedRate: lost / heard, AdmittedWeight: let / heard, FailedWeight: lost / heard, AdmissionTarget: d.orders.AdmissionTarget}
-				for _, of := range sites {
-					n := int(4*d.there[of] + 0.5)
-					if d.blind[[2]Site{s, of}] {
-						n = 0
-					}
-					r.Report.Observations = append(r.Report.Observations, SiteObservation{Site: of, ExpectedServers: 4, ListedServers: 4, SilentServers: 4 - n, AnswerRate: min(d.can, asked/3) * d.there[of] / heard})
+	failed := max(0, admitted-answered)
+	for _, site := range sites {
+		for i := range routersPerSite {
+			router := RouterState{Name: fmt.Sprint(site, i), Site: site, Reporting: !s.routersDown[site]}
+			if router.Reporting {
+				router.Report = Report{
+					Site:            site,
+					Offered:         s.offered,
+					AdmittedRate:    admitted / reporting,
+					FailedRate:      failed / reporting,
+					AdmittedWeight:  admitted / reporting,
+					FailedWeight:    failed / reporting,
+					AdmissionTarget: s.orders.AdmissionTarget,
+					Observations:    s.observations(site, offeredRate, reporting),
 				}
 			}
-			rows = append(rows, r)
+			routers = append(routers, router)
 		}
 	}
-	return rows
+	return routers
+}
+
+// observations returns what a router of a site observes of all sites.
+func (s *simulation) observations(from Site, offeredRate, reporting float64) (observations []SiteObservation) {
+	for _, site := range sites {
+		responding := int(serversPerSite*s.responding[site] + 0.5)
+		if s.blind[link{from, site}] {
+			responding = 0
+		}
+		observations = append(observations, SiteObservation{
+			Site:            site,
+			ExpectedServers: serversPerSite,
+			ListedServers:   serversPerSite,
+			SilentServers:   serversPerSite - responding,
+			AnswerRate:      min(s.capacity, offeredRate/3) * s.responding[site] / reporting,
+		})
+	}
+	return observations
 }
 
-func (d *day) step() {
-	rows := d.rows()
-	orders, order := d.chief.Evaluate(d.now, &d.plan, d.rulings, rows)
-	if d.check != nil {
-		d.check(orders, order, rows)
+func (s *simulation) step() {
+	routers := s.routers()
+	orders, transition := s.coordinator.Evaluate(s.now, &s.plan, s.decisions, routers)
+	if s.check != nil {
+		s.check(orders, transition, routers)
 	}
-	d.orders = orders
-	d.take(order)
-	d.now += 100e3
+	s.orders = orders
+	s.apply(transition)
+	s.now += evaluationInterval
 }
 
-func (d *day) take(o *Transition) {
-	if o == nil || d.rulings[o.Site].Index != o.PreviousIndex {
+func (s *simulation) apply(transition *Transition) {
+	if transition == nil || s.decisions[transition.Site].Index != transition.PreviousIndex {
 		return
 	}
-	d.index++
-	o.Decision.Index = d.index
-	d.rulings[o.Site] = o.Decision
-	d.said("%.1f %s: %s step %d fails %d by %s: %s", float64(d.now)/1e6, o.Site, o.Stage, o.Step+1, o.RepeatedLosses, o.DecidedBy, o.Reason)
+	s.index++
+	transition.Index = s.index
+	s.decisions[transition.Site] = transition.Decision
+	s.logDecision("%.1f %s: %s step %d fails %d by %s: %s", float64(s.now)/1e6, transition.Site, transition.Stage, transition.Step+1,
+		transition.RepeatedLosses, transition.DecidedBy, transition.Reason)
 }
 
-// A script has what happens at a time, in seconds; below stands what was ruled up to then, and what the fleet keeps to.
-func TestTraces(t *testing.T) {
+// isRecovered reports whether all sites are up and nothing is shed.
+func (s *simulation) isRecovered() bool {
+	for _, site := range sites {
+		if s.decisions[site].Stage != Up {
+			return false
+		}
+	}
+	return s.coordinator.throttle.target == 0
+}
+
+// A script has an event per line after its time in seconds. Below each line stand the decisions up to then, and for "look" the status.
+func TestCoordinator_Traces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
-		d := newDay()
-		return tracetest.Steps(script, func(line string, say func(string, ...any)) {
+		s := newSimulation()
+		return tracetest.Steps(script, func(line string, log func(string, ...any)) {
+			s.logDecision = log
 			words := strings.Fields(line)
-			d.said = say
-			seconds, err := strconv.ParseFloat(words[0], 64)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for d.now < clock.Time(seconds*1e6) {
-				d.step()
-			}
-			part := func(text string) float64 {
-				x, err := strconv.ParseFloat(text, 64)
-				if err != nil {
-					t.Fatal(line, err)
-				}
-				return x
-			}
-			site := func() Site { return Site(words[2]) }
-			switch words[1] {
-			case "look":
-				s := d.chief.Status()
-				for _, x := range s.Sites {
-					say("%s %s keys %.2f bears %.0f %s", x.Name, x.DisplayStage(), x.KeyShare, x.Capacity, x.WaitingFor)
-				}
-				for _, x := range s.Orders.FailoverWeights {
-					say("of lost keys to servers of %s: %.2f", x.Site, x.Fraction)
-				}
-				say("bears %.0f (%s) target %.0f least %d some %.2f", s.Capacity, s.LimitingSite, s.Orders.AdmissionTarget, s.Orders.MinRank, s.Orders.MinRankFraction)
-			case "down", "up": // the whole site
-				d.down[site()], d.there[site()] = words[1] == "down", map[string]float64{"down": 0, "up": 1}[words[1]]
-			case "servers":
-				d.there[site()] = part(words[3])
-			case "mute": // its routers
-				d.down[site()] = words[3] == "on"
-			case "blind":
-				d.blind[[2]Site{site(), Site(words[3])}] = words[4] == "on"
-			case "load":
-				for i := range d.offered {
-					d.offered[i].Rate *= part(words[2])
-				}
-			case "bears", "prefer": // "bears a 400", "prefer b a"
-				for i := range d.plan.Sites {
-					if p := &d.plan.Sites[i]; p.Name == site() && words[1] == "bears" {
-						p.Capacity = part(words[3])
-					} else if p.Name == site() {
-						p.PreferredTargets = append(p.PreferredTargets, Site(words[3]))
-					}
-				}
-			case "leader":
-				d.chief = NewCoordinator(d.now)
-			case "word":
-				o, err := Command{Site: site(), Action: Action(words[3]), Author: "ann", Reason: "told by phone"}.Transition(&d.plan, d.rulings)
-				if err != nil {
-					say("%v", err)
-				}
-				d.take(o)
-			default:
-				t.Fatal(line)
+			seconds := parseNumber(t, words[0])
+			for s.now < clock.Time(seconds*1e6) {
+				s.step()
 			}
+			s.event(t, words[1], words[2:], log)
 		})
 	})
 }
 
-// In days of random troubles nothing is ever ruled on evidence that is not there, no site is given more at once than a step,
-// what is let in fits the target, and once all is well again every site is back and nothing is refused.
-func TestAnyDayEndsWell(t *testing.T) {
+func parseNumber(t *testing.T, text string) float64 {
+	t.Helper()
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return number
+}
+
+// event carries out one event of a script.
+func (s *simulation) event(t *testing.T, event string, arguments []string, log func(string, ...any)) {
+	t.Helper()
+	site := Site("")
+	if len(arguments) > 0 {
+		site = Site(arguments[0])
+	}
+	switch event {
+	case "look":
+		s.logStatus(log)
+	case "down":
+		s.routersDown[site], s.responding[site] = true, 0
+	case "up":
+		s.routersDown[site], s.responding[site] = false, 1
+	case "servers":
+		s.responding[site] = parseNumber(t, arguments[1])
+	case "mute":
+		s.routersDown[site] = arguments[1] == "on"
+	case "blind":
+		s.blind[link{site, Site(arguments[1])}] = arguments[2] == "on"
+	case "load":
+		for i := range s.offered {
+			s.offered[i].Rate *= parseNumber(t, arguments[0])
+		}
+	case "bears":
+		s.sitePlan(site).Capacity = parseNumber(t, arguments[1])
+	case "prefer":
+		plan := s.sitePlan(site)
+		plan.PreferredTargets = append(plan.PreferredTargets, Site(arguments[1]))
+	case "leader":
+		s.coordinator = NewCoordinator(s.now)
+	case "word":
+		command := Command{Site: site, Action: Action(arguments[1]), Author: "ann", Reason: "told by phone"}
+		transition, err := command.Transition(&s.plan, s.decisions)
+		if err != nil {
+			log("%v", err)
+		}
+		s.apply(transition)
+	default:
+		t.Fatalf("unknown event %q", event)
+	}
+}
+
+func (s *simulation) sitePlan(site Site) *SitePlan {
+	return &s.plan.Sites[slices.IndexFunc(s.plan.Sites, func(plan SitePlan) bool { return plan.Name == site })]
+}
+
+func (s *simulation) logStatus(log func(string, ...any)) {
+	status := s.coordinator.Status()
+	for _, site := range status.Sites {
+		log("%s %s keys %.2f bears %.0f %s", site.Name, site.DisplayStage(), site.KeyShare, site.Capacity, site.WaitingFor)
+	}
+	orders := status.Orders
+	for _, weight := range orders.FailoverWeights {
+		log("of lost keys to servers of %s: %.2f", weight.Site, weight.Fraction)
+	}
+	log("bears %.0f (%s) target %.0f least %d some %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget, orders.MinRank, orders.MinRankFraction)
+}
+
+// Under random faults no transition lacks its evidence, no recovery skips a step, the admitted requests fit the target, and once all
+// faults have ended every site is up and nothing is shed.
+func TestCoordinator_RecoversFromRandomFaults(t *testing.T) {
+	const faults = 40
 	for seed := range uint64(60) {
-		r := rand.New(rand.NewPCG(seed, 3))
-		d := newDay()
-		for i := range d.offered {
-			d.offered[i].Rate *= 0.5 + 1.5*r.Float64()
+		random := rand.New(rand.NewPCG(seed, 3))
+		s := newSimulation()
+		for i := range s.offered {
+			s.offered[i].Rate *= 0.5 + 1.5*random.Float64()
 		}
-		d.check = func(o Orders, order *Transition, rows []RouterState) {
-			sum := 0.0
-			for _, x := range pool(rows) {
-				switch {
-				case x.Rank > o.MinRank:
-					sum += x.Rate
-				case x.Rank == o.MinRank:
-					sum += x.Rate * o.MinRankFraction
-				}
-			}
-			if o.AdmissionTarget > 0 && sum > o.AdmissionTarget+1e-6 {
-				t.Fatalf("seed %d, %v: %.1f is let in, and the target is %.1f", seed, d.now, sum, o.AdmissionTarget)
-			}
-			if order == nil {
-				return
-			}
-			was := d.rulings[order.Site]
-			switch {
-			case order.Stage == Lost && was.Stage == Up:
-				deaf := 0
-				for _, s := range sites {
-					if s != order.Site && !d.down[s] && (d.there[order.Site] <= nearlyNone || d.blind[[2]Site{s, order.Site}]) {
-						deaf++
-					}
-				}
-				if deaf < 2 && deaf < len(sites)-1-boolCount(d.down, order.Site) {
-					t.Fatalf("seed %d, %v: %s is called lost by %d sites", seed, d.now, order.Site, deaf)
-				}
-			case order.Stage == Recovering && was.Stage == Lost:
-				if d.down[order.Site] || d.there[order.Site] < half {
-					t.Fatalf("seed %d, %v: %s returns, and is not there", seed, d.now, order.Site)
-				}
-			case order.Stage == Recovering && order.Step != was.Step+1, order.Stage == Up && was.Step != len(d.plan.RecoverySteps)-1:
-				t.Fatalf("seed %d, %v: from step %d to %v", seed, d.now, was.Step, order.Decision)
+		s.check = func(orders Orders, transition *Transition, routers []RouterState) {
+			s.checkAdmission(t, seed, orders, routers)
+			if transition != nil {
+				s.checkTransition(t, seed, transition)
 			}
 		}
-		for range 40 {
-			s, other := sites[r.IntN(3)], sites[r.IntN(3)]
-			switch r.IntN(6) {
-			case 0:
-				d.down[s], d.there[s] = true, 0
-			case 1:
-				d.down[s], d.there[s] = false, 1
-			case 2:
-				d.there[s] = float64(r.IntN(5)) / 4
-			case 3:
-				d.blind[[2]Site{s, other}] = !d.blind[[2]Site{s, other}] && s != other
-			case 4:
-				d.down[s] = !d.down[s]
-			case 5:
-				d.chief = NewCoordinator(d.now)
+		for range faults {
+			s.injectFault(random)
+			for range random.IntN(40) {
+				s.step()
 			}
-			for range r.IntN(40) {
-				d.step()
+		}
+		s.endFaults()
+		const longestRecovery = 30 * 60 * clock.Second // the waits double with each repeated loss
+		for range int(longestRecovery / evaluationInterval) {
+			s.step()
+			if s.isRecovered() {
+				break
 			}
 		}
-		clear(d.down)
-		clear(d.blind)
-		for _, s := range sites {
-			d.there[s] = 1
+		if !s.isRecovered() {
+			t.Fatalf("seed %d: at the end: got decisions %v and target %.0f, want all up and 0", seed, s.decisions, s.coordinator.throttle.target)
 		}
-		for i := range d.offered {
-			d.offered[i].Rate = 30
+	}
+}
+
+// checkAdmission fails the test if the orders admit more requests than the target.
+func (s *simulation) checkAdmission(t *testing.T, seed uint64, orders Orders, routers []RouterState) {
+	t.Helper()
+	admitted := 0.0
+	for _, offered := range sumOffered(routers) {
+		switch {
+		case offered.Rank > orders.MinRank:
+			admitted += offered.Rate
+		case offered.Rank == orders.MinRank:
+			admitted += offered.Rate * orders.MinRankFraction
 		}
-		for range 10 * 60 * 30 { // waits double with each loss that follows
-			if d.step(); d.well() {
-				break
-			}
+	}
+	if orders.AdmissionTarget > 0 && admitted > orders.AdmissionTarget+1e-6 {
+		t.Fatalf("seed %d, %v: admitted: got %.1f, want at most %.1f", seed, s.now, admitted, orders.AdmissionTarget)
+	}
+}
+
+// checkTransition fails the test if the simulated state does not justify a transition.
+func (s *simulation) checkTransition(t *testing.T, seed uint64, transition *Transition) {
+	t.Helper()
+	site, previous := transition.Site, s.decisions[transition.Site]
+	skipsStep := transition.Stage == Recovering && transition.Step != previous.Step+1
+	endsEarly := transition.Stage == Up && previous.Step != len(s.plan.RecoverySteps)-1
+	switch {
+	case transition.Stage == Lost && previous.Stage == Up:
+		silent := s.sitesFindingSilent(site)
+		if silent < 2 && silent < len(sites)-1-s.otherSitesDown(site) {
+			t.Fatalf("seed %d, %v: %s counts as lost: got %d sites that find it silent, want most", seed, s.now, site, silent)
 		}
-		if !d.well() {
-			t.Fatalf("seed %d: at the end it is %v, and the target is %.0f", seed, d.rulings, d.chief.throttle.target)
+	case transition.Stage == Recovering && previous.Stage == Lost:
+		if s.routersDown[site] || s.responding[site] < halfFraction {
+			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site", seed, s.now, site, s.routersDown[site], s.responding[site])
 		}
+	case skipsStep, endsEarly:
+		t.Fatalf("seed %d, %v: transition from step %d: got %v, want the next step", seed, s.now, previous.Step, transition.Decision)
 	}
 }
 
-func (d *day) well() bool {
-	for _, s := range sites {
-		if d.rulings[s].Stage != Up {
-			return false
+func (s *simulation) sitesFindingSilent(site Site) (count int) {
+	for _, other := range sites {
+		findsSilent := s.responding[site] <= silentFraction || s.blind[link{other, site}]
+		if other != site && !s.routersDown[other] && findsSilent {
+			count++
 		}
 	}
-	return d.chief.throttle.target == 0
+	return count
 }
 
-func boolCount(of map[Site]bool, but Site) (n int) {
-	for s, on := range of {
-		if on && s != but {
-			n++
+func (s *simulation) otherSitesDown(site Site) (count int) {
+	for other, down := range s.routersDown {
+		if down && other != site {
+			count++
 		}
 	}
-	return n
+	return count
+}
+
+func (s *simulation) injectFault(random *rand.Rand) {
+	site, other := sites[random.IntN(3)], sites[random.IntN(3)]
+	switch random.IntN(6) {
+	case 0:
+		s.routersDown[site], s.responding[site] = true, 0
+	case 1:
+		s.routersDown[site], s.responding[site] = false, 1
+	case 2:
+		s.responding[site] = float64(random.IntN(5)) / 4
+	case 3:
+		s.blind[link{site, other}] = !s.blind[link{site, other}] && site != other
+	case 4:
+		s.routersDown[site] = !s.routersDown[site]
+	case 5:
+		s.coordinator = NewCoordinator(s.now)
+	}
+}
+
+func (s *simulation) endFaults() {
+	clear(s.routersDown)
+	clear(s.blind)
+	for _, site := range sites {
+		s.responding[site] = 1
+	}
+	for i := range s.offered {
+		s.offered[i].Rate = 30
+	}
 }
 
-// A tenant over its share goes first, whatever its method.
+// Requests of a tenant over its share are shed first, whatever their method.
 func ExampleForecastLoss() {
-	loads := []ExpectedLoad{{Method: "status", Rate: 420}, {Method: "alert", Rate: 70}, {Method: "report", Rate: 150}, {Method: "report", Tenant: "dairy", Rate: 60}}
-	asked := DistributeLoads(loads, map[string]float64{"status": 0.6, "alert": 1, "report": 0.2}, map[string]float64{"grain": 0.8, "dairy": 0.2}, 0.1)
-	o := ForecastLoss([]SiteCapacity{{Site: "hill", Servers: 3, Capacity: 250}, {Site: "coast", Servers: 3, Capacity: 250}, {Site: "valley", Servers: 2, Capacity: 200}}, asked, []Site{"coast"})
-	fmt.Printf("asked %.0f, borne %.0f, %s binds\n", o.OfferedRate, o.Capacity, o.LimitingSite)
-	for _, r := range slices.Concat(o.ByMethod, o.ByTenant) {
-		fmt.Printf("%s %.0f of %.0f\n", r.Name, r.ShedRate, r.OfferedRate)
+	loads := []ExpectedLoad{
+		{Method: "status", Rate: 420},
+		{Method: "alert", Rate: 70},
+		{Method: "report", Rate: 150},
+		{Method: "report", Tenant: "dairy", Rate: 60},
+	}
+	methodWeights := map[string]float64{"status": 0.6, "alert": 1, "report": 0.2}
+	tenantShares := map[string]float64{"grain": 0.8, "dairy": 0.2}
+	requests := DistributeLoads(loads, methodWeights, tenantShares, 0.1)
+	capacities := []SiteCapacity{
+		{Site: "hill", Servers: 3, Capacity: 250},
+		{Site: "coast", Servers: 3, Capacity: 250},
+		{Site: "valley", Servers: 2, Capacity: 200},
+	}
+	forecast := ForecastLoss(capacities, requests, []Site{"coast"})
+	fmt.Printf("offered %.0f, capacity %.0f, limited by %s\n", forecast.OfferedRate, forecast.Capacity, forecast.LimitingSite)
+	for _, shed := range slices.Concat(forecast.ByMethod, forecast.ByTenant) {
+		fmt.Printf("%s %.0f of %.0f\n", shed.Name, shed.ShedRate, shed.OfferedRate)
 	}
 	// Output:
-	// asked 700, borne 450, hill binds
+	// offered 700, capacity 450, limited by hill
 	// alert 14 of 70
 	// status 84 of 420
 	// report 152 of 210
@@ -284,14 +383,15 @@
 	// dairy 188 of 188
 }
 
-// What a site had is known once its servers are gone from the list, and forgotten in the end.
+// Servers that discovery no longer lists stay expected for some minutes.
 func ExampleServerCounts() {
-	var m ServerCounts
-	for _, x := range []struct {
+	var counts ServerCounts
+	for _, listing := range []struct {
 		at     clock.Time
 		listed int
 	}{{0, 3}, {10e6, 4}, {20e6, 0}, {500e6, 2}, {700e6, 1}, {2000e6, 1}} {
-		fmt.Println(x.at/1e6, x.listed, m.Record(x.at, []SiteObservation{{Site: "a", ListedServers: x.listed}})[0].ExpectedServers)
+		observations := counts.Record(listing.at, []SiteObservation{{Site: "a", ListedServers: listing.listed}})
+		fmt.Println(listing.at/clock.Second, listing.listed, observations[0].ExpectedServers)
 	}
 	// Output:
 	// 0 3 3
--- /dev/null
+++ b/core/sitefailover/sitestate.go
@@ -0,0 +1,155 @@
+package sitefailover
+
+import (
+	"fmt"
+
+	"spurtrestle/core/clock"
+)
+
+const (
+	// repeatedLossWindow is the time after a recovery in which a loss counts as a repeated one.
+	repeatedLossWindow = 60 * clock.Second
+	// maxRecoveryWait bounds the doubling of Plan.RecoverAfter.
+	maxRecoveryWait = 10_000 * clock.Second
+	// maxWaitDoublings keeps the doubling within the range of a Duration.
+	maxWaitDoublings = 20
+
+	// healthyFraction of its servers must respond before a recovering site takes the next step. An up site below it is degraded.
+	healthyFraction = 0.8
+	// maxOriginSlowdown is the slowdown of the origin over which no recovery step is taken.
+	maxOriginSlowdown = 1.5
+)
+
+// siteState is the leader's state of one site.
+type siteState struct {
+	decision         Decision
+	decidedAt        clock.Time // when this leader first saw the decision
+	failedAtDecision float64    // fraction of the admitted weight that failed then
+	lossSince        clock.Time // when the evidence of a loss began; 0: there is none
+	recoverySince    clock.Time // when the evidence of a recovery began; 0: there is none
+	servers          int        // the most that were expected
+	peakRate         float64    // highest recent rate of answers while up, per second
+	peakAt           clock.Time
+}
+
+// setDecision records the current decision. A new one resets the evidence.
+func (s *siteState) setDecision(now clock.Time, decision Decision, failedFraction float64) {
+	if s.decision.Index != decision.Index {
+		s.decidedAt, s.failedAtDecision = now, failedFraction
+		s.lossSince, s.recoverySince = 0, 0
+	}
+	s.decision = decision
+}
+
+// observe records since when the evidence justifies a transition.
+func (s *siteState) observe(now clock.Time, e evidence) {
+	isLost := s.decision.Stage == Up && e.showsLoss()
+	isLostAgain := s.decision.Stage == Recovering && (e.showsLoss() || e.showsHalfLoss())
+	isBack := s.decision.Stage == Lost && e.showsRecovery()
+	s.lossSince = beginning(now, s.lossSince, isLost || isLostAgain)
+	s.recoverySince = beginning(now, s.recoverySince, isBack)
+	s.servers = max(s.servers, e.expectedServers)
+	peakExpired := now-s.peakAt > serverCountWindow
+	if s.decision.Stage == Up && (e.answerRate >= s.peakRate || peakExpired) {
+		s.peakRate, s.peakAt = e.answerRate, now
+	}
+}
+
+// beginning returns when a condition began to hold, given its last beginning; 0 if it does not hold.
+func beginning(now, last clock.Time, holds bool) clock.Time {
+	switch {
+	case !holds:
+		return 0
+	case last == 0:
+		return now
+	default:
+		return last
+	}
+}
+
+// hasHeld reports whether a condition that began at since has held for a duration.
+func hasHeld(now, since clock.Time, duration clock.Duration) bool {
+	return since != 0 && now-since >= duration
+}
+
+// proposal is a transition that is due, or a description of what the next one waits for.
+type proposal struct {
+	transition *Transition
+	waitingFor string
+}
+
+func waitFor(format string, arguments ...any) proposal {
+	return proposal{waitingFor: fmt.Sprintf(format, arguments...)}
+}
+
+func propose(decision Decision, format string, arguments ...any) proposal {
+	return proposal{transition: newTransition(decision, fmt.Sprintf(format, arguments...))}
+}
+
+// next evaluates the transitions of the state machine that evidence can cause, see the package comment.
+func (s *siteState) next(now clock.Time, plan *Plan, e evidence, fleet traffic) proposal {
+	switch {
+	case s.decision.Stage == Up:
+		return s.nextFromUp(now, plan, e)
+	case s.decision.Stage == Recovering && hasHeld(now, s.lossSince, plan.LostAfter/2):
+		repeatedLoss := Decision{Stage: Lost, RepeatedLosses: s.decision.RepeatedLosses + 1}
+		return propose(repeatedLoss, "%.0f%% of its servers answer, in step %d of its return", 100*e.responding, s.decision.Step+1)
+	case s.decision.Paused:
+		return waitFor("an operator holds it")
+	case s.decision.Stage == Lost:
+		return s.nextFromLost(now, plan, e)
+	default:
+		return s.nextFromRecovering(now, plan, e, fleet)
+	}
+}
+
+func (s *siteState) nextFromUp(now clock.Time, plan *Plan, e evidence) proposal {
+	if s.lossSince == 0 {
+		return proposal{}
+	}
+	if !hasHeld(now, s.lossSince, plan.LostAfter) {
+		return waitFor("the evidence of its loss is to hold")
+	}
+	loss := Decision{Stage: Lost}
+	recoveredRecently := s.decision.Index > 0 && now-s.decidedAt < repeatedLossWindow
+	if recoveredRecently {
+		loss.RepeatedLosses = s.decision.RepeatedLosses + 1
+	}
+	return propose(loss, "%d of %d other sites find its servers silent, and %d of its %d routers are heard",
+		e.sitesFindingSilent, e.otherSites, e.reportingRouters, e.routers)
+}
+
+func (s *siteState) nextFromLost(now clock.Time, plan *Plan, e evidence) proposal {
+	wait := min(maxRecoveryWait, plan.RecoverAfter<<min(s.decision.RepeatedLosses, maxWaitDoublings))
+	switch {
+	case s.recoverySince == 0 && 2*e.reportingRouters < e.routers:
+		return waitFor("%d of its %d routers are heard", e.reportingRouters, e.routers)
+	case s.recoverySince == 0:
+		return waitFor("%.0f%% of its servers are listed, and %.0f%% answer at the site", 100*e.listed, 100*e.respondingLocally)
+	case !hasHeld(now, s.recoverySince, wait):
+		return waitFor("it is to be there for %.1f s", float64(wait)/float64(clock.Second))
+	}
+	recovery := Decision{Stage: Recovering, RepeatedLosses: s.decision.RepeatedLosses}
+	return propose(recovery, "its routers and servers are there again")
+}
+
+func (s *siteState) nextFromRecovering(now clock.Time, plan *Plan, e evidence, fleet traffic) proposal {
+	// Failures are compared with those before the step: the overload that the recovery is to end must not block it.
+	maxFailedFraction := s.failedAtDecision + highFailedFraction
+	switch {
+	case now-s.decidedAt < plan.MinStepDuration:
+		return waitFor("the step has just been taken")
+	case e.responding < healthyFraction:
+		return waitFor("%.0f%% of its servers answer", 100*e.responding)
+	case fleet.failedFraction > maxFailedFraction:
+		return waitFor("%.0f%% of what is let in is given up, and %.0f%% was before the step", 100*fleet.failedFraction, 100*s.failedAtDecision)
+	case fleet.originSlowdown > maxOriginSlowdown:
+		return waitFor("the origin takes %.1f times as long as it should", fleet.originSlowdown)
+	}
+	nextStep := s.decision.Step + 1
+	if nextStep < len(plan.RecoverySteps) {
+		step := Decision{Stage: Recovering, Step: nextStep, RepeatedLosses: s.decision.RepeatedLosses}
+		return propose(step, "step %d held", nextStep)
+	}
+	return propose(Decision{Stage: Up, RepeatedLosses: s.decision.RepeatedLosses}, "the last step held")
+}
