--- a/core/sitefailover/plan.go
+++ b/core/sitefailover/plan.go
@@ -56,8 +56,8 @@
 	Sites           []SitePlan
 	OriginReadRate  float64        // reads per second that the origin can answer; 0: unknown, no limit for the fleet
 	RecoverySteps   []float64      // fractions of its keys that a recovering site has, ascending; the last is 1
-	LostAfter       clock.Duration // for which the evidence of a loss must hold
-	RecoverAfter    clock.Duration // for which the evidence of a recovery must hold; doubled by each repeated loss
+	LostAfter       clock.Duration // minimum duration of the evidence of a loss
+	RecoverAfter    clock.Duration // minimum duration of the evidence of a recovery; doubled by each repeated loss
 	MinStepDuration clock.Duration // of a recovery step
 	ExpectedLoads   []ExpectedLoad // for forecasts
 }
--- a/core/sitefailover/shedding.go
+++ b/core/sitefailover/shedding.go
@@ -180,7 +180,7 @@
 // releaseWhenFitting switches the throttle off once it has not been needed for releaseDelay.
 func (t *throttle) releaseWhenFitting(now clock.Time, isNeeded bool) {
 	t.fitsSince = beginning(now, t.fitsSince, !isNeeded)
-	if hasHeld(now, t.fitsSince, releaseDelay) {
+	if hasLasted(now, t.fitsSince, releaseDelay) {
 		t.target, t.fitsSince = 0, 0
 	}
 }
--- a/core/sitefailover/sitestate.go
+++ b/core/sitefailover/sitestate.go
@@ -11,7 +11,7 @@
 	repeatedLossWindow = 60 * clock.Second
 	// maxRecoveryWait bounds the doubling of Plan.RecoverAfter.
 	maxRecoveryWait = 10_000 * clock.Second
-	// maxWaitDoublings keeps the doubling within the range of a Duration.
+	// maxWaitDoublings limits the doubling to the range of a Duration.
 	maxWaitDoublings = 20
 
 	// healthyFraction of its servers must respond before a recovering site takes the next step. An up site below it is degraded.
@@ -55,10 +55,10 @@
 	}
 }
 
-// beginning returns when a condition began to hold, given its last beginning; 0 if it does not hold.
-func beginning(now, last clock.Time, holds bool) clock.Time {
+// beginning returns when a condition began, given its last beginning; 0 if it is false.
+func beginning(now, last clock.Time, isTrue bool) clock.Time {
 	switch {
-	case !holds:
+	case !isTrue:
 		return 0
 	case last == 0:
 		return now
@@ -67,8 +67,8 @@
 	}
 }
 
-// hasHeld reports whether a condition that began at since has held for a duration.
-func hasHeld(now, since clock.Time, duration clock.Duration) bool {
+// hasLasted reports whether a condition that began at since has lasted for a duration.
+func hasLasted(now, since clock.Time, duration clock.Duration) bool {
 	return since != 0 && now-since >= duration
 }
 
@@ -91,7 +91,7 @@
 	switch {
 	case s.decision.Stage == Up:
 		return s.nextFromUp(now, plan, e)
-	case s.decision.Stage == Recovering && hasHeld(now, s.lossSince, plan.LostAfter/2):
+	case s.decision.Stage == Recovering && hasLasted(now, s.lossSince, plan.LostAfter/2):
 		repeatedLoss := Decision{Stage: Lost, RepeatedLosses: s.decision.RepeatedLosses + 1}
 		return propose(repeatedLoss, "%.0f%% of its servers answer, in step %d of its return", 100*e.responding, s.decision.Step+1)
 	case s.decision.Paused:
@@ -107,7 +107,7 @@
 	if s.lossSince == 0 {
 		return proposal{}
 	}
-	if !hasHeld(now, s.lossSince, plan.LostAfter) {
+	if !hasLasted(now, s.lossSince, plan.LostAfter) {
 		return waitFor("the evidence of its loss is to hold")
 	}
 	loss := Decision{Stage: Lost}
@@ -126,7 +126,7 @@
 		return waitFor("%d of its %d routers are heard", e.reportingRouters, e.routers)
 	case s.recoverySince == 0:
 		return waitFor("%.0f%% of its servers are listed, and %.0f%% answer at the site", 100*e.listed, 100*e.respondingLocally)
-	case !hasHeld(now, s.recoverySince, wait):
+	case !hasLasted(now, s.recoverySince, wait):
 		return waitFor("it is to be there for %.1f s", float64(wait)/float64(clock.Second))
 	}
 	recovery := Decision{Stage: Recovering, RepeatedLosses: s.decision.RepeatedLosses}
