--- a/core/routing/admission.go
+++ b/core/routing/admission.go
@@ -6,105 +6,104 @@
 	"spurtrestle/core/clock"
 )
 
-// This file: what is refused, and how much may be in flight at a cache.
+const (
+	// grantedAnswers is how many answers per second count as given besides those counted: a few requests lost by chance
+	// are no overload, and in an overload some requests go on as a trial.
+	grantedAnswers = 0.3
+	// admittedPerAnswered is how many requests are admitted for each answered one at no weight, and
+	// admittedPerWeight how many more at the highest.
+	admittedPerAnswered = 1.02
+	admittedPerWeight   = 0.43
+	// cacheWaitRatio is the fraction of the strictest latency objective that may be spent waiting at a cache. The rest
+	// is for a miss and the origin.
+	cacheWaitRatio = 0.6
+	// crowdedMultiple is the mean latency, in fastest ones, from which on a machine is overloaded.
+	crowdedMultiple = 2
+	// fleetInFlight is how many requests of all routers keep a machine of a few cores busy without a long queue.
+	fleetInFlight = 8
+)
 
-// isTooLate: less than a quick answer's time is seldom enough. Requests that came with a tenth of their time
-// left filled the caches with what nobody waited for. Half of its aim is always worth a try.
-func (r *Router) isTooLate(q *request) bool {
-	quickest := r.seen.best
-	if q.toOrigin && r.origin != nil {
-		quickest = r.origin.best
-	}
-	return !q.write && q.final-r.now < min(quickest, q.method.aim/2)
+// admissionState is what the rejection of load is decided by.
+type admissionState struct {
+	tenants  map[Tenant]*tenant
+	ended    decayingRate // requests for caches that ended
+	answered decayingRate // and those of them that were answered
 }
 
-const granted = 0.3 // answers a second: trials go on, and a few lost by chance are no jam
+// tenant is the entitlement of a tenant and the rate of its requests.
+type tenant struct {
+	share float64
+	rate  decayingRate
+}
 
-// mostAreLost guards against a jam that keeps itself up: caches that go on with overdue work, full of what
-// hundreds of routers send one by one, answer nobody in time. A router sends on as many requests as were
-// answered of those that ended lately, and some more, least of what is worth least.
-func (r *Router) mostAreLost(q *request) bool {
-	if q.admitted {
-		return false
+// tooLateForAnswer: a read has less time left than a fast answer takes. Half of its latency objective is always enough.
+func (r *Router) tooLateForAnswer(request *request) bool {
+	fastest := r.cacheLatency.fastest
+	if request.toOrigin && r.origin.server != nil {
+		fastest = r.origin.server.latency.fastest
 	}
-	q.admitted = true
-	// In a jam what is over its tenant's share yields, uncounted: one tenant's surge took the others' place.
-	over := q.worth < q.method.worth
-	part := ((1.02+0.43*q.worth)*r.answered.now(r.now, trafficSpan) + granted) / r.asked.now(r.now, trafficSpan)
-	if over && part < 1 {
-		part *= part * part
-	}
-	lost := r.chance() > part
-	if lost && !over {
-		r.asked.add(r.now, trafficSpan)
-	}
-	return lost
+	return !request.write && request.deadline-r.now < min(fastest, request.method.latencyObjective/2)
 }
 
-func (r *Router) hold(q *request) {
-	if q.settled = true; q.held {
-		return
+// shedsUnanswered guards against an overload that sustains itself: caches that go on with overdue work, full of what many
+// routers send one request at a time, answer nobody in time. A router admits as many requests as were lately answered of
+// those that ended, and some more, fewest of the least weight. It is decided once for a request.
+func (r *Router) shedsUnanswered(request *request) bool {
+	if request.admissionChecked {
+		return false
 	}
-	q.held = true
-	at, _ := slices.BinarySearchFunc(r.held, q, func(a, b *request) int {
-		if a.write == b.write && a.worth == b.worth {
-			return a.seq - b.seq
-		}
-		if a.write && !b.write || a.write == b.write && a.worth > b.worth {
-			return -1
-		}
-		return 1
-	})
-	r.held = slices.Insert(r.held, at, q)
-	if s := r.waitsFor(q); s != nil {
-		s.ahead++ // counting them anew for each request took too long
+	request.admissionChecked = true
+	answered := r.admission.answered.at(r.now, trafficWindow)
+	ended := r.admission.ended.at(r.now, trafficWindow)
+	admitted := ((admittedPerAnswered+admittedPerWeight*request.weight)*answered + grantedAnswers) / ended
+	// In an overload the requests of tenants over their share yield first, and are not counted: the surge of one tenant
+	// would take the place of the others.
+	overShare := request.weight < request.method.weight
+	if overShare && admitted < 1 {
+		admitted *= admitted * admitted
 	}
+	rejected := r.random.float() > admitted
+	if rejected && !overShare {
+		r.admission.ended.add(r.now, trafficWindow)
+	}
+	return rejected
 }
 
-// giveUp answers at once: a rejection where trying again is harmless, else a failure. The hint is the wait
-// and four latency budgets, as long as a crest: clients told to come back sooner kept the queue full.
-func (r *Router) giveUp(q *request) {
-	d := Decision{Action: Fail, Request: q.id}
-	if q.maybeRan == 0 || q.method.effect == Idempotent {
-		d.Action = Reject
-		d.After = 4 * q.method.aim
-		if s := r.waitsFor(q); s != nil {
-			d.After += r.wait(s)
-		}
-		if q.shed { // spread out, so that they do not come in one wave
-			d.After = clock.Time(float64(min(r.planned.RetryAfter, r.maxHint)) * (1 + r.chance()) / 2)
-		}
-		d.After = min(d.After, r.maxHint)
+// hasCapacity reports whether a request may be sent to a cache now: what is in flight there is bounded by what the cache
+// answers, by its measured rate, within the wait allowed.
+func (r *Router) hasCapacity(request *request, server *server) bool {
+	bound := r.inFlightBound(request, server)
+	inFlight := server.inFlight + server.abandonedInFlight(r.now)
+	if bound >= 1 {
+		return float64(inFlight) < bound
 	}
-	r.decided = append(r.decided, d)
-	r.finish(q)
+	return inFlight == 0 // a bound of less than one is one
 }
 
-const crowded = 2 // times the quickest answer: where a machine begins to be so
-
-// rateSpan is long enough for a dozen answers of one cache at one router, and short against a trouble.
-const rateSpan = 1e6
+// inFlightBound is how many requests of this router may be in flight at a cache when one more is sent.
+func (r *Router) inFlightBound(request *request, server *server) float64 {
+	// The most important requests may use all of the wait, the least only a part: a queue that those still fit into
+	// rejects these.
+	minimum := r.config.lowPriorityWaitRatio
+	weightFactor := minimum + (1-minimum)*min(1, request.weight)
+	wait := float64(request.method.strictestObjective) * cacheWaitRatio * weightFactor
+	latency := server.latency.blend(r.cacheLatency)
+	// The floor holds while answers are shorter than the wait. It falls with the bound once the machine is overloaded:
+	// one request in flight from every router is enough to keep it so.
+	floor := fleetInFlight * r.fleetShare * min(1, wait/float64(max(1, latency.recent)))
+	answeredInWait := server.answerRate.at(r.now, answerWindow) * wait / microsecondsPerSecond
+	return max(floor, answeredInWait) * latency.slowdownFactor(crowdedMultiple)
+}
 
-const inHand = 8 // of all routers: some eight keep a machine of a few cores busy without a long queue
+// abandonedAttempt is an attempt that timed out and may still occupy its server.
+type abandonedAttempt struct {
+	sentAt clock.Time
+	until  clock.Time
+}
 
-// room bounds what is in flight at a cache by measured rate x time: what it answers within the part of the
-// latency budget that may go into waiting, less for the requests that are worth less.
-func (r *Router) room(q *request, s *server) bool {
-	// Six tenths leave time for a miss and the origin. The most worth may use all of that, the least only a
-	// part: a queue that the best still fit into turns the rest away.
-	within := float64(q.method.yields) * 0.6 * (r.patience + (1-r.patience)*min(1, q.worth))
-	g := s.gauge.leaning(r.seen)
-	// What is answered within that time, and at least a floor. Beyond twice the quickest answer the bound falls
-	// until the machine clears: one in flight from every router kept crowded machines so for the rest of a day.
-	floor := inHand * r.part * min(1, within/float64(max(1, g.time)))
-	bound := max(floor, s.rate.now(r.now, rateSpan)*within/1e6) * g.quick(crowded)
-	// A timed-out attempt counts until it is known to be off the server. Else a crowded server that goes on
-	// with overdue work is sent ever more: all of it late, none of it answered.
-	s.ghosts = slices.DeleteFunc(s.ghosts, func(g ghost) bool { return g.until <= r.now })
-	out := s.inFlight + len(s.ghosts)
-	if bound >= 1 {
-		return float64(out) < bound
-	}
-	// Less than one at a time is one: with a pause, routers that seldom send to a cache lost most of it.
-	return out == 0
+// abandonedInFlight is how many attempts that timed out still count as in flight. Without them a server that goes on with
+// overdue work would be sent ever more.
+func (s *server) abandonedInFlight(now clock.Time) int {
+	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return a.until <= now })
+	return len(s.abandoned)
 }
--- /dev/null
+++ b/core/routing/attempt.go
@@ -0,0 +1,205 @@
+package routing
+
+import (
+	"slices"
+
+	"spurtrestle/core/clock"
+)
+
+const (
+	// usualAnswers is the least time-out of an attempt at a cache, in mean latencies: a shorter one cuts off answers of
+	// healthy caches, whose latencies have a heavy tail.
+	usualAnswers = 8
+	// suspectAnswers is the longest time-out of an attempt at a cache whose last attempt failed, in mean latencies: it
+	// may hang, and time must be left for another cache.
+	suspectAnswers = 3
+	// originBackoff is the wait after a failed attempt at the origin: a few of its fast answers.
+	originBackoff = 20 * clock.Millisecond
+	// methodLatencySamples is how many samples the latency of a method averages over.
+	methodLatencySamples = 20
+	// walkableAnsweredRatio is the ratio of answered to ended requests from which on an attempt after a full queue is
+	// free. Below it every retry is charged to the budget, lest requests walk their whole group in an overload.
+	walkableAnsweredRatio = 0.8
+)
+
+// send starts an attempt of a request at a server.
+func (r *Router) send(request *request, server *server) {
+	timeout := r.attemptTimeout(request, server)
+	r.extendZoneTrial(server)
+	if request.retryPending {
+		r.budgets.retries--
+		request.retryPending = false
+	}
+	r.chargeOriginRead(request, server)
+	server.inFlight++
+	if server.inFlight == 1 {
+		server.lastResponseAt = r.now
+	}
+	server.attemptRate.add(r.now, attemptWindow)
+	r.traffic.attempts.add(r.now, attemptWindow)
+	request.attempts = append(request.attempts, &attempt{server: server, number: request.attemptCount, sentAt: r.now})
+	request.attemptCount++
+	r.scheduleHedge(request, server)
+	request.decided = true
+	if r.warmUpAge(server) < r.config.warmUpDuration {
+		server.warmUp.attempts--
+	}
+	if request.write {
+		server.writes++
+	} else {
+		server.reads++
+	}
+	decision := Decision{Action: Send, Request: request.id, Server: server.Server, After: max(timeout, r.config.clockGranularity)}
+	if request.mayHaveRunAt > 0 && request.method.idempotency == Deduplicated { // it may wait for a connection past the window
+		decision.StartBy = request.mayHaveRunAt + request.method.window - r.config.clockGranularity
+	}
+	r.decide(decision)
+}
+
+// attemptTimeout is the time until the deadline; at a cache, where a retry at the origin can follow, it leaves time for that
+// within the latency objective.
+func (r *Router) attemptTimeout(request *request, server *server) clock.Duration {
+	left := request.deadline - r.now
+	retryPossible := r.config.cacheAside && request.attemptCount+1 < request.maxAttempts && r.budgets.retries >= 1
+	if server.isOrigin || !retryPossible {
+		return left
+	}
+	reserve := request.method.latency
+	if r.origin.server != nil {
+		reserve = min(left/3, reserve+r.origin.server.latency.fastest*3/2)
+	}
+	timeout := min(left, max(request.objective-r.now-reserve, usualAnswers*r.cacheLatency.mean))
+	isSuspect := server.failurePoints > 0
+	if isSuspect && r.cacheLatency.samples > 0 {
+		timeout = min(timeout, suspectAnswers*r.cacheLatency.mean)
+	}
+	return timeout
+}
+
+// attemptEnded takes in the outcome of an attempt.
+func (r *Router) attemptEnded(event AttemptEnded) {
+	server := r.endpoints.servers[event.Server]
+	if server != nil {
+		r.recordReport(server, event.Report, event.Took)
+	}
+	request := r.requests.byID[event.Request]
+	if request == nil {
+		return
+	}
+	attempt := request.takeAttempt(event.Attempt)
+	if attempt == nil {
+		return
+	}
+	attempt.server.inFlight--
+	attempt.server.lastAttemptEnd = r.now
+	r.recordOutcome(attempt, event.Status, event.Took)
+	r.closeIdle(attempt.server)
+	if event.Status == OK && !attempt.server.isOrigin {
+		request.method.latency += (event.Took - request.method.latency) / methodLatencySamples
+	}
+	r.countResponse(request, attempt.server, event.Status)
+	if request.finished || event.Answered {
+		r.cancelAttempts(request)
+		r.finish(request)
+		return
+	}
+	r.prepareNextAttempt(request, attempt, event.Status)
+	if attempt.server.isOrigin && len(request.attempts) == 0 {
+		request.backoffUntil = r.now + originBackoff
+		originOverloaded := event.Status == TimedOut || event.Status == QueueFull
+		if !request.write && originOverloaded { // the reads that wait for this one are free to go
+			r.rejectOrFail(request)
+			return
+		}
+	}
+	r.applyRules(request)
+}
+
+// takeAttempt removes an attempt from those in flight and returns it; nil if it is not in flight.
+func (r *request) takeAttempt(number Attempt) *attempt {
+	at := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.number == number })
+	if at < 0 {
+		return nil
+	}
+	taken := r.attempts[at]
+	r.attempts = slices.Delete(r.attempts, at, at+1)
+	return taken
+}
+
+// countResponse counts a request, once, that was answered, or to which a cache responded at all: an overloaded cache is
+// silent. An error of the origin in the place of a full or silent cache does not count.
+func (r *Router) countResponse(request *request, server *server, status AttemptStatus) {
+	cacheResponded := !server.isOrigin && (status == Miss || brokenResponse(status))
+	if (status == OK || cacheResponded) && !request.responded && !request.nearDeadline {
+		request.responded = true
+		r.admission.answered.add(r.now, trafficWindow)
+	}
+}
+
+// brokenResponse reports whether a server responded, but with an error or a connection that broke.
+func brokenResponse(status AttemptStatus) bool { return status == Failed || status == Reset }
+
+// prepareNextAttempt sets where the next attempt of a request may go, and whether it is charged to the retry budget.
+func (r *Router) prepareNextAttempt(request *request, attempt *attempt, status AttemptStatus) {
+	server := attempt.server
+	switch status {
+	case Miss:
+		// Where another read of the key is on its way to the origin, that one fills this cache.
+		request.missed = !request.write && !server.isOrigin && !r.originReadInFlight(request)
+	case QueueFull:
+		isLastAttempt := request.attemptCount+1 >= request.maxAttempts
+		if !server.isOrigin && !request.write && r.originIsFree(request, isLastAttempt) {
+			r.turnToOrigin(request)
+		} else {
+			answered := r.admission.answered.at(r.now, trafficWindow)
+			request.retryPending = answered < walkableAnsweredRatio*r.admission.ended.at(r.now, trafficWindow)
+		}
+	case ConnectError, NotSent:
+		request.retryPending = true
+	default:
+		request.retryPending = true
+		if request.mayHaveRunAt == 0 {
+			request.mayHaveRunAt, request.mayHaveRunOn = attempt.sentAt, server
+		}
+	}
+	// The first broken response in a row is more often chance than the server's end, and only this one has the key: it
+	// is retried there.
+	retrySameServer := brokenResponse(status) && server.failurePoints <= 1
+	if status == QueueFull || request.retryPending && !retrySameServer {
+		request.failedServers = append(request.failedServers, server)
+	}
+}
+
+// cancelAttempts cancels what is still in flight for a request that ends.
+func (r *Router) cancelAttempts(request *request) {
+	if !r.config.cancelAllowed || request.finished {
+		return
+	}
+	for _, attempt := range request.attempts {
+		r.decide(Decision{Action: Cancel, Request: request.id, Attempt: attempt.number})
+	}
+}
+
+// mustNotRunAgain: the request may have run, and a repeat would run a second time. One tick is left, so that a repeat
+// arrives within the deduplication window.
+func (r *Router) mustNotRunAgain(request *request) bool {
+	if request.mayHaveRunAt == 0 || request.method.idempotency == Idempotent {
+		return false
+	}
+	windowEnds := request.mayHaveRunAt + request.method.window
+	return request.method.idempotency == NonIdempotent || r.now+r.config.clockGranularity >= windowEnds
+}
+
+// recognizesRepeat reports whether a server exists and would drop the repeat of a deduplicated request that may have run.
+func recognizesRepeat(request *request, server *server) bool {
+	if server == nil {
+		return false
+	}
+	method := request.method
+	isRepeat := request.mayHaveRunAt != 0 && method.idempotency == Deduplicated
+	if !isRepeat || method.scope == ScopeAll {
+		return true
+	}
+	sameZone := server.Zone == request.mayHaveRunOn.Zone
+	return sameZone && (method.scope == ScopeZone || server.Cell == request.mayHaveRunOn.Cell)
+}
--- /dev/null
+++ b/core/routing/connections.go
@@ -0,0 +1,14 @@
+package routing
+
+// closeIdle closes the idle connections to a server where keeping them costs more than opening new ones. Where each of
+// hundreds of routers keeps a connection to every cache, the caches reach their limit and refuse most routers.
+func (r *Router) closeIdle(server *server) {
+	const oneUse = microsecondsPerSecond / float64(attemptWindow) // less is chance
+	meanUse := r.traffic.attempts.at(r.now, attemptWindow) / float64(len(r.endpoints.caches)+1)
+	if server.inFlight > 0 {
+		return
+	}
+	if server.attemptRate.at(r.now, attemptWindow)+oneUse < r.config.idleKeepRatio*(meanUse+oneUse) {
+		r.decide(Decision{Action: CloseIdle, Server: server.Server})
+	}
+}
--- /dev/null
+++ b/core/routing/event.go
@@ -0,0 +1,160 @@
+package routing
+
+import "spurtrestle/core/clock"
+
+// EndpointState is the state of a server in the endpoint list.
+type EndpointState int
+
+// The states of an endpoint.
+const (
+	Ready EndpointState = iota
+	Draining
+	Removed
+)
+
+// Endpoint is one entry of the endpoint list.
+type Endpoint struct {
+	Server    ServerID
+	Zone      Zone
+	Kind      Kind
+	Cell      Cell
+	State     EndpointState
+	Weight    float64
+	StartedAt clock.Time // start of the server's process; 0: long ago
+}
+
+// EndpointUpdateKind is the kind of an update of the endpoint list.
+type EndpointUpdateKind int
+
+// The kinds of updates.
+const (
+	FullUpdate        EndpointUpdateKind = iota // endpoints that are not named are removed
+	IncrementalUpdate                           // endpoints that are not named stay
+	CachedUpdate                                // a full list from before a restart of the router
+	FailedUpdate                                // discovery did not answer
+)
+
+// AttemptStatus is the outcome of an attempt.
+type AttemptStatus int
+
+// The outcomes of an attempt.
+const (
+	OK           AttemptStatus = iota
+	Failed                     // an error or a malformed answer; the request may have run
+	QueueFull                  // rejected by the server; the request did not run
+	TimedOut                   // the request may have run
+	ConnectError               // no connection; the request did not run
+	Reset                      // the connection broke after the request was sent; it may have run
+	Canceled
+	NotSent // its time ended, or its server drained, before it was sent; the request did not run
+	Miss    // the cache does not have the key
+)
+
+// Report holds the load figures of a server in the order of Settings.ReportFields.
+type Report []float64
+
+// Event is an input of a Router: one of the types below.
+type Event any
+
+// EndpointsUpdated is an update of the endpoint list, or the failure of a poll for it.
+type EndpointsUpdated struct {
+	Kind      EndpointUpdateKind
+	Endpoints []Endpoint
+	Rejected  bool // for FailedUpdate: discovery answered that it accepts no such call at present
+}
+
+// RequestArrived is a request of a client.
+type RequestArrived struct {
+	Request       RequestID
+	Method        Method
+	Tenant        Tenant
+	Key           Key
+	ValidUntil    clock.Time
+	ClientRetry   bool // the client repeats a request that was rejected
+	Write         bool
+	SingleAttempt bool // its body is not buffered: it cannot be sent twice
+}
+
+// AttemptEnded is the outcome of an attempt.
+type AttemptEnded struct {
+	Request  RequestID
+	Server   ServerID
+	Attempt  Attempt
+	Status   AttemptStatus
+	Took     clock.Duration
+	Answered bool // the client has its answer
+	Report   Report
+}
+
+// ResponseStarted says that the first bytes of an answer went to the client: no other attempt can answer it.
+type ResponseStarted struct {
+	Request RequestID
+	Attempt Attempt
+}
+
+// ClientDisconnected says that nobody waits for a request any more.
+type ClientDisconnected struct {
+	Request RequestID
+}
+
+// KnowledgeRestored is the knowledge of an earlier process, faded by its age. It comes before all other events.
+type KnowledgeRestored struct {
+	Knowledge
+}
+
+// ServersRestored is the knowledge of an earlier process about servers. It comes before the list that names them.
+type ServersRestored struct {
+	Servers []ServerKnowledge
+}
+
+// BanChanged says that an operator has banned a server, or lifted the ban.
+type BanChanged struct {
+	Server ServerID
+	Banned bool
+	Since  clock.Time // of a ban that is lifted: the server counts as started then
+}
+
+// FleetShareChanged sets this router's share of the load that all routers may send together. It starts as one part in
+// Settings.Routers.
+type FleetShareChanged struct {
+	Share float64
+}
+
+// ZoneShare is a fraction for a zone: of the keys of its caches, or a weight.
+type ZoneShare struct {
+	Zone  Zone
+	Share float64 // as a fraction of keys, 0: its caches count as not listed
+}
+
+// FailoverOrders are the fleet's orders while a site is lost. The zero value orders nothing.
+type FailoverOrders struct {
+	ZoneShares       []ZoneShare    // fraction of their keys that the caches of a zone get; 1 for zones not named
+	FailoverWeights  []ZoneShare    // weights of zones for keys whose owner's zone has a reduced share; 1 for zones not named
+	MinimumRank      Rank           // requests of a lower rank are rejected
+	MinimumRankShare float64        // fraction of the requests of just that rank that are admitted
+	RetryAfter       clock.Duration // rejected clients are sent away for at most so long
+	OriginReadLimit  float64        // reads per second at the origin, of all routers together; 0: no limit
+}
+
+// SettingsChanged replaces the settings. Methods and tenants are the same ones, in the same order.
+type SettingsChanged struct {
+	Settings
+}
+
+// ShutdownScheduled says that the process ends: no answer has a value after the deadline.
+type ShutdownScheduled struct {
+	Deadline clock.Time
+}
+
+// TimerFired is the event of a SetTimer decision.
+type TimerFired struct {
+	Timer TimerID
+}
+
+// HealthChecked is the outcome of a health check.
+type HealthChecked struct {
+	Server ServerID
+	Status AttemptStatus
+	Took   clock.Duration
+	Report Report
+}
--- a/core/routing/fleet_test.go
+++ b/core/routing/fleet_test.go
@@ -166,8 +166,8 @@
 		}
 	}
 	nth := Attempt(0)
-	if q := r.requests[d.Request]; q != nil {
-		nth = q.sent - 1
+	if q := r.requests.byID[d.Request]; q != nil {
+		nth = q.attemptCount - 1
 	}
 	f.after(took, func() {
 		if f.routers[i] == r {
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -230,7 +230,7 @@
 			status, took = routing.ConnectError, min(x.After, 200e3)
 		}
 	case d.random.Float64() < server.faults:
-		status = []routing.Status{routing.Failed, routing.Reset, routing.QueueFull, routing.ConnectError, routing.NotSent,
+		status = []routing.AttemptStatus{routing.Failed, routing.Reset, routing.QueueFull, routing.ConnectError, routing.NotSent,
 			routing.Canceled}[d.random.IntN(6)]
 		took /= 4
 	case d.random.Float64() < server.missing:
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -7,122 +7,126 @@
 	"spurtrestle/core/clock"
 )
 
-// This file: what a server's answers tell of it: set aside, out of reach, an idle connection closed.
-
-const useSpan = 20e6 // a few requests of one of hundreds of routers to a mean cache
-
-// leave closes an idle connection that costs more than a new one would. Where each of hundreds of routers
-// keeps one to every cache, a cache is at its maximum, and refuses most routers though it has little to do.
-func (r *Router) leave(s *server) {
-	const granted = 1e6 / useSpan // one use: so much is chance
-	mean := r.used.now(r.now, useSpan) / float64(len(r.caches)+1)
-	if s.inFlight == 0 && s.used.now(r.now, useSpan)+granted < r.keep*(mean+granted) {
-		r.decided = append(r.decided, Decision{Action: CloseIdle, Server: s.Server})
-	}
-}
+const (
+	// faultPoints and connectFaultPoints are what a failed attempt counts, in points for failures in a row.
+	faultPoints        = 1
+	connectFaultPoints = 2
+	// earlyTimeoutAnswers is the shortest time-out, in mean latencies of the caches, that counts as a failure.
+	earlyTimeoutAnswers = 2
+	// abandonedTime is how long an attempt that timed out counts as in flight: longer than an overloaded server takes
+	// for overdue work.
+	abandonedTime = 1 * clock.Second
+	// chanceOfRow is the probability, by the background failure rate, below which failures in a row are not chance.
+	chanceOfRow = 1e-5
+	// longestRow bounds how many points in a row are needed.
+	longestRow = 8
+	// grantedAttempts is how many attempts per second count as made besides those counted.
+	grantedAttempts = 1
+	// ejectionTime is the shortest ejection of a cache, and ejectedUses how many usual attempts it lasts for a cache
+	// that is used seldom. The ejection is drawn up to half as long again, so that the trials of the routers do not
+	// coincide.
+	ejectionTime = 2 * clock.Second
+	ejectedUses  = 3
+	// lowestUse bounds the ejection of a cache that is hardly used, in attempts per second.
+	lowestUse = 0.1
+	// originEjectionTime is the ejection of the origin, which has no replica. Its trials are cheap: what they carry
+	// would be rejected.
+	originEjectionTime = 500 * clock.Millisecond
+	// frequentUse is the use, in attempts per second, from which on a server is judged by the longest row.
+	frequentUse = 2
+)
 
-// judge keeps a server's record by what this router itself has seen of it.
-func (r *Router) judge(w *attempt, status Status, took clock.Time) {
-	s, points := w.server, 0
-	used := s.used.now(r.now, useSpan) / (1 - math.Exp(-float64(r.now+1-r.began)/useSpan))
+// recordOutcome takes the outcome of an attempt into the record of its server. Only this router's own attempts count.
+func (r *Router) recordOutcome(attempt *attempt, status AttemptStatus, took clock.Duration) {
+	server := attempt.server
+	use := r.correctedRate(&server.attemptRate, attemptWindow)
+	points := 0
 	switch status {
 	case OK, Miss:
-		s.heard = r.now
-		if status == OK && !s.origin {
-			r.hits.add(r.now, trafficSpan)
-		}
-		if status == OK || s.time == 0 {
-			r.measure(s, took)
-		}
-		s.rate.add(r.now, rateSpan)
-		// What was sent before an answered attempt has had its turn.
-		s.ghosts = slices.DeleteFunc(s.ghosts, func(g ghost) bool { return g.sent <= w.sent })
-		if s.aside != 0 && s.unheard { // after a crash the list is late to tell of the new process, which is cold
-			s.coldFrom = r.now
-		}
-		s.lost, s.aside, s.unheard = 0, 0, false
+		r.recordAnswer(attempt, status, took)
 	case QueueFull:
-		s.lost = 0
+		server.failurePoints = 0
 	case TimedOut:
-		until := w.sent + 2*r.seen.long // cut short: no blame, and done when it would have been answered
-		if s.origin || took >= 2*r.seen.long {
-			const stays = 1e6 // longer than an overdue answer of a crowded server takes
-			until = r.now + max(took, stays)
-			r.measure(s, max(took, s.time))
-			points = 1
-		}
-		s.ghosts = append(s.ghosts, ghost{w.sent, until})
+		points = r.recordTimeout(attempt, took)
 	case Failed, Reset:
-		points = 1
+		points = faultPoints
 	case ConnectError:
-		s.unheard, s.ghosts = true, nil
-		points = 2
-	}
-	r.follow(s, status, points, took)
-	if points == 0 {
-		return
-	}
-	// What strikes all alike (broken connections, spoilt answers) is no one's ill health: it set
-	// aside a healthy fleet, and the origin. A row too long for chance at the others' share is.
-	const granted, unlikely, most = 1, 1e-5, 8 // attempts a second; such a row is seen once in many minutes
-	others := max(0, r.noise.now(r.now, useSpan)-float64(s.lost)*1e6/useSpan)
-	share := min(0.5, others/(r.used.now(r.now, useSpan)+granted))
-	row := min(most, int(math.Ceil(math.Log(unlikely)/math.Log(share))))
-	if status != TimedOut && status != QueueFull { // these are load
-		r.noise.add(r.now, useSpan)
+		server.connectFailed = true
+		server.abandoned = nil
+		points = connectFaultPoints
 	}
-	// One bad answer is chance, three in a row are not. But a cache used once in seconds has no long row: there
-	// the second one counts, and it is left for three uses, which its partners hardly feel. The origin has no
-	// partner: one late answer of its long tail kept a router from it for half a minute.
-	rest := max(2e6, 3e6/max(used, 0.1))
-	if s.origin { // its trials cost little: what they carry would be rejected
-		used, rest = 2, 5e5
-	}
-	if s.lost += points; s.lost >= max(2, 1+int(min(2, used)), row) && s.aside <= r.now {
-		// Long enough that trials cost little, random so that the routers' trials do not fall together.
-		s.aside = r.now + clock.Time(rest*(1+r.chance()/2))
+	r.recordPathOutcome(server, status, points, took)
+	if points > 0 {
+		r.recordFailure(server, status, points, use)
 	}
 }
 
-// follow keeps the record of the way to a zone. Caches of it that are silent one after the other, and no word
-// from any, are out of reach, or gone together: each router found that out cache by cache, and lost a request
-// on each. A refused connection is a word. In a healthy zone two that hang cost a moment at partners.
-func (r *Router) follow(s *server, status Status, points int, took clock.Time) {
-	w := r.ways[s.Zone]
-	switch {
-	case s.origin || status == TimedOut && points == 0 || status == NotSent || status == Canceled:
-	case status != TimedOut && (status != ConnectError || took < r.connect/2):
-		delete(r.ways, s.Zone)
-	case w.last != s:
-		w.silent, w.last = w.silent+1, s
-		r.rest(s, w)
+// recordAnswer takes in an answer, which ends all that is held against the server.
+func (r *Router) recordAnswer(attempt *attempt, status AttemptStatus, took clock.Duration) {
+	server := attempt.server
+	server.lastResponseAt = r.now
+	if status == OK && !server.isOrigin {
+		r.traffic.hits.add(r.now, trafficWindow)
+	}
+	if status == OK || server.latency.recent == 0 {
+		r.recordLatency(server, took)
 	}
+	server.answerRate.add(r.now, answerWindow)
+	// Attempts that were sent before an answered one have been served.
+	server.abandoned = slices.DeleteFunc(server.abandoned, func(a abandonedAttempt) bool { return a.sentAt <= attempt.sentAt })
+	if server.ejectedUntil != 0 && server.connectFailed { // a new process, before the list has its start
+		server.warmUp.returnedAt = r.now
+	}
+	server.forgetFailures()
 }
 
-// rest leaves a zone alone, where two were silent and there are others, until it is time for a trial.
-func (r *Router) rest(s *server, w way) {
-	const short = 3e5 // some answers: long enough for the trial's own, and each costs a request
-	if w.silent > 1 && slices.ContainsFunc(r.caches, func(c *server) bool { return c.Zone != s.Zone }) {
-		w.rest = r.now + clock.Time(short*(1+r.chance()/2))
+// recordTimeout takes in a time-out and returns its points. A time-out that was too short for a usual answer counts for
+// nothing, and its attempt as in flight until an answer would have come.
+func (r *Router) recordTimeout(attempt *attempt, took clock.Duration) (points int) {
+	server := attempt.server
+	usual := earlyTimeoutAnswers * r.cacheLatency.mean
+	until := attempt.sentAt + usual
+	if server.isOrigin || took >= usual {
+		until = r.now + max(took, abandonedTime)
+		r.recordLatency(server, max(took, server.latency.recent))
+		points = faultPoints
 	}
-	r.ways[s.Zone] = w
+	server.abandoned = append(server.abandoned, abandonedAttempt{attempt.sentAt, until})
+	return points
 }
 
-// recall: another start is another process. What was set aside gets a trial, at once: it may have recovered.
-func (r *Router) recall(s *server) {
-	b, known := r.before[s.Server]
-	delete(r.before, s.Server)
-	if !known || b.StartedAt != s.StartedAt || s.n > 0 {
-		return
+// recordFailure counts points for failures in a row, and ejects the server once there are too many of them.
+func (r *Router) recordFailure(server *server, status AttemptStatus, points int, use float64) {
+	row := r.unlikelyRow(server)
+	if status != TimedOut && status != QueueFull { // these are load, not faults
+		r.traffic.failures.add(r.now, attemptWindow)
 	}
-	s.gauge.recall(b.Latency)
-	s.recalled, s.ended, s.unheard, s.rate = true, b.ObservedAt, b.ConnectFailed, decayed{b.AnswerRate, r.now}
-	// Else it would seem to be used once in many seconds, where one failure sets it aside.
-	s.used = decayed{b.AttemptRate * (1 - math.Exp(-float64(r.now-r.began)/useSpan)), r.now}
-	if b.ReportedServiceTime > 0 {
-		s.report(r.now, b.ReportedServiceTime)
+	// A server that is used seldom has no long rows: there two points count, and it is ejected for some usual attempts,
+	// which its replicas hardly notice.
+	ejection := max(float64(ejectionTime), ejectedUses*microsecondsPerSecond/max(use, lowestUse))
+	if server.isOrigin {
+		use = frequentUse
+		ejection = float64(originEjectionTime)
 	}
-	if b.Ejected {
-		s.lost, s.aside = b.FailurePoints, max(1, r.now)
+	limit := max(2, 1+int(min(frequentUse, use)), row)
+	server.failurePoints += points
+	if server.failurePoints >= limit && server.ejectedUntil <= r.now {
+		server.ejectedUntil = r.now + clock.Duration(ejection*(1+r.random.float()/2))
 	}
 }
+
+// unlikelyRow is how many points in a row are too many for chance, by the rate of failures at the other servers. A fault
+// that strikes all alike (connections that break, malformed answers) must not eject a healthy fleet.
+func (r *Router) unlikelyRow(server *server) int {
+	own := float64(server.failurePoints) * microsecondsPerSecond / float64(attemptWindow)
+	others := max(0, r.traffic.failures.at(r.now, attemptWindow)-own)
+	failureRatio := min(0.5, others/(r.traffic.attempts.at(r.now, attemptWindow)+grantedAttempts))
+	return min(longestRow, int(math.Ceil(math.Log(chanceOfRow)/math.Log(failureRatio))))
+}
+
+// forgetFailures ends an ejection and all that is held against a server.
+func (s *server) forgetFailures() {
+	s.failurePoints = 0
+	s.ejectedUntil = 0
+	s.connectFailed = false
+}
--- a/core/routing/knowledge_test.go
+++ b/core/routing/knowledge_test.go
@@ -74,10 +74,10 @@
 			t.Errorf("a rate of %v became %v", x[1], x[0])
 		}
 	}
-	if len(r.requests) > 0 || len(r.held) > 0 || r.servers[1].inFlight > 0 || len(r.servers[1].ghosts) > 0 {
+	if len(r.requests.byID) > 0 || len(r.requests.queued) > 0 || r.endpoints.servers[1].inFlight > 0 || len(r.endpoints.servers[1].abandoned) > 0 {
 		t.Error("reqs or write-outs came with it")
 	}
-	if load, _ := r.load(&request{key: "hot"}); load < hotBound {
+	if load, _ := r.keyLoad(&request{key: "hot"}); load < hotKeyThreshold {
 		t.Errorf("the hot key has a load of %v", load)
 	}
 }
@@ -88,16 +88,16 @@
 	r, _ := New(10e6, base(), 2)
 	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"saved", "1", "2", "3", "4", "9"}))
-	if r.servers[3].time < 30e3 {
-		t.Errorf("server 3 is known to take %d", r.servers[3].time)
+	if r.endpoints.servers[3].latency.recent < 30e3 {
+		t.Errorf("server 3 is known to take %d", r.endpoints.servers[3].latency.recent)
 	}
 	r.Step(11e6, input(base(), "list", []string{"full", "1", "2", "3@10.5", "4", "9"}))
-	if r.servers[3].n != 0 || r.servers[1].n == 0 {
-		t.Errorf("after its restart server 3 has %d answers, server 1 has %d", r.servers[3].n, r.servers[1].n)
+	if r.endpoints.servers[3].latency.samples != 0 || r.endpoints.servers[1].latency.samples == 0 {
+		t.Errorf("after its restart server 3 has %d answers, server 1 has %d", r.endpoints.servers[3].latency.samples, r.endpoints.servers[1].latency.samples)
 	}
 	// And it is cold: the budget follows from its start, whatever was known.
-	if r.coldAge(r.servers[3]) != 0.5e6 {
-		t.Errorf("it counts as up for %d", r.coldAge(r.servers[3]))
+	if r.warmUpAge(r.endpoints.servers[3]) != 0.5e6 {
+		t.Errorf("it counts as up for %d", r.warmUpAge(r.endpoints.servers[3]))
 	}
 }
 
@@ -109,11 +109,11 @@
 	r.Step(10e6, KnowledgeRestored{k})
 	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
-	for _, status := range []Status{Reset, QueueFull} {
-		s := r.servers[1]
-		r.judge(&attempt{server: s, sent: 10e6}, status, 5e3)
-		if s.aside != 0 {
-			t.Errorf("after one %v it is set aside until %v", status, s.aside)
+	for _, status := range []AttemptStatus{Reset, QueueFull} {
+		s := r.endpoints.servers[1]
+		r.recordOutcome(&attempt{server: s, sentAt: 10e6}, status, 5e3)
+		if s.ejectedUntil != 0 {
+			t.Errorf("after one %v it is set aside until %v", status, s.ejectedUntil)
 		}
 	}
 }
@@ -125,15 +125,15 @@
 	r.Step(10e6, KnowledgeRestored{k})
 	r.Step(10e6, ServersRestored{k.Servers})
 	r.Step(10e6, input(base(), "list", []string{"full", "1", "2", "3", "4", "9"}))
-	s := r.servers[1] // known as quick, slow now
+	s := r.endpoints.servers[1] // known as quick, slow now
 	for range 8 {
-		r.measure(s, 100e3)
+		r.recordLatency(s, 100e3)
 	}
-	if s.time < 60e3 {
-		t.Errorf("after eight answers of 100 ms it is taken to need %d us", s.time)
+	if s.latency.recent < 60e3 {
+		t.Errorf("after eight answers of 100 ms it is taken to need %d us", s.latency.recent)
 	}
-	if s.best > 11e3 {
-		t.Errorf("its quickest time, %d us, is forgotten", s.best)
+	if s.latency.fastest > 11e3 {
+		t.Errorf("its quickest time, %d us, is forgotten", s.latency.fastest)
 	}
 }
 
@@ -187,15 +187,15 @@
 		l.Endpoints = append(l.Endpoints, Endpoint{Server: ServerID(i + 1), Kind: "cache"})
 	}
 	r.Step(0, l)
-	for _, s := range r.servers {
-		s.ended = 1
+	for _, s := range r.endpoints.servers {
+		s.lastAttemptEnd = 1
 		for range 16 {
-			s.report(1, 1000)
+			s.addReportedTime(1, 1000)
 		}
 	}
 	for i := range 10000 {
-		r.hot.count(KeyHash(i % 1024))
-		r.hot.count(KeyHash(i % 1024))
+		r.hotKeys.counts.add(KeyHash(i % 1024))
+		r.hotKeys.counts.add(KeyHash(i % 1024))
 	}
 	worst := time.Duration(0)
 	for b.Loop() {
--- a/core/routing/origin.go
+++ b/core/routing/origin.go
@@ -6,86 +6,131 @@
 	"spurtrestle/core/clock"
 )
 
-// This file: what goes to the origin, and how much of it.
+const (
+	// originFleetFloor is how many requests of all routers may be in flight at the origin at least, before its rate is
+	// known, and originRouterFloor how many of one router.
+	originFleetFloor  = 6
+	originRouterFloor = 2
+	// originIdleMultiple is how many fastest latencies of answers may be in flight at an origin that is not busy.
+	originIdleMultiple = 4
+	// originMaxWait bounds the wait for the origin between single requests: a trial for each of hundreds of routers.
+	originMaxWait = 10 * clock.Second
+	// urgentSamples is how many answers of caches are needed to know that a read is urgent.
+	urgentSamples = fullSamples / 4
+)
+
+// originState is the origin, where the endpoint list has one.
+type originState struct {
+	server *server // nil: none
+}
 
-// isFetch: only reads of a known key share one fetch.
-func (r *Router) isFetch(q *request) bool { return r.aside && !q.write && q.key != "" }
+// sharesOriginRead reports whether a request is a read whose result fills a cache, so that other reads of the key can wait
+// for it.
+func (r *Router) sharesOriginRead(request *request) bool {
+	return r.config.cacheAside && !request.write && request.key != ""
+}
 
-func (r *Router) fetchIsOut(q *request) bool {
-	f := r.fetches[q.key]
-	return r.isFetch(q) && f != nil && f != q
+// originReadInFlight: another read of the key goes to the origin; this one waits for it.
+func (r *Router) originReadInFlight(request *request) bool {
+	first := r.requests.originReads[request.key]
+	return r.sharesOriginRead(request) && first != nil && first != request
 }
 
-func (r *Router) turnToOrigin(q *request) {
-	q.toOrigin = true
-	if r.isFetch(q) && r.fetches[q.key] == nil {
-		r.fetches[q.key] = q
+// turnToOrigin has a request go to the origin.
+func (r *Router) turnToOrigin(request *request) {
+	request.toOrigin = true
+	if r.sharesOriginRead(request) && r.requests.originReads[request.key] == nil {
+		r.requests.originReads[request.key] = request
 	}
 }
 
-// isUrgent: a read of a method that has less than two of a cache's quick answers, new connections in them,
-// was seldom answered in time, after a miss never. The origin, to which a connection is kept, has it while
-// its last answers are under the goal. It could harm where the origin tells too little of its load.
-func (r *Router) isUrgent(q *request) bool {
-	return r.aside && !q.write && !q.short && q.sent == 0 && r.seen.n >= gaugeFull/4 && // not slow by chance
-		q.method.aim < 2*r.seen.best && r.originIsFree(q, false)
+// isUrgent reports whether a read goes to the origin at once: its latency objective is shorter than two fast answers of a
+// cache, new connections included, so that a cache would seldom answer in time, and after a miss never. To the origin a
+// connection is kept.
+func (r *Router) isUrgent(request *request) bool {
+	isFirstRead := !request.write && !request.nearDeadline && request.attemptCount == 0
+	latencyKnown := r.cacheLatency.samples >= urgentSamples
+	tooShortForCache := request.method.latencyObjective < 2*r.cacheLatency.fastest
+	return r.config.cacheAside && isFirstRead && latencyKnown && tooShortForCache && r.originIsFree(request, false)
 }
 
-// originIsFree: a read may go there though no cache has missed.
-func (r *Router) originIsFree(q *request, pressed bool) bool {
-	return inGroup(q, r.origin) && !r.fetchIsOut(q) && r.originTakes(pressed)
+// originIsFree reports whether a read may go to the origin though no cache has missed. See originTakesMiss for evenIfBusy.
+func (r *Router) originIsFree(request *request, evenIfBusy bool) bool {
+	return recognizesRepeat(request, r.origin.server) && !r.originReadInFlight(request) && r.originTakesMiss(evenIfBusy)
 }
 
-// originWait is the time until the origin's bound has room. Less than one in flight is one, and then a pause.
-func (r *Router) originWait() clock.Time {
-	o, bound := r.origin, r.originBound()
-	if float64(o.inFlight) >= max(1, bound) {
-		return max(1, o.time)
+// originTakesMiss reports whether the origin could carry the miss of a key that leaves its cache: while its last answers
+// are within the latency goal, or, even if busy, while it has capacity.
+func (r *Router) originTakesMiss(evenIfBusy bool) bool {
+	origin := r.origin.server
+	if origin == nil {
+		return true
 	}
-	const most = 10e6 // long enough for hundreds of routers, and a trial for one of them
-	return max(0, r.fetchWait(0), o.ended-r.now+clock.Time(min(most, (1/min(1, bound)-1)*float64(o.best))))
+	return r.originReady() && (evenIfBusy || origin.latency.recent < r.config.originLatencyGoal)
 }
 
-// originRoom bounds the origin harder. While its answers are near their quickest it has room to spare, and
-// chance alone needs some; once they are longer, it gets what it answers within a part of the budget.
-func (r *Router) originRoom() bool {
-	return r.origin != nil && r.usable(r.origin) && r.originWait() == 0
+// originReady reports whether there is an origin that can take one more request now.
+func (r *Router) originReady() bool {
+	origin := r.origin.server
+	return origin != nil && r.isUsable(origin) && r.originWait() == 0
 }
 
-// originRoomFor lets writes go past the bound: they are few, worth the most, and have nowhere else to go.
-func (r *Router) originRoomFor(q *request) bool {
-	return r.originRoom() || q.write && r.origin != nil && r.usable(r.origin)
+// originAccepts reports whether a request may be sent to the origin now. Writes go past the bound: they are few, have the
+// highest weights, and no other place to go.
+func (r *Router) originAccepts(request *request) bool {
+	origin := r.origin.server
+	return r.originReady() || request.write && origin != nil && r.isUsable(origin)
+}
+
+// originWait is the time until the origin can take one more request. A bound of less than one in flight is one with a
+// wait after it.
+func (r *Router) originWait() clock.Duration {
+	origin := r.origin.server
+	bound := r.originInFlightBound()
+	if float64(origin.inFlight) >= max(1, bound) {
+		return max(1, origin.latency.recent)
+	}
+	spacing := min(float64(originMaxWait), (1/min(1, bound)-1)*float64(origin.latency.fastest))
+	return max(0, r.originReadWait(0), origin.lastAttemptEnd-r.now+clock.Duration(spacing))
 }
 
-// fetchWait is the time until one more read may go to the origin, behind so many that wait, where the fleet
-// has a bound on them: by this router's part of it, saved up for a quarter of a second.
-func (r *Router) fetchWait(ahead int) clock.Time {
-	if r.planned.OriginReadLimit == 0 {
+// originReadWait is the time until one more read may go to the origin, behind so many that wait, where the fleet limits
+// them.
+func (r *Router) originReadWait(queuedAhead int) clock.Duration {
+	if r.failover.OriginReadLimit == 0 {
 		return 0
 	}
-	rate := r.refill()
-	return clock.Time(max(0, 1e6*(1+float64(ahead)-r.fetchLeft)/rate))
+	perSecond := r.refillOriginReads()
+	missing := 1 + float64(queuedAhead) - r.budgets.originReads
+	return clock.Duration(max(0, microsecondsPerSecond*missing/perSecond))
 }
 
-// originTakes tells whether the origin could carry the miss of a key that leaves its cache: where others wait
-// there already if it has room, else only while its last answers are under the goal.
-func (r *Router) originTakes(crowded bool) bool {
-	return r.origin == nil || r.originRoom() && (crowded || r.origin.time < r.originGoal)
+// originExpectedLatency is the time until an answer of the origin, behind the queued requests that go before.
+func (r *Router) originExpectedLatency() clock.Duration {
+	origin := r.origin.server
+	queue := clock.Duration(float64(origin.latency.recent) * float64(origin.queuedAhead) / r.originInFlightBound())
+	return origin.latency.recent + max(r.originWait(), r.originReadWait(origin.queuedAhead), queue)
 }
 
-func (r *Router) originBound() float64 {
-	o := r.origin
-	const fewest = 6 // of all routers, two of one: enough to find its rate, few enough for a stopped origin
-	goal := 4 * o.best
-	// More than the spread of a long mean of heavy-tailed answers; or a quickest that was learnt under load.
-	// An origin that takes as long as the goal when idle was held at two in flight all day.
-	if most := min(o.best*8/5, r.originGoal*7/5); o.long > most {
-		goal = max(r.originGoal, most)
+// originInFlightBound is how many requests of this router may be in flight at the origin. It is stricter than a cache's:
+// while its answers are near their fastest there is capacity to spare, and chance alone needs some; once they are longer,
+// it gets what it answers within a part of the latency objective.
+func (r *Router) originInFlightBound() float64 {
+	origin := r.origin.server
+	latencyGoal := r.config.originLatencyGoal
+	target := originIdleMultiple * origin.latency.fastest
+	// Above the spread of a long mean of heavy-tailed answers. The goal covers a fastest latency that was learned under
+	// load.
+	busyAbove := min(origin.latency.fastest*8/5, latencyGoal*7/5)
+	if origin.latency.mean > busyAbove {
+		target = max(latencyGoal, busyAbove)
 	}
-	b := max(min(2, fewest*r.part), o.rate.now(r.now, rateSpan)*float64(goal)/1e6)
-	if b >= 1 {
-		return b
+	floor := min(originRouterFloor, originFleetFloor*r.fleetShare)
+	bound := max(floor, origin.answerRate.at(r.now, answerWindow)*float64(target)/microsecondsPerSecond)
+	if bound >= 1 {
+		return bound
 	}
-	// Two from each of hundreds of routers filled it for seconds. Below one in flight a busy origin gets less.
-	return (1 + b + 2*math.Sqrt(b)) * upTo(o.time, r.originGoal)
+	// Below one a floor for each of hundreds of routers would overload the origin, and one in flight would leave it idle:
+	// the bound is two standard deviations above, and less while the origin is busy.
+	return (1 + bound + 2*math.Sqrt(bound)) * goalFactor(origin.latency.recent, latencyGoal)
 }
--- /dev/null
+++ b/core/routing/rate.go
@@ -0,0 +1,45 @@
+package routing
+
+import (
+	"math"
+
+	"spurtrestle/core/clock"
+)
+
+// microsecondsPerSecond converts between rates per second and durations.
+const microsecondsPerSecond = float64(clock.Second)
+
+// decayingRate is a rate per second, averaged over a window with exponential decay. All calls on one rate use the same
+// window.
+type decayingRate struct {
+	perSecond float64
+	updatedAt clock.Time
+}
+
+// at returns the rate at an instant.
+func (d *decayingRate) at(now clock.Time, window clock.Duration) float64 {
+	if now > d.updatedAt {
+		d.perSecond *= math.Exp(-float64(now-d.updatedAt) / float64(window))
+		d.updatedAt = now
+	}
+	return d.perSecond
+}
+
+// add counts one event.
+func (d *decayingRate) add(now clock.Time, window clock.Duration) { d.addWeighted(1, now, window) }
+
+// addWeighted counts an event of a weight.
+func (d *decayingRate) addWeighted(weight float64, now clock.Time, window clock.Duration) {
+	d.perSecond = d.at(now, window) + weight*microsecondsPerSecond/float64(window)
+}
+
+// windowCovered is the fraction of a decaying window for which the router has been running: rates start at zero and reach
+// their true value with it.
+func (r *Router) windowCovered(window clock.Duration) float64 {
+	return 1 - math.Exp(-float64(r.now+1-r.startedAt)/float64(window))
+}
+
+// correctedRate is a rate without the bias of a router that has just started.
+func (r *Router) correctedRate(rate *decayingRate, window clock.Duration) float64 {
+	return rate.at(r.now, window) / r.windowCovered(window)
+}
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -1,142 +1,270 @@
 package routing
 
-import "spurtrestle/core/clock"
-
-// This file: the rules for one request, in order, and how it ends.
-
-func requestRules() []rule {
-	return []rule{
-		{"a copy is due", (*Router).copyIsDue, func(r *Router, q *request) { r.send(q, r.origin) }},
-		{"its answer is due", func(_ *Router, q *request) bool { return len(q.attempts) > 0 }, (*Router).settle},
-		{"nothing can be earned", func(r *Router, q *request) bool { return r.now >= q.final }, (*Router).giveUp},
-		{"it may have run and must not run again", (*Router).mustStop, (*Router).giveUp},
-		{"its attempts are used up", func(_ *Router, q *request) bool { return q.sent >= q.most },
-			(*Router).giveUp},
-		{"this router has no part in what may be sent, so nothing new is",
-			func(r *Router, q *request) bool { return r.part == 0 && q.sent == 0 }, (*Router).giveUp},
-		{"the fleet refuses what is worth so little now", (*Router).isShed, (*Router).giveUp},
-		{"the retry budget is spent", func(r *Router, q *request) bool { return q.retrying && r.retries < 1 },
-			(*Router).giveUp},
-		{"its pause is not over", func(r *Router, q *request) bool { return r.now < q.pause }, (*Router).hold},
-		{"a fetch of its key is out: wait for it", (*Router).fetchIsOut, (*Router).hold},
-		{"a miss, a write in aside mode, or a read too urgent for a cache goes to the origin",
-			func(r *Router, q *request) bool {
-				return !q.toOrigin && (q.missed || r.aside && q.write || r.isUrgent(q))
-			},
-			(*Router).turnToOrigin},
-		{"too little time is left for an answer", (*Router).isTooLate, (*Router).giveUp},
-		{"no origin to turn to", func(r *Router, q *request) bool { return q.toOrigin && !inGroup(q, r.origin) },
-			(*Router).giveUp},
-		{"the origin has room", func(r *Router, q *request) bool { return q.toOrigin && r.originRoomFor(q) },
-			func(r *Router, q *request) { r.send(q, r.origin) }},
-		{"the origin cannot answer in time",
-			func(r *Router, q *request) bool { return q.toOrigin && r.now+r.wait(r.origin) > q.soon() },
-			(*Router).giveUp},
-		{"wait for the origin", func(_ *Router, q *request) bool { return q.toOrigin }, (*Router).hold},
-		{"the caches answer too little", (*Router).mostAreLost, (*Router).giveUp},
-		{"a cache has room", (*Router).pick, func(r *Router, q *request) { r.send(q, q.target) }},
-		{"no cache can be used", func(_ *Router, q *request) bool { return q.target == nil },
-			(*Router).turnToOrigin},
-		{"the cache cannot answer in time",
-			func(r *Router, q *request) bool { return r.now+r.wait(q.target) > q.soon() }, (*Router).giveUp},
-		{"wait for the cache", func(*Router, *request) bool { return true }, (*Router).hold},
-	}
-}
-
-func (r *Router) finish(q *request) {
-	// Once: an attempt may end after its request. Where time was short or nothing was sent no cache is to blame.
-	if !q.done && q.admitted && !q.short && q.sent > 0 {
-		r.asked.add(r.now, trafficSpan)
-	}
-	r.note(q)
-	q.done, q.settled = true, true
-	if r.fetches[q.key] == q {
-		delete(r.fetches, q.key)
-	}
-	if len(q.attempts) == 0 {
-		delete(r.requests, q.id)
-	}
-}
-
-func (r *Router) send(q *request, s *server) {
-	left := q.final - r.now
-	timeout := left
-	if !s.origin && r.aside && q.sent+1 < q.most && r.retries >= 1 {
-		// Time for a miss and the origin stays within the latency budget. A heavy-tailed answer of a healthy
-		// cache gets eight usual ones all the same: cutting it off wasted more than the second try won. Where no
-		// retry can be paid for, cutting a wait short wins nothing at all.
-		spare := q.method.time
-		if r.origin != nil {
-			spare = min(left/3, spare+r.origin.best*3/2)
-		}
-		timeout = min(left, max(q.aim-r.now-spare, 8*r.seen.long))
-		// After a time-out, and in a trial, it may hang: a short wait leaves time for a partner. Before the
-		// first answer of all the usual one is not known.
-		if s.lost > 0 && r.seen.n > 0 {
-			timeout = min(timeout, 3*r.seen.long)
-		}
+import (
+	"math"
+	"slices"
+
+	"spurtrestle/core/clock"
+)
+
+const (
+	// initialRetries is the retry budget at the start: enough for the first seconds.
+	initialRetries = 10
+	// maxRetries bounds the budget that is saved up for a burst.
+	maxRetries = 20
+	// retriesPerRequest is by how much each request raises the budget.
+	retriesPerRequest = 0.1
+	// overShareTolerance is the multiple of a tenant's share that counts as chance.
+	overShareTolerance = 1.2
+	// retryAfterObjectives is how many latency objectives a rejected client is sent away for besides the wait: as long
+	// as a crest of load. Clients that return sooner fill the queues again.
+	retryAfterObjectives = 4
+)
+
+// requestTable holds the requests that are not finished.
+type requestTable struct {
+	byID        map[RequestID]*request
+	queued      []*request       // writes first, then by weight, then by arrival
+	hedgeable   []*request       // with one attempt, in the order of hedgeAt
+	originReads map[Key]*request // the read of each key that goes to the origin; other reads of the key wait for it
+	arrived     int
+}
+
+// budgets bound what would amplify an overload.
+type budgets struct {
+	retries       float64
+	originReads   float64    // that may go to the origin now, where the fleet limits them
+	originReadsAt clock.Time // when it was last refilled
+}
+
+// attempt is one attempt of a request.
+type attempt struct {
+	server *server
+	number Attempt
+	sentAt clock.Time
+}
+
+// request is the state of one client request.
+type request struct {
+	id        RequestID
+	method    *method
+	key       Key
+	hash      uint64 // of the key, or of the id where it has none; for a very hot key that of the group drawn
+	write     bool
+	weight    float64 // priority weight: that of its method, lower where its tenant is over its share
+	rank      Rank
+	arrival   int        // order of arrival
+	objective clock.Time // an answer by then has its full value
+	deadline  clock.Time // an answer after it has none
+
+	attempts      []*attempt // in flight: at most two, the second a hedged one
+	attemptCount  Attempt
+	maxAttempts   Attempt
+	failedServers []*server
+	hedgeAt       clock.Time // when it may be hedged; 0: never
+	backoffUntil  clock.Time
+	retryPending  bool       // its next attempt is charged to the retry budget
+	mayHaveRunAt  clock.Time // when the first attempt that may have run was sent; 0: none
+	mayHaveRunOn  *server
+
+	missed   bool // a cache missed: the origin is next
+	toOrigin bool // only the origin can answer
+	replica  int  // place in its group drawn for a hot key; -1: none yet
+	target   *server
+
+	nearDeadline     bool // it came with less than half of its latency objective left
+	shed             bool // the fleet rejects its rank
+	admissionChecked bool
+	responded        bool // answered, or a cache has responded to it
+	queued           bool
+	decided          bool // nothing more to do until the next event
+	finished         bool
+}
+
+// usefulUntil is the instant after which waiting for an answer is of no use. A late answer may have a value, but takes the
+// place of one in time: what can be had again waits no longer than its latency objective.
+func (r *request) usefulUntil() clock.Time {
+	if r.method.idempotency == Idempotent {
+		return min(r.objective, r.deadline)
+	}
+	return r.deadline
+}
+
+// requestArrived takes in a client's request.
+func (r *Router) requestArrived(event RequestArrived) {
+	request := r.newRequest(event)
+	r.traffic.requests.add(r.now, trafficWindow)
+	r.lowerWeightOverShare(request, event.Tenant)
+	request.rank = 1 + Rank(1e6*request.weight)
+	if event.ClientRetry { // within its rank a repeat yields to a new request
+		request.rank -= request.rank / 100
+	}
+	r.load.countArrival(request.rank, r.now)
+	request.shed = r.shedsRank(request.rank)
+	r.budgets.retries = min(r.budgets.retries+retriesPerRequest, maxRetries)
+	if !event.Write && event.Key != "" {
+		r.hotKeys.counts.add(hashKey(event.Key))
+	}
+	r.requests.byID[request.id] = request
+	r.applyRules(request)
+}
+
+func (r *Router) newRequest(event RequestArrived) *request {
+	m := &r.config.methods[event.Method]
+	r.requests.arrived++
+	request := &request{
+		id:          event.Request,
+		method:      m,
+		key:         event.Key,
+		hash:        hashText(string(event.Key)),
+		write:       event.Write,
+		weight:      m.weight,
+		arrival:     r.requests.arrived,
+		objective:   r.now + m.latencyObjective,
+		maxAttempts: r.config.maxAttempts,
+		replica:     -1,
 	}
-	if w := r.ways[s.Zone]; w.rest > 0 && !s.origin { // a trial of the way
-		r.rest(s, w)
+	// In the last tick before the deadline an answer is due.
+	request.deadline = min(event.ValidUntil, r.shutdownAt) - r.config.clockGranularity
+	if !m.lateAnswerCounts {
+		request.deadline = min(request.deadline, request.objective)
 	}
-	if q.retrying {
-		r.retries--
-		q.retrying = false
+	request.nearDeadline = 2*(request.deadline-r.now) < m.latencyObjective
+	if event.SingleAttempt {
+		request.maxAttempts = 1
 	}
-	r.spend(q, s)
-	if s.inFlight++; s.inFlight == 1 {
-		s.heard = r.now
+	if event.Key == "" {
+		request.hash = hashText(string(event.Request))
 	}
-	s.used.add(r.now, useSpan)
-	r.used.add(r.now, useSpan)
-	q.attempts = append(q.attempts, &attempt{server: s, nth: q.sent, sent: r.now})
-	q.sent++
-	if r.mayCopy && q.sent == 1 && !q.write && q.method.effect == Idempotent && !s.origin && r.seen.n > 0 {
-		q.copyAt = r.now + clock.Time(r.copyAfter*float64(r.seen.long))
-		r.watched = append(r.watched, q)
-		r.wake(q.copyAt)
+	return request
+}
+
+// lowerWeightOverShare lowers the weight of a request whose tenant is over its share of this router's traffic, by more than
+// a tolerance and two standard deviations: at a few requests per second a tenant is often over by chance.
+func (r *Router) lowerWeightOverShare(request *request, name Tenant) {
+	tenant := r.admission.tenants[name]
+	if tenant == nil {
+		return
+	}
+	tenant.rate.add(r.now, trafficWindow)
+	entitled := tenant.share * r.traffic.requests.perSecond
+	deviation := math.Sqrt(entitled * microsecondsPerSecond / float64(trafficWindow) / 2)
+	if tenant.rate.perSecond > overShareTolerance*entitled+2*deviation {
+		request.weight *= r.config.overShareWeight
+	}
+}
+
+// clientDisconnected ends a request whose client is gone.
+func (r *Router) clientDisconnected(event ClientDisconnected) {
+	request := r.requests.byID[event.Request]
+	if request == nil || request.finished {
+		return
 	}
-	q.settled = true
-	if r.coldAge(s) < r.coldSpan {
-		s.coldLeft--
+	r.cancelAttempts(request)
+	// A client that leaves before a usual answer is due does not speak against the caches.
+	leftEarly := len(request.attempts) == 0 || r.now-request.attempts[0].sentAt < 2*r.cacheLatency.mean
+	request.nearDeadline = request.nearDeadline || leftEarly
+	r.finish(request)
+}
+
+// finish ends a request. It may be called again when an attempt ends after its request.
+func (r *Router) finish(request *request) {
+	// Requests that came late, or for which nothing was sent, say nothing about the caches.
+	countsForCaches := request.admissionChecked && !request.nearDeadline && request.attemptCount > 0
+	if !request.finished && countsForCaches {
+		r.admission.ended.add(r.now, trafficWindow)
 	}
-	if q.write {
-		s.writes++
-	} else {
-		s.reads++
+	r.countEnd(request)
+	request.finished = true
+	request.decided = true
+	if r.requests.originReads[request.key] == request {
+		delete(r.requests.originReads, request.key)
 	}
-	d := Decision{Action: Send, Request: q.id, Server: s.Server, After: max(timeout, r.tick)}
-	if q.maybeRan > 0 && q.method.effect == Deduplicated { // it may wait for a connection past the window
-		d.StartBy = q.maybeRan + q.method.window - r.tick
+	if len(request.attempts) == 0 {
+		delete(r.requests.byID, request.id)
 	}
-	r.decided = append(r.decided, d)
 }
 
-func (r *Router) waitsFor(q *request) *server {
-	if q.toOrigin {
-		return r.origin
+// rejectOrFail answers a request at once: with a rejection where a repeat does no harm, else with a failure.
+func (r *Router) rejectOrFail(request *request) {
+	decision := Decision{Action: Fail, Request: request.id}
+	if request.mayHaveRunAt == 0 || request.method.idempotency == Idempotent {
+		decision.Action = Reject
+		decision.After = min(r.retryAfter(request), r.config.maxRetryAfter)
 	}
-	return q.target
+	r.decide(decision)
+	r.finish(request)
 }
 
-// wait is the time until an answer, behind those held for the same server that go before the request at hand.
-func (r *Router) wait(s *server) clock.Time {
-	if s.aside > r.now {
-		return s.aside - r.now + s.best
+// retryAfter is when a rejected client should come back.
+func (r *Router) retryAfter(request *request) clock.Duration {
+	if request.shed { // at random, so that the clients do not return in one wave
+		longest := min(r.failover.RetryAfter, r.config.maxRetryAfter)
+		return clock.Duration(float64(longest) * (1 + r.random.float()) / 2)
+	}
+	after := retryAfterObjectives * request.method.latencyObjective
+	waitsFor := r.waitsFor(request)
+	if waitsFor != nil {
+		after += r.expectedLatency(waitsFor)
 	}
-	if s.origin {
-		queue := clock.Time(float64(s.time) * float64(s.ahead) / r.originBound())
-		return s.time + max(r.originWait(), r.fetchWait(s.ahead), queue)
+	return after
+}
+
+// waitsFor is the server that a request waits for; nil for none.
+func (r *Router) waitsFor(request *request) *server {
+	if request.toOrigin {
+		return r.origin.server
 	}
-	t := s.gauge.leaning(r.seen).time
-	return t + clock.Time(float64(t)*float64(s.ahead)/max(1, inHand*r.part))
+	return request.target
 }
 
-// soon: a late answer may still earn something, but it takes the place of one in time. So a request that can
-// be had again waits no longer than its latency budget allows.
-func (q *request) soon() clock.Time {
-	if q.method.effect == Idempotent {
-		return min(q.aim, q.final)
+// enqueue has a request wait: it is looked at again after every event that is no request, and at intervals.
+func (r *Router) enqueue(request *request) {
+	request.decided = true
+	if request.queued {
+		return
+	}
+	request.queued = true
+	at, _ := slices.BinarySearchFunc(r.requests.queued, request, compareQueued)
+	r.requests.queued = slices.Insert(r.requests.queued, at, request)
+	waitsFor := r.waitsFor(request)
+	if waitsFor != nil {
+		waitsFor.queuedAhead++
 	}
-	return q.final
 }
+
+// compareQueued orders queued requests: writes first, then by weight, then by arrival.
+func compareQueued(a, b *request) int {
+	if a.write == b.write && a.weight == b.weight {
+		return a.arrival - b.arrival
+	}
+	if a.write && !b.write || a.write == b.write && a.weight > b.weight {
+		return -1
+	}
+	return 1
+}
+
+// checkQueue applies the rules to the queued requests, in order. Those that stay count as ahead of those behind them for
+// the same server.
+func (r *Router) checkQueue() {
+	for _, request := range r.requests.queued {
+		waitsFor := r.waitsFor(request)
+		if waitsFor != nil {
+			waitsFor.queuedAhead = 0
+		}
+	}
+	for _, request := range slices.Clone(r.requests.queued) {
+		r.applyRules(request)
+		waitsFor := r.waitsFor(request)
+		if waitsFor != nil && request.waits() {
+			waitsFor.queuedAhead++
+		}
+	}
+	r.requests.queued = slices.DeleteFunc(r.requests.queued, func(request *request) bool {
+		request.queued = request.waits()
+		return !request.queued
+	})
+}
+
+// waits reports whether the request has neither ended nor an attempt in flight.
+func (r *request) waits() bool { return !r.finished && len(r.attempts) == 0 }
--- /dev/null
+++ b/core/routing/restore.go
@@ -0,0 +1,89 @@
+package routing
+
+import (
+	"math"
+
+	"spurtrestle/core/clock"
+)
+
+// MaxRestoredSamples is as how many samples a restored latency counts at most: a quarter of a full estimate, so that new
+// samples soon outweigh it.
+const MaxRestoredSamples = 8
+
+// restoreKnowledge takes over what an earlier process knew. Rates count as observed for as long as that process observed
+// them; a restart renews no budget.
+func (r *Router) restoreKnowledge(knowledge Knowledge) {
+	r.startedAt = min(r.startedAt, r.now-knowledge.ObservedFor)
+	r.cacheLatency.restore(knowledge.CacheLatency)
+	r.budgets.retries = min(r.budgets.retries, knowledge.RetryBudget)
+	r.hotKeys.counts.restore(knowledge.Keys, knowledge.KeyReads)
+	known := min(len(knowledge.MethodLatencies), len(r.config.methods))
+	for i, latency := range knowledge.MethodLatencies[:known] {
+		r.config.methods[i].latency = latency
+	}
+	restored := func(rate float64, window clock.Duration) decayingRate {
+		return decayingRate{rate * (1 - math.Exp(-float64(knowledge.ObservedFor)/float64(window))), r.now}
+	}
+	r.traffic.requests = restored(knowledge.RequestRate, trafficWindow)
+	r.traffic.hits = restored(knowledge.HitRate, trafficWindow)
+	r.admission.ended = restored(knowledge.EndedRate, trafficWindow)
+	r.admission.answered = restored(knowledge.AnsweredRate, trafficWindow)
+	r.traffic.attempts = restored(knowledge.AttemptRate, attemptWindow)
+	r.traffic.failures = restored(knowledge.FailureRate, attemptWindow)
+}
+
+// restore takes over a latency. The fastest one stays known while new samples come in.
+func (l *latencyEstimate) restore(summary LatencySummary) {
+	*l = latencyEstimate{
+		recent:          summary.Recent,
+		mean:            summary.Mean,
+		fastest:         summary.Fastest,
+		samples:         clock.Duration(min(summary.Samples, MaxRestoredSamples)),
+		restoredFastest: summary.Fastest,
+	}
+}
+
+// restore takes over counts of keys, as far as there is place, and the reads that they are a part of.
+func (k *keyCounts) restore(keys []KeyKnowledge, total float64) {
+	free := k.capacity - len(k.keys)
+	for _, key := range keys[:min(len(keys), free)] {
+		_, known := k.byKey[key.Key]
+		if !known {
+			k.keys = append(k.keys, key.Key)
+			k.byKey[key.Key] = key.Count
+		}
+	}
+	k.total += total
+}
+
+// keepRestoredServers keeps the knowledge about servers until a list names them.
+func (r *Router) keepRestoredServers(event ServersRestored) {
+	for _, knowledge := range event.Servers {
+		r.restored[knowledge.Server] = knowledge
+	}
+}
+
+// restoreServer takes over what an earlier process knew of a server that the list names, unless the server has restarted
+// since or has answered already. A server that was ejected gets a trial at once: it may have recovered.
+func (r *Router) restoreServer(server *server) {
+	knowledge, known := r.restored[server.Server]
+	delete(r.restored, server.Server)
+	if !known || knowledge.StartedAt != server.StartedAt || server.latency.samples > 0 {
+		return
+	}
+	server.latency.restore(knowledge.Latency)
+	server.restored = true
+	server.lastAttemptEnd = knowledge.ObservedAt
+	server.connectFailed = knowledge.ConnectFailed
+	server.answerRate = decayingRate{knowledge.AnswerRate, r.now}
+	// Without its rate of attempts a server would count as used seldom, and be ejected after one failure.
+	covered := 1 - math.Exp(-float64(r.now-r.startedAt)/float64(attemptWindow))
+	server.attemptRate = decayingRate{knowledge.AttemptRate * covered, r.now}
+	if knowledge.ReportedServiceTime > 0 {
+		server.addReportedTime(r.now, knowledge.ReportedServiceTime)
+	}
+	if knowledge.Ejected {
+		server.failurePoints = knowledge.FailurePoints
+		server.ejectedUntil = max(1, r.now)
+	}
+}
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -9,13 +9,13 @@
 	"spurtrestle/core/clock"
 )
 
-func Example_algorithm1() {
-	fmt.Printf("%.3f nothing counted\n", algorithm1([]float64{0, 0, 0}, 0))
-	fmt.Printf("%.3f no writes\n", algorithm1([]float64{0, 0, 0}, 30))
+func Example_shareByWrites() {
+	fmt.Printf("%.3f nothing counted\n", shareByWrites([]float64{0, 0, 0}, 0))
+	fmt.Printf("%.3f no writes\n", shareByWrites([]float64{0, 0, 0}, 30))
 	// Fw = 0.2: the writer's share is (1/3 - 0.2) / 0.8, the others' (1/3) / 0.8.
-	fmt.Printf("%.3f a hot writer\n", algorithm1([]float64{10, 0, 0}, 40))
+	fmt.Printf("%.3f a hot writer\n", shareByWrites([]float64{10, 0, 0}, 40))
 	// Fw = 0.5: the writer's (1/3 - 1/2) / 0.5 is negative, so it reads nothing.
-	fmt.Printf("%.3f a writer over its share\n", algorithm1([]float64{10, 0, 0}, 10))
+	fmt.Printf("%.3f a writer over its share\n", shareByWrites([]float64{10, 0, 0}, 10))
 	// Output:
 	// [0.333 0.333 0.333] nothing counted
 	// [0.333 0.333 0.333] no writes
@@ -23,13 +23,13 @@
 	// [0.000 0.500 0.500] a writer over its share
 }
 
-func Example_algorithm2() {
+func Example_shiftBySpeed() {
 	even := func() []float64 { return []float64{1. / 3, 1. / 3, 1. / 3} }
-	fmt.Printf("%.3f nothing heard\n", algorithm2(even(), []float64{0, 0, 0}))
-	fmt.Printf("%.3f a slow partner\n", algorithm2(even(), []float64{10, 10, 20}))
-	fmt.Printf("%.3f a very slow partner\n", algorithm2(even(), []float64{1, 1, 18}))
-	fmt.Printf("%.3f two caches\n", algorithm2([]float64{0.5, 0.5}, []float64{10, 30}))
-	fmt.Printf("%.3f one cache\n", algorithm2([]float64{1}, []float64{10}))
+	fmt.Printf("%.3f nothing heard\n", shiftBySpeed(even(), []float64{0, 0, 0}))
+	fmt.Printf("%.3f a slow partner\n", shiftBySpeed(even(), []float64{10, 10, 20}))
+	fmt.Printf("%.3f a very slow partner\n", shiftBySpeed(even(), []float64{1, 1, 18}))
+	fmt.Printf("%.3f two caches\n", shiftBySpeed([]float64{0.5, 0.5}, []float64{10, 30}))
+	fmt.Printf("%.3f one cache\n", shiftBySpeed([]float64{1}, []float64{10}))
 	// Output:
 	// [0.333 0.333 0.333] nothing heard
 	// [0.417 0.417 0.167] a slow partner
@@ -40,9 +40,9 @@
 
 // sized is a router of caches of the sizes given, numbered from 1.
 func sized(sizes ...float64) *Router {
-	r := &Router{table: map[uint32][groupCount]uint32{}}
+	r := &Router{endpoints: endpointTable{groups: map[uint32][groupSize]uint32{}}}
 	for i, size := range sizes {
-		r.caches = append(r.caches, &server{Endpoint: Endpoint{Server: ServerID(i + 1)}, size: size})
+		r.endpoints.caches = append(r.endpoints.caches, &server{Endpoint: Endpoint{Server: ServerID(i + 1)}, capacity: size})
 	}
 	return r
 }
@@ -51,7 +51,7 @@
 func TestSlotsMoveToPartnersAndGoBySize(t *testing.T) {
 	all, fewer := sized(2, 1, 1, 1, 1, 1, 1, 2, 1, 1), sized(2, 1, 1, 1, 1, 1, 1, 2, 1)
 	first := map[ServerID]int{}
-	for i := range uint64(slots) {
+	for i := range uint64(slotCount) {
 		group := all.groupOf(i)
 		if len(group) != 3 || group[0] == group[1] || group[0] == group[2] || group[1] == group[2] {
 			t.Fatalf("slot %d holds %v", i, group)
@@ -66,8 +66,8 @@
 		}
 	}
 	for id, n := range first {
-		if due := all.caches[id-1].size / 12; math.Abs(float64(n)/slots-due) > due/12 {
-			t.Errorf("cache %d is first in %d of %d slots", id, n, slots)
+		if due := all.endpoints.caches[id-1].capacity / 12; math.Abs(float64(n)/slotCount-due) > due/12 {
+			t.Errorf("cache %d is first in %d of %d slots", id, n, slotCount)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 			l.Endpoints = append(l.Endpoints, Endpoint{Server: id})
 		}
 		r.Step(0, l)
-		for i := range uint64(slots) {
+		for i := range uint64(slotCount) {
 			of = append(of, r.groupOf(i)[0].Server)
 		}
 		return of
@@ -120,8 +120,8 @@
 		if to := reads(r, 2000, c.every); len(to) != c.caches {
 			t.Errorf("one read in %d over five caches went to %v", c.every, to)
 		}
-		if len(r.hot.keys) > 1024 || len(r.requests) != 0 {
-			t.Errorf("%d hot keys and %d reqs are kept", len(r.hot.keys), len(r.requests))
+		if len(r.hotKeys.counts.keys) > 1024 || len(r.requests.byID) != 0 {
+			t.Errorf("%d hot keys and %d reqs are kept", len(r.hotKeys.counts.keys), len(r.requests.byID))
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	r.Step(0, RequestArrived{Request: "a", Key: "k", ValidUntil: 1e6})
 	r.Step(0, ClientDisconnected{Request: "a"})
 	r.Step(0, AttemptEnded{Request: "a", Server: 1, Status: Canceled, Answered: true})
-	if n := r.asked.now(0, trafficSpan) * trafficSpan / 1e6; n != 1 {
+	if n := r.admission.ended.at(0, trafficWindow) * float64(trafficWindow) / 1e6; n != 1 {
 		t.Errorf("one req counts as %v", n)
 	}
 }
--- /dev/null
+++ b/core/routing/rules.go
@@ -0,0 +1,131 @@
+package routing
+
+// rule is a condition on a request and the action that follows.
+type rule struct {
+	applies func(*Router, *request) bool
+	act     func(*Router, *request)
+}
+
+// requestRules are the rules for one request, in order: the first that applies acts. After every event the rules are
+// applied to each request that the event touched, until the request is decided for the moment. The last one always applies.
+func requestRules() []rule {
+	return []rule{
+		// An attempt is in flight.
+		{(*Router).hedgeIsDue, (*Router).sendToOrigin},
+		{attemptInFlight, awaitOutcome},
+
+		// Nothing may be sent any more.
+		{(*Router).deadlinePassed, (*Router).rejectOrFail},
+		{(*Router).mustNotRunAgain, (*Router).rejectOrFail},
+		{attemptsExhausted, (*Router).rejectOrFail},
+		{(*Router).hasNoFleetShare, (*Router).rejectOrFail},
+		{isShed, (*Router).rejectOrFail},
+		{(*Router).retryBudgetExhausted, (*Router).rejectOrFail},
+
+		// Not now.
+		{(*Router).inBackoff, (*Router).enqueue},
+		{(*Router).originReadInFlight, (*Router).enqueue},
+
+		// To the origin, or not at all.
+		{(*Router).belongsToOrigin, (*Router).turnToOrigin},
+		{(*Router).tooLateForAnswer, (*Router).rejectOrFail},
+		{(*Router).originUnusable, (*Router).rejectOrFail},
+		{(*Router).originHasCapacity, (*Router).sendToOrigin},
+		{(*Router).originTooSlow, (*Router).rejectOrFail},
+		{needsOrigin, (*Router).enqueue},
+
+		// To a cache, or not at all.
+		{(*Router).shedsUnanswered, (*Router).rejectOrFail},
+		{(*Router).selectCache, (*Router).sendToTarget},
+		{hasNoCache, (*Router).turnToOrigin},
+		{(*Router).targetTooSlow, (*Router).rejectOrFail},
+		{always, (*Router).enqueue},
+	}
+}
+
+// applyRules applies the rules to a request until it is decided for the moment.
+func (r *Router) applyRules(request *request) {
+	request.decided = request.finished
+	for !request.decided {
+		r.applyFirstRule(request)
+	}
+}
+
+func (r *Router) applyFirstRule(request *request) {
+	for i := range r.rules {
+		if r.rules[i].applies(r, request) {
+			r.rules[i].act(r, request)
+			return
+		}
+	}
+}
+
+// attemptInFlight: the outcome of an attempt is due.
+func attemptInFlight(_ *Router, request *request) bool { return len(request.attempts) > 0 }
+
+// deadlinePassed: no answer can have a value any more.
+func (r *Router) deadlinePassed(request *request) bool { return r.now >= request.deadline }
+
+// attemptsExhausted: the request has had all its attempts.
+func attemptsExhausted(_ *Router, request *request) bool {
+	return request.attemptCount >= request.maxAttempts
+}
+
+// hasNoFleetShare: this router has no share in what the fleet may send, so that it starts no request.
+func (r *Router) hasNoFleetShare(request *request) bool {
+	return r.fleetShare == 0 && request.attemptCount == 0
+}
+
+// isShed: the fleet rejects requests of its rank.
+func isShed(_ *Router, request *request) bool { return request.shed }
+
+// retryBudgetExhausted: the next attempt is a retry, and the budget is spent.
+func (r *Router) retryBudgetExhausted(request *request) bool {
+	return request.retryPending && r.budgets.retries < 1
+}
+
+// inBackoff: the request waits before its next attempt.
+func (r *Router) inBackoff(request *request) bool { return r.now < request.backoffUntil }
+
+// belongsToOrigin: a miss, a write in cache-aside mode or a read that no cache can answer in time goes to the origin.
+func (r *Router) belongsToOrigin(request *request) bool {
+	if request.toOrigin {
+		return false
+	}
+	return request.missed || r.config.cacheAside && request.write || r.isUrgent(request)
+}
+
+// originUnusable: only the origin can answer, and there is none, or it would not recognize a repeat.
+func (r *Router) originUnusable(request *request) bool {
+	return request.toOrigin && !recognizesRepeat(request, r.origin.server)
+}
+
+// originHasCapacity: the request can be sent to the origin now.
+func (r *Router) originHasCapacity(request *request) bool {
+	return request.toOrigin && r.originAccepts(request)
+}
+
+// originTooSlow: the origin cannot answer in time.
+func (r *Router) originTooSlow(request *request) bool {
+	return request.toOrigin && r.now+r.expectedLatency(r.origin.server) > request.usefulUntil()
+}
+
+// needsOrigin: only the origin can answer.
+func needsOrigin(_ *Router, request *request) bool { return request.toOrigin }
+
+// hasNoCache: no cache of the key's group can be used.
+func hasNoCache(_ *Router, request *request) bool { return request.target == nil }
+
+// targetTooSlow: the cache that was selected cannot answer in time.
+func (r *Router) targetTooSlow(request *request) bool {
+	return r.now+r.expectedLatency(request.target) > request.usefulUntil()
+}
+
+func always(*Router, *request) bool { return true }
+
+// awaitOutcome leaves a request until its attempt ends.
+func awaitOutcome(_ *Router, request *request) { request.decided = true }
+
+func (r *Router) sendToOrigin(request *request) { r.send(request, r.origin.server) }
+
+func (r *Router) sendToTarget(request *request) { r.send(request, request.target) }
--- a/core/routing/selection.go
+++ b/core/routing/selection.go
@@ -3,107 +3,155 @@
 import (
 	"math"
 	"slices"
+
+	"spurtrestle/core/clock"
 )
 
-// This file: which cache a request goes to: the slot table, and which caches can be used.
+const (
+	// slotCount is the number of slots into which keys are hashed: a prime, some eighty for each of 200 caches.
+	slotCount = 16381
+	// groupSize is the number of caches that may hold a key (GF of the design).
+	groupSize = 3
+	// rankingSalt makes the ranking of caches independent of other hashes. A change of it moves all keys.
+	rankingSalt = 0xc20c576b48deae77
+	// silentAnswers is for how many mean latencies a server with attempts in flight may be silent before it gets no more.
+	silentAnswers = 3
+)
 
-// pick finds the cache for a request: the first of its group, or the one drawn for a hot key; where that one
-// cannot be used, the group's next. It leaves the best choice in target and tells whether there is room now.
-func (r *Router) pick(q *request) bool {
-	q.target = nil
-	first, hot := 0, false
-	if load, sure := r.load(q); load > hotBound {
-		if hot = true; q.drawn < 0 {
-			// A key hotter than three caches overloads its group. It gets as many groups as leave each cache
-			// little of it, its own first; by a load one deviation below what was counted, and fewer as the
-			// origin gets busy, since each copy costs a miss.
-			// In a large fleet more of the reads are of hot keys, and by chance they pile up in larger shares.
-			fine := 0.6 / math.Sqrt(float64(len(r.caches)))
-			if r.origin != nil {
-				busy := max(1, 2*float64(r.origin.time)/float64(r.originGoal))
-				fine *= busy * busy
-			}
-			if n := int(r.chance() * math.Ceil(load*sure/groupCount/fine)); n > 0 {
-				q.hash = mix(q.hash + uint64(n))
-			}
-			q.drawn = r.draw(r.sharesOf(r.groupOf(q.hash)))
+// selectCache selects the cache for a request: the owner of its key, or the replica drawn for a hot key; where that one
+// cannot be used, the next of the group. It leaves the best choice in request.target and reports whether that one has
+// capacity now.
+func (r *Router) selectCache(request *request) bool {
+	request.target = nil
+	load, confidence := r.keyLoad(request)
+	isHot := load > hotKeyThreshold
+	first := 0
+	if isHot {
+		if request.replica < 0 {
+			r.drawReplica(request, load, confidence)
 		}
-		first = q.drawn
+		first = request.replica
 	}
-	group := r.groupOf(q.hash)
+	group := r.groupOf(request.hash)
 	for i := range group {
-		s := group[(first+i)%len(group)]
-		if slices.Contains(q.failed, s) || !r.usable(s) || !inGroup(q, s) || !r.warmFor(q, s, i == 0 && !hot) {
+		server := group[(first+i)%len(group)]
+		isOwner := i == 0 && !isHot
+		if !r.mayReceive(request, server, isOwner) {
 			continue
 		}
-		if r.room(q, s) {
-			q.target = s
+		if r.hasCapacity(request, server) {
+			request.target = server
 			return true
 		}
-		if q.target == nil || r.wait(s) < r.wait(q.target) {
-			q.target = s
+		if request.target == nil || r.expectedLatency(server) < r.expectedLatency(request.target) {
+			request.target = server
 		}
-		// An ordinary key spills only while the origin could carry the misses, or where to wait is of no use.
-		if w := r.wait(s); !hot && r.now+w <= q.soon() && !r.originTakes(w > s.time) {
+		if !isHot && r.shouldWaitAt(request, server) {
 			return false
 		}
 	}
 	return false
 }
 
-// usable: neither draining nor gone, not set aside nor out of reach; after that, one trial at a time.
-func (r *Router) usable(s *server) bool {
-	// One that has work in hand and is silent for three usual answers may hang: nothing more until it speaks.
-	silent := r.seen.long > 0 && s.inFlight > 0 && !s.origin && r.now-s.heard > 3*r.seen.long
-	rests := !s.origin && r.ways[s.Zone].rest > r.now
-	return s.State == Ready && !silent && !rests && (s.aside == 0 || r.now >= s.aside && s.inFlight == 0)
+// mayReceive reports whether a cache may get a request at all, whatever its capacity. It brings the budget of a warming
+// cache up to date.
+func (r *Router) mayReceive(request *request, server *server, isOwner bool) bool {
+	return !slices.Contains(request.failedServers, server) && r.isUsable(server) && recognizesRepeat(request, server) &&
+		r.slowStartAllows(request, server, isOwner)
 }
 
-const (
-	slots      = 16381              // a prime; some eighty a cache at 200 caches
-	rankSalt   = 0xc20c576b48deae77 // of any value; by this one the small groups of the kept traces stayed
-	groupCount = 3                  // GF
-)
+// shouldWaitAt reports whether a request waits for a full cache rather than go to another one: that would miss, so the
+// origin must be able to take the miss, or waiting be of no use.
+func (r *Router) shouldWaitAt(request *request, server *server) bool {
+	wait := r.expectedLatency(server)
+	inTime := r.now+wait <= request.usefulUntil()
+	return inTime && !r.originTakesMiss(wait > server.latency.recent)
+}
+
+// isUsable reports whether a server is ready, responding, in reach and not ejected. Once its ejection ends it is usable for
+// one attempt at a time, until one succeeds.
+func (r *Router) isUsable(server *server) bool {
+	zoneUnreachable := !server.isOrigin && r.zonePaths[server.Zone].backoffUntil > r.now
+	admitted := server.ejectedUntil == 0 || r.now >= server.ejectedUntil && server.inFlight == 0
+	return server.State == Ready && !r.isSilent(server) && !zoneUnreachable && admitted
+}
+
+// isSilent reports whether a cache with attempts in flight has not responded for longer than it should: it may hang.
+func (r *Router) isSilent(server *server) bool {
+	limit := silentAnswers * r.cacheLatency.mean
+	return r.cacheLatency.mean > 0 && server.inFlight > 0 && !server.isOrigin && r.now-server.lastResponseAt > limit
+}
 
-// groupOf is the group of a key by its hash: the caches that its slot ranks first. Each cache has a place in
-// each slot's ranking by chance, the better the larger its listed size, so that it is first in as many slots
-// as fit its size. A slot is ranked when it is first asked for: one of hundreds of routers reads a few keys
-// between two lists, and whole tables took more time than all else.
+// groupOf returns the group of a key by its hash: the caches that its slot ranks first. A slot is ranked when it is first
+// needed after a change of the list: a router reads only some slots between two lists. The next call reuses the slice.
 func (r *Router) groupOf(hash uint64) []*server {
-	slot := uint32(hash % slots)
-	places, known := r.table[slot]
+	slot := uint32(hash % slotCount)
+	places, known := r.endpoints.groups[slot]
 	if !known {
-		spare := r.planned.FailoverWeights
-		if len(spare) > 0 && r.share(r.ownerOf(slot).Zone) == 1 { // no slot of another zone moves
-			spare = nil
+		weights := r.failover.FailoverWeights
+		ownerUnaffected := len(weights) > 0 && r.zoneShare(r.ownerOf(slot).Zone) == 1
+		if ownerUnaffected { // no key of other zones moves
+			weights = nil
 		}
-		places = rank(r.caches, slot, spare)
-		r.table[slot] = places
+		places = rankCaches(r.endpoints.caches, slot, weights)
+		r.endpoints.groups[slot] = places
 	}
-	r.group = r.group[:0]
-	for _, place := range places[:min(groupCount, len(r.caches))] {
-		r.group = append(r.group, r.caches[place])
+	r.endpoints.group = r.endpoints.group[:0]
+	for _, place := range places[:min(groupSize, len(r.endpoints.caches))] {
+		r.endpoints.group = append(r.endpoints.group, r.endpoints.caches[place])
 	}
-	return r.group
+	return r.endpoints.group
 }
 
-// rank draws for each cache an arrival of as many a second as its size is; the first three make the group.
-func rank(caches []*server, slot uint32, spare []ZoneShare) (places [groupCount]uint32) {
-	at := [groupCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
-	for i, c := range caches {
-		u, size := spread(c, slot), c.size*partOf(spare, c.Zone)
-		if (1-u)/size >= at[groupCount-1] { // a logarithm is never less than that, and dear
+// rankCaches returns the places of the caches that a slot ranks first. Each cache draws an arrival time for the slot, the
+// sooner the larger its capacity, so that it owns slots in proportion to it; when a cache leaves, only its slots move.
+func rankCaches(caches []*server, slot uint32, weights []ZoneShare) (places [groupSize]uint32) {
+	earliest := [groupSize]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
+	for i, cache := range caches {
+		draw := slotDraw(cache, slot)
+		capacity := cache.capacity * shareOf(weights, cache.Zone)
+		if (1-draw)/capacity >= earliest[groupSize-1] { // a lower bound of the arrival, without the logarithm
 			continue
 		}
-		when := -math.Log(u) / size
-		for k := range at {
-			if when < at[k] {
-				copy(at[k+1:], at[k:])
+		arrival := -math.Log(draw) / capacity
+		for k := range earliest {
+			if arrival < earliest[k] {
+				copy(earliest[k+1:], earliest[k:])
 				copy(places[k+1:], places[k:])
-				at[k], places[k] = when, uint32(i)
+				earliest[k], places[k] = arrival, uint32(i)
 				break
 			}
 		}
 	}
 	return places
 }
+
+// ownerOf is the cache that a slot ranks first among all that are ready, those of excluded zones included.
+func (r *Router) ownerOf(slot uint32) (owner *server) {
+	earliest := math.Inf(1)
+	for _, cache := range slices.Concat(r.endpoints.caches, r.endpoints.excluded) {
+		arrival := -math.Log(slotDraw(cache, slot)) / cache.capacity
+		if arrival < earliest {
+			earliest, owner = arrival, cache
+		}
+	}
+	return owner
+}
+
+// slotDraw is a pseudo-random number from (0, 1] for a cache and a slot, the same at every router.
+func slotDraw(cache *server, slot uint32) float64 {
+	return float64(mixBits(uint64(cache.Server)<<32|uint64(slot)+rankingSalt)>>11+1) / (1 << 53)
+}
+
+// expectedLatency is the time until an answer of a server, behind the queued requests that go before.
+func (r *Router) expectedLatency(server *server) clock.Duration {
+	if server.ejectedUntil > r.now {
+		return server.ejectedUntil - r.now + server.latency.fastest
+	}
+	if server.isOrigin {
+		return r.originExpectedLatency()
+	}
+	latency := server.latency.blend(r.cacheLatency).recent
+	inFlight := max(1, fleetInFlight*r.fleetShare)
+	return latency + clock.Duration(float64(latency)*float64(server.queuedAhead)/inFlight)
+}
--- a/core/routing/trace_test.go
+++ b/core/routing/trace_test.go
@@ -178,7 +178,7 @@
 		names := []string{"ok", "failed", "full", "timeout", "connect", "reset", "canceled", "ignored", "miss"}
 		server, _ := strconv.Atoi(words[1])
 		n, _ := strconv.Atoi(words[2])
-		status := Status(slices.Index(names, words[3]))
+		status := AttemptStatus(slices.Index(names, words[3]))
 		last, told, tells := strings.Cut(words[len(words)-1], "told=")
 		var report Report
 		if tells {
--- /dev/null
+++ b/core/routing/warmup.go
@@ -0,0 +1,88 @@
+package routing
+
+import (
+	"spurtrestle/core/clock"
+)
+
+const (
+	// minimumWarmUpLimit is how many attempts a warming cache's budget may save up at least: two may come by chance.
+	minimumWarmUpLimit = 2
+	// warmUpLimitParts is the part of the overload window for which a budget may be saved up: one in so many.
+	warmUpLimitParts = 4
+	// warmUpLossFactor is how much the share of lost requests lowers the initial budget. From a quarter lost on no
+	// router starts with an attempt.
+	warmUpLossFactor = 4
+)
+
+// warmUpBudget is the budget of attempts for a cache that has just started.
+type warmUpBudget struct {
+	returnedAt clock.Time // when the server was seen to come back, where no list has its start yet
+	startedAt  clock.Time // the start for which the budget is
+	attempts   float64    // that it may get now
+	updatedAt  clock.Time
+}
+
+// startOf is when a server started, as far as known; 0: long ago.
+func startOf(server *server) clock.Time { return max(server.StartedAt, server.warmUp.returnedAt) }
+
+// warmUpAge is the time since a server's start, at least the warm-up's duration for the origin and where no start is known.
+func (r *Router) warmUpAge(server *server) clock.Duration {
+	startedAt := startOf(server)
+	if startedAt == 0 || server.isOrigin {
+		return r.config.warmUpDuration
+	}
+	return max(0, r.now-startedAt)
+}
+
+// slowStartAllows reports whether a cache may get a request as far as its warm-up goes: a warming cache gets a growing
+// fraction of its keys, the same ones from every router, within a budget.
+func (r *Router) slowStartAllows(request *request, server *server, isOwner bool) bool {
+	age := r.warmUpAge(server)
+	keyPosition := float64(request.hash>>32&0xffff) / 0x10000 // in [0, 1), the same at every router
+	zoneShare := r.zoneShare(server.Zone)
+	if age >= r.config.warmUpDuration || keyPosition >= zoneShare {
+		return keyPosition < zoneShare
+	}
+	initial := r.config.warmUpShare
+	share := r.config.warmUpMultiple * (initial + (1-initial)*float64(age)/float64(r.config.warmUpDuration))
+	if keyPosition >= share {
+		return false
+	}
+	r.refillWarmUpBudget(server, share)
+	if server.warmUp.attempts >= 1 {
+		return true
+	}
+	// The owner of a key may overdraw its budget by one. Not so a router that has just started: it does not know the hot
+	// keys yet, and one read of them from each new router is too much.
+	overdraft := (1 - r.windowCovered(trafficWindow)) * (1 - r.fleetShare)
+	return isOwner && server.warmUp.attempts > overdraft
+}
+
+// refillWarmUpBudget brings the budget of a warming cache up to date. This router's part of its work is that of a mean
+// cache's hits, since misses cost little; until hits are counted, half of the requests that arrived stand for them.
+func (r *Router) refillWarmUpBudget(server *server, share float64) {
+	hits := r.traffic.hits.at(r.now, trafficWindow)
+	requests := r.traffic.requests.at(r.now, trafficWindow)
+	meanHits := max(hits, requests/2) / r.windowCovered(trafficWindow) / float64(len(r.endpoints.caches))
+	budget := &server.warmUp
+	if budget.startedAt != startOf(server) {
+		r.beginWarmUp(server)
+	}
+	window := float64(r.config.overloadWindow)
+	limit := max(minimumWarmUpLimit, share*meanHits*window/(warmUpLimitParts*microsecondsPerSecond))
+	earned := share / warmUpSafety * meanHits * float64(r.now-budget.updatedAt) / microsecondsPerSecond
+	budget.attempts = min(limit, budget.attempts+earned)
+	budget.updatedAt = r.now
+}
+
+// beginWarmUp starts a budget at a random part of one attempt: one attempt from each of hundreds of routers is more than a
+// cache can do at its start, and many of them earn less than one in all of the warm-up. Where requests are lost, the fleet
+// asks more than its caches carry, and fewer routers start with an attempt.
+func (r *Router) beginWarmUp(server *server) {
+	answered := r.admission.answered.at(r.now, trafficWindow)
+	ended := r.admission.ended.at(r.now, trafficWindow)
+	lost := 1 - (answered+grantedAnswers)/(ended+grantedAnswers)
+	server.warmUp.startedAt = startOf(server)
+	server.warmUp.attempts = r.random.float() - warmUpLossFactor*max(0, lost)
+	server.warmUp.updatedAt = r.now
+}
--- /dev/null
+++ b/core/routing/zonepath.go
@@ -0,0 +1,59 @@
+package routing
+
+import (
+	"slices"
+
+	"spurtrestle/core/clock"
+)
+
+const (
+	// zoneBackoff is how long nothing is sent to an unreachable zone before a trial: some usual answers. Up to half as
+	// much again is added at random. Each trial costs a request.
+	zoneBackoff = 300 * clock.Millisecond
+	// silentCaches is how many caches of a zone must be silent one after the other.
+	silentCaches = 2
+)
+
+// zonePath is the record of the path to the caches of one zone.
+type zonePath struct {
+	silent       int        // caches without a response, one after the other
+	last         *server    // the last of them
+	backoffUntil clock.Time // nothing is sent there until then; 0: in use
+}
+
+// recordPathOutcome takes an outcome into the record of the path to the server's zone. Caches of a zone that are silent one
+// after the other, with no response from any, are unreachable together; without this record each would have to be found out
+// on its own, at the cost of a request. A refused connection is a response: the machine is reached. A time-out without
+// points says nothing.
+func (r *Router) recordPathOutcome(server *server, status AttemptStatus, points int, took clock.Duration) {
+	path := r.zonePaths[server.Zone]
+	saysNothing := status == TimedOut && points == 0 || status == NotSent || status == Canceled
+	refused := status == ConnectError && took < r.config.connectTimeout/2
+	responded := status != TimedOut && status != ConnectError || refused
+	switch {
+	case server.isOrigin || saysNothing:
+	case responded:
+		delete(r.zonePaths, server.Zone)
+	case path.last != server:
+		path.silent++
+		path.last = server
+		r.backOffZone(server.Zone, path)
+	}
+}
+
+// backOffZone stores the path of a zone, with a backoff where enough of its caches were silent and there are other zones.
+func (r *Router) backOffZone(zone Zone, path zonePath) {
+	isOtherZone := func(cache *server) bool { return cache.Zone != zone }
+	if path.silent >= silentCaches && slices.ContainsFunc(r.endpoints.caches, isOtherZone) {
+		path.backoffUntil = r.now + clock.Duration(float64(zoneBackoff)*(1+r.random.float()/2))
+	}
+	r.zonePaths[zone] = path
+}
+
+// extendZoneTrial renews the backoff of an unreachable zone when an attempt goes there: it is the only one until then.
+func (r *Router) extendZoneTrial(server *server) {
+	path := r.zonePaths[server.Zone]
+	if path.backoffUntil > 0 && !server.isOrigin {
+		r.backOffZone(server.Zone, path)
+	}
+}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -188,7 +188,7 @@
 }
 
 // returned ends an attempt and hands its outcome over.
-func (r *Router) returned(w *attempt, status routing.Status, report routing.Report) {
+func (r *Router) returned(w *attempt, status routing.AttemptStatus, report routing.Report) {
 	q := w.q
 	n := slices.Index(q.attempts, w)
 	if n < 0 {
@@ -221,7 +221,7 @@
 }
 
 // giveUp ends an attempt that is still out by closing its connection, so that no late byte reaches another request.
-func (r *Router) giveUp(w *attempt, status routing.Status) {
+func (r *Router) giveUp(w *attempt, status routing.AttemptStatus) {
 	up := w.up
 	r.returned(w, status, nil)
 	if up != nil && up.away {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -37,7 +37,7 @@
 
 // Outcome is how an attempt ended, by what its server said.
 type Outcome struct {
-	Status routing.Status
+	Status routing.AttemptStatus
 	Value  []byte // of OK; it points into what was read
 	Report []byte // the load report as it came, names and values; nil: none
 	Close  bool   // of a big value: the connection carries nothing behind it
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -159,7 +159,7 @@
 	listKinds = map[string]routing.EndpointUpdateKind{"INCREMENTAL": routing.IncrementalUpdate, "FULL": routing.FullUpdate,
 		"SAVED": routing.CachedUpdate, "FAILED": routing.FailedUpdate}
 	states   = map[string]routing.EndpointState{"U": routing.Ready, "L": routing.Draining, "D": routing.Removed}
-	statuses = map[string]routing.Status{"Ok": routing.OK, "Failed": routing.Failed,
+	statuses = map[string]routing.AttemptStatus{"Ok": routing.OK, "Failed": routing.Failed,
 		"QueueFull": routing.QueueFull, "TimedOut": routing.TimedOut, "ConnectError": routing.ConnectError,
 		"ResetByPeer": routing.Reset, "Canceled": routing.Canceled, "Ignored": routing.NotSent,
 		"Miss": routing.Miss}
