--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -46,7 +46,7 @@
 				w.Add(input.Instance, d)
 			}
 		}
-		if err := w.Send(b.Seq); err != nil {
+		if err := w.Send(b.SequenceNumber); err != nil {
 			return err
 		}
 	}
