--- a/core/routing/admission.go
+++ b/core/routing/admission.go
@@ -19,7 +19,8 @@
 	cacheWaitRatio = 0.6
 	// crowdedMultiple is the mean latency, in fastest ones, from which on a machine is overloaded.
 	crowdedMultiple = 2
-	// fleetInFlight is how many requests of all routers keep a machine of a few cores busy without a long queue.
+	// fleetInFlight is the number of requests in flight, over all routers, that fully uses a machine of a few cores without a
+	// long queue.
 	fleetInFlight = 8
 )
 
@@ -36,7 +37,8 @@
 	rate  decayingRate
 }
 
-// tooLateForAnswer: a read has less time left than a fast answer takes. Half of its latency objective is always enough.
+// tooLateForAnswer reports whether a read has less time left than a fast answer needs. Half of its latency objective always
+// counts as enough.
 func (r *Router) tooLateForAnswer(request *request) bool {
 	fastest := r.cacheLatency.fastest
 	if request.toOrigin && r.origin.server != nil {
@@ -45,9 +47,10 @@
 	return !request.write && request.deadline-r.now < min(fastest, request.method.latencyObjective/2)
 }
 
-// shedsUnanswered guards against an overload that sustains itself: caches that go on with overdue work, full of what many
-// routers send one request at a time, answer nobody in time. A router admits as many requests as were lately answered of
-// those that ended, and some more, fewest of the least weight. It is decided once for a request.
+// shedsUnanswered reports, once for each request, whether it is rejected because the caches answer too few requests. It
+// guards against a metastable overload: caches that continue overdue work, filled by many routers with one request each,
+// answer none in time. A router admits as many requests as were recently answered of those that ended, and some more, by
+// weight.
 func (r *Router) shedsUnanswered(request *request) bool {
 	if request.admissionChecked {
 		return false
@@ -88,8 +91,8 @@
 	weightFactor := minimum + (1-minimum)*min(1, request.weight)
 	wait := float64(request.method.strictestObjective) * cacheWaitRatio * weightFactor
 	latency := server.latency.blend(r.cacheLatency)
-	// The floor holds while answers are shorter than the wait. It falls with the bound once the machine is overloaded:
-	// one request in flight from every router is enough to keep it so.
+	// The floor applies while answers are shorter than the wait. It falls with the bound once the machine is overloaded:
+	// one request in flight from every router would sustain the overload.
 	floor := fleetInFlight * r.fleetShare * min(1, wait/float64(max(1, latency.recent)))
 	answeredInWait := server.answerRate.at(r.now, answerWindow) * wait / microsecondsPerSecond
 	return max(floor, answeredInWait) * latency.slowdownFactor(crowdedMultiple)
@@ -101,8 +104,8 @@
 	until  clock.Time
 }
 
-// abandonedInFlight is how many attempts that timed out still count as in flight. Without them a server that goes on with
-// overdue work would be sent ever more.
+// abandonedInFlight is how many attempts that timed out still count as in flight. If they did not, a server that
+// continues overdue work would receive ever more requests.
 func (s *server) abandonedInFlight(now clock.Time) int {
 	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return a.until <= now })
 	return len(s.abandoned)
--- a/core/routing/attempt.go
+++ b/core/routing/attempt.go
@@ -13,13 +13,15 @@
 	// suspectAnswers is the longest time-out of an attempt at a cache whose last attempt failed, in mean latencies: it
 	// may hang, and time must be left for another cache.
 	suspectAnswers = 3
+	// originReserveParts bounds the time that is reserved for a miss and the origin: one part in so many of what is left.
+	originReserveParts = 3
 	// originBackoff is the wait after a failed attempt at the origin: a few of its fast answers.
 	originBackoff = 20 * clock.Millisecond
 	// methodLatencySamples is how many samples the latency of a method averages over.
 	methodLatencySamples = 20
-	// walkableAnsweredRatio is the ratio of answered to ended requests from which on an attempt after a full queue is
-	// free. Below it every retry is charged to the budget, lest requests walk their whole group in an overload.
-	walkableAnsweredRatio = 0.8
+	// freeRetryAnsweredRatio is the ratio of answered to ended requests from which on an attempt after a full queue is
+	// free. Below it every retry is charged to the budget, so that requests do not try their entire group in an overload.
+	freeRetryAnsweredRatio = 0.8
 )
 
 // send starts an attempt of a request at a server.
@@ -64,9 +66,9 @@
 	if server.isOrigin || !retryPossible {
 		return left
 	}
-	reserve := request.method.latency
+	reserve := request.method.latency // for the miss, and for one and a half fast answers of the origin
 	if r.origin.server != nil {
-		reserve = min(left/3, reserve+r.origin.server.latency.fastest*3/2)
+		reserve = min(left/originReserveParts, reserve+r.origin.server.latency.fastest*3/2)
 	}
 	timeout := min(left, max(request.objective-r.now-reserve, usualAnswers*r.cacheLatency.mean))
 	isSuspect := server.failurePoints > 0
@@ -76,7 +78,8 @@
 	return timeout
 }
 
-// attemptEnded takes in the outcome of an attempt.
+// attemptEnded handles the outcome of an attempt: it updates the server's record, then finishes the request or applies the
+// rules to it again.
 func (r *Router) attemptEnded(event AttemptEnded) {
 	server := r.endpoints.servers[event.Server]
 	if server != nil {
@@ -152,7 +155,7 @@
 			r.turnToOrigin(request)
 		} else {
 			answered := r.admission.answered.at(r.now, trafficWindow)
-			request.retryPending = answered < walkableAnsweredRatio*r.admission.ended.at(r.now, trafficWindow)
+			request.retryPending = answered < freeRetryAnsweredRatio*r.admission.ended.at(r.now, trafficWindow)
 		}
 	case ConnectError, NotSent:
 		request.retryPending = true
@@ -180,8 +183,8 @@
 	}
 }
 
-// mustNotRunAgain: the request may have run, and a repeat would run a second time. One tick is left, so that a repeat
-// arrives within the deduplication window.
+// mustNotRunAgain reports whether the request may have run and a repeat could run a second time. A repeat must leave one
+// tick before the deduplication window ends, so that it arrives within it.
 func (r *Router) mustNotRunAgain(request *request) bool {
 	if request.mayHaveRunAt == 0 || request.method.idempotency == Idempotent {
 		return false
--- a/core/routing/config.go
+++ b/core/routing/config.go
@@ -34,7 +34,7 @@
 	cancelAllowed    bool
 	hedgingAllowed   bool
 	hedgeDelay       float64 // in mean latencies of the caches
-	// idleKeepRatio is the least use of a server, as a multiple of the mean, for which an idle connection is kept.
+	// idleKeepRatio is the least use of a server, as a multiple of the mean, for which its idle connections stay open.
 	idleKeepRatio float64
 
 	methods              []method
@@ -76,16 +76,17 @@
 		hedgingAllowed:   settings.HedgingAllowed && settings.CancelAllowed,
 		methods:          make([]method, len(settings.Methods)),
 	}
-	// A kept connection to every server has its cost for each hundred, a new one for each request its own. Where all
-	// routers use a server alike, keeping one pays up to this ratio of one.
+	// An open connection to every server has a cost for each hundred of them, a handshake for each request has its own.
+	// If all routers use a server equally, an open connection costs less from this ratio of the mean use on.
 	const connectionsPerCost = 100
-	c.idleKeepRatio = settings.ConnectionCost * float64(settings.Routers) / connectionsPerCost / max(smallestCost, settings.HandshakeCost)
+	openCost := settings.ConnectionCost * float64(settings.Routers) / connectionsPerCost
+	c.idleKeepRatio = openCost / max(smallestCost, settings.HandshakeCost)
 	// A hedged request is work and a crossing: the more these cost, the later it is sent.
 	c.hedgeDelay = hedgeDelay + hedgeDelayPerCost*(settings.WastedWorkCost+settings.CrossZoneCost)
 	return c
 }
 
-// applySettings takes over the settings that may change in service. Requests in flight keep those under which they came.
+// applySettings replaces the settings that may change in service. Requests in flight continue under the earlier ones.
 func (r *Router) applySettings(settings Settings) {
 	c := &r.config
 	c.maxAttempts = Attempt(settings.MaxAttempts)
@@ -95,7 +96,7 @@
 	c.warmUpDuration = max(settings.WarmUpDuration, 1)
 	c.overloadWindow = max(settings.OverloadWindow, 1)
 	c.warmUpMultiple = warmUpSafety * settings.OverloadMultiple
-	// Where the worst-served method counts much, the least important requests may wait longer, lest they starve.
+	// Where the worst-served method counts much, the least important requests may wait longer, so that they do not starve.
 	c.lowPriorityWaitRatio = min(1, lowestWaitRatio+settings.WorstMethodWeight)
 	c.applyMethods(settings.Methods)
 	for _, t := range settings.Tenants {
@@ -105,7 +106,7 @@
 	}
 }
 
-// applyMethods replaces the methods, in a new slice: requests refer to the methods under which they came.
+// applyMethods replaces the methods, in a new slice: requests refer to the methods that were valid when they arrived.
 func (c *config) applyMethods(settings []MethodSettings) {
 	c.methods = slices.Clone(c.methods)
 	highest := 0.0
--- a/core/routing/connections.go
+++ b/core/routing/connections.go
@@ -1,7 +1,7 @@
 package routing
 
-// closeIdle closes the idle connections to a server where keeping them costs more than opening new ones. Where each of
-// hundreds of routers keeps a connection to every cache, the caches reach their limit and refuse most routers.
+// closeIdle closes the idle connections to a server if leaving them open costs more than opening new ones. It guards against
+// caches that reach their connection limit: with hundreds of routers, one connection from each is too many.
 func (r *Router) closeIdle(server *server) {
 	const oneUse = microsecondsPerSecond / float64(attemptWindow) // less is chance
 	meanUse := r.traffic.attempts.at(r.now, attemptWindow) / float64(len(r.endpoints.caches)+1)
--- a/core/routing/decision.go
+++ b/core/routing/decision.go
@@ -2,10 +2,10 @@
 
 import "spurtrestle/core/clock"
 
-// Action is the kind of a Decision; it says which of its fields count.
+// Action is the kind of a Decision. It determines which fields are valid.
 type Action int
 
-// The actions, and the fields that count.
+// The actions and their valid fields.
 const (
 	Send        Action = iota // Request, Server, After (time-out), StartBy
 	Reject                    // Request, After (retry-after; 0: none)
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -1,9 +1,9 @@
 // Package routing makes every decision of a router: which server gets a request, how long to wait for it, whether to retry
 // or hedge, and what is rejected.
 //
-// New starts a Router from its settings and a seed. Step takes one event and the current instant and returns the decisions
-// to carry out, in order. A Router does no I/O, reads no clock, starts no goroutine and has no globals: the same events at
-// the same instants always give the same decisions. It is owned by one goroutine: in service by the event loop of
+// New starts a Router from its settings and a seed. Step handles one event at the current instant and returns the
+// decisions to carry out, in order. A Router does no I/O, reads no clock, starts no goroutine and has no globals: the same
+// events at the same instants always give the same decisions. It is owned by one goroutine: in service by the event loop of
 // internal/router, in simulation by cmd/sim-adapter. Nothing in it is locked.
 //
 // The rules for one request stand in order in rules.go. The other files, by concern:
--- a/core/routing/endpoints.go
+++ b/core/routing/endpoints.go
@@ -7,8 +7,8 @@
 	"spurtrestle/core/clock"
 )
 
-// The backoff between polls for the endpoint list doubles from the first to the longest. The list may be six seconds old;
-// two calls that time out take four of them, rejected calls take none.
+// The backoff between polls for the endpoint list doubles from the first to the longest. A change must arrive within six
+// seconds, of which two calls that time out use four and rejected calls none.
 const (
 	firstPollBackoff    = 250 * clock.Millisecond
 	longestPollBackoff  = 1500 * clock.Millisecond
@@ -63,7 +63,7 @@
 	r.decide(Decision{Action: Subscribe})
 }
 
-// endpointsUpdated takes in an update of the endpoint list.
+// endpointsUpdated applies an update of the endpoint list.
 func (r *Router) endpointsUpdated(event EndpointsUpdated) {
 	if event.Kind == FailedUpdate {
 		r.pollFailed(event.Rejected)
@@ -97,7 +97,7 @@
 	r.endpoints.pollAt = r.now + backoff/2 + clock.Duration(r.random.float()*float64(backoff)/2)
 }
 
-// updateEndpoint takes in one entry of the list and reports whether its capacity changed.
+// updateEndpoint applies one entry of the list and reports whether its capacity changed.
 func (r *Router) updateEndpoint(endpoint Endpoint) (capacityChanged bool) {
 	server := r.endpoints.servers[endpoint.Server]
 	if server == nil {
@@ -128,7 +128,7 @@
 	return added
 }
 
-// processReplaced forgets what is held against the server's earlier process, and what was restored of it.
+// processReplaced resets the failures of the server's earlier process, and the latency that was restored from it.
 func (s *server) processReplaced() {
 	s.forgetFailures()
 	if s.restored {
@@ -137,8 +137,8 @@
 	}
 }
 
-// rebuildEndpoints drops removed servers and computes which caches may get requests. Where these or their capacities
-// changed, groups are ranked anew.
+// rebuildEndpoints drops removed servers and computes which caches may get requests. If these or their capacities changed,
+// the cached groups are invalid.
 func (r *Router) rebuildEndpoints(capacityChanged bool) {
 	before := r.endpoints.caches
 	r.endpoints.caches = make([]*server, 0, len(r.endpoints.all))
@@ -163,7 +163,7 @@
 	}
 }
 
-// banChanged takes in an operator's ban, or its end. A banned server is treated as a draining one; after the ban it counts
+// banChanged applies an operator's ban, or its end. A banned server is treated as a draining one; after the ban it counts
 // as a process that has just started.
 func (r *Router) banChanged(event BanChanged) {
 	if event.Banned {
--- a/core/routing/event.go
+++ b/core/routing/event.go
@@ -50,7 +50,7 @@
 	Miss    // the cache does not have the key
 )
 
-// Report holds the load figures of a server in the order of Settings.ReportFields.
+// Report is the load figures of a server in the order of Settings.ReportFields.
 type Report []float64
 
 // Event is an input of a Router: one of the types below.
@@ -86,28 +86,28 @@
 	Report   Report
 }
 
-// ResponseStarted says that the first bytes of an answer went to the client: no other attempt can answer it.
+// ResponseStarted is the event that the first bytes of an answer went to the client: no other attempt can answer it.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt Attempt
 }
 
-// ClientDisconnected says that nobody waits for a request any more.
+// ClientDisconnected is the event that the client of a request is gone.
 type ClientDisconnected struct {
 	Request RequestID
 }
 
-// KnowledgeRestored is the knowledge of an earlier process, faded by its age. It comes before all other events.
+// KnowledgeRestored is the knowledge of an earlier process, discounted by its age. It precedes all other events.
 type KnowledgeRestored struct {
 	Knowledge
 }
 
-// ServersRestored is the knowledge of an earlier process about servers. It comes before the list that names them.
+// ServersRestored is the knowledge of an earlier process about servers. It precedes the list that names them.
 type ServersRestored struct {
 	Servers []ServerKnowledge
 }
 
-// BanChanged says that an operator has banned a server, or lifted the ban.
+// BanChanged is the event that an operator banned a server, or lifted the ban.
 type BanChanged struct {
 	Server ServerID
 	Banned bool
@@ -132,7 +132,7 @@
 	FailoverWeights  []ZoneShare    // weights of zones for keys whose owner's zone has a reduced share; 1 for zones not named
 	MinimumRank      Rank           // requests of a lower rank are rejected
 	MinimumRankShare float64        // fraction of the requests of just that rank that are admitted
-	RetryAfter       clock.Duration // rejected clients are sent away for at most so long
+	RetryAfter       clock.Duration // the longest retry-after of rejected requests
 	OriginReadLimit  float64        // reads per second at the origin, of all routers together; 0: no limit
 }
 
@@ -141,7 +141,7 @@
 	Settings
 }
 
-// ShutdownScheduled says that the process ends: no answer has a value after the deadline.
+// ShutdownScheduled is the event that the process will end: no answer has a value after the deadline.
 type ShutdownScheduled struct {
 	Deadline clock.Time
 }
--- a/core/routing/failover.go
+++ b/core/routing/failover.go
@@ -9,7 +9,7 @@
 	lowestOriginReadRate = 0.02
 )
 
-// failoverOrdered takes over the fleet's orders. By them other caches may be in use.
+// failoverOrdered applies the fleet's orders. They may change which caches are in use.
 func (r *Router) failoverOrdered(orders FailoverOrders) {
 	sameShares := slices.Equal(r.failover.ZoneShares, orders.ZoneShares)
 	sameWeights := slices.Equal(r.failover.FailoverWeights, orders.FailoverWeights)
@@ -17,7 +17,7 @@
 	if sameShares && sameWeights {
 		return
 	}
-	clear(r.zonePaths) // what is known of a zone that is admitted again is old
+	clear(r.zonePaths) // the state of a zone that is admitted again is outdated
 	clear(r.endpoints.groups)
 	r.endpointsUpdated(EndpointsUpdated{Kind: IncrementalUpdate})
 }
@@ -51,7 +51,7 @@
 }
 
 // refillOriginReads brings the budget of reads at the origin up to date and returns its rate, this router's share of the
-// limit. The budget holds at least one read.
+// limit. The budget can save up at least one read.
 func (r *Router) refillOriginReads() (perSecond float64) {
 	perSecond = max(lowestOriginReadRate, r.failover.OriginReadLimit*r.fleetShare)
 	earned := perSecond * float64(r.now-r.budgets.originReadsAt) / microsecondsPerSecond
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -13,11 +13,13 @@
 	connectFaultPoints = 2
 	// earlyTimeoutAnswers is the shortest time-out, in mean latencies of the caches, that counts as a failure.
 	earlyTimeoutAnswers = 2
-	// abandonedTime is how long an attempt that timed out counts as in flight: longer than an overloaded server takes
-	// for overdue work.
+	// abandonedTime is how long an attempt that timed out counts as in flight: longer than an overloaded server
+	// needs for overdue work.
 	abandonedTime = 1 * clock.Second
 	// chanceOfRow is the probability, by the background failure rate, below which failures in a row are not chance.
 	chanceOfRow = 1e-5
+	// highestFailureRatio bounds the background failure rate, as a fraction of all attempts, that rows are compared with.
+	highestFailureRatio = 0.5
 	// longestRow bounds how many points in a row are needed.
 	longestRow = 8
 	// grantedAttempts is how many attempts per second count as made besides those counted.
@@ -32,11 +34,11 @@
 	// originEjectionTime is the ejection of the origin, which has no replica. Its trials are cheap: what they carry
 	// would be rejected.
 	originEjectionTime = 500 * clock.Millisecond
-	// frequentUse is the use, in attempts per second, from which on a server is judged by the longest row.
+	// frequentUse is the use, in attempts per second, from which on a server needs the full row of failures.
 	frequentUse = 2
 )
 
-// recordOutcome takes the outcome of an attempt into the record of its server. Only this router's own attempts count.
+// recordOutcome updates the record of a server by the outcome of an attempt. Only this router's own attempts count.
 func (r *Router) recordOutcome(attempt *attempt, status AttemptStatus, took clock.Duration) {
 	server := attempt.server
 	use := r.correctedRate(&server.attemptRate, attemptWindow)
@@ -61,7 +63,7 @@
 	}
 }
 
-// recordAnswer takes in an answer, which ends all that is held against the server.
+// recordAnswer records an answer. It resets the server's failures and ends its ejection.
 func (r *Router) recordAnswer(attempt *attempt, status AttemptStatus, took clock.Duration) {
 	server := attempt.server
 	server.lastResponseAt = r.now
@@ -80,8 +82,8 @@
 	server.forgetFailures()
 }
 
-// recordTimeout takes in a time-out and returns its points. A time-out that was too short for a usual answer counts for
-// nothing, and its attempt as in flight until an answer would have come.
+// recordTimeout records a time-out and returns its points. A time-out too short for a usual answer has none, and its attempt
+// counts as in flight until an answer would have arrived.
 func (r *Router) recordTimeout(attempt *attempt, took clock.Duration) (points int) {
 	server := attempt.server
 	usual := earlyTimeoutAnswers * r.cacheLatency.mean
@@ -120,11 +122,11 @@
 func (r *Router) unlikelyRow(server *server) int {
 	own := float64(server.failurePoints) * microsecondsPerSecond / float64(attemptWindow)
 	others := max(0, r.traffic.failures.at(r.now, attemptWindow)-own)
-	failureRatio := min(0.5, others/(r.traffic.attempts.at(r.now, attemptWindow)+grantedAttempts))
+	failureRatio := min(highestFailureRatio, others/(r.traffic.attempts.at(r.now, attemptWindow)+grantedAttempts))
 	return min(longestRow, int(math.Ceil(math.Log(chanceOfRow)/math.Log(failureRatio))))
 }
 
-// forgetFailures ends an ejection and all that is held against a server.
+// forgetFailures resets the failures of a server and ends its ejection.
 func (s *server) forgetFailures() {
 	s.failurePoints = 0
 	s.ejectedUntil = 0
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// hedgeIsDue: the only attempt of a read is out for longer than its cache should take, and the origin has capacity to
-// spare. The cache may be overloaded or silent, which one of many routers sees late. The hedged request goes to the origin:
-// another cache would miss, and evict what it still serves.
+// hedgeIsDue reports whether the only attempt of a read is in flight for longer than its cache should need while the origin
+// has free capacity. The cache may be overloaded or silent, which one of many routers detects late. The hedged request goes
+// to the origin: another cache would miss, and evict entries that it still serves.
 func (r *Router) hedgeIsDue(request *request) bool {
 	if request.hedgeAt == 0 || r.now < request.hedgeAt || r.now >= request.deadline {
 		return false
--- a/core/routing/hotkeys.go
+++ b/core/routing/hotkeys.go
@@ -17,7 +17,7 @@
 	minimumReads = 2
 	// otherReads is how many reads of other keys count as seen at the start.
 	otherReads = 40
-	// readsPerCache is how many reads for each cache the counts hold before they are halved. A router that sees few
+	// readsPerCache is how many reads for each cache are counted before the counts are halved. A router that sees few
 	// requests needs the window in reads, not in seconds.
 	readsPerCache = 10
 	// replicaLoad is the load that one replica of a very hot key brings to a cache, in a fleet of one cache; it falls
@@ -143,8 +143,8 @@
 	return normalizeShares(shares)
 }
 
-// normalizeShares sets negative shares to zero, takes what they lacked from the others in equal parts, and scales the sum
-// to one. It changes shares in place.
+// normalizeShares sets negative shares to zero, subtracts their deficit from the others in equal parts, and scales the
+// sum to one. It changes shares in place.
 func normalizeShares(shares []float64) []float64 {
 	deficit := 0.0
 	for i, share := range shares {
@@ -198,7 +198,7 @@
 	k.byKey[key]++
 }
 
-// decrementAll takes one from every count and drops the keys whose count is used up.
+// decrementAll subtracts one from every count and drops the keys whose count reaches zero.
 func (k *keyCounts) decrementAll() {
 	k.keys = slices.DeleteFunc(k.keys, func(key KeyHash) bool {
 		k.byKey[key]--
--- a/core/routing/knowledge.go
+++ b/core/routing/knowledge.go
@@ -14,7 +14,7 @@
 type ServerKnowledge struct {
 	Server              ServerID
 	StartedAt           clock.Time // by the list; another start is another process
-	ObservedAt          clock.Time // of the last attempt; restored knowledge without an attempt since keeps its time
+	ObservedAt          clock.Time // of the last attempt; that of the earlier process until an attempt ends
 	Latency             LatencySummary
 	AnswerRate          float64        // per second
 	AttemptRate         float64        // per second, over a longer window
@@ -31,8 +31,8 @@
 }
 
 // Knowledge is what a router has learned and a later process may use. How much of it counts after a restart is decided by
-// package staleness. It holds no requests, attempts or connections, and no budgets of warming caches, which follow from the
-// starts in the endpoint list.
+// package staleness. Requests, attempts and connections are no part of it, nor the budgets of warming caches, which follow
+// from the starts in the endpoint list.
 type Knowledge struct {
 	CapturedAt      clock.Time
 	ObservedFor     clock.Duration // for how long the rates have been observed
--- a/core/routing/latency.go
+++ b/core/routing/latency.go
@@ -28,7 +28,7 @@
 	restoredFastest clock.Duration
 }
 
-// add takes in one sample.
+// add adds one sample.
 func (l *latencyEstimate) add(took clock.Duration) {
 	l.samples = min(l.samples+1, fullSamples)
 	l.recent += (took - l.recent) / min(l.samples, recentSamples)
@@ -83,13 +83,13 @@
 	return sum / clock.Duration(max(1, len(samples)))
 }
 
-// addReportedTime keeps a service time that the server reported, or the measured one in its place.
+// addReportedTime records a service time that the server reported, or the measured one in its place.
 func (s *server) addReportedTime(at clock.Time, took clock.Duration) {
 	s.reportedTimes = append(s.reportedTimes, sample{at, took})
 	s.reportedTimes = s.reportedTimes[max(0, len(s.reportedTimes)-reportedSamples):]
 }
 
-// recordLatency takes in the time of an answer, for caches also into the estimate over all of them.
+// recordLatency records the latency of an answer, for caches also in the estimate over all of them.
 func (r *Router) recordLatency(server *server, took clock.Duration) {
 	server.latency.add(took)
 	if !server.isOrigin {
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordReport takes in the service time of a load report, or the measured time where none is reported. The origin's
+// recordReport records the service time of a load report, or the measured time if none is reported. The origin's
 // counts at once in place of the router's own average: it covers the reads of all routers, of which this one sees few.
 func (r *Router) recordReport(server *server, report Report, took clock.Duration) {
 	const microsecondsPerMillisecond = float64(clock.Millisecond)
--- a/core/routing/origin.go
+++ b/core/routing/origin.go
@@ -30,7 +30,7 @@
 	return r.config.cacheAside && !request.write && request.key != ""
 }
 
-// originReadInFlight: another read of the key goes to the origin; this one waits for it.
+// originReadInFlight reports whether another read of the key is on its way to the origin: its result will fill the cache.
 func (r *Router) originReadInFlight(request *request) bool {
 	first := r.requests.originReads[request.key]
 	return r.sharesOriginRead(request) && first != nil && first != request
@@ -46,7 +46,7 @@
 
 // isUrgent reports whether a read goes to the origin at once: its latency objective is shorter than two fast answers of a
 // cache, new connections included, so that a cache would seldom answer in time, and after a miss never. To the origin a
-// connection is kept.
+// connection stays open.
 func (r *Router) isUrgent(request *request) bool {
 	isFirstRead := !request.write && !request.nearDeadline && request.attemptCount == 0
 	latencyKnown := r.cacheLatency.samples >= urgentSamples
@@ -54,14 +54,14 @@
 	return r.config.cacheAside && isFirstRead && latencyKnown && tooShortForCache && r.originIsFree(request, false)
 }
 
-// originIsFree reports whether a read may go to the origin though no cache has missed. See originTakesMiss for evenIfBusy.
+// originIsFree reports whether a read may go to the origin though no cache has missed. See originCanServeMiss for evenIfBusy.
 func (r *Router) originIsFree(request *request, evenIfBusy bool) bool {
-	return recognizesRepeat(request, r.origin.server) && !r.originReadInFlight(request) && r.originTakesMiss(evenIfBusy)
+	return recognizesRepeat(request, r.origin.server) && !r.originReadInFlight(request) && r.originCanServeMiss(evenIfBusy)
 }
 
-// originTakesMiss reports whether the origin could carry the miss of a key that leaves its cache: while its last answers
-// are within the latency goal, or, even if busy, while it has capacity.
-func (r *Router) originTakesMiss(evenIfBusy bool) bool {
+// originCanServeMiss reports whether the origin has the capacity for the miss of a key that leaves its cache: while it is
+// ready and its last answers are within the latency goal, or, with evenIfBusy, while it is ready.
+func (r *Router) originCanServeMiss(evenIfBusy bool) bool {
 	origin := r.origin.server
 	if origin == nil {
 		return true
@@ -113,14 +113,14 @@
 }
 
 // originInFlightBound is how many requests of this router may be in flight at the origin. It is stricter than a cache's:
-// while its answers are near their fastest there is capacity to spare, and chance alone needs some; once they are longer,
+// while its answers are near their fastest there is free capacity, and random variation needs some; once they are longer,
 // it gets what it answers within a part of the latency objective.
 func (r *Router) originInFlightBound() float64 {
 	origin := r.origin.server
 	latencyGoal := r.config.originLatencyGoal
 	target := originIdleMultiple * origin.latency.fastest
-	// Above the spread of a long mean of heavy-tailed answers. The goal covers a fastest latency that was learned under
-	// load.
+	// 1.6 fastest latencies are above the spread of a long mean of heavy-tailed answers. 1.4 goals cover a fastest latency
+	// that was learned under load.
 	busyAbove := min(origin.latency.fastest*8/5, latencyGoal*7/5)
 	if origin.latency.mean > busyAbove {
 		target = max(latencyGoal, busyAbove)
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -14,6 +14,11 @@
 	maxRetries = 20
 	// retriesPerRequest is by how much each request raises the budget.
 	retriesPerRequest = 0.1
+	// ranksPerWeight is the scale of ranks: millionths of the highest weight.
+	ranksPerWeight = 1e6
+	// clientRetryPenalty lowers the rank of a request that a client repeats, by one part in so many: within its rank a
+	// repeat yields to a new request.
+	clientRetryPenalty = 100
 	// overShareTolerance is the multiple of a tenant's share that counts as chance.
 	overShareTolerance = 1.2
 	// retryAfterObjectives is how many latency objectives a rejected client is sent away for besides the wait: as long
@@ -21,7 +26,7 @@
 	retryAfterObjectives = 4
 )
 
-// requestTable holds the requests that are not finished.
+// requestTable is the requests that are not finished.
 type requestTable struct {
 	byID        map[RequestID]*request
 	queued      []*request       // writes first, then by weight, then by arrival
@@ -54,7 +59,7 @@
 	weight    float64 // priority weight: that of its method, lower where its tenant is over its share
 	rank      Rank
 	arrival   int        // order of arrival
-	objective clock.Time // an answer by then has its full value
+	objective clock.Time // an answer until then has its full value
 	deadline  clock.Time // an answer after it has none
 
 	attempts      []*attempt // in flight: at most two, the second a hedged one
@@ -72,7 +77,7 @@
 	replica  int  // place in its group drawn for a hot key; -1: none yet
 	target   *server
 
-	nearDeadline     bool // it came with less than half of its latency objective left
+	nearDeadline     bool // it arrived with less than half of its latency objective left
 	shed             bool // the fleet rejects its rank
 	admissionChecked bool
 	responded        bool // answered, or a cache has responded to it
@@ -81,8 +86,8 @@
 	finished         bool
 }
 
-// usefulUntil is the instant after which waiting for an answer is of no use. A late answer may have a value, but takes the
-// place of one in time: what can be had again waits no longer than its latency objective.
+// usefulUntil is the instant after which waiting for an answer is of no use. A late answer may have a value, but delays
+// one in time: an idempotent request waits no longer than its latency objective.
 func (r *request) usefulUntil() clock.Time {
 	if r.method.idempotency == Idempotent {
 		return min(r.objective, r.deadline)
@@ -90,14 +95,14 @@
 	return r.deadline
 }
 
-// requestArrived takes in a client's request.
+// requestArrived handles a client's request: it is ranked, counted, and the rules are applied.
 func (r *Router) requestArrived(event RequestArrived) {
 	request := r.newRequest(event)
 	r.traffic.requests.add(r.now, trafficWindow)
 	r.lowerWeightOverShare(request, event.Tenant)
-	request.rank = 1 + Rank(1e6*request.weight)
-	if event.ClientRetry { // within its rank a repeat yields to a new request
-		request.rank -= request.rank / 100
+	request.rank = 1 + Rank(ranksPerWeight*request.weight)
+	if event.ClientRetry {
+		request.rank -= request.rank / clientRetryPenalty
 	}
 	r.load.countArrival(request.rank, r.now)
 	request.shed = r.shedsRank(request.rank)
@@ -161,7 +166,7 @@
 		return
 	}
 	r.cancelAttempts(request)
-	// A client that leaves before a usual answer is due does not speak against the caches.
+	// A client that leaves before a usual answer is due is no evidence against the caches.
 	leftEarly := len(request.attempts) == 0 || r.now-request.attempts[0].sentAt < 2*r.cacheLatency.mean
 	request.nearDeadline = request.nearDeadline || leftEarly
 	r.finish(request)
@@ -169,7 +174,7 @@
 
 // finish ends a request. It may be called again when an attempt ends after its request.
 func (r *Router) finish(request *request) {
-	// Requests that came late, or for which nothing was sent, say nothing about the caches.
+	// Requests that arrived late, or for which no attempt was sent, are no evidence about the caches.
 	countsForCaches := request.admissionChecked && !request.nearDeadline && request.attemptCount > 0
 	if !request.finished && countsForCaches {
 		r.admission.ended.add(r.now, trafficWindow)
@@ -185,7 +190,7 @@
 	}
 }
 
-// rejectOrFail answers a request at once: with a rejection where a repeat does no harm, else with a failure.
+// rejectOrFail answers a request at once: with a rejection if the client may safely repeat it, else with a failure.
 func (r *Router) rejectOrFail(request *request) {
 	decision := Decision{Action: Fail, Request: request.id}
 	if request.mayHaveRunAt == 0 || request.method.idempotency == Idempotent {
--- a/core/routing/restore.go
+++ b/core/routing/restore.go
@@ -10,8 +10,8 @@
 // samples soon outweigh it.
 const MaxRestoredSamples = 8
 
-// restoreKnowledge takes over what an earlier process knew. Rates count as observed for as long as that process observed
-// them; a restart renews no budget.
+// restoreKnowledge adopts the knowledge of an earlier process. Rates count as observed for as long as that process observed
+// them. A restart does not renew the retry budget.
 func (r *Router) restoreKnowledge(knowledge Knowledge) {
 	r.startedAt = min(r.startedAt, r.now-knowledge.ObservedFor)
 	r.cacheLatency.restore(knowledge.CacheLatency)
@@ -32,7 +32,7 @@
 	r.traffic.failures = restored(knowledge.FailureRate, attemptWindow)
 }
 
-// restore takes over a latency. The fastest one stays known while new samples come in.
+// restore adopts a latency. The fastest one stays known while new samples come in.
 func (l *latencyEstimate) restore(summary LatencySummary) {
 	*l = latencyEstimate{
 		recent:          summary.Recent,
@@ -43,7 +43,7 @@
 	}
 }
 
-// restore takes over counts of keys, as far as there is place, and the reads that they are a part of.
+// restore adopts counts of keys, as far as there is space, and the reads that they are a part of.
 func (k *keyCounts) restore(keys []KeyKnowledge, total float64) {
 	free := k.capacity - len(k.keys)
 	for _, key := range keys[:min(len(keys), free)] {
@@ -56,15 +56,15 @@
 	k.total += total
 }
 
-// keepRestoredServers keeps the knowledge about servers until a list names them.
-func (r *Router) keepRestoredServers(event ServersRestored) {
+// storeRestoredServers stores the knowledge about servers until a list names them.
+func (r *Router) storeRestoredServers(event ServersRestored) {
 	for _, knowledge := range event.Servers {
 		r.restored[knowledge.Server] = knowledge
 	}
 }
 
-// restoreServer takes over what an earlier process knew of a server that the list names, unless the server has restarted
-// since or has answered already. A server that was ejected gets a trial at once: it may have recovered.
+// restoreServer adopts the knowledge of an earlier process about a server that the list names, unless the server has
+// restarted since or has answered already. A server that was ejected gets a trial at once: it may have recovered.
 func (r *Router) restoreServer(server *server) {
 	knowledge, known := r.restored[server.Server]
 	delete(r.restored, server.Server)
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -86,8 +86,8 @@
 	return r, r.decisions
 }
 
-// Step takes one event and returns the decisions that follow, in order. The next call reuses the slice. An instant before
-// that of an earlier call counts as that one.
+// Step handles one event and returns the decisions that follow, in order. The next call reuses the slice. Time does not go
+// back: an instant before that of an earlier call counts as that one.
 func (r *Router) Step(now clock.Time, event Event) []Decision {
 	r.now = max(now, r.now)
 	r.decisions = r.decisions[:0]
@@ -135,7 +135,7 @@
 	case KnowledgeRestored:
 		r.restoreKnowledge(e.Knowledge)
 	case ServersRestored:
-		r.keepRestoredServers(e)
+		r.storeRestoredServers(e)
 	case TimerFired:
 		r.timerFired()
 	}
--- a/core/routing/rules.go
+++ b/core/routing/rules.go
@@ -60,34 +60,35 @@
 	}
 }
 
-// attemptInFlight: the outcome of an attempt is due.
+// attemptInFlight reports whether the outcome of an attempt is due.
 func attemptInFlight(_ *Router, request *request) bool { return len(request.attempts) > 0 }
 
-// deadlinePassed: no answer can have a value any more.
+// deadlinePassed reports whether an answer would have no value any more.
 func (r *Router) deadlinePassed(request *request) bool { return r.now >= request.deadline }
 
-// attemptsExhausted: the request has had all its attempts.
+// attemptsExhausted reports whether the request has had all its attempts.
 func attemptsExhausted(_ *Router, request *request) bool {
 	return request.attemptCount >= request.maxAttempts
 }
 
-// hasNoFleetShare: this router has no share in what the fleet may send, so that it starts no request.
+// hasNoFleetShare reports whether this router has no share in what the fleet may send, and the request is not started yet.
 func (r *Router) hasNoFleetShare(request *request) bool {
 	return r.fleetShare == 0 && request.attemptCount == 0
 }
 
-// isShed: the fleet rejects requests of its rank.
+// isShed reports whether the fleet's orders reject the request's rank.
 func isShed(_ *Router, request *request) bool { return request.shed }
 
-// retryBudgetExhausted: the next attempt is a retry, and the budget is spent.
+// retryBudgetExhausted reports whether the next attempt is a retry and the budget is spent. It guards against a retry storm.
 func (r *Router) retryBudgetExhausted(request *request) bool {
 	return request.retryPending && r.budgets.retries < 1
 }
 
-// inBackoff: the request waits before its next attempt.
+// inBackoff reports whether the request waits before its next attempt.
 func (r *Router) inBackoff(request *request) bool { return r.now < request.backoffUntil }
 
-// belongsToOrigin: a miss, a write in cache-aside mode or a read that no cache can answer in time goes to the origin.
+// belongsToOrigin reports whether a request has to be turned to the origin: after a miss, as a write in cache-aside mode, or
+// as a read that no cache can answer in time.
 func (r *Router) belongsToOrigin(request *request) bool {
 	if request.toOrigin {
 		return false
@@ -95,28 +96,28 @@
 	return request.missed || r.config.cacheAside && request.write || r.isUrgent(request)
 }
 
-// originUnusable: only the origin can answer, and there is none, or it would not recognize a repeat.
+// originUnusable reports whether only the origin can answer, but there is none, or it would not recognize a repeat.
 func (r *Router) originUnusable(request *request) bool {
 	return request.toOrigin && !recognizesRepeat(request, r.origin.server)
 }
 
-// originHasCapacity: the request can be sent to the origin now.
+// originHasCapacity reports whether the request can be sent to the origin now.
 func (r *Router) originHasCapacity(request *request) bool {
 	return request.toOrigin && r.originAccepts(request)
 }
 
-// originTooSlow: the origin cannot answer in time.
+// originTooSlow reports whether the origin cannot answer in time.
 func (r *Router) originTooSlow(request *request) bool {
 	return request.toOrigin && r.now+r.expectedLatency(r.origin.server) > request.usefulUntil()
 }
 
-// needsOrigin: only the origin can answer.
+// needsOrigin reports whether only the origin can answer.
 func needsOrigin(_ *Router, request *request) bool { return request.toOrigin }
 
-// hasNoCache: no cache of the key's group can be used.
+// hasNoCache reports whether no cache of the key's group can be used.
 func hasNoCache(_ *Router, request *request) bool { return request.target == nil }
 
-// targetTooSlow: the cache that was selected cannot answer in time.
+// targetTooSlow reports whether the cache that was selected cannot answer in time.
 func (r *Router) targetTooSlow(request *request) bool {
 	return r.now+r.expectedLatency(request.target) > request.usefulUntil()
 }
--- a/core/routing/selection.go
+++ b/core/routing/selection.go
@@ -10,7 +10,7 @@
 const (
 	// slotCount is the number of slots into which keys are hashed: a prime, some eighty for each of 200 caches.
 	slotCount = 16381
-	// groupSize is the number of caches that may hold a key (GF of the design).
+	// groupSize is the number of caches that may serve a key (GF of the design).
 	groupSize = 3
 	// rankingSalt makes the ranking of caches independent of other hashes. A change of it moves all keys.
 	rankingSalt = 0xc20c576b48deae77
@@ -60,12 +60,12 @@
 		r.slowStartAllows(request, server, isOwner)
 }
 
-// shouldWaitAt reports whether a request waits for a full cache rather than go to another one: that would miss, so the
-// origin must be able to take the miss, or waiting be of no use.
+// shouldWaitAt reports whether a request waits for a full cache instead of going to another one. The other one would miss:
+// it gets the request only if the origin can serve the miss, or if waiting would miss the deadline.
 func (r *Router) shouldWaitAt(request *request, server *server) bool {
 	wait := r.expectedLatency(server)
 	inTime := r.now+wait <= request.usefulUntil()
-	return inTime && !r.originTakesMiss(wait > server.latency.recent)
+	return inTime && !r.originCanServeMiss(wait > server.latency.recent)
 }
 
 // isUsable reports whether a server is ready, responding, in reach and not ejected. Once its ejection ends it is usable for
--- a/core/routing/settings.go
+++ b/core/routing/settings.go
@@ -16,7 +16,7 @@
 	Tenant string
 	// Zone is the name of an availability zone.
 	Zone string
-	// Kind is the kind of a server, by which the origin is told from the caches.
+	// Kind is the kind of a server. It distinguishes the origin from the caches.
 	Kind string
 	// Cell is the number of a deployment cell within a zone.
 	Cell int64
@@ -100,7 +100,7 @@
 	WorstMethodWeight      float64        // weight of the worst-served method in the service's objective
 	ConnectTimeout         clock.Duration
 	ServerIdleTimeout      clock.Duration // when a server closes an idle connection at the latest
-	ConnectionCost         float64        // of a hundred connections kept open to each server
+	ConnectionCost         float64        // of a hundred open connections to each server
 	HandshakeCost          float64        // of opening a connection for every request
 	WastedWorkCost         float64        // of work whose result is not used, as a fraction of all work
 	CrossZoneCost          float64        // of a request that crosses locations once
--- a/core/routing/warmup.go
+++ b/core/routing/warmup.go
@@ -76,8 +76,8 @@
 }
 
 // beginWarmUp starts a budget at a random part of one attempt: one attempt from each of hundreds of routers is more than a
-// cache can do at its start, and many of them earn less than one in all of the warm-up. Where requests are lost, the fleet
-// asks more than its caches carry, and fewer routers start with an attempt.
+// cache can do at its start, and many of them earn less than one in all of the warm-up. Where requests are lost, the
+// caches are overloaded, and fewer routers start with an attempt.
 func (r *Router) beginWarmUp(server *server) {
 	answered := r.admission.answered.at(r.now, trafficWindow)
 	ended := r.admission.ended.at(r.now, trafficWindow)
--- a/core/routing/zonepath.go
+++ b/core/routing/zonepath.go
@@ -21,17 +21,16 @@
 	backoffUntil clock.Time // nothing is sent there until then; 0: in use
 }
 
-// recordPathOutcome takes an outcome into the record of the path to the server's zone. Caches of a zone that are silent one
-// after the other, with no response from any, are unreachable together; without this record each would have to be found out
-// on its own, at the cost of a request. A refused connection is a response: the machine is reached. A time-out without
-// points says nothing.
+// recordPathOutcome updates the record of the path to the server's zone. If caches of a zone are silent one after the other,
+// with no response from any, the zone is unreachable; detecting that for each cache would cost a request each. A rejected
+// connection is a response: the machine was reached. A time-out without points is no evidence.
 func (r *Router) recordPathOutcome(server *server, status AttemptStatus, points int, took clock.Duration) {
 	path := r.zonePaths[server.Zone]
-	saysNothing := status == TimedOut && points == 0 || status == NotSent || status == Canceled
-	refused := status == ConnectError && took < r.config.connectTimeout/2
-	responded := status != TimedOut && status != ConnectError || refused
+	noEvidence := status == TimedOut && points == 0 || status == NotSent || status == Canceled
+	connectRejected := status == ConnectError && took < r.config.connectTimeout/2
+	responded := status != TimedOut && status != ConnectError || connectRejected
 	switch {
-	case server.isOrigin || saysNothing:
+	case server.isOrigin || noEvidence:
 	case responded:
 		delete(r.zonePaths, server.Zone)
 	case path.last != server:
