--- /dev/null
+++ b/internal/controlplane/golden_test.go
@@ -0,0 +1,119 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"spurtrestle/core/policycommit"
+	"spurtrestle/core/sitefailover"
+)
+
+// goldenMessages are the JSON forms of the messages between routers and of the files, by name, as the build bfb4b5c wrote them.
+func goldenMessages(t *testing.T) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/messages.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, message, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		if !ok {
+			t.Fatalf("golden line without a name: %q", line)
+		}
+		messages[name] = message
+	}
+	return messages
+}
+
+func decode[T any](t *testing.T, text string) *T {
+	t.Helper()
+	value := new(T)
+	if err := json.Unmarshal([]byte(text), value); err != nil {
+		t.Fatal(err)
+	}
+	return value
+}
+
+func TestMessages_JSONIsUnchanged(t *testing.T) {
+	golden := goldenMessages(t)
+	checked := map[string]bool{}
+	check := func(name string, value any) {
+		t.Helper()
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want, ok := golden[name]; !ok || string(text) != want {
+			t.Errorf("%s:\n got %s\nwant %s", name, text, want)
+		}
+		checked[name] = true
+	}
+	report := decode[sitefailover.Report](t, `{"site":"hill","offered":[{"k":2,"r":10.5}],"let":9,"lost":1,"worth":20,"missed":2,`+
+		`"origin":1.5,"target":100,"seen":[{"s":"coast","u":6,"l":4,"q":1,"a":50}]}`)
+	orders := decode[sitefailover.Orders](t, `{"shares":[{"s":"coast","p":0.25}],"spare":[{"s":"hill","p":1}],"least":2,"some":0.5,`+
+		`"back":3000000,"fetches":40,"target":100}`)
+
+	check("message/empty", said{})
+	check("message/renewal", said{Renewal: &policycommit.Renewal{Name: "n1", Process: 11}, Report: report})
+	check("message/lease", said{Grant: &policycommit.Lease{Process: 11, Revision: 3}, Orders: orders})
+	check("message/request", said{Request: &policycommit.Request{ID: 5, What: "status"}})
+	check("message/reply", said{Reply: &policycommit.Reply{ID: 5, Current: 3}})
+	check("message/welcome", said{Welcome: "a1b2"})
+	check("held/empty", Held{})
+	check("held/full", Held{Revision: 4, InForce: 3, Known: true, Takes: true, Cannot: "line 2", Prepared: "t", CutOff: "serve",
+		Keeper: true, Leads: true, Extra: 0.05, Folder: "full", Orders: orders})
+	check("identity", keeperFile{Name: "n1", Number: 77, Member: true})
+	check("voter", id("n1", 0xa1b2))
+	for name := range golden {
+		if !checked[name] {
+			t.Errorf("golden message %q is not compared", name)
+		}
+	}
+}
+
+// A folder that the build bfb4b5c wrote, with a snapshot and entries behind it, is opened, replayed and led.
+func TestRaftLog_ReadsOlderFolder(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "raft")
+	if err := os.CopyFS(dir, os.DirFS("testdata/raft")); err != nil {
+		t.Fatal(err)
+	}
+	cfg := LogConfig{Dir: dir, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Advertise: netip.MustParseAddrPort("127.0.0.1:8500")}
+	raftLog, err := openLog(cfg, "n1", logrus.New())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(raftLog.close)
+	if _, member := raftLog.folder(); !member {
+		t.Error("the folder's identity does not say that it takes part")
+	}
+	if err := raftLog.begin(0, false); err != nil {
+		t.Fatal(err)
+	}
+	for deadline := time.Now().Add(10 * time.Second); !raftLog.leads(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the only voter did not become the leader in ten seconds")
+		}
+	}
+	want, err := os.ReadFile("testdata/raft-state.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.Marshal(raftLog.now())
+	if err != nil || string(got) != string(want) {
+		t.Errorf("state after the replay:\n got %s, %v\nwant %s", got, err, want)
+	}
+	if err := raftLog.put(policycommit.Entry{Kind: policycommit.Unlend, Name: "n2"}); err != nil {
+		t.Errorf("append to the older log: %v", err)
+	}
+	if state := raftLog.now(); len(state.Out) != 0 {
+		t.Errorf("leased-out shares after the appended entry: got %v, want none", state.Out)
+	}
+}
--- a/internal/controlplane/log.go
+++ b/internal/controlplane/log.go
@@ -42,9 +42,12 @@
 	file keeperFile
 	why  string // it takes no part
 
-	full    atomic.Pointer[string] // its folder cannot be written; nil: it can
-	raft    *raft.Raft
-	ends    []func() error
+	full atomic.Pointer[string] // its folder cannot be written; nil: it can
+	raft *raft.Raft
+	ends []func() error
+
+	// stateMu is apart from mu: raft restores a snapshot while begin, which starts it, has mu.
+	stateMu sync.Mutex
 	decided *policycommit.LogState
 	done    map[policycommit.Token]policycommit.Verdict // since the last look
 
@@ -258,15 +261,15 @@
 
 // now is the log state as it stands.
 func (l *log) now() *policycommit.LogState {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.stateMu.Lock()
+	defer l.stateMu.Unlock()
 	return l.decided.Clone()
 }
 
 // verdicts are those that have come since the last call.
 func (l *log) verdicts() map[policycommit.Token]policycommit.Verdict {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.stateMu.Lock()
+	defer l.stateMu.Unlock()
 	all := l.done
 	l.done = map[policycommit.Token]policycommit.Verdict{}
 	return all
@@ -278,8 +281,8 @@
 	if json.Unmarshal(entry.Data, &e) != nil {
 		return nil // of a later build: it is told apart by its documents, which are refused by field
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.stateMu.Lock()
+	defer l.stateMu.Unlock()
 	if v, ok := l.decided.Apply(policycommit.Index(entry.Index), e); ok {
 		l.done[e.Token] = v
 	}
@@ -296,9 +299,9 @@
 	if err := json.NewDecoder(from).Decode(b); err != nil {
 		return err
 	}
-	l.mu.Lock()
+	l.stateMu.Lock()
 	l.decided = b
-	l.mu.Unlock()
+	l.stateMu.Unlock()
 	return nil
 }
 
