--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -104,8 +104,8 @@
 	out := shown{File: file, Version: s.Version, Router: s.Router, Written: stamp(k.CapturedAt), Age: since(now, k.CapturedAt), SeenMs: ms(k.CacheLatency.Recent),
 		QuickMs: ms(k.CacheLatency.Fastest), Traffic: k.RequestRate, Budget: k.RetryBudget, HotKeys: len(k.Keys), Methods: map[string]float64{},
 		Servers: []shownServer{}, Weights: map[string]float64{}}
-	for name, half := range map[string]clock.Time{"times": staleness.Times, "quickest": staleness.Quick, "rates": staleness.Rates,
-		"health": staleness.Health, "hot keys": staleness.HotKeys, "retry budget": staleness.Budget} {
+	for name, half := range map[string]clock.Time{"times": staleness.LatencyHalfLife, "quickest": staleness.FastestLatencyHalfLife, "rates": staleness.RateHalfLife,
+		"health": staleness.HealthHalfLife, "hot keys": staleness.HotKeyHalfLife, "retry budget": staleness.RetryBudgetHalfLife} {
 		out.Weights[name] = math.Round(1000*staleness.Weight(age, half)) / 1000
 	}
 	for _, m := range s.Methods {
@@ -115,7 +115,7 @@
 		x.Server = routing.ServerID(i)
 		k.Servers = append(k.Servers, x.ServerKnowledge)
 	}
-	left := staleness.Fade(k, now)
+	left := staleness.Decay(k, now)
 	out.Watched = (time.Duration(left.ObservedFor) * time.Microsecond).Round(time.Millisecond).String()
 	out.BudgetIs, out.KeysNow = left.RetryBudget, len(left.Keys)
 	restored := map[routing.ServerID]routing.ServerKnowledge{}
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -1,9 +1,10 @@
-// Package staleness decides how much of what a router knew still counts after a restart. It does no I/O and takes the time
-// as an argument; package routing gives the knowledge and takes what is left of it.
+// Package staleness decides how much of a router's learned state is still valid after a restart. Package internal/router decays
+// the state that a snapshot restored before it passes it to package routing; cache-routerctl shows the result. The package has no
+// state, does no I/O and reads no clock.
 //
-// Every kind of figure has a half-life, and ages by the time of its own evidence: what was restored and not seen anew
-// keeps its time, so that a row of restarts makes nothing younger. Weights fall smoothly to nothing, where the prior of
-// package routing (no answers measured yet) stands in.
+// Each kind of measurement decays exponentially with its own half-life, by the age of its own evidence. Restored measurements that
+// were not confirmed since keep the time of their evidence, so that repeated restarts do not make them younger. As the weights
+// fall to zero, the defaults of package routing for unmeasured servers take over.
 package staleness
 
 import (
@@ -13,99 +14,125 @@
 	"spurtrestle/core/routing"
 )
 
-// Half-lives. Each is some times as long as the figure takes to be measured anew, and short against the time in which it
-// changes by itself.
+// Half-lives by kind of measurement. Each is several times the time to measure anew, and shorter than the time in which the
+// measured quantity usually changes.
 const (
-	Times   clock.Time = 10 * 60e6 // service times: machines keep their speed for hours, but neighbours come and go
-	Quick   clock.Time = 60 * 60e6 // the quickest time: what tells crowding from a slow method
-	Rates   clock.Time = 60e6      // of traffic and answers: a crest lasts minutes
-	Health  clock.Time = 15e6      // failures in a row, and being set aside: some trials long
-	HotKeys clock.Time = 60e6      // hot keys cool within minutes
-	Budget  clock.Time = 30e6      // the retry budget, towards a new router's
+	LatencyHalfLife        = 10 * clock.Minute
+	FastestLatencyHalfLife = 60 * clock.Minute // of the baseline that distinguishes overload from a slow method
+	RateHalfLife           = 60 * clock.Second // of traffic and answers
+	HealthHalfLife         = 15 * clock.Second // of consecutive failures and ejection
+	HotKeyHalfLife         = 60 * clock.Second
+	RetryBudgetHalfLife    = 30 * clock.Second // towards the budget of a new router
 )
 
-// Unknown is the age of evidence from the future: the clock was set back, and by how much nobody can tell. It leaves
-// an eighth of the times and nothing that changes within minutes.
-const Unknown clock.Time = 30 * 60e6
+const (
+	// UnknownAge is the age of evidence from the future, whose real age is unknown because the clock was set back. An eighth of the
+	// latency samples remains, and nothing that changes within minutes.
+	UnknownAge = 30 * clock.Minute
+
+	// MaxObservedFor bounds the time for which restored rates count as observed.
+	MaxObservedFor = 60 * clock.Second
+
+	// MinWeight is the weight under which a measurement is dropped: one of 32 samples.
+	MinWeight = 1.0 / 32
 
-// MostWatched is how long rates count as watched at most: some times the longest span of a rate.
-const MostWatched clock.Time = 60e6
+	// minHealthWeight is the weight under which health is reset: after two half-lives an ejected server would be due for a retry.
+	minHealthWeight = 0.25
 
-// Least is the weight under which a figure is dropped: of 32 answers one is left.
-const Least = 1.0 / 32
+	// initialRetryBudget is the retry budget of a new router.
+	initialRetryBudget = 10
 
-const newBudget = 10 // of a router that has just started
+	// minKeyCount is the count under which a hot key is dropped.
+	minKeyCount = 1
+)
 
-// Age is how old evidence is.
-func Age(now, at clock.Time) clock.Time {
-	if at > now {
-		return Unknown
+// Age returns the age of evidence, which is UnknownAge for evidence from the future.
+func Age(now, observedAt clock.Time) clock.Duration {
+	if observedAt > now {
+		return UnknownAge
 	}
-	return now - at
+	return now - observedAt
 }
 
-// Weight is what evidence of an age counts, from one to nothing.
-func Weight(age, halfLife clock.Time) float64 {
-	w := math.Exp2(-float64(age) / float64(halfLife))
-	if w < Least {
+// Weight returns the weight of evidence by its age, from 1 down to MinWeight, and 0 below.
+func Weight(age, halfLife clock.Duration) float64 {
+	weight := math.Exp2(-float64(age) / float64(halfLife))
+	if weight < MinWeight {
 		return 0
 	}
-	return w
+	return weight
 }
 
-// Fade is what is left of knowledge at a time. The knowledge given is not changed.
-func Fade(k routing.Knowledge, now clock.Time) routing.Knowledge {
-	age := Age(now, k.CapturedAt)
-	out := k
-	out.CacheLatency = times(k.CacheLatency, age)
-	rates := Weight(age, Rates)
-	// The rates themselves stay: what fades is for how long they count as watched.
-	out.ObservedFor = clock.Time(rates * float64(min(max(k.ObservedFor, 0), MostWatched)))
-	out.RetryBudget = newBudget - Weight(age, Budget)*max(0, newBudget-k.RetryBudget)
-	hot := Weight(age, HotKeys)
-	out.KeyReads = hot * k.KeyReads
-	out.Keys = nil
-	for _, key := range k.Keys {
-		if key.Count *= hot; key.Count >= 1 {
-			out.Keys = append(out.Keys, key)
-		}
+// Decay returns the part of the knowledge that is still valid. It does not modify its argument.
+func Decay(knowledge routing.Knowledge, now clock.Time) routing.Knowledge {
+	age := Age(now, knowledge.CapturedAt)
+	decayed := knowledge
+	decayed.CacheLatency = decayLatency(knowledge.CacheLatency, age)
+	// The rates themselves stay; the time for which they count as observed decays.
+	observedFor := min(max(knowledge.ObservedFor, 0), MaxObservedFor)
+	decayed.ObservedFor = scale(observedFor, Weight(age, RateHalfLife))
+	usedBudget := max(0, initialRetryBudget-knowledge.RetryBudget)
+	decayed.RetryBudget = initialRetryBudget - Weight(age, RetryBudgetHalfLife)*usedBudget
+	hotKeyWeight := Weight(age, HotKeyHalfLife)
+	decayed.KeyReads = hotKeyWeight * knowledge.KeyReads
+	decayed.Keys = decayKeys(knowledge.Keys, hotKeyWeight)
+	decayed.MethodLatencies = nil
+	for _, latency := range knowledge.MethodLatencies {
+		decayed.MethodLatencies = append(decayed.MethodLatencies, scale(latency, Weight(age, LatencyHalfLife)))
 	}
-	out.MethodLatencies = nil
-	for _, t := range k.MethodLatencies {
-		out.MethodLatencies = append(out.MethodLatencies, clock.Time(Weight(age, Times)*float64(t)))
+	decayed.Servers = nil
+	for _, server := range knowledge.Servers {
+		server = decayServer(server, now)
+		if isUsable(server) {
+			decayed.Servers = append(decayed.Servers, server)
+		}
 	}
-	out.Servers = nil
-	for _, s := range k.Servers {
-		if s, left := server(s, now); left {
-			out.Servers = append(out.Servers, s)
+	return decayed
+}
+
+func scale(duration clock.Duration, factor float64) clock.Duration {
+	return clock.Duration(factor * float64(duration))
+}
+
+func decayKeys(keys []routing.KeyKnowledge, weight float64) (decayed []routing.KeyKnowledge) {
+	for _, key := range keys {
+		key.Count *= weight
+		if key.Count >= minKeyCount {
+			decayed = append(decayed, key)
 		}
 	}
-	return out
+	return decayed
 }
 
-// server fades by the time of its own evidence; false where nothing is left.
-func server(s routing.ServerKnowledge, now clock.Time) (routing.ServerKnowledge, bool) {
-	age := Age(now, s.ObservedAt)
-	s.Latency = times(s.Latency, age)
-	s.AnswerRate *= Weight(age, Rates)
-	if Weight(age, Times) == 0 {
-		s.ReportedServiceTime = 0
+// decayServer decays the knowledge about one server by the age of its own evidence.
+func decayServer(server routing.ServerKnowledge, now clock.Time) routing.ServerKnowledge {
+	age := Age(now, server.ObservedAt)
+	server.Latency = decayLatency(server.Latency, age)
+	server.AnswerRate *= Weight(age, RateHalfLife)
+	if Weight(age, LatencyHalfLife) == 0 {
+		server.ReportedServiceTime = 0
 	}
-	if Weight(age, Health) < 0.25 { // two half-lives: it has had more trials since than it would be given now
-		s.FailurePoints, s.Ejected, s.ConnectFailed = 0, false, false
+	if Weight(age, HealthHalfLife) < minHealthWeight {
+		server.FailurePoints, server.Ejected, server.ConnectFailed = 0, false, false
 	}
-	if s.ObservedAt > now { // its time must not be from the future for those who come after
-		s.ObservedAt = max(1, now-Unknown)
+	if server.ObservedAt > now {
+		server.ObservedAt = max(1, now-UnknownAge) // a later snapshot must not contain evidence from the future
 	}
-	return s, s.Latency.Samples > 0 || s.Ejected
+	return server
+}
+
+// isUsable reports whether any knowledge about a server is left.
+func isUsable(server routing.ServerKnowledge) bool {
+	return server.Latency.Samples > 0 || server.Ejected
 }
 
-// times fades a gauge: fewer answers, and the quickest time goes over into the usual one.
-func times(t routing.LatencySummary, age clock.Time) routing.LatencySummary {
-	t.Samples = int(Weight(age, Times) * float64(max(0, t.Samples)))
-	if t.Samples == 0 {
+// decayLatency reduces the number of samples and moves the fastest latency towards the mean.
+func decayLatency(latency routing.LatencySummary, age clock.Duration) routing.LatencySummary {
+	latency.Samples = int(Weight(age, LatencyHalfLife) * float64(max(0, latency.Samples)))
+	if latency.Samples == 0 {
 		return routing.LatencySummary{}
 	}
-	t.Fastest += clock.Time((1 - Weight(age, Quick)) * float64(max(0, t.Mean-t.Fastest)))
-	return t
+	distance := max(0, latency.Mean-latency.Fastest)
+	latency.Fastest += scale(distance, 1-Weight(age, FastestLatencyHalfLife))
+	return latency
 }
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -15,90 +15,114 @@
 
 const now clock.Time = 1_800_000_000e6
 
-// known is what a router knew at a time: two servers seen then, one of them set aside, and one not seen for an hour before.
-func known(at clock.Time) routing.Knowledge {
-	return routing.Knowledge{CapturedAt: at, ObservedFor: 600e6, CacheLatency: routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}, RequestRate: 200, HitRate: 180,
-		EndedRate: 190, AnsweredRate: 185, AttemptRate: 400, FailureRate: 1, RetryBudget: 2, KeyReads: 4000, MethodLatencies: []clock.Time{4000, 8000},
+// knowledgeAt returns the knowledge of a router at a time: two servers observed then, one of them ejected, and one last observed an
+// hour before.
+func knowledgeAt(at clock.Time) routing.Knowledge {
+	normal := routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}
+	slow := routing.LatencySummary{Recent: 90000, Mean: 80000, Fastest: 3000, Samples: 32}
+	return routing.Knowledge{
+		CapturedAt:      at,
+		ObservedFor:     10 * clock.Minute,
+		CacheLatency:    normal,
+		RequestRate:     200,
+		HitRate:         180,
+		EndedRate:       190,
+		AnsweredRate:    185,
+		AttemptRate:     400,
+		FailureRate:     1,
+		RetryBudget:     2,
+		KeyReads:        4000,
+		MethodLatencies: []clock.Duration{4000, 8000},
 		Servers: []routing.ServerKnowledge{
-			{Server: 1, ObservedAt: at, Latency: routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}, AnswerRate: 20, ReportedServiceTime: 4000},
-			{Server: 2, ObservedAt: at, Latency: routing.LatencySummary{Recent: 90000, Mean: 80000, Fastest: 3000, Samples: 32}, AnswerRate: 1, FailurePoints: 3, Ejected: true, ConnectFailed: true},
-			{Server: 3, ObservedAt: at - 3600e6, Latency: routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}},
+			{Server: 1, ObservedAt: at, Latency: normal, AnswerRate: 20, ReportedServiceTime: 4000},
+			{Server: 2, ObservedAt: at, Latency: slow, AnswerRate: 1, FailurePoints: 3, Ejected: true, ConnectFailed: true},
+			{Server: 3, ObservedAt: at - clock.Hour, Latency: normal},
 		},
-		Keys: []routing.KeyKnowledge{{Key: 1, Count: 900}, {Key: 2, Count: 4}}}
+		Keys: []routing.KeyKnowledge{{Key: 1, Count: 900}, {Key: 2, Count: 4}},
+	}
 }
 
-// A script names ages; below each stands what is left of what was known.
-func TestTraces(t *testing.T) {
+func toDuration(d clock.Duration) time.Duration { return time.Duration(d) * time.Microsecond }
+
+// A script has an age per line. Below each line stands the knowledge that is left at that age.
+func TestDecay_Traces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
-		return tracetest.Steps(script, func(line string, say func(string, ...any)) {
+		return tracetest.Steps(script, func(line string, log func(string, ...any)) {
 			age, err := time.ParseDuration(line)
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := Fade(known(now-clock.Time(age/time.Microsecond)), now)
-			say("seen %+v, watched for %v, budget %.1f, reads %.0f, methods %v", k.CacheLatency,
-				time.Duration(k.ObservedFor)*time.Microsecond, k.RetryBudget, k.KeyReads, k.MethodLatencies)
-			for _, s := range k.Servers {
-				say("server %d: %+v, rate %.2f, told %d, lost %d, aside %v, unheard %v, evidence %v old", s.Server, s.Latency,
-					s.AnswerRate, s.ReportedServiceTime, s.FailurePoints, s.Ejected, s.ConnectFailed, (time.Duration(now-s.ObservedAt) * time.Microsecond).Round(time.Second))
+			knowledge := Decay(knowledgeAt(now-clock.Duration(age/time.Microsecond)), now)
+			log("latency %+v, observed for %v, retry budget %.1f, key reads %.0f, methods %v", knowledge.CacheLatency,
+				toDuration(knowledge.ObservedFor), knowledge.RetryBudget, knowledge.KeyReads, knowledge.MethodLatencies)
+			for _, server := range knowledge.Servers {
+				log("server %d: %+v, rate %.2f, reported %d, failure points %d, ejected %v, connect failed %v, evidence %v old",
+					server.Server, server.Latency, server.AnswerRate, server.ReportedServiceTime, server.FailurePoints, server.Ejected,
+					server.ConnectFailed, toDuration(now-server.ObservedAt).Round(time.Second))
 			}
-			for _, key := range k.Keys {
-				say("key %d: %.0f", key.Key, key.Count)
+			for _, key := range knowledge.Keys {
+				log("key %d: %.0f", key.Key, key.Count)
 			}
 		})
 	})
 }
 
-// The older, the less: no figure gains weight by time, and none jumps.
-func TestFadesSmoothly(t *testing.T) {
+// No measurement gains weight with age, and none changes abruptly.
+func TestDecay_IsMonotonicAndSmooth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		age := clock.Time(rapid.Int64Range(0, 7200e6).Draw(t, "age"))
-		step := clock.Time(rapid.Int64Range(0, 1e6).Draw(t, "step"))
-		a, b := Fade(known(now-age), now), Fade(known(now-age-step), now)
-		if b.CacheLatency.Samples > a.CacheLatency.Samples || a.CacheLatency.Samples-b.CacheLatency.Samples > 1 || b.ObservedFor > a.ObservedFor || b.KeyReads > a.KeyReads || b.RetryBudget < a.RetryBudget ||
-			len(b.Servers) > len(a.Servers) || len(b.Keys) > len(a.Keys) {
-			t.Fatalf("%v older by %v:\n%+v\n%+v", age, step, a, b)
+		age := clock.Duration(rapid.Int64Range(0, 7200e6).Draw(t, "age"))
+		difference := clock.Duration(rapid.Int64Range(0, 1e6).Draw(t, "difference"))
+		younger, older := Decay(knowledgeAt(now-age), now), Decay(knowledgeAt(now-age-difference), now)
+		gainsSamples := older.CacheLatency.Samples > younger.CacheLatency.Samples
+		losesManySamples := younger.CacheLatency.Samples-older.CacheLatency.Samples > 1
+		gainsRates := older.ObservedFor > younger.ObservedFor || older.KeyReads > younger.KeyReads
+		losesBudget := older.RetryBudget < younger.RetryBudget
+		gainsEntries := len(older.Servers) > len(younger.Servers) || len(older.Keys) > len(younger.Keys)
+		if gainsSamples || losesManySamples || gainsRates || losesBudget || gainsEntries {
+			t.Fatalf("knowledge %v old and older by %v:\ngot  %+v\nwant at most %+v", age, difference, older, younger)
 		}
-		if a.CacheLatency.Samples > 0 && b.CacheLatency.Samples > 0 && (b.CacheLatency.Fastest < a.CacheLatency.Fastest || b.CacheLatency.Fastest > b.CacheLatency.Mean) {
-			t.Fatalf("the quickest time: %+v %+v", a.CacheLatency, b.CacheLatency)
+		bothMeasured := younger.CacheLatency.Samples > 0 && older.CacheLatency.Samples > 0
+		isBetween := older.CacheLatency.Fastest >= younger.CacheLatency.Fastest && older.CacheLatency.Fastest <= older.CacheLatency.Mean
+		if bothMeasured && !isBetween {
+			t.Fatalf("fastest latency: got %+v, want it between %+v and the mean", older.CacheLatency, younger.CacheLatency)
 		}
-		if math.Abs(a.RetryBudget-b.RetryBudget) > 0.5 {
-			t.Fatalf("the budget jumps: %v %v", a.RetryBudget, b.RetryBudget)
+		if math.Abs(younger.RetryBudget-older.RetryBudget) > 0.5 {
+			t.Fatalf("retry budget: got %v, want within 0.5 of %v", older.RetryBudget, younger.RetryBudget)
 		}
 	})
 }
 
-// A row of restarts, each reading what the one before wrote and seeing nothing itself, makes no evidence younger.
-func TestRestartLoopRenewsNothing(t *testing.T) {
-	k := known(now)
+// Repeated restarts, each reading the snapshot of the one before and observing nothing, make no evidence younger.
+func TestDecay_RestartLoopRenewsNoEvidence(t *testing.T) {
+	knowledge := knowledgeAt(now)
 	at := now
 	for range 20 {
-		at += 60e6
-		k = Fade(k, at)
-		k.CapturedAt = at // written again by the process that read it
-		for _, s := range k.Servers {
-			if s.ObservedAt > now {
-				t.Fatalf("evidence of %d became younger", s.Server)
+		at += clock.Minute
+		knowledge = Decay(knowledge, at)
+		knowledge.CapturedAt = at // written again by the process that read it
+		for _, server := range knowledge.Servers {
+			if server.ObservedAt > now {
+				t.Fatalf("evidence of server %d: got time %v, want at most %v", server.Server, server.ObservedAt, now)
 			}
-			if s.Server == 3 || s.Ejected {
-				t.Fatalf("after %v: %+v", time.Duration(at-now)*time.Microsecond, s)
+			if server.Server == 3 || server.Ejected {
+				t.Fatalf("after %v: got %+v, want no server 3 and none ejected", toDuration(at-now), server)
 			}
 		}
 	}
-	direct := Fade(known(now), at)
-	if len(k.Servers) > len(direct.Servers) {
-		t.Errorf("by twenty restarts %d servers are known, by one %d", len(k.Servers), len(direct.Servers))
+	direct := Decay(knowledgeAt(now), at)
+	if len(knowledge.Servers) > len(direct.Servers) {
+		t.Errorf("servers after twenty restarts: got %d, want at most %d as after one", len(knowledge.Servers), len(direct.Servers))
 	}
-	if k.RetryBudget < 2 {
-		t.Errorf("the budget fell to %v", k.RetryBudget)
+	if knowledge.RetryBudget < 2 {
+		t.Errorf("retry budget: got %v, want at least 2", knowledge.RetryBudget)
 	}
 }
 
-func TestGivenIsNotChanged(t *testing.T) {
-	k := known(now - 60e6)
-	before := fmt.Sprintf("%+v", k)
-	Fade(k, now)
-	if fmt.Sprintf("%+v", k) != before {
-		t.Error("Fade changed what it was given")
+func TestDecay_DoesNotModifyItsArgument(t *testing.T) {
+	knowledge := knowledgeAt(now - clock.Minute)
+	want := fmt.Sprintf("%+v", knowledge)
+	Decay(knowledge, now)
+	if got := fmt.Sprintf("%+v", knowledge); got != want {
+		t.Errorf("argument after Decay: got %s, want %s", got, want)
 	}
 }
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -59,7 +59,7 @@
 		x.Server = routing.ServerID(i) // only to find it again: numbers are given by the list
 		k.Servers = append(k.Servers, x.ServerKnowledge)
 	}
-	k = staleness.Fade(k, r.now)
+	k = staleness.Decay(k, r.now)
 	for _, x := range k.Servers {
 		m.waiting[discovery.UID(s.Servers[x.Server].UID)] = x
 	}
