--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -203,7 +203,8 @@
 	router := fleet.routers[0]
 	before, _ := router.hierarchy.Digests()
 	foreign := New(fleet.now, fleet.parameters, Config{Fleet: "other", Region: router.site.region, Site: "x", Addr: fleet.routers[1].address})
-	record := appendSummary(nil, SiteTier, &entry{Summary: Summary{Name: "x", Version: 1 << 60}, Heartbeat: Heartbeat{Sequence: router.hierarchy.wallClock()}})
+	heartbeat := Heartbeat{Sequence: router.hierarchy.wallClock()}
+	record := appendSummary(nil, SiteTier, &entry{Summary: Summary{Name: "x", Version: 1 << 60}, Heartbeat: heartbeat})
 	router.hierarchy.Receive(fleet.now, append(foreign.newDatagram(kindUpdate), record...))
 	complete := append(fleet.routers[1].hierarchy.newDatagram(kindUpdate), record...)
 	for size := range complete {
@@ -224,10 +225,12 @@
 	fleet.run(10 * clock.Second)
 	h := fleet.routers[0].hierarchy
 	h.tables[SiteTier].entries[hashName(fleet.sites[0].name)].MaxRevision = 9
-	for _, body := range [][]byte{h.newDatagram(kindPing), h.encodeDigest(regionLink, h.allEntries()), h.encodeVersions(SiteTier)[0], h.encodeRequest(RegionTier, []nameHash{1, 2}),
-		h.packRecords(kindUpdate, h.encodeSummaries(SiteTier, h.allEntries()[SiteTier]))[0], h.packRecords(kindRepair, h.encodeSummaries(RegionTier, h.allEntries()[RegionTier]))[0]} {
-		f.Add(body)
-	}
+	f.Add(h.newDatagram(kindPing))
+	f.Add(h.encodeDigest(regionLink, h.allEntries()))
+	f.Add(h.encodeVersions(SiteTier)[0])
+	f.Add(h.encodeRequest(RegionTier, []nameHash{1, 2}))
+	f.Add(h.packRecords(kindUpdate, h.encodeSummaries(SiteTier, h.allEntries()[SiteTier]))[0])
+	f.Add(h.packRecords(kindRepair, h.encodeSummaries(RegionTier, h.allEntries()[RegionTier]))[0])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		m, err := decode(body)
 		if err != nil {
@@ -238,7 +241,9 @@
 		}
 		for _, record := range m.summaries {
 			copied := &reader{remaining: appendSummary(nil, record.tier, &entry{Summary: record.Summary, Heartbeat: record.Heartbeat})}
-			if got := copied.summary(); copied.malformed || !sameContent(got.Summary, record.Summary) || got.Version != record.Version || got.Heartbeat != record.Heartbeat {
+			got := copied.summary()
+			isEqual := sameContent(got.Summary, record.Summary) && got.Version == record.Version && got.Heartbeat == record.Heartbeat
+			if copied.malformed || !isEqual {
 				t.Errorf("decoded summary: got %+v, want %+v", got, record)
 			}
 		}
@@ -248,15 +253,32 @@
 
 // The checker detects each violation it exists for.
 func TestChecker_DetectsViolations(t *testing.T) {
-	for name, violation := range map[string]struct {
+	type violation struct {
 		configure func(*Parameters)
 		detected  func(*simulatedFleet) bool
-	}{
-		"live site counted as lost": {func(p *Parameters) { p.LostAfter = clock.Second }, func(fleet *simulatedFleet) bool { return fleet.falseLosses > 0 }},
-		"too many representatives":  {func(p *Parameters) { p.SilenceTimeout = clock.Second / 10 }, func(fleet *simulatedFleet) bool { return fleet.longestOverrepresented > 5*clock.Second }},
-		"no representative":         {func(p *Parameters) { p.SiteRoleDelay = 3600 * clock.Second }, func(fleet *simulatedFleet) bool { return len(fleet.living(representsSite)) == 0 }},
-		"no dissemination":          {func(p *Parameters) { p.PushFanout, p.ExchangePartners = 0, 0 }, func(fleet *simulatedFleet) bool { return !fleet.isConsistent() }},
-		"unknown revision":          {func(p *Parameters) { p.PushFanout, p.ExchangePartners = 0, 0 }, func(fleet *simulatedFleet) bool { return !fleet.isRevisionKnown(1) }},
+	}
+	stopDissemination := func(p *Parameters) { p.PushFanout, p.ExchangePartners = 0, 0 }
+	for name, violation := range map[string]violation{
+		"live site counted as lost": {
+			configure: func(p *Parameters) { p.LostAfter = clock.Second },
+			detected:  func(fleet *simulatedFleet) bool { return fleet.falseLosses > 0 },
+		},
+		"too many representatives": {
+			configure: func(p *Parameters) { p.SilenceTimeout = clock.Second / 10 },
+			detected:  func(fleet *simulatedFleet) bool { return fleet.longestOverrepresented > 5*clock.Second },
+		},
+		"no representative": {
+			configure: func(p *Parameters) { p.SiteRoleDelay = clock.Hour },
+			detected:  func(fleet *simulatedFleet) bool { return len(fleet.living(representsSite)) == 0 },
+		},
+		"no dissemination": {
+			configure: stopDissemination,
+			detected:  func(fleet *simulatedFleet) bool { return !fleet.isConsistent() },
+		},
+		"unknown revision": {
+			configure: stopDissemination,
+			detected:  func(fleet *simulatedFleet) bool { return !fleet.isRevisionKnown(1) },
+		},
 	} {
 		fleet := newFleet(t, 8, 5, 2, 6)
 		violation.configure(&fleet.parameters)
--- a/core/hierarchy/hierarchy_test.go
+++ b/core/hierarchy/hierarchy_test.go
@@ -26,22 +26,6 @@
 	}
 }
 
-// checkGuarantees fails the test if the checker saw a violation of what docs/tiers-design.md guarantees.
-func (f *simulatedFleet) checkGuarantees(maxOverrepresented clock.Duration) {
-	f.t.Helper()
-	f.t.Logf("longest: %.1f s with too many representatives, %.1f s with none; %d of %d falsely lost; datagrams up to %d bytes",
-		seconds(f.longestOverrepresented), seconds(f.longestUnrepresented), f.falseLosses, f.checkedStates, f.longestDatagram)
-	if f.longestOverrepresented > maxOverrepresented {
-		f.t.Errorf("longest time with too many representatives: got %.1f s, want at most %.1f s", seconds(f.longestOverrepresented), seconds(maxOverrepresented))
-	}
-	if f.falseLosses > 0 {
-		f.t.Errorf("sites or regions with live routers that counted as lost: got %d of %d checked, want 0", f.falseLosses, f.checkedStates)
-	}
-	if f.longestDatagram > MaxDatagramSize {
-		f.t.Errorf("longest datagram: got %d bytes, want at most %d", f.longestDatagram, MaxDatagramSize)
-	}
-}
-
 // Each new policy revision is known everywhere within seven seconds, with 2% packet loss and a representative killed each second.
 func TestHierarchy_DisseminatesRevisionsWhileRepresentativesFail(t *testing.T) {
 	for seed := range uint64(5) {
@@ -147,15 +131,6 @@
 	}
 }
 
-// meanRate returns the bytes per second of a router since resetCounters, received and sent together.
-func (f *simulatedFleet) meanRate(span clock.Duration) float64 {
-	sum := 0
-	for _, router := range f.routers {
-		sum += router.bytesReceived + router.bytesSent
-	}
-	return float64(sum) * 1e6 / float64(span) / float64(len(f.routers))
-}
-
 var longRun = flag.Bool("long", false, "run the target fleet at full size: minutes, and a GB of memory")
 
 // The target fleet: 13,680 routers at 760 sites in 41 regions; idle, with the target rate of configuration changes, and with packet loss
--- a/core/sitefailover/golden_test.go
+++ b/core/sitefailover/golden_test.go
@@ -4,30 +4,22 @@
 	"bytes"
 	"crypto/sha256"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"testing"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden file from this build")
-
 // Reports, orders, transitions and statuses of a run with losses, operator commands and a change of leader, byte for byte as the build
 // before the renames wrote them: some of each in full, and a digest over all in their order.
 func TestGolden_JSON(t *testing.T) {
 	const path = "testdata/json.golden"
 	got := goldenRun(t)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("the JSON differs from %s:\ngot  %s\nwant %s", path, got, want)
+		t.Errorf("JSON: got\n%s\nwant as in %s\n%s", got, path, want)
 	}
 }
 
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -228,7 +228,8 @@
 	for _, weight := range orders.FailoverWeights {
 		log("of lost keys to servers of %s: %.2f", weight.Site, weight.Fraction)
 	}
-	log("bears %.0f (%s) target %.0f least %d some %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget, orders.MinRank, orders.MinRankFraction)
+	log("bears %.0f (%s) target %.0f least %d some %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget,
+		orders.MinRank, orders.MinRankFraction)
 }
 
 // Under random faults no transition lacks its evidence, no recovery skips a step, the admitted requests fit the target, and once all
@@ -298,7 +299,8 @@
 		}
 	case transition.Stage == Recovering && previous.Stage == Lost:
 		if s.routersDown[site] || s.responding[site] < halfFraction {
-			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site", seed, s.now, site, s.routersDown[site], s.responding[site])
+			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site",
+				seed, s.now, site, s.routersDown[site], s.responding[site])
 		}
 	case skipsStep, endsEarly:
 		t.Fatalf("seed %d, %v: transition from step %d: got %v, want the next step", seed, s.now, previous.Step, transition.Decision)
