--- a/core/hierarchy/hierarchy.go
+++ b/core/hierarchy/hierarchy.go
@@ -8,6 +8,7 @@
 // datagram. This package does no I/O, starts no goroutine and reads no clock: each call is given the current time of a monotonic
 // clock. State and datagrams are bounded in size.
 //
+//   - parameters.go: sizes and timings
 //   - election.go: representatives of a site and of a region
 //   - publication.go: writing summaries and heartbeats
 //   - table.go, summary.go: the summaries of one tier
--- a/core/sitefailover/plan.go
+++ b/core/sitefailover/plan.go
@@ -12,23 +12,25 @@
 // The state is Decision.Stage with Decision.Step and Decision.Paused. Evidence is what the reports of all routers show, see
 // evidence.go; an operator's events are the actions of a Command.
 //
-//	state       event                             guard                                          next state
-//	up          most other sites find its         for Plan.LostAfter, no server responds at      lost
-//	            servers silent                    the site itself, another site is not lost
-//	up          ActionLose                        another site is not lost                       lost, paused
-//	lost        its routers report, its servers   for Plan.RecoverAfter, doubled by each         recovering, step 0
+//	state       event                             guard                                next state
+//	up          a quorum of other sites finds     for Plan.LostAfter; no server responds   lost
+//	            its servers silent                at the site; another site is not lost
+//	up          ActionLose                        another site is not lost                 lost, paused
+//	lost        its routers report, its servers   for Plan.RecoverAfter, doubled by each   recovering, step 0
 //	            are listed and respond            repeated loss; not paused
-//	lost        ActionRecover                     none                                           recovering, step 0
-//	recovering  Plan.MinStepDuration has passed   servers respond, no more requests fail than    next step; up
-//	            since the last step               before the step, origin is fast; not paused    after the last
-//	recovering  most other sites find half of     for half of Plan.LostAfter, another site is    lost, one more
-//	            its servers silent                not lost                                       repeated loss
-//	recovering  ActionLose                        another site is not lost                       lost, paused
-//	recovering  ActionRecover                     none                                           recovering, step 0
-//	lost,       ActionPause, ActionResume         none                                           same state, paused
-//	recovering                                                                                   or not
+//	lost        ActionRecover                     none                                     recovering, step 0
+//	recovering  Plan.MinStepDuration has passed   servers respond; failures have not       next step;
+//	            since the last step               risen; origin is fast; not paused        up after the last
+//	recovering  a quorum of other sites finds     for half of Plan.LostAfter; another      lost, one more
+//	            half of its servers silent        site is not lost                         repeated loss
+//	recovering  ActionLose                        another site is not lost                 lost, paused
+//	recovering  ActionRecover                     none                                     recovering, step 0
+//	lost or     ActionPause, ActionResume         none                                     same state, paused
+//	recovering                                                                             or not paused
 //
-// "Degraded" is shown for a site that is up and partly unavailable. It is not a state: only the capacity depends on it.
+// A loss within a minute after a recovery counts as a repeated loss.
+//
+// A site that is up and partly unavailable is shown as degraded. That is not a state: only its capacity depends on it.
 //
 //   - plan.go: the operators' plan
 //   - decision.go, command.go: states, transitions, operator commands
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -133,7 +133,7 @@
 	s.index++
 	transition.Index = s.index
 	s.decisions[transition.Site] = transition.Decision
-	s.logDecision("%.1f %s: %s step %d fails %d by %s: %s", float64(s.now)/1e6, transition.Site, transition.Stage, transition.Step+1,
+	s.logDecision("%.1f %s: %s step %d repeated losses %d by %s: %s", float64(s.now)/1e6, transition.Site, transition.Stage, transition.Step+1,
 		transition.RepeatedLosses, transition.DecidedBy, transition.Reason)
 }
 
@@ -196,14 +196,14 @@
 		for i := range s.offered {
 			s.offered[i].Rate *= parseNumber(t, arguments[0])
 		}
-	case "bears":
+	case "capacity":
 		s.sitePlan(site).Capacity = parseNumber(t, arguments[1])
 	case "prefer":
 		plan := s.sitePlan(site)
 		plan.PreferredTargets = append(plan.PreferredTargets, Site(arguments[1]))
 	case "leader":
 		s.coordinator = NewCoordinator(s.now)
-	case "word":
+	case "command":
 		command := Command{Site: site, Action: Action(arguments[1]), Author: "ann", Reason: "told by phone"}
 		transition, err := command.Transition(&s.plan, s.decisions)
 		if err != nil {
@@ -222,13 +222,13 @@
 func (s *simulation) logStatus(log func(string, ...any)) {
 	status := s.coordinator.Status()
 	for _, site := range status.Sites {
-		log("%s %s keys %.2f bears %.0f %s", site.Name, site.DisplayStage(), site.KeyShare, site.Capacity, site.WaitingFor)
+		log("%s %s key share %.2f capacity %.0f %s", site.Name, site.DisplayStage(), site.KeyShare, site.Capacity, site.WaitingFor)
 	}
 	orders := status.Orders
 	for _, weight := range orders.FailoverWeights {
-		log("of lost keys to servers of %s: %.2f", weight.Site, weight.Fraction)
+		log("failover weight of %s: %.2f", weight.Site, weight.Fraction)
 	}
-	log("bears %.0f (%s) target %.0f least %d some %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget,
+	log("capacity %.0f (%s) target %.0f min rank %d fraction %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget,
 		orders.MinRank, orders.MinRankFraction)
 }
 
