--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -133,7 +133,7 @@
 	s.index++
 	transition.Index = s.index
 	s.decisions[transition.Site] = transition.Decision
-	s.logDecision("%.1f %s: %s step %d fails %d by %s: %s", float64(s.now)/1e6, transition.Site, transition.Stage, transition.Step+1,
+	s.logDecision("%.1f %s: %s step %d repeated losses %d by %s: %s", float64(s.now)/1e6, transition.Site, transition.Stage, transition.Step+1,
 		transition.RepeatedLosses, transition.DecidedBy, transition.Reason)
 }
 
@@ -196,14 +196,14 @@
 		for i := range s.offered {
 			s.offered[i].Rate *= parseNumber(t, arguments[0])
 		}
-	case "bears":
+	case "capacity":
 		s.sitePlan(site).Capacity = parseNumber(t, arguments[1])
 	case "prefer":
 		plan := s.sitePlan(site)
 		plan.PreferredTargets = append(plan.PreferredTargets, Site(arguments[1]))
 	case "leader":
 		s.coordinator = NewCoordinator(s.now)
-	case "word":
+	case "command":
 		command := Command{Site: site, Action: Action(arguments[1]), Author: "ann", Reason: "told by phone"}
 		transition, err := command.Transition(&s.plan, s.decisions)
 		if err != nil {
@@ -222,13 +222,14 @@
 func (s *simulation) logStatus(log func(string, ...any)) {
 	status := s.coordinator.Status()
 	for _, site := range status.Sites {
-		log("%s %s keys %.2f bears %.0f %s", site.Name, site.DisplayStage(), site.KeyShare, site.Capacity, site.WaitingFor)
+		log("%s %s key share %.2f capacity %.0f %s", site.Name, site.DisplayStage(), site.KeyShare, site.Capacity, site.WaitingFor)
 	}
 	orders := status.Orders
 	for _, weight := range orders.FailoverWeights {
-		log("of lost keys to servers of %s: %.2f", weight.Site, weight.Fraction)
+		log("failover weight of %s: %.2f", weight.Site, weight.Fraction)
 	}
-	log("bears %.0f (%s) target %.0f least %d some %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget, orders.MinRank, orders.MinRankFraction)
+	log("capacity %.0f (%s) target %.0f min rank %d fraction %.2f", status.Capacity, status.LimitingSite, orders.AdmissionTarget,
+		orders.MinRank, orders.MinRankFraction)
 }
 
 // Under random faults no transition lacks its evidence, no recovery skips a step, the admitted requests fit the target, and once all
@@ -298,7 +299,8 @@
 		}
 	case transition.Stage == Recovering && previous.Stage == Lost:
 		if s.routersDown[site] || s.responding[site] < halfFraction {
-			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site", seed, s.now, site, s.routersDown[site], s.responding[site])
+			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site",
+				seed, s.now, site, s.routersDown[site], s.responding[site])
 		}
 	case skipsStep, endsEarly:
 		t.Fatalf("seed %d, %v: transition from step %d: got %v, want the next step", seed, s.now, previous.Step, transition.Decision)
