--- a/core/routing/trace_test.go
+++ b/core/routing/trace_test.go
@@ -11,20 +11,20 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// TestTraces plays scripts of inputs with their times; what they led to are decisions. Lines without a time are settings
-// or comments.
+// TestTraces plays the scripts of testdata: events with their times, and below each the decisions that follow. Lines without
+// a time are settings or comments.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
-		got := play(script)
-		if again := play(script); again != got {
-			t.Errorf("a second play differs:\n%s", again)
+		got := playScript(script)
+		if second := playScript(script); second != got {
+			t.Errorf("a second run differs:\n%s", second)
 		}
 		return got
 	})
 }
 
-// base is a site in aside mode; scripts change it with lines such as "set routers=3 through".
-func base() Settings {
+// baseSettings is a site in cache-aside mode; scripts change it with lines such as "set routers=3 through".
+func baseSettings() Settings {
 	return Settings{Routers: 1, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, WarmUpShare: 0.2,
 		WarmUpDuration: 10e6, OverloadWindow: 1e6, OverloadMultiple: 2, CancelAllowed: true, MaxRetryAfter: 1e6,
 		MaxAttempts: 3, OverShareWeight: 0.1, DrainTimeout: 1e6, PollInterval: 10e6, ResponseSlack: 20e3,
@@ -39,9 +39,9 @@
 		}}
 }
 
-func play(script string) string {
+func playScript(script string) string {
 	var out strings.Builder
-	s := base()
+	s := baseSettings()
 	var r *Router
 	for line := range strings.Lines(script) {
 		if strings.HasPrefix(line, "  ") {
@@ -53,24 +53,24 @@
 			continue
 		}
 		if words[0] == "set" {
-			set(&s, words[1:])
+			applySetting(&s, words[1:])
 			continue
 		}
-		now := span(words[0])
-		var decided []Decision
+		now := parseSeconds(words[0])
+		var decisions []Decision
 		if words[1] == "start" {
-			r, decided = New(now, s, 7)
+			r, decisions = New(now, s, 7)
 		} else {
-			decided = r.Step(now, input(s, words[1], words[2:]))
+			decisions = r.Step(now, parseEvent(s, words[1], words[2:]))
 		}
-		for _, d := range decided {
-			fmt.Fprintf(&out, "  %s\n", show(d))
+		for _, d := range decisions {
+			fmt.Fprintf(&out, "  %s\n", formatDecision(d))
 		}
 	}
 	return out.String()
 }
 
-func set(s *Settings, words []string) {
+func applySetting(s *Settings, words []string) {
 	for _, w := range words {
 		name, value, _ := strings.Cut(w, "=")
 		switch name {
@@ -78,12 +78,12 @@
 			s.Routers, _ = strconv.Atoi(value)
 		case "read-budget":
 			s.Methods = slices.Clone(s.Methods)
-			s.Methods[0].LatencyBudget = span(value)
+			s.Methods[0].LatencyBudget = parseSeconds(value)
 		case "share":
 			s.Tenants = []TenantSettings{{Name: "big", Share: 0.9}, {Name: "small", Share: 0.1}}
 			s.Tenants[1].Share, _ = strconv.ParseFloat(value, 64)
 		case "hint":
-			s.MaxRetryAfter = span(value)
+			s.MaxRetryAfter = parseSeconds(value)
 		case "sends":
 			s.MaxAttempts, _ = strconv.Atoi(value)
 		case "through":
@@ -96,7 +96,7 @@
 		case "tells":
 			s.ReportFields = []Figure{FigureServiceTime}
 		case "connect":
-			s.ConnectTimeout = span(value)
+			s.ConnectTimeout = parseSeconds(value)
 		case "copies":
 			s.HedgingAllowed, s.WastedWorkCost = true, 0.02
 		case "ask":
@@ -109,8 +109,8 @@
 	}
 }
 
-// input reads "list full 1 2:draining 9", "request a read key 1.2", "back a 1 0 timeout 0.3 [over]", and the rest.
-func input(s Settings, name string, words []string) Event {
+// parseEvent reads "list full 1 2:draining 9", "request a read key 1.2", "back a 1 0 timeout 0.3 [over]", and the rest.
+func parseEvent(s Settings, name string, words []string) Event {
 	switch name {
 	case "list":
 		kinds := []string{"full", "changes", "saved", "failed"}
@@ -120,7 +120,7 @@
 			w, start, _ := strings.Cut(w, "@")
 			id, state, _ := strings.Cut(w, ":")
 			n, _ := strconv.Atoi(id)
-			e := Endpoint{Server: ServerID(n), Kind: "cache", Zone: Zone(zone), StartedAt: span("0" + start)}
+			e := Endpoint{Server: ServerID(n), Kind: "cache", Zone: Zone(zone), StartedAt: parseSeconds("0" + start)}
 			if n == 9 {
 				e.Kind = "origin"
 			}
@@ -132,7 +132,7 @@
 		n, _ := strconv.Atoi(words[0])
 		return BanChanged{Server: ServerID(n), Banned: true}
 	case "change":
-		set(&s, words)
+		applySetting(&s, words)
 		return SettingsChanged{s}
 	case "part":
 		part, _ := strconv.ParseFloat(words[0], 64)
@@ -162,10 +162,10 @@
 		return p
 	case "unbar":
 		n, _ := strconv.Atoi(words[0])
-		return BanChanged{Server: ServerID(n), Since: span(words[1])}
+		return BanChanged{Server: ServerID(n), Since: parseSeconds(words[1])}
 	case "req":
 		m := slices.IndexFunc(s.Methods, func(m MethodSettings) bool { return m.Name == words[1] })
-		q := RequestArrived{Request: RequestID(words[0]), Method: Method(m), ValidUntil: span(words[3]),
+		q := RequestArrived{Request: RequestID(words[0]), Method: Method(m), ValidUntil: parseSeconds(words[3]),
 			Write: words[1] == "hold" || words[1] == "pay", SingleAttempt: words[len(words)-1] == "once"}
 		if words[2] != "-" {
 			q.Key = Key(words[2])
@@ -186,18 +186,18 @@
 			report = Report{ms}
 		}
 		return AttemptEnded{Request: RequestID(words[0]), Server: ServerID(server), Attempt: Attempt(n), Status: status,
-			Took: span(words[4]), Answered: status == OK || last == "over", Report: report}
+			Took: parseSeconds(words[4]), Answered: status == OK || last == "over", Report: report}
 	case "learned": // of all caches: their usual time, and the retry budget
-		return KnowledgeRestored{Knowledge{ObservedFor: 60e6, CacheLatency: LatencySummary{span(words[0]), span(words[0]), span(words[0]), 32}, RequestRate: 20,
+		return KnowledgeRestored{Knowledge{ObservedFor: 60e6, CacheLatency: LatencySummary{parseSeconds(words[0]), parseSeconds(words[0]), parseSeconds(words[0]), 32}, RequestRate: 20,
 			HitRate: 20, EndedRate: 20, AnsweredRate: 20, AttemptRate: 20, RetryBudget: 5}}
 	case "learned-server": // its number, usual time, [aside] [@start]
 		n, _ := strconv.Atoi(words[0])
-		b := ServerKnowledge{Server: ServerID(n), ObservedAt: 1, Latency: LatencySummary{span(words[1]), span(words[1]), span(words[1]), 32}, AnswerRate: 5, AttemptRate: 5}
+		b := ServerKnowledge{Server: ServerID(n), ObservedAt: 1, Latency: LatencySummary{parseSeconds(words[1]), parseSeconds(words[1]), parseSeconds(words[1]), 32}, AnswerRate: 5, AttemptRate: 5}
 		for _, w := range words[2:] {
 			if b.Ejected = w == "aside"; b.Ejected {
 				b.FailurePoints = 3
 			} else {
-				b.StartedAt = span(w[1:])
+				b.StartedAt = parseSeconds(w[1:])
 			}
 		}
 		return ServersRestored{[]ServerKnowledge{b}}
@@ -209,7 +209,7 @@
 	panic("unknown input " + name)
 }
 
-func span(text string) clock.Time {
+func parseSeconds(text string) clock.Time {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(err)
@@ -217,7 +217,7 @@
 	return clock.Time(x * 1e6)
 }
 
-func show(d Decision) string {
+func formatDecision(d Decision) string {
 	after := fmt.Sprintf("%.3f", float64(d.After)/1e6)
 	switch d.Action {
 	case Send:
--- a/core/routing/fleet_test.go
+++ b/core/routing/warmup_test.go
@@ -10,60 +10,60 @@
 	"spurtrestle/core/clock"
 )
 
-// fleet is many routers in virtual time that share nothing but the cache servers and the list of these.
+// fleet is many routers in simulated time that share only the cache servers and the endpoint list.
 type fleet struct {
 	scene
-	rand    *rand.Rand
-	routers []*Router
-	told    []clock.Time // when each router is told of the start
-	now     clock.Time
-	due     arrivals
-	weights []float64 // of keys, added up
-	held    map[ServerID]map[Key]bool
-	cold    ServerID
-	started clock.Time
-	sends   []clock.Time // to the cold server, of routers that had been told
-	asked   int
-	hotKey  Key
-	open    map[RequestID]Key
+	rand      *rand.Rand
+	routers   []*Router
+	noticedAt []clock.Time // when each router gets the list with the start
+	now       clock.Time
+	due       schedule
+	weights   []float64 // of keys, added up
+	cached    map[ServerID]map[Key]bool
+	warming   ServerID
+	started   clock.Time
+	sends     []clock.Time // to the warming server, of routers that have the list with its start
+	arrived   int
+	hotKey    Key
+	open      map[RequestID]Key
 }
 
-// scene is one deployment, and what happens to it.
+// scene is one deployment and its course of events.
 type scene struct {
 	name       string
 	routers    int
 	caches     int
 	capacity   float64 // requests a second of a warm cache server
-	load       float64 // part of that which is asked of them all together
-	burst      float64 // by which more is asked from the start on
+	load       float64 // fraction of that which is requested of all of them
+	burst      float64 // factor on the load from the start on
 	skew       float64 // exponent of Zipf's law over the keys; 0: all alike
 	settings   Settings
-	hot        float64 // reads of one key that the cold server is the first to have, as a multiple of a mean cache's
-	herd       bool    // seven in ten routers begin anew a second before
-	restart    bool    // the cold server was there before
+	hot        float64 // reads of one key that the warming server owns, as a multiple of a mean cache's
+	herd       bool    // seven in ten routers restart a second before
+	restart    bool    // the warming server was listed before
 	uneven     bool    // some routers see several times the mean
 	noticeLags clock.Time
 }
 
-// due is one thing to come.
-type due struct {
-	at clock.Time
-	do func()
+// scheduledCall is a call at an instant.
+type scheduledCall struct {
+	at  clock.Time
+	run func()
 }
 
-type arrivals []due
+type schedule []scheduledCall
 
-func (a arrivals) Len() int           { return len(a) }
-func (a arrivals) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *arrivals) Pop() any {
+func (a schedule) Len() int           { return len(a) }
+func (a schedule) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a schedule) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *schedule) Push(x any)        { *a = append(*a, x.(scheduledCall)) }
+func (a *schedule) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-func (f *fleet) after(d clock.Time, do func()) { heap.Push(&f.due, due{f.now + d, do}) }
+func (f *fleet) after(d clock.Time, run func()) { heap.Push(&f.due, scheduledCall{f.now + d, run}) }
 
 const (
 	fleetKeys   = 5000
@@ -71,16 +71,16 @@
 	warmUp      = 20e6 // of the routers, before the start
 )
 
-// list is what discovery tells.
-func (f *fleet) list(withCold bool) EndpointsUpdated {
+// list is the endpoint list.
+func (f *fleet) list(withStart bool) EndpointsUpdated {
 	l := EndpointsUpdated{Endpoints: []Endpoint{{Server: fleetOrigin, Kind: "origin"}}}
 	for i := range f.caches {
 		e := Endpoint{Server: ServerID(i + 1)}
-		if e.Server == f.cold {
-			if !withCold && !f.restart {
+		if e.Server == f.warming {
+			if !withStart && !f.restart {
 				continue
 			}
-			if withCold {
+			if withStart {
 				e.StartedAt = f.started
 			}
 		}
@@ -90,43 +90,43 @@
 }
 
 func newFleet(s scene, seed uint64) *fleet {
-	f := &fleet{scene: s, rand: rand.New(rand.NewPCG(seed, 7)), held: map[ServerID]map[Key]bool{}, open: map[RequestID]Key{},
-		started: warmUp, routers: make([]*Router, s.routers), told: make([]clock.Time, s.routers)}
-	f.cold = ServerID(1 + f.rand.IntN(s.caches))
+	f := &fleet{scene: s, rand: rand.New(rand.NewPCG(seed, 7)), cached: map[ServerID]map[Key]bool{}, open: map[RequestID]Key{},
+		started: warmUp, routers: make([]*Router, s.routers), noticedAt: make([]clock.Time, s.routers)}
+	f.warming = ServerID(1 + f.rand.IntN(s.caches))
 	sum := 0.0
 	for i := range fleetKeys {
 		sum += math.Pow(float64(i+1), -s.skew)
 		f.weights = append(f.weights, sum)
 	}
-	f.hotKey = f.keyOfCold()
+	f.hotKey = f.keyOfWarmingServer()
 	for i := range f.routers {
-		f.told[i] = f.started + clock.Time(f.rand.Float64()*float64(s.noticeLags))
-		f.begin(i)
-		f.after(f.told[i], func() { f.step(i, f.list(true)) })
+		f.noticedAt[i] = f.started + clock.Time(f.rand.Float64()*float64(s.noticeLags))
+		f.startRouter(i)
+		f.after(f.noticedAt[i], func() { f.step(i, f.list(true)) })
 		if s.herd && f.rand.Float64() < 0.7 {
-			f.after(f.started-1e6, func() { f.begin(i) })
+			f.after(f.started-1e6, func() { f.startRouter(i) })
 		}
 	}
 	return f
 }
 
-// keyOfCold is a key that the cold server is the first of its group to have, and may have from its start on.
-func (f *fleet) keyOfCold() Key {
+// keyOfWarmingServer is a key that the warming server owns, and may get from its start on.
+func (f *fleet) keyOfWarmingServer() Key {
 	r, _ := New(0, f.settings, 1)
 	r.Step(0, f.list(true))
 	for i := 0; ; i++ {
 		key := Key(fmt.Sprint("hot", i))
 		hash := hashText(string(key))
-		if at := float64(hash>>32&0xffff) / 0x10000; r.groupOf(hash)[0].Server == f.cold && at < 0.05 {
+		if at := float64(hash>>32&0xffff) / 0x10000; r.groupOf(hash)[0].Server == f.warming && at < 0.05 {
 			return key
 		}
 	}
 }
 
-// begin starts a router's process.
-func (f *fleet) begin(i int) {
+// startRouter starts a router's process.
+func (f *fleet) startRouter(i int) {
 	f.routers[i], _ = New(f.now, f.settings, f.rand.Uint64())
-	f.step(i, f.list(f.now >= f.told[i] && f.now > 0))
+	f.step(i, f.list(f.now >= f.noticedAt[i] && f.now > 0))
 }
 
 func (f *fleet) step(i int, ev Event) {
@@ -145,24 +145,24 @@
 	}
 }
 
-// attempt has a server answer, which holds what was fetched for it.
+// attempt has a server answer. It caches what it missed.
 func (f *fleet) attempt(i int, r *Router, d Decision) {
 	took, status := clock.Time(15e3*(0.5+f.rand.ExpFloat64())), OK
 	key := f.open[d.Request]
 	if d.Server == fleetOrigin {
 		took *= 4
 	}
-	if d.Server == f.cold && f.now >= f.started {
-		if f.now >= f.told[i] {
+	if d.Server == f.warming && f.now >= f.started {
+		if f.now >= f.noticedAt[i] {
 			f.sends = append(f.sends, f.now)
 		}
 		took *= 2
-		if f.held[d.Server] == nil {
-			f.held[d.Server] = map[Key]bool{}
+		if f.cached[d.Server] == nil {
+			f.cached[d.Server] = map[Key]bool{}
 		}
-		if !f.held[d.Server][key] {
+		if !f.cached[d.Server][key] {
 			status = Miss
-			f.held[d.Server][key] = true
+			f.cached[d.Server][key] = true
 		}
 	}
 	nth := Attempt(0)
@@ -176,8 +176,8 @@
 	})
 }
 
-// ask has a client ask a router for a key.
-func (f *fleet) ask() {
+// request has a client send a request to a router.
+func (f *fleet) request() {
 	x := f.rand.Float64() * f.weights[fleetKeys-1]
 	at := 0
 	for n := fleetKeys; n > 0; { // the first whose weight is not less
@@ -191,8 +191,8 @@
 	if f.uneven && f.rand.IntN(2) == 0 {
 		i %= max(1, len(f.routers)/6)
 	}
-	f.asked++
-	id := RequestID(fmt.Sprint(f.asked))
+	f.arrived++
+	id := RequestID(fmt.Sprint(f.arrived))
 	if f.open[id] = Key(fmt.Sprint("k", at)); f.rand.Float64() < f.hot/float64(f.caches) {
 		f.open[id] = f.hotKey
 	}
@@ -201,16 +201,16 @@
 	if f.now >= f.started {
 		rate *= f.burst
 	}
-	f.after(clock.Time(f.rand.ExpFloat64()*1e6/rate), f.ask)
+	f.after(clock.Time(f.rand.ExpFloat64()*1e6/rate), f.request)
 }
 
-// play returns by what part of the bound the cold server got most in the time in which it may fall.
-func (f *fleet) play() (worst float64, n int, allowed float64) {
-	f.ask()
+// run returns the highest load of the warming server over the overload window, as a fraction of the bound.
+func (f *fleet) run() (worst float64, n int, allowed float64) {
+	f.request()
 	for end := f.started + f.settings.WarmUpDuration; f.now < end; {
-		next := heap.Pop(&f.due).(due)
+		next := heap.Pop(&f.due).(scheduledCall)
 		f.now = max(f.now, next.at)
-		next.do()
+		next.run()
 	}
 	first := 0
 	for i, at := range f.sends {
@@ -228,11 +228,11 @@
 	return worst, n, allowed
 }
 
-// deployments are the rules on cold servers of some, each with the coldest start and the slowest ramp that was met there.
+// deployments are the rules on warming servers of some deployments, each with its lowest initial share and slowest warm-up.
 func deployments() map[string]Settings {
-	rules := func(multiple, share float64, span, cold clock.Time) Settings {
-		s := base()
-		s.OverloadMultiple, s.WarmUpShare, s.OverloadWindow, s.WarmUpDuration = multiple, share, span, cold
+	rules := func(multiple, share float64, span, duration clock.Time) Settings {
+		s := baseSettings()
+		s.OverloadMultiple, s.WarmUpShare, s.OverloadWindow, s.WarmUpDuration = multiple, share, span, duration
 		return s
 	}
 	return map[string]Settings{
@@ -242,12 +242,13 @@
 	}
 }
 
-// A server that has just started is sent no more than it can take then, by all routers of a fleet together, though they share
-// nothing: N by the settings, and 2 times the root of N and 2 more as chance. With twenty and thirty routers, under a burst, for
-// keys alike or a few hot ones; where it is new, or back, or most routers have just begun, or know of it late.
-func TestColdServerUnderAFleet(t *testing.T) {
+// A server that has just started gets no more than its present capacity from all routers of a fleet together, though they
+// share nothing: N by the settings, and 2 times the root of N and 2 more as chance. With twenty and thirty routers, under a
+// burst, for uniform keys or a few hot ones; where it is new, or has restarted, or most routers have just restarted, or learn
+// of it late.
+func TestWarmUp_FleetStaysWithinCapacity(t *testing.T) {
 	scenes := []scene{{name: "new"}, {name: "back", restart: true}, {name: "after a herd", herd: true, restart: true},
-		{name: "unevenly", uneven: true, restart: true}, {name: "told late", restart: true, noticeLags: 1500e3},
+		{name: "unevenly", uneven: true, restart: true}, {name: "noticed late", restart: true, noticeLags: 1500e3},
 		{name: "a hot key", hot: 1.5, restart: true}, {name: "a hot key after a herd", hot: 1.5, herd: true, restart: true}}
 	for name, settings := range deployments() {
 		for _, size := range []struct{ routers, caches int }{{20, 4}, {30, 4}, {30, 9}} {
@@ -257,7 +258,7 @@
 					for _, s := range scenes {
 						s.routers, s.caches, s.capacity, s.skew = size.routers, size.caches, 10, skew
 						for seed := range uint64(4) {
-							s.bears(t, settings, seed)
+							s.check(t, settings, seed)
 						}
 					}
 				}
@@ -266,25 +267,25 @@
 	}
 }
 
-// The same of a fleet of hundreds, of which each router has a few requests a second, and less than one for a cache in a second.
-func TestColdServerUnderHundreds(t *testing.T) {
+// The same for a fleet of hundreds, of which each router has a few requests per second, and less than one for each cache.
+func TestWarmUp_HundredsOfRoutersStayWithinCapacity(t *testing.T) {
 	for name, settings := range deployments() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, s := range []scene{{name: "back", restart: true}, {name: "a hot key after a herd", hot: 0.75, herd: true, restart: true}} {
 				s.routers, s.caches, s.capacity = 300, 150, 25
-				s.bears(t, settings, 1)
+				s.check(t, settings, 1)
 			}
 		})
 	}
 }
 
-// bears plays the scene, with seven tenths of what the servers can do asked of them, and half as much again from the start on.
-func (s scene) bears(t *testing.T, settings Settings, seed uint64) {
+// check runs the scene at seven tenths of the servers' capacity, and half as much again from the start on.
+func (s scene) check(t *testing.T, settings Settings, seed uint64) {
 	t.Helper()
 	s.load, s.burst, s.settings = 0.7, 1.5, settings
 	s.settings.Routers = s.routers
-	if part, n, allowed := newFleet(s, seed).play(); part > 1 {
+	if load, n, allowed := newFleet(s, seed).run(); load > 1 {
 		t.Errorf("%s, skew %.1f, seed %d: %d requests, %.1f are allowed", s.name, s.skew, seed, n, allowed)
 	}
 }
