--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -41,7 +41,7 @@
 // recordOutcome updates the record of a server by the outcome of an attempt. Only this router's own attempts count.
 func (r *Router) recordOutcome(attempt *attempt, status AttemptStatus, took clock.Duration) {
 	server := attempt.server
-	use := r.correctedRate(&server.attemptRate, attemptWindow)
+	attemptRate := server.attemptRate.at(r.now, attemptWindow)
 	points := 0
 	switch status {
 	case OK, Miss:
@@ -59,6 +59,7 @@
 	}
 	r.recordPathOutcome(server, status, points, took)
 	if points > 0 {
+		use := attemptRate / r.windowCovered(attemptWindow)
 		r.recordFailure(server, status, points, use)
 	}
 }
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -106,7 +106,7 @@
 	return r.decisions
 }
 
-// handle changes the state by an event.
+// handle updates the state by an event. An event of another type is ignored.
 func (r *Router) handle(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
@@ -138,6 +138,7 @@
 		r.storeRestoredServers(e)
 	case TimerFired:
 		r.timerFired()
+	case HealthChecked: // no decision depends on health checks
 	}
 }
 
