--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet says how the program, the router and what keeps the router's place among the others of its fleet are
-// joined, so that a program can be built without the latter.
+// Package fleet declares how a program, its router and the node that represents the router in the fleet are connected. It has
+// types and interfaces alone, so that a program can be built without internal/gossip, which implements them, and the traffic
+// counters of such a node.
 package fleet
 
 import (
@@ -9,56 +10,70 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config is how a router takes part in its fleet.
+// Config configures a router's node. Fields of the operator's file have the comments of that file.
 type Config struct {
 	Fleet           string
 	Name            string // of the router
 	Site            string
-	Sites           []string // all that there are; none: that is not known
-	Tiered          bool     // full membership within the site alone, summaries of the other sites; off: the whole fleet
-	Region          string   // of the site; needed with Tiered
-	Remote          []string // with Tiered: addresses of routers of other sites, to begin with
+	Sites           []string // all sites of the settings; empty: not known
+	Tiered          bool     // full membership within the site alone, and summaries of other sites
+	Region          string   // of the site; required if Tiered
+	Remote          []string // if Tiered: seed addresses of routers of other sites
 	Listen          netip.AddrPort
 	Advertise       netip.AddrPort
-	Join            []string // addresses of others, to begin with
-	Dir             string   // for the file of peers known; empty: there is none
+	Join            []string // seed addresses of other routers
+	Dir             string   // folder of the peers file; empty: none is written
 	ProbeInterval   time.Duration
-	ForgetAfter     time.Duration // 0: as the rules have it
-	FleetSize       int           // as many as the settings say that there are
-	Slot            int
+	ForgetAfter     time.Duration // until a lost or left router is removed; 0: the default
+	FleetSize       int           // number of routers in the settings
+	Slot            int           // index of this router among them, from 0
 	Build           string
 	Methods         []string    // of the service
-	HasPredecessor  bool        // it takes over from a process that lives, and has the address still
-	NoSharesGranted bool        // that process has lent nothing
-	FaultyLinks     FaultyLinks // may lose what is sent, in trials; nil: nothing is lost on purpose
-	// Refused makes an error of a field of the operator's file, as in "fleet.listen".
-	ConfigError func(field, what, remedy string) error
+	HasPredecessor  bool        // a process of this router serves, and listens at the address until it exits
+	NoSharesGranted bool        // that process has granted no share
+	FaultyLinks     FaultyLinks // drops messages in tests and trials; nil: none is dropped on purpose
+	// ConfigError returns an error about a field of the operator's file, as in "fleet.listen".
+	ConfigError func(field, problem, remedy string) error
 }
 
-// Router is the router that this is the place of. All may be called from any goroutine, but the loop's.
+// RouterStatus is a router's state as its node announces it.
+type RouterStatus struct {
+	Accepting bool // it accepts clients
+	Draining  bool // an operator drains it, or it is shutting down
+	Idle      bool // no request of a client is in progress or can arrive
+}
+
+// Share is the share of the fleet's limits that a router may use: Current until ExpiresAt, AfterExpiry from then on.
+type Share struct {
+	Current     float64
+	ExpiresAt   time.Time // zero: Current does not expire
+	AfterExpiry float64
+}
+
+// Router is the router that a node represents. Its methods are called from any goroutine but the router's event loop.
 type Router interface {
-	// Standing tells whether it takes clients, and if not, whether it is being drained and nothing of any client is left.
-	FleetStatus() (takes, draining, empty bool)
-	// SetPart has the loop keep to a part: now until a time (zero: for ever), then afterwards. It is in force once it
-	// returns nil. An error: it is not, and may come into force later.
-	SetShare(now float64, until time.Time, then float64) error
-	// KeepOut has it take no clients for a reason; empty: it may again.
-	SetOutOfService(why string)
+	FleetStatus() RouterStatus
+	// SetShare returns nil once the event loop uses no more than the share. After an error it may do so later.
+	SetShare(Share) error
+	// SetOutOfService has the router reject clients for the given reason, or accept them again if that is empty.
+	SetOutOfService(reason string)
 }
 
-// Node is what is seen of the fleet from a router.
+// Node represents a router in its fleet.
 type Node interface {
-	Whole() (string, error) // the view, as JSON
-	Figures() string        // as statsd lines
-	Close(handed bool)      // once the router sends nothing more; handed: another process has taken over
+	Whole() (string, error) // the view of the fleet, as JSON
+	Figures() string        // metrics, as lines of statsd
+	// Close leaves the fleet. It is called once the router sends nothing more. With handedOver, a successor has taken over.
+	Close(handedOver bool)
 }
 
 // Policy is a router's side of the fleet's policy.
 type Policy interface {
-	Policy() (string, error)            // what is held here, as JSON
-	Ask(request string) (string, error) // of the keepers, for an operator
-	Close(handed bool)                  // handed: another process has taken over, by what this one left it
+	Policy() (string, error)            // the policy in force, as JSON
+	Ask(request string) (string, error) // passes an operator's request to the voters
+	// Close ends it. With handedOver, a successor has taken over with what this process left it.
+	Close(handedOver bool)
 }
 
-// Join takes a router's place. Errors are about the configuration.
+// Join starts the node of a router. Its errors are about the configuration.
 type Join func(Config, Router, *logrus.Logger) (Node, error)
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -7,39 +7,45 @@
 	"sync/atomic"
 )
 
-// Mechanism is what traffic between routers is for.
+// TrafficKind is a purpose of traffic between routers.
 type TrafficKind uint8
 
-// The mechanisms that traffic is counted by.
+// The purposes that traffic is counted by.
 const (
-	Probe         TrafficKind = iota // pings, their answers, and the heartbeats that go with these
-	Gossip                           // membership's changes passed on
-	Heartbeat                        // heartbeats passed on
-	FullState                        // whole states over connections
-	ShareLease                       // of parts
-	PolicyMessage                    // talk of the policy's keepers and holders
-	Summary                          // of sites and regions
-	Other                            // what none of the above explains
-	TrafficKinds                     // how many there are
+	Probe         TrafficKind = iota // pings, their replies, and the heartbeats in these
+	Gossip                           // memberlist's own broadcasts of changed members
+	Heartbeat                        // broadcast heartbeats
+	FullState                        // exchanges of the full state over connections
+	ShareLease                       // messages about leases of shares
+	PolicyMessage                    // messages between the voters of the policy and its followers
+	Summary                          // summaries of sites and regions
+	Other                            // anything else
+	TrafficKinds                     // number of kinds
 )
 
-var mechanismNames = [TrafficKinds]string{"probe", "gossip", "heartbeat", "full_state", "lending", "grant", "summary", "other"}
+// trafficKindNames are part of the names of metrics.
+var trafficKindNames = [TrafficKinds]string{"probe", "gossip", "heartbeat", "full_state", "lending", "grant", "summary", "other"}
 
-func (m TrafficKind) String() string { return mechanismNames[m] }
+func (k TrafficKind) String() string { return trafficKindNames[k] }
 
-// Count is bytes, headers included, and messages.
+// Count counts bytes, headers included, and messages.
 type Count struct {
 	Bytes    int64 `json:"b"`
 	Messages int64 `json:"m"`
 }
 
-// TrafficCounts are what a router has sent and received so far for its place among the others, by mechanism.
+func (c *Count) add(other Count) {
+	c.Bytes += other.Bytes
+	c.Messages += other.Messages
+}
+
+// TrafficCounts is what a node has sent and received since its start, by kind.
 type TrafficCounts struct {
 	Sent     [TrafficKinds]Count `json:"s"`
 	Received [TrafficKinds]Count `json:"r"`
 }
 
-// The names of a count in statsd's form, which the mechanism's follows.
+// Names of the metrics in the form of statsd; the name of the kind follows.
 const (
 	sentBytes        = "router.fleet.sent_bytes."
 	sentMessages     = "router.fleet.sent_messages."
@@ -48,84 +54,85 @@
 	counterSuffix    = "|c"
 )
 
-// statsd gives each count by its name.
-func (c *TrafficCounts) statsd(of func(name string, count *int64)) {
-	for m := range TrafficKinds {
-		of(sentBytes+m.String(), &c.Sent[m].Bytes)
-		of(sentMessages+m.String(), &c.Sent[m].Messages)
-		of(receivedBytes+m.String(), &c.Received[m].Bytes)
-		of(receivedMessages+m.String(), &c.Received[m].Messages)
+// forEachMetric calls visit with each metric's name and count.
+func (c *TrafficCounts) forEachMetric(visit func(name string, count *int64)) {
+	for kind := range TrafficKinds {
+		visit(sentBytes+kind.String(), &c.Sent[kind].Bytes)
+		visit(sentMessages+kind.String(), &c.Sent[kind].Messages)
+		visit(receivedBytes+kind.String(), &c.Received[kind].Bytes)
+		visit(receivedMessages+kind.String(), &c.Received[kind].Messages)
 	}
 }
 
-// Statsd writes the counts as statsd lines.
-func (c TrafficCounts) Statsd() string {
+// Statsd formats the counts as lines of statsd.
+func (c *TrafficCounts) Statsd() string {
 	var out strings.Builder
-	c.statsd(func(name string, count *int64) { fmt.Fprintf(&out, "%s:%d%s\n", name, *count, counterSuffix) })
+	c.forEachMetric(func(name string, count *int64) { fmt.Fprintf(&out, "%s:%d%s\n", name, *count, counterSuffix) })
 	return out.String()
 }
 
-// ParseStatsd reads the counts among the statsd lines of a router; those that it does not show are zero.
-func ParseStatsd(text string) (c TrafficCounts, err error) {
-	counts := map[string]*int64{}
-	c.statsd(func(name string, count *int64) { counts[name] = count })
+// ParseStatsd reads the counts among a router's lines of statsd. Those that are missing are zero.
+func ParseStatsd(text string) (TrafficCounts, error) {
+	var counts TrafficCounts
+	byName := map[string]*int64{}
+	counts.forEachMetric(func(name string, count *int64) { byName[name] = count })
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ":")
-		count, known := counts[name]
-		if !known {
+		count, ok := byName[name]
+		if !ok {
 			continue
 		}
-		if *count, err = strconv.ParseInt(strings.TrimSuffix(value, counterSuffix), 10, 64); err != nil {
-			return c, fmt.Errorf("%s: %q is no count", name, value)
+		number, err := strconv.ParseInt(strings.TrimSuffix(value, counterSuffix), 10, 64)
+		if err != nil {
+			return counts, fmt.Errorf("read metric %s: %q is not a count: %w", name, value, err)
 		}
+		*count = number
 	}
-	return c, nil
+	return counts, nil
 }
 
-// Add sums two counts.
-func (c *TrafficCounts) Add(o TrafficCounts) {
-	for m := range TrafficKinds {
-		c.Sent[m].add(o.Sent[m])
-		c.Received[m].add(o.Received[m])
+// Add adds the counts of another node.
+func (c *TrafficCounts) Add(other TrafficCounts) {
+	for kind := range TrafficKinds {
+		c.Sent[kind].add(other.Sent[kind])
+		c.Received[kind].add(other.Received[kind])
 	}
 }
 
-func (c *Count) add(o Count) {
-	c.Bytes += o.Bytes
-	c.Messages += o.Messages
-}
+// Traffic counts what a node sends and receives. It is safe for concurrent use.
+type Traffic struct{ sent, received [TrafficKinds]atomicCount }
 
-// Traffic counts what a router sends and receives. Its functions may be called from several goroutines at once.
-type Traffic struct{ sent, received [TrafficKinds]counter }
+type atomicCount struct{ bytes, messages atomic.Int64 }
 
-type counter struct{ bytes, messages atomic.Int64 }
-
-func (c *counter) add(bytes, messages int) {
+func (c *atomicCount) add(bytes, messages int) {
 	c.bytes.Add(int64(bytes))
 	c.messages.Add(int64(messages))
 }
 
-func (c *counter) read() Count { return Count{c.bytes.Load(), c.messages.Load()} }
+func (c *atomicCount) load() Count { return Count{Bytes: c.bytes.Load(), Messages: c.messages.Load()} }
 
-// Sent counts bytes, headers included, and messages that go out.
-func (t *Traffic) Sent(m TrafficKind, bytes, messages int) { t.sent[m].add(bytes, messages) }
+// Sent counts outgoing bytes, headers included, and messages.
+func (t *Traffic) Sent(kind TrafficKind, bytes, messages int) { t.sent[kind].add(bytes, messages) }
 
-// Received counts bytes, headers included, and messages that come in.
-func (t *Traffic) Received(m TrafficKind, bytes, messages int) { t.received[m].add(bytes, messages) }
+// Received counts incoming bytes, headers included, and messages.
+func (t *Traffic) Received(kind TrafficKind, bytes, messages int) {
+	t.received[kind].add(bytes, messages)
+}
 
-// Counts reads what was counted so far. Counts of different mechanisms may be of slightly different moments.
-func (t *Traffic) Counts() (c TrafficCounts) {
-	for m := range TrafficKinds {
-		c.Sent[m], c.Received[m] = t.sent[m].read(), t.received[m].read()
+// Counts returns the counts so far. Those of different kinds may be of slightly different times.
+func (t *Traffic) Counts() TrafficCounts {
+	var counts TrafficCounts
+	for kind := range TrafficKinds {
+		counts.Sent[kind] = t.sent[kind].load()
+		counts.Received[kind] = t.received[kind].load()
 	}
-	return c
+	return counts
 }
 
-// Links is the network between the routers of a trial, which may lose what is sent. Its functions are called from several
-// goroutines at once.
+// FaultyLinks is the network of a trial, which may lose messages. It is safe for concurrent use.
 type FaultyLinks interface {
-	// Lose tells whether a packet that is about to be sent to an address gets lost. It is counted as sent all the same.
+	// DropsPacket reports whether a packet to an address gets lost. It counts as sent all the same.
 	DropsPacket(to string) bool
-	// Refuse tells whether no connection to an address can be had now.
+	// RejectsConnection reports whether a connection to an address fails.
 	RejectsConnection(to string) bool
 }
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -6,40 +6,44 @@
 	"pgregory.net/rapid"
 )
 
-func TestStatsdIsReadAsItWasWritten(t *testing.T) {
+func TestParseStatsd_ReadsWhatStatsdWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var traffic Traffic
 		for range rapid.IntRange(0, 20).Draw(t, "events") {
-			tell := traffic.Sent
+			record := traffic.Sent
 			if rapid.Bool().Draw(t, "received") {
-				tell = traffic.Received
+				record = traffic.Received
 			}
-			tell(TrafficKind(rapid.IntRange(0, int(TrafficKinds)-1).Draw(t, "mechanism")), rapid.IntRange(0, 1<<40).Draw(t, "bytes"), 1)
+			kind := TrafficKind(rapid.IntRange(0, int(TrafficKinds)-1).Draw(t, "kind"))
+			record(kind, rapid.IntRange(0, 1<<40).Draw(t, "bytes"), 1)
 		}
 		want := traffic.Counts()
 		got, err := ParseStatsd("router.fleet.alive:3|g\n" + want.Statsd() + "another:1|c\n")
 		if err != nil || got != want {
-			t.Fatalf("%+v became %+v, %v", want, got, err)
+			t.Fatalf("counts: got %+v, %v, want %+v", got, err, want)
 		}
 	})
 }
 
-func TestSpoiltCountIsRefused(t *testing.T) {
+func TestParseStatsd_RejectsMalformedCount(t *testing.T) {
 	for _, line := range []string{"router.fleet.sent_bytes.probe:x|c", "router.fleet.sent_bytes.probe", "router.fleet.sent_bytes.probe:1|c|c"} {
-		if c, err := ParseStatsd(line); err == nil {
-			t.Errorf("%q was read as %+v", line, c)
+		if counts, err := ParseStatsd(line); err == nil {
+			t.Errorf("%q: got %+v, want an error", line, counts)
 		}
 	}
 }
 
-func TestCountsAreSummed(t *testing.T) {
-	var a, b Traffic
-	a.Sent(Probe, 10, 1)
-	b.Sent(Probe, 5, 2)
-	b.Received(Summary, 7, 1)
-	sum := a.Counts()
-	sum.Add(b.Counts())
-	if sum.Sent[Probe] != (Count{15, 3}) || sum.Received[Summary] != (Count{7, 1}) {
-		t.Errorf("%+v", sum)
+func TestTrafficCounts_Add(t *testing.T) {
+	var first, second Traffic
+	first.Sent(Probe, 10, 1)
+	second.Sent(Probe, 5, 2)
+	second.Received(Summary, 7, 1)
+	sum := first.Counts()
+	sum.Add(second.Counts())
+	if want := (Count{15, 3}); sum.Sent[Probe] != want {
+		t.Errorf("sent probes: got %+v, want %+v", sum.Sent[Probe], want)
+	}
+	if want := (Count{7, 1}); sum.Received[Summary] != want {
+		t.Errorf("received summaries: got %+v, want %+v", sum.Received[Summary], want)
 	}
 }
--- /dev/null
+++ b/internal/gossip/admission.go
@@ -0,0 +1,155 @@
+package gossip
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"spurtrestle/core/membership"
+	"spurtrestle/internal/fleet"
+	"spurtrestle/internal/settings"
+)
+
+const (
+	rejectionLogInterval = time.Minute // between two log lines of one reason
+	maxRejections        = 1000        // reasons that are remembered
+)
+
+// poolSeparator is not allowed in the name of a fleet.
+const poolSeparator = "/"
+
+// poolName names the routers that share full membership: a fleet, or a site of a tiered fleet. Nodes of other pools reject
+// each other, so that a flat router and a tiered one of the same fleet do as well.
+func poolName(config fleet.Config) string {
+	if !config.Tiered {
+		return config.Fleet
+	}
+	return strings.Join([]string{config.Fleet, config.Region, config.Site}, poolSeparator)
+}
+
+// memberName is the name of a process in memberlist. It differs between the processes of a router, since memberlist rejects
+// a new node whose name is that of a node that is not found dead yet.
+func memberName(member membership.Member) string {
+	return fmt.Sprintf("%s#%x", member.Name, uint64(member.Incarnation))
+}
+
+// incarnationOf reads the incarnation of a node's name in memberlist. It returns 0 for a name without one.
+func incarnationOf(peer *memberlist.Node) membership.Incarnation {
+	separator := strings.LastIndexByte(peer.Name, '#')
+	if separator < 0 {
+		return 0
+	}
+	number, _ := strconv.ParseUint(peer.Name[separator+1:], 16, 64) // 0 on failure
+	return membership.Incarnation(number)
+}
+
+// metadata is what this process announces once.
+func (n *Node) metadata() nodeMetadata {
+	return nodeMetadata{
+		Pool:        poolName(n.config),
+		Name:        string(n.self.Name),
+		Site:        string(n.self.Site),
+		Incarnation: uint64(n.self.Incarnation),
+		Slot:        int(n.self.Slot),
+		StartedAt:   n.self.StartedAt,
+		Build:       n.self.Build,
+		Predecessor: uint64(n.self.Predecessor),
+		Methods:     n.config.Methods,
+	}
+}
+
+// memberOf reads a node's metadata. The Fleet of the result is the name of its pool.
+func memberOf(peer *memberlist.Node) (membership.Member, error) {
+	var metadata nodeMetadata
+	if err := json.Unmarshal(peer.Meta, &metadata); err != nil {
+		return membership.Member{}, fmt.Errorf("read metadata of router at %s: %w", peer.Address(), err)
+	}
+	incarnation := membership.Incarnation(metadata.Incarnation)
+	if metadata.Name == "" || incarnation == 0 || incarnation != incarnationOf(peer) {
+		return membership.Member{}, fmt.Errorf("read metadata of router at %s: it is incomplete", peer.Address())
+	}
+	ip, _ := netip.AddrFromSlice(peer.Addr)
+	return membership.Member{
+		Fleet:       metadata.Pool,
+		Name:        membership.Name(metadata.Name),
+		Site:        membership.Site(metadata.Site),
+		Incarnation: incarnation,
+		Slot:        membership.Slot(metadata.Slot),
+		StartedAt:   metadata.StartedAt,
+		Build:       metadata.Build,
+		Addr:        netip.AddrPortFrom(ip.Unmap(), peer.Port).String(),
+		Predecessor: membership.Incarnation(metadata.Predecessor),
+	}, nil
+}
+
+// checkPeer returns why a node may not be a member of this one's pool, or nil, and logs a rejection.
+func (n *Node) checkPeer(peer *memberlist.Node) error {
+	err := n.rejectionOf(peer)
+	if err != nil && n.isRejectionDue(err.Error()) {
+		n.log.WithError(err).WithField("formerly", formerRejected).Warn("fleet: router rejected")
+	}
+	return err
+}
+
+func (n *Node) rejectionOf(peer *memberlist.Node) error {
+	member, err := memberOf(peer)
+	if err != nil {
+		return err
+	}
+	if pool := poolName(n.config); member.Fleet != pool {
+		return fmt.Errorf("router %q at %s is of fleet %q, and this one, %q, of fleet %q; correct %s of one of them",
+			member.Name, member.Addr, member.Fleet, n.self.Name, pool, differingFields(member.Fleet, pool))
+	}
+	if err := n.checkService(peer); err != nil {
+		return fmt.Errorf("router %q at %s: %w; correct fleet.name or fleet.join of one of them, %q or this one, %q",
+			member.Name, member.Addr, err, member.Name, n.self.Name)
+	}
+	return nil
+}
+
+// checkService compares the service's methods: a router of another service has other servers and limits, even if its fleet
+// has the same name. Older builds announce no methods, and pass.
+func (n *Node) checkService(peer *memberlist.Node) error {
+	var metadata nodeMetadata
+	_ = json.Unmarshal(peer.Meta, &metadata) // memberOf has read it before
+	isOwnMethod := func(method string) bool { return slices.Contains(n.config.Methods, method) }
+	sharesMethod := metadata.MethodsTruncated && slices.ContainsFunc(metadata.Methods, isOwnMethod)
+	if len(metadata.Methods) == 0 || sharesMethod {
+		return nil
+	}
+	return settings.SameService(metadata.Methods, n.config.Methods)
+}
+
+// isRejectionDue reports whether a rejection is to be logged, and records that it is.
+func (n *Node) isRejectionDue(reason string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := time.Now()
+	loggedAt, isKnown := n.rejections[reason]
+	if isKnown && now.Sub(loggedAt) < rejectionLogInterval {
+		return false
+	}
+	if len(n.rejections) < maxRejections {
+		n.rejections[reason] = now
+	}
+	return true
+}
+
+// differingFields are the fields of the operator's file by which two pools differ.
+func differingFields(theirs, own string) string {
+	isTheirsTiered := strings.Contains(theirs, poolSeparator)
+	isOwnTiered := strings.Contains(own, poolSeparator)
+	switch {
+	case !isTheirsTiered && !isOwnTiered:
+		return "fleet.name or fleet.join"
+	case isTheirsTiered != isOwnTiered:
+		return "fleet.tiered"
+	}
+	return "fleet.name, fleet.region, fleet.site or fleet.join"
+}
--- /dev/null
+++ b/internal/gossip/codec.go
@@ -0,0 +1,300 @@
+package gossip
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"spurtrestle/core/membership"
+	"spurtrestle/core/sharelease"
+)
+
+// All that goes over the wire between nodes is encoded and decoded here. Nodes of different builds exchange it: the bytes
+// are held by the golden files of testdata. A flat fleet exchanges heartbeats as JSON; a tiered fleet packs them, since they
+// go with each reply to a probe.
+
+// messageKind is the first byte of a message.
+type messageKind byte
+
+const (
+	kindHeartbeat        messageKind = 'w' // a heartbeat as JSON
+	kindPackedHeartbeat  messageKind = 'q' // a packed heartbeat; also the first byte of a packed full state
+	kindHeartbeatRequest messageKind = 'a' // asks the recipient for its heartbeat
+	kindShareLease       messageKind = 'p' // of package sharelease, as JSON
+	kindPolicy           messageKind = 't' // of the policy, with the sender's incarnation
+	kindSummary          messageKind = 'h' // a datagram of package hierarchy
+)
+
+// Limits of messages that are accepted, in bytes.
+const (
+	maxMessageSize       = 4 << 10
+	maxPolicyMessageSize = 1 << 20 // carries the history of a policy
+)
+
+// maxStateHeartbeats bounds a full state.
+const maxStateHeartbeats = 8192
+
+// maxStateSize bounds a full state, in bytes.
+const maxStateSize = maxStateHeartbeats * maxMessageSize / 8
+
+const incarnationSize = 8
+
+var (
+	errHeartbeatTruncated = errors.New("decode heartbeat: it is truncated")
+	errStateTooLarge      = errors.New("decode full state: it is too large")
+)
+
+// isAcceptable reports whether a message's size is within the limit of its kind.
+func isAcceptable(message []byte) bool {
+	const minMessageSize = 2
+	limit := maxMessageSize
+	if len(message) > 0 && messageKind(message[0]) == kindPolicy {
+		limit = maxPolicyMessageSize
+	}
+	return len(message) >= minMessageSize && len(message) <= limit
+}
+
+// nodeMetadata is what a process announces in memberlist's node metadata, in few bytes. The keys are part of the protocol.
+type nodeMetadata struct {
+	Pool             string   `json:"f"`
+	Name             string   `json:"n"`
+	Site             string   `json:"s"`
+	Incarnation      uint64   `json:"p"`
+	Slot             int      `json:"i"`
+	StartedAt        int64    `json:"t"`
+	Build            string   `json:"b"`
+	Predecessor      uint64   `json:"o,omitempty"`
+	Methods          []string `json:"m,omitempty"` // of the service, as many as fit
+	MethodsTruncated bool     `json:"c,omitempty"`
+}
+
+// encode leaves out methods from the end until the metadata fits into limit bytes.
+func (m nodeMetadata) encode(limit int) []byte {
+	for {
+		text := mustMarshal(m)
+		if len(text) <= limit || len(m.Methods) == 0 {
+			return text
+		}
+		m.Methods = m.Methods[:len(m.Methods)-1]
+		m.MethodsTruncated = true
+	}
+}
+
+// mustMarshal encodes a value of plain fields, which cannot fail.
+func mustMarshal(value any) []byte {
+	text, err := json.Marshal(value)
+	if err != nil {
+		panic(fmt.Sprintf("encode %T: %v", value, err))
+	}
+	return text
+}
+
+// withKind returns a message of a kind.
+func withKind(kind messageKind, body []byte) []byte { return append([]byte{byte(kind)}, body...) }
+
+func encodeShareLease(message sharelease.Message) []byte {
+	return withKind(kindShareLease, mustMarshal(message))
+}
+
+func decodeShareLease(body []byte) (message sharelease.Message, err error) {
+	err = json.Unmarshal(body, &message)
+	return message, err
+}
+
+// encodePolicyMessage prefixes a message of the policy with its sender.
+func encodePolicyMessage(from membership.Incarnation, body []byte) []byte {
+	return append(withIncarnation(kindPolicy, from), body...)
+}
+
+// decodePolicyMessage returns the sender and a copy of the message. ok is false if the message is empty.
+func decodePolicyMessage(body []byte) (from membership.Incarnation, message []byte, ok bool) {
+	if len(body) <= incarnationSize {
+		return 0, nil, false
+	}
+	return membership.Incarnation(binary.BigEndian.Uint64(body)), slices.Clone(body[incarnationSize:]), true
+}
+
+func encodeHeartbeatRequest(from membership.Incarnation) []byte {
+	return withIncarnation(kindHeartbeatRequest, from)
+}
+
+func decodeHeartbeatRequest(body []byte) (from membership.Incarnation, ok bool) {
+	if len(body) != incarnationSize {
+		return 0, false
+	}
+	return membership.Incarnation(binary.BigEndian.Uint64(body)), true
+}
+
+func withIncarnation(kind messageKind, incarnation membership.Incarnation) []byte {
+	return binary.BigEndian.AppendUint64([]byte{byte(kind)}, uint64(incarnation))
+}
+
+// encodeHeartbeat returns a heartbeat as a message, packed or as JSON.
+func encodeHeartbeat(heartbeat membership.Heartbeat, packed bool) []byte {
+	if packed {
+		return appendHeartbeat([]byte{byte(kindPackedHeartbeat)}, heartbeat)
+	}
+	return withKind(kindHeartbeat, mustMarshal(heartbeat))
+}
+
+// encodeState returns the full state, packed or as JSON.
+func encodeState(heartbeats []membership.Heartbeat, packed bool) []byte {
+	if packed {
+		return packHeartbeats(heartbeats)
+	}
+	return mustMarshal(heartbeats)
+}
+
+// decodeState reads a full state in either form.
+func decodeState(state []byte) (heartbeats []membership.Heartbeat, err error) {
+	isPacked := len(state) > 0 && messageKind(state[0]) == kindPackedHeartbeat
+	switch {
+	case len(state) > maxStateSize:
+		return nil, errStateTooLarge
+	case isPacked:
+		heartbeats, err = unpackHeartbeats(state)
+	default:
+		err = json.Unmarshal(state, &heartbeats)
+	}
+	if err == nil && len(heartbeats) > maxStateHeartbeats {
+		err = errStateTooLarge
+	}
+	return heartbeats, err
+}
+
+// The flags of a packed heartbeat.
+const (
+	flagAccepting byte = 1 << iota
+	flagDraining
+	flagHandingOver
+	flagYielded
+	flagLeft
+	flagLeader
+	flagDuplicate // the duplicate's incarnation follows
+	flagVoter     // the fields of a voter follow
+)
+
+// maxVoterAddr is the longest address of a voter in a packed heartbeat, in bytes.
+const maxVoterAddr = 64
+
+// flagBit returns the flag if it is set, and 0 otherwise.
+func flagBit(flag byte, isSet bool) byte {
+	if isSet {
+		return flag
+	}
+	return 0
+}
+
+// appendHeartbeat appends a packed heartbeat.
+func appendHeartbeat(packed []byte, heartbeat membership.Heartbeat) []byte {
+	hasVoter := heartbeat.VoterID != 0 || heartbeat.VoterAddr != "" || heartbeat.Voter || heartbeat.LastIndex != 0
+	flags := flagBit(flagAccepting, heartbeat.Accepting) |
+		flagBit(flagDraining, heartbeat.Draining) |
+		flagBit(flagHandingOver, heartbeat.HandingOver) |
+		flagBit(flagYielded, heartbeat.Yielded) |
+		flagBit(flagLeft, heartbeat.Left) |
+		flagBit(flagLeader, heartbeat.Leader) |
+		flagBit(flagDuplicate, heartbeat.Duplicate != 0) |
+		flagBit(flagVoter, hasVoter)
+	packed = binary.BigEndian.AppendUint64(packed, uint64(heartbeat.Incarnation))
+	packed = binary.AppendUvarint(packed, heartbeat.Seq)
+	packed = append(packed, flags)
+	packed = binary.AppendUvarint(packed, heartbeat.PolicyRevision)
+	packed = binary.BigEndian.AppendUint64(packed, heartbeat.ViewDigest)
+	if heartbeat.Duplicate != 0 {
+		packed = binary.BigEndian.AppendUint64(packed, uint64(heartbeat.Duplicate))
+	}
+	if hasVoter {
+		addr := heartbeat.VoterAddr[:min(len(heartbeat.VoterAddr), maxVoterAddr)]
+		packed = binary.BigEndian.AppendUint64(packed, heartbeat.VoterID)
+		packed = append(packed, flagBit(1, heartbeat.Voter), byte(len(addr)))
+		packed = append(packed, addr...)
+		packed = binary.AppendUvarint(packed, heartbeat.LastIndex)
+	}
+	return packed
+}
+
+// unpackHeartbeat reads a packed heartbeat and returns what follows it.
+func unpackHeartbeat(packed []byte) (heartbeat membership.Heartbeat, rest []byte, err error) {
+	r := &fieldReader{rest: packed}
+	heartbeat.Incarnation = membership.Incarnation(r.uint64())
+	heartbeat.Seq = r.uvarint()
+	flags := r.byte()
+	heartbeat.Accepting = flags&flagAccepting != 0
+	heartbeat.Draining = flags&flagDraining != 0
+	heartbeat.HandingOver = flags&flagHandingOver != 0
+	heartbeat.Yielded = flags&flagYielded != 0
+	heartbeat.Left = flags&flagLeft != 0
+	heartbeat.Leader = flags&flagLeader != 0
+	heartbeat.PolicyRevision = r.uvarint()
+	heartbeat.ViewDigest = r.uint64()
+	if flags&flagDuplicate != 0 {
+		heartbeat.Duplicate = membership.Incarnation(r.uint64())
+	}
+	if flags&flagVoter != 0 {
+		heartbeat.VoterID = r.uint64()
+		heartbeat.Voter = r.byte() != 0
+		addrSize := int(r.byte())
+		heartbeat.VoterAddr = string(r.bytes(min(maxVoterAddr, addrSize)))
+		heartbeat.LastIndex = r.uvarint()
+	}
+	if r.truncated {
+		return membership.Heartbeat{}, nil, errHeartbeatTruncated
+	}
+	return heartbeat, r.rest, nil
+}
+
+// packHeartbeats returns a full state.
+func packHeartbeats(heartbeats []membership.Heartbeat) []byte {
+	packed := []byte{byte(kindPackedHeartbeat)}
+	for _, heartbeat := range heartbeats {
+		packed = appendHeartbeat(packed, heartbeat)
+	}
+	return packed
+}
+
+// unpackHeartbeats reads a full state of packHeartbeats.
+func unpackHeartbeats(packed []byte) ([]membership.Heartbeat, error) {
+	var heartbeats []membership.Heartbeat
+	for rest := packed[1:]; len(rest) > 0; {
+		heartbeat, after, err := unpackHeartbeat(rest)
+		if err != nil {
+			return nil, err
+		}
+		heartbeats = append(heartbeats, heartbeat)
+		rest = after
+	}
+	return heartbeats, nil
+}
+
+// fieldReader reads fields in order. After the first one that is incomplete, all are zero.
+type fieldReader struct {
+	rest      []byte
+	truncated bool
+}
+
+func (r *fieldReader) bytes(size int) []byte {
+	if r.truncated || len(r.rest) < size {
+		r.truncated = true
+		return make([]byte, size)
+	}
+	field := r.rest[:size]
+	r.rest = r.rest[size:]
+	return field
+}
+
+func (r *fieldReader) byte() byte { return r.bytes(1)[0] }
+
+func (r *fieldReader) uint64() uint64 { return binary.BigEndian.Uint64(r.bytes(8)) }
+
+func (r *fieldReader) uvarint() uint64 {
+	value, size := binary.Uvarint(r.rest)
+	if r.truncated || size <= 0 {
+		r.truncated = true
+		return 0
+	}
+	r.rest = r.rest[size:]
+	return value
+}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -48,29 +48,29 @@
 
 // goldenNode is a router's node that listens nowhere, with a view of three routers.
 func goldenNode(tiered bool) *Node {
-	cfg := fleet.Config{Fleet: "harvest", Name: "hill-0", Site: "hill", Tiered: tiered, Region: "north",
+	config := fleet.Config{Fleet: "harvest", Name: "hill-0", Site: "hill", Tiered: tiered, Region: "north",
 		Advertise: netip.MustParseAddrPort("10.0.0.1:7946"), ProbeInterval: time.Second, FleetSize: 3, Slot: 2}
-	p := &Node{cfg: cfg, start: time.Unix(1700000000, 0)}
-	p.me = membership.Member{Fleet: "harvest", Name: "hill-0", Site: "hill", Incarnation: 0xfedcba9876543211, Slot: 2, StartedAt: 1700000000000001, Build: "bfb4b5c",
+	n := &Node{config: config, startedAt: time.Unix(1700000000, 0)}
+	n.self = membership.Member{Fleet: "harvest", Name: "hill-0", Site: "hill", Incarnation: 0xfedcba9876543211, Slot: 2, StartedAt: 1700000000000001, Build: "bfb4b5c",
 		Addr: "10.0.0.1:7946"}
-	p.view = membership.New(0, membership.DefaultConfig(1e6), p.me)
-	p.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-1", Site: "hill", Incarnation: 21, Slot: 0, StartedAt: 5, Addr: "10.0.0.2:7946"})
-	p.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-2", Site: "hill", Incarnation: 23, Slot: 1, StartedAt: 6, Addr: "10.0.0.3:7946"})
-	p.view.ReceiveHeartbeat(2e6, goldenHeartbeats[3])
-	p.view.MemberFailed(3e6, 23)
-	p.view.UpdateHeartbeat(4e6, func(w *membership.Heartbeat) { w.PolicyRevision, w.Leader = 9, true })
-	return p
+	n.view = membership.New(0, membership.DefaultConfig(1e6), n.self)
+	n.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-1", Site: "hill", Incarnation: 21, Slot: 0, StartedAt: 5, Addr: "10.0.0.2:7946"})
+	n.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-2", Site: "hill", Incarnation: 23, Slot: 1, StartedAt: 6, Addr: "10.0.0.3:7946"})
+	n.view.ReceiveHeartbeat(2e6, goldenHeartbeats[3])
+	n.view.MemberFailed(3e6, 23)
+	n.view.UpdateHeartbeat(4e6, func(w *membership.Heartbeat) { w.PolicyRevision, w.Leader = 9, true })
+	return n
 }
 
 // Heartbeats of a tiered fleet, alone and as the full state.
 func TestGolden_PackedHeartbeats(t *testing.T) {
 	lines := ""
 	for _, heartbeat := range goldenHeartbeats {
-		lines += fmt.Sprintf("%x\n", packWord(nil, heartbeat))
+		lines += fmt.Sprintf("%x\n", appendHeartbeat(nil, heartbeat))
 	}
-	lines += fmt.Sprintf("%x\n", packWords(goldenHeartbeats))
+	lines += fmt.Sprintf("%x\n", packHeartbeats(goldenHeartbeats))
 	checkGolden(t, "packed.hex", []byte(lines))
-	read, err := unpackWords(packWords(goldenHeartbeats[:4]))
+	read, err := unpackHeartbeats(packHeartbeats(goldenHeartbeats[:4]))
 	if err != nil || !slices.Equal(read, goldenHeartbeats[:4]) {
 		t.Errorf("packed heartbeats are read as %+v, %v", read, err)
 	}
@@ -80,65 +80,65 @@
 func TestGolden_Messages(t *testing.T) {
 	text := ""
 	for _, tiered := range []bool{false, true} {
-		p := goldenNode(tiered)
+		n := goldenNode(tiered)
 		for _, heartbeat := range goldenHeartbeats {
-			broadcast := p.wordOf(heartbeat)
+			broadcast := n.newHeartbeatBroadcast(heartbeat)
 			text += fmt.Sprintf("tiered=%v broadcast %s: %q\n", tiered, broadcast.Name(), broadcast.Message())
 		}
-		text += fmt.Sprintf("tiered=%v ack: %q\n", tiered, p.AckPayload())
-		text += fmt.Sprintf("tiered=%v state: %q\n", tiered, p.LocalState(false))
+		text += fmt.Sprintf("tiered=%v ack: %q\n", tiered, delegate{n}.AckPayload())
+		text += fmt.Sprintf("tiered=%v state: %q\n", tiered, delegate{n}.LocalState(false))
 	}
-	kinds := []byte{kindWord, kindPacked, kindAsk, kindParts, kindTalk, kindTiers}
+	kinds := []messageKind{kindHeartbeat, kindPackedHeartbeat, kindHeartbeatRequest, kindShareLease, kindPolicy, kindSummary}
 	checkGolden(t, "messages.txt", fmt.Appendf(nil, "%skinds: %q\n", text, kinds))
 }
 
 func TestGolden_NodeMeta(t *testing.T) {
 	text := ""
 	for _, tiered := range []bool{false, true} {
-		p := goldenNode(tiered)
-		text += string(p.NodeMeta(512)) + "\n"
-		p.me.Predecessor = 77
+		n := goldenNode(tiered)
+		text += string(delegate{n}.NodeMeta(512)) + "\n"
+		n.self.Predecessor = 77
 		for i := range 40 {
-			p.cfg.Methods = append(p.cfg.Methods, fmt.Sprintf("cache.Cache/Method%d", i))
+			n.config.Methods = append(n.config.Methods, fmt.Sprintf("cache.Cache/Method%d", i))
 		}
-		text += string(p.NodeMeta(512)) + "\n"
+		text += string(delegate{n}.NodeMeta(512)) + "\n"
 	}
 	checkGolden(t, "meta.txt", []byte(text))
 }
 
 // The file of known peers, as it is written and as it is read.
 func TestGolden_PeersFile(t *testing.T) {
-	p := goldenNode(false)
-	p.cfg.Dir = t.TempDir()
-	p.keepKnown()
-	got, err := os.ReadFile(filepath.Join(p.cfg.Dir, "peers.json"))
+	n := goldenNode(false)
+	n.config.Dir = t.TempDir()
+	n.persistPeers()
+	got, err := os.ReadFile(filepath.Join(n.config.Dir, "peers.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "peers.json", got)
 
-	tiered, err := json.MarshalIndent(known{"harvest", "hill-0", []string{"10.0.0.2:7946"}, []string{"10.1.0.1:7946", "10.2.0.1:7946"}}, "", " ")
+	tiered, err := json.MarshalIndent(peersFile{"harvest", "hill-0", []string{"10.0.0.2:7946"}, []string{"10.1.0.1:7946", "10.2.0.1:7946"}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "peers-tiered.json", tiered)
-	if err := os.WriteFile(filepath.Join(p.cfg.Dir, "peers.json"), tiered, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(n.config.Dir, "peers.json"), tiered, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	peers, err := p.readKnown()
-	if err != nil || !slices.Equal(peers, []string{"10.0.0.2:7946"}) || !slices.Equal(p.cfg.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
-		t.Errorf("peers are read as %q, remote %q, %v", peers, p.cfg.Remote, err)
+	peers, err := n.loadPeers()
+	if err != nil || !slices.Equal(peers, []string{"10.0.0.2:7946"}) || !slices.Equal(n.config.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
+		t.Errorf("peers are read as %q, remote %q, %v", peers, n.config.Remote, err)
 	}
 }
 
 // The view on the admin endpoint, of a flat and of a tiered fleet.
 func TestGolden_AdminView(t *testing.T) {
-	flat, err := json.MarshalIndent(whole{Snapshot: goldenNode(false).view.Snapshot(5e6)}, "", " ")
+	flat, err := json.MarshalIndent(fullView{Snapshot: goldenNode(false).view.Snapshot(5e6)}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "view-flat.json", flat)
-	tiered, err := json.MarshalIndent(whole{Snapshot: goldenNode(true).view.Snapshot(5e6), Tiers: &hierarchy.Status{}}, "", " ")
+	tiered, err := json.MarshalIndent(fullView{Snapshot: goldenNode(true).view.Snapshot(5e6), Hierarchy: &hierarchy.Status{}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 
 // The figures' names, which dashboards read.
 func TestGolden_Figures(t *testing.T) {
-	p := goldenNode(false)
-	p.told = share{now: 0.25}
-	p.traffic.Sent(fleet.Heartbeat, 100, 2)
-	checkGolden(t, "figures.txt", []byte(p.Figures()))
+	n := goldenNode(false)
+	n.applied = fleet.Share{Current: 0.25}
+	n.traffic.Sent(fleet.Heartbeat, 100, 2)
+	checkGolden(t, "figures.txt", []byte(n.Figures()))
 }
--- /dev/null
+++ b/internal/gossip/memberlist.go
@@ -0,0 +1,104 @@
+package gossip
+
+import (
+	"errors"
+	"io"
+	"log"
+	"net"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+	"github.com/sirupsen/logrus"
+)
+
+// Timings of memberlist, in probe intervals: those that the library has by default, relative to its probe interval.
+const (
+	gossipsPerProbe    = 5
+	fullStateProbes    = 10
+	gossipToDeadProbes = 30
+	connectionProbes   = 2
+)
+
+// minConnectionTimeout is the lower bound of the timeout of connections.
+const minConnectionTimeout = time.Second
+
+// handoffQueueDepth has place for the messages of some hundred routers that start at once.
+const handoffQueueDepth = 4096
+
+// gossipInterval is the span between two rounds of broadcasts.
+func (n *Node) gossipInterval() time.Duration { return n.config.ProbeInterval / gossipsPerProbe }
+
+// listen opens the sockets and starts memberlist, which from then on answers other nodes.
+func (n *Node) listen() error {
+	config := n.memberlistConfig()
+	listenAddr := n.config.Listen
+	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{listenAddr.Addr().String()},
+		BindPort:  int(listenAddr.Port()),
+		Logger:    config.Logger,
+	})
+	if err != nil {
+		return err
+	}
+	bound := boundTransport{NetTransport: sockets, local: &net.TCPAddr{IP: listenAddr.Addr().AsSlice()}}
+	config.Transport = newMeteredTransport(bound, &n.traffic, n.config.FaultyLinks)
+	n.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: n.retransmitFactor(config), NumNodes: n.peerCount}
+	list, err := memberlist.Create(config)
+	if err != nil {
+		return errors.Join(err, sockets.Shutdown())
+	}
+	n.mu.Lock()
+	n.list = list
+	n.mu.Unlock()
+	return nil
+}
+
+func (n *Node) memberlistConfig() *memberlist.Config {
+	probe := n.config.ProbeInterval
+	config := memberlist.DefaultLANConfig()
+	config.Name = memberName(n.self)
+	config.AdvertiseAddr = n.config.Advertise.Addr().String()
+	config.AdvertisePort = int(n.config.Advertise.Port())
+	config.ProbeInterval = probe
+	config.ProbeTimeout = probe / 2
+	config.GossipInterval = n.gossipInterval()
+	config.PushPullInterval = n.fullStateInterval()
+	config.GossipToTheDeadTime = gossipToDeadProbes * probe
+	config.TCPTimeout = max(connectionProbes*probe, minConnectionTimeout)
+	config.EnableCompression = false // heartbeats are too short for it
+	config.HandoffQueueDepth = handoffQueueDepth
+	callbacks := delegate{node: n}
+	config.Delegate = callbacks
+	config.Events = callbacks
+	config.Ping = callbacks
+	config.Alive = callbacks
+	config.Merge = callbacks
+	config.Logger = log.New(io.Discard, "", 0)
+	if n.log.IsLevelEnabled(logrus.DebugLevel) {
+		config.Logger = log.New(n.log.WriterLevel(logrus.DebugLevel), "", 0)
+	}
+	return config
+}
+
+func (n *Node) peerCount() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return len(n.peers)
+}
+
+// boundTransport dials from the address that the router listens on, so that the peer knows who calls.
+type boundTransport struct {
+	*memberlist.NetTransport
+	local *net.TCPAddr
+}
+
+// DialTimeout implements memberlist.Transport.
+func (t boundTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t boundTransport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: t.local}
+	return dialer.Dial("tcp", addr.Addr)
+}
--- a/internal/gossip/meter.go
+++ b/internal/gossip/meter.go
@@ -1,7 +1,6 @@
 package gossip
 
 import (
-	"encoding/binary"
 	"errors"
 	"net"
 	"sync"
@@ -12,229 +11,155 @@
 	"spurtrestle/internal/fleet"
 )
 
-// What the layers below memberlist add, in bytes.
-const (
-	packetHeader     = 20 + 8      // IPv4 and UDP
-	connectionFrames = 2*60 + 6*52 // TCP's opening, closing and acknowledgements of a short connection, half of it each way
-)
-
-// The types of memberlist's messages, each packet's first byte. They are part of its protocol and never change.
-const (
-	listPing = iota
-	listIndirectPing
-	listAck
-	listSuspect
-	listAlive
-	listDead
-	listPushPull
-	listCompound
-	listUser
-	listCompress
-	listEncrypt
-	listNack
-	listChecksum
-)
-
-// metered is a transport that counts all that passes through it, and loses what the links of a trial say.
-type metered struct {
+// meteredTransport counts the traffic of another transport, and drops what the faulty links of a trial say. A goroutine of
+// its own passes on what arrives, from its creation until Shutdown.
+type meteredTransport struct {
 	memberlist.NodeAwareTransport
 	traffic *fleet.Traffic
 	links   fleet.FaultyLinks
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	stop    chan struct{}
-	ended   *sync.WaitGroup
+	running *sync.WaitGroup
 }
 
-// noLoss are links that lose nothing on purpose.
-type noLoss struct{}
+// reliableLinks drops nothing on purpose.
+type reliableLinks struct{}
+
+// DropsPacket implements fleet.FaultyLinks.
+func (reliableLinks) DropsPacket(string) bool { return false }
 
-func (noLoss) DropsPacket(string) bool       { return false }
-func (noLoss) RejectsConnection(string) bool { return false }
+// RejectsConnection implements fleet.FaultyLinks.
+func (reliableLinks) RejectsConnection(string) bool { return false }
 
-func meter(below memberlist.NodeAwareTransport, traffic *fleet.Traffic, links fleet.FaultyLinks) memberlist.NodeAwareTransport {
+// errLinkCut reports a connection that the faulty links of a trial reject.
+var errLinkCut = errors.New("connect to router: the link is cut")
+
+func newMeteredTransport(inner memberlist.NodeAwareTransport, traffic *fleet.Traffic, links fleet.FaultyLinks) meteredTransport {
 	if links == nil {
-		links = noLoss{}
+		links = reliableLinks{}
+	}
+	t := meteredTransport{
+		NodeAwareTransport: inner,
+		traffic:            traffic,
+		links:              links,
+		packets:            make(chan *memberlist.Packet),
+		streams:            make(chan net.Conn),
+		stop:               make(chan struct{}),
+		running:            &sync.WaitGroup{},
 	}
-	m := metered{below, traffic, links, make(chan *memberlist.Packet), make(chan net.Conn), make(chan struct{}), &sync.WaitGroup{}}
-	m.ended.Go(m.pass)
-	return m
+	t.running.Go(t.forward)
+	return t
 }
 
-// pass hands on what comes in, counted.
-func (m metered) pass() {
+// forward counts and passes on incoming packets and connections until Shutdown.
+func (t meteredTransport) forward() {
 	for {
 		select {
-		case <-m.stop:
+		case <-t.stop:
 			return
-		case p := <-m.NodeAwareTransport.PacketCh():
-			countPacket(p.Buf, m.traffic.Received)
+		case packet := <-t.NodeAwareTransport.PacketCh():
+			countPacket(packet.Buf, t.traffic.Received)
 			select {
-			case m.packets <- p:
-			case <-m.stop:
+			case t.packets <- packet:
+			case <-t.stop:
 				return
 			}
-		case c := <-m.NodeAwareTransport.StreamCh():
+		case conn := <-t.NodeAwareTransport.StreamCh():
 			select {
-			case m.streams <- m.count(c):
-			case <-m.stop:
-				_ = c.Close() // nobody is there any more
+			case t.streams <- t.metered(conn):
+			case <-t.stop:
+				_ = conn.Close() // memberlist has stopped and handles no connections
 				return
 			}
 		}
 	}
 }
 
-func (m metered) PacketCh() <-chan *memberlist.Packet { return m.packets }
-func (m metered) StreamCh() <-chan net.Conn           { return m.streams }
+// PacketCh implements memberlist.Transport.
+func (t meteredTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-func (m metered) WriteTo(b []byte, addr string) (time.Time, error) {
-	return m.WriteToAddress(b, memberlist.Address{Addr: addr})
+// StreamCh implements memberlist.Transport.
+func (t meteredTransport) StreamCh() <-chan net.Conn { return t.streams }
+
+// WriteTo implements memberlist.Transport.
+func (t meteredTransport) WriteTo(packet []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(packet, memberlist.Address{Addr: addr})
 }
 
-func (m metered) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	countPacket(b, m.traffic.Sent)
-	if m.links.DropsPacket(to.Addr) {
+// WriteToAddress implements memberlist.NodeAwareTransport.
+func (t meteredTransport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
+	countPacket(packet, t.traffic.Sent)
+	if t.links.DropsPacket(to.Addr) {
 		return time.Now(), nil
 	}
-	return m.NodeAwareTransport.WriteToAddress(b, to)
+	return t.NodeAwareTransport.WriteToAddress(packet, to)
 }
 
-func (m metered) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return m.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
+// DialTimeout implements memberlist.Transport.
+func (t meteredTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-var errCut = errors.New("the link is cut")
-
-func (m metered) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if m.links.RejectsConnection(to.Addr) {
-		return nil, errCut
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t meteredTransport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	if t.links.RejectsConnection(to.Addr) {
+		return nil, errLinkCut
 	}
-	c, err := m.NodeAwareTransport.DialAddressTimeout(to, timeout)
+	conn, err := t.NodeAwareTransport.DialAddressTimeout(to, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return m.count(c), nil
+	return t.metered(conn), nil
 }
 
-func (m metered) count(c net.Conn) net.Conn { return &meteredConn{Conn: c, traffic: m.traffic} }
+func (t meteredTransport) metered(conn net.Conn) net.Conn {
+	return &meteredConn{Conn: conn, traffic: t.traffic}
+}
 
-func (m metered) Shutdown() error {
-	err := m.NodeAwareTransport.Shutdown()
-	close(m.stop)
-	m.ended.Wait()
+// Shutdown implements memberlist.Transport.
+func (t meteredTransport) Shutdown() error {
+	err := t.NodeAwareTransport.Shutdown()
+	close(t.stop)
+	t.running.Wait()
 	return err
 }
 
-// meteredConn counts a connection's bytes. Whoever opened it writes first, and the first byte tells what it is for. Reads and
-// writes of one connection come one after the other.
+// meteredConn counts the bytes of a connection. The side that has opened it writes first, and the first byte tells the kind
+// of its traffic. Reads and writes of one connection do not overlap.
 type meteredConn struct {
 	net.Conn
-	traffic *fleet.Traffic
-	known   bool // what it is for
-	use     fleet.TrafficKind
-}
-
-func (c *meteredConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.opened(b[:n])
-	c.traffic.Received(c.use, n, 0)
-	return n, err
+	traffic    *fleet.Traffic
+	classified bool
+	kind       fleet.TrafficKind
 }
 
-func (c *meteredConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.opened(b[:n])
-	c.traffic.Sent(c.use, n, 0)
-	return n, err
+// Read implements net.Conn.
+func (c *meteredConn) Read(buffer []byte) (int, error) {
+	size, err := c.Conn.Read(buffer)
+	c.classify(buffer[:size])
+	c.traffic.Received(c.kind, size, 0)
+	return size, err
 }
 
-// opened counts the connection itself once it is known what it is for. Each carries one message each way.
-func (c *meteredConn) opened(b []byte) {
-	if c.known || len(b) == 0 {
-		return
-	}
-	c.known = true
-	if c.use = mechanism(b); b[0] == listPushPull {
-		c.use = fleet.FullState
-	}
-	c.traffic.Sent(c.use, connectionFrames/2, 1)
-	c.traffic.Received(c.use, connectionFrames/2, 1)
+// Write implements net.Conn.
+func (c *meteredConn) Write(data []byte) (int, error) {
+	size, err := c.Conn.Write(data)
+	c.classify(data[:size])
+	c.traffic.Sent(c.kind, size, 0)
+	return size, err
 }
 
-// countPacket tells what a packet's bytes are for. The header counts for the first message, as does what frames several.
-func countPacket(b []byte, tell func(fleet.TrafficKind, int, int)) {
-	parts, whole := messages(b)
-	if !whole || len(parts) == 0 {
-		tell(fleet.Other, packetHeader+len(b), 1)
+// classify sets the kind by the first bytes, and counts the connection itself. Each carries one message each way.
+func (c *meteredConn) classify(data []byte) {
+	if c.classified || len(data) == 0 {
 		return
 	}
-	extra := packetHeader + len(b)
-	for _, part := range parts {
-		extra -= len(part)
-	}
-	for i, part := range parts {
-		if i > 0 {
-			extra = 0
-		}
-		tell(mechanism(part), extra+len(part), 1)
-	}
-}
-
-// messages splits a packet into the messages that it holds.
-func messages(b []byte) (parts [][]byte, whole bool) {
-	const checksum = 1 + 4
-	if len(b) > checksum && b[0] == listChecksum {
-		b = b[checksum:]
-	}
-	if len(b) < 2 || b[0] != listCompound {
-		return [][]byte{b}, len(b) > 0
-	}
-	const length = 2
-	n := int(b[1])
-	lengths, rest := b[2:], b[2:]
-	if len(rest) < length*n {
-		return nil, false
-	}
-	rest = rest[length*n:]
-	for i := range n {
-		size := int(binary.BigEndian.Uint16(lengths[length*i:]))
-		if len(rest) < size {
-			return nil, false
-		}
-		parts, rest = append(parts, rest[:size]), rest[size:]
-	}
-	return parts, true
-}
-
-func mechanism(message []byte) fleet.TrafficKind {
-	if len(message) == 0 {
-		return fleet.Other
-	}
-	switch message[0] {
-	case listPing, listIndirectPing, listAck, listNack:
-		return fleet.Probe
-	case listSuspect, listAlive, listDead:
-		return fleet.Gossip
-	case listUser:
-		return userMechanism(message[1:])
-	}
-	return fleet.Other
-}
-
-func userMechanism(b []byte) fleet.TrafficKind {
-	if len(b) == 0 {
-		return fleet.Other
-	}
-	switch b[0] {
-	case kindWord, kindPacked, kindAsk:
-		return fleet.Heartbeat
-	case kindParts:
-		return fleet.ShareLease
-	case kindTalk:
-		return fleet.PolicyMessage
-	case kindTiers:
-		return fleet.Summary
+	c.classified = true
+	c.kind = trafficKind(data)
+	if data[0] == memberlistPushPull {
+		c.kind = fleet.FullState
 	}
-	return fleet.Other
+	c.traffic.Sent(c.kind, connectionOverhead/2, 1)
+	c.traffic.Received(c.kind, connectionOverhead/2, 1)
 }
--- a/internal/gossip/meter_test.go
+++ b/internal/gossip/meter_test.go
@@ -9,54 +9,55 @@
 
 type tally [fleet.TrafficKinds]struct{ bytes, messages int }
 
-func (t *tally) add(m fleet.TrafficKind, bytes, messages int) {
-	t[m].bytes += bytes
-	t[m].messages += messages
+func (t *tally) add(kind fleet.TrafficKind, bytes, messages int) {
+	t[kind].bytes += bytes
+	t[kind].messages += messages
 }
 
-// compound packs messages as memberlist does.
+// compound frames messages as memberlist does.
 func compound(messages ...[]byte) []byte {
-	packed := []byte{listCompound, byte(len(messages))}
-	for _, m := range messages {
-		packed = binary.BigEndian.AppendUint16(packed, uint16(len(m)))
+	packet := []byte{memberlistCompound, byte(len(messages))}
+	for _, message := range messages {
+		packet = binary.BigEndian.AppendUint16(packet, uint16(len(message)))
 	}
-	for _, m := range messages {
-		packed = append(packed, m...)
+	for _, message := range messages {
+		packet = append(packet, message...)
 	}
-	return packed
+	return packet
 }
 
-func TestPacketsAreCountedByMechanism(t *testing.T) {
-	ping, alive, heartbeat := []byte{listPing, 1, 2, 3}, []byte{listAlive, 1}, []byte{listUser, kindWord, '{', '}'}
-	packed := compound(ping, alive, heartbeat)
+func TestCountPacket_CountsByKind(t *testing.T) {
+	ping := []byte{memberlistPing, 1, 2, 3}
+	alive := []byte{memberlistAlive, 1}
+	heartbeat := []byte{memberlistUser, byte(kindHeartbeat), '{', '}'}
+	packet := compound(ping, alive, heartbeat)
 	var got tally
-	countPacket(packed, got.add)
-	countPacket([]byte{listUser, kindParts, 1}, got.add)
-	countPacket([]byte{listUser, kindTiers, 1}, got.add)
+	countPacket(packet, got.add)
+	countPacket([]byte{memberlistUser, byte(kindShareLease), 1}, got.add)
+	countPacket([]byte{memberlistUser, byte(kindSummary), 1}, got.add)
 	var want tally
-	framing := packetHeader + len(packed) - len(ping) - len(alive) - len(heartbeat)
+	framing := packetOverhead + len(packet) - len(ping) - len(alive) - len(heartbeat)
 	want.add(fleet.Probe, framing+len(ping), 1)
 	want.add(fleet.Gossip, len(alive), 1)
 	want.add(fleet.Heartbeat, len(heartbeat), 1)
-	want.add(fleet.ShareLease, packetHeader+3, 1)
-	want.add(fleet.Summary, packetHeader+3, 1)
+	want.add(fleet.ShareLease, packetOverhead+3, 1)
+	want.add(fleet.Summary, packetOverhead+3, 1)
 	if got != want {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("counts: got %v, want %v", got, want)
 	}
 }
 
-// Every byte counts, whatever the packet holds.
-func TestSpoiltPacketsAreCountedWhole(t *testing.T) {
-	whole := compound([]byte{listPing, 1}, []byte{listUser, kindWord, 7, 7})
-	for n := range len(whole) {
+func TestCountPacket_CountsAllBytesOfTruncatedPackets(t *testing.T) {
+	packet := compound([]byte{memberlistPing, 1}, []byte{memberlistUser, byte(kindHeartbeat), 7, 7})
+	for size := range len(packet) {
 		var got tally
-		countPacket(whole[:n], got.add)
+		countPacket(packet[:size], got.add)
 		sum := 0
-		for _, m := range got {
-			sum += m.bytes
+		for _, count := range got {
+			sum += count.bytes
 		}
-		if sum != packetHeader+n {
-			t.Errorf("%d bytes are counted as %d", packetHeader+n, sum)
+		if want := packetOverhead + size; sum != want {
+			t.Errorf("packet of %d bytes: got %d, want %d", size, sum, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/gossip/peersfile.go
@@ -0,0 +1,87 @@
+package gossip
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+
+	"spurtrestle/core/membership"
+)
+
+// peersFile is the content of the persisted peers file: the addresses that a restart joins in addition to the configured seeds.
+type peersFile struct {
+	Fleet  string          `json:"fleet"`
+	Router membership.Name `json:"router"`
+	Peers  []string        `json:"peers"`
+	Remote []string        `json:"remote,omitempty"` // representatives of other sites of a tiered fleet
+}
+
+const peersFileName = "peers.json"
+
+// loadPeers returns the peers of the file and adds its representatives to the configured remote seeds. A file that cannot be
+// read counts as empty; one of another router is an error.
+func (n *Node) loadPeers() ([]string, error) {
+	if n.config.Dir == "" {
+		return nil, nil
+	}
+	name := filepath.Join(n.config.Dir, peersFileName)
+	text, err := os.ReadFile(name)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	var file peersFile
+	if err == nil {
+		err = json.Unmarshal(text, &file)
+	}
+	if err != nil {
+		n.log.WithError(err).WithField("file", name).Warn("fleet: peers file not read; joining the routers of fleet.join")
+		return nil, nil
+	}
+	if file.Fleet != n.self.Fleet || file.Router != n.self.Name {
+		return nil, n.config.ConfigError("fleet.dir", fmt.Sprintf("%s is that of router %q of fleet %q, and this one is %q of %q", n.config.Dir,
+			file.Router, file.Fleet, n.self.Name, n.self.Fleet), "give each router a folder of its own")
+	}
+	n.config.Remote = append(slices.Clone(n.config.Remote), file.Remote...)
+	return file.Peers, nil
+}
+
+// persistPeers replaces the file atomically. A failure is logged once, until a write succeeds again.
+func (n *Node) persistPeers() {
+	if n.config.Dir == "" {
+		return
+	}
+	n.mu.Lock()
+	file := peersFile{
+		Fleet:  n.self.Fleet,
+		Router: n.self.Name,
+		Peers:  n.view.KnownAddrs(),
+		Remote: n.knownRepresentatives(),
+	}
+	n.mu.Unlock()
+	err := writePeersFile(filepath.Join(n.config.Dir, peersFileName), file)
+	hasFailed := err != nil
+	if hasFailed == n.persistFailing {
+		return
+	}
+	n.persistFailing = hasFailed
+	if hasFailed {
+		n.log.WithError(err).WithField("formerly", formerPersistFailed).Warn("fleet: peers file not written; free the disk, or give fleet.dir a folder that can be written")
+	} else {
+		n.log.WithField("formerly", formerPersistRecovered).Info("fleet: peers file written again")
+	}
+}
+
+func writePeersFile(name string, file peersFile) error {
+	text, err := json.MarshalIndent(file, "", " ")
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(name+".new", text, 0o600); err != nil {
+		return err
+	}
+	return os.Rename(name+".new", name)
+}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -7,7 +7,6 @@
 	"net/netip"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/sirupsen/logrus"
 
@@ -65,9 +64,11 @@
 // hollowRouter is what a place sees of its router: it takes clients, of which there are none.
 type hollowRouter struct{}
 
-func (hollowRouter) FleetStatus() (takes, draining, empty bool)       { return true, false, true }
-func (hollowRouter) SetShare(_ float64, _ time.Time, _ float64) error { return nil }
-func (hollowRouter) SetOutOfService(string)                           {}
+func (hollowRouter) FleetStatus() fleet.RouterStatus {
+	return fleet.RouterStatus{Accepting: true, Idle: true}
+}
+func (hollowRouter) SetShare(fleet.Share) error { return nil }
+func (hollowRouter) SetOutOfService(string)     {}
 
 // faultyLinks lose what the faults of the run say.
 type faultyLinks struct {
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -8,6 +8,7 @@
 
 	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
+	"spurtrestle/internal/fleet"
 )
 
 // place is the router's among the others, as far as something outside the loop keeps it. The fields are the loop's, but
@@ -47,33 +48,32 @@
 // Handed tells, after Run, whether another process has taken over.
 func (r *Router) Handed() bool { return r.takeover.handing }
 
-// FleetStatus tells whether the router takes clients, and if not, whether operators drain it or it ends, and whether nothing
-// of any client is in hand or can come in.
-func (r *Router) FleetStatus() (takes, draining, empty bool) {
+// FleetStatus returns the router's state as its node announces it to the fleet.
+func (r *Router) FleetStatus() fleet.RouterStatus {
 	f := r.ops.told.Load()
 	if f == nil {
-		return false, false, false
+		return fleet.RouterStatus{}
 	}
-	return f.why == nil, f.draining, f.empty
+	return fleet.RouterStatus{Accepting: f.why == nil, Draining: f.draining, Idle: f.empty}
 }
 
-// SetShare has the router keep to a part of what all may send together: now until a time (zero: for ever), then
-// afterwards. It is in force once it returns nil; with an error it may come into force later.
-func (r *Router) SetShare(now float64, until time.Time, then float64) (err error) {
+// SetShare has the router use no more than a share of the fleet's limits. It is in force once SetShare returns nil; after an
+// error it may come into force later.
+func (r *Router) SetShare(share fleet.Share) (err error) {
 	<-r.ready
 	least := 1 / float64(max(1, r.cfg.Settings.Routers)) // of a router that has lent nothing
 	busy := r.soon(func() {
-		whole := then > least*0.999
+		whole := share.AfterExpiry > least*0.999
 		if r.takeover.heir != nil && !whole && r.place.whole {
 			err = errHeir // which was told otherwise
 			return
 		}
-		r.place.whole, r.place.then, r.place.part = whole, then, 0
-		if !until.IsZero() {
-			r.place.part = r.began + clock.Time(until.Sub(r.start)/time.Microsecond)
+		r.place.whole, r.place.then, r.place.part = whole, share.AfterExpiry, 0
+		if !share.ExpiresAt.IsZero() {
+			r.place.part = r.began + clock.Time(share.ExpiresAt.Sub(r.start)/time.Microsecond)
 		}
-		if r.place.have = now; !r.place.shut {
-			r.input(routing.FleetShareChanged{Share: now + r.place.extra})
+		if r.place.have = share.Current; !r.place.shut {
+			r.input(routing.FleetShareChanged{Share: share.Current + r.place.extra})
 		}
 		r.batch() // in force before the yes
 	})
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -353,9 +353,10 @@
 func TestLimitsStandInTheCode(t *testing.T) {
 	for file, lines := range map[string][]string{
 		"../../controlplane/controlplane.go":    {fmt.Sprintf(`const most = %d\b`, mostAskings), fmt.Sprintf(`time\.After\(%d \* time\.Millisecond\)`, int(leaderRest*1e3))},
-		"../../gossip/delegate.go":              {fmt.Sprintf(`mostWords +=\s*%d\b`, mostWords), fmt.Sprintf(`mostAnswer +=\s*%d\b`, mostAnswers)},
-		"../../gossip/gossip.go":                {fmt.Sprintf(`HandoffQueueDepth = %d\b`, handoffQueue)},
-		"../../gossip/tiers.go":                 {fmt.Sprintf(`return min\(p\.cfg\.ProbeInterval/5, %d\*time\.Millisecond\)`, int(peersStep*1e3))},
+		"../../gossip/codec.go":                 {fmt.Sprintf(`maxStateHeartbeats = %d\b`, mostWords)},
+		"../../gossip/shares.go":                {fmt.Sprintf(`maxQueuedLeaseReplies = %d\b`, mostAnswers)},
+		"../../gossip/memberlist.go":            {fmt.Sprintf(`handoffQueueDepth = %d\b`, handoffQueue), `HandoffQueueDepth = handoffQueueDepth\b`, `gossipsPerProbe += 5\b`},
+		"../../gossip/tick.go":                  {fmt.Sprintf(`maxTickInterval += %d \* time\.Millisecond`, int(peersStep*1e3)), `return min\(n\.gossipInterval\(\), maxTickInterval\)`},
 		"../../config/limits.go":                {fmt.Sprintf(`Watch: +%de6,`, int(watchWaitPush)), fmt.Sprintf(`l\.Watch, .* = %de6,`, int(watchWait))},
 		"../../../docs/operating.md":            {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
 		"../../../internal/controlplane/log.go": {`l\.decided\.Clone\(\)`},
