--- a/core/policycommit/golden_test.go
+++ b/core/policycommit/golden_test.go
@@ -29,10 +29,10 @@
 }
 
 // siteOrder has an order in its JSON form, so that the test does not depend on the names of its fields.
-func siteOrder(t *testing.T) *sitefailover.Order {
+func siteOrder(t *testing.T) *sitefailover.Transition {
 	t.Helper()
 	const text = `{"Site":"coast","On":0,"stage":"lost","step":1,"by":"ada","reason":"dark","at":7,"index":0}`
-	var order sitefailover.Order
+	var order sitefailover.Transition
 	if err := json.Unmarshal([]byte(text), &order); err != nil {
 		t.Fatal(err)
 	}
