--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -11,35 +11,35 @@
 	"testing"
 )
 
-// crashFS is a folder on a disk that keeps only what was synced. It can fail at any operation, and tells all states in
+// crashFS is an FS on a disk that only persists synced data. It can fail at any operation, and enumerates the states in
 // which the disk may be found after a loss of power at that moment: names since the last SyncDir in any selection, and of
-// what was not synced nothing, all, a part, or a part with zeros behind it.
+// unsynced bytes none, all, a part, or a part followed by zeros.
 type crashFS struct {
-	names   map[string]*inode
-	durable map[string]*inode
-	pending []func(map[string]*inode) // changes of names since the last SyncDir
-	ops     int
-	failAt  int // operation that fails; 0: none
-	dead    bool
-	err     error
-	lies    bool // Sync does nothing
+	names       map[string]*inode
+	durable     map[string]*inode
+	pending     []func(map[string]*inode) // changes of names since the last SyncDir
+	operations  int
+	failAt      int // operation that fails; 0: none
+	poweredOff  bool
+	err         error
+	ignoresSync bool // Sync does nothing
 }
 
 type inode struct{ now, synced []byte }
 
-var errPower = errors.New("the power is gone")
+var errPowerLoss = errors.New("power loss")
 
 func newCrashFS() *crashFS {
 	return &crashFS{names: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-func (c *crashFS) op() error {
-	if c.dead {
-		return errPower
+func (c *crashFS) operation() error {
+	if c.poweredOff {
+		return errPowerLoss
 	}
-	c.ops++
-	if c.ops == c.failAt {
-		c.dead = errors.Is(c.err, errPower)
+	c.operations++
+	if c.operations == c.failAt {
+		c.poweredOff = errors.Is(c.err, errPowerLoss)
 		return c.err
 	}
 	return nil
@@ -51,11 +51,11 @@
 }
 
 func (c *crashFS) Names() ([]string, error) {
-	return slices.Sorted(maps.Keys(c.names)), c.op()
+	return slices.Sorted(maps.Keys(c.names)), c.operation()
 }
 
 func (c *crashFS) Read(name string, _ int) ([]byte, error) {
-	if err := c.op(); err != nil {
+	if err := c.operation(); err != nil {
 		return nil, err
 	}
 	if f := c.names[name]; f != nil {
@@ -65,7 +65,7 @@
 }
 
 func (c *crashFS) Create(name string) (File, error) {
-	if err := c.op(); err != nil {
+	if err := c.operation(); err != nil {
 		return nil, err
 	}
 	f := &inode{}
@@ -79,7 +79,7 @@
 }
 
 func (c *crashFS) Rename(from, to string) error {
-	if err := c.op(); err != nil {
+	if err := c.operation(); err != nil {
 		return err
 	}
 	f := c.names[from]
@@ -93,7 +93,7 @@
 }
 
 func (c *crashFS) Remove(name string) error {
-	if err := c.op(); err != nil {
+	if err := c.operation(); err != nil {
 		return err
 	}
 	if c.names[name] == nil {
@@ -104,7 +104,7 @@
 }
 
 func (c *crashFS) SyncDir() error {
-	if err := c.op(); err != nil {
+	if err := c.operation(); err != nil {
 		return err
 	}
 	c.durable, c.pending = maps.Clone(c.names), nil
@@ -119,7 +119,7 @@
 // Write writes in three pieces, so that the power can go between them.
 func (f *crashFile) Write(p []byte) (n int, err error) {
 	for _, piece := range [][]byte{p[:len(p)/3], p[len(p)/3 : 2*len(p)/3], p[2*len(p)/3:]} {
-		if err := f.c.op(); err != nil {
+		if err := f.c.operation(); err != nil {
 			return n, err
 		}
 		f.f.now = append(f.f.now, piece...)
@@ -129,19 +129,19 @@
 }
 
 func (f *crashFile) Sync() error {
-	if err := f.c.op(); err != nil {
+	if err := f.c.operation(); err != nil {
 		return err
 	}
-	if !f.c.lies {
+	if !f.c.ignoresSync {
 		f.f.synced = bytes.Clone(f.f.now)
 	}
 	return nil
 }
 
-func (f *crashFile) Close() error { return f.c.op() }
+func (f *crashFile) Close() error { return f.c.operation() }
 
-// found calls with every state in which the disk may be found.
-func (c *crashFS) found(see func(*crashFS)) {
+// eachAfterPowerLoss calls visit with every state in which the disk may be found.
+func (c *crashFS) eachAfterPowerLoss(visit func(*crashFS)) {
 	for chosen := range 1 << len(c.pending) {
 		names := maps.Clone(c.durable)
 		for i, f := range c.pending {
@@ -152,15 +152,15 @@
 		for form := range 4 {
 			disk := newCrashFS()
 			for name, f := range names {
-				disk.names[name] = &inode{now: f.after(form)}
+				disk.names[name] = &inode{now: f.afterPowerLoss(form)}
 			}
-			see(disk)
+			visit(disk)
 		}
 	}
 }
 
-// after is what is left of a file: its synced bytes, or of the newer ones all, half, or half and zeros.
-func (f *inode) after(form int) []byte {
+// afterPowerLoss returns the remains of a file: its synced bytes, or of the newer ones all, half, or half and zeros.
+func (f *inode) afterPowerLoss(form int) []byte {
 	half := len(f.now) / 2
 	switch {
 	case form == 0 || bytes.Equal(f.now, f.synced):
@@ -173,10 +173,10 @@
 	return append(bytes.Clone(f.now[:half]), make([]byte, len(f.now)-half)...)
 }
 
-// Whenever the power goes, what is found is the state before or the one being written, whole.
-func TestPowerLossAtEveryOperation(t *testing.T) {
-	seen := 0
-	for saves := range 4 { // the first, one that has a generation before it, and ones that let go of older ones
+// TestStore_PowerLossAtEveryOperation finds the state from before a save or the saved one, complete, and saves again.
+func TestStore_PowerLossAtEveryOperation(t *testing.T) {
+	disks := 0
+	for saves := range 4 { // the first save, the second, and saves that remove older generations
 		for at := 1; ; at++ {
 			c := newCrashFS()
 			s := NewStore(c)
@@ -185,42 +185,43 @@
 					t.Fatal(err)
 				}
 			}
-			c.failAt, c.err = c.ops+at, errPower
+			c.failAt, c.err = c.operations+at, errPowerLoss
 			err := s.Save(Encode(sample(saves)))
-			c.found(func(disk *crashFS) {
-				seen++
+			c.eachAfterPowerLoss(func(disk *crashFS) {
+				disks++
 				got, _, _, err := NewStore(disk).Load()
 				switch {
 				case saves == 0 && errors.Is(err, ErrNoSnapshot):
 				case err != nil:
 					t.Fatalf("save %d, operation %d: %v", saves, at, err)
-				case got.Router != name(uint64(saves)) && (saves == 0 || got.Router != name(uint64(saves-1))):
+				case got.Router != generationName(saves) && (saves == 0 || got.Router != generationName(saves-1)):
 					t.Fatalf("save %d, operation %d: found %s", saves, at, got.Router)
 				case !sameState(got, sample(int(got.Knowledge.KeyReads))):
-					t.Fatalf("save %d, operation %d: a mixture was found", saves, at)
+					t.Fatalf("save %d, operation %d: got a mixture of two states", saves, at)
 				}
-				// And the next start can go on from there.
+				// The next process can load and save.
 				after := NewStore(disk)
-				_, _, _, _ = after.Load() // what it finds was just looked at
+				_, _, _, _ = after.Load()
 				if err := after.Save(Encode(sample(9))); err != nil {
 					t.Fatal(err)
 				}
-				if got, _, _, err := NewStore(disk).Load(); err != nil || got.Router != name(9) {
+				if got, _, _, err := NewStore(disk).Load(); err != nil || got.Router != generationName(9) {
 					t.Fatalf("save %d, operation %d: after it %v, %v", saves, at, got.Router, err)
 				}
 			})
 			if err == nil {
-				break // all operations of a save have been cut
+				break // the save has no more operations
 			}
 		}
 	}
-	if seen < 300 {
-		t.Errorf("only %d disks were looked at", seen)
+	if disks < 300 {
+		t.Errorf("got %d disks, want at least 300", disks)
 	}
 }
 
-// An operation that fails (a full disk, one that went read-only) leaves what was there, and the next save is good.
-func TestEveryOperationMayFail(t *testing.T) {
+// TestStore_EveryOperationMayFail keeps the state from before when an operation fails (a full or read-only disk), and the
+// next save succeeds.
+func TestStore_EveryOperationMayFail(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		for at := 1; ; at++ {
 			c := newCrashFS()
@@ -230,17 +231,17 @@
 					t.Fatal(err)
 				}
 			}
-			c.failAt, c.err = c.ops+at, cause
+			c.failAt, c.err = c.operations+at, cause
 			err := s.Save(Encode(sample(2)))
 			c.failAt = 0
 			got, _, _, loads := NewStore(c).Load()
-			if loads != nil || got.Router != name(1) && got.Router != name(2) {
+			if loads != nil || got.Router != generationName(1) && got.Router != generationName(2) {
 				t.Fatalf("%v at operation %d: %s, %v", cause, at, got.Router, loads)
 			}
 			if err := s.Save(Encode(sample(3))); err != nil {
 				t.Fatalf("%v at operation %d, and then: %v", cause, at, err)
 			}
-			if got, _, _, err := NewStore(c).Load(); err != nil || got.Router != name(3) {
+			if got, _, _, err := NewStore(c).Load(); err != nil || got.Router != generationName(3) {
 				t.Fatalf("%v at operation %d, and then: %s, %v", cause, at, got.Router, err)
 			}
 			if err == nil {
@@ -253,26 +254,27 @@
 	}
 }
 
-// A disk that says it has synced and has not: the elder generation stands in for the torn one.
-func TestDiskThatLies(t *testing.T) {
+// TestStore_DiskWithoutSync loads the generation before a torn one, on a disk whose sync does nothing.
+func TestStore_DiskWithoutSync(t *testing.T) {
 	c := newCrashFS()
 	s := NewStore(c)
 	if err := s.Save(Encode(sample(0))); err != nil {
 		t.Fatal(err)
 	}
-	c.lies = true
+	c.ignoresSync = true
 	if err := s.Save(Encode(sample(1))); err != nil {
 		t.Fatal(err)
 	}
-	c.found(func(disk *crashFS) {
-		got, from, passed, err := NewStore(disk).Load()
-		if err != nil || got.Router != name(0) && got.Router != name(1) {
-			t.Errorf("%s from %s: %v, %v", got.Router, from, passed, err)
+	c.eachAfterPowerLoss(func(disk *crashFS) {
+		got, from, skipped, err := NewStore(disk).Load()
+		if err != nil || got.Router != generationName(0) && got.Router != generationName(1) {
+			t.Errorf("%s from %s: %v, %v", got.Router, from, skipped, err)
 		}
 	})
 }
 
-func TestGenerations(t *testing.T) {
+// TestStore_Generations stores two generations, skips a corrupt one, and leaves other files alone.
+func TestStore_Generations(t *testing.T) {
 	c := newCrashFS()
 	s := NewStore(c)
 	for i := range 5 {
@@ -281,28 +283,28 @@
 		}
 	}
 	show := func() string { return fmt.Sprint(slices.Sorted(maps.Keys(c.names))) }
-	if got := show(); got != "[state.4 state.5]" {
-		t.Error(got)
+	if got, want := show(), "[state.4 state.5]"; got != want {
+		t.Errorf("after five saves: got %s, want %s", got, want)
 	}
 	c.names["state.5"].now[200] ^= 1
-	got, from, passed, err := NewStore(c).Load()
-	if err != nil || from != "state.4" || got.Router != name(3) || len(passed) != 1 || !errors.Is(passed[0], ErrCorrupt) {
-		t.Error(got.Router, from, passed, err)
+	got, from, skipped, err := NewStore(c).Load()
+	if err != nil || from != "state.4" || got.Router != generationName(3) || len(skipped) != 1 || !errors.Is(skipped[0], ErrCorrupt) {
+		t.Errorf("newest corrupt: got %s from %s, skipped %v, error %v, want state.4", got.Router, from, skipped, err)
 	}
-	// A file of a newer version is left alone, and so is what is no state.
+	// Files of a newer version and other files stay.
 	newer := sample(6)
-	c.names["state.7"] = &inode{now: encodeAs(newer, Version+1)}
+	c.names["state.7"] = &inode{now: encodeAs(t, newer, Version+1)}
 	c.names["state.007"], c.names["notes"] = &inode{}, &inode{}
 	s = NewStore(c)
-	if _, from, passed, err := s.Load(); err != nil || from != "state.4" || !errors.Is(passed[0], ErrNewerVersion) {
-		t.Error(from, passed, err)
+	if _, from, skipped, err := s.Load(); err != nil || from != "state.4" || !errors.Is(skipped[0], ErrNewerVersion) {
+		t.Errorf("newest of a newer version: got %s, skipped %v, error %v, want state.4", from, skipped, err)
 	}
 	for i := 7; i < 10; i++ {
 		if err := s.Save(Encode(sample(i))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := show(); got != "[notes state.007 state.10 state.7 state.9]" {
-		t.Error(got)
+	if got, want := show(), "[notes state.007 state.10 state.7 state.9]"; got != want {
+		t.Errorf("after three more saves: got %s, want %s", got, want)
 	}
 }
--- /dev/null
+++ b/internal/snapshot/decode.go
@@ -0,0 +1,207 @@
+package snapshot
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"google.golang.org/protobuf/encoding/protowire"
+
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+)
+
+// Bounds of single values. A value beyond them is corruption that no checksum shows, and is clamped or dropped.
+const (
+	maxTime          clock.Time = 1 << 53 // past the year 2200
+	maxReal                     = 1e12
+	maxSamples                  = 32
+	maxFailurePoints            = 64
+)
+
+// Decode returns the state in a file of this or an older version, upgraded to the newest form. The error is ErrCorrupt or
+// ErrNewerVersion.
+func Decode(file []byte) (State, error) {
+	records, err := splitRecords(file)
+	if err != nil {
+		return State{}, err
+	}
+	if len(records) == 0 || records[0].kind != kindHeader {
+		return State{}, corruptf("it has no head")
+	}
+	s, err := decodeHeader(records[0].payload)
+	if err != nil {
+		return State{}, err
+	}
+	for _, r := range records[1:] {
+		if err := s.decodeRecord(r); err != nil {
+			return State{}, err
+		}
+	}
+	upgrade(&s)
+	return s, nil
+}
+
+func decodeHeader(payload []byte) (State, error) {
+	fields, err := parseFields(payload)
+	if err != nil {
+		return State{}, err
+	}
+	version := int(fields.number(1))
+	if version < 1 {
+		return State{}, corruptf("version %d never was", version)
+	}
+	if version > Version {
+		return State{}, fmt.Errorf("%w: %d, and %d is the newest known here", ErrNewerVersion, version, Version)
+	}
+	return State{Version: version, Router: fields.texts[2]}, nil
+}
+
+// decodeRecord adds one record to the state. Kinds that a later build of the same version may have added are skipped.
+func (s *State) decodeRecord(r record) error {
+	if r.kind == kindKeys {
+		return s.decodeKeys(r.payload)
+	}
+	fields, err := parseFields(r.payload)
+	if err != nil {
+		return err
+	}
+	switch r.kind {
+	case kindInstance:
+		s.decodeInstance(fields)
+	case kindMethod:
+		return s.decodeMethod(fields)
+	case kindServer:
+		return s.decodeServer(fields)
+	}
+	return nil
+}
+
+func (s *State) decodeInstance(fields fieldSet) {
+	k := &s.Knowledge
+	k.CapturedAt = fields.time(1)
+	k.ObservedFor = fields.time(2)
+	k.CacheLatency = fields.latency(3)
+	for i, rate := range ratesOf(k) {
+		*rate = fields.real(protowire.Number(firstRateField + i))
+	}
+}
+
+func (s *State) decodeMethod(fields fieldSet) error {
+	if len(s.Methods) >= MaxMethods {
+		return corruptf("it names more than %d methods", MaxMethods)
+	}
+	s.Methods = append(s.Methods, Method{Name: fields.texts[1], Time: fields.time(2)})
+	return nil
+}
+
+func (s *State) decodeServer(fields fieldSet) error {
+	if len(s.Servers) >= MaxServers {
+		return corruptf("it names more than %d servers", MaxServers)
+	}
+	s.Servers = append(s.Servers, Server{
+		UID: fields.texts[1],
+		ServerKnowledge: routing.ServerKnowledge{
+			StartedAt:           fields.time(2),
+			Latency:             fields.latency(3),
+			AnswerRate:          fields.real(7),
+			ReportedServiceTime: fields.time(8),
+			FailurePoints:       fields.count(9, maxFailurePoints),
+			Ejected:             fields.number(10) != 0,
+			ConnectFailed:       fields.number(11) != 0,
+			ObservedAt:          fields.time(12),
+			AttemptRate:         fields.real(13),
+		},
+	})
+	return nil
+}
+
+func (s *State) decodeKeys(payload []byte) error {
+	if len(payload)%keyEntryBytes != 0 || len(payload)/keyEntryBytes > MaxKeys {
+		return corruptf("the keys cannot be read")
+	}
+	for ; len(payload) > 0; payload = payload[keyEntryBytes:] {
+		hash := routing.KeyHash(binary.LittleEndian.Uint32(payload))
+		count := math.Float64frombits(binary.LittleEndian.Uint64(payload[4:]))
+		if count > 0 && count < maxReal {
+			s.Knowledge.Keys = append(s.Knowledge.Keys, routing.KeyKnowledge{Key: hash, Count: count})
+		}
+	}
+	return nil
+}
+
+// fieldSet is a payload's fields by number. Fields of unknown numbers are never looked up.
+type fieldSet struct {
+	numbers map[protowire.Number]uint64
+	texts   map[protowire.Number]string
+}
+
+func parseFields(payload []byte) (fieldSet, error) {
+	fields := fieldSet{numbers: map[protowire.Number]uint64{}, texts: map[protowire.Number]string{}}
+	for len(payload) > 0 {
+		field, wireType, tagBytes := protowire.ConsumeTag(payload)
+		if tagBytes < 0 {
+			return fields, corruptf("a field cannot be read")
+		}
+		payload = payload[tagBytes:]
+		valueBytes := fields.consumeValue(field, wireType, payload)
+		if valueBytes < 0 {
+			return fields, corruptf("a field cannot be read")
+		}
+		payload = payload[valueBytes:]
+	}
+	return fields, nil
+}
+
+// consumeValue stores the value that a payload begins with and returns its size; below zero: it cannot be read.
+func (f fieldSet) consumeValue(field protowire.Number, wireType protowire.Type, payload []byte) (size int) {
+	switch wireType {
+	case protowire.VarintType:
+		f.numbers[field], size = protowire.ConsumeVarint(payload)
+	case protowire.Fixed64Type:
+		f.numbers[field], size = protowire.ConsumeFixed64(payload)
+	case protowire.BytesType:
+		var text []byte
+		text, size = protowire.ConsumeBytes(payload)
+		if len(text) > maxNameLength {
+			return -1
+		}
+		f.texts[field] = string(text)
+	default:
+		size = protowire.ConsumeFieldValue(field, wireType, payload)
+	}
+	return size
+}
+
+func (f fieldSet) number(field protowire.Number) int64 {
+	return protowire.DecodeZigZag(f.numbers[field])
+}
+
+func (f fieldSet) count(field protowire.Number, most int64) int {
+	return int(max(0, min(most, f.number(field))))
+}
+
+// time is an instant or a duration.
+func (f fieldSet) time(field protowire.Number) clock.Time {
+	return max(0, min(clock.Time(f.number(field)), maxTime))
+}
+
+// real is a rate or a count: not negative, and finite.
+func (f fieldSet) real(field protowire.Number) float64 {
+	value := math.Float64frombits(f.numbers[field])
+	inRange := value > 0 && value <= maxReal // false for NaN
+	if !inRange {
+		return 0
+	}
+	return value
+}
+
+// latency reads four fields, of which field is the first.
+func (f fieldSet) latency(field protowire.Number) routing.LatencySummary {
+	return routing.LatencySummary{
+		Recent:  f.time(field),
+		Mean:    f.time(field + 1),
+		Fastest: f.time(field + 2),
+		Samples: f.count(field+3, maxSamples),
+	}
+}
--- /dev/null
+++ b/internal/snapshot/encode.go
@@ -0,0 +1,144 @@
+package snapshot
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"math"
+	"slices"
+	"strings"
+
+	"google.golang.org/protobuf/encoding/protowire"
+
+	"spurtrestle/core/routing"
+)
+
+// Encode returns the file for a state, in format Version. Servers are sorted by UID; those beyond MaxServers, and keys
+// beyond MaxKeys, are left out.
+func Encode(s State) []byte {
+	file := []byte(magic)
+	file = appendRecord(file, record{kindHeader, encodeHeader(Version, s.Router)})
+	file = appendRecord(file, record{kindInstance, encodeInstance(s.Knowledge)})
+	for _, method := range s.Methods {
+		file = appendRecord(file, record{kindMethod, encodeMethod(method)})
+	}
+	servers := slices.SortedFunc(slices.Values(s.Servers), func(a, b Server) int { return strings.Compare(a.UID, b.UID) })
+	for _, server := range servers[:min(len(servers), MaxServers)] {
+		file = appendRecord(file, record{kindServer, encodeServer(server)})
+	}
+	if len(s.Knowledge.Keys) > 0 {
+		file = appendRecord(file, record{kindKeys, encodeKeys(s.Knowledge.Keys)})
+	}
+	return appendEnd(file)
+}
+
+func appendEnd(file []byte) []byte {
+	var m message
+	m.number(1, int64(crc32.Checksum(file, castagnoli)))
+	return appendRecord(file, record{kindEnd, m})
+}
+
+func encodeHeader(version int, router string) []byte {
+	var m message
+	m.number(1, int64(version))
+	m.text(2, router)
+	return m
+}
+
+func encodeInstance(k routing.Knowledge) []byte {
+	var m message
+	m.number(1, int64(k.CapturedAt))
+	m.number(2, int64(k.ObservedFor))
+	m.latency(3, k.CacheLatency)
+	for i, rate := range ratesOf(&k) {
+		m.real(protowire.Number(firstRateField+i), *rate)
+	}
+	return m
+}
+
+// firstRateField is the number of the first field of ratesOf in an instance record.
+const firstRateField = 7
+
+// ratesOf lists the rates of an instance record in the order of their fields.
+func ratesOf(k *routing.Knowledge) [8]*float64 {
+	return [...]*float64{
+		&k.RequestRate,
+		&k.HitRate,
+		&k.EndedRate,
+		&k.AnsweredRate,
+		&k.AttemptRate,
+		&k.FailureRate,
+		&k.RetryBudget,
+		&k.KeyReads,
+	}
+}
+
+func encodeMethod(method Method) []byte {
+	var m message
+	m.text(1, method.Name)
+	m.number(2, int64(method.Time))
+	return m
+}
+
+func encodeServer(server Server) []byte {
+	var m message
+	m.text(1, server.UID)
+	m.number(2, int64(server.StartedAt))
+	m.latency(3, server.Latency)
+	m.real(7, server.AnswerRate)
+	m.number(8, int64(server.ReportedServiceTime))
+	m.number(9, int64(server.FailurePoints))
+	m.flag(10, server.Ejected)
+	m.flag(11, server.ConnectFailed)
+	m.number(12, int64(server.ObservedAt))
+	m.real(13, server.AttemptRate)
+	return m
+}
+
+// keyEntryBytes is the size of a key in a keys record: its hash in 4 bytes, its count in 8, both little endian.
+const keyEntryBytes = 12
+
+func encodeKeys(keys []routing.KeyKnowledge) []byte {
+	keys = keys[:min(len(keys), MaxKeys)]
+	payload := make([]byte, 0, keyEntryBytes*len(keys))
+	for _, key := range keys {
+		payload = binary.LittleEndian.AppendUint32(payload, uint32(key.Key))
+		payload = binary.LittleEndian.AppendUint64(payload, math.Float64bits(key.Count))
+	}
+	return payload
+}
+
+// message is a payload in protobuf's wire form. Zero values are left out.
+type message []byte
+
+func (m *message) number(field protowire.Number, value int64) {
+	if value != 0 {
+		*m = protowire.AppendTag(*m, field, protowire.VarintType)
+		*m = protowire.AppendVarint(*m, protowire.EncodeZigZag(value))
+	}
+}
+
+func (m *message) real(field protowire.Number, value float64) {
+	if value != 0 {
+		*m = protowire.AppendTag(*m, field, protowire.Fixed64Type)
+		*m = protowire.AppendFixed64(*m, math.Float64bits(value))
+	}
+}
+
+func (m *message) text(field protowire.Number, value string) {
+	*m = protowire.AppendTag(*m, field, protowire.BytesType)
+	*m = protowire.AppendString(*m, value)
+}
+
+func (m *message) flag(field protowire.Number, value bool) {
+	if value {
+		m.number(field, 1)
+	}
+}
+
+// latency writes four fields, of which field is the first.
+func (m *message) latency(field protowire.Number, latency routing.LatencySummary) {
+	m.number(field, int64(latency.Recent))
+	m.number(field+1, int64(latency.Mean))
+	m.number(field+2, int64(latency.Fastest))
+	m.number(field+3, int64(latency.Samples))
+}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -30,7 +30,7 @@
 // TestGolden_FolderOfOlderBuild opens a folder that build bfb4b5c wrote, and holds the folder's files after the next
 // save to those that it would have left.
 func TestGolden_FolderOfOlderBuild(t *testing.T) {
-	log, _ := logged()
+	log, _ := bufferedLog()
 	if *update {
 		writeFolder(t)
 	}
@@ -38,11 +38,11 @@
 	if err := os.CopyFS(dir, os.DirFS(oldFolder)); err != nil {
 		t.Fatal(err)
 	}
-	k, learned := OpenWriter(dir, log)
+	writer, learned := OpenWriter(dir, log)
 	if learned == nil || !sameState(*learned, sample(5)) {
 		t.Fatalf("read from the older build's folder: got %+v, want sample 5", learned)
 	}
-	k.Close(sample(6), 5*time.Second)
+	writer.Close(sample(6), 5*time.Second)
 	got := filesOf(t, dir)
 	delete(got, "lock")
 	want := map[string][]byte{"state.5": filesOf(t, oldFolder)["state.5"], "state.6": Encode(sample(6))}
--- /dev/null
+++ b/internal/snapshot/snapshot.go
@@ -0,0 +1,58 @@
+// Package snapshot persists what a router has learned, so that its next process does not start from nothing.
+//
+// A snapshot is one versioned, checksummed file. The folder stores two generations. A generation is written beside
+// the others, synced, renamed into place, and the folder synced; only then is the generation before the last removed.
+//
+// internal/program opens a Writer, internal/router submits to it from its event loop, and the Writer's own goroutine does
+// all I/O. A predecessor sends its successor the same encoding over internal/handover.
+package snapshot
+
+import (
+	"errors"
+
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+)
+
+// Version is the format version of the files that Encode writes.
+//
+//	1  before the first release: servers had no ObservedAt
+//	2  ObservedAt of each server
+const Version = 2
+
+// Bounds of a file, so that decoding a corrupt one cannot exhaust memory.
+const (
+	MaxFileBytes  = 8 << 20
+	MaxServers    = 10000
+	MaxKeys       = 1 << 14
+	MaxMethods    = 1 << 10
+	maxNameLength = 256
+)
+
+// State is the content of a file. Knowledge.Servers and Knowledge.MethodLatencies are empty: Servers and Methods stand in
+// their place, by names that outlive the process.
+type State struct {
+	Version   int // of the file that it was decoded from
+	Router    string
+	Knowledge routing.Knowledge
+	Methods   []Method
+	Servers   []Server
+}
+
+// Method is the smoothed latency of one method.
+type Method struct {
+	Name string
+	Time clock.Duration
+}
+
+// Server is what is known of one server, by its name in discovery: addresses and server numbers change.
+type Server struct {
+	UID string
+	routing.ServerKnowledge
+}
+
+// Errors of a file that cannot be used.
+var (
+	ErrCorrupt      = errors.New("the file is damaged")
+	ErrNewerVersion = errors.New("the file was written by a newer version")
+)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"flag"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"math/rand/v2"
 	"os"
@@ -30,16 +29,16 @@
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("SNAPSHOT_TEST_WRITE"); dir != "" {
-		write(dir)
+		writeUntilKilled(dir)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// sample is a state that tells its number in several places.
+// sample returns a state that differs from the others in several places by its number.
 func sample(n int) State {
 	x := float64(n)
-	s := State{Version: Version, Router: name(uint64(n)), Methods: []Method{{"read", clock.Time(1000 + n)}},
+	s := State{Version: Version, Router: generationName(n), Methods: []Method{{"read", clock.Time(1000 + n)}},
 		Knowledge: routing.Knowledge{CapturedAt: 1e15 + clock.Time(n), ObservedFor: 5e6, CacheLatency: routing.LatencySummary{Recent: 900, Mean: 1000, Fastest: 500, Samples: 32},
 			RequestRate: 10 + x, HitRate: 9, EndedRate: 8, AnsweredRate: 7, AttemptRate: 6, FailureRate: 0.5, RetryBudget: 4, KeyReads: x,
 			Keys: []routing.KeyKnowledge{{Key: 0xfeedbeef, Count: 3 + x}, {Key: 7, Count: 2}}}}
@@ -51,41 +50,44 @@
 	return s
 }
 
+// generationName is the router's name in a sample, which is that of the file that it is saved as.
+func generationName(n int) string { return fileName(uint64(n)) }
+
 func sameState(a, b State) bool { return reflect.DeepEqual(a, b) }
 
-func encodeAs(s State, version int) []byte {
-	file := Encode(s)
-	records, _ := split(file) // of what was just encoded
-	var head message
-	head.number(1, int64(version))
-	head.text(2, s.Router)
-	records[0].payload = head
-	out := []byte(magic)
+// encodeAs encodes a state with another version in its header.
+func encodeAs(t testing.TB, s State, version int) []byte {
+	t.Helper()
+	records, err := splitRecords(Encode(s))
+	if err != nil {
+		t.Fatal(err)
+	}
+	records[0].payload = encodeHeader(version, s.Router)
+	file := []byte(magic)
 	for _, r := range records {
-		out = appendRecord(out, r)
+		file = appendRecord(file, r)
 	}
-	var end message
-	end.number(1, int64(crc32.Checksum(out, castagnoli)))
-	return appendRecord(out, record{kindEnd, end})
+	return appendEnd(file)
 }
 
-func TestRoundTrip(t *testing.T) {
+// TestDecode_RoundTrip decodes what Encode wrote, and rejects versions that are not known.
+func TestDecode_RoundTrip(t *testing.T) {
 	for n := range 3 {
 		got, err := Decode(Encode(sample(n)))
 		if err != nil || !sameState(got, sample(n)) {
-			t.Errorf("%v\n%+v\n%+v", err, got, sample(n))
+			t.Errorf("sample %d: got %+v, %v, want %+v", n, got, err, sample(n))
 		}
 	}
-	if _, err := Decode(encodeAs(sample(1), Version+1)); !errors.Is(err, ErrNewerVersion) {
-		t.Error(err)
+	if _, err := Decode(encodeAs(t, sample(1), Version+1)); !errors.Is(err, ErrNewerVersion) {
+		t.Errorf("newer version: got %v, want ErrNewerVersion", err)
 	}
-	if _, err := Decode(encodeAs(sample(1), 0)); !errors.Is(err, ErrCorrupt) {
-		t.Error(err)
+	if _, err := Decode(encodeAs(t, sample(1), 0)); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("version 0: got %v, want ErrCorrupt", err)
 	}
 }
 
-// The samples of all versions that ever were are read as they were meant.
-func TestOldVersions(t *testing.T) {
+// TestDecode_OlderVersions reads a sample file of each version.
+func TestDecode_OlderVersions(t *testing.T) {
 	for v := 1; v <= Version; v++ {
 		file, err := os.ReadFile(filepath.Join("testdata", fmt.Sprintf("v%d.state", v)))
 		if err != nil {
@@ -93,7 +95,7 @@
 		}
 		got, err := Decode(file)
 		if err != nil || got.Version != v {
-			t.Fatal(v, err)
+			t.Fatalf("version %d: got version %d, %v", v, got.Version, err)
 		}
 		want := sample(3)
 		want.Version = v
@@ -103,13 +105,13 @@
 			}
 		}
 		if !sameState(got, want) {
-			t.Errorf("version %d:\n%+v\n%+v", v, got, want)
+			t.Errorf("version %d: got %+v, want %+v", v, got, want)
 		}
 	}
 }
 
-// No damage goes unseen, wherever it is.
-func TestDamageIsSeen(t *testing.T) {
+// TestDecode_RejectsDamage cuts, flips and repeats bytes anywhere in a file.
+func TestDecode_RejectsDamage(t *testing.T) {
 	file := Encode(sample(2))
 	rapid.Check(t, func(t *rapid.T) {
 		broken := bytes.Clone(file)
@@ -123,45 +125,46 @@
 			broken = append(broken, broken[at:]...)
 		}
 		if _, err := Decode(broken); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("damage at %d gave %v", at, err)
+			t.Fatalf("damage at byte %d: got %v, want ErrCorrupt", at, err)
 		}
 	})
 }
 
+// FuzzDecode decodes any bytes, as a file and as a record whose checksum would match, without a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(sample(1)))
-	f.Add(encodeAs(sample(1), 1))
+	f.Add(encodeAs(f, sample(1), 1))
 	f.Fuzz(func(t *testing.T, file []byte) {
 		s, err := Decode(file)
 		if err == nil && (len(s.Servers) > MaxServers || len(s.Knowledge.Keys) > MaxKeys) {
-			t.Error("over the bounds")
+			t.Errorf("got %d servers and %d keys, want at most %d and %d", len(s.Servers), len(s.Knowledge.Keys), MaxServers, MaxKeys)
 		}
-		// What checksums would have caught must not be trusted either: records as they stand.
 		if len(file) > 0 {
-			_ = s.take(record{file[0], file[1:]})
+			_ = s.decodeRecord(record{recordKind(file[0]), file[1:]})
 		}
 	})
 }
 
-// write is the process that gets killed: it writes one state after the other and tells which are done.
-func write(dir string) {
-	k, err := Dir(dir).Lock()
+// writeUntilKilled is the process that TestStore_SurvivesKills kills: it saves one sample after the other and prints the
+// number of each that is saved.
+func writeUntilKilled(dir string) {
+	lock, err := Dir(dir).Lock()
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	defer k.Close()
-	s := NewStore(Dir(dir))
+	defer lock.Close()
+	store := NewStore(Dir(dir))
 	n := 0
-	if old, _, passed, err := s.Load(); err == nil && len(passed) == 0 {
+	if old, _, skipped, err := store.Load(); err == nil && len(skipped) == 0 {
 		n = int(old.Knowledge.KeyReads)
 	} else if !errors.Is(err, ErrNoSnapshot) {
-		fmt.Println("corrupt", err, passed)
+		fmt.Println("corrupt", err, skipped)
 		os.Exit(1)
 	}
 	for {
 		n++
-		if err := s.Save(Encode(sample(n))); err != nil {
+		if err := store.Save(Encode(sample(n))); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
@@ -169,47 +172,47 @@
 	}
 }
 
-// Killed at random moments, a process never leaves a state that cannot be read, nor loses one that it said was kept.
-func TestKills(t *testing.T) {
+// TestStore_SurvivesKills kills a saving process at random moments: each time the folder can be read and has the last
+// sample that the process reported as saved, or a newer one.
+func TestStore_SurvivesKills(t *testing.T) {
 	dir := t.TempDir()
-	r := rand.New(rand.NewPCG(1, 1))
-	told := 0
+	random := rand.New(rand.NewPCG(1, 1))
+	saved := 0
 	for i := range *kills {
-		p := exec.Command(os.Args[0])
-		p.Env = append(os.Environ(), "SNAPSHOT_TEST_WRITE="+dir)
-		out, err := p.StdoutPipe()
+		process := exec.Command(os.Args[0])
+		process.Env = append(os.Environ(), "SNAPSHOT_TEST_WRITE="+dir)
+		out, err := process.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Start(); err != nil {
+		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
-		time.AfterFunc(time.Duration(r.IntN(30000))*time.Microsecond, func() { _ = p.Process.Kill() }) // it never ends by itself
-		text, _ := io.ReadAll(out)                                                                     // it ends with the process
-		_ = p.Wait()
-		lines := strings.Fields(string(text))
-		for _, l := range lines {
-			n, err := strconv.Atoi(l)
+		time.AfterFunc(time.Duration(random.IntN(30000))*time.Microsecond, func() { _ = process.Process.Kill() }) // it never ends by itself
+		text, _ := io.ReadAll(out)                                                                                // it ends with the process
+		_ = process.Wait()
+		for _, line := range strings.Fields(string(text)) {
+			n, err := strconv.Atoi(line)
 			if err != nil {
-				t.Fatalf("kill %d: the process said %s", i, text)
+				t.Fatalf("kill %d: the process printed %s, want numbers", i, text)
 			}
-			told = max(told, n)
+			saved = max(saved, n)
 		}
-		got, _, passed, err := NewStore(Dir(dir)).Load()
-		if errors.Is(err, ErrNoSnapshot) && told == 0 {
+		got, _, skipped, err := NewStore(Dir(dir)).Load()
+		if errors.Is(err, ErrNoSnapshot) && saved == 0 {
 			continue
 		}
-		if err != nil || len(passed) > 0 || int(got.Knowledge.KeyReads) < told || !sameState(got, sample(int(got.Knowledge.KeyReads))) {
-			t.Fatalf("kill %d: %v, %v, %v, after %d was kept", i, got.Router, passed, err, told)
+		if err != nil || len(skipped) > 0 || int(got.Knowledge.KeyReads) < saved || !sameState(got, sample(int(got.Knowledge.KeyReads))) {
+			t.Fatalf("kill %d: got %s, skipped %v, error %v, want sample %d or newer", i, got.Router, skipped, err, saved)
 		}
 	}
-	if told < *kills/4 {
-		t.Errorf("in %d lives only %d states were kept", *kills, told)
+	if saved < *kills/4 {
+		t.Errorf("%d kills: got %d saved states, want at least %d", *kills, saved, *kills/4)
 	}
 }
 
-// logged is a log that can be read.
-func logged() (*logrus.Logger, func() []string) {
+// bufferedLog returns a log and a function that returns its lines so far.
+func bufferedLog() (*logrus.Logger, func() []string) {
 	var b bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&b)
@@ -222,53 +225,63 @@
 	}
 }
 
-func TestKeeper(t *testing.T) {
+// TestWriter_FinalStateIsReadAgain opens a folder, which a second writer then cannot use, and reads the last state anew.
+func TestWriter_FinalStateIsReadAgain(t *testing.T) {
 	dir := t.TempDir()
-	log, lines := logged()
-	k, learned := OpenWriter(dir, log)
+	log, lines := bufferedLog()
+	first, learned := OpenWriter(dir, log)
 	if learned != nil {
-		t.Error("an empty folder holds a state")
+		t.Errorf("empty folder: got %+v, want no state", learned)
 	}
 	if _, other := OpenWriter(dir, log); other != nil {
-		t.Error("two routers share a folder")
+		t.Errorf("locked folder: got %+v, want no state", other)
 	}
-	k.Submit(sample(1))
-	k.Close(sample(2), time.Second)
-	again, learned := OpenWriter(dir, log)
-	if learned == nil || learned.Router != name(2) {
-		t.Fatal(learned)
+	first.Submit(sample(1))
+	first.Close(sample(2), time.Second)
+	second, learned := OpenWriter(dir, log)
+	if learned == nil || learned.Router != generationName(2) {
+		t.Fatalf("after Close: got %+v, want sample 2", learned)
 	}
-	again.Close(sample(3), time.Second)
-	if got := strings.Join(lines(), "\n"); !strings.Contains(got, ErrLocked.Error()) || !strings.Contains(got, "state.dir to another folder") {
-		t.Error(got)
+	second.Close(sample(3), time.Second)
+	got := strings.Join(lines(), "\n")
+	if !strings.Contains(got, ErrLocked.Error()) || !strings.Contains(got, "state.dir to another folder") {
+		t.Errorf("log: got %s, want the locked folder with its remedy", got)
 	}
 }
 
-// What is wrong with a folder is logged once, with what to do about it, and never stops the router.
-func TestFoldersThatCannotBeUsed(t *testing.T) {
+// TestWriter_LogsUnusableFolderOnce submits states to folders that cannot be used: one log line each, with a remedy.
+func TestWriter_LogsUnusableFolderOnce(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ dir, says string }{
+	for _, c := range []struct{ dir, want string }{
 		{filepath.Join(dir, "absent"), "Make the folder: install -d -m 700"},
 		{file, "Name a folder in state.dir, not a file."},
 	} {
-		log, lines := logged()
-		k, learned := OpenWriter(c.dir, log)
+		log, lines := bufferedLog()
+		writer, learned := OpenWriter(c.dir, log)
 		for i := range 5 {
-			k.Submit(sample(i))
+			writer.Submit(sample(i))
 			time.Sleep(5 * time.Millisecond)
 		}
-		k.Close(sample(9), time.Second)
-		if got := lines(); learned != nil || len(got) != 1 || !strings.Contains(got[0], c.says) {
-			t.Errorf("%s: %q", c.dir, got)
+		writer.Close(sample(9), time.Second)
+		if got := lines(); learned != nil || len(got) != 1 || !strings.Contains(got[0], c.want) {
+			t.Errorf("%s: got %q, want one line with %q", c.dir, got, c.want)
 		}
 	}
-	for err, says := range map[error]string{syscall.ENOSPC: "Make room", syscall.EROFS: "Mount it writable", syscall.EACCES: "Give it to the router's user"} {
-		if got := Remedy("/x", err); !strings.Contains(got, says) {
-			t.Errorf("%v: %s", err, got)
+}
+
+// TestRemedy names what an operator does about errors of a folder.
+func TestRemedy(t *testing.T) {
+	for err, want := range map[error]string{
+		syscall.ENOSPC: "Make room",
+		syscall.EROFS:  "Mount it writable",
+		syscall.EACCES: "Give it to the router's user",
+	} {
+		if got := Remedy("/x", err); !strings.Contains(got, want) {
+			t.Errorf("%v: got %q, want %q in it", err, got, want)
 		}
 	}
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -9,128 +9,161 @@
 	"strings"
 )
 
-// Store is a folder of generations: state.7 and state.8, of which the higher is newer. A generation is written to
-// state.new, synced, renamed, and the folder synced; only then goes the one before the last. So at any moment one whole
-// generation is there, and a torn one under a final name can come only from a disk that lies about syncing.
-type Store struct {
-	fs   FS
-	last uint64          // the newest generation seen or written
-	good map[uint64]bool // those that this process has read or written
-}
-
-// NewStore returns a store on a folder. It reads nothing yet.
-func NewStore(fs FS) *Store { return &Store{fs: fs, good: map[uint64]bool{}} }
-
+// Names of files in the folder, and the number of generations stored.
 const (
-	prefix  = "state."
-	pending = "state.new"
-	kept    = 2 // generations
+	generationPrefix  = "state."
+	pendingName       = "state.new"
+	generationsStored = 2
 )
 
-// generations lists what is there, the newest first.
-func (s *Store) generations() ([]uint64, error) {
-	names, err := s.fs.Names()
-	if err != nil {
-		return nil, err
-	}
-	var all []uint64
-	for _, name := range names {
-		text, is := strings.CutPrefix(name, prefix)
-		n, err := strconv.ParseUint(text, 10, 63)
-		if is && err == nil && prefix+strconv.FormatUint(n, 10) == name { // no leading zeros: one name a generation
-			all = append(all, n)
-		}
-	}
-	slices.SortFunc(all, func(a, b uint64) int { return cmp.Compare(b, a) })
-	return all, nil
-}
+// ErrNoSnapshot reports a folder without a generation.
+var ErrNoSnapshot = errors.New("there is no state")
 
-func name(generation uint64) string { return prefix + strconv.FormatUint(generation, 10) }
+// Store is a folder of generations: state.7 and state.8, of which the higher number is newer. At any moment one complete
+// generation is there. A torn one under a final name can only come from a disk that reports a sync and does not do it.
+//
+// A Store is not safe for concurrent use; the folder's lock keeps other processes out.
+type Store struct {
+	fs       FS
+	newest   uint64          // the highest number loaded or saved
+	readable map[uint64]bool // generations that this process has read or written
+}
 
-// ErrNoSnapshot is a folder that holds no state yet.
-var ErrNoSnapshot = errors.New("there is no state")
+// NewStore returns a store on a folder. It reads nothing yet.
+func NewStore(fs FS) *Store {
+	return &Store{fs: fs, readable: map[uint64]bool{}}
+}
 
-// Load reads the newest generation that can be read. passed tells of newer ones that cannot; they stay where they are.
-func (s *Store) Load() (state State, from string, passed []error, err error) {
-	all, err := s.generations()
+// Load returns the newest generation that can be read, and its file's name. skipped has an error for each newer one that
+// cannot be read; those stay in the folder. The error is ErrNoSnapshot where there is no generation at all.
+func (s *Store) Load() (state State, file string, skipped []error, err error) {
+	generations, err := s.generations()
 	if err != nil {
 		return State{}, "", nil, err
 	}
-	if len(all) > 0 {
-		s.last = max(s.last, all[0])
+	if len(generations) == 0 {
+		return State{}, "", nil, ErrNoSnapshot
 	}
-	for _, g := range all {
-		file, err := s.fs.Read(name(g), MaxFileBytes)
+	s.newest = max(s.newest, generations[0])
+	for _, generation := range generations {
+		state, err := s.read(generation)
 		if err == nil {
-			state, err = Decode(file)
+			s.readable[generation] = true
+			return state, fileName(generation), skipped, nil
 		}
-		if err == nil {
-			s.good[g] = true
-			return state, name(g), passed, nil
-		}
-		passed = append(passed, fmt.Errorf("%s: %w", name(g), err))
-	}
-	if len(passed) > 0 {
-		return State{}, "", passed, fmt.Errorf("no generation can be read: %w", errors.Join(passed...))
+		skipped = append(skipped, fmt.Errorf("%s: %w", fileName(generation), err))
 	}
-	return State{}, "", nil, ErrNoSnapshot
+	return State{}, "", skipped, fmt.Errorf("no generation can be read: %w", errors.Join(skipped...))
 }
 
-// Save writes the next generation and lets go of those before the last. On an error what was there is still there.
+// Save writes an encoded state as the next generation, and then removes the generations that are no longer needed. After
+// an error the generations from before are still there.
 func (s *Store) Save(file []byte) error {
-	all, err := s.generations()
+	generations, err := s.generations()
 	if err != nil {
 		return err
 	}
-	next := s.last + 1
-	if len(all) > 0 {
-		next = max(next, all[0]+1)
+	next := s.newest + 1
+	if len(generations) > 0 {
+		next = max(next, generations[0]+1)
 	}
-	if err := s.write(file); err != nil {
-		_ = s.fs.Remove(pending) // what is left of it is overwritten the next time
+	if err := s.writePending(file); err != nil {
+		_ = s.fs.Remove(pendingName) // the next save overwrites it anyway
 		return err
 	}
-	if err := s.fs.Rename(pending, name(next)); err != nil {
+	if err := s.fs.Rename(pendingName, fileName(next)); err != nil {
 		return err
 	}
 	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
-	s.last, s.good[next] = next, true
-	// A generation that cannot be read does not count as one of those kept, and one of a newer version is left alone.
-	readable := 1
-	for _, g := range all {
-		var err error
-		if !s.good[g] { // they need no reading anew at each save
-			var old []byte
-			if old, err = s.fs.Read(name(g), MaxFileBytes); err == nil {
-				_, err = Decode(old)
-			}
+	s.newest = next
+	s.readable[next] = true
+	return s.prune(generations)
+}
+
+// writePending writes and syncs a file that has no generation's name yet.
+func (s *Store) writePending(content []byte) error {
+	file, err := s.fs.Create(pendingName)
+	if err != nil {
+		return err
+	}
+	if _, err := file.Write(content); err != nil {
+		return errors.Join(err, file.Close())
+	}
+	if err := file.Sync(); err != nil {
+		return errors.Join(err, file.Close())
+	}
+	return file.Close()
+}
+
+// prune removes generations, given from new to old, that were there before a save. Generations of a newer version stay;
+// unreadable ones go and do not count as stored.
+func (s *Store) prune(generations []uint64) error {
+	stored := 1 // the one just saved
+	for _, generation := range generations {
+		err := s.checkReadable(generation)
+		if errors.Is(err, ErrNewerVersion) {
+			continue
+		}
+		if err == nil && stored < generationsStored {
+			stored++
+			continue
 		}
-		switch {
-		case errors.Is(err, ErrNewerVersion):
-		case err == nil && readable < kept:
-			readable++
-		default:
-			if err := s.fs.Remove(name(g)); err != nil {
-				return err
-			}
-			delete(s.good, g)
+		if err := s.fs.Remove(fileName(generation)); err != nil {
+			return err
 		}
+		delete(s.readable, generation)
 	}
 	return nil
 }
 
-func (s *Store) write(file []byte) error {
-	f, err := s.fs.Create(pending)
+// checkReadable returns nil for a generation that can be read. Those known from before are not read again.
+func (s *Store) checkReadable(generation uint64) error {
+	if s.readable[generation] {
+		return nil
+	}
+	_, err := s.read(generation)
+	return err
+}
+
+func (s *Store) read(generation uint64) (State, error) {
+	file, err := s.fs.Read(fileName(generation), MaxFileBytes)
 	if err != nil {
-		return err
+		return State{}, err
 	}
-	if _, err := f.Write(file); err != nil {
-		return errors.Join(err, f.Close())
+	return Decode(file)
+}
+
+// generations lists the numbers of the generations in the folder, from new to old.
+func (s *Store) generations() ([]uint64, error) {
+	names, err := s.fs.Names()
+	if err != nil {
+		return nil, err
+	}
+	var generations []uint64
+	for _, name := range names {
+		if generation, ok := parseFileName(name); ok {
+			generations = append(generations, generation)
+		}
+	}
+	slices.SortFunc(generations, func(a, b uint64) int { return cmp.Compare(b, a) })
+	return generations, nil
+}
+
+func fileName(generation uint64) string {
+	return generationPrefix + strconv.FormatUint(generation, 10)
+}
+
+// parseFileName is the inverse of fileName. Numbers with leading zeros are no generations.
+func parseFileName(name string) (generation uint64, ok bool) {
+	digits, ok := strings.CutPrefix(name, generationPrefix)
+	if !ok {
+		return 0, false
 	}
-	if err := f.Sync(); err != nil {
-		return errors.Join(err, f.Close())
+	generation, err := strconv.ParseUint(digits, 10, 63)
+	if err != nil || fileName(generation) != name {
+		return 0, false
 	}
-	return f.Close()
+	return generation, true
 }
--- a/internal/snapshot/upgrade.go
+++ b/internal/snapshot/upgrade.go
@@ -1,18 +1,20 @@
 package snapshot
 
-// upgrades lead from one version to the next, by the version that they start from. Each has a sample in testdata.
+// upgrades has, by version, the step from that version to the next. Each version has a sample in testdata.
 var upgrades = map[int]func(*State){
-	// Servers had no time of their own: their evidence is as old as the file.
-	1: func(s *State) {
-		for i := range s.Servers {
-			s.Servers[i].ObservedAt = s.Knowledge.CapturedAt
-		}
-	},
+	1: setObservedAt,
 }
 
-// upgrade brings a state that was read to the newest version. Its Version goes on telling what the file was.
+// upgrade brings a decoded state to the form of the newest version. Its Version stays that of the file.
 func upgrade(s *State) {
-	for v := s.Version; v < Version; v++ {
-		upgrades[v](s)
+	for version := s.Version; version < Version; version++ {
+		upgrades[version](s)
+	}
+}
+
+// setObservedAt upgrades version 1, which had no ObservedAt: the servers' evidence is as old as the file.
+func setObservedAt(s *State) {
+	for i := range s.Servers {
+		s.Servers[i].ObservedAt = s.Knowledge.CapturedAt
 	}
 }
