--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -8,7 +8,6 @@
 
 	"github.com/sirupsen/logrus"
 
-	"spurtrestle/core/clock"
 	"spurtrestle/internal/config"
 	"spurtrestle/internal/controlplane"
 	"spurtrestle/internal/gossip"
@@ -16,6 +15,7 @@
 	"spurtrestle/internal/operator"
 	"spurtrestle/internal/program"
 	"spurtrestle/internal/router"
+	"spurtrestle/internal/settings"
 )
 
 func main() { program.Main(program.Parts{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Take}) }
@@ -33,9 +33,6 @@
 		}
 	}()
 	log.WithField("listen", g.Listen).Info("taking gRPC clients, in clear text")
-	longest := clock.Time(0)
-	for _, m := range cfg.Settings.Methods {
-		longest = max(longest, m.Deadline)
-	}
+	longest := settings.LongestDeadline(cfg.Settings)
 	return func() { front.Stop(time.Duration(longest) * time.Microsecond) }, nil
 }
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/scale/result"
 	"spurtrestle/internal/tomlfile"
 )
@@ -29,7 +30,7 @@
 
 func (c *checker) want(ok bool, field, what, remedy string) {
 	if !ok {
-		c.wrong = append(c.wrong, tomlfile.Error{Line: c.at.Line(field), Field: field, What: what, Remedy: remedy})
+		c.wrong = append(c.wrong, &configerror.Error{Line: c.at.Line(field), Field: field, Problem: what, Remedy: remedy})
 	}
 }
 
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/tomlfile"
 )
 
@@ -72,7 +73,7 @@
 
 func (c *checker) want(ok bool, field, what, remedy string) {
 	if !ok {
-		c.wrong = append(c.wrong, tomlfile.Error{Line: c.at.Line(field), Field: field, What: what, Remedy: remedy})
+		c.wrong = append(c.wrong, &configerror.Error{Line: c.at.Line(field), Field: field, Problem: what, Remedy: remedy})
 	}
 }
 
--- /dev/null
+++ b/internal/operator/fleet.go
@@ -0,0 +1,167 @@
+package operator
+
+import (
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"time"
+)
+
+// Fleet is about the view of the fleet that the routers share (internal/gossip).
+type Fleet struct {
+	Name        string   `toml:"name"`      // of the fleet; empty: this router has no view
+	Router      string   `toml:"router"`    // this router's name; empty: that of its configuration
+	Site        string   `toml:"site"`      // empty: that of the configuration
+	Listen      string   `toml:"listen"`    // address and port, for UDP and TCP
+	Advertise   string   `toml:"advertise"` // the address for the others; empty: listen
+	Join        []string `toml:"join"`      // addresses of other routers, to begin with
+	Dir         string   `toml:"dir"`       // the folder of the known peers; empty: they are not persisted
+	Probe       string   `toml:"probe"`     // see ProbeInterval
+	Forget      string   `toml:"forget"`    // see ForgetAfter
+	Tiered      bool     `toml:"tiered"`    // full membership within the site, summaries of other sites and regions
+	Region      string   `toml:"region"`    // with Tiered: the site's region
+	Remote      []string `toml:"remote"`    // with Tiered: addresses of routers of other sites, to begin with
+	Anywhere    bool     `toml:"anywhere"`  // allows unspecified and public addresses
+	endpoint    endpoint
+	probe       time.Duration
+	forgetAfter time.Duration
+}
+
+// fleetAddressExample is the remedy of a wrong address.
+const fleetAddressExample = `write it as "10.1.2.3:7946"`
+
+// Addresses returns the address to listen on, and the one that other routers use.
+func (f Fleet) Addresses() (listen, advertise netip.AddrPort) {
+	return f.endpoint.listen, f.endpoint.advertise
+}
+
+// ProbeInterval is the time between two health checks of another router.
+func (f Fleet) ProbeInterval() time.Duration { return f.probe }
+
+// ForgetAfter is how long lost routers, and those that left, are shown.
+func (f Fleet) ForgetAfter() time.Duration { return f.forgetAfter }
+
+func (f *Fleet) check(t table) error {
+	if f.Name == "" {
+		if f.Listen != "" || len(f.Join) > 0 {
+			return t.fault("name", "", "is empty, though other fields are set", "name the fleet, or leave all of them empty")
+		}
+		return nil
+	}
+	for _, step := range []func(table) error{
+		f.checkNames,
+		f.checkEndpoint,
+		f.checkPeers,
+		f.checkTiers,
+		f.checkDir,
+		f.checkDurations,
+	} {
+		if err := step(t); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,60}$`)
+
+func (f *Fleet) checkNames(t table) error {
+	for _, field := range []struct{ name, value string }{
+		{"name", f.Name},
+		{"router", f.Router},
+		{"site", f.Site},
+		{"region", f.Region},
+	} {
+		if field.value != "" && !namePattern.MatchString(field.value) {
+			return t.fault(field.name, strconv.Quote(field.value), "is no name", "write 1 to 60 letters, digits, dots, dashes or underscores")
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) checkEndpoint(t table) error {
+	var err error
+	if f.endpoint, err = parseEndpoint(t, f.Listen, f.Advertise, fleetAddressExample); err != nil {
+		return err
+	}
+	if advertise := f.endpoint.advertise; advertise.Addr().IsUnspecified() {
+		return t.fault("advertise", "", fmt.Sprintf("others cannot reach %s", advertise), "write the address at which they do")
+	}
+	for _, field := range f.endpoint.fields() {
+		if !f.Anywhere && !isPrivate(field.address) {
+			return t.fault(field.name, field.address.String(), "is no address of a private network, and nothing is signed or encrypted here",
+				"write one of a network that is trusted, or set anywhere = true if this is meant")
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) checkPeers(t table) error {
+	for _, field := range []struct {
+		name      string
+		addresses []string
+	}{
+		{"join", f.Join},
+		{"remote", f.Remote},
+	} {
+		for i, address := range field.addresses {
+			if _, err := netip.ParseAddrPort(address); err != nil {
+				return t.fault(field.name, "", fmt.Sprintf("its entry %d, %q, is no address and port", i+1, address), fleetAddressExample)
+			}
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) checkTiers(t table) error {
+	if !f.Tiered && (f.Region != "" || len(f.Remote) > 0) {
+		return t.fault("tiered", "", "is false, though region or remote is set", "set tiered = true at every router of the fleet, or leave both empty")
+	}
+	if f.Tiered && f.Region == "" {
+		return t.fault("region", "", "is empty, and tiered is true", "name the region that the router's site is in")
+	}
+	return nil
+}
+
+func (f *Fleet) checkDir(t table) error {
+	if f.Dir != "" && !filepath.IsAbs(f.Dir) {
+		return relativePath(t, f.Dir)
+	}
+	return nil
+}
+
+// durationField is a duration that the file may set within bounds.
+type durationField struct {
+	name         string
+	text         string
+	value        *time.Duration
+	least, most  time.Duration
+	defaultValue time.Duration
+}
+
+func (f *Fleet) checkDurations(t table) error {
+	for _, field := range []durationField{
+		{"probe", f.Probe, &f.probe, 100 * time.Millisecond, 10 * time.Second, time.Second},
+		{"forget", f.Forget, &f.forgetAfter, time.Second, 240 * time.Hour, 10 * time.Minute},
+	} {
+		if err := field.parse(t); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (f durationField) parse(t table) error {
+	*f.value = f.defaultValue
+	if f.text == "" {
+		return nil
+	}
+	var err error
+	*f.value, err = time.ParseDuration(f.text)
+	if err != nil || *f.value < f.least || *f.value > f.most {
+		return t.fault(f.name, strconv.Quote(f.text), fmt.Sprintf("is no span from %v to %v", f.least, f.most), `write it as "1s" or "10m"`)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/operator/state.go
@@ -0,0 +1,53 @@
+package operator
+
+import (
+	"fmt"
+	"path/filepath"
+	"strconv"
+	"time"
+)
+
+// State is about learned state that survives a restart (internal/snapshot).
+type State struct {
+	Dir          string `toml:"dir"`   // the folder, one for each router; empty: nothing is written
+	IntervalText string `toml:"every"` // see Interval
+	interval     time.Duration
+}
+
+// Bounds of the interval. A kill loses half an interval on average, little against half-lives of a minute.
+const (
+	defaultInterval = 10 * time.Second
+	minInterval     = time.Second
+	maxInterval     = time.Hour
+)
+
+// Interval is the time between two writes; each varies by a quarter of it.
+func (s State) Interval() time.Duration { return s.interval }
+
+func (s *State) check(t table) error {
+	if s.Dir != "" && !filepath.IsAbs(s.Dir) {
+		return relativePath(t, s.Dir)
+	}
+	s.interval = defaultInterval
+	if s.IntervalText == "" {
+		return nil
+	}
+	interval, err := time.ParseDuration(s.IntervalText)
+	if err != nil {
+		return t.fault("every", strconv.Quote(s.IntervalText), "is no span", `write it as "10s" or "1m"`)
+	}
+	s.interval = interval
+	return nil
+}
+
+func (s *State) checkInterval(t table) error {
+	if s.interval < minInterval || s.interval > maxInterval {
+		return t.fault("every", s.interval.String(), fmt.Sprintf("is not from %v to %v", minInterval, maxInterval), "write such a span")
+	}
+	return nil
+}
+
+// relativePath is the error of a dir that depends on the folder from which the router is started.
+func relativePath(t table, dir string) error {
+	return t.fault("dir", strconv.Quote(dir), "is no absolute path", "write the whole path: what the router is started from may change")
+}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -10,6 +10,7 @@
 
 	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/tomlfile"
 )
 
@@ -75,7 +76,7 @@
 }
 
 func (d Document) wrong(field, what, remedy string) error {
-	return tomlfile.Error{Line: d.at.Line(field), Field: field, What: what, Remedy: remedy}
+	return &configerror.Error{Line: d.at.Line(field), Field: field, Problem: what, Remedy: remedy}
 }
 
 // Settings are a router's own settings with the document in force.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -137,7 +137,7 @@
 		FleetSize: cfg.Settings.Routers, Slot: cfg.Slot,
 		Build: revision(), Methods: settings.MethodNames(cfg.Settings), ConfigError: mine.FieldError}
 	c.Listen, c.Advertise = f.Addresses()
-	c.ProbeInterval, c.ForgetAfter = f.Spans()
+	c.ProbeInterval, c.ForgetAfter = f.ProbeInterval(), f.ForgetAfter()
 	if c.Name == "" {
 		c.Name = cfg.Name
 	}
