--- a/core/membership/golden_test.go
+++ b/core/membership/golden_test.go
@@ -2,31 +2,10 @@
 
 import (
 	"encoding/json"
-	"flag"
-	"os"
 	"testing"
-)
-
-// updateGolden has the golden files written anew. They were written by the build of commit bfb4b5c and stay as they are.
-var updateGolden = flag.Bool("update-golden", false, "write the golden files")
 
-// checkGolden compares bytes with those of a file under testdata.
-func checkGolden(t *testing.T, file string, got []byte) {
-	t.Helper()
-	name := "testdata/golden/" + file
-	if *updateGolden {
-		if err := os.WriteFile(name, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(got) != string(want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
-}
+	"spurtrestle/internal/goldentest"
+)
 
 // goldenHeartbeats have each field set in one of them at least.
 var goldenHeartbeats = []Heartbeat{
@@ -71,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "heartbeats.json", text)
+	goldentest.Compare(t, "heartbeats.json", text)
 }
 
 func TestGolden_ViewJSON(t *testing.T) {
@@ -79,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "view.json", text)
+	goldentest.Compare(t, "view.json", text)
 }
 
 // The digest is compared between routers of different builds.
@@ -94,5 +73,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "digest.json", text)
+	goldentest.Compare(t, "digest.json", text)
 }
--- a/core/sharelease/golden_test.go
+++ b/core/sharelease/golden_test.go
@@ -2,17 +2,13 @@
 
 import (
 	"encoding/json"
-	"flag"
-	"os"
 	"testing"
-)
 
-// updateGolden has the golden file written anew. It was written by the build of commit bfb4b5c and stays as it is.
-var updateGolden = flag.Bool("update-golden", false, "write the golden file")
+	"spurtrestle/internal/goldentest"
+)
 
 // Messages go between routers of different builds as JSON.
 func TestGolden_MessageJSON(t *testing.T) {
-	const name = "testdata/golden/messages.json"
 	messages := []Message{
 		{Kind: Request, From: 1, To: 2, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 123456789},
 		{Kind: Grant, From: 2, To: 1, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 123456789, Duration: 2e6},
@@ -23,20 +19,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *updateGolden {
-		if err := os.WriteFile(name, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(got) != string(want) {
-		t.Errorf("messages: got\n%s\nwant\n%s", got, want)
-	}
+	goldentest.Compare(t, "messages.json", got)
 	var read []Message
-	if err := json.Unmarshal(want, &read); err != nil {
+	if err := json.Unmarshal(got, &read); err != nil {
 		t.Fatal(err)
 	}
 	for i, message := range messages {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
 	"net/netip"
 	"os"
@@ -15,29 +14,9 @@
 	"spurtrestle/core/hierarchy"
 	"spurtrestle/core/membership"
 	"spurtrestle/internal/fleet"
+	"spurtrestle/internal/goldentest"
 )
 
-// updateGolden has the golden files written anew. They were written by the build of commit bfb4b5c and stay as they are.
-var updateGolden = flag.Bool("update-golden", false, "write the golden files")
-
-// checkGolden compares bytes with those of a file under testdata.
-func checkGolden(t *testing.T, file string, got []byte) {
-	t.Helper()
-	name := "testdata/golden/" + file
-	if *updateGolden {
-		if err := os.WriteFile(name, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(got) != string(want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
-}
-
 var goldenHeartbeats = []membership.Heartbeat{
 	{Incarnation: 1, Seq: 1},
 	{Incarnation: 1 << 63, Seq: 1 << 40, Accepting: true, Draining: true, HandingOver: true, Yielded: true, Left: true, Duplicate: 7, PolicyRevision: 1 << 50, ViewDigest: 1 << 63},
@@ -62,21 +41,21 @@
 	return n
 }
 
-// Heartbeats of a tiered fleet, alone and as the full state.
+// Packed heartbeats, alone and as the full state.
 func TestGolden_PackedHeartbeats(t *testing.T) {
 	lines := ""
 	for _, heartbeat := range goldenHeartbeats {
 		lines += fmt.Sprintf("%x\n", appendHeartbeat(nil, heartbeat))
 	}
 	lines += fmt.Sprintf("%x\n", packHeartbeats(goldenHeartbeats))
-	checkGolden(t, "packed.hex", []byte(lines))
+	goldentest.Compare(t, "packed.hex", []byte(lines))
 	read, err := unpackHeartbeats(packHeartbeats(goldenHeartbeats[:4]))
 	if err != nil || !slices.Equal(read, goldenHeartbeats[:4]) {
 		t.Errorf("packed heartbeats are read as %+v, %v", read, err)
 	}
 }
 
-// What memberlist carries for a flat and for a tiered fleet: broadcasts, the payload of a probe's answer, the full state.
+// Broadcasts, the payload of replies to probes and the full state, of a flat and of a tiered fleet.
 func TestGolden_Messages(t *testing.T) {
 	text := ""
 	for _, tiered := range []bool{false, true} {
@@ -89,7 +68,7 @@
 		text += fmt.Sprintf("tiered=%v state: %q\n", tiered, delegate{n}.LocalState(false))
 	}
 	kinds := []messageKind{kindHeartbeat, kindPackedHeartbeat, kindHeartbeatRequest, kindShareLease, kindPolicy, kindSummary}
-	checkGolden(t, "messages.txt", fmt.Appendf(nil, "%skinds: %q\n", text, kinds))
+	goldentest.Compare(t, "messages.txt", fmt.Appendf(nil, "%skinds: %q\n", text, kinds))
 }
 
 func TestGolden_NodeMeta(t *testing.T) {
@@ -103,10 +82,10 @@
 		}
 		text += string(delegate{n}.NodeMeta(512)) + "\n"
 	}
-	checkGolden(t, "meta.txt", []byte(text))
+	goldentest.Compare(t, "meta.txt", []byte(text))
 }
 
-// The file of known peers, as it is written and as it is read.
+// The peers file is written and read as by earlier builds.
 func TestGolden_PeersFile(t *testing.T) {
 	n := goldenNode(false)
 	n.config.Dir = t.TempDir()
@@ -115,13 +94,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "peers.json", got)
+	goldentest.Compare(t, "peers.json", got)
 
 	tiered, err := json.MarshalIndent(peersFile{"harvest", "hill-0", []string{"10.0.0.2:7946"}, []string{"10.1.0.1:7946", "10.2.0.1:7946"}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "peers-tiered.json", tiered)
+	goldentest.Compare(t, "peers-tiered.json", tiered)
 	if err := os.WriteFile(filepath.Join(n.config.Dir, "peers.json"), tiered, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -137,18 +116,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "view-flat.json", flat)
+	goldentest.Compare(t, "view-flat.json", flat)
 	tiered, err := json.MarshalIndent(fullView{Snapshot: goldenNode(true).view.Snapshot(5e6), Hierarchy: &hierarchy.Status{}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "view-tiered.json", tiered)
+	goldentest.Compare(t, "view-tiered.json", tiered)
 }
 
-// The figures' names, which dashboards read.
+// Dashboards read the names of the metrics.
 func TestGolden_Figures(t *testing.T) {
 	n := goldenNode(false)
 	n.applied = fleet.Share{Current: 0.25}
 	n.traffic.Sent(fleet.Heartbeat, 100, 2)
-	checkGolden(t, "figures.txt", []byte(n.Figures()))
+	goldentest.Compare(t, "figures.txt", []byte(n.Figures()))
 }
