--- a/core/hierarchy/checker_test.go
+++ b/core/hierarchy/checker_test.go
@@ -55,10 +55,10 @@
 		isAlive[router.site.name], isAlive[router.site.region] = true, true
 	}
 	for _, router := range established {
-		for _, table := range router.hierarchy.tables {
-			for _, entry := range table.entries {
+		for _, summaries := range router.hierarchy.tables {
+			for _, group := range summaries.entries {
 				f.checkedStates++
-				if isAlive[entry.Name] && router.hierarchy.summaryState(entry) == Lost {
+				if isAlive[group.Name] && router.hierarchy.summaryState(group) == Lost {
 					f.falseLosses++
 				}
 			}
@@ -131,9 +131,9 @@
 		return "no live router"
 	}
 	for region, want := range alive {
-		entry := first.hierarchy.tables[RegionTier].entries[hashName(region)]
-		if entry == nil || entry.Counts.Alive != want {
-			return fmt.Sprintf("%s on live routers of %s: got %+v, want %d", first.name, region, entry, want)
+		group := first.hierarchy.tables[RegionTier].entries[hashName(region)]
+		if group == nil || group.Counts.Alive != want {
+			return fmt.Sprintf("%s on live routers of %s: got %+v, want %d", first.name, region, group, want)
 		}
 	}
 	return ""
@@ -162,9 +162,9 @@
 // oldestHeartbeat returns the greatest age of a heartbeat at any router.
 func (f *simulatedFleet) oldestHeartbeat() (oldest clock.Duration) {
 	for _, router := range f.living(func(*simulatedRouter) bool { return true }) {
-		for _, table := range router.hierarchy.tables {
-			for _, entry := range table.entries {
-				oldest = max(oldest, f.now-entry.heartbeatAt)
+		for _, summaries := range router.hierarchy.tables {
+			for _, group := range summaries.entries {
+				oldest = max(oldest, f.now-group.heartbeatAt)
 			}
 		}
 	}
--- a/core/hierarchy/decode.go
+++ b/core/hierarchy/decode.go
@@ -9,7 +9,7 @@
 
 // message is a decoded datagram. Fields of other kinds than its own are zero.
 type message struct {
-	kind   byte
+	kind   datagramKind
 	fleet  nameHash
 	region nameHash
 	from   netip.AddrPort
@@ -41,9 +41,9 @@
 }
 
 // requested returns the names of a kindRequest message as a set.
-func (m message) requested() map[nameHash]bool {
+func (received message) requested() map[nameHash]bool {
 	names := map[nameHash]bool{}
-	for _, name := range m.names {
+	for _, name := range received.names {
 		names[name] = true
 	}
 	return names
@@ -52,8 +52,8 @@
 const (
 	// maxCount bounds the counts in a summary.
 	maxCount = 1 << 31
-	// maxAddressSize is longer than any IP address, so that a longer one is read as malformed.
-	maxAddressSize = 17
+	// maxAddressSize is one more than the size of an IPv6 address, so that a longer one is read as malformed.
+	maxAddressSize = 16 + 1
 )
 
 var errMalformed = errors.New("hierarchy: malformed datagram")
@@ -61,11 +61,11 @@
 // decode decodes a datagram. The size of the result is bounded by that of the datagram. The error is errMalformed.
 func decode(body []byte) (message, error) {
 	r := &reader{remaining: body, malformed: len(body) > MaxDatagramSize}
-	m := r.message()
+	received := r.message()
 	if r.malformed || len(r.remaining) > 0 {
 		return message{}, errMalformed
 	}
-	return m, nil
+	return received, nil
 }
 
 // reader reads the fields of a datagram in order. After a malformed field all fields are zero.
@@ -80,35 +80,35 @@
 // require marks the datagram as malformed unless a condition holds.
 func (r *reader) require(condition bool) { r.malformed = r.malformed || !condition }
 
-func (r *reader) message() (m message) {
-	m.kind = r.byte()
-	m.fleet = r.nameHash()
-	m.region = r.nameHash()
-	m.from = r.address()
-	switch m.kind {
+func (r *reader) message() (received message) {
+	received.kind = datagramKind(r.byte())
+	received.fleet = r.nameHash()
+	received.region = r.nameHash()
+	received.from = r.address()
+	switch received.kind {
 	case kindPing:
 	case kindDigest:
-		r.digest(&m)
+		r.digest(&received)
 	case kindVersions:
-		r.versions(&m)
+		r.versions(&received)
 	case kindRequest:
-		m.tier = r.tier()
+		received.tier = r.tier()
 		for r.more() {
-			m.names = append(m.names, r.nameHash())
+			received.names = append(received.names, r.nameHash())
 		}
 	case kindUpdate, kindRepair:
 		for r.more() {
-			m.summaries = append(m.summaries, r.summary())
+			received.summaries = append(received.summaries, r.summary())
 		}
 	default:
 		r.malformed = true
 	}
-	return m
+	return received
 }
 
-func (r *reader) digest(m *message) {
+func (r *reader) digest(received *message) {
 	for tier := range tierCount {
-		m.digests[tier] = r.uint64()
+		received.digests[tier] = r.uint64()
 	}
 	wallClock := r.uint32()
 	for r.more() {
@@ -116,19 +116,19 @@
 		for count := int(r.byte()); count > 0 && !r.malformed; count-- {
 			name := r.nameHash()
 			heartbeat := r.relativeHeartbeat(wallClock)
-			m.heartbeats[tier] = append(m.heartbeats[tier], heartbeatRecord{name: name, Heartbeat: heartbeat})
+			received.heartbeats[tier] = append(received.heartbeats[tier], heartbeatRecord{name: name, Heartbeat: heartbeat})
 		}
 	}
 }
 
-func (r *reader) versions(m *message) {
-	m.tier = r.tier()
-	m.first = r.nameHash()
-	m.last = r.nameHash()
+func (r *reader) versions(received *message) {
+	received.tier = r.tier()
+	received.first = r.nameHash()
+	received.last = r.nameHash()
 	for r.more() {
 		name := r.nameHash()
 		version := Version(r.uint64())
-		m.versions = append(m.versions, versionRecord{name: name, version: version})
+		received.versions = append(received.versions, versionRecord{name: name, version: version})
 	}
 }
 
--- a/core/hierarchy/dissemination.go
+++ b/core/hierarchy/dissemination.go
@@ -22,8 +22,8 @@
 const exchangesPerFullDigest = 10
 
 // tiersOn returns the tiers that are disseminated on a link.
-func tiersOn(l link) []Tier {
-	if l == interRegionLink {
+func tiersOn(via link) []Tier {
+	if via == interRegionLink {
 		return []Tier{RegionTier}
 	}
 	return []Tier{SiteTier, RegionTier}
@@ -56,8 +56,9 @@
 	reconnectCounter int // selects the next unknown peer
 }
 
-// exchangeNow makes the next exchange on a link due at once and include all heartbeats.
-func (d *dissemination) exchangeNow(l link) { d.exchangedAt[l], d.exchangeCount[l] = 0, -1 }
+// exchangeNow makes the next exchange on a link due at once and include all heartbeats: the next count is 0. Time 0 is longer ago than
+// an exchange interval, because a role begins SiteRoleDelay after the start at the earliest.
+func (d *dissemination) exchangeNow(via link) { d.exchangedAt[via], d.exchangeCount[via] = 0, -1 }
 
 // queueSummary includes a changed summary in the next push.
 func (h *Hierarchy) queueSummary(tier Tier, name nameHash) {
@@ -67,17 +68,17 @@
 
 // queueHeartbeat includes a heartbeat in the next digests. One with a new policy revision is pushed as well.
 func (h *Hierarchy) queueHeartbeat(tier Tier, name nameHash, newRevision bool) {
-	for l := range linkCount {
-		if h.usesLink(l) {
-			h.dissemination.heartbeats[l].add(tier, name)
+	for via := range linkCount {
+		if h.usesLink(via) {
+			h.dissemination.heartbeats[via].add(tier, name)
 		}
 	}
 	h.dissemination.newRevision = h.dissemination.newRevision || newRevision
 }
 
 // usesLink reports whether this router's role includes a link.
-func (h *Hierarchy) usesLink(l link) bool {
-	switch l {
+func (h *Hierarchy) usesLink(via link) bool {
+	switch via {
 	case regionLink:
 		return h.role.RepresentsSite
 	case interRegionLink:
@@ -88,8 +89,8 @@
 }
 
 // drawPartners returns up to count random routers on a link.
-func (h *Hierarchy) drawPartners(l link, count int) []netip.AddrPort {
-	switch l {
+func (h *Hierarchy) drawPartners(via link, count int) []netip.AddrPort {
+	switch via {
 	case regionLink:
 		return h.drawRepresentatives(SiteTier, h.config.Site, count)
 	case interRegionLink:
@@ -136,15 +137,16 @@
 	if !hasUpdates || h.now-d.pushedAt < h.parameters.PushInterval {
 		return
 	}
-	for l := range linkCount {
-		if !h.usesLink(l) {
+	for via := range linkCount {
+		if !h.usesLink(via) {
 			continue
 		}
-		receivers := h.drawPartners(l, h.parameters.PushFanout)
-		if l == siteLink {
+		// The draw for siteLink is unused; without it the sequence of random numbers would change.
+		receivers := h.drawPartners(via, h.parameters.PushFanout)
+		if via == siteLink {
 			receivers = h.successors(h.parameters.PushFanout)
 		}
-		h.sendAll(receivers, h.encodeUpdates(l))
+		h.sendAll(receivers, h.encodeUpdates(via))
 	}
 	d.summaries, d.newRevision, d.pushedAt = entrySet{}, false, h.now
 }
@@ -182,15 +184,15 @@
 }
 
 // encodeUpdates returns the queued updates for a link.
-func (h *Hierarchy) encodeUpdates(l link) [][]byte {
+func (h *Hierarchy) encodeUpdates(via link) [][]byte {
 	var records [][]byte
-	for _, tier := range tiersOn(l) {
+	for _, tier := range tiersOn(via) {
 		records = append(records, h.encodeSummaries(tier, h.dissemination.summaries[tier])...)
 	}
 	bodies := h.packRecords(kindUpdate, records)
 	if h.dissemination.newRevision {
-		bodies = append(bodies, h.encodeDigest(l, h.dissemination.heartbeats[l]))
-		h.dissemination.heartbeats[l] = entrySet{}
+		bodies = append(bodies, h.encodeDigest(via, h.dissemination.heartbeats[via]))
+		h.dissemination.heartbeats[via] = entrySet{}
 	}
 	return bodies
 }
@@ -199,21 +201,21 @@
 func (h *Hierarchy) exchangeDigests() {
 	h.pingCandidates()
 	d := &h.dissemination
-	for l := range linkCount {
-		if !h.usesLink(l) || h.now-d.exchangedAt[l] < h.exchangeInterval() {
+	for via := range linkCount {
+		if !h.usesLink(via) || h.now-d.exchangedAt[via] < h.exchangeInterval() {
 			continue
 		}
-		d.exchangedAt[l] = h.now
-		d.exchangeCount[l]++
-		isFullExchange := d.exchangeCount[l]%exchangesPerFullDigest == 0
-		for i, partner := range h.drawPartners(l, h.parameters.ExchangePartners) {
-			heartbeats := d.heartbeats[l]
+		d.exchangedAt[via] = h.now
+		d.exchangeCount[via]++
+		isFullExchange := d.exchangeCount[via]%exchangesPerFullDigest == 0
+		for i, partner := range h.drawPartners(via, h.parameters.ExchangePartners) {
+			heartbeats := d.heartbeats[via]
 			if i == 0 && isFullExchange {
 				heartbeats = h.allEntries()
 			}
-			h.outgoing = append(h.outgoing, Datagram{To: partner, Body: h.encodeDigest(l, heartbeats)})
+			h.outgoing = append(h.outgoing, Datagram{To: partner, Body: h.encodeDigest(via, heartbeats)})
 		}
-		d.heartbeats[l] = entrySet{}
+		d.heartbeats[via] = entrySet{}
 	}
 }
 
--- a/core/hierarchy/election.go
+++ b/core/hierarchy/election.go
@@ -6,11 +6,14 @@
 	"slices"
 )
 
+// NoRank is the rank of a router that is not known to be a member of its site, and of all routers of a fleet without tiers.
+const NoRank = -1
+
 // Role is a router's rank in its site and whom it represents. There is no vote: each router applies the same rule to its own
 // membership view. Views that differ for a moment may give a site too many representatives; summary versions resolve what they
 // publish.
 type Role struct {
-	Rank             int // among the live routers of the site, by age; -1: not known
+	Rank             int // among the live routers of the site, by age; or NoRank
 	RepresentsSite   bool
 	RepresentsRegion bool
 }
@@ -35,7 +38,7 @@
 	rank, isMember := h.ranks[h.config.Addr]
 	uptime := h.now - h.startedAt
 	if !isMember || uptime < h.parameters.SiteRoleDelay {
-		return Role{Rank: -1}
+		return Role{Rank: NoRank}
 	}
 	representsSite := h.isElected(rank)
 	return Role{
--- a/core/hierarchy/encode.go
+++ b/core/hierarchy/encode.go
@@ -8,14 +8,16 @@
 // MaxDatagramSize bounds the size in bytes of a datagram, sent or accepted.
 const MaxDatagramSize = 1300
 
-// Kinds of datagrams, their first byte. The kind determines the format of the rest; a changed format needs a new kind.
+// datagramKind is the first byte of a datagram. It determines the format of the rest; a changed format needs a new kind.
+type datagramKind byte
+
 const (
-	kindPing     = iota + 1 // the sender is responsive
-	kindDigest              // digests of the sender's tables, and heartbeats
-	kindVersions            // names and versions of a range of a table
-	kindRequest             // names of summaries that the sender lacks
-	kindUpdate              // new summaries, forwarded by the receiver
-	kindRepair              // summaries that the receiver lacks
+	kindPing     datagramKind = iota + 1 // the sender is responsive
+	kindDigest                           // digests of the sender's tables, and heartbeats
+	kindVersions                         // names and versions of a range of a table
+	kindRequest                          // names of summaries that the sender lacks
+	kindUpdate                           // new summaries, forwarded by the receiver
+	kindRepair                           // summaries that the receiver lacks
 )
 
 // Sizes of encoded fields, in bytes.
@@ -23,14 +25,18 @@
 	nameHashSize      = 4
 	versionSize       = 8
 	maxHeartbeatSize  = nameHashSize + binary.MaxVarintLen32 + 2*binary.MaxVarintLen64
-	versionRangeSize  = 2*nameHashSize + 1 // first and last name, and a reserved byte
+	versionRangeSize  = 2*nameHashSize + 1 // first and last name; a byte more, so that ranges are those of older builds
 	initialBufferSize = 64
 )
 
+// reservedHeartbeats is the part of a digest for the group's header and the heartbeat that selectHeartbeats adds. The capacity of a
+// datagram is below 256 heartbeats, so that their number fits a byte.
+const reservedHeartbeats = 1
+
 // newDatagram returns the header that all datagrams begin with: kind, fleet, region, address of the sender.
-func (h *Hierarchy) newDatagram(kind byte) []byte {
+func (h *Hierarchy) newDatagram(kind datagramKind) []byte {
 	body := make([]byte, 0, initialBufferSize)
-	body = append(body, kind)
+	body = append(body, byte(kind))
 	body = appendNameHash(body, hashName(h.config.Fleet))
 	body = appendNameHash(body, hashName(h.config.Region))
 	return appendAddress(body, h.config.Addr)
@@ -50,36 +56,37 @@
 // encodeDigest returns a datagram with the digests of the tables and as many of the given heartbeats as fit. The heartbeats are
 // grouped by tier, each group headed by the tier and the number of heartbeats. Sequence numbers are relative to this router's
 // wall clock.
-func (h *Hierarchy) encodeDigest(l link, heartbeats entrySet) []byte {
+func (h *Hierarchy) encodeDigest(via link, heartbeats entrySet) []byte {
 	body := h.newDatagram(kindDigest)
-	for _, table := range h.tables {
-		body = binary.BigEndian.AppendUint64(body, table.versionDigest())
+	for _, summaries := range h.tables {
+		body = binary.BigEndian.AppendUint64(body, summaries.versionDigest())
 	}
 	body = binary.BigEndian.AppendUint32(body, h.wallClock())
-	for _, tier := range tiersOn(l) {
-		table := h.tables[tier]
-		limit := (MaxDatagramSize-len(body))/maxHeartbeatSize - 1
-		names := h.selectHeartbeats(table, heartbeats[tier], limit)
+	for _, tier := range tiersOn(via) {
+		summaries := h.tables[tier]
+		capacity := (MaxDatagramSize - len(body)) / maxHeartbeatSize
+		limit := capacity - reservedHeartbeats
+		names := h.selectHeartbeats(summaries, heartbeats[tier], limit)
 		if len(names) == 0 {
 			continue
 		}
 		body = append(body, byte(tier), byte(len(names)))
 		for _, name := range names {
 			body = appendNameHash(body, name)
-			body = h.appendRelativeHeartbeat(body, table.entries[name].Heartbeat)
+			body = h.appendRelativeHeartbeat(body, summaries.entries[name].Heartbeat)
 		}
 	}
 	return body
 }
 
 // selectHeartbeats returns up to limit of the given entries, from a random one on, and an entry with the newest policy revision.
-func (h *Hierarchy) selectHeartbeats(table *table, entries map[nameHash]bool, limit int) (names []nameHash) {
-	for name := range table.keysFromRandom(h.random) {
+func (h *Hierarchy) selectHeartbeats(summaries *table, entries map[nameHash]bool, limit int) (names []nameHash) {
+	for name := range summaries.keysFromRandom(h.random) {
 		if entries[name] && len(names) < limit {
 			names = append(names, name)
 		}
 	}
-	name, newest := table.newestRevisionEntry()
+	name, newest := summaries.newestRevisionEntry()
 	if newest != nil && !entries[name] {
 		names = append(names, name)
 	}
@@ -104,8 +111,8 @@
 // encodeVersions returns datagrams with all versions of a tier, each for a range of names. The ranges cover all names, so that
 // the receiver can tell which summaries this router lacks.
 func (h *Hierarchy) encodeVersions(tier Tier) (bodies [][]byte) {
-	table := h.tables[tier]
-	names := table.sortedKeys()
+	summaries := h.tables[tier]
+	names := summaries.sortedKeys()
 	first := nameHash(0)
 	for {
 		body := append(h.newDatagram(kindVersions), byte(tier))
@@ -119,7 +126,7 @@
 		body = appendNameHash(body, last)
 		for _, name := range names[:count] {
 			body = appendNameHash(body, name)
-			body = binary.BigEndian.AppendUint64(body, uint64(table.entries[name].Version))
+			body = binary.BigEndian.AppendUint64(body, uint64(summaries.entries[name].Version))
 		}
 		bodies = append(bodies, body)
 		names, first = names[count:], last+1
@@ -149,25 +156,25 @@
 	return records
 }
 
-func appendSummary(body []byte, tier Tier, entry *entry) []byte {
-	body = append(body, byte(tier), byte(len(entry.Name)))
-	body = append(body, entry.Name...)
-	body = binary.BigEndian.AppendUint64(body, uint64(entry.Version))
-	body = binary.AppendUvarint(body, uint64(entry.Counts.Alive))
-	body = binary.AppendUvarint(body, uint64(entry.Counts.Accepting))
-	body = binary.AppendUvarint(body, uint64(entry.Counts.Total))
-	body = binary.AppendUvarint(body, uint64(entry.SiteCount))
-	body = binary.AppendUvarint(body, uint64(entry.LostSites))
-	body = binary.BigEndian.AppendUint64(body, entry.Digest)
-	body = append(body, byte(len(entry.Representatives)))
-	for _, addr := range entry.Representatives {
+func appendSummary(body []byte, tier Tier, group *entry) []byte {
+	body = append(body, byte(tier), byte(len(group.Name)))
+	body = append(body, group.Name...)
+	body = binary.BigEndian.AppendUint64(body, uint64(group.Version))
+	body = binary.AppendUvarint(body, uint64(group.Counts.Alive))
+	body = binary.AppendUvarint(body, uint64(group.Counts.Accepting))
+	body = binary.AppendUvarint(body, uint64(group.Counts.Total))
+	body = binary.AppendUvarint(body, uint64(group.SiteCount))
+	body = binary.AppendUvarint(body, uint64(group.LostSites))
+	body = binary.BigEndian.AppendUint64(body, group.Digest)
+	body = append(body, byte(len(group.Representatives)))
+	for _, addr := range group.Representatives {
 		body = appendAddress(body, addr)
 	}
-	return appendHeartbeat(body, entry.Heartbeat)
+	return appendHeartbeat(body, group.Heartbeat)
 }
 
 // packRecords packs records into datagrams of a kind, in order.
-func (h *Hierarchy) packRecords(kind byte, records [][]byte) (bodies [][]byte) {
+func (h *Hierarchy) packRecords(kind datagramKind, records [][]byte) (bodies [][]byte) {
 	var body []byte
 	for _, record := range records {
 		if body != nil && len(body)+len(record) > MaxDatagramSize {
--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -80,11 +80,11 @@
 
 // stateOf returns the state of a site or region at a router; Lost + 1 if the router does not know it.
 func stateOf(router *simulatedRouter, tier Tier, name string) State {
-	entry := router.hierarchy.tables[tier].entries[hashName(name)]
-	if entry == nil {
+	group := router.hierarchy.tables[tier].entries[hashName(name)]
+	if group == nil {
 		return Lost + 1
 	}
-	return router.hierarchy.summaryState(entry)
+	return router.hierarchy.summaryState(group)
 }
 
 // A region partitioned for an hour keeps its own tiers, shows the others as stale and then as lost with their last counts, and converges
@@ -128,8 +128,8 @@
 	failed, other := fleet.sites[0], fleet.sites[1].routers[2]
 	fleet.killMatching(failed, func(*simulatedRouter) bool { return true })
 	took := fleet.waitUntil("counting without the failed site", fleet.parameters.LostAfter+40*clock.Second, func() bool {
-		entry := other.hierarchy.tables[RegionTier].entries[hashName(failed.region)]
-		return entry.Counts.Alive == 8 && entry.LostSites == 1
+		group := other.hierarchy.tables[RegionTier].entries[hashName(failed.region)]
+		return group.Counts.Alive == 8 && group.LostSites == 1
 	})
 	t.Logf("no longer counted after %.0f s", seconds(took))
 	if took < fleet.parameters.StaleAfter {
@@ -178,8 +178,8 @@
 	fleet.run(5 * clock.Second)
 	router, other := fleet.routers[0], fleet.routers[4]
 	for i := range uint64(100000) {
-		entry := &entry{Summary: Summary{Name: formatHex(i), Version: 1 << 40}, Heartbeat: Heartbeat{Sequence: router.hierarchy.wallClock()}}
-		router.hierarchy.Receive(fleet.now, append(other.hierarchy.newDatagram(kindUpdate), appendSummary(nil, Tier(i%2), entry)...))
+		group := &entry{Summary: Summary{Name: formatHex(i), Version: 1 << 40}, Heartbeat: Heartbeat{Sequence: router.hierarchy.wallClock()}}
+		router.hierarchy.Receive(fleet.now, append(other.hierarchy.newDatagram(kindUpdate), appendSummary(nil, Tier(i%2), group)...))
 		router.hierarchy.Receive(fleet.now, other.hierarchy.encodeDigest(regionLink, entrySet{}))
 	}
 	if s, r := len(router.hierarchy.tables[SiteTier].entries), len(router.hierarchy.tables[RegionTier].entries); s > maxSites || r > maxRegions {
@@ -232,14 +232,14 @@
 	f.Add(h.packRecords(kindUpdate, h.encodeSummaries(SiteTier, h.allEntries()[SiteTier]))[0])
 	f.Add(h.packRecords(kindRepair, h.encodeSummaries(RegionTier, h.allEntries()[RegionTier]))[0])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		m, err := decode(body)
+		received, err := decode(body)
 		if err != nil {
 			return
 		}
-		if n := len(m.heartbeats[SiteTier]) + len(m.heartbeats[RegionTier]) + len(m.versions) + len(m.names) + len(m.summaries); n > MaxDatagramSize {
+		if n := len(received.heartbeats[SiteTier]) + len(received.heartbeats[RegionTier]) + len(received.versions) + len(received.names) + len(received.summaries); n > MaxDatagramSize {
 			t.Errorf("entries decoded from %d bytes: got %d, want at most %d", len(body), n, MaxDatagramSize)
 		}
-		for _, record := range m.summaries {
+		for _, record := range received.summaries {
 			copied := &reader{remaining: appendSummary(nil, record.tier, &entry{Summary: record.Summary, Heartbeat: record.Heartbeat})}
 			got := copied.summary()
 			isEqual := sameContent(got.Summary, record.Summary) && got.Version == record.Version && got.Heartbeat == record.Heartbeat
--- a/core/hierarchy/golden_test.go
+++ b/core/hierarchy/golden_test.go
@@ -22,8 +22,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("datagrams and statuses: got\n%s\nwant as in %s\n%s", got, path, want)
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Fatalf("line %d: got\n%s\nwant as in %s\n%s", i+1, gotLines[i], path, wantLines[i])
+		}
+	}
+	if len(gotLines) != len(wantLines) {
+		t.Errorf("got %d lines, want %d as in %s", len(gotLines), len(wantLines), path)
 	}
 }
 
--- a/core/hierarchy/hierarchy.go
+++ b/core/hierarchy/hierarchy.go
@@ -65,7 +65,7 @@
 	parameters Parameters
 	config     Config
 	startedAt  clock.Time
-	now        clock.Time
+	now        clock.Time // the latest time given to any method
 	random     *rand.Rand
 
 	localSite      LocalSite
@@ -74,12 +74,12 @@
 	role           Role
 	tables         [tierCount]*table
 
-	publications     [tierCount]publication
-	dissemination    dissemination
-	outgoing         []Datagram
-	lastMismatchAt   clock.Time // when a digest of another router last differed
-	compared         bool       // a digest of another router was received
-	droppedDatagrams uint64     // malformed or foreign ones received, and replies over the limit
+	publications      [tierCount]publication
+	dissemination     dissemination
+	outgoing          []Datagram
+	lastMismatchAt    clock.Time // when a digest of another router last differed
+	hasComparedDigest bool       // a digest of another router was received
+	droppedDatagrams  uint64     // malformed or foreign ones received, and replies over the limit
 }
 
 // New returns a Hierarchy that knows of no other site or region.
@@ -120,13 +120,13 @@
 }
 
 // heartbeatAge is the time since a newer heartbeat of the entry was last received or published.
-func (h *Hierarchy) heartbeatAge(e *entry) clock.Duration { return h.now - e.heartbeatAt }
+func (h *Hierarchy) heartbeatAge(group *entry) clock.Duration { return h.now - group.heartbeatAt }
 
 func (h *Hierarchy) expireSummaries() {
-	for _, table := range h.tables {
-		for name, entry := range table.entries {
-			if h.heartbeatAge(entry) > h.parameters.ExpireAfter {
-				table.remove(name)
+	for _, summaries := range h.tables {
+		for name, group := range summaries.entries {
+			if h.heartbeatAge(group) > h.parameters.ExpireAfter {
+				summaries.remove(name)
 			}
 		}
 	}
--- a/core/hierarchy/publication.go
+++ b/core/hierarchy/publication.go
@@ -61,24 +61,24 @@
 	}
 	heartbeat.Sequence = max(current.Sequence+1, h.wallClock())
 
-	publication := &h.publications[tier]
+	progress := &h.publications[tier]
 	if sameContent(current.Summary, summary) {
-		publication.differsSince = 0
+		progress.differsSince = 0
 		h.publishHeartbeat(tier, current, heartbeat, intervals.heartbeat+takeover)
 		return
 	}
-	if publication.differsSince == 0 || publication.differsFrom != current.Version {
-		publication.differsSince, publication.differsFrom = h.now, current.Version
+	if progress.differsSince == 0 || progress.differsFrom != current.Version {
+		progress.differsSince, progress.differsFrom = h.now, current.Version
 	}
-	leftToHigherRank := h.now-publication.differsSince < takeover
-	publishedRecently := publication.publishedAt != 0 && h.now-publication.publishedAt < intervals.summary
+	leftToHigherRank := h.now-progress.differsSince < takeover
+	publishedRecently := progress.publishedAt != 0 && h.now-progress.publishedAt < intervals.summary
 	if leftToHigherRank || publishedRecently {
 		return
 	}
 	writer := uint16(hashName(h.config.Addr.String()))
 	summary.Version = current.Version.next(h.config.WallClockSeconds, writer)
 	h.tables[tier].merge(h.now, summary, heartbeat)
-	publication.publishedAt, publication.differsSince = h.now, 0
+	progress.publishedAt, progress.differsSince = h.now, 0
 	h.queueSummary(tier, name)
 }
 
--- a/core/hierarchy/reconnect.go
+++ b/core/hierarchy/reconnect.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// introduce sends the local summaries and the digests of the tables to a router that may not know this one.
+// introduce sends the local summaries and the digests of the tables to a router that may not know this one. The digest is that of
+// regionLink, which includes both tiers; a receiver in another region ignores the tier of sites.
 func (h *Hierarchy) introduce(peer netip.AddrPort) {
 	records := h.encodeSummaries(SiteTier, map[nameHash]bool{hashName(h.config.Site): true})
 	records = append(records, h.encodeSummaries(RegionTier, map[nameHash]bool{hashName(h.config.Region): true})...)
@@ -73,8 +74,8 @@
 }
 
 func (h *Hierarchy) hasFreshNeighbour(tier Tier) bool {
-	for _, entry := range h.tables[tier].entries {
-		if entry.Name != h.ownName(tier) && h.heartbeatAge(entry) <= h.parameters.StaleAfter {
+	for _, group := range h.tables[tier].entries {
+		if group.Name != h.ownName(tier) && h.heartbeatAge(group) <= h.parameters.StaleAfter {
 			return true
 		}
 	}
@@ -84,8 +85,8 @@
 // hasStaleSummary reports whether a summary of a tier that this router represents is stale.
 func (h *Hierarchy) hasStaleSummary() bool {
 	for tier := range tierCount {
-		for _, entry := range h.tables[tier].entries {
-			if h.representsTier(tier) && h.heartbeatAge(entry) > h.parameters.StaleAfter {
+		for _, group := range h.tables[tier].entries {
+			if h.representsTier(tier) && h.heartbeatAge(group) > h.parameters.StaleAfter {
 				return true
 			}
 		}
@@ -100,9 +101,9 @@
 		if !h.representsTier(tier) {
 			continue
 		}
-		for _, entry := range h.tables[tier].entries {
-			if h.heartbeatAge(entry) > h.parameters.StaleAfter {
-				peers = append(peers, entry.Representatives...)
+		for _, group := range h.tables[tier].entries {
+			if h.heartbeatAge(group) > h.parameters.StaleAfter {
+				peers = append(peers, group.Representatives...)
 			}
 		}
 	}
@@ -134,8 +135,8 @@
 func (h *Hierarchy) KnownRepresentatives() []netip.AddrPort {
 	var representatives []netip.AddrPort
 	for tier := range tierCount {
-		for _, entry := range h.tables[tier].entriesByName() {
-			representatives = append(representatives, entry.Representatives...)
+		for _, group := range h.tables[tier].entriesByName() {
+			representatives = append(representatives, group.Representatives...)
 		}
 	}
 	representatives = h.excludeLocalSite(representatives)
--- a/core/hierarchy/repair.go
+++ b/core/hierarchy/repair.go
@@ -21,44 +21,45 @@
 // Receive processes a datagram. Replies are returned by the next Tick. Malformed datagrams and those of another fleet are
 // counted and dropped.
 func (h *Hierarchy) Receive(now clock.Time, body []byte) {
-	m, err := decode(body)
-	if err != nil || m.fleet != hashName(h.config.Fleet) {
+	received, err := decode(body)
+	if err != nil || received.fleet != hashName(h.config.Fleet) {
 		h.droppedDatagrams++
 		return
 	}
 	h.now = max(h.now, now)
-	if _, isMember := h.ranks[m.from]; isMember {
-		h.lastReceivedAt[m.from] = h.now
+	if _, isMember := h.ranks[received.from]; isMember {
+		h.lastReceivedAt[received.from] = h.now
 	}
-	switch m.kind {
+	switch received.kind {
+	case kindPing: // recorded above
 	case kindDigest:
-		h.receiveHeartbeats(m)
-		h.compareDigests(m)
+		h.receiveHeartbeats(received)
+		h.compareDigests(received)
 	case kindVersions:
-		if h.sharesTier(m, m.tier) {
-			h.repair(m)
+		if h.sharesTier(received, received.tier) {
+			h.repair(received)
 		}
 	case kindRequest:
-		h.reply(m.from, h.packRecords(kindRepair, h.encodeSummaries(m.tier, m.requested())), maxReplyDatagrams)
+		h.reply(received.from, h.packRecords(kindRepair, h.encodeSummaries(received.tier, received.requested())), maxReplyDatagrams)
 	case kindUpdate, kindRepair:
-		h.receiveSummaries(m)
+		h.receiveSummaries(received)
 	}
 }
 
 // sharesTier reports whether the sender has the same summaries of a tier as this router: sites are known within a region only.
-func (h *Hierarchy) sharesTier(m message, tier Tier) bool {
-	return tier == RegionTier || m.region == hashName(h.config.Region)
+func (h *Hierarchy) sharesTier(received message, tier Tier) bool {
+	return tier == RegionTier || received.region == hashName(h.config.Region)
 }
 
-func (h *Hierarchy) receiveHeartbeats(m message) {
+func (h *Hierarchy) receiveHeartbeats(received message) {
 	for tier := range tierCount {
-		if !h.sharesTier(m, tier) {
+		if !h.sharesTier(received, tier) {
 			continue
 		}
-		for _, received := range m.heartbeats[tier] {
-			maxRevision := h.maxPublishedRevision()
-			if h.tables[tier].recordHeartbeat(h.now, received.name, received.Heartbeat) {
-				h.queueHeartbeat(tier, received.name, received.MaxRevision > maxRevision)
+		for _, record := range received.heartbeats[tier] {
+			maxRevision := h.maxPublishedRevision() // each recorded heartbeat may raise it
+			if h.tables[tier].recordHeartbeat(h.now, record.name, record.Heartbeat) {
+				h.queueHeartbeat(tier, record.name, record.MaxRevision > maxRevision)
 			}
 		}
 	}
@@ -66,10 +67,10 @@
 
 // compareDigests answers a digest that differs from this router's with the versions of its table, so that the sender can repair
 // both.
-func (h *Hierarchy) compareDigests(m message) {
-	h.compared = true
+func (h *Hierarchy) compareDigests(received message) {
+	h.hasComparedDigest = true
 	for tier := range tierCount {
-		if !h.sharesTier(m, tier) || m.digests[tier] == h.tables[tier].versionDigest() {
+		if !h.sharesTier(received, tier) || received.digests[tier] == h.tables[tier].versionDigest() {
 			continue
 		}
 		h.lastMismatchAt = h.now
@@ -77,7 +78,7 @@
 			continue
 		}
 		h.dissemination.versionsSentAt[tier] = h.now
-		h.reply(m.from, h.encodeVersions(tier), maxReplyDatagrams)
+		h.reply(received.from, h.encodeVersions(tier), maxReplyDatagrams)
 	}
 }
 
@@ -91,11 +92,11 @@
 }
 
 // repair sends the summaries that the sender of versions lacks, and requests those that this router lacks.
-func (h *Hierarchy) repair(m message) {
-	entries := h.tables[m.tier].entries
+func (h *Hierarchy) repair(received message) {
+	entries := h.tables[received.tier].entries
 	theirVersions := map[nameHash]Version{}
 	var missingHere []nameHash
-	for _, theirs := range m.versions {
+	for _, theirs := range received.versions {
 		theirVersions[theirs.name] = theirs.version
 		own := entries[theirs.name]
 		if own == nil || own.Version < theirs.version {
@@ -104,23 +105,23 @@
 	}
 	missingThere := map[nameHash]bool{}
 	for name, own := range entries {
-		inRange := name >= m.first && name <= m.last
+		inRange := name >= received.first && name <= received.last
 		if inRange && theirVersions[name] < own.Version {
 			missingThere[name] = true
 		}
 	}
-	h.reply(m.from, h.packRecords(kindRepair, h.encodeSummaries(m.tier, missingThere)), maxReplyDatagrams)
+	h.reply(received.from, h.packRecords(kindRepair, h.encodeSummaries(received.tier, missingThere)), maxReplyDatagrams)
 	if len(missingHere) > 0 {
-		h.reply(m.from, [][]byte{h.encodeRequest(m.tier, missingHere)}, 1)
+		h.reply(received.from, [][]byte{h.encodeRequest(received.tier, missingHere)}, 1)
 	}
 }
 
 // receiveSummaries merges summaries and forwards newer ones. A router without a role does not forward a large repair: a router
 // that just joined lacks everything, and the others of its site do not.
-func (h *Hierarchy) receiveSummaries(m message) {
-	forwards := m.kind == kindUpdate || len(m.summaries) <= maxForwardedRepair || h.role.RepresentsSite
-	for _, record := range m.summaries {
-		if !h.sharesTier(m, record.tier) || h.isExpired(record.Heartbeat) {
+func (h *Hierarchy) receiveSummaries(received message) {
+	forwards := received.kind == kindUpdate || len(received.summaries) <= maxForwardedRepair || h.role.RepresentsSite
+	for _, record := range received.summaries {
+		if !h.sharesTier(received, record.tier) || h.isExpired(record.Heartbeat) {
 			continue
 		}
 		if record.tier == RegionTier && record.Name == h.config.Region {
--- a/core/hierarchy/status.go
+++ b/core/hierarchy/status.go
@@ -30,7 +30,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is none of fresh, stale, lost", text)
+	return fmt.Errorf("state of a summary: %q is none of fresh, stale, lost", text)
 }
 
 // GroupStatus is the state of a site or a region as shown to operators.
@@ -63,7 +63,7 @@
 	DatagramsDropped uint64        `json:"datagrams_dropped"`
 }
 
-// Status returns the state as of now.
+// Status returns the state as of now. It advances the time as Tick does.
 func (h *Hierarchy) Status(now clock.Time) Status {
 	h.now = max(h.now, now)
 	sitesDigest, regionsDigest := h.Digests()
@@ -83,7 +83,7 @@
 }
 
 // Settled reports whether this router knows its own site and region, and for Parameters.SettleAfter no summary has changed and
-// no digest of another router has differed.
+// no digest of another router has differed. It advances the time as Tick does.
 func (h *Hierarchy) Settled(now clock.Time) bool {
 	h.now = max(h.now, now)
 	for tier := range tierCount {
@@ -93,7 +93,7 @@
 			return false
 		}
 	}
-	hasComparison := h.compared || len(h.localSite.Members) == 1
+	hasComparison := h.hasComparedDigest || len(h.localSite.Members) == 1
 	return hasComparison && h.now-h.lastMismatchAt >= h.parameters.SettleAfter
 }
 
@@ -104,8 +104,8 @@
 
 // maxPublishedRevision returns the highest policy revision of all summaries that are not lost.
 func (h *Hierarchy) maxPublishedRevision() (revision uint64) {
-	for _, table := range h.tables {
-		revision = max(revision, table.maxRevision(h.now, h.parameters.LostAfter))
+	for _, summaries := range h.tables {
+		revision = max(revision, summaries.maxRevision(h.now, h.parameters.LostAfter))
 	}
 	return revision
 }
@@ -115,8 +115,8 @@
 	return h.tables[SiteTier].versionDigest(), h.tables[RegionTier].versionDigest()
 }
 
-func (h *Hierarchy) summaryState(entry *entry) State {
-	age := h.heartbeatAge(entry)
+func (h *Hierarchy) summaryState(group *entry) State {
+	age := h.heartbeatAge(group)
 	switch {
 	case age > h.parameters.LostAfter:
 		return Lost
@@ -128,24 +128,24 @@
 }
 
 func (h *Hierarchy) groupStatuses(tier Tier) (groups []GroupStatus) {
-	for _, entry := range h.tables[tier].entriesByName() {
-		group := GroupStatus{
-			Name:            entry.Name,
-			State:           h.summaryState(entry),
-			Age:             h.heartbeatAge(entry),
-			Counts:          entry.Counts,
-			SiteCount:       entry.SiteCount,
-			LostSites:       entry.LostSites,
-			MinRevision:     entry.MinRevision,
-			MaxRevision:     entry.MaxRevision,
-			Version:         formatHex(uint64(entry.Version)),
-			Digest:          formatHex(entry.Digest),
+	for _, group := range h.tables[tier].entriesByName() {
+		status := GroupStatus{
+			Name:            group.Name,
+			State:           h.summaryState(group),
+			Age:             h.heartbeatAge(group),
+			Counts:          group.Counts,
+			SiteCount:       group.SiteCount,
+			LostSites:       group.LostSites,
+			MinRevision:     group.MinRevision,
+			MaxRevision:     group.MaxRevision,
+			Version:         formatHex(uint64(group.Version)),
+			Digest:          formatHex(group.Digest),
 			Representatives: []string{},
 		}
-		for _, addr := range entry.Representatives {
-			group.Representatives = append(group.Representatives, addr.String())
+		for _, addr := range group.Representatives {
+			status.Representatives = append(status.Representatives, addr.String())
 		}
-		groups = append(groups, group)
+		groups = append(groups, status)
 	}
 	return groups
 }
--- a/core/hierarchy/table.go
+++ b/core/hierarchy/table.go
@@ -76,8 +76,20 @@
 
 // sortedKeys returns the keys of all entries in ascending order.
 func (t *table) sortedKeys() []nameHash {
+	t.refresh()
+	return t.sorted
+}
+
+// versionDigest returns a digest over the names and versions of all entries. Tables with equal summaries have equal digests.
+func (t *table) versionDigest() uint64 {
+	t.refresh()
+	return t.digest
+}
+
+// refresh recomputes the sorted keys and the digest after a change.
+func (t *table) refresh() {
 	if t.sorted != nil {
-		return t.sorted
+		return
 	}
 	t.sorted = make([]nameHash, 0, len(t.entries))
 	for name := range t.entries {
@@ -88,7 +100,6 @@
 	for _, name := range t.sorted {
 		t.digest = mixHash(mixHash(t.digest, uint64(name)), uint64(t.entries[name].Version))
 	}
-	return t.sorted
 }
 
 // keysFromRandom iterates over all keys in ascending order, cyclically from a random one.
@@ -107,12 +118,6 @@
 	}
 }
 
-// versionDigest returns a digest over the names and versions of all entries. Tables with equal summaries have equal digests.
-func (t *table) versionDigest() uint64 {
-	t.sortedKeys()
-	return t.digest
-}
-
 // mixHash adds a value to a 64-bit hash (the finalizer of splitmix64).
 func mixHash(hash, value uint64) uint64 {
 	x := hash*0x9e3779b97f4a7c15 + value + 0x9e3779b97f4a7c15
@@ -123,9 +128,9 @@
 
 // maxRevision returns the highest policy revision of the entries with a heartbeat in the last lostAfter.
 func (t *table) maxRevision(now clock.Time, lostAfter clock.Duration) (revision uint64) {
-	for _, entry := range t.entries {
-		if now-entry.heartbeatAt <= lostAfter {
-			revision = max(revision, entry.MaxRevision)
+	for _, group := range t.entries {
+		if now-group.heartbeatAt <= lostAfter {
+			revision = max(revision, group.MaxRevision)
 		}
 	}
 	return revision
@@ -145,8 +150,8 @@
 // entriesByName returns all entries in the order of their names.
 func (t *table) entriesByName() []*entry {
 	entries := make([]*entry, 0, len(t.entries))
-	for _, entry := range t.entries {
-		entries = append(entries, entry)
+	for _, group := range t.entries {
+		entries = append(entries, group)
 	}
 	slices.SortFunc(entries, func(a, b *entry) int { return cmp.Compare(a.Name, b.Name) })
 	return entries
--- a/core/sitefailover/command.go
+++ b/core/sitefailover/command.go
@@ -21,7 +21,8 @@
 	Reason string
 }
 
-// Transition returns the transition that carries the command out, or why the site's decision does not allow it.
+// Transition returns the transition that carries the command out, or why the site's decision does not allow it. The text of the error
+// is part of the admin endpoint's reply and does not change.
 func (c Command) Transition(plan *Plan, decisions map[Site]Decision) (*Transition, error) {
 	if !plan.contains(c.Site) {
 		return nil, fmt.Errorf("%q is no site of the plan; cache-routerctl fleet site status names them", c.Site)
--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -13,7 +13,7 @@
 	// maxRetryAfter bounds the retry-after of rejected requests, as the end of an outage is unknown. A lower limit in the
 	// settings applies as well.
 	maxRetryAfter = 30 * clock.Second
-	// loadSmoothing is the weight of an evaluation in the average load.
+	// loadSmoothing is the number of evaluations that the average load spans: each has the weight 1/loadSmoothing.
 	loadSmoothing = 20
 )
 
@@ -53,24 +53,24 @@
 	slices.SortFunc(routers, func(a, b RouterState) int { return cmp.Compare(a.Name, b.Name) })
 	reporting := slices.DeleteFunc(slices.Clone(routers), func(router RouterState) bool { return !router.Reporting })
 	if c.throttle.target == 0 && !c.isWarmedUp(now) {
-		c.throttle.target = medianTarget(reporting) // of the leader before
+		c.throttle.target = medianTarget(reporting) // a new leader continues with the target of its predecessor
 	}
 	fleet := sumTraffic(reporting)
-	evaluation := evaluation{now: now, plan: plan, decisions: decisions, fleet: fleet}
+	current := pass{now: now, plan: plan, decisions: decisions, fleet: fleet}
 	for _, site := range plan.Sites {
-		c.evaluateSite(&evaluation, site, collectEvidence(site.Name, routers, reporting))
+		c.evaluateSite(&current, site, collectEvidence(site.Name, routers, reporting))
 	}
-	if !evaluation.anyDegraded {
+	if !current.anyDegraded {
 		c.averageLoad += (fleet.answeredRate() - c.averageLoad) / loadSmoothing
 	}
-	assignDisplaced(evaluation.capacities, evaluation.displacedServers, evaluation.orders.FailoverWeights)
-	capacity, limitingSite := totalCapacity(evaluation.capacities)
-	measuredRatio := c.throttle.measuredRatio
-	c.throttle.update(now, fleet, capacity, evaluation.anyDegraded)
-	orders := c.admissionOrders(evaluation.orders, fleet, plan)
+	assignDisplaced(current.capacities, current.displacedServers, current.orders.FailoverWeights)
+	capacity, limitingSite := totalCapacity(current.capacities)
+	measuredRatio := c.throttle.measuredRatio // the status has the ratio that this update uses, and update may change it
+	c.throttle.update(now, fleet, capacity, current.anyDegraded)
+	orders := c.admissionOrders(current.orders, fleet, plan)
 	c.status = Status{
 		Now:                   now,
-		Sites:                 evaluation.sites,
+		Sites:                 current.sites,
 		Capacity:              capacity,
 		MeasuredCapacityRatio: measuredRatio,
 		LimitingSite:          limitingSite,
@@ -80,7 +80,7 @@
 		OriginSlowdown:        fleet.originSlowdown,
 		Orders:                orders,
 	}
-	return orders, evaluation.transition
+	return orders, current.transition
 }
 
 func (c *Coordinator) isWarmedUp(now clock.Time) bool { return now-c.startedAt >= leaderWarmUp }
@@ -97,8 +97,8 @@
 	return orders
 }
 
-// evaluation collects the results of one call of Evaluate.
-type evaluation struct {
+// pass collects the results of one call of Evaluate.
+type pass struct {
 	now       clock.Time
 	plan      *Plan
 	decisions map[Site]Decision
@@ -114,17 +114,17 @@
 }
 
 // evaluateSite updates the state of one site and adds its part of the evaluation.
-func (c *Coordinator) evaluateSite(evaluation *evaluation, site SitePlan, e evidence) {
-	decision := evaluation.decisions[site.Name]
-	state := c.siteState(evaluation.now, site.Name)
-	state.setDecision(evaluation.now, decision, evaluation.fleet.failedFraction)
-	state.observe(evaluation.now, e)
+func (c *Coordinator) evaluateSite(current *pass, site SitePlan, found evidence) {
+	decision := current.decisions[site.Name]
+	state := c.siteState(current.now, site.Name)
+	state.setDecision(current.now, decision, current.fleet.failedFraction)
+	state.observe(current.now, found)
 
-	responding := e.responding
-	if decision.Stage != Lost && c.isWarmedUp(evaluation.now) && !e.known {
-		responding = 0
+	responding := found.responding
+	if decision.Stage != Lost && c.isWarmedUp(current.now) && !found.known {
+		responding = 0 // no reporting router expects servers there
 	}
-	keyShare := decision.keyShare(evaluation.plan)
+	keyShare := decision.keyShare(current.plan)
 	fullCapacity := cmp.Or(site.Capacity, state.peakRate)
 	status := SiteStatus{
 		Decision:         decision,
@@ -133,56 +133,57 @@
 		Capacity:         fullCapacity * keyShare * responding,
 		CapacityPlanned:  site.Capacity > 0,
 		Responding:       responding,
-		Routers:          e.routers,
-		ReportingRouters: e.reportingRouters,
+		Routers:          found.routers,
+		ReportingRouters: found.reportingRouters,
 	}
-	evaluation.anyDegraded = evaluation.anyDegraded || status.isDegraded()
-	evaluation.displacedServers += float64(e.expectedServers) * (1 - keyShare)
-	evaluation.capacities = append(evaluation.capacities, availableCapacity{
+	current.anyDegraded = current.anyDegraded || status.isDegraded()
+	current.displacedServers += float64(found.expectedServers) * (1 - keyShare)
+	current.capacities = append(current.capacities, availableCapacity{
 		site:     site.Name,
-		servers:  float64(e.expectedServers) * keyShare * responding,
+		servers:  float64(found.expectedServers) * keyShare * responding,
 		capacity: status.Capacity,
 	})
 	if keyShare < 1 {
-		evaluation.addKeyShare(site.Name, keyShare, decision)
+		current.addKeyShare(site.Name, keyShare, decision)
 	}
-	if c.isWarmedUp(evaluation.now) {
-		status.WaitingFor = c.proposeTransition(evaluation, site.Name, state, e)
+	if c.isWarmedUp(current.now) {
+		due := c.dueTransition(current, site.Name, state, found)
+		status.WaitingFor = due.waitingFor
+		current.transition = cmp.Or(current.transition, due.transition)
 	}
-	evaluation.sites = append(evaluation.sites, status)
+	current.sites = append(current.sites, status)
 }
 
 // addKeyShare orders the key share of a site that is not up. The failover weights are those of the latest decision.
-func (e *evaluation) addKeyShare(site Site, share float64, decision Decision) {
-	e.orders.KeyShares = append(e.orders.KeyShares, SiteShare{Site: site, Fraction: share})
-	if decision.Index >= e.latestDecision {
-		e.latestDecision, e.orders.FailoverWeights = decision.Index, decision.FailoverWeights
+func (p *pass) addKeyShare(site Site, share float64, decision Decision) {
+	p.orders.KeyShares = append(p.orders.KeyShares, SiteShare{Site: site, Fraction: share})
+	if decision.Index >= p.latestDecision {
+		p.latestDecision, p.orders.FailoverWeights = decision.Index, decision.FailoverWeights
 	}
 }
 
-// proposeTransition sets the evaluation's transition if one of the site is due and there is none yet. It returns what the site's
-// next transition waits for.
-func (c *Coordinator) proposeTransition(evaluation *evaluation, site Site, state *siteState, e evidence) (waitingFor string) {
-	proposal := state.next(evaluation.now, evaluation.plan, e, evaluation.fleet)
-	transition := proposal.transition
+// dueTransition completes the transition of a site that is due. It proposes none if one of another site is proposed already, or if
+// no other site is left.
+func (c *Coordinator) dueTransition(current *pass, site Site, state *siteState, found evidence) proposal {
+	due := state.next(current.now, current.plan, found, current.fleet)
+	transition := due.transition
 	if transition == nil {
-		return proposal.waitingFor
+		return due
 	}
-	if transition.Stage == Lost && evaluation.plan.isLastSite(site, evaluation.decisions) {
-		return "it is the only site that is not lost"
+	if transition.Stage == Lost && current.plan.isLastSite(site, current.decisions) {
+		return waitFor("it is the only site that is not lost")
 	}
-	if evaluation.transition != nil {
-		return ""
+	if current.transition != nil {
+		return proposal{}
 	}
 	transition.Site, transition.PreviousIndex = site, state.decision.Index
 	switch {
 	case transition.Stage == Lost && state.decision.Stage == Up:
-		transition.FailoverWeights = c.FailoverWeights(evaluation.plan, site, evaluation.decisions)
+		transition.FailoverWeights = c.FailoverWeights(current.plan, site, current.decisions)
 	case transition.Stage != Up:
 		transition.FailoverWeights = state.decision.FailoverWeights
 	}
-	evaluation.transition = transition
-	return ""
+	return due
 }
 
 func (c *Coordinator) siteState(now clock.Time, site Site) *siteState {
--- a/core/sitefailover/decision.go
+++ b/core/sitefailover/decision.go
@@ -46,7 +46,7 @@
 // Transition is a raft log entry that replaces the decision on a site. It applies only if the current decision has the index
 // PreviousIndex, so that concurrent transitions of one site do not override each other.
 type Transition struct {
-	Site          Site
+	Site          Site   `json:"Site"`
 	PreviousIndex uint64 `json:"On"`
 	Decision
 }
--- a/core/sitefailover/evidence.go
+++ b/core/sitefailover/evidence.go
@@ -27,10 +27,10 @@
 
 // siteView sums the observations of one observing site.
 type siteView struct {
-	routers       float64
+	routers       int
+	findingSilent int // routers
+	findingHalf   int // routers
 	respondingSum float64
-	findingSilent float64 // routers
-	findingHalf   float64 // routers
 }
 
 func (v *siteView) add(responding float64) {
@@ -78,10 +78,10 @@
 func (e *evidence) addViews(site Site, views map[Site]*siteView) {
 	var means []float64
 	for observer, view := range views {
-		mean := view.respondingSum / view.routers
+		mean := view.respondingSum / float64(view.routers)
 		means = append(means, mean)
 		if observer == site {
-			e.localWitnesses = int(view.routers - view.findingSilent)
+			e.localWitnesses = view.routers - view.findingSilent
 			e.respondingLocally = mean
 			continue
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-// isQuorum reports whether a number of the other sites is most of them, and two at least unless there is only one.
+// isQuorum reports whether a number of the other sites is a majority of them, and at least two if there are two or more.
 func (e evidence) isQuorum(sites int) bool {
 	return e.otherSites > 0 && sites >= min(2, e.otherSites) && 2*sites > e.otherSites
 }
--- a/core/sitefailover/forecast.go
+++ b/core/sitefailover/forecast.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// overShareRatio is the multiple of its share from which on a tenant counts as over its share, as in package routing.
+// overShareRatio is the multiple of its share from which on a tenant counts as over its share. Package routing uses the same ratio for
+// admission, with a tolerance for measured rates.
 const overShareRatio = 1.2
 
 // RequestLoad is the rate of the first attempts of one method, tenant and rank.
--- a/core/sitefailover/orders.go
+++ b/core/sitefailover/orders.go
@@ -19,7 +19,8 @@
 	Fraction float64 `json:"p"`
 }
 
-// Empty reports whether the orders have no effect.
+// Empty reports whether the orders have no effect. FailoverWeights have none without KeyShares; MinRank, MinRankFraction and RetryAfter
+// have none without an AdmissionTarget.
 func (o *Orders) Empty() bool {
 	return len(o.KeyShares) == 0 && o.AdmissionTarget == 0 && o.OriginReadRate == 0
 }
--- a/core/sitefailover/plan.go
+++ b/core/sitefailover/plan.go
@@ -1,46 +1,3 @@
-// Package sitefailover decides how a fleet handles the loss of a whole site: which sites count as lost, how a site recovers in
-// steps, how the keys of a lost site are spread over the others, and which requests all routers reject meanwhile.
-//
-// The leader of the policy quorum (package policycommit, process internal/controlplane) runs a Coordinator. Each router sends a
-// Report with its lease renewals, and receives Orders with its leases, so that all routers follow the same orders. The Decision on
-// a site is an entry of the quorum's raft log and outlives the leader. A router without recent orders falls back to its own
-// evidence. Package internal/controlplane owns all values and calls this package under its lock; this package does no I/O, starts
-// no goroutine and reads no clock: each call is given the current time of a monotonic clock.
-//
-// # State machine of a site
-//
-// The state is Decision.Stage with Decision.Step and Decision.Paused. Evidence is what the reports of all routers show, see
-// evidence.go; an operator's events are the actions of a Command.
-//
-//	state       event                             guard                                next state
-//	up          a quorum of other sites finds     for Plan.LostAfter; no server responds   lost
-//	            its servers silent                at the site; another site is not lost
-//	up          ActionLose                        another site is not lost                 lost, paused
-//	lost        its routers report, its servers   for Plan.RecoverAfter, doubled by each   recovering, step 0
-//	            are listed and respond            repeated loss; not paused
-//	lost        ActionRecover                     none                                     recovering, step 0
-//	recovering  Plan.MinStepDuration has passed   servers respond; failures have not       next step;
-//	            since the last step               risen; origin is fast; not paused        up after the last
-//	recovering  a quorum of other sites finds     for half of Plan.LostAfter; another      lost, one more
-//	            half of its servers silent        site is not lost                         repeated loss
-//	recovering  ActionLose                        another site is not lost                 lost, paused
-//	recovering  ActionRecover                     none                                     recovering, step 0
-//	lost or     ActionPause, ActionResume         none                                     same state, paused
-//	recovering                                                                             or not paused
-//
-// A loss within a minute after a recovery counts as a repeated loss.
-//
-// A site that is up and partly unavailable is shown as degraded. That is not a state: only its capacity depends on it.
-//
-//   - plan.go: the operators' plan
-//   - decision.go, command.go: states, transitions, operator commands
-//   - report.go, orders.go: messages between routers and the leader
-//   - coordinator.go: the leader's evaluation
-//   - evidence.go, sitestate.go: evidence, and the transitions that it justifies
-//   - weights.go: how the keys of a lost site are spread
-//   - shedding.go: how many requests are admitted
-//   - forecast.go: what the loss of a site would be like
-//   - status.go: the state shown to operators
 package sitefailover
 
 import (
@@ -57,7 +14,7 @@
 type Plan struct {
 	Sites           []SitePlan
 	OriginReadRate  float64        // reads per second that the origin can answer; 0: unknown, no limit for the fleet
-	RecoverySteps   []float64      // fractions of its keys that a recovering site has, ascending; the last is 1
+	RecoverySteps   []float64      // fractions of its keys that a recovering site has, ascending; the last is 1; not empty if there are sites
 	LostAfter       clock.Duration // minimum duration of the evidence of a loss
 	RecoverAfter    clock.Duration // minimum duration of the evidence of a recovery; doubled by each repeated loss
 	MinStepDuration clock.Duration // of a recovery step
@@ -114,7 +71,7 @@
 	return slices.ContainsFunc(p.Sites, func(site SitePlan) bool { return site.Name == name })
 }
 
-// isLastSite reports whether all planned sites but one are lost.
+// isLastSite reports whether every planned site other than name is lost.
 func (p *Plan) isLastSite(name Site, decisions map[Site]Decision) bool {
 	return !slices.ContainsFunc(p.Sites, func(site SitePlan) bool {
 		return site.Name != name && decisions[site.Name].Stage != Lost
--- a/core/sitefailover/shedding.go
+++ b/core/sitefailover/shedding.go
@@ -98,7 +98,7 @@
 	changeGracePeriod = 1500 * clock.Millisecond
 )
 
-// throttle controls the rate of admitted requests while a site is degraded. The target starts at the capacity of the sites and is
+// throttle is the admission control of the fleet: the rate of requests that are admitted, and not shed, while a site is degraded. The target starts at the capacity of the sites and is
 // adjusted by the failures of admitted requests.
 type throttle struct {
 	target            float64 // admitted requests per second; 0: the throttle is off
@@ -141,7 +141,7 @@
 	if t.target == 0 {
 		t.target, t.capacity, t.capacityChangedAt = capacity*max(1, t.measuredRatio), capacity, now
 	}
-	if t.capacity == 0 { // the target is that of the leader before
+	if t.capacity == 0 { // a new leader continues with the target of its predecessor
 		t.capacity, t.capacityChangedAt = capacity, now
 	}
 	changed := capacity < t.capacity*(1-capacityTolerance) || capacity > t.capacity*(1+capacityTolerance)
@@ -167,9 +167,11 @@
 func (t *throttle) adjustTarget(now clock.Time, failedFraction, highestAnswered float64, anyDegraded bool) {
 	switch {
 	case failedFraction > highFailedFraction && now-t.capacityChangedAt < changeGracePeriod:
+		// Requests that were in flight at the change fail: keep the target.
 	case failedFraction > highFailedFraction:
 		t.target = max(t.target*decreaseFactor, min(highestAnswered, t.target))
 	case failedFraction >= lowFailedFraction:
+		// Acceptable: keep the target.
 	case anyDegraded:
 		t.target *= increaseFactor
 	default:
--- a/core/sitefailover/sitestate.go
+++ b/core/sitefailover/sitestate.go
@@ -42,16 +42,16 @@
 }
 
 // observe records since when the evidence justifies a transition.
-func (s *siteState) observe(now clock.Time, e evidence) {
-	isLost := s.decision.Stage == Up && e.showsLoss()
-	isLostAgain := s.decision.Stage == Recovering && (e.showsLoss() || e.showsHalfLoss())
-	isBack := s.decision.Stage == Lost && e.showsRecovery()
+func (s *siteState) observe(now clock.Time, found evidence) {
+	isLost := s.decision.Stage == Up && found.showsLoss()
+	isLostAgain := s.decision.Stage == Recovering && (found.showsLoss() || found.showsHalfLoss())
+	isBack := s.decision.Stage == Lost && found.showsRecovery()
 	s.lossSince = beginning(now, s.lossSince, isLost || isLostAgain)
 	s.recoverySince = beginning(now, s.recoverySince, isBack)
-	s.servers = max(s.servers, e.expectedServers)
+	s.servers = max(s.servers, found.expectedServers)
 	peakExpired := now-s.peakAt > serverCountWindow
-	if s.decision.Stage == Up && (e.answerRate >= s.peakRate || peakExpired) {
-		s.peakRate, s.peakAt = e.answerRate, now
+	if s.decision.Stage == Up && (found.answerRate >= s.peakRate || peakExpired) {
+		s.peakRate, s.peakAt = found.answerRate, now
 	}
 }
 
@@ -72,7 +72,8 @@
 	return since != 0 && now-since >= duration
 }
 
-// proposal is a transition that is due, or a description of what the next one waits for.
+// proposal is a transition that is due, or the condition that the next one waits for. The texts of conditions and reasons are part of
+// replies and of the raft log, and do not change.
 type proposal struct {
 	transition *Transition
 	waitingFor string
@@ -87,23 +88,23 @@
 }
 
 // next evaluates the transitions of the state machine that evidence can cause, see the package comment.
-func (s *siteState) next(now clock.Time, plan *Plan, e evidence, fleet traffic) proposal {
+func (s *siteState) next(now clock.Time, plan *Plan, found evidence, fleet traffic) proposal {
 	switch {
 	case s.decision.Stage == Up:
-		return s.nextFromUp(now, plan, e)
+		return s.nextFromUp(now, plan, found)
 	case s.decision.Stage == Recovering && hasLasted(now, s.lossSince, plan.LostAfter/2):
 		repeatedLoss := Decision{Stage: Lost, RepeatedLosses: s.decision.RepeatedLosses + 1}
-		return propose(repeatedLoss, "%.0f%% of its servers answer, in step %d of its return", 100*e.responding, s.decision.Step+1)
+		return propose(repeatedLoss, "%.0f%% of its servers answer, in step %d of its return", 100*found.responding, s.decision.Step+1)
 	case s.decision.Paused:
 		return waitFor("an operator holds it")
 	case s.decision.Stage == Lost:
-		return s.nextFromLost(now, plan, e)
+		return s.nextFromLost(now, plan, found)
 	default:
-		return s.nextFromRecovering(now, plan, e, fleet)
+		return s.nextFromRecovering(now, plan, found, fleet)
 	}
 }
 
-func (s *siteState) nextFromUp(now clock.Time, plan *Plan, e evidence) proposal {
+func (s *siteState) nextFromUp(now clock.Time, plan *Plan, found evidence) proposal {
 	if s.lossSince == 0 {
 		return proposal{}
 	}
@@ -111,21 +112,23 @@
 		return waitFor("the evidence of its loss is to hold")
 	}
 	loss := Decision{Stage: Lost}
-	recoveredRecently := s.decision.Index > 0 && now-s.decidedAt < repeatedLossWindow
+	// A site that is up and has a decision has recovered, by evidence or by an operator.
+	hasRecovered := s.decision.Index > 0
+	recoveredRecently := hasRecovered && now-s.decidedAt < repeatedLossWindow
 	if recoveredRecently {
 		loss.RepeatedLosses = s.decision.RepeatedLosses + 1
 	}
 	return propose(loss, "%d of %d other sites find its servers silent, and %d of its %d routers are heard",
-		e.sitesFindingSilent, e.otherSites, e.reportingRouters, e.routers)
+		found.sitesFindingSilent, found.otherSites, found.reportingRouters, found.routers)
 }
 
-func (s *siteState) nextFromLost(now clock.Time, plan *Plan, e evidence) proposal {
+func (s *siteState) nextFromLost(now clock.Time, plan *Plan, found evidence) proposal {
 	wait := min(maxRecoveryWait, plan.RecoverAfter<<min(s.decision.RepeatedLosses, maxWaitDoublings))
 	switch {
-	case s.recoverySince == 0 && 2*e.reportingRouters < e.routers:
-		return waitFor("%d of its %d routers are heard", e.reportingRouters, e.routers)
+	case s.recoverySince == 0 && 2*found.reportingRouters < found.routers:
+		return waitFor("%d of its %d routers are heard", found.reportingRouters, found.routers)
 	case s.recoverySince == 0:
-		return waitFor("%.0f%% of its servers are listed, and %.0f%% answer at the site", 100*e.listed, 100*e.respondingLocally)
+		return waitFor("%.0f%% of its servers are listed, and %.0f%% answer at the site", 100*found.listed, 100*found.respondingLocally)
 	case !hasLasted(now, s.recoverySince, wait):
 		return waitFor("it is to be there for %.1f s", float64(wait)/float64(clock.Second))
 	}
@@ -133,14 +136,14 @@
 	return propose(recovery, "its routers and servers are there again")
 }
 
-func (s *siteState) nextFromRecovering(now clock.Time, plan *Plan, e evidence, fleet traffic) proposal {
+func (s *siteState) nextFromRecovering(now clock.Time, plan *Plan, found evidence, fleet traffic) proposal {
 	// Failures are compared with those before the step: the overload that the recovery is to end must not block it.
 	maxFailedFraction := s.failedAtDecision + highFailedFraction
 	switch {
 	case now-s.decidedAt < plan.MinStepDuration:
 		return waitFor("the step has just been taken")
-	case e.responding < healthyFraction:
-		return waitFor("%.0f%% of its servers answer", 100*e.responding)
+	case found.responding < healthyFraction:
+		return waitFor("%.0f%% of its servers answer", 100*found.responding)
 	case fleet.failedFraction > maxFailedFraction:
 		return waitFor("%.0f%% of what is let in is given up, and %.0f%% was before the step", 100*fleet.failedFraction, 100*s.failedAtDecision)
 	case fleet.originSlowdown > maxOriginSlowdown:
