--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/tomlfile"
 )
 
@@ -66,13 +67,13 @@
 }
 
 type checker struct {
-	at    tomlfile.Places
+	at    tomlfile.Lines
 	wrong []error
 }
 
 func (c *checker) want(ok bool, field, what, remedy string) {
 	if !ok {
-		c.wrong = append(c.wrong, tomlfile.Error{Line: c.at.Line(field), Field: field, What: what, Remedy: remedy})
+		c.wrong = append(c.wrong, &configerror.Error{Line: c.at.Line(field), Field: field, Problem: what, Remedy: remedy})
 	}
 }
 
@@ -89,7 +90,7 @@
 }
 
 // check tells all that is wrong with a scenario.
-func check(s *Scenario, at tomlfile.Places) []error {
+func check(s *Scenario, at tomlfile.Lines) []error {
 	c := &checker{at: at}
 	c.want(s.Title != "", "title", "is missing", "name the scenario in a few words")
 	c.positive("length", float64(s.Length))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -10,6 +10,7 @@
 
 	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/tomlfile"
 )
 
@@ -36,7 +37,7 @@
 	Methods []Method `toml:"method"`
 	Tenants []Tenant `toml:"tenant"`
 	Sites   Sites    `toml:"sites"`
-	at      tomlfile.Places
+	at      tomlfile.Lines
 }
 
 // Method is what may change of a method.
@@ -67,7 +68,7 @@
 	if err := tomlfile.Decode([]byte(text), &d, "docs/policy.md"); err != nil {
 		return d, err
 	}
-	d.at = tomlfile.PlacesIn([]byte(text))
+	d.at = tomlfile.FieldLines([]byte(text))
 	if d.Schema != Schema {
 		return d, d.wrong("schema", fmt.Sprintf("is %d, and this build knows %d", d.Schema, Schema), "write schema = 1")
 	}
@@ -75,7 +76,7 @@
 }
 
 func (d Document) wrong(field, what, remedy string) error {
-	return tomlfile.Error{Line: d.at.Line(field), Field: field, What: what, Remedy: remedy}
+	return &configerror.Error{Line: d.at.Line(field), Field: field, Problem: what, Remedy: remedy}
 }
 
 // Settings are a router's own settings with the document in force.
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -74,7 +74,7 @@
 	r.held += q.size
 	r.counts.Taken++
 	q.method = came.Method
-	r.input(&arrival{q: q, came: came, waits: max(waits-r.lim.Crossing, 1), since: since})
+	r.input(&arrival{q: q, came: came, waits: max(waits-r.lim.ClientNetworkMargin, 1), since: since})
 }
 
 // answer gives a request its only answer.
@@ -188,7 +188,7 @@
 }
 
 // returned ends an attempt and hands its outcome over.
-func (r *Router) returned(w *attempt, status routing.Status, report routing.Report) {
+func (r *Router) returned(w *attempt, status routing.AttemptStatus, report routing.Report) {
 	q := w.q
 	n := slices.Index(q.attempts, w)
 	if n < 0 {
@@ -221,7 +221,7 @@
 }
 
 // giveUp ends an attempt that is still out by closing its connection, so that no late byte reaches another request.
-func (r *Router) giveUp(w *attempt, status routing.Status) {
+func (r *Router) giveUp(w *attempt, status routing.AttemptStatus) {
 	up := w.up
 	r.returned(w, status, nil)
 	if up != nil && up.away {
@@ -269,7 +269,7 @@
 	}
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(part, []byte("="))
-		figure, known := settings.Figures[string(name)]
+		figure, known := settings.ReportFields[string(name)]
 		i := slices.Index(r.cfg.Settings.ReportFields, figure)
 		if x, err := strconv.ParseFloat(string(value), 64); known && i >= 0 && err == nil {
 			out[i] = x
