--- a/core/hierarchy/decode.go
+++ b/core/hierarchy/decode.go
@@ -41,9 +41,9 @@
 }
 
 // requested returns the names of a kindRequest message as a set.
-func (received message) requested() map[nameHash]bool {
+func (m message) requested() map[nameHash]bool {
 	names := map[nameHash]bool{}
-	for _, name := range received.names {
+	for _, name := range m.names {
 		names[name] = true
 	}
 	return names
