--- a/core/routing/restore_test.go
+++ b/core/routing/restore_test.go
@@ -14,7 +14,7 @@
 // busyRouter has answered for some seconds, with server 3 slow and a hot key, and has a request in flight.
 func busyRouter(seed uint64) *Router {
 	r, _ := New(0, baseSettings(), seed)
-	r.Step(0, parseEvent(baseSettings(), "list", []string{"full", "1", "2", "3", "4", "9"}))
+	r.Step(0, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
 	for i := range 2000 {
 		now := clock.Time(i) * 5000
 		key := Key(fmt.Sprint("k", i%300))
@@ -48,7 +48,7 @@
 	r, _ := New(10e6, baseSettings(), 2)
 	r.Step(10e6, KnowledgeRestored{k})
 	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "list", []string{"full", "1", "2", "3", "4", "9"}))
+	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
 	restored := sortedServers(r, 10e6)
 	if len(restored.Servers) != 4 || len(k.Servers) != 4 {
 		t.Fatalf("%d servers were known, %d are restored", len(k.Servers), len(restored.Servers))
@@ -87,11 +87,11 @@
 	k := sortedServers(busyRouter(1), 10e6)
 	r, _ := New(10e6, baseSettings(), 2)
 	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "list", []string{"saved", "1", "2", "3", "4", "9"}))
+	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"cached", "1", "2", "3", "4", "9"}))
 	if r.endpoints.servers[3].latency.recent < 30e3 {
 		t.Errorf("server 3 has a latency of %d us, want more", r.endpoints.servers[3].latency.recent)
 	}
-	r.Step(11e6, parseEvent(baseSettings(), "list", []string{"full", "1", "2", "3@10.5", "4", "9"}))
+	r.Step(11e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3@10.5", "4", "9"}))
 	if r.endpoints.servers[3].latency.samples != 0 || r.endpoints.servers[1].latency.samples == 0 {
 		t.Errorf("after the restart of server 3 it has %d samples, server 1 has %d", r.endpoints.servers[3].latency.samples, r.endpoints.servers[1].latency.samples)
 	}
@@ -108,7 +108,7 @@
 	r, _ := New(10e6, baseSettings(), 2)
 	r.Step(10e6, KnowledgeRestored{k})
 	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "list", []string{"full", "1", "2", "3", "4", "9"}))
+	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
 	for _, status := range []AttemptStatus{Reset, QueueFull} {
 		s := r.endpoints.servers[1]
 		r.recordOutcome(&attempt{server: s, sentAt: 10e6}, status, 5e3)
@@ -124,7 +124,7 @@
 	r, _ := New(10e6, baseSettings(), 2)
 	r.Step(10e6, KnowledgeRestored{k})
 	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "list", []string{"full", "1", "2", "3", "4", "9"}))
+	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
 	s := r.endpoints.servers[1] // known as fast, slow now
 	for range 8 {
 		r.recordLatency(s, 100e3)
@@ -151,7 +151,7 @@
 		r, _ := New(10e6, baseSettings(), seed)
 		r.Step(10e6, KnowledgeRestored{k})
 		r.Step(10e6, ServersRestored{k.Servers})
-		r.Step(10e6, parseEvent(baseSettings(), "list", []string{"full", "1", "2", "3", "4", "9"}))
+		r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
 		tried := 0
 		for i := range 10 {
 			for _, d := range r.Step(10e6, RequestArrived{Request: RequestID(fmt.Sprint(i)), Key: "hot", ValidUntil: 11e6}) {
--- a/core/routing/trace_test.go
+++ b/core/routing/trace_test.go
@@ -25,20 +25,51 @@
 
 // baseSettings is a site in cache-aside mode; scripts change it with lines such as "set routers=3 through".
 func baseSettings() Settings {
-	return Settings{Routers: 1, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, WarmUpShare: 0.2,
-		WarmUpDuration: 10e6, OverloadWindow: 1e6, OverloadMultiple: 2, CancelAllowed: true, MaxRetryAfter: 1e6,
-		MaxAttempts: 3, OverShareWeight: 0.1, DrainTimeout: 1e6, PollInterval: 10e6, ResponseSlack: 20e3,
+	return Settings{
+		Routers:          1,
+		CacheAside:       true,
+		OriginKind:       "origin",
+		ClockGranularity: clock.Millisecond,
+		WarmUpShare:      0.2,
+		WarmUpDuration:   10 * clock.Second,
+		OverloadWindow:   clock.Second,
+		OverloadMultiple: 2,
+		CancelAllowed:    true,
+		MaxRetryAfter:    clock.Second,
+		MaxAttempts:      3,
+		OverShareWeight:  0.1,
+		DrainTimeout:     clock.Second,
+		PollInterval:     10 * clock.Second,
+		ResponseSlack:    20 * clock.Millisecond,
 		Methods: []MethodSettings{
-			{Name: "read", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 2},
-			{Name: "hold", Idempotency: Deduplicated, DeduplicationWindow: 600e3, LatencyBudget: 400e3, Deadline: 800e3,
-				Criticality: 5, LateValue: 0.5},
-			{Name: "pay", Idempotency: NonIdempotent, LatencyBudget: 1500e3, Deadline: 3000e3, Criticality: 5,
-				LateValue: 0.5},
-			{Name: "low", LatencyBudget: 500e3, Deadline: 1200e3, Criticality: 0.2},
-			{Name: "look", Idempotency: Deduplicated, DeduplicationWindow: 600e3, LatencyBudget: 400e3, Deadline: 800e3, Criticality: 2},
-		}}
+			{
+				Name: "read", Criticality: 2,
+				LatencyBudget: 500 * clock.Millisecond, Deadline: 1200 * clock.Millisecond,
+			},
+			{
+				Name: "hold", Criticality: 5, LateValue: 0.5,
+				Idempotency: Deduplicated, DeduplicationWindow: 600 * clock.Millisecond,
+				LatencyBudget: 400 * clock.Millisecond, Deadline: 800 * clock.Millisecond,
+			},
+			{
+				Name: "pay", Criticality: 5, LateValue: 0.5,
+				Idempotency:   NonIdempotent,
+				LatencyBudget: 1500 * clock.Millisecond, Deadline: 3000 * clock.Millisecond,
+			},
+			{
+				Name: "low", Criticality: 0.2,
+				LatencyBudget: 500 * clock.Millisecond, Deadline: 1200 * clock.Millisecond,
+			},
+			{
+				Name: "look", Criticality: 2,
+				Idempotency: Deduplicated, DeduplicationWindow: 600 * clock.Millisecond,
+				LatencyBudget: 400 * clock.Millisecond, Deadline: 800 * clock.Millisecond,
+			},
+		},
+	}
 }
 
+// playScript returns the script with the decisions that its events lead to.
 func playScript(script string) string {
 	var out strings.Builder
 	s := baseSettings()
@@ -70,6 +101,7 @@
 	return out.String()
 }
 
+// applySetting applies the words of a line "set".
 func applySetting(s *Settings, words []string) {
 	for _, w := range words {
 		name, value, _ := strings.Cut(w, "=")
@@ -79,27 +111,27 @@
 		case "read-budget":
 			s.Methods = slices.Clone(s.Methods)
 			s.Methods[0].LatencyBudget = parseSeconds(value)
-		case "share":
+		case "small-share":
 			s.Tenants = []TenantSettings{{Name: "big", Share: 0.9}, {Name: "small", Share: 0.1}}
 			s.Tenants[1].Share, _ = strconv.ParseFloat(value, 64)
-		case "hint":
+		case "max-retry-after":
 			s.MaxRetryAfter = parseSeconds(value)
-		case "sends":
+		case "max-attempts":
 			s.MaxAttempts, _ = strconv.Atoi(value)
-		case "through":
+		case "write-through":
 			s.CacheAside, s.OriginKind = false, ""
-		case "zone-group":
+		case "scope-zone":
 			s.Methods = slices.Clone(s.Methods)
 			s.Methods[1].DeduplicationScope, s.Methods[4].DeduplicationScope = ScopeZone, ScopeZone
-		case "fees":
+		case "connection-costs":
 			s.ConnectionCost, s.HandshakeCost = 0.12, 0.08
-		case "tells":
+		case "reports":
 			s.ReportFields = []Figure{FigureServiceTime}
-		case "connect":
+		case "connect-timeout":
 			s.ConnectTimeout = parseSeconds(value)
-		case "copies":
+		case "hedging":
 			s.HedgingAllowed, s.WastedWorkCost = true, 0.02
-		case "ask":
+		case "poll":
 			s.PollEndpoints = true
 		case "tenants":
 			s.Tenants = []TenantSettings{{Name: "big", Share: 0.9}, {Name: "small", Share: 0.1}}
@@ -109,129 +141,197 @@
 	}
 }
 
-// parseEvent reads "list full 1 2:draining 9", "request a read key 1.2", "back a 1 0 timeout 0.3 [over]", and the rest.
+// parseEvent reads an event by its name: "endpoints full 1 2:draining 9", "request a read key 1.2",
+// "ended a 1 0 timeout 0.3 [answered]", and the others.
 func parseEvent(s Settings, name string, words []string) Event {
 	switch name {
-	case "list":
-		kinds := []string{"full", "changes", "saved", "failed"}
-		l := EndpointsUpdated{Kind: EndpointUpdateKind(slices.Index(kinds, words[0]))}
-		for _, w := range words[1:] {
-			w, zone, _ := strings.Cut(w, "/")
-			w, start, _ := strings.Cut(w, "@")
-			id, state, _ := strings.Cut(w, ":")
-			n, _ := strconv.Atoi(id)
-			e := Endpoint{Server: ServerID(n), Kind: "cache", Zone: Zone(zone), StartedAt: parseSeconds("0" + start)}
-			if n == 9 {
-				e.Kind = "origin"
-			}
-			e.State = EndpointState(max(0, slices.Index([]string{"", "draining", "gone"}, state)))
-			l.Endpoints = append(l.Endpoints, e)
-		}
-		return l
-	case "bar":
-		n, _ := strconv.Atoi(words[0])
-		return BanChanged{Server: ServerID(n), Banned: true}
+	case "endpoints":
+		return parseEndpoints(words)
+	case "ban":
+		return BanChanged{Server: parseServer(words[0]), Banned: true}
+	case "unban":
+		return BanChanged{Server: parseServer(words[0]), Since: parseSeconds(words[1])}
 	case "change":
 		applySetting(&s, words)
 		return SettingsChanged{s}
-	case "part":
-		part, _ := strconv.ParseFloat(words[0], 64)
-		return FleetShareChanged{Share: part}
-	case "planned": // "a=0 b=0.5 *c=0.1 least=600001 some=0.3 back=2 fetches=4"
-		p := FailoverOrders{MinimumRankShare: 1}
-		for _, w := range words {
-			field, value, _ := strings.Cut(w, "=")
-			x, _ := strconv.ParseFloat(value, 64)
-			switch field {
-			case "least":
-				p.MinimumRank = Rank(x)
-			case "some":
-				p.MinimumRankShare = x
-			case "back":
-				p.RetryAfter = clock.Time(x * 1e6)
-			case "fetches":
-				p.OriginReadLimit = x
-			default:
-				if zone, spare := strings.CutPrefix(field, "*"); spare {
-					p.FailoverWeights = append(p.FailoverWeights, ZoneShare{Zone(zone), x})
-					continue
-				}
-				p.ZoneShares = append(p.ZoneShares, ZoneShare{Zone(field), x})
-			}
-		}
-		return p
-	case "unbar":
-		n, _ := strconv.Atoi(words[0])
-		return BanChanged{Server: ServerID(n), Since: parseSeconds(words[1])}
-	case "req":
-		m := slices.IndexFunc(s.Methods, func(m MethodSettings) bool { return m.Name == words[1] })
-		q := RequestArrived{Request: RequestID(words[0]), Method: Method(m), ValidUntil: parseSeconds(words[3]),
-			Write: words[1] == "hold" || words[1] == "pay", SingleAttempt: words[len(words)-1] == "once"}
-		if words[2] != "-" {
-			q.Key = Key(words[2])
-		}
-		if len(words) > 4 {
-			q.Tenant = Tenant(words[4])
-		}
-		return q
-	case "back":
-		names := []string{"ok", "failed", "full", "timeout", "connect", "reset", "canceled", "ignored", "miss"}
-		server, _ := strconv.Atoi(words[1])
-		n, _ := strconv.Atoi(words[2])
-		status := AttemptStatus(slices.Index(names, words[3]))
-		last, told, tells := strings.Cut(words[len(words)-1], "told=")
-		var report Report
-		if tells {
-			ms, _ := strconv.ParseFloat(told, 64)
-			report = Report{ms}
+	case "fleet-share":
+		return FleetShareChanged{Share: parseNumber(words[0])}
+	case "failover":
+		return parseFailover(words)
+	case "request":
+		return parseRequest(s, words)
+	case "ended":
+		return parseAttemptEnded(words)
+	case "restored":
+		return parseRestored(words)
+	case "restored-server":
+		return parseRestoredServer(words)
+	case "disconnected":
+		return ClientDisconnected{Request: RequestID(words[0])}
+	case "timer":
+		return TimerFired{Timer: onlyTimer}
+	}
+	panic("unknown event " + name)
+}
+
+// parseEndpoints reads the kind of the update and its endpoints: "1:draining@10.5/a" is server 1, draining, started at 10.5,
+// in zone a. Server 9 is the origin.
+func parseEndpoints(words []string) EndpointsUpdated {
+	update := EndpointsUpdated{Kind: EndpointUpdateKind(indexOf(words[0], "full", "incremental", "cached", "failed"))}
+	for _, word := range words[1:] {
+		word, zone, _ := strings.Cut(word, "/")
+		word, start, _ := strings.Cut(word, "@")
+		id, state, _ := strings.Cut(word, ":")
+		endpoint := Endpoint{Server: parseServer(id), Kind: "cache", Zone: Zone(zone), StartedAt: parseSeconds("0" + start)}
+		if id == "9" {
+			endpoint.Kind = "origin"
 		}
-		return AttemptEnded{Request: RequestID(words[0]), Server: ServerID(server), Attempt: Attempt(n), Status: status,
-			Took: parseSeconds(words[4]), Answered: status == OK || last == "over", Report: report}
-	case "learned": // of all caches: their usual time, and the retry budget
-		return KnowledgeRestored{Knowledge{ObservedFor: 60e6, CacheLatency: LatencySummary{parseSeconds(words[0]), parseSeconds(words[0]), parseSeconds(words[0]), 32}, RequestRate: 20,
-			HitRate: 20, EndedRate: 20, AnsweredRate: 20, AttemptRate: 20, RetryBudget: 5}}
-	case "learned-server": // its number, usual time, [aside] [@start]
-		n, _ := strconv.Atoi(words[0])
-		b := ServerKnowledge{Server: ServerID(n), ObservedAt: 1, Latency: LatencySummary{parseSeconds(words[1]), parseSeconds(words[1]), parseSeconds(words[1]), 32}, AnswerRate: 5, AttemptRate: 5}
-		for _, w := range words[2:] {
-			if b.Ejected = w == "aside"; b.Ejected {
-				b.FailurePoints = 3
-			} else {
-				b.StartedAt = parseSeconds(w[1:])
+		endpoint.State = EndpointState(indexOf(state, "", "draining", "gone"))
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	return update
+}
+
+// parseFailover reads "a=0 b=0.5 *c=0.1 minimum-rank=600001 minimum-rank-share=0.3 retry-after=2 origin-reads=4": shares of
+// zones, failover weights of zones after an asterisk, and the other orders.
+func parseFailover(words []string) FailoverOrders {
+	orders := FailoverOrders{MinimumRankShare: 1}
+	for _, word := range words {
+		field, value, _ := strings.Cut(word, "=")
+		switch field {
+		case "minimum-rank":
+			orders.MinimumRank = Rank(parseNumber(value))
+		case "minimum-rank-share":
+			orders.MinimumRankShare = parseNumber(value)
+		case "retry-after":
+			orders.RetryAfter = parseSeconds(value)
+		case "origin-reads":
+			orders.OriginReadLimit = parseNumber(value)
+		default:
+			if zone, isWeight := strings.CutPrefix(field, "*"); isWeight {
+				orders.FailoverWeights = append(orders.FailoverWeights, ZoneShare{Zone(zone), parseNumber(value)})
+				continue
 			}
+			orders.ZoneShares = append(orders.ZoneShares, ZoneShare{Zone(field), parseNumber(value)})
 		}
-		return ServersRestored{[]ServerKnowledge{b}}
-	case "left":
-		return ClientDisconnected{Request: RequestID(words[0])}
-	case "timer":
-		return TimerFired{Timer: 1}
 	}
-	panic("unknown input " + name)
+	return orders
 }
 
-func parseSeconds(text string) clock.Time {
+// parseRequest reads the id, the method, the key or "-", the end of validity, and the tenant or "single-attempt".
+func parseRequest(s Settings, words []string) RequestArrived {
+	method := slices.IndexFunc(s.Methods, func(m MethodSettings) bool { return m.Name == words[1] })
+	request := RequestArrived{
+		Request:       RequestID(words[0]),
+		Method:        Method(method),
+		ValidUntil:    parseSeconds(words[3]),
+		Write:         words[1] == "hold" || words[1] == "pay",
+		SingleAttempt: words[len(words)-1] == "single-attempt",
+	}
+	if words[2] != "-" {
+		request.Key = Key(words[2])
+	}
+	if len(words) > 4 {
+		request.Tenant = Tenant(words[4])
+	}
+	return request
+}
+
+// parseAttemptEnded reads the request, the server, the attempt, the status, the duration, and "answered" or the service time
+// that the server reports, in milliseconds.
+func parseAttemptEnded(words []string) AttemptEnded {
+	status := AttemptStatus(indexOf(words[3], "ok", "failed", "queue-full", "timeout", "connect-error", "reset", "canceled",
+		"not-sent", "miss"))
+	last, reported, hasReport := strings.Cut(words[len(words)-1], "report=")
+	ended := AttemptEnded{
+		Request:  RequestID(words[0]),
+		Server:   parseServer(words[1]),
+		Attempt:  Attempt(parseNumber(words[2])),
+		Status:   status,
+		Took:     parseSeconds(words[4]),
+		Answered: status == OK || last == "answered",
+	}
+	if hasReport {
+		ended.Report = Report{parseNumber(reported)}
+	}
+	return ended
+}
+
+// parseRestored reads the latency over all caches.
+func parseRestored(words []string) KnowledgeRestored {
+	latency := parseSeconds(words[0])
+	return KnowledgeRestored{Knowledge{
+		ObservedFor:  clock.Minute,
+		CacheLatency: LatencySummary{latency, latency, latency, fullSamples},
+		RequestRate:  20,
+		HitRate:      20,
+		EndedRate:    20,
+		AnsweredRate: 20,
+		AttemptRate:  20,
+		RetryBudget:  5,
+	}}
+}
+
+// parseRestoredServer reads the server, its latency, "ejected" and its start after "@".
+func parseRestoredServer(words []string) ServersRestored {
+	latency := parseSeconds(words[1])
+	knowledge := ServerKnowledge{
+		Server:      parseServer(words[0]),
+		ObservedAt:  1,
+		Latency:     LatencySummary{latency, latency, latency, fullSamples},
+		AnswerRate:  5,
+		AttemptRate: 5,
+	}
+	for _, word := range words[2:] {
+		knowledge.Ejected = word == "ejected"
+		if knowledge.Ejected {
+			knowledge.FailurePoints = 3
+		} else {
+			knowledge.StartedAt = parseSeconds(word[1:])
+		}
+	}
+	return ServersRestored{[]ServerKnowledge{knowledge}}
+}
+
+// indexOf returns the place of a word among those allowed.
+func indexOf(word string, allowed ...string) int {
+	index := slices.Index(allowed, word)
+	if index < 0 {
+		panic(fmt.Sprintf("%q is none of %q", word, allowed))
+	}
+	return index
+}
+
+func parseServer(text string) ServerID { return ServerID(parseNumber(text)) }
+
+func parseNumber(text string) float64 {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(err)
 	}
-	return clock.Time(x * 1e6)
+	return x
+}
+
+func parseSeconds(text string) clock.Time {
+	return clock.Time(parseNumber(text) * microsecondsPerSecond)
 }
 
+// formatDecision writes a decision as the scripts have it.
 func formatDecision(d Decision) string {
 	after := fmt.Sprintf("%.3f", float64(d.After)/1e6)
 	switch d.Action {
 	case Send:
-		return fmt.Sprint("write-out ", d.Request, " to ", d.Server, " for ", after)
+		return fmt.Sprint("send ", d.Request, " to ", d.Server, ", time-out ", after)
 	case Reject:
-		return fmt.Sprint("nack ", d.Request, ", come back after ", after)
+		return fmt.Sprint("reject ", d.Request, ", retry after ", after)
 	case Fail:
 		return fmt.Sprint("fail ", d.Request)
 	case Cancel:
-		return fmt.Sprint("recall ", d.Request, " ", d.Attempt)
+		return fmt.Sprint("cancel ", d.Request, " ", d.Attempt)
 	case Subscribe:
 		return "subscribe"
 	case CloseIdle:
 		return fmt.Sprint("close idle connections to ", d.Server)
 	}
-	return "wake after " + after
+	return "timer after " + after
 }
