--- a/core/routing/restore_test.go
+++ b/core/routing/restore_test.go
@@ -35,6 +35,16 @@
 	return r
 }
 
+// restoredRouter starts at the tenth second with the knowledge of another one.
+func restoredRouter(knowledge Knowledge, seed uint64) *Router {
+	const now = 10 * clock.Second
+	r, _ := New(now, baseSettings(), seed)
+	r.Step(now, KnowledgeRestored{knowledge})
+	r.Step(now, ServersRestored{knowledge.Servers})
+	r.Step(now, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
+	return r
+}
+
 // sortedServers is the knowledge with its servers in order, for comparing.
 func sortedServers(r *Router, now clock.Time) Knowledge {
 	k := r.Knowledge(now)
@@ -45,10 +55,7 @@
 // What is restored is the same knowledge, at the weight of few samples.
 func TestKnowledge_RoundTrip(t *testing.T) {
 	k := sortedServers(busyRouter(1), 10e6)
-	r, _ := New(10e6, baseSettings(), 2)
-	r.Step(10e6, KnowledgeRestored{k})
-	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
+	r := restoredRouter(k, 2)
 	restored := sortedServers(r, 10e6)
 	if len(restored.Servers) != 4 || len(k.Servers) != 4 {
 		t.Fatalf("%d servers were known, %d are restored", len(k.Servers), len(restored.Servers))
@@ -105,10 +112,7 @@
 // and be ejected by its first failure.
 func TestRestore_OneFailureDoesNotEject(t *testing.T) {
 	k := sortedServers(busyRouter(1), 10e6)
-	r, _ := New(10e6, baseSettings(), 2)
-	r.Step(10e6, KnowledgeRestored{k})
-	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
+	r := restoredRouter(k, 2)
 	for _, status := range []AttemptStatus{Reset, QueueFull} {
 		s := r.endpoints.servers[1]
 		r.recordOutcome(&attempt{server: s, sentAt: 10e6}, status, 5e3)
@@ -121,10 +125,7 @@
 // New samples outweigh restored knowledge within a few answers.
 func TestRestore_NewSamplesOutweighRestored(t *testing.T) {
 	k := sortedServers(busyRouter(1), 10e6)
-	r, _ := New(10e6, baseSettings(), 2)
-	r.Step(10e6, KnowledgeRestored{k})
-	r.Step(10e6, ServersRestored{k.Servers})
-	r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
+	r := restoredRouter(k, 2)
 	s := r.endpoints.servers[1] // known as fast, slow now
 	for range 8 {
 		r.recordLatency(s, 100e3)
@@ -148,10 +149,7 @@
 	}
 	got, trials := map[ServerID]int{}, 0
 	for seed := range uint64(20) {
-		r, _ := New(10e6, baseSettings(), seed)
-		r.Step(10e6, KnowledgeRestored{k})
-		r.Step(10e6, ServersRestored{k.Servers})
-		r.Step(10e6, parseEvent(baseSettings(), "endpoints", []string{"full", "1", "2", "3", "4", "9"}))
+		r := restoredRouter(k, seed)
 		tried := 0
 		for i := range 10 {
 			for _, d := range r.Step(10e6, RequestArrived{Request: RequestID(fmt.Sprint(i)), Key: "hot", ValidUntil: 11e6}) {
--- a/core/routing/warmup.go
+++ b/core/routing/warmup.go
@@ -1,13 +1,11 @@
 package routing
 
-import (
-	"spurtrestle/core/clock"
-)
+import "spurtrestle/core/clock"
 
 const (
-	// minimumWarmUpLimit is how many attempts a warming cache's budget may save up at least: two may come by chance.
+	// minimumWarmUpLimit is the least limit of a budget, in attempts: two may arrive together by chance.
 	minimumWarmUpLimit = 2
-	// warmUpLimitParts is the part of the overload window for which a budget may be saved up: one in so many.
+	// warmUpLimitParts is the divisor of the overload window: a budget may be saved up for one such part of it.
 	warmUpLimitParts = 4
 	// warmUpLossFactor is how much the share of lost requests lowers the initial budget. From a quarter lost on no
 	// router starts with an attempt.
@@ -16,7 +14,7 @@
 
 // warmUpBudget is the budget of attempts for a cache that has just started.
 type warmUpBudget struct {
-	returnedAt clock.Time // when the server was seen to come back, where no list has its start yet
+	returnedAt clock.Time // when the server was seen to come back, or its ban ended; 0: neither
 	startedAt  clock.Time // the start for which the budget is
 	attempts   float64    // that it may get now
 	updatedAt  clock.Time
