--- a/internal/operatorstate/golden_test.go
+++ b/internal/operatorstate/golden_test.go
@@ -22,9 +22,9 @@
 	dir := t.TempDir()
 	store := Open(dir, "router", methods)
 	for _, change := range []func(*State) error{
-		take("cache-b"), take("cache-a"), take("cache-c"), take("cache-d"), give("cache-c"),
-		func(i *State) error { return i.Unban("cache-d", time.UnixMicro(8e6)) },
-		func(i *State) error { i.Drain = true; return nil },
+		ban("cache-b"), ban("cache-a"), ban("cache-c"), ban("cache-d"), unban("cache-c"),
+		func(s *State) error { s.Unban("cache-d", time.UnixMicro(8e6)); return nil },
+		func(s *State) error { s.Drain = true; return nil },
 	} {
 		if _, err := store.Update(State{}, change); err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/operatorstate/state.go
@@ -0,0 +1,56 @@
+package operatorstate
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// State is what operators have requested of a router.
+type State struct {
+	Banned     []string         `json:"down"`  // cache servers to avoid, by their names in discovery, sorted
+	UnbannedAt map[string]int64 `json:"back"`  // when others were unbanned lately, Unix time in microseconds
+	Drain      bool             `json:"empty"` // the router is to drain
+}
+
+const (
+	// maxBanned bounds the file.
+	maxBanned = 4096
+	// unbannedMemory is longer than any warm-up, for which UnbannedAt is needed.
+	unbannedMemory = 5 * time.Minute
+)
+
+// IsBanned reports whether a cache server is to be avoided.
+func (s State) IsBanned(uid string) bool { return slices.Contains(s.Banned, uid) }
+
+// Ban adds a cache server to those to avoid. A banned one stays banned. The error is one of too many.
+func (s *State) Ban(uid string) error {
+	if s.IsBanned(uid) {
+		return nil
+	}
+	if len(s.Banned) >= maxBanned {
+		return fmt.Errorf("%d cache servers are out already", maxBanned)
+	}
+	s.Banned = append(slices.Clone(s.Banned), uid)
+	slices.Sort(s.Banned)
+	delete(s.UnbannedAt, uid)
+	return nil
+}
+
+// Unban makes a cache server usable again, and records when: it warms up from then on. One that is not banned stays as it
+// is.
+func (s *State) Unban(uid string, now time.Time) {
+	for other, at := range s.UnbannedAt {
+		if now.Sub(time.UnixMicro(at)) > unbannedMemory {
+			delete(s.UnbannedAt, other)
+		}
+	}
+	if !s.IsBanned(uid) {
+		return
+	}
+	s.Banned = slices.DeleteFunc(slices.Clone(s.Banned), func(banned string) bool { return banned == uid })
+	if s.UnbannedAt == nil {
+		s.UnbannedAt = map[string]int64{}
+	}
+	s.UnbannedAt[uid] = now.UnixMicro()
+}
--- /dev/null
+++ b/internal/operatorstate/store_test.go
@@ -0,0 +1,164 @@
+package operatorstate
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+func ban(uid string) func(*State) error {
+	return func(s *State) error { return s.Ban(uid) }
+}
+
+func unban(uid string) func(*State) error {
+	return func(s *State) error {
+		s.Unban(uid, time.UnixMicro(7e6))
+		return nil
+	}
+}
+
+// TestStore_TwoProcesses reads in one store what the other wrote. A second ban changes nothing, and one unban ends it.
+func TestStore_TwoProcesses(t *testing.T) {
+	dir := t.TempDir()
+	one, two := Open(dir, "127.0.0.1:1", nil), Open(dir, "127.0.0.1:1", nil)
+	for _, uid := range []string{"b", "a", "b"} {
+		if _, err := one.Update(State{}, ban(uid)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !two.Changed() || one.Changed() {
+		t.Errorf("Changed: got %v at the reader, %v at the writer, want true, false", two.Changed(), one.Changed())
+	}
+	i, err := two.Update(State{Banned: []string{"of no account"}}, unban("b"))
+	if got, want := fmt.Sprint(i, err, two.Changed(), one.Changed()), "{[a] map[b:7000000] false} <nil> false true"; got != want {
+		t.Errorf("after the unban: got %s, want %s", got, want)
+	}
+	if i, err = one.Load(); fmt.Sprint(i, err) != "{[a] map[b:7000000] false} <nil>" {
+		t.Errorf("read again: got %v, %v, want the state with the unban", i, err)
+	}
+	if i, err = Open(dir, "127.0.0.1:2", nil).Load(); len(i.Banned) > 0 || err != nil {
+		t.Errorf("another router's store: got %v, %v, want none banned", i, err)
+	}
+}
+
+// TestStore_ConcurrentUpdates loses none of many updates by two stores at once.
+func TestStore_ConcurrentUpdates(t *testing.T) {
+	dir := t.TempDir()
+	var all sync.WaitGroup
+	for n := range 2 {
+		all.Go(func() {
+			s := Open(dir, "r", nil)
+			for k := range 50 {
+				if _, err := s.Update(State{}, ban(fmt.Sprint(n, "-", k))); err != nil {
+					t.Errorf("store %d, update %d: got %v, want no error", n, k, err)
+				}
+			}
+		})
+	}
+	all.Wait()
+	if i, err := Open(dir, "r", nil).Load(); len(i.Banned) != 100 || err != nil {
+		t.Errorf("got %d banned, %v, want 100", len(i.Banned), err)
+	}
+}
+
+// TestStore_UnusableFile names a corrupt file and writes it anew from what the process knows, does not write a rejected
+// change, and returns a PersistError where there is no folder.
+func TestStore_UnusableFile(t *testing.T) {
+	dir := t.TempDir()
+	s := Open(dir, "r", nil)
+	file := filepath.Join(dir, "spurtrestle-r.intent")
+	if err := os.WriteFile(file, []byte(`{"down":["x"`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if i, err := s.Load(); err == nil || !strings.HasPrefix(err.Error(), file+": ") || len(i.Banned) > 0 {
+		t.Errorf("corrupt file: got %v, %v, want an error with its name", i, err)
+	}
+	if i, err := s.Update(State{Banned: []string{"y"}}, ban("z")); fmt.Sprint(i.Banned, err) != "[y z] <nil>" {
+		t.Errorf("update over a corrupt file: got %v, %v, want [y z]", i, err)
+	}
+	rejected := errors.New("no")
+	if _, err := s.Update(State{}, func(*State) error { return rejected }); err != rejected {
+		t.Errorf("rejected change: got %v, want %v", err, rejected)
+	}
+	if i, _ := s.Load(); fmt.Sprint(i.Banned) != "[y z]" {
+		t.Errorf("after the rejected change: got %v, want [y z]", i)
+	}
+	var persistError *PersistError
+	gone := filepath.Join(dir, "gone")
+	s = Open(gone, "r", nil)
+	i, err := s.Update(State{}, ban("a"))
+	if fmt.Sprint(i.Banned) != "[a]" || !errors.As(err, &persistError) || !strings.Contains(err.Error(), "TMPDIR") {
+		t.Errorf("no folder: got %v, %v, want [a] and a PersistError", i, err)
+	}
+	// Once the folder is there, the next update writes the state that was not persisted, over an older file.
+	if err := os.Mkdir(gone, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Open(gone, "r", nil).Update(State{}, ban("older")); err != nil {
+		t.Fatal(err)
+	}
+	if !s.Stale() {
+		t.Error("Stale: got false, want true: the file lacks a change")
+	}
+	if i, err := s.Update(i, ban("b")); fmt.Sprint(i.Banned, err, s.Stale()) != "[a b] <nil> false" {
+		t.Errorf("update with the folder back: got %v, %v, stale %v, want [a b]", i, err, s.Stale())
+	}
+}
+
+// TestState_Bounds forgets unbans of long ago and rejects too many bans.
+func TestState_Bounds(t *testing.T) {
+	s := State{UnbannedAt: map[string]int64{"old": 0}, Banned: []string{"x"}}
+	s.Unban("x", time.UnixMicro(1e9))
+	if got, want := fmt.Sprint(s.UnbannedAt), "map[x:1000000000]"; got != want {
+		t.Errorf("UnbannedAt: got %s, want %s", got, want)
+	}
+	for n := range maxBanned {
+		_ = s.Ban(fmt.Sprint(n))
+	}
+	if err := s.Ban("one more"); err == nil {
+		t.Errorf("%d bans and one more: got no error", maxBanned)
+	}
+}
+
+// TestStore_OtherService rejects the file of another service's router at the same address with an error that names both
+// services; the next update writes the file anew.
+func TestStore_OtherService(t *testing.T) {
+	dir := t.TempDir()
+	theirs, ours := Open(dir, "r", []string{"tile", "put"}), Open(dir, "r", []string{"get", "put"})
+	if _, err := theirs.Update(State{}, ban("a")); err != nil {
+		t.Fatal(err)
+	}
+	i, err := ours.Load()
+	if len(i.Banned) > 0 || err == nil || !strings.Contains(err.Error(), "r.intent: it is of a service with the methods tile, put, and this router serves one with get, put; ") {
+		t.Errorf("got %v, %v, want an error that names both services", i, err)
+	}
+	if i, err = ours.Update(State{}, ban("b")); err != nil || len(i.Banned) != 1 {
+		t.Errorf("update: got %v, %v, want one banned", i, err)
+	}
+	if i, err = Open(dir, "r", []string{"get"}).Load(); err != nil || !i.IsBanned("b") { // a part of the methods is the same service
+		t.Errorf("a store with fewer methods: got %v, %v, want b banned", i, err)
+	}
+}
+
+// TestStore_ThousandsOfBans reads thousands of bans again.
+func TestStore_ThousandsOfBans(t *testing.T) {
+	const servers = 2000
+	i := State{}
+	for n := range servers {
+		if err := i.Ban(fmt.Sprint("s-", n)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	dir := t.TempDir()
+	if _, err := Open(dir, "r", nil).Update(i, ban("last")); err != nil {
+		t.Fatal(err)
+	}
+	if again, err := Open(dir, "r", nil).Load(); len(again.Banned) != servers+1 || err != nil {
+		t.Errorf("got %d banned, %v, want %d", len(again.Banned), err, servers+1)
+	}
+}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -280,7 +280,7 @@
 				}
 				_ = asked.Ban(uid)
 			case 1:
-				_ = asked.Unban(uid, time.UnixMicro(int64(r.clock())))
+				asked.Unban(uid, time.UnixMicro(int64(r.clock())))
 			default:
 				asked.Drain = n/2%4 == 2
 			}
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -167,7 +167,8 @@
 		if !i.IsBanned(uid) && !r.has(uid) {
 			return admin.ErrUnknownServer
 		}
-		return i.Unban(uid, time.UnixMicro(int64(r.clock())))
+		i.Unban(uid, time.UnixMicro(int64(r.clock())))
+		return nil
 	})
 }
 
