--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,173 +1,124 @@
-// Package handover is how two processes of one router speak while one replaces the other: frames over a Unix socket, each
-// with at most two descriptors. What is said is the router's.
+// Package handover is the transport between two processes of one router while the successor replaces the predecessor:
+// frames over a Unix socket, which may carry file descriptors.
+//
+// The exchange, of which internal/router decides each step:
+//
+//	successor     Hello
+//	predecessor   Listener, OperatorState, Snapshot
+//	successor     Ready, once it has an endpoint list and accepts clients
+//	predecessor   Client or LargeValue for each connection, once nothing else of it is in flight
+//	both          OperatorState and DescriptorCount at any time
+//	predecessor   LeaseTransfer at any time
+//
+// It ends when either process closes the connection. A predecessor whose successor ends early accepts clients again.
 package handover
 
 import (
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Kind says what a frame is.
-type Kind byte
+// sendTimeout bounds the wait for a process that does not read.
+const sendTimeout = 2 * time.Second
 
-const (
-	Hello           Kind = 'H' // new to old: I am to replace you
-	Listener        Kind = 'L' // old to new, with the listener
-	OperatorState   Kind = 'I' // old to new: what operators have asked of it
-	Snapshot        Kind = 'K' // old to new: what it knows; the last of what follows Hello
-	Ready           Kind = 'R' // new to old: clients are mine from now on
-	Client          Kind = 'C' // old to new, with a client's connection, and the bytes read of it that are not used yet
-	LargeValue      Kind = 'V' // old to new, with a client's connection and a server's: a big value on its way
-	DescriptorCount Kind = 'S' // both: how many descriptors I hold
-	LeaseTransfer   Kind = 'P' // old to new: what it holds of the fleet's policy, for a moment
-	headBytes            = 5
-	most                 = 4 << 20 // bytes of one frame
-)
-
-// Frame is one message. Its descriptors belong to who receives it.
-type Frame struct {
-	Kind Kind
-	Body []byte
-	FDs  []int
-}
+// ErrFrameTooLong reports a received frame whose length no sender writes.
+var ErrFrameTooLong = errors.New("handover: frame too long")
 
-// Conn is the other process.
+// Conn is a connection to the other process. Any goroutine may send; one receives.
 type Conn struct {
-	conn *net.UnixConn
-	mu   sync.Mutex // of sending
+	conn   *net.UnixConn
+	sendMu sync.Mutex // one frame after the other
 }
 
-// Dial finds the process that serves; an error: there is none that answers.
-func Dial(dir, name string, within time.Duration) (*Conn, error) {
-	path, done := short(dir, name)
-	defer done()
-	c, err := net.DialTimeout("unix", path, within)
-	if err != nil {
-		return nil, err
+// Send sends a frame. Its descriptors stay open in this process. After an error a part of the frame may have been sent, so
+// that the connection is of no more use.
+func (c *Conn) Send(f Frame) error {
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
+	_ = c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // fails for a closed connection, as the write will
+	header := binary.BigEndian.AppendUint32([]byte{byte(f.Kind)}, uint32(len(f.Body)))
+	var rights []byte
+	if len(f.FDs) > 0 {
+		rights = unix.UnixRights(f.FDs...)
 	}
-	return &Conn{conn: c.(*net.UnixConn)}, nil
-}
-
-// Listen waits for the process that is to replace this one, in the place of whoever waited under that name.
-func Listen(dir, name string) (*net.UnixListener, error) {
-	mine := fmt.Sprint(name, ".", os.Getpid())
-	path, done := short(dir, mine)
-	defer done()
-	_ = os.Remove(path) // of a process with our number that is gone
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
-	if err != nil {
-		return nil, err
+	n, _, err := c.conn.WriteMsgUnix(header, rights, nil)
+	if err == nil && n < len(header) {
+		_, err = c.conn.Write(header[n:])
 	}
-	ln.SetUnlinkOnClose(false) // by then the name is another's
-	if err = os.Rename(filepath.Join(dir, mine), filepath.Join(dir, name)); err != nil {
-		ln.Close()
-		return nil, err
+	if err == nil && len(f.Body) > 0 {
+		_, err = c.conn.Write(f.Body)
 	}
-	return ln, nil
+	return err
 }
 
-// short is a path of a file in dir that a socket's address has room for.
-func short(dir, name string) (path string, done func()) {
-	const room = 100 // of 108
-	if path = filepath.Join(dir, name); len(path) <= room {
-		return path, func() {}
+// Receive waits for the next frame; a timeout of 0 is none. The frame's descriptors belong to the caller.
+func (c *Conn) Receive(timeout time.Duration) (Frame, error) {
+	deadline := time.Time{}
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
+	}
+	_ = c.conn.SetReadDeadline(deadline) // fails for a closed connection, as the read will
+	header, descriptors, err := c.readHeader()
+	frame := Frame{FDs: descriptors}
+	if err == nil {
+		frame.Kind = Kind(header[0])
+		frame.Body, err = c.readBody(binary.BigEndian.Uint32(header[1:]))
 	}
-	d, err := os.Open(dir)
 	if err != nil {
-		return path, func() {}
+		frame.CloseDescriptors()
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), name), func() { d.Close() }
+	return frame, err
 }
 
-// Accept waits for the next process.
-func Accept(ln *net.UnixListener) (*Conn, error) {
-	c, err := ln.AcceptUnix()
+// readHeader reads the header of a frame and the descriptors that come with its first bytes. With an error there may be
+// descriptors too.
+func (c *Conn) readHeader() (header []byte, descriptors []int, err error) {
+	header = make([]byte, headerBytes)
+	rights := make([]byte, unix.CmsgSpace(maxDescriptors*descriptorSize))
+	n, rightsLength, _, _, err := c.conn.ReadMsgUnix(header, rights)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
-	return &Conn{conn: c}, nil
-}
-
-// Send sends a frame; its descriptors stay the sender's.
-func (p *Conn) Send(f Frame) error {
-	const patience = 2 * time.Second
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	_ = p.conn.SetWriteDeadline(time.Now().Add(patience))
-	head := binary.BigEndian.AppendUint32([]byte{byte(f.Kind)}, uint32(len(f.Body)))
-	var rights []byte
-	if len(f.FDs) > 0 {
-		rights = unix.UnixRights(f.FDs...)
+	if n == 0 {
+		return nil, nil, io.EOF
 	}
-	n, _, err := p.conn.WriteMsgUnix(head, rights, nil)
-	if err == nil && n < len(head) {
-		_, err = p.conn.Write(head[n:])
-	}
-	if err == nil && len(f.Body) > 0 {
-		_, err = p.conn.Write(f.Body)
+	if rightsLength > 0 {
+		descriptors = parseDescriptors(rights[:rightsLength])
 	}
-	return err
+	_, err = io.ReadFull(c.conn, header[n:])
+	return header, descriptors, err
 }
 
-var errFrame = errors.New("a frame of no known form")
-
-// Receive waits for the next frame, for so long; 0: for ever.
-func (p *Conn) Receive(within time.Duration) (Frame, error) {
-	by := time.Time{}
-	if within > 0 {
-		by = time.Now().Add(within)
-	}
-	_ = p.conn.SetReadDeadline(by)
-	f := Frame{}
-	head, rights := make([]byte, headBytes), make([]byte, unix.CmsgSpace(2*4))
-	n, oobn, _, _, err := p.conn.ReadMsgUnix(head, rights)
-	if err == nil && n == 0 {
-		err = io.EOF
+func (c *Conn) readBody(length uint32) ([]byte, error) {
+	if length > maxBodyBytes {
+		return nil, ErrFrameTooLong
 	}
-	if err != nil {
-		return f, err
-	}
-	if oobn > 0 {
-		if all, err := unix.ParseSocketControlMessage(rights[:oobn]); err == nil && len(all) == 1 {
-			if f.FDs, err = unix.ParseUnixRights(&all[0]); err != nil {
-				f.FDs = nil
-			}
-			for _, fd := range f.FDs {
-				unix.CloseOnExec(fd)
-			}
-		}
-	}
-	if _, err = io.ReadFull(p.conn, head[n:]); err == nil {
-		size := binary.BigEndian.Uint32(head[1:])
-		if size > most {
-			err = errFrame
-		} else {
-			f.Kind, f.Body = Kind(head[0]), make([]byte, size)
-			_, err = io.ReadFull(p.conn, f.Body)
-		}
+	body := make([]byte, length)
+	_, err := io.ReadFull(c.conn, body)
+	return body, err
+}
+
+// parseDescriptors returns the descriptors of a control message; none where it is malformed.
+func parseDescriptors(rights []byte) []int {
+	messages, err := unix.ParseSocketControlMessage(rights)
+	if err != nil || len(messages) != 1 {
+		return nil
 	}
+	descriptors, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
-		f.CloseDescriptors()
+		return nil
 	}
-	return f, err
-}
-
-// CloseDescriptors closes what came with a frame.
-func (f *Frame) CloseDescriptors() {
-	for _, fd := range f.FDs {
-		unix.Close(fd)
+	for _, fd := range descriptors {
+		unix.CloseOnExec(fd)
 	}
-	f.FDs = nil
+	return descriptors
 }
 
-// Close ends it; Receive returns.
-func (p *Conn) Close() { p.conn.Close() }
+// Close ends the connection; a Receive that waits returns an error.
+func (c *Conn) Close() { c.conn.Close() }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"net"
 	"os"
 	"strings"
 	"testing"
@@ -11,15 +13,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Frames of all sizes come as they were sent, each with its own descriptor, also in a folder of a long name; the next
-// process to listen has the name.
-func TestFrames(t *testing.T) {
+// TestConn_Frames sends frames of several sizes, with and without descriptors, through a socket in a folder with a long
+// name. The name then belongs to the next process that listens.
+func TestConn_Frames(t *testing.T) {
 	dir := t.TempDir() + "/" + strings.Repeat("long", 40)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Dial(dir, "r.sock", time.Second); err == nil {
-		t.Fatal("somebody is there")
+		t.Fatal("Dial before Listen: got no error")
 	}
 	ln, err := Listen(dir, "r.sock")
 	if err != nil {
@@ -30,26 +32,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, err := Dial(dir, "r.sock", time.Second)
+	sender, err := Dial(dir, "r.sock", time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := Accept(ln)
+	receiver, err := Accept(ln)
 	if err != nil {
 		t.Fatal(err)
 	}
 	big := bytes.Repeat([]byte("x"), 1<<20)
 	go func() {
-		for _, f := range []Frame{{Hello, nil, nil}, {LargeValue, big, []int{int(read.Fd()), int(write.Fd())}}, {DescriptorCount, []byte("7"), nil}} {
-			_ = one.Send(f) // what is missing is seen below
+		for _, f := range []Frame{{Kind: Hello}, {Kind: LargeValue, Body: big, FDs: []int{int(read.Fd()), int(write.Fd())}}, {Kind: DescriptorCount, Body: []byte("7")}} {
+			_ = sender.Send(f) // a missing frame fails below
 		}
 		write.Close()
-		one.Close()
+		sender.Close()
 	}()
 	for _, want := range []string{"H 0 0", "V 1048576 2", "S 1 0"} {
-		f, err := two.Receive(time.Second)
+		f, err := receiver.Receive(time.Second)
 		if got := fmt.Sprintf("%c %d %d", f.Kind, len(f.Body), len(f.FDs)); got != want || err != nil {
-			t.Error(got, err)
+			t.Errorf("Receive: got %s, %v, want %s", got, err, want)
 		}
 		if len(f.FDs) == 2 {
 			_, _ = unix.Write(f.FDs[1], []byte("hello"))
@@ -58,13 +60,13 @@
 	}
 	got := make([]byte, 5)
 	if _, err := read.Read(got); string(got) != "hello" {
-		t.Error(string(got), err)
+		t.Errorf("through a received descriptor: got %q, %v, want hello", got, err)
 	}
-	if _, err := two.Receive(time.Second); err == nil {
-		t.Error("no end")
+	if _, err := receiver.Receive(time.Second); err == nil {
+		t.Error("Receive after the end: got no error")
 	}
-	if _, err := two.Receive(time.Millisecond); err == nil {
-		t.Error("no end")
+	if _, err := receiver.Receive(time.Millisecond); err == nil {
+		t.Error("second Receive after the end: got no error")
 	}
 	next, err := Listen(dir, "r.sock")
 	if err != nil {
@@ -73,6 +75,33 @@
 	defer next.Close()
 	ln.Close()
 	if _, err := Dial(dir, "r.sock", time.Second); err != nil {
-		t.Error("the name went with the process before: ", err)
+		t.Errorf("Dial after the first listener closed: got %v, want the second one", err)
+	}
+}
+
+// TestConn_RejectsLongFrames closes the descriptors of a frame whose length is beyond the bound.
+func TestConn_RejectsLongFrames(t *testing.T) {
+	dir := t.TempDir()
+	ln, err := Listen(dir, "s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	other, err := net.Dial("unix", dir+"/s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	conn, err := Accept(ln)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if _, _, err := other.(*net.UnixConn).WriteMsgUnix([]byte{byte(Client), 0xff, 0xff, 0xff, 0xff}, unix.UnixRights(0), nil); err != nil {
+		t.Fatal(err)
+	}
+	frame, err := conn.Receive(time.Second)
+	if !errors.Is(err, ErrFrameTooLong) || len(frame.FDs) > 0 {
+		t.Errorf("got %v with descriptors %v, want ErrFrameTooLong and none", err, frame.FDs)
 	}
 }
