--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,11 +17,11 @@
 // plainRouter answers with fixed texts. Its failing server is "broken", its unknown one "unknown".
 type plainRouter struct{ notReady error }
 
-func (r plainRouter) Ready() error                { return r.notReady }
-func (r plainRouter) Figures() string             { return "router.forwards:7|c\n" }
-func (r plainRouter) BanServer(id string) error   { return answerFor(id) }
-func (r plainRouter) UnbanServer(id string) error { return answerFor(id) }
-func (r plainRouter) SetDraining(on bool) error {
+func (r plainRouter) Ready() error              { return r.notReady }
+func (plainRouter) Figures() string             { return "router.forwards:7|c\n" }
+func (plainRouter) BanServer(id string) error   { return answerFor(id) }
+func (plainRouter) UnbanServer(id string) error { return answerFor(id) }
+func (plainRouter) SetDraining(on bool) error {
 	if on {
 		return nil
 	}
--- /dev/null
+++ b/internal/admin/routes.go
@@ -0,0 +1,143 @@
+package admin
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+)
+
+// Fleet is a Router with a view of its fleet.
+type Fleet interface {
+	// Whole returns the view as JSON.
+	Whole() (string, error)
+}
+
+// Policy is a Router that follows a policy of its fleet.
+type Policy interface {
+	// Policy returns the policy in force here as JSON.
+	Policy() (string, error)
+	// Ask passes a request on to the voters and returns their reply.
+	Ask(request string) (string, error)
+}
+
+// Errors of requests that the router cannot answer.
+var (
+	errNoFleet     = errors.New("this router keeps no view of a fleet; fleet.name in the operator's file switches it on")
+	errNoPolicy    = errors.New("this router is kept to no policy of a fleet; policy.cut_off in the operator's file switches it on")
+	errBadServerID = errors.New("the body is to be the id of a cache server")
+)
+
+const (
+	maxServerIDBytes = 256
+	// maxBodyBytes is a server's id with some white space around it.
+	maxBodyBytes = maxServerIDBytes + 64
+	// maxPolicyRequestBytes is a policy document, as JSON.
+	maxPolicyRequestBytes = 256 << 10
+)
+
+// route is one path of the endpoint.
+type route struct {
+	path         string
+	method       string
+	maxBodyBytes int64         // the rest of a body is not read
+	timeout      time.Duration // of the reply; 0: callTimeout
+	reply        func(body string) (string, error)
+}
+
+func routes(router Router) []route {
+	return []route{
+		get("/ops/readiness", func() (string, error) { return "ready\n", router.Ready() }),
+		get("/ops/stats", func() (string, error) { return router.Figures(), nil }),
+		put("/ops/cache-servers/down", func(body string) (string, error) { return "out\n", withServerID(body, router.BanServer) }),
+		put("/ops/cache-servers/up", func(body string) (string, error) { return "in use\n", withServerID(body, router.UnbanServer) }),
+		put("/ops/drain/start", func(string) (string, error) { return "draining\n", router.SetDraining(true) }),
+		put("/ops/drain/stop", func(string) (string, error) { return "taking clients\n", router.SetDraining(false) }),
+		get("/ops/fleet", func() (string, error) { return fleetView(router) }),
+		get("/ops/policy", func() (string, error) { return policyInForce(router) }),
+		policyRequest(router),
+	}
+}
+
+// ServeHTTP checks the method, reads the body and writes the reply.
+func (r route) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.Method != r.method {
+		w.Header().Set("Allow", r.method)
+		http.Error(w, "the method of this call is "+r.method, http.StatusMethodNotAllowed)
+		return
+	}
+	if r.timeout > 0 {
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(r.timeout)) // callTimeout applies if it fails
+	}
+	body, err := io.ReadAll(io.LimitReader(request.Body, r.maxBodyBytes))
+	if err != nil {
+		http.Error(w, "the body did not come whole", http.StatusBadRequest)
+		return
+	}
+	text, err := r.reply(strings.TrimSpace(string(body)))
+	if err != nil {
+		http.Error(w, err.Error(), statusOf(err))
+		return
+	}
+	_, _ = io.WriteString(w, text) // the caller may have gone
+}
+
+func statusOf(err error) int {
+	switch {
+	case errors.Is(err, ErrUnknownServer), errors.Is(err, errNoFleet), errors.Is(err, errNoPolicy):
+		return http.StatusNotFound
+	case errors.Is(err, errBadServerID):
+		return http.StatusBadRequest
+	}
+	return http.StatusServiceUnavailable
+}
+
+func get(path string, reply func() (string, error)) route {
+	return route{path: path, method: http.MethodGet, maxBodyBytes: maxBodyBytes,
+		reply: func(string) (string, error) { return reply() }}
+}
+
+func put(path string, reply func(body string) (string, error)) route {
+	return route{path: path, method: http.MethodPut, maxBodyBytes: maxBodyBytes, reply: reply}
+}
+
+func fleetView(router Router) (string, error) {
+	fleet, ok := router.(Fleet)
+	if !ok {
+		return "", errNoFleet
+	}
+	return fleet.Whole()
+}
+
+func policyInForce(router Router) (string, error) {
+	policy, ok := router.(Policy)
+	if !ok {
+		return "", errNoPolicy
+	}
+	return policy.Policy()
+}
+
+// policyRequest is the route for requests to the voters, which may be long and take long where there is a policy.
+func policyRequest(router Router) route {
+	r := route{path: "/ops/policy/ask", method: http.MethodPost}
+	policy, ok := router.(Policy)
+	if !ok {
+		r.maxBodyBytes = maxBodyBytes
+		r.reply = func(string) (string, error) { return "", errNoPolicy }
+		return r
+	}
+	r.maxBodyBytes = maxPolicyRequestBytes
+	r.timeout = policyRequestTimeout
+	r.reply = policy.Ask
+	return r
+}
+
+// withServerID calls change with the id of a cache server, which is all of a body.
+func withServerID(body string, change func(uid string) error) error {
+	if body == "" || len(body) > maxServerIDBytes {
+		return fmt.Errorf("%w, of 1 to %d bytes", errBadServerID, maxServerIDBytes)
+	}
+	return change(body)
+}
