--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,165 +1,152 @@
-// Package discovery keeps the list of servers as discovery tells it: which call comes next, what an answer says, and
-// which number stands for which server. It does no I/O.
+// Package discovery is the endpoint list as service discovery publishes it: the next request to discovery, the changes in
+// a response, and the number that stands for each server. It does no I/O; internal/router owns the list on its event loop.
 package discovery
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
 	"hash/fnv"
-	"math"
 	"slices"
-	"strconv"
 	"strings"
 
 	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
-// UID is a server's name in discovery, the same at every router.
+// UID is a server's name in discovery, the same for every router.
 type UID string
 
-// EndpointList holds what discovery has told.
+// EndpointList is the endpoint list so far.
 type EndpointList struct {
-	rev   int64
-	whole bool // a whole list has come, so that the next call is a watch
-	ids   map[UID]routing.ServerID
-	uids  map[routing.ServerID]UID
-	addrs map[routing.ServerID]string
+	revision  int64
+	synced    bool // a full list has been applied, so that the next request is a watch
+	ids       map[UID]routing.ServerID
+	uids      map[routing.ServerID]UID
+	addresses map[routing.ServerID]string
 }
 
-// New returns an empty Book.
+// New returns an empty list.
 func New() *EndpointList {
-	return &EndpointList{ids: map[UID]routing.ServerID{}, uids: map[routing.ServerID]UID{},
-		addrs: map[routing.ServerID]string{}}
+	return &EndpointList{
+		ids:       map[UID]routing.ServerID{},
+		uids:      map[routing.ServerID]UID{},
+		addresses: map[routing.ServerID]string{},
+	}
 }
 
-// NextRequest is the next call, and how long discovery may take over it: the whole list at once, then watches of the given
-// length.
-func (b *EndpointList) NextRequest(wait clock.Time) (path string, most clock.Time) {
-	path = "/registry/instances"
-	if !b.whole {
-		return path, 0
+const endpointsPath = "/registry/instances"
+
+// NextRequest returns the path of the next request, and how long discovery may take to answer: a request for the full
+// list, which is answered at once, and then watches of the given length.
+func (l *EndpointList) NextRequest(watchTimeout clock.Duration) (path string, wait clock.Duration) {
+	if !l.synced {
+		return endpointsPath, 0
 	}
-	return path + "?index=" + strconv.FormatInt(b.rev, 10) + "&wait=" + strconv.FormatInt(int64(wait/1e3), 10), wait
+	return fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, l.revision, int64(watchTimeout/clock.Millisecond)), watchTimeout
 }
 
-// Address is where a server is reached.
-func (b *EndpointList) Address(id routing.ServerID) string { return b.addrs[id] }
+// Invalidate makes the next request one for the full list, after a response whose changes may be lost.
+func (l *EndpointList) Invalidate() { l.synced = false }
 
-// UID is a server's name; empty where its number is not known.
-func (b *EndpointList) UID(id routing.ServerID) UID { return b.uids[id] }
-
-// ID is a server's number; false where nobody in the list has that name.
-func (b *EndpointList) ID(uid UID) (routing.ServerID, bool) {
-	id, ok := b.ids[uid]
-	return id, ok
-}
+// Address returns the address and port of a server; empty for an unknown one.
+func (l *EndpointList) Address(id routing.ServerID) string { return l.addresses[id] }
 
-// Invalidate makes the next call ask for the whole list: where an answer was odd, what it held may be lost.
-func (b *EndpointList) Invalidate() { b.whole = false }
-
-type target struct {
-	UID      UID     `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Kind     string  `json:"model"`
-	Cell     int64   `json:"pod_group"`
-	State    string  `json:"state"`
-	Weight   float64 `json:"capacity_hint"`
-	Boot     float64 `json:"boot_ms"`
-}
+// UID returns the name of a server; empty for an unknown one.
+func (l *EndpointList) UID(id routing.ServerID) UID { return l.uids[id] }
 
-type answer struct {
-	Rev     *int64    `json:"rev"`
-	All     bool      `json:"all"`
-	Targets *[]target `json:"targets"`
+// ID returns the number of a server, and whether the list has it.
+func (l *EndpointList) ID(uid UID) (routing.ServerID, bool) {
+	id, ok := l.ids[uid]
+	return id, ok
 }
 
-var states = map[string]routing.EndpointState{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Removed}
-
-// ApplySaved reads the list that a router starts with; it may be old, so that the next call asks for the whole one.
-func (b *EndpointList) ApplySaved(body []byte) (routing.EndpointsUpdated, error) {
-	l, err := b.Apply(body)
-	l.Kind = routing.CachedUpdate
-	b.whole = false
-	return l, err
+// ApplySaved applies a response that was saved before this process started. The next request is for the full list.
+func (l *EndpointList) ApplySaved(body []byte) (routing.EndpointsUpdated, error) {
+	update, err := l.Apply(body)
+	update.Kind = routing.CachedUpdate
+	l.synced = false
+	return update, err
 }
 
-// Apply reads an answer. One that cannot be read changes nothing; an odd entry does not keep the others from counting.
-func (b *EndpointList) Apply(body []byte) (routing.EndpointsUpdated, error) {
-	var a answer
-	l := routing.EndpointsUpdated{Kind: routing.IncrementalUpdate}
-	if err := json.Unmarshal(body, &a); err != nil {
-		return l, err
+// Apply applies a response to the last request and returns the update for the decisions. A response with an error changes
+// nothing. Entries without a name are skipped.
+func (l *EndpointList) Apply(body []byte) (routing.EndpointsUpdated, error) {
+	update := routing.EndpointsUpdated{Kind: routing.IncrementalUpdate}
+	r, err := parseResponse(body)
+	if err != nil {
+		return update, err
 	}
-	switch {
-	case a.Rev == nil:
-		return l, errors.New("rev is missing")
-	case a.Targets == nil:
-		return l, errors.New("targets is missing")
-	case !a.All && !b.whole:
-		return l, errors.New("changes came where the whole list was asked for")
-	case !a.All && *a.Rev < b.rev: // another's count: what it changed up to there would never come
-		return l, fmt.Errorf("changes up to version %d came where there was %d already", *a.Rev, b.rev)
+	if err := l.checkContinues(r); err != nil {
+		return update, err
 	}
-	targets := *a.Targets
-	b.rev, b.whole = *a.Rev, b.whole || a.All
-	if a.All {
-		l.Kind = routing.FullUpdate
+	l.revision = *r.Revision
+	if r.Full {
+		l.synced = true
+		update.Kind = routing.FullUpdate
 	}
-	// In order of name, so that two names that share a number are told apart alike at every router.
-	slices.SortStableFunc(targets, func(x, y target) int { return strings.Compare(string(x.UID), string(y.UID)) })
-	for _, t := range targets {
-		if t.UID == "" {
+	entries := *r.Endpoints
+	// Sorted, so that two names with the same hash get the same numbers in every router.
+	slices.SortStableFunc(entries, func(a, b endpointEntry) int { return strings.Compare(string(a.UID), string(b.UID)) })
+	for _, entry := range entries {
+		if entry.UID == "" {
 			continue
 		}
-		state, known := states[t.State]
-		if !known {
-			state = routing.Draining // whatever it means, it does not ask for anything new
+		id := l.assignID(entry.UID)
+		if entry.Address != "" {
+			l.addresses[id] = entry.Address
 		}
-		if t.Boot < 0 || t.Boot > math.MaxInt64/2e3 {
-			t.Boot = 0
-		}
-		id := b.id(t.UID)
-		if t.Endpoint != "" {
-			b.addrs[id] = t.Endpoint
-		}
-		l.Endpoints = append(l.Endpoints, routing.Endpoint{Server: id, Zone: routing.Zone(t.Zone), Kind: routing.Kind(t.Kind),
-			Cell: routing.Cell(t.Cell), State: state, Weight: t.Weight, StartedAt: clock.Time(t.Boot * 1e3)})
+		update.Endpoints = append(update.Endpoints, entry.endpoint(id))
+	}
+	l.prune(update)
+	return update, nil
+}
+
+// checkContinues rejects a response that does not continue the list: changes without a full list, and changes of an
+// earlier revision, which come from a discovery server that started anew and lacks the changes up to there.
+func (l *EndpointList) checkContinues(r response) error {
+	if r.Full {
+		return nil
+	}
+	if !l.synced {
+		return errNotFull
+	}
+	if *r.Revision < l.revision {
+		return &revisionError{received: *r.Revision, current: l.revision}
 	}
-	b.prune(l)
-	return l, nil
+	return nil
 }
 
-// prune forgets who is gone: servers come under ever new names.
-func (b *EndpointList) prune(l routing.EndpointsUpdated) {
-	named := map[routing.ServerID]bool{}
-	for _, e := range l.Endpoints {
-		named[e.Server] = e.State != routing.Removed
+// prune removes servers that have gone: new ones come under new names all day.
+func (l *EndpointList) prune(update routing.EndpointsUpdated) {
+	present := map[routing.ServerID]bool{} // by the update; false: removed
+	for _, endpoint := range update.Endpoints {
+		present[endpoint.Server] = endpoint.State != routing.Removed
 	}
-	for uid, id := range b.ids {
-		if keep, told := named[id]; told && !keep || !told && l.Kind == routing.FullUpdate {
-			delete(b.ids, uid)
-			delete(b.uids, id)
-			delete(b.addrs, id)
+	full := update.Kind == routing.FullUpdate
+	for uid, id := range l.ids {
+		isPresent, mentioned := present[id]
+		gone := mentioned && !isPresent || !mentioned && full
+		if gone {
+			delete(l.ids, uid)
+			delete(l.uids, id)
+			delete(l.addresses, id)
 		}
 	}
 }
 
-// id is the number of a server: a hash of its name, so that it is the same at every router. Of two names with one hash
-// the later gets the next hash of its own.
-func (b *EndpointList) id(uid UID) routing.ServerID {
-	if id, ok := b.ids[uid]; ok {
+// assignID returns the number of a server: a hash of its name, the same in every router. Of two names with one hash the
+// later gets the hash of its name with a zero byte behind it, and so on.
+func (l *EndpointList) assignID(uid UID) routing.ServerID {
+	if id, ok := l.ids[uid]; ok {
 		return id
 	}
-	h := fnv.New32a()
-	h.Write([]byte(uid))
-	id := routing.ServerID(h.Sum32())
-	for b.uids[id] != "" {
-		h.Write([]byte{0})
-		id = routing.ServerID(h.Sum32())
+	hash := fnv.New32a()
+	hash.Write([]byte(uid))
+	id := routing.ServerID(hash.Sum32())
+	for l.uids[id] != "" {
+		hash.Write([]byte{0})
+		id = routing.ServerID(hash.Sum32())
 	}
-	b.ids[uid], b.uids[id] = id, uid
+	l.ids[uid] = id
+	l.uids[id] = uid
 	return id
 }
