--- /dev/null
+++ b/internal/program/check.go
@@ -0,0 +1,81 @@
+package program
+
+import (
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/sirupsen/logrus"
+
+	"spurtrestle/internal/config"
+	"spurtrestle/internal/configerror"
+	"spurtrestle/internal/operator"
+	"spurtrestle/internal/router"
+)
+
+// check reads the configuration and the operator's file as serve would, without opening any socket, and prints a summary.
+// The operator's file can be checked alone.
+func check(configFile, operatorFile string, out io.Writer, parts Parts) error {
+	file, err := loadOperatorFile(operatorFile, parts)
+	if err != nil {
+		return err
+	}
+	if operatorFile != "" {
+		if _, err := fmt.Fprintf(out, "%s: good; %s\n", operatorFile, describeState(file.State)); err != nil || configFile == "" {
+			return err
+		}
+	}
+	cfg, err := loadConfigFile(configFile)
+	if err != nil {
+		return err
+	}
+	if _, err := router.New(cfg, logrus.New()); err != nil {
+		return err
+	}
+	if file.Fleet.Name != "" {
+		if _, err := fleetConfig(file, cfg); err != nil {
+			return err
+		}
+	}
+	_, err = fmt.Fprintf(out, "%s: good; %s listens on %s, %d methods, discovery at %s\n", configFile, cfg.Name, cfg.Listen,
+		len(cfg.Settings.Methods), cfg.Discovery)
+	return err
+}
+
+func describeState(state operator.State) string {
+	if state.Dir == "" {
+		return "no state is kept"
+	}
+	return fmt.Sprintf("state is kept in %s, every %v", state.Dir, state.Interval())
+}
+
+// loadConfigFile loads a file in place of that of the environment. Settings of two shapes are an error here.
+func loadConfigFile(path string) (config.Config, error) {
+	cfg, err := config.Load(func(variable string) string {
+		if variable == "EDGE_CONFIG" {
+			return path
+		}
+		return os.Getenv(variable)
+	})
+	if err != nil {
+		return cfg, err
+	}
+	return cfg, cfg.ShapeConflict
+}
+
+// loadOperatorFile reads the operator's file and rejects functions that this program does not link in.
+func loadOperatorFile(path string, parts Parts) (operator.File, error) {
+	file, err := operator.Load(path)
+	if err != nil {
+		return file, err
+	}
+	if file.GRPC.Listen != "" && parts.GRPC == nil {
+		return file, &configerror.Error{File: path, Field: "grpc.listen", Problem: "this program has no gRPC",
+			Remedy: "start cache-router-grpc in its place, or leave the field empty"}
+	}
+	if file.Fleet.Name != "" && parts.Fleet == nil {
+		return file, file.FieldError("fleet.name", "this program keeps no view of a fleet",
+			"start cache-router-fleet or cache-router-grpc in its place, or leave the field empty")
+	}
+	return file, nil
+}
--- /dev/null
+++ b/internal/program/command.go
@@ -0,0 +1,117 @@
+package program
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/sirupsen/logrus"
+)
+
+const usage = `cache-router is a router for fleets of cache servers.
+
+  cache-router [--file FILE] [--log-format text|json] [--log-level LEVEL]
+                       serve; EDGE_CONFIG names the configuration, FILE is the operator's own (deploy/spurtrestle.toml)
+  cache-router check [--config FILE] [--file FILE]
+                       tell what is wrong in a configuration
+  cache-router version
+                       tell what it was built from
+
+Example: EDGE_CONFIG=config.json cache-router --file deploy/spurtrestle.toml --log-format json
+Exit codes: 0 ended in order, 1 bad configuration or the loop ended by itself, 2 wrong usage.
+`
+
+var errUsage = errors.New("wrong usage; see cache-router --help")
+
+// The commands. Without one the program serves.
+const (
+	commandServe   = ""
+	commandCheck   = "check"
+	commandVersion = "version"
+)
+
+// options are a parsed command line.
+type options struct {
+	command      string
+	configFile   string // of check
+	operatorFile string // empty: none
+	logFormat    string
+	logLevel     string
+}
+
+// run carries out a command line.
+func run(args []string, out io.Writer, parts Parts) error {
+	o, err := parseOptions(args)
+	if errors.Is(err, flag.ErrHelp) {
+		_, err = io.WriteString(out, usage)
+		return err
+	}
+	if err != nil {
+		return err
+	}
+	switch o.command {
+	case commandCheck:
+		return check(o.configFile, o.operatorFile, out, parts)
+	case commandVersion:
+		_, err := fmt.Fprintln(out, "cache-router", revision())
+		return err
+	}
+	log, err := newLogger(o)
+	if err != nil {
+		return err
+	}
+	return serve(log, o.operatorFile, parts)
+}
+
+// parseOptions returns errUsage for a wrong command line, and flag.ErrHelp for a request for help.
+func parseOptions(args []string) (options, error) {
+	var o options
+	if len(args) > 0 && args[0] != "" && args[0][0] != '-' {
+		o.command = args[0]
+		args = args[1:]
+	}
+	flags := flag.NewFlagSet(o.command, flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	switch o.command {
+	case commandServe:
+		flags.StringVar(&o.operatorFile, "file", "", "")
+		flags.StringVar(&o.logFormat, "log-format", "text", "")
+		flags.StringVar(&o.logLevel, "log-level", "info", "")
+	case commandCheck:
+		flags.StringVar(&o.configFile, "config", os.Getenv("EDGE_CONFIG"), "")
+		flags.StringVar(&o.operatorFile, "file", "", "")
+	case commandVersion:
+	default:
+		return o, fmt.Errorf("%q is no command: %w", o.command, errUsage)
+	}
+	err := flags.Parse(args)
+	if errors.Is(err, flag.ErrHelp) {
+		return o, err
+	}
+	if err != nil {
+		return o, fmt.Errorf("%v: %w", err, errUsage)
+	}
+	if flags.NArg() > 0 {
+		return o, fmt.Errorf("%q is one word too many: %w", flags.Arg(0), errUsage)
+	}
+	return o, nil
+}
+
+func newLogger(o options) (*logrus.Logger, error) {
+	log := logrus.New()
+	level, err := logrus.ParseLevel(o.logLevel)
+	if err != nil {
+		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warning, error: %w", o.logLevel, errUsage)
+	}
+	log.Level = level
+	switch o.logFormat {
+	case "text":
+	case "json":
+		log.SetFormatter(&logrus.JSONFormatter{})
+	default:
+		return nil, fmt.Errorf("--log-format: %q is neither text nor json: %w", o.logFormat, errUsage)
+	}
+	return log, nil
+}
--- /dev/null
+++ b/internal/program/fleet.go
@@ -0,0 +1,90 @@
+package program
+
+import (
+	"fmt"
+	"os"
+	"slices"
+
+	"spurtrestle/internal/admin"
+	"spurtrestle/internal/config"
+	"spurtrestle/internal/fleet"
+	"spurtrestle/internal/operator"
+	"spurtrestle/internal/router"
+	"spurtrestle/internal/settings"
+)
+
+// fleetConfig combines the operator's file and the configuration: the file's fields take precedence.
+func fleetConfig(file operator.File, cfg config.Config) (fleet.Config, error) {
+	f := file.Fleet
+	c := fleet.Config{
+		Fleet:         f.Name,
+		Name:          f.Router,
+		Site:          f.Site,
+		Sites:         cfg.Sites,
+		Tiered:        f.Tiered,
+		Region:        f.Region,
+		Remote:        f.Remote,
+		Join:          f.Join,
+		Dir:           f.Dir,
+		ProbeInterval: f.ProbeInterval(),
+		ForgetAfter:   f.ForgetAfter(),
+		FleetSize:     cfg.Settings.Routers,
+		Slot:          cfg.Slot,
+		Build:         revision(),
+		Methods:       settings.MethodNames(cfg.Settings),
+		ConfigError:   file.FieldError,
+	}
+	c.Listen, c.Advertise = f.Addresses()
+	if c.Name == "" {
+		c.Name = cfg.Name
+	}
+	if c.Site == "" {
+		c.Site = cfg.Site
+	}
+	return c, checkFleetConfig(c)
+}
+
+func checkFleetConfig(c fleet.Config) error {
+	if c.Name == "" {
+		return c.ConfigError("fleet.router", "is empty, and so is name in the configuration", "give the router a name")
+	}
+	if len(c.Sites) > 0 && !slices.Contains(c.Sites, c.Site) {
+		return c.ConfigError("fleet.site", fmt.Sprintf("%q is none of the settings' zones", c.Site), fmt.Sprintf("write one of %q", c.Sites))
+	}
+	if c.Tiered && c.Site == "" {
+		return c.ConfigError("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet is made of them")
+	}
+	if c.Dir != "" {
+		if info, err := os.Stat(c.Dir); err == nil && !info.IsDir() {
+			return c.ConfigError("fleet.dir", c.Dir+" is no folder", "name a folder, one for each router")
+		}
+	}
+	return nil
+}
+
+// fleetRouter is a router with a view of its fleet, for the admin endpoint.
+type fleetRouter struct {
+	*router.Router
+	fleet.Node
+}
+
+// Figures returns the metrics of the router and of the view.
+func (r fleetRouter) Figures() string { return r.Router.Figures() + r.Node.Figures() }
+
+// policyRouter is a fleetRouter that follows a policy, for the admin endpoint.
+type policyRouter struct {
+	fleetRouter
+	policy fleet.Policy
+}
+
+// Policy returns the policy in force as JSON.
+func (r policyRouter) Policy() (string, error) { return r.policy.Policy() }
+
+// Ask passes an operator's request on to the voters.
+func (r policyRouter) Ask(request string) (string, error) { return r.policy.Ask(request) }
+
+// The admin endpoint finds these interfaces by type assertion.
+var (
+	_ admin.Fleet  = fleetRouter{}
+	_ admin.Policy = policyRouter{}
+)
