--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,8 +14,8 @@
 type Router interface {
 	// Ready returns nil where the router accepts clients, and the reason where it does not.
 	Ready() error
-	// Figures returns the metrics as statsd lines.
-	Figures() string
+	// Metrics returns the metrics as statsd lines.
+	Metrics() string
 	// BanServer stops sending requests to a cache server, by its name in discovery.
 	BanServer(uid string) error
 	// UnbanServer ends a ban.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,7 @@
 type plainRouter struct{ notReady error }
 
 func (r plainRouter) Ready() error              { return r.notReady }
-func (plainRouter) Figures() string             { return "router.forwards:7|c\n" }
+func (plainRouter) Metrics() string             { return "router.forwards:7|c\n" }
 func (plainRouter) BanServer(id string) error   { return answerFor(id) }
 func (plainRouter) UnbanServer(id string) error { return answerFor(id) }
 func (plainRouter) SetDraining(on bool) error {
@@ -41,8 +41,8 @@
 // policyRouter is a router with a view of its fleet and a policy.
 type policyRouter struct{ plainRouter }
 
-func (policyRouter) Whole() (string, error)  { return `{"routers":[]}`, nil }
-func (policyRouter) Policy() (string, error) { return `{"revision":3}`, nil }
+func (policyRouter) StatusJSON() (string, error) { return `{"routers":[]}`, nil }
+func (policyRouter) Policy() (string, error)     { return `{"revision":3}`, nil }
 func (policyRouter) Ask(request string) (string, error) {
 	if len(request) > 1000 {
 		return fmt.Sprint(len(request), "\n"), nil
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -11,8 +11,8 @@
 
 // Fleet is a Router with a view of its fleet.
 type Fleet interface {
-	// Whole returns the view as JSON.
-	Whole() (string, error)
+	// StatusJSON returns the view as JSON.
+	StatusJSON() (string, error)
 }
 
 // Policy is a Router that follows a policy of its fleet.
@@ -50,7 +50,7 @@
 func routes(router Router) []route {
 	return []route{
 		get("/ops/readiness", func() (string, error) { return "ready\n", router.Ready() }),
-		get("/ops/stats", func() (string, error) { return router.Figures(), nil }),
+		get("/ops/stats", func() (string, error) { return router.Metrics(), nil }),
 		put("/ops/cache-servers/down", func(body string) (string, error) { return "out\n", withServerID(body, router.BanServer) }),
 		put("/ops/cache-servers/up", func(body string) (string, error) { return "in use\n", withServerID(body, router.UnbanServer) }),
 		put("/ops/drain/start", func(string) (string, error) { return "draining\n", router.SetDraining(true) }),
@@ -108,7 +108,7 @@
 	if !ok {
 		return "", errNoFleet
 	}
-	return fleet.Whole()
+	return fleet.StatusJSON()
 }
 
 func policyInForce(router Router) (string, error) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -61,8 +61,8 @@
 
 // Node represents a router in its fleet.
 type Node interface {
-	Whole() (string, error) // the view of the fleet, as JSON
-	Figures() string        // metrics, as lines of statsd
+	StatusJSON() (string, error) // the view of the fleet, as JSON
+	Metrics() string             // metrics, as lines of statsd
 	// Close leaves the fleet. It is called once the router sends nothing more. With handedOver, a successor has taken over.
 	Close(handedOver bool)
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -150,5 +150,5 @@
 	n := goldenNode(false)
 	n.applied = fleet.Share{Current: 0.25}
 	n.traffic.Sent(fleet.Heartbeat, 100, 2)
-	checkGolden(t, "figures.txt", []byte(n.Figures()))
+	checkGolden(t, "figures.txt", []byte(n.Metrics()))
 }
--- a/internal/gossip/hierarchy_test.go
+++ b/internal/gossip/hierarchy_test.go
@@ -129,7 +129,7 @@
 		case missing < 0:
 			return time.Since(startedAt)
 		case time.Since(startedAt) > timeout:
-			text, _ := f.nodes[missing].Whole()
+			text, _ := f.nodes[missing].StatusJSON()
 			f.t.Fatalf("after %v not %s at %s: %s", timeout, what, f.configs[missing].Name, text)
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -277,7 +277,7 @@
 	if got := string(delegate{node}.NodeMeta(512)); got != want {
 		t.Errorf("metadata: got %s, want %s", got, want)
 	}
-	text, err := node.Whole()
+	text, err := node.StatusJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -15,8 +15,8 @@
 	Hierarchy *hierarchy.Status `json:"tiers,omitempty"`
 }
 
-// Whole returns the view of the fleet as JSON.
-func (n *Node) Whole() (string, error) {
+// StatusJSON returns the view of the fleet as JSON.
+func (n *Node) StatusJSON() (string, error) {
 	n.mu.Lock()
 	now := n.now()
 	view := fullView{Snapshot: n.view.Snapshot(now)}
@@ -32,8 +32,8 @@
 // partsPerMillion is the unit of the share among the metrics.
 const partsPerMillion = 1e6
 
-// Figures returns the metrics as lines of statsd.
-func (n *Node) Figures() string {
+// Metrics returns the metrics as lines of statsd.
+func (n *Node) Metrics() string {
 	n.mu.Lock()
 	snapshot := n.view.Snapshot(n.now())
 	share := n.applied.Current
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -68,8 +68,8 @@
 	fleet.Node
 }
 
-// Figures returns the metrics of the router and of the view.
-func (r fleetRouter) Figures() string { return r.Router.Figures() + r.Node.Figures() }
+// Metrics returns the metrics of the router and of the view.
+func (r fleetRouter) Metrics() string { return r.Router.Metrics() + r.Node.Metrics() }
 
 // policyRouter is a fleetRouter that follows a policy, for the admin endpoint.
 type policyRouter struct {
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -267,8 +267,8 @@
 	return errNoList
 }
 
-// Figures are the figures as statsd lines.
-func (r *Router) Figures() string {
+// Metrics returns the metrics as statsd lines.
+func (r *Router) Metrics() string {
 	f := r.ops.told.Load()
 	if f == nil {
 		f = &figures{ended: make([][3]int, len(r.cfg.Settings.Methods))}
