--- a/internal/controlplane/log.go
+++ b/internal/controlplane/log.go
@@ -317,7 +317,7 @@
 func (s snapshot) Release() {}
 
 // tend takes up keepers that the file names and that were never there, one at a time.
-func (l *log) tend(transport fleet.Transport, names []string, welcome func(fleet.Keeping)) {
+func (l *log) tend(transport fleet.Transport, names []string, welcome func(fleet.VoterStatus)) {
 	node := l.node()
 	f := node.GetConfiguration()
 	if f.Error() != nil {
@@ -327,8 +327,8 @@
 	for _, s := range f.Configuration().Servers {
 		have[nameOf(s.ID)] = s
 	}
-	for _, k := range transport.Keepers() {
-		if _, there := have[k.Name]; there || k.Folder == 0 {
+	for _, k := range transport.Voters() {
+		if _, there := have[k.Name]; there || k.VoterID == 0 {
 			continue
 		}
 		for _, name := range names {
@@ -336,8 +336,8 @@
 				continue
 			}
 			welcome(k) // it has to listen before it can be counted on
-			if k.Member {
-				_ = node.AddVoter(id(k.Name, k.Folder), raft.ServerAddress(k.Addr), 0, answerWithin).Error() // tried again
+			if k.Voter {
+				_ = node.AddVoter(id(k.Name, k.VoterID), raft.ServerAddress(k.Addr), 0, answerWithin).Error() // tried again
 			}
 			return
 		}
