--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -18,7 +18,7 @@
 	"spurtrestle/internal/router"
 )
 
-func main() { program.Main(program.Parts{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Take}) }
+func main() { program.Main(program.Parts{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Join}) }
 
 // listen begins to take gRPC clients, and returns what ends that in order.
 func listen(r *router.Router, cfg config.Config, g operator.GRPC, log *logrus.Logger) (stop func(), err error) {
--- a/cmd/cache-routerctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -39,7 +39,7 @@
 			if err := x.check(); err != nil {
 				return err
 			}
-			s, _, err := askPolicy(c.Context(), args[1], x.sign(policycommit.Request{What: "site", Name: args[0], Word: word}))
+			s, _, err := askPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: policycommit.RequestSiteAction, Name: args[0], SiteAction: sitefailover.Action(word)}))
 			if err != nil {
 				return err
 			}
@@ -51,7 +51,7 @@
 
 func siteStatus() *cobra.Command {
 	return keeperQuery{use: "status DOOR", short: "Tell what each site counts as, what is refused, and what the next step waits for",
-		example: "  cache-routerctl fleet site status 10.1.2.3:8400", what: "sites", show: showSites}.command()
+		example: "  cache-routerctl fleet site status 10.1.2.3:8400", what: policycommit.RequestSites, show: showSites}.command()
 }
 
 func showSites(w io.Writer, s policycommit.Reply) error {
@@ -119,7 +119,7 @@
 			}
 			var seen *sitefailover.Status
 			if door != "" {
-				r, _, err := askPolicy(c.Context(), door, policycommit.Request{What: "sites"})
+				r, _, err := askPolicy(c.Context(), door, policycommit.Request{Type: policycommit.RequestSites})
 				if err != nil {
 					return err
 				}
--- a/cmd/cache-routerctl/keeperquery.go
+++ b/cmd/cache-routerctl/keeperquery.go
@@ -29,14 +29,14 @@
 
 // sign puts a statement, and the time of the clock on the wall, into a request.
 func (s statement) sign(r policycommit.Request) policycommit.Request {
-	r.Author, r.Reason, r.At = s.author, s.reason, time.Now().UnixMicro()
+	r.Author, r.Reason, r.RequestedAt = s.author, s.reason, time.Now().UnixMicro()
 	return r
 }
 
 // keeperQuery is a command that asks the keepers, by any router, and shows their reply as text or as JSON.
 type keeperQuery struct {
 	use, short, example string
-	what                string // the request's
+	what                policycommit.RequestType
 	show                func(io.Writer, policycommit.Reply) error
 }
 
@@ -44,7 +44,7 @@
 	var output string
 	c := &cobra.Command{Use: q.use, Short: q.short, Example: q.example, Args: lastArg(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			reply, text, err := askPolicy(c.Context(), args[0], policycommit.Request{What: q.what})
+			reply, text, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: q.what})
 			if err != nil {
 				return err
 			}
--- a/cmd/cache-routerctl/policy.go
+++ b/cmd/cache-routerctl/policy.go
@@ -29,9 +29,9 @@
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	keeper := &cobra.Command{Use: "keeper", Short: "Change who keeps the policy", Example: "  cache-routerctl policy keeper replace r2 10.1.2.3:8400",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	keeper.AddCommand(policyWord("replace NAME DOOR", "Let a keeper's lost folder count no more; its new one is taken up", "replace"))
+	keeper.AddCommand(policyWord("replace NAME DOOR", "Let a keeper's lost folder count no more; its new one is taken up", policycommit.RequestReplaceVoter))
 	c.AddCommand(policyCheck(), policyApply(), policyUndo(), policyShow(), policyDiff(), policyHistory(), policyStatus(), policyFound(),
-		policyWord("dead NAME DOOR", "Say that a router is dead, and cannot be serving under what it had", "dead"), keeper)
+		policyWord("dead NAME DOOR", "Say that a router is dead, and cannot be serving under what it had", policycommit.RequestMarkDead), keeper)
 	return c
 }
 
@@ -61,7 +61,7 @@
 	case a.StatusCode != http.StatusOK:
 		return s, "", coded{exitUnreachable, errors.New(strings.TrimSpace(string(out)))}
 	}
-	if q.What == "found" {
+	if q.Type == policycommit.RequestBootstrap {
 		return s, string(out), nil
 	}
 	if err := json.Unmarshal(out, &s); err != nil {
@@ -153,28 +153,28 @@
 	if x.token == "" {
 		x.token = crand.Text()
 	}
-	before, _, err := askPolicy(c.Context(), door, policycommit.Request{What: "status"})
+	before, _, err := askPolicy(c.Context(), door, policycommit.Request{Type: policycommit.RequestStatus})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", x.token, x.base, x.base+1, len(before.Standings))
+	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", x.token, x.base, x.base+1, len(before.Followers))
 	if uint64(before.Current) != x.base {
-		h, _, err := askPolicy(c.Context(), door, policycommit.Request{What: "history"})
+		h, _, err := askPolicy(c.Context(), door, policycommit.Request{Type: policycommit.RequestHistory})
 		if err == nil && len(h.History) > 0 && uint64(before.Current) > x.base {
 			last := h.History[len(h.History)-1]
-			fmt.Fprintf(out, "revision %d is in force, by %s at %s: %s\n%s", last.Revision, last.Author, stampOf(last.At), last.Reason,
-				lineDiff(last.Doc, doc))
+			fmt.Fprintf(out, "revision %d is in force, by %s at %s: %s\n%s", last.Revision, last.Author, stampOf(last.RequestedAt), last.Reason,
+				lineDiff(last.Document, doc))
 		}
 	}
-	s, _, err := askPolicy(c.Context(), door, x.sign(policycommit.Request{What: "apply", Doc: doc, Base: policycommit.Revision(x.base), Token: policycommit.Token(x.token)}))
+	s, _, err := askPolicy(c.Context(), door, x.sign(policycommit.Request{Type: policycommit.RequestApply, Document: doc, Base: policycommit.Revision(x.base), Token: policycommit.Token(x.token)}))
 	if err != nil {
 		return fmt.Errorf("%w; to learn what became of it ask again with --token %s", err, x.token)
 	}
 	if s.Verdict == nil {
 		return fmt.Errorf("no verdict was told; ask again with --token %s", x.token)
 	}
-	if !s.Verdict.Everywhere {
-		return coded{exitNowhere, fmt.Errorf("nowhere: %s; revision %d stays in force", s.Verdict.Why, s.Verdict.Revision)}
+	if !s.Verdict.Committed {
+		return coded{exitNowhere, fmt.Errorf("nowhere: %s; revision %d stays in force", s.Verdict.Reason, s.Verdict.Revision)}
 	}
 	_, err = fmt.Fprintf(out, "everywhere: revision %d is in force\n", s.Verdict.Revision)
 	return err
@@ -204,7 +204,7 @@
 	c := &cobra.Command{Use: "undo DOOR", Short: "Put an earlier revision into force again, as a new one", Args: lastArg(1),
 		Example: "  cache-routerctl policy undo 10.1.2.3:8400 --to 2 --reason 'the last one shed too much'",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{What: "status"})
+			s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestStatus})
 			if err != nil {
 				return err
 			}
@@ -229,14 +229,14 @@
 
 // revision is the document of one.
 func revision(ctx context.Context, door string, n uint64) (string, error) {
-	h, _, err := askPolicy(ctx, door, policycommit.Request{What: "history", Base: policycommit.Revision(n)})
+	h, _, err := askPolicy(ctx, door, policycommit.Request{Type: policycommit.RequestHistory, Base: policycommit.Revision(n)})
 	if err != nil {
 		return "", err
 	}
 	if len(h.History) != 1 {
 		return "", fmt.Errorf("revision %d is not kept any more, or never was; cache-routerctl policy history lists them", n)
 	}
-	return h.History[0].Doc, nil
+	return h.History[0].Document, nil
 }
 
 func policyShow() *cobra.Command {
@@ -245,7 +245,7 @@
 		Example: "  cache-routerctl policy show 10.1.2.3:8400 --revision 2",
 		RunE: func(c *cobra.Command, args []string) error {
 			if !c.Flags().Changed("revision") {
-				s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{What: "status"})
+				s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestStatus})
 				if err != nil {
 					return err
 				}
@@ -273,7 +273,7 @@
 			if err != nil {
 				return err
 			}
-			s, _, err := askPolicy(c.Context(), args[1], policycommit.Request{What: "status"})
+			s, _, err := askPolicy(c.Context(), args[1], policycommit.Request{Type: policycommit.RequestStatus})
 			was := ""
 			if err == nil && s.Current > 0 {
 				was, err = revision(c.Context(), args[1], uint64(s.Current))
@@ -313,24 +313,24 @@
 
 func policyHistory() *cobra.Command {
 	return keeperQuery{use: "history DOOR", short: "List the last changes, with who made them and why",
-		example: "  cache-routerctl policy history 10.1.2.3:8400", what: "history", show: showHistory}.command()
+		example: "  cache-routerctl policy history 10.1.2.3:8400", what: policycommit.RequestHistory, show: showHistory}.command()
 }
 
 func showHistory(w io.Writer, s policycommit.Reply) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "revision\tat\tby\twhy")
 	for _, h := range s.History {
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", h.Revision, stampOf(h.At), h.Author, h.Reason)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", h.Revision, stampOf(h.RequestedAt), h.Author, h.Reason)
 	}
-	for _, e := range s.Said {
-		fmt.Fprintf(t, "-\t%s\t%s\tsaid that %s is dead: %s\n", stampOf(e.At), e.Author, e.Name, e.Reason)
+	for _, e := range s.DeathReports {
+		fmt.Fprintf(t, "-\t%s\t%s\tsaid that %s is dead: %s\n", stampOf(e.RequestedAt), e.Author, e.Name, e.Reason)
 	}
 	return t.Flush()
 }
 
 func policyStatus() *cobra.Command {
 	return keeperQuery{use: "status DOOR", short: "Show the revision in force, and how each router stands to it",
-		example: "  cache-routerctl policy status 10.1.2.3:8400", what: "status", show: showPolicyStatus}.command()
+		example: "  cache-routerctl policy status 10.1.2.3:8400", what: policycommit.RequestStatus, show: showPolicyStatus}.command()
 }
 
 func showPolicyStatus(w io.Writer, s policycommit.Reply) error {
@@ -338,20 +338,20 @@
 	if p := s.Pending; p != nil {
 		fmt.Fprintf(w, "revision %d is pending, by %s: %s\n", p.Revision, p.Author, p.Reason)
 	}
-	for _, k := range s.Keepers {
+	for _, k := range s.Voters {
 		fmt.Fprintf(w, "keeper %s\n", k)
 	}
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "router\tholds\tprepared\theard\tcut off\tbuild")
-	for _, r := range s.Standings {
+	for _, r := range s.Followers {
 		heard, cut := "not by this leader", "refuses"
-		if r.Heard >= 0 {
-			heard = (time.Duration(r.Heard) * time.Microsecond).Round(10*time.Millisecond).String() + " ago"
+		if r.RenewalAge >= 0 {
+			heard = (time.Duration(r.RenewalAge) * time.Microsecond).Round(10*time.Millisecond).String() + " ago"
 		}
-		if r.Serves {
+		if r.FailOpen {
 			cut = "serves"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%v\t%s\t%s\t%s\n", r.Name, r.Held, r.Prepared, heard, cut, r.Build)
+		fmt.Fprintf(t, "%s\t%d\t%v\t%s\t%s\t%s\n", r.Name, r.ActiveRevision, r.Prepared, heard, cut, r.Build)
 	}
 	return t.Flush()
 }
@@ -360,7 +360,7 @@
 	return &cobra.Command{Use: "found DOOR", Short: "Begin the policy of a fleet at a keeper, once", Args: lastArg(1),
 		Example: "  cache-routerctl policy found 10.1.2.3:8400",
 		RunE: func(c *cobra.Command, args []string) error {
-			_, text, err := askPolicy(c.Context(), args[0], policycommit.Request{What: "found"})
+			_, text, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestBootstrap})
 			if err != nil {
 				return err
 			}
@@ -370,14 +370,14 @@
 }
 
 // policyWord is an operator's word on a router.
-func policyWord(use, short, what string) *cobra.Command {
+func policyWord(use, short string, requestType policycommit.RequestType) *cobra.Command {
 	var x statement
 	c := &cobra.Command{Use: use, Short: short, Args: lastArg(2), Example: "  cache-routerctl policy " + strings.NewReplacer("NAME", "r2", "DOOR", "10.1.2.3:8400").Replace(use),
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := x.check(); err != nil {
 				return err
 			}
-			if _, _, err := askPolicy(c.Context(), args[1], x.sign(policycommit.Request{What: what, Name: args[0]})); err != nil {
+			if _, _, err := askPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: requestType, Name: args[0]})); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintln(c.OutOrStdout(), "done")
--- /dev/null
+++ b/core/policycommit/api.go
@@ -0,0 +1,82 @@
+package policycommit
+
+import (
+	"spurtrestle/core/clock"
+	"spurtrestle/core/sitefailover"
+)
+
+// This file has the calls of the admin endpoint on the policy: POST /ops/policy/ask takes a Request and answers with a Reply,
+// GET /ops/policy answers with a RouterStatus.
+
+// RequestType is the operation of a Request.
+type RequestType string
+
+// The operations. RequestBootstrap is carried out by the router that gets it, all others by the leader.
+const (
+	RequestApply        RequestType = "apply"   // propose a change: Document, Base, Token
+	RequestStatus       RequestType = "status"  // the revision in force and all followers
+	RequestHistory      RequestType = "history" // committed changes; of Base alone if it is set
+	RequestMarkDead     RequestType = "dead"    // report a router dead: Name
+	RequestReplaceVoter RequestType = "replace" // remove a voter whose folder is lost: Name
+	RequestSites        RequestType = "sites"   // the state of the sites
+	RequestSiteAction   RequestType = "site"    // an operator's action on a site: Name, SiteAction
+	RequestBootstrap    RequestType = "found"   // begin the raft log of the fleet with this voter
+)
+
+// Request is an operator's request. Any router forwards it to the leader.
+type Request struct {
+	ID          uint64              `json:"id"`
+	Type        RequestType         `json:"what"`
+	Document    string              `json:"doc,omitempty"`
+	Base        Revision            `json:"base,omitempty"` // the revision that the change was made for
+	Token       Token               `json:"token,omitempty"`
+	Author      string              `json:"author,omitempty"`
+	Reason      string              `json:"reason,omitempty"`
+	Name        string              `json:"name,omitempty"` // of a router or of a site
+	SiteAction  sitefailover.Action `json:"word,omitempty"`
+	RequestedAt int64               `json:"at,omitempty"` // the operator's wall clock, in microseconds since 1970
+}
+
+// Reply is the leader's reply to a Request.
+type Reply struct {
+	ID           uint64          `json:"id"`
+	Error        string          `json:"error,omitempty"`
+	Verdict      *Verdict        `json:"verdict,omitempty"`
+	Current      Revision        `json:"current"`
+	Pending      *Change         `json:"pending,omitempty"`
+	History      []Change        `json:"history,omitempty"`
+	DeathReports []Entry         `json:"said,omitempty"`
+	Followers    []FollowerState `json:"standings,omitempty"`
+	Voters       []string        `json:"keepers,omitempty"`
+
+	Sites    *sitefailover.Status `json:"sites,omitempty"`
+	Document string               `json:"plan,omitempty"` // in force, with its plan for the sites
+}
+
+// FollowerState is what the leader knows of a router.
+type FollowerState struct {
+	Name           RouterName     `json:"name"`
+	Incarnation    Incarnation    `json:"process"`
+	FailOpen       bool           `json:"serves"`
+	Build          string         `json:"build"`
+	ActiveRevision Revision       `json:"held"`
+	Prepared       bool           `json:"prepared"`
+	RenewalAge     clock.Duration `json:"heard"` // negative: this leader has had no renewal
+}
+
+// RouterStatus is the policy of one router, from its own state alone.
+type RouterStatus struct {
+	Revision    Revision `json:"revision"` // by the last lease
+	InForce     Revision `json:"in_force"` // that requests are decided by
+	HasRevision bool     `json:"known"`
+	Admitting   bool     `json:"may_take"`
+	ApplyError  string   `json:"cannot,omitempty"` // why this build cannot apply Revision
+	Prepared    Token    `json:"prepared,omitempty"`
+	CutOff      string   `json:"cut_off"`
+	Voter       bool     `json:"keeper"`
+	Leader      bool     `json:"leads"`
+	ExtraShare  float64  `json:"extra"`            // of the fleet's limits, from lost routers
+	VoterFault  string   `json:"folder,omitempty"` // why the voter takes no part, or falls behind
+
+	Orders *sitefailover.Orders `json:"orders,omitempty"` // on sites, from the leader
+}
--- a/core/policycommit/explore_test.go
+++ b/core/policycommit/explore_test.go
@@ -17,7 +17,7 @@
 // What is explored: routers that ask, a leader that answers and resolves, operators that propose; any message may be late,
 // one is lost, one comes twice; one router is killed and started again; another keeper leads. A tick is a lease. A
 // router that stands still is one that nothing happens at.
-var ticks = Rules{Lease: 1, Ask: 1, Again: 1, Patience: 3}
+var ticks = Timing{LeaseDuration: 1, RenewInterval: 1, RetryInterval: 1, PrepareTimeout: 3}
 
 type scope struct {
 	ticks   clock.Time
@@ -32,7 +32,7 @@
 	book    *LogState
 	council *Leader
 	routers []*Follower
-	procs   []Process
+	procs   []Incarnation
 	asks    []*Renewal // under way, by router
 	grants  []*Lease
 	first   map[Revision]clock.Time // when a revision could first be served, anywhere
@@ -44,14 +44,14 @@
 	c := *s
 	c.book = s.book.Clone()
 	l := *s.council
-	l.heard = maps.Clone(s.council.heard)
+	l.renewals = maps.Clone(s.council.renewals)
 	c.council = &l
 	c.routers = make([]*Follower, len(s.routers))
 	for i, h := range s.routers {
 		x := *h
 		c.routers[i] = &x
 	}
-	c.procs = append([]Process(nil), s.procs...)
+	c.procs = append([]Incarnation(nil), s.procs...)
 	c.left = append([]int(nil), s.left...)
 	c.asks, c.grants = append([]*Renewal(nil), s.asks...), append([]*Lease(nil), s.grants...)
 	c.first = maps.Clone(s.first)
@@ -66,8 +66,8 @@
 		}
 	}
 	token := func(t Token) { b = append(append(b, ' '), t...) }
-	num(int64(s.now), int64(s.book.Index), int64(len(s.book.Verdicts)), int64(len(s.book.History)), int64(s.council.began), int64(s.council.since))
-	token(s.council.pending)
+	num(int64(s.now), int64(s.book.Index), int64(len(s.book.Verdicts)), int64(len(s.book.History)), int64(s.council.startedAt), int64(s.council.pendingSince))
+	token(s.council.pendingToken)
 	for _, n := range s.budget {
 		num(int64(n))
 	}
@@ -82,20 +82,20 @@
 		token(s.book.Pending.Token)
 	}
 	for i, h := range s.routers {
-		heard := s.council.heard[h.name]
-		num(int64(s.left[i]), int64(h.revision), int64(h.index), int64(h.until), int64(h.at), int64(h.process), int64(heard.at), int64(heard.Process),
-			int64(heard.Held), int64(s.book.Roster[h.name].Process))
-		if h.knows {
+		heard := s.council.renewals[h.name]
+		num(int64(s.left[i]), int64(h.active.Revision), int64(h.index), int64(h.leaseExpiresAt), int64(h.preparedIndex), int64(h.incarnation), int64(heard.receivedAt), int64(heard.Incarnation),
+			int64(heard.ActiveRevision), int64(s.book.Members[h.name].Incarnation))
+		if h.hasRevision {
 			token("k")
 		}
 		token(h.prepared)
 		token(heard.Prepared)
 		if a := s.asks[i]; a != nil {
-			num(int64(a.At), int64(a.Process), int64(a.Held), int64(a.Index))
+			num(int64(a.SentAt), int64(a.Incarnation), int64(a.ActiveRevision), int64(a.Index))
 			token("a" + a.Prepared)
 		}
 		if g := s.grants[i]; g != nil {
-			num(int64(g.At), int64(g.Process), int64(g.Index), int64(g.Revision), int64(len(g.Prepare)))
+			num(int64(g.RenewalSentAt), int64(g.Incarnation), int64(g.Index), int64(g.Revision), int64(len(g.PrepareDocument)))
 			token("g" + g.Pending)
 		}
 	}
@@ -107,19 +107,19 @@
 		return
 	}
 	for i, h := range s.routers { // who could take a request now, and under what
-		until := h.AcceptsUntil(s.now)
+		until := h.AdmissionDeadline(s.now)
 		if x.bug == "a lease is not looked at" {
 			until = 0
 		}
-		if !h.knows || until != 0 && until <= s.now {
+		if !h.hasRevision || until != 0 && until <= s.now {
 			continue
 		}
-		if at, ok := s.first[h.revision]; !ok || s.now < at {
-			s.first[h.revision] = s.now
+		if at, ok := s.first[h.active.Revision]; !ok || s.now < at {
+			s.first[h.active.Revision] = s.now
 		}
 		for newer, at := range s.first {
-			if newer > h.revision && s.now > at+ticks.Lease {
-				x.found = fmt.Sprintf("at tick %d router %d serves revision %d, and %d was served at %d", s.now, i, h.revision, newer, at)
+			if newer > h.active.Revision && s.now > at+ticks.LeaseDuration {
+				x.found = fmt.Sprintf("at tick %d router %d serves revision %d, and %d was served at %d", s.now, i, h.active.Revision, newer, at)
 				return
 			}
 		}
@@ -145,12 +145,12 @@
 		next(func(c *state) {
 			c.budget[0]--
 			current, _ := c.book.Current()
-			put(c, Entry{Kind: Propose, Token: Token(fmt.Sprint("t", c.budget[0])), Base: current, Doc: "d"})
+			put(c, Entry{Kind: EntryPropose, Token: Token(fmt.Sprint("t", c.budget[0])), Base: current, Document: "d"})
 		})
 	}
-	if e := s.clone().council.Resolve(s.now, s.book); e != nil || s.book.Pending != nil && s.council.pending == "" {
+	if e := s.clone().council.ResolvePending(s.now, s.book); e != nil || s.book.Pending != nil && s.council.pendingToken == "" {
 		next(func(c *state) {
-			if e := c.council.Resolve(c.now, c.book); e != nil {
+			if e := c.council.ResolvePending(c.now, c.book); e != nil {
 				put(c, *e)
 			}
 		})
@@ -171,12 +171,12 @@
 		if a := s.asks[i]; a != nil {
 			next(func(c *state) {
 				c.asks[i] = nil
-				g, ok, enter := c.council.Answer(c.now, c.book, *a)
-				if enter != nil {
-					put(c, *enter)
+				answer := c.council.AnswerRenewal(c.now, c.book, *a)
+				if answer.Entry != nil {
+					put(c, *answer.Entry)
 				}
-				if ok {
-					c.grants[i] = &g
+				if answer.Lease != nil {
+					c.grants[i] = answer.Lease
 				}
 			})
 			if s.budget[1] > 0 {
@@ -187,9 +187,9 @@
 			take := func(c *state) {
 				told := *g
 				if x.bug == "a lease counts from when it comes" {
-					told.At = c.now
+					told.RenewalSentAt = c.now
 				}
-				c.routers[i].Granted(c.now, told)
+				c.routers[i].ReceiveLease(c.now, told)
 			}
 			next(func(c *state) { take(c); c.grants[i] = nil })
 			if s.budget[2] > 0 {
@@ -203,7 +203,7 @@
 			next(func(c *state) {
 				c.budget[3]--
 				c.procs[i] += 10
-				c.routers[i] = NewFollower(ticks, h.name, c.procs[i], h.serves, "", h.check)
+				c.routers[i] = NewFollower(ticks, h.name, c.procs[i], h.failOpen, "", h.validate)
 			})
 		}
 	}
@@ -213,13 +213,13 @@
 	x := &scope{ticks: span, visited: map[[16]byte]struct{}{}, bug: bug}
 	s := &state{book: &LogState{}, council: NewLeader(0, ticks, 3), first: map[Revision]clock.Time{}, budget: budget}
 	for i, serve := range serves {
-		p := Process(i + 1)
-		name := Name(fmt.Sprint("r", i))
-		s.book.Apply(s.book.Index+1, Entry{Kind: Enter, Name: name, Process: p, Serves: serve})
+		p := Incarnation(i + 1)
+		name := RouterName(fmt.Sprint("r", i))
+		s.book.Apply(s.book.Index+1, Entry{Kind: EntryJoin, Name: name, Incarnation: p, FailOpen: serve})
 		s.procs, s.left = append(s.procs, p), append(s.left, asks[i])
 		h := NewFollower(ticks, name, p, serve, "", func(string) error { return nil })
-		if g, ok, _ := s.council.Answer(0, s.book, h.renewal(0)); ok { // all begin as told of revision 0
-			h.Granted(0, g)
+		if answer := s.council.AnswerRenewal(0, s.book, h.renewal(0)); answer.Lease != nil { // all begin as told of revision 0
+			h.ReceiveLease(0, *answer.Lease)
 		}
 		s.routers = append(s.routers, h)
 	}
--- a/core/policycommit/follower.go
+++ b/core/policycommit/follower.go
@@ -2,143 +2,176 @@
 
 import "spurtrestle/core/clock"
 
-// Follower is a router's side. It is not safe for use by several goroutines at once.
+// NoDeadline is the admission deadline of a router that may serve until further notice.
+const NoDeadline clock.Time = 0
+
+// Follower is the participant of a change on a router, and the owner of its lease. It is not safe for concurrent use.
 type Follower struct {
-	rules    Rules
-	name     Name
-	process  Process
-	serves   bool
-	build    string
-	check    func(doc string) error // whether this router could hold it
-	knows    bool                   // it was told what is in force
-	revision Revision
-	doc      string
-	index    Index
-	until    clock.Time // of the last grant
-	prepared Token
-	at       Index // of the log state when it prepared
-	refused  Token
-	why      string
-	leaving  bool
-	granted  bool // by the leader, to this process itself
-	asked    clock.Time
-	answered bool // the last asking
-	began    bool
+	timing      Timing
+	name        RouterName
+	incarnation Incarnation
+	failOpen    bool
+	build       string
+	validate    func(document string) error
+
+	active      ActivePolicy
+	hasRevision bool
+	index       Index // the highest of a lease received
+
+	leaseExpiresAt clock.Time
+	hasOwnLease    bool // granted to this incarnation, not transferred to it
+	leaving        bool
+
+	prepared      Token
+	preparedIndex Index // of the log state that asked for it
+	rejected      Token
+	rejectReason  string
+
+	hasRenewed bool
+	renewedAt  clock.Time
+	answered   bool // the last renewal
 }
 
-// NewFollower begins with nothing known: a router that begins takes no client before it is told what is in force.
-func NewFollower(rules Rules, name Name, process Process, serves bool, build string, check func(doc string) error) *Follower {
-	return &Follower{rules: rules, name: name, process: process, serves: serves, build: build, check: check, answered: true}
+// ActivePolicy is the revision that a router's lease is for.
+type ActivePolicy struct {
+	Revision Revision
+	Document string
 }
 
-// Ask is what to ask with now, if it is time. It is asked of whoever leads.
-func (h *Follower) Ask(now clock.Time) (r Renewal, due bool) {
-	wait := h.rules.Ask
-	if !h.answered {
-		wait = h.rules.Again
+// LeaseUpdate is what the caller of ReceiveLease has to do.
+type LeaseUpdate struct {
+	Adopt    bool // apply the active policy, which has changed
+	RenewNow bool // send the next renewal at once: it says what became of the prepare
+}
+
+// NewFollower returns the follower of a router that has no lease yet. A router with failOpen keeps serving under its policy
+// while it cannot reach the leader. validate reports why this build cannot apply a document.
+func NewFollower(timing Timing, name RouterName, incarnation Incarnation, failOpen bool, build string, validate func(document string) error) *Follower {
+	return &Follower{
+		timing:      timing,
+		name:        name,
+		incarnation: incarnation,
+		failOpen:    failOpen,
+		build:       build,
+		validate:    validate,
+		answered:    true,
+	}
+}
+
+// NextRenewal returns the renewal to send to the leader, if one is due now.
+func (f *Follower) NextRenewal(now clock.Time) (renewal Renewal, due bool) {
+	interval := f.timing.RenewInterval
+	if !f.answered {
+		interval = f.timing.RetryInterval
 	}
-	if h.began && now-h.asked < wait {
-		return r, false
+	if f.hasRenewed && now-f.renewedAt < interval {
+		return Renewal{}, false
 	}
-	h.began, h.asked, h.answered = true, now, false
-	return h.renewal(now), true
+	f.hasRenewed = true
+	f.renewedAt = now
+	f.answered = false
+	return f.renewal(now), true
 }
 
-func (h *Follower) renewal(now clock.Time) Renewal {
-	return Renewal{Name: h.name, Process: h.process, At: now, Serves: h.serves, Build: h.build, Held: h.revision, Index: h.index,
-		Prepared: h.prepared, Refused: h.refused, Why: h.why, Leaving: h.leaving}
+func (f *Follower) renewal(now clock.Time) Renewal {
+	return Renewal{
+		Name:           f.name,
+		Incarnation:    f.incarnation,
+		SentAt:         now,
+		FailOpen:       f.failOpen,
+		Build:          f.build,
+		ActiveRevision: f.active.Revision,
+		Index:          f.index,
+		Prepared:       f.prepared,
+		Rejected:       f.rejected,
+		RejectReason:   f.rejectReason,
+		Leaving:        f.leaving,
+	}
 }
 
-// Leave has it take nothing more, for good, and is what to say then.
-func (h *Follower) Leave(now clock.Time) Renewal {
-	h.leaving = true
-	return h.renewal(now)
+// Leave ends the admission of requests for good and returns the renewal that says so.
+func (f *Follower) Leave(now clock.Time) Renewal {
+	f.leaving = true
+	return f.renewal(now)
 }
 
-// Granted takes in an answer. adopt: another revision is in force, and holds from here on. Askings are to go out at once
-// where one has prepared: prepared is told before anything else is taken.
-func (h *Follower) Granted(now clock.Time, g Lease) (adopt, news bool) {
-	// By its own clock: one from the future is of another process, and one of an older book says nothing that holds.
-	if g.Process != h.process || g.At > now || g.Index < h.index || h.leaving {
-		return false, false
-	}
-	if h.prepared != "" && g.Pending != h.prepared && g.Index <= h.at {
-		return false, false // made before the change was asked for
+// ReceiveLease takes in the answer to a renewal. A router never goes back to an earlier revision.
+func (f *Follower) ReceiveLease(now clock.Time, lease Lease) LeaseUpdate {
+	if !f.isAcceptable(now, lease) {
+		return LeaseUpdate{}
 	}
-	h.answered, h.granted = true, true
-	if g.Index > h.index {
-		h.index = g.Index
-	}
-	if !h.knows || g.Revision != h.revision {
-		if g.Revision < h.revision {
-			return false, false // a folder that was put back: what was decided stays decided
+	f.answered = true
+	f.hasOwnLease = true
+	f.index = max(f.index, lease.Index)
+
+	var update LeaseUpdate
+	if !f.hasRevision || lease.Revision != f.active.Revision {
+		if lease.Revision < f.active.Revision {
+			return LeaseUpdate{} // by a voter whose folder was restored from an older copy
 		}
-		h.revision, h.doc, h.knows, adopt = g.Revision, g.Doc, true, true
-	}
-	h.until = max(h.until, g.At+g.For)
-	if g.Pending != h.prepared {
-		h.prepared = ""
+		f.active = ActivePolicy{Revision: lease.Revision, Document: lease.Document}
+		f.hasRevision = true
+		update.Adopt = true
 	}
-	if g.Pending != h.refused {
-		h.refused, h.why = "", ""
+	f.leaseExpiresAt = max(f.leaseExpiresAt, lease.RenewalSentAt+lease.Duration)
+	f.forgetResolved(lease.Pending)
+	if f.mustPrepare(lease) {
+		f.prepare(now, lease)
+		update.RenewNow = true
 	}
-	if g.Prepare != "" && g.Pending != "" && h.prepared != g.Pending && h.refused != g.Pending {
-		if err := h.check(g.Prepare); err != nil {
-			h.refused, h.why = g.Pending, err.Error()
-		} else {
-			h.prepared, h.at = g.Pending, g.Index
-		}
-		h.answered, news = false, true // it is waited for
-		h.asked = now - h.rules.Again
-	}
-	return adopt, news
+	return update
 }
 
-// LeaseTransfer is what a process leaves, again and again, to the one that takes over from it and cannot ask the leader yet. It
-// counts for no longer than what the process itself could still take by, had it just promised a change: so whatever it
-// promises later, its heir stops in time.
-type LeaseTransfer struct {
-	Revision Revision
-	Index    Index
-	Doc      string
-	For      clock.Time
+// isAcceptable reports whether a lease answers a renewal of this process and is not older than what the follower has acted on.
+func (f *Follower) isAcceptable(now clock.Time, lease Lease) bool {
+	answersThisProcess := lease.Incarnation == f.incarnation && lease.RenewalSentAt <= now
+	if !answersThisProcess || lease.Index < f.index || f.leaving {
+		return false
+	}
+	grantedBeforeProposal := f.prepared != "" && lease.Pending != f.prepared && lease.Index <= f.preparedIndex
+	return !grantedBeforeProposal
 }
 
-// Transfer is what to leave now; false: nothing.
-func (h *Follower) Transfer(now clock.Time) (LeaseTransfer, bool) {
-	until := h.AcceptsUntil(now)
-	if until == 0 {
-		until = now + h.rules.Lease
+// forgetResolved drops what was prepared or rejected, unless it is pending still.
+func (f *Follower) forgetResolved(pending Token) {
+	if f.prepared != pending {
+		f.prepared = ""
+	}
+	if f.rejected != pending {
+		f.rejected, f.rejectReason = "", ""
 	}
-	return LeaseTransfer{h.revision, h.index, h.doc, until - now}, h.knows && until > now
 }
 
-// Inherit takes in what the process before this one left. adopt: another revision is in force here. What the leader has
-// granted to this process itself goes before it.
-func (h *Follower) Inherit(now clock.Time, b LeaseTransfer) (adopt bool) {
-	if h.granted || h.leaving || h.knows && b.Revision < h.revision || b.For <= 0 {
-		return false
+func (f *Follower) mustPrepare(lease Lease) bool {
+	hasDocument := lease.PrepareDocument != "" && lease.Pending != ""
+	return hasDocument && f.prepared != lease.Pending && f.rejected != lease.Pending
+}
+
+// prepare validates the pending document and makes the next renewal due at once.
+func (f *Follower) prepare(now clock.Time, lease Lease) {
+	if err := f.validate(lease.PrepareDocument); err != nil {
+		f.rejected, f.rejectReason = lease.Pending, err.Error()
+	} else {
+		f.prepared, f.preparedIndex = lease.Pending, lease.Index
 	}
-	adopt = !h.knows || b.Revision > h.revision
-	h.knows, h.revision, h.doc, h.index = true, b.Revision, b.Doc, max(h.index, b.Index)
-	h.until = max(h.until, now+min(b.For, h.rules.Lease))
-	return adopt
+	f.answered = false
+	f.renewedAt = now - f.timing.RetryInterval
 }
 
-// Held is the revision in force here, and its document; false: it was not told yet.
-func (h *Follower) Held() (Revision, string, bool) { return h.revision, h.doc, h.knows }
+// Active returns the policy that the lease is for; false before the first lease.
+func (f *Follower) Active() (ActivePolicy, bool) { return f.active, f.hasRevision }
 
-// AcceptsUntil tells until when it may take clients: a time, or for ever (0) where it serves on when cut off and has promised
-// nothing. Not at all is a time that is past.
-func (h *Follower) AcceptsUntil(now clock.Time) (until clock.Time) {
+// AdmissionDeadline returns until when the router may admit requests. It is NoDeadline for a fail-open router that has prepared
+// no change, and not after now for a router that may admit nothing.
+func (f *Follower) AdmissionDeadline(now clock.Time) clock.Time {
 	switch {
-	case !h.knows || h.leaving:
+	case !f.hasRevision || f.leaving:
 		return now
-	case h.serves && h.prepared == "" && h.granted:
-		return 0
+	case f.failOpen && f.prepared == "" && f.hasOwnLease:
+		return NoDeadline
 	}
-	return h.until
+	return f.leaseExpiresAt
 }
 
-// Prepared is the change that it could hold and that is not resolved here; empty: there is none.
-func (h *Follower) Prepared() Token { return h.prepared }
+// Prepared returns the change that the router has prepared and that is not resolved here; empty if there is none.
+func (f *Follower) Prepared() Token { return f.prepared }
--- a/core/policycommit/lend_test.go
+++ b/core/policycommit/lend_test.go
@@ -11,13 +11,13 @@
 // lendDay plays routers that are lost, stand still, come back as others and ask late, and leaders that change, on one clock
 // here and one of its own, up to a hundredth slow, at each router. It tells when parts were more than the whole together,
 // how long lost parts were lent, and whether all was as at first in the end.
-func lendDay(seed uint64, rules Rules) (over string, lent clock.Time, whole bool) {
+func lendDay(seed uint64, rules Timing) (over string, lent clock.Time, whole bool) {
 	const seats, tick = 5, clock.Time(50e3)
 	r := rand.New(rand.NewPCG(seed, 6))
 	type router struct {
 		holder  *Follower
-		name    Name
-		process Process
+		name    RouterName
+		process Incarnation
 		rate    float64 // of its clock
 		up      bool
 		stalled bool
@@ -32,14 +32,14 @@
 		book.Apply(index, e)
 	}
 	routers := make([]*router, seats)
-	process := Process(0)
+	process := Incarnation(0)
 	start := func(x *router) {
 		process++
 		x.process, x.up, x.extra = process, true, 0
 		x.holder = NewFollower(rules, x.name, process, false, "", func(string) error { return nil })
 	}
 	for i := range routers {
-		routers[i] = &router{name: Name(fmt.Sprint("r", i)), rate: 1 - 0.01*r.Float64(), last: -1 << 50}
+		routers[i] = &router{name: RouterName(fmt.Sprint("r", i)), rate: 1 - 0.01*r.Float64(), last: -1 << 50}
 		start(routers[i])
 	}
 	type late struct {
@@ -66,7 +66,7 @@
 				council = NewLeader(now, rules, seats)
 			}
 		}
-		if e := council.Lend(now, book); e != nil && r.IntN(3) > 0 {
+		if e := council.NextShareEntry(now, book); e != nil && r.IntN(3) > 0 {
 			put(*e)
 		}
 		sum := 0.0
@@ -79,20 +79,20 @@
 			}
 			own := clock.Time(float64(now) * x.rate)
 			if x.up && !x.stalled {
-				if q, due := x.holder.Ask(own); due && r.IntN(4) > 0 {
-					g, ok, enter := council.Answer(now, book.Clone(), q)
-					if enter != nil {
-						put(*enter)
+				if q, due := x.holder.NextRenewal(own); due && r.IntN(4) > 0 {
+					answer := council.AnswerRenewal(now, book.Clone(), q)
+					if answer.Entry != nil {
+						put(*answer.Entry)
 					}
-					if ok && r.IntN(4) > 0 {
-						way = append(way, late{now + clock.Time(r.IntN(800e3)), x, g})
+					if answer.Lease != nil && r.IntN(4) > 0 {
+						way = append(way, late{now + clock.Time(r.IntN(800e3)), x, *answer.Lease})
 					}
 				}
 			}
-			if x.up && x.holder.AcceptsUntil(own) > own {
+			if x.up && x.holder.AdmissionDeadline(own) > own {
 				x.last = now
 			}
-			if now-x.last < rules.Rest { // what it had in hand
+			if now-x.last < rules.QuiescePeriod { // what it had in hand
 				sum += 1.0 / seats
 			}
 			if x.up && x.until > own {
@@ -108,8 +108,8 @@
 		for _, l := range way {
 			if l.at <= now && l.to.up && !l.to.stalled {
 				own := clock.Time(float64(now) * l.to.rate)
-				if l.to.holder.Granted(own, l.grant); l.grant.Process == l.to.process && l.grant.At+l.grant.For > own {
-					l.to.extra, l.to.until = l.grant.Extra, l.grant.At+l.grant.For
+				if l.to.holder.ReceiveLease(own, l.grant); l.grant.Incarnation == l.to.process && l.grant.RenewalSentAt+l.grant.Duration > own {
+					l.to.extra, l.to.until = l.grant.ExtraShare, l.grant.RenewalSentAt+l.grant.Duration
 				}
 			}
 		}
@@ -121,13 +121,13 @@
 		}
 		way = kept
 	}
-	return "", lent, len(book.Out) == 0
+	return "", lent, len(book.LeasedOut) == 0
 }
 
 // Whatever is lost, late or comes back: the parts are never more than the whole. With a wait that is too short they are.
 func TestLentPartsNeverOverTheWhole(t *testing.T) {
-	rules := DefaultRules()
-	rules.Rest = 3e6
+	rules := DefaultTiming()
+	rules.QuiescePeriod = 3e6
 	lent := clock.Time(0)
 	for seed := range uint64(200) {
 		over, span, whole := lendDay(seed, rules)
@@ -139,8 +139,10 @@
 	if lent < 1000e6 {
 		t.Errorf("lent for %d s in all, which shows little", lent/1e6)
 	}
-	for what, planted := range map[string]func(*Rules){"a part is lent while reqs are in hand": func(r *Rules) { r.Slack -= 2500e3 },
-		"a router has its part back at once": func(r *Rules) { r.Slack, r.Rest = r.Slack-r.Lease, r.Rest+r.Lease }} {
+	for what, planted := range map[string]func(*Timing){"a part is lent while reqs are in hand": func(r *Timing) { r.ClockSlack -= 2500e3 },
+		"a router has its part back at once": func(r *Timing) {
+			r.ClockSlack, r.QuiescePeriod = r.ClockSlack-r.LeaseDuration, r.QuiescePeriod+r.LeaseDuration
+		}} {
 		bad := rules
 		planted(&bad)
 		found := false
--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -1,12 +1,3 @@
-// Package policycommit decides how a change of policy takes hold everywhere or nowhere. It does no I/O and knows no clock; the
-// time is an argument, in microseconds of this process's own clock that never goes back.
-//
-// Three parts: the log state is what the keepers have decided, the same at each of them, entry by entry of a log that a
-// library replicates; Leader is the side of the keepers' leader; Follower is the side of each router.
-//
-// A router takes requests by the leader's word alone: a lease, which counts for a span from when the router asked, and is
-// answered only after a majority has confirmed the leader once more. So whatever is late, stalled or cut off, a router takes
-// nothing under a revision for longer than that span after the next one was first granted to anybody.
 package policycommit
 
 import (
@@ -17,193 +8,205 @@
 	"spurtrestle/core/sitefailover"
 )
 
-// The ids are types of their own, so that one cannot stand for another.
-type (
-	Name     string // of a router
-	Process  uint64 // one life of a router
-	Revision uint64 // of the policy; 0: each router's own settings
-	Index    uint64 // of an entry of the log
-	Token    string // of one change that is asked for, drawn by who asks
-)
-
-// Kind is what an entry of the log says.
-type Kind string
-
-// The entries.
 const (
-	Propose Kind = "propose" // a change is asked for: Token, Base, Doc, Author, Reason, At
-	Decide  Kind = "decide"  // it holds from here on: Token
-	Abort   Kind = "abort"   // it never will: Token, Why
-	Enter   Kind = "enter"   // a router's process is there: Name, Process, Serves, Build
-	Leave   Kind = "leave"   // it has ended, by its own word: Name, Process
-	Dead    Kind = "dead"    // it has ended, by an operator's word: Name, Author, Reason, At
-	Site    Kind = "site"    // a site counts as something else: Order
-	Lend    Kind = "lend"    // a lost router's part is the others': Name, Process
-	Unlend  Kind = "unlend"  // it is nobody's but its own again: Name
+	maxHistory  = 100 // committed changes that can be shown and undone
+	maxVerdicts = 1000
 )
 
-// Entry is one of the log.
-type Entry struct {
-	Kind    Kind     `json:"kind"`
-	Token   Token    `json:"token,omitempty"`
-	Base    Revision `json:"base,omitempty"`
-	Doc     string   `json:"doc,omitempty"`
-	Author  string   `json:"author,omitempty"`
-	Reason  string   `json:"reason,omitempty"`
-	At      int64    `json:"at,omitempty"` // the asker's wall clock, in microseconds since 1970, for people
-	Why     string   `json:"why,omitempty"`
-	Name    Name     `json:"name,omitempty"`
-	Process Process  `json:"process,omitempty"`
-	Serves  bool     `json:"serves,omitempty"`
-	Build   string   `json:"build,omitempty"`
-	Site    string   `json:"site,omitempty"`
-
-	Order *sitefailover.Transition `json:"order,omitempty"`
-}
-
-// Change is one that was decided, or is pending.
+// Change is a change that is pending or was committed.
 type Change struct {
-	Revision Revision `json:"revision"`
-	Token    Token    `json:"token"`
-	Doc      string   `json:"doc"`
-	Author   string   `json:"author"`
-	Reason   string   `json:"reason"`
-	At       int64    `json:"at"`
-	Index    Index    `json:"index"` // of its proposal
+	Revision      Revision `json:"revision"`
+	Token         Token    `json:"token"`
+	Document      string   `json:"doc"`
+	Author        string   `json:"author"`
+	Reason        string   `json:"reason"`
+	RequestedAt   int64    `json:"at"` // the operator's wall clock, in microseconds since 1970
+	ProposalIndex Index    `json:"index"`
 }
 
-// Verdict is what became of a change.
+// Verdict is how a proposed change ended.
 type Verdict struct {
-	Everywhere bool     `json:"everywhere"`
-	Revision   Revision `json:"revision"` // that it became; of the one in force where it did not
-	Why        string   `json:"why,omitempty"`
+	Committed bool     `json:"everywhere"`
+	Revision  Revision `json:"revision"` // of the change; of the policy in force if it was not committed
+	Reason    string   `json:"why,omitempty"`
 }
 
-// Member is a router that may take clients.
+// Member is a router that may admit requests.
 type Member struct {
-	Process Process `json:"process"`
-	Serves  bool    `json:"serves"` // it goes on under what it has where it cannot reach the keepers
-	Build   string  `json:"build"`
-	Site    string  `json:"site"`
+	Incarnation Incarnation `json:"process"`
+	FailOpen    bool        `json:"serves"` // it keeps serving under its policy while it cannot reach the leader
+	Build       string      `json:"build"`
+	Site        string      `json:"site"`
 }
 
-const (
-	mostHistory  = 100 // changes kept whole, for undo and for people
-	mostVerdicts = 1000
-)
-
-// LogState is what was decided. The zero value is an empty one; all fields are for a snapshot.
+// LogState is the state that the entries of the raft log add up to. The zero value is the state of an empty log. It is stored in
+// raft snapshots as JSON.
 type LogState struct {
-	Index    Index             `json:"index"`
-	History  []Change          `json:"history"` // the last is in force
-	Pending  *Change           `json:"pending"`
-	Verdicts map[Token]Verdict `json:"verdicts"`
-	Order    []Token           `json:"order"` // of the verdicts, the eldest first
-	Roster   map[Name]Member   `json:"roster"`
-	Said     []Entry           `json:"said"` // operators' words on dead routers
-
-	Sites map[sitefailover.Site]sitefailover.Decision `json:"sites"`
-	Out   map[Name]bool                               `json:"out"` // routers whose part is lent
+	Index        Index                 `json:"index"`   // of the last entry applied
+	History      []Change              `json:"history"` // committed changes; the last is in force
+	Pending      *Change               `json:"pending"`
+	Verdicts     map[Token]Verdict     `json:"verdicts"`
+	VerdictOrder []Token               `json:"order"` // the keys of Verdicts, the oldest first
+	Members      map[RouterName]Member `json:"roster"`
+	DeathReports []Entry               `json:"said"`
+
+	Sites     map[sitefailover.Site]sitefailover.Decision `json:"sites"`
+	LeasedOut map[RouterName]bool                         `json:"out"` // lost routers whose shares the others have
 }
 
-// Current is the revision in force, and its document.
-func (b *LogState) Current() (Revision, string) {
-	if n := len(b.History); n > 0 {
-		return b.History[n-1].Revision, b.History[n-1].Doc
+// Current returns the revision in force and its document.
+func (l *LogState) Current() (revision Revision, document string) {
+	if len(l.History) == 0 {
+		return 0, ""
 	}
-	return 0, ""
+	last := l.History[len(l.History)-1]
+	return last.Revision, last.Document
 }
 
-// Clone is a copy that shares nothing that changes.
-func (b *LogState) Clone() *LogState {
-	c := *b
-	c.History, c.Order, c.Said = slices.Clone(b.History), slices.Clone(b.Order), slices.Clone(b.Said)
-	c.Verdicts, c.Roster, c.Sites = maps.Clone(b.Verdicts), maps.Clone(b.Roster), maps.Clone(b.Sites)
-	c.Out = maps.Clone(b.Out)
-	if b.Pending != nil {
-		p := *b.Pending
-		c.Pending = &p
-	}
-	return &c
+// Clone returns a copy that later calls of Apply do not change.
+func (l *LogState) Clone() *LogState {
+	clone := *l
+	clone.History = slices.Clone(l.History)
+	clone.VerdictOrder = slices.Clone(l.VerdictOrder)
+	clone.DeathReports = slices.Clone(l.DeathReports)
+	clone.Verdicts = maps.Clone(l.Verdicts)
+	clone.Members = maps.Clone(l.Members)
+	clone.Sites = maps.Clone(l.Sites)
+	clone.LeasedOut = maps.Clone(l.LeasedOut)
+	if l.Pending != nil {
+		pending := *l.Pending
+		clone.Pending = &pending
+	}
+	return &clone
 }
 
-// Apply takes in the next entry. The verdict is that of a proposal that is not taken up, or of the change that an entry
-// ends; ok: there is one.
-func (b *LogState) Apply(at Index, e Entry) (v Verdict, ok bool) {
-	b.Index = at
-	if b.Verdicts == nil {
-		b.Verdicts, b.Roster = map[Token]Verdict{}, map[Name]Member{}
-	}
-	current, _ := b.Current()
-	switch e.Kind {
-	case Propose:
-		if v, ok := b.Verdicts[e.Token]; ok {
-			return v, true // asked for again
-		}
-		switch {
-		case b.Pending != nil && b.Pending.Token == e.Token:
-			return Verdict{}, false
-		case b.Pending != nil:
-			return b.end(e.Token, Verdict{Revision: current, Why: fmt.Sprintf("another change is being made, by %s: %s", b.Pending.Author, b.Pending.Reason)})
-		case e.Base != current:
-			why := fmt.Sprintf("it was made for revision %d, and %d is in force", e.Base, current)
-			if n := len(b.History); n > 0 {
-				why += fmt.Sprintf(", by %s: %s", b.History[n-1].Author, b.History[n-1].Reason)
-			}
-			return b.end(e.Token, Verdict{Revision: current, Why: why})
-		}
-		b.Pending = &Change{Revision: current + 1, Token: e.Token, Doc: e.Doc, Author: e.Author, Reason: e.Reason, At: e.At, Index: at}
-	case Decide:
-		if b.Pending != nil && b.Pending.Token == e.Token {
-			if b.History = append(b.History, *b.Pending); len(b.History) > mostHistory {
-				b.History = slices.Clone(b.History[1:])
-			}
-			b.Pending = nil
-			return b.end(e.Token, Verdict{Everywhere: true, Revision: current + 1})
-		}
-	case Abort:
-		if b.Pending != nil && b.Pending.Token == e.Token {
-			b.Pending = nil
-			return b.end(e.Token, Verdict{Revision: current, Why: e.Why})
-		}
-	case Enter:
-		b.Roster[e.Name] = Member{e.Process, e.Serves, e.Build, e.Site}
-	case Leave:
-		if b.Roster[e.Name].Process == e.Process {
-			delete(b.Roster, e.Name)
-		}
-	case Site:
-		// Made for what the site counted as then: of an operator's word and the leader's the later one is void.
-		if o := e.Order; o != nil && b.Sites[o.Site].Index == o.PreviousIndex {
-			if b.Sites == nil {
-				b.Sites = map[sitefailover.Site]sitefailover.Decision{}
-			}
-			o.Decision.Index = uint64(at)
-			b.Sites[o.Site] = o.Decision
-		}
-	case Lend:
-		if m := b.Roster[e.Name]; m.Process == e.Process && m.Process != 0 { // another has entered meanwhile
-			if b.Out == nil {
-				b.Out = map[Name]bool{}
-			}
-			b.Out[e.Name] = true
+// Apply applies the entry at an index of the log. ok reports whether the entry ended a proposed change, the entry's own or the
+// pending one; verdict is how.
+func (l *LogState) Apply(index Index, entry Entry) (verdict Verdict, ok bool) {
+	l.Index = index
+	if l.Verdicts == nil {
+		l.Verdicts = map[Token]Verdict{}
+		l.Members = map[RouterName]Member{}
+	}
+	switch entry.Kind {
+	case EntryPropose:
+		return l.applyProposal(index, entry)
+	case EntryCommit:
+		return l.applyCommit(entry)
+	case EntryAbort:
+		return l.applyAbort(entry)
+	case EntryJoin:
+		l.Members[entry.Name] = Member{Incarnation: entry.Incarnation, FailOpen: entry.FailOpen, Build: entry.Build, Site: entry.Site}
+	case EntryLeave:
+		if l.Members[entry.Name].Incarnation == entry.Incarnation {
+			delete(l.Members, entry.Name)
 		}
-	case Unlend:
-		delete(b.Out, e.Name)
-	case Dead:
-		delete(b.Roster, e.Name)
-		if b.Said = append(b.Said, e); len(b.Said) > mostHistory {
-			b.Said = slices.Clone(b.Said[1:])
+	case EntryMarkDead:
+		l.applyDeathReport(entry)
+	case EntrySiteTransition:
+		l.applySiteTransition(index, entry.Transition)
+	case EntryGrantShare:
+		l.applyShareGrant(entry)
+	case EntryRevokeShare:
+		delete(l.LeasedOut, entry.Name)
+	}
+	return Verdict{}, false
+}
+
+func (l *LogState) applyProposal(index Index, entry Entry) (Verdict, bool) {
+	if verdict, ok := l.Verdicts[entry.Token]; ok {
+		return verdict, true // a repeated request
+	}
+	current, _ := l.Current()
+	switch {
+	case l.Pending != nil && l.Pending.Token == entry.Token:
+		return Verdict{}, false
+	case l.Pending != nil:
+		reason := fmt.Sprintf("another change is being made, by %s: %s", l.Pending.Author, l.Pending.Reason)
+		return l.recordVerdict(entry.Token, Verdict{Revision: current, Reason: reason})
+	case entry.Base != current:
+		reason := fmt.Sprintf("it was made for revision %d, and %d is in force", entry.Base, current)
+		if len(l.History) > 0 {
+			last := l.History[len(l.History)-1]
+			reason += fmt.Sprintf(", by %s: %s", last.Author, last.Reason)
 		}
+		return l.recordVerdict(entry.Token, Verdict{Revision: current, Reason: reason})
+	}
+	l.Pending = &Change{
+		Revision:      current + 1,
+		Token:         entry.Token,
+		Document:      entry.Document,
+		Author:        entry.Author,
+		Reason:        entry.Reason,
+		RequestedAt:   entry.RequestedAt,
+		ProposalIndex: index,
 	}
 	return Verdict{}, false
 }
 
-func (b *LogState) end(t Token, v Verdict) (Verdict, bool) {
-	b.Verdicts[t] = v
-	if b.Order = append(b.Order, t); len(b.Order) > mostVerdicts {
-		delete(b.Verdicts, b.Order[0])
-		b.Order = slices.Clone(b.Order[1:])
+func (l *LogState) applyCommit(entry Entry) (Verdict, bool) {
+	if !l.isPending(entry.Token) {
+		return Verdict{}, false
+	}
+	committed := *l.Pending
+	l.Pending = nil
+	l.History = append(l.History, committed)
+	if len(l.History) > maxHistory {
+		l.History = slices.Clone(l.History[1:])
+	}
+	return l.recordVerdict(entry.Token, Verdict{Committed: true, Revision: committed.Revision})
+}
+
+func (l *LogState) applyAbort(entry Entry) (Verdict, bool) {
+	if !l.isPending(entry.Token) {
+		return Verdict{}, false
+	}
+	l.Pending = nil
+	current, _ := l.Current()
+	return l.recordVerdict(entry.Token, Verdict{Revision: current, Reason: entry.AbortReason})
+}
+
+func (l *LogState) isPending(token Token) bool { return l.Pending != nil && l.Pending.Token == token }
+
+func (l *LogState) recordVerdict(token Token, verdict Verdict) (Verdict, bool) {
+	l.Verdicts[token] = verdict
+	l.VerdictOrder = append(l.VerdictOrder, token)
+	if len(l.VerdictOrder) > maxVerdicts {
+		delete(l.Verdicts, l.VerdictOrder[0])
+		l.VerdictOrder = slices.Clone(l.VerdictOrder[1:])
+	}
+	return verdict, true
+}
+
+func (l *LogState) applyDeathReport(entry Entry) {
+	delete(l.Members, entry.Name)
+	l.DeathReports = append(l.DeathReports, entry)
+	if len(l.DeathReports) > maxHistory {
+		l.DeathReports = slices.Clone(l.DeathReports[1:])
+	}
+}
+
+// applySiteTransition ignores a transition that was made for an earlier decision on the site: of two concurrent transitions, an
+// operator's and the leader's, the first in the log holds.
+func (l *LogState) applySiteTransition(index Index, transition *sitefailover.Transition) {
+	if transition == nil || l.Sites[transition.Site].Index != transition.PreviousIndex {
+		return
+	}
+	if l.Sites == nil {
+		l.Sites = map[sitefailover.Site]sitefailover.Decision{}
+	}
+	transition.Decision.Index = uint64(index)
+	l.Sites[transition.Site] = transition.Decision
+}
+
+// applyShareGrant ignores a grant for an incarnation that another has replaced since.
+func (l *LogState) applyShareGrant(entry Entry) {
+	member := l.Members[entry.Name]
+	if member.Incarnation == 0 || member.Incarnation != entry.Incarnation {
+		return
+	}
+	if l.LeasedOut == nil {
+		l.LeasedOut = map[RouterName]bool{}
 	}
-	return v, true
+	l.LeasedOut[entry.Name] = true
 }
--- /dev/null
+++ b/core/policycommit/transfer.go
@@ -0,0 +1,33 @@
+package policycommit
+
+import "spurtrestle/core/clock"
+
+// Transfer returns what to pass to the successor now; false if this process has nothing to pass.
+func (f *Follower) Transfer(now clock.Time) (LeaseTransfer, bool) {
+	deadline := f.AdmissionDeadline(now)
+	if deadline == NoDeadline {
+		deadline = now + f.timing.LeaseDuration
+	}
+	transfer := LeaseTransfer{
+		Revision:  f.active.Revision,
+		Index:     f.index,
+		Document:  f.active.Document,
+		Remaining: deadline - now,
+	}
+	return transfer, f.hasRevision && deadline > now
+}
+
+// AdoptTransfer takes over the lease of the predecessor and reports whether the active policy has changed. It does nothing once
+// the leader has granted this process a lease of its own.
+func (f *Follower) AdoptTransfer(now clock.Time, transfer LeaseTransfer) (adopt bool) {
+	isOlder := f.hasRevision && transfer.Revision < f.active.Revision
+	if f.hasOwnLease || f.leaving || isOlder || transfer.Remaining <= 0 {
+		return false
+	}
+	adopt = !f.hasRevision || transfer.Revision > f.active.Revision
+	f.active = ActivePolicy{Revision: transfer.Revision, Document: transfer.Document}
+	f.hasRevision = true
+	f.index = max(f.index, transfer.Index)
+	f.leaseExpiresAt = max(f.leaseExpiresAt, now+min(transfer.Remaining, f.timing.LeaseDuration))
+	return adopt
+}
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -61,17 +61,17 @@
 	orders := decode[sitefailover.Orders](t, `{"shares":[{"s":"coast","p":0.25}],"spare":[{"s":"hill","p":1}],"least":2,"some":0.5,`+
 		`"back":3000000,"fetches":40,"target":100}`)
 
-	check("message/empty", said{})
-	check("message/renewal", said{Renewal: &policycommit.Renewal{Name: "n1", Process: 11}, Report: report})
-	check("message/lease", said{Grant: &policycommit.Lease{Process: 11, Revision: 3}, Orders: orders})
-	check("message/request", said{Request: &policycommit.Request{ID: 5, What: "status"}})
-	check("message/reply", said{Reply: &policycommit.Reply{ID: 5, Current: 3}})
-	check("message/welcome", said{Welcome: "a1b2"})
-	check("held/empty", Held{})
-	check("held/full", Held{Revision: 4, InForce: 3, Known: true, Takes: true, Cannot: "line 2", Prepared: "t", CutOff: "serve",
-		Keeper: true, Leads: true, Extra: 0.05, Folder: "full", Orders: orders})
-	check("identity", keeperFile{Name: "n1", Number: 77, Member: true})
-	check("voter", id("n1", 0xa1b2))
+	check("message/empty", message{})
+	check("message/renewal", message{Renewal: &policycommit.Renewal{Name: "n1", Incarnation: 11}, SiteReport: report})
+	check("message/lease", message{Lease: &policycommit.Lease{Incarnation: 11, Revision: 3}, SiteOrders: orders})
+	check("message/request", message{Request: &policycommit.Request{ID: 5, Type: "status"}})
+	check("message/reply", message{Reply: &policycommit.Reply{ID: 5, Current: 3}})
+	check("message/welcome", message{VoterInvitation: "a1b2"})
+	check("held/empty", policycommit.RouterStatus{})
+	check("held/full", policycommit.RouterStatus{Revision: 4, InForce: 3, HasRevision: true, Admitting: true, ApplyError: "line 2", Prepared: "t",
+		CutOff: "serve", Voter: true, Leader: true, ExtraShare: 0.05, VoterFault: "full", Orders: orders})
+	check("identity", voterIdentity{Name: "n1", VoterID: 77, Member: true})
+	check("voter", serverID("n1", 0xa1b2))
 	for name := range golden {
 		if !checked[name] {
 			t.Errorf("golden message %q is not compared", name)
@@ -85,19 +85,19 @@
 	if err := os.CopyFS(dir, os.DirFS("testdata/raft")); err != nil {
 		t.Fatal(err)
 	}
-	cfg := LogConfig{Dir: dir, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Advertise: netip.MustParseAddrPort("127.0.0.1:8500")}
-	raftLog, err := openLog(cfg, "n1", logrus.New())
+	config := RaftConfig{Dir: dir, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Advertise: netip.MustParseAddrPort("127.0.0.1:8500")}
+	raftLog, err := openRaftLog(config, "n1", logrus.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(raftLog.close)
-	if _, member := raftLog.folder(); !member {
+	if !raftLog.currentIdentity().Member {
 		t.Error("the folder's identity does not say that it takes part")
 	}
-	if err := raftLog.begin(0, false); err != nil {
+	if err := raftLog.start(startOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(10 * time.Second); !raftLog.leads(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); !raftLog.isLeader(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the only voter did not become the leader in ten seconds")
 		}
@@ -106,14 +106,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := json.Marshal(raftLog.now())
+	got, err := json.Marshal(raftLog.currentState())
 	if err != nil || string(got) != string(want) {
 		t.Errorf("state after the replay:\n got %s, %v\nwant %s", got, err, want)
 	}
-	if err := raftLog.put(policycommit.Entry{Kind: policycommit.Unlend, Name: "n2"}); err != nil {
+	if err := raftLog.append(policycommit.Entry{Kind: policycommit.EntryRevokeShare, Name: "n2"}); err != nil {
 		t.Errorf("append to the older log: %v", err)
 	}
-	if state := raftLog.now(); len(state.Out) != 0 {
-		t.Errorf("leased-out shares after the appended entry: got %v, want none", state.Out)
+	if state := raftLog.currentState(); len(state.LeasedOut) != 0 {
+		t.Errorf("leased-out shares after the appended entry: got %v, want none", state.LeasedOut)
 	}
 }
--- /dev/null
+++ b/internal/controlplane/join.go
@@ -0,0 +1,42 @@
+package controlplane
+
+import (
+	"fmt"
+
+	"github.com/sirupsen/logrus"
+
+	"spurtrestle/core/routing"
+	"spurtrestle/internal/fleet"
+	"spurtrestle/internal/operator"
+	"spurtrestle/internal/router"
+)
+
+// failOpenMode is the value of policy.cut_off with which a router keeps serving while it cannot reach the leader; with
+// failClosedMode it does not.
+const (
+	failOpenMode   = "serve"
+	failClosedMode = "refuse"
+)
+
+// Join starts the node of a router by the [policy] section of the operator's file.
+func Join(section operator.Policy, fleetConfig fleet.Config, own routing.Settings, controlled *router.Router, member fleet.Node, log *logrus.Logger) (fleet.Policy, error) {
+	transport, ok := member.(fleet.Transport)
+	if !ok {
+		return nil, fleetConfig.ConfigError("policy.cut_off", "is set, and routers of this program do not speak to one another", "leave it empty")
+	}
+	config := Config{
+		Name:        fleetConfig.Name,
+		FailOpen:    section.CutOff == failOpenMode,
+		Voters:      section.Keepers,
+		OwnSettings: own,
+		Site:        fleetConfig.Site,
+		Sites:       fleetConfig.Sites,
+		ConfigError: fleetConfig.ConfigError,
+	}
+	config.Raft.Dir = section.Dir
+	config.Raft.Listen, config.Raft.Advertise = section.Addresses()
+	if config.isVoter() && section.Dir == "" {
+		return nil, fleetConfig.ConfigError("policy.dir", fmt.Sprintf("is empty, and this router, %q, is a keeper", fleetConfig.Name), "give it a folder, and listen an address")
+	}
+	return start(config, transport.Self(), fleetConfig.Build, controlled, transport, log)
+}
--- /dev/null
+++ b/internal/controlplane/raft_log.go
@@ -0,0 +1,319 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"path/filepath"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+	"github.com/sirupsen/logrus"
+	"go.etcd.io/bbolt"
+
+	"spurtrestle/core/policycommit"
+	"spurtrestle/internal/fleet"
+)
+
+const (
+	logStoreName       = "log.db"
+	logStoreLockWait   = 100 * time.Millisecond // for a process that has the folder; without it bbolt waits for ever
+	raftTimeout        = 2 * time.Second        // of one append, barrier or change of voters
+	raftHeartbeat      = 600 * time.Millisecond
+	raftElection       = 600 * time.Millisecond
+	raftLeaderLease    = 400 * time.Millisecond
+	raftCommit         = 20 * time.Millisecond
+	snapshotInterval   = 10 * time.Second
+	snapshotThreshold  = 512 // entries
+	trailingEntries    = 256 // kept behind a snapshot, for voters that lag
+	retainedSnapshots  = 2
+	connectionsPerPeer = 3
+)
+
+// RaftConfig is where a voter stores the raft log, and where the other voters reach it.
+type RaftConfig struct {
+	Dir       string
+	Listen    netip.AddrPort
+	Advertise netip.AddrPort
+}
+
+// StaleLogError reports a folder whose log ends before an entry that the voter has acknowledged: the folder was restored from an
+// older copy, and the voter must not vote by it.
+type StaleLogError struct {
+	LastIndex         uint64
+	AcknowledgedIndex uint64
+}
+
+// Error implements error.
+func (e *StaleLogError) Error() string {
+	return fmt.Sprintf("the folder ends at entry %d, and its keeper has spoken of %d: it was put back, or lost; "+
+		"empty it, and have the keeper taken up anew with cache-routerctl policy keeper replace", e.LastIndex, e.AcknowledgedIndex)
+}
+
+// raftLog is the replicated log of one voter. It is open from the node's start, and takes part in raft from start on: a voter
+// with a new folder first waits for a bootstrap or an invitation, so that a folder that was lost has no vote. All methods may
+// be called concurrently, but for isLeader.
+type raftLog struct {
+	config  RaftConfig
+	log     *logrus.Logger
+	replica replica
+
+	writeFault  atomic.Pointer[string] // the folder cannot be written; nil: it can
+	barrierTerm uint64                 // the term in which the replica has all entries of earlier terms; owned by isLeader
+
+	mu             sync.Mutex // guards the fields below
+	identity       voterIdentity
+	inactiveReason string // why the voter takes no part; empty if it does
+	node           *raft.Raft
+	closers        []func() error // in the order of opening
+}
+
+// startOptions are how a voter takes part.
+type startOptions struct {
+	acknowledgedIndex uint64 // the highest that the other routers have heard from this voter
+	bootstrap         bool   // begin a new log, with this voter alone
+}
+
+// openRaftLog reads the identity of a folder, or makes one in a new folder.
+func openRaftLog(config RaftConfig, name string, log *logrus.Logger) (*raftLog, error) {
+	identity, err := openIdentity(config.Dir, name)
+	if err != nil {
+		return nil, err
+	}
+	return &raftLog{
+		config:         config,
+		log:            log,
+		replica:        newReplica(),
+		identity:       identity,
+		inactiveReason: "it has not been welcomed yet",
+	}, nil
+}
+
+// start takes part in raft. It does nothing if the voter does already, and can be repeated after an error.
+func (l *raftLog) start(options startOptions) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.node != nil {
+		return nil
+	}
+	if err := l.startLocked(options); err != nil {
+		l.inactiveReason = err.Error()
+		closers := l.closers
+		l.closers = nil
+		return errors.Join(err, closeAll(closers))
+	}
+	l.inactiveReason = ""
+	return nil
+}
+
+func (l *raftLog) startLocked(options startOptions) error {
+	store, err := raftboltdb.New(raftboltdb.Options{
+		Path:        filepath.Join(l.config.Dir, logStoreName),
+		BoltOptions: &bbolt.Options{Timeout: logStoreLockWait},
+	})
+	if err != nil {
+		return err
+	}
+	l.closers = append(l.closers, store.Close)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(l.config.Dir, retainedSnapshots, hclog.NewNullLogger())
+	if err != nil {
+		return err
+	}
+	if err := checkLogIsCurrent(store, snapshots, options.acknowledgedIndex); err != nil {
+		return err
+	}
+	transport, err := l.listen()
+	if err != nil {
+		return err
+	}
+	config := l.raftConfig()
+	if options.bootstrap {
+		server := raft.Server{ID: config.LocalID, Address: transport.LocalAddr()}
+		err = raft.BootstrapCluster(config, store, store, snapshots, transport, raft.Configuration{Servers: []raft.Server{server}})
+		if err != nil {
+			return err
+		}
+	}
+	l.identity.Member = true
+	if err := l.identity.persist(l.config.Dir); err != nil {
+		return err
+	}
+	observed := observedStore{BoltStore: store, afterWrite: l.recordWrite}
+	l.node, err = raft.NewRaft(config, &l.replica, observed, observed, snapshots, transport)
+	return err
+}
+
+// checkLogIsCurrent returns a StaleLogError if the folder ends before acknowledgedIndex.
+func checkLogIsCurrent(store raft.LogStore, snapshots raft.SnapshotStore, acknowledgedIndex uint64) error {
+	last, err := store.LastIndex()
+	if err != nil {
+		return err
+	}
+	if all, err := snapshots.List(); err == nil && len(all) > 0 {
+		last = max(last, all[0].Index)
+	}
+	if last < acknowledgedIndex {
+		return &StaleLogError{LastIndex: last, AcknowledgedIndex: acknowledgedIndex}
+	}
+	return nil
+}
+
+func (l *raftLog) listen() (*raft.NetworkTransport, error) {
+	listener, err := net.Listen("tcp", l.config.Listen.String())
+	if err != nil {
+		return nil, err
+	}
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream:  streamLayer{Listener: listener, config: l.config},
+		MaxPool: connectionsPerPeer,
+		Timeout: raftTimeout,
+		Logger:  hclog.NewNullLogger(),
+	})
+	l.closers = append(l.closers, transport.Close)
+	return transport, nil
+}
+
+func (l *raftLog) raftConfig() *raft.Config {
+	config := raft.DefaultConfig()
+	config.LocalID = serverID(l.identity.Name, l.identity.VoterID)
+	config.HeartbeatTimeout = raftHeartbeat
+	config.ElectionTimeout = raftElection
+	config.LeaderLeaseTimeout = raftLeaderLease
+	config.CommitTimeout = raftCommit
+	config.SnapshotThreshold = snapshotThreshold
+	config.SnapshotInterval = snapshotInterval
+	config.TrailingLogs = trailingEntries
+	config.Logger = hclog.NewNullLogger()
+	return config
+}
+
+// raftNode returns nil before start.
+func (l *raftLog) raftNode() *raft.Raft {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.node
+}
+
+// isLeader reports whether this voter leads raft and its replica has all entries that earlier leaders committed. Only the leader's
+// loop calls it.
+func (l *raftLog) isLeader() bool {
+	node := l.raftNode()
+	if node == nil || node.State() != raft.Leader {
+		return false
+	}
+	term := node.CurrentTerm()
+	if l.barrierTerm == term {
+		return true
+	}
+	if node.Barrier(raftTimeout).Error() != nil || node.CurrentTerm() != term {
+		return false
+	}
+	l.barrierTerm = term
+	return true
+}
+
+// confirmLeadership reports whether a majority of the voters held this one for the leader at some time since the call.
+func (l *raftLog) confirmLeadership() bool {
+	node := l.raftNode()
+	return node != nil && node.VerifyLeader().Error() == nil
+}
+
+// append appends an entry and waits until the replica has applied it. After an error the entry may be in the log or not.
+func (l *raftLog) append(entry policycommit.Entry) error {
+	node := l.raftNode()
+	if node == nil {
+		return ErrNoLeader
+	}
+	data, err := json.Marshal(entry)
+	if err != nil {
+		return err
+	}
+	return node.Apply(data, raftTimeout).Error()
+}
+
+// currentState returns a copy of the state that the entries applied so far add up to.
+func (l *raftLog) currentState() *policycommit.LogState { return l.replica.currentState() }
+
+// takeVerdicts returns the verdicts since the last call.
+func (l *raftLog) takeVerdicts() map[policycommit.Token]policycommit.Verdict {
+	return l.replica.takeVerdicts()
+}
+
+func (l *raftLog) currentIdentity() voterIdentity {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.identity
+}
+
+// voterStatus returns what the other routers are to know of this voter.
+func (l *raftLog) voterStatus() fleet.VoterStatus {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	status := fleet.VoterStatus{
+		VoterID: l.identity.VoterID,
+		Addr:    l.config.Advertise.String(),
+		Voter:   l.identity.Member && l.node != nil,
+	}
+	if l.node != nil {
+		status.LastIndex = l.node.LastIndex()
+	}
+	return status
+}
+
+// fault returns why the voter takes no part or falls behind; empty if it does neither.
+func (l *raftLog) fault() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	writeFault := l.writeFault.Load()
+	if l.inactiveReason == "" && writeFault != nil {
+		return *writeFault
+	}
+	return l.inactiveReason
+}
+
+// recordWrite takes in the result of a write to the folder, and logs when the folder ceases to be writable or is writable again.
+func (l *raftLog) recordWrite(err error) {
+	var fault *string
+	if err != nil {
+		text := "the folder cannot be written, and its keeper falls behind: " + err.Error()
+		fault = &text
+	}
+	entry := l.log.WithField("dir", l.config.Dir)
+	previous := l.writeFault.Swap(fault)
+	switch {
+	case previous == nil && err != nil:
+		entry.WithError(err).Error("policy: raft folder cannot be written; free the disk")
+	case previous != nil && err == nil:
+		entry.Info("policy: raft folder can be written again")
+	}
+}
+
+// close shuts raft down. Appends that wait for a majority fail.
+func (l *raftLog) close() {
+	l.mu.Lock()
+	node, closers := l.node, l.closers
+	l.closers = nil
+	l.mu.Unlock()
+	if node != nil {
+		_ = node.Shutdown().Error() // always nil
+	}
+	if err := closeAll(closers); err != nil {
+		l.log.WithError(err).Debug("policy: closing the raft log")
+	}
+}
+
+// closeAll closes what was opened, the last first.
+func closeAll(closers []func() error) error {
+	var errs []error
+	for _, closeNext := range slices.Backward(closers) {
+		errs = append(errs, closeNext())
+	}
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/controlplane/raft_store.go
@@ -0,0 +1,34 @@
+package controlplane
+
+import (
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+)
+
+// observedStore is a raft store that reports the result of each write. raft itself does not: a follower whose disk is full just
+// falls behind.
+type observedStore struct {
+	*raftboltdb.BoltStore
+	afterWrite func(error)
+}
+
+// StoreLog implements raft.LogStore.
+func (o observedStore) StoreLog(log *raft.Log) error { return o.observe(o.BoltStore.StoreLog(log)) }
+
+// StoreLogs implements raft.LogStore.
+func (o observedStore) StoreLogs(logs []*raft.Log) error {
+	return o.observe(o.BoltStore.StoreLogs(logs))
+}
+
+// Set implements raft.StableStore.
+func (o observedStore) Set(key, value []byte) error { return o.observe(o.BoltStore.Set(key, value)) }
+
+// SetUint64 implements raft.StableStore.
+func (o observedStore) SetUint64(key []byte, value uint64) error {
+	return o.observe(o.BoltStore.SetUint64(key, value))
+}
+
+func (o observedStore) observe(err error) error {
+	o.afterWrite(err)
+	return err
+}
--- /dev/null
+++ b/internal/controlplane/raft_transport.go
@@ -0,0 +1,24 @@
+package controlplane
+
+import (
+	"net"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// streamLayer is raft's network: TCP between the voters. It dials from the address that it listens on, so that the voter called
+// can tell by the address who calls.
+type streamLayer struct {
+	net.Listener
+	config RaftConfig
+}
+
+// Addr returns the address at which the other voters reach this one.
+func (s streamLayer) Addr() net.Addr { return net.TCPAddrFromAddrPort(s.config.Advertise) }
+
+// Dial implements raft.StreamLayer.
+func (s streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: s.config.Listen.Addr().AsSlice()}}
+	return dialer.Dial("tcp", string(address))
+}
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -39,7 +39,7 @@
 	}
 	v, err := r.ask(ctx, r.routers[0], map[string]any{"what": "apply", "doc": r.document(nil), "base": 0, "token": "plan", "author": "lab",
 		"reason": "the scenario's plan"})
-	if err == nil && (v == nil || !v.Everywhere) {
+	if err == nil && (v == nil || !v.Committed) {
 		err = fmt.Errorf("the scenario's plan holds nowhere: %+v", v)
 	}
 	r.policy = 1
@@ -109,13 +109,13 @@
 			continue
 		}
 		e := event.Event{Kind: event.Policied, Router: event.Nobody, Since: began, Note: strings.Join(out, " ")}
-		if v.Everywhere {
+		if v.Committed {
 			e.Limit = 1
 			r.mu.Lock()
 			r.policy = int(v.Revision)
 			r.mu.Unlock()
 		} else {
-			r.o.Log.WithField("why", v.Why).Info("a change of policy holds nowhere")
+			r.o.Log.WithField("why", v.Reason).Info("a change of policy holds nowhere")
 		}
 		r.log.Add(e)
 		return
--- a/internal/lab/rig/policies.go
+++ b/internal/lab/rig/policies.go
@@ -194,9 +194,9 @@
 					continue
 				}
 				to := r.Now()
-				note(2*op+1, q, asked{known: true, done: v.Everywhere, now: v.Revision}, from, to)
+				note(2*op+1, q, asked{known: true, done: v.Committed, now: v.Revision}, from, to)
 				mu.Lock()
-				if v.Everywhere {
+				if v.Committed {
 					out.Everywhere++
 					out.Took = append(out.Took, to-from)
 				} else {
@@ -267,7 +267,7 @@
 				ok = false
 				break
 			}
-			note(u.by, u.q, asked{known: true, done: v.Everywhere, now: v.Revision}, u.from, r.Now())
+			note(u.by, u.q, asked{known: true, done: v.Committed, now: v.Revision}, u.from, r.Now())
 			unknown = unknown[1:]
 		}
 		if ok {
@@ -425,7 +425,7 @@
 				}
 				continue
 			}
-			if base = int(a.Verdict.Revision); !a.Verdict.Everywhere {
+			if base = int(a.Verdict.Revision); !a.Verdict.Committed {
 				continue
 			}
 			row.Through++
--- a/internal/lab/rig/policy_test.go
+++ b/internal/lab/rig/policy_test.go
@@ -71,7 +71,7 @@
 	r.ready(upTo(routers)...)
 	r.until("all keepers vote", func() bool {
 		s, err := r.AskPolicy(0, map[string]any{"what": "status"})
-		return err == nil && len(s.Keepers) == keepers
+		return err == nil && len(s.Voters) == keepers
 	})
 	return r
 }
@@ -106,7 +106,7 @@
 	began := time.Now()
 	v, err := r.apply(4, 0, "first", docOut("s0"))
 	r.must(err)
-	if !v.Everywhere || v.Revision != 1 {
+	if !v.Committed || v.Revision != 1 {
 		t.Fatalf("the first change: %+v", v)
 	}
 	t.Logf("verdict after %v", time.Since(began))
@@ -115,7 +115,7 @@
 	if again, err := r.apply(2, 0, "first", docOut("s0")); err != nil || again != v {
 		t.Errorf("asked again: %+v, %v", again, err)
 	}
-	if v, err := r.apply(1, 0, "stale", docOut("s1")); err != nil || v.Everywhere || !strings.Contains(v.Why, "made for revision 0, and 1 is in force, by test: first") {
+	if v, err := r.apply(1, 0, "stale", docOut("s1")); err != nil || v.Committed || !strings.Contains(v.Reason, "made for revision 0, and 1 is in force, by test: first") {
 		t.Errorf("for a revision that is past: %+v, %v", v, err)
 	}
 	if _, err := r.apply(1, 1, "wrong", "schema = 1\n[[method]]\nname = \"x\"\n"); err == nil || !strings.Contains(err.Error(), `line 3: method[0].name: "x" is no method`) {
@@ -131,7 +131,7 @@
 			both <- v
 		}()
 	}
-	if a, b := <-both, <-both; a.Everywhere == b.Everywhere {
+	if a, b := <-both, <-both; a.Committed == b.Committed {
 		t.Errorf("of two at one moment: %+v and %+v", a, b)
 	}
 	r.holds(2, upTo(5)...)
@@ -165,7 +165,7 @@
 		}
 		r.must(err)
 		t.Logf("%s at router %d: %+v", fault, at, v)
-		if v.Everywhere {
+		if v.Committed {
 			current++
 		}
 		if fault == "cut" {
@@ -196,7 +196,7 @@
 	v, err := r.apply(0, 0, "without three", docOut("s0"))
 	r.must(err)
 	t.Logf("verdict after %v", time.Since(began))
-	if !v.Everywhere {
+	if !v.Committed {
 		t.Fatalf("%+v", v)
 	}
 	r.holds(1, 0, 1, 2)
@@ -219,7 +219,7 @@
 	r := founded(t, "serve", 5, 3)
 	v, err := r.apply(0, 0, "first", docOut("s0"))
 	r.must(err)
-	if !v.Everywhere {
+	if !v.Committed {
 		t.Fatalf("%+v", v)
 	}
 	r.holds(1, upTo(5)...)
@@ -228,14 +228,14 @@
 	if h := r.held(4); !h.May || h.InForce != 1 {
 		t.Errorf("cut off: %+v", h)
 	}
-	if v, err = r.apply(0, 1, "second", docOut("s1")); err != nil || v.Everywhere || !strings.Contains(v.Why, "r4 does not answer, and may be serving") {
+	if v, err = r.apply(0, 1, "second", docOut("s1")); err != nil || v.Committed || !strings.Contains(v.Reason, "r4 does not answer, and may be serving") {
 		t.Fatalf("%+v, %v", v, err)
 	}
 	r.holds(1, upTo(4)...)
 	r.Kill("dead", 4)
 	_, err = r.AskPolicy(1, map[string]any{"what": "dead", "name": "r4", "author": "test", "reason": "its machine is off"})
 	r.must(err)
-	if v, err = r.apply(0, 1, "third", docOut("s1")); err != nil || !v.Everywhere {
+	if v, err = r.apply(0, 1, "third", docOut("s1")); err != nil || !v.Committed {
 		t.Fatalf("%+v, %v", v, err)
 	}
 	r.Cut("healed", false, []int{4}, upTo(5), true, false)
@@ -251,7 +251,7 @@
 	r.start("back", 1, 2)
 	r.until("a change goes through again", func() bool {
 		v, err := r.apply(3, 2, "fourth", docOut("s2"))
-		return err == nil && v.Everywhere
+		return err == nil && v.Committed
 	})
 	r.holds(3, upTo(5)...)
 }
@@ -270,7 +270,7 @@
 	for n := range 3 {
 		v, err := r.apply(other, n, fmt.Sprint("n", n), docOut("s0"))
 		r.must(err)
-		if !v.Everywhere {
+		if !v.Committed {
 			t.Fatalf("%+v", v)
 		}
 	}
@@ -297,10 +297,10 @@
 	r.must(err)
 	r.until("it is taken up anew", func() bool {
 		s, err := r.AskPolicy(other, map[string]any{"what": "status"})
-		return err == nil && len(s.Keepers) == 3 && r.held(at).Folder == ""
+		return err == nil && len(s.Voters) == 3 && r.held(at).Folder == ""
 	})
 	v, err := r.apply(at, 3, "with it", docOut("s1"))
-	if err != nil || !v.Everywhere {
+	if err != nil || !v.Committed {
 		t.Errorf("%+v, %v", v, err)
 	}
 }
@@ -314,7 +314,7 @@
 	r.ready(3)
 	const doc = "schema = 1\n[[method]]\nname = \"read\"\nlatency_budget = \"400ms\"\n"
 	v, err := r.apply(0, 0, "too long for one", doc)
-	if err != nil || v.Everywhere || !strings.Contains(v.Why, "r3 (build ") || !strings.Contains(v.Why, `cannot hold it: line 4: method[0].latency_budget: "400ms" is no span from 1ms to 300ms`) {
+	if err != nil || v.Committed || !strings.Contains(v.Reason, "r3 (build ") || !strings.Contains(v.Reason, `cannot hold it: line 4: method[0].latency_budget: "400ms" is no span from 1ms to 300ms`) {
 		t.Errorf("%+v, %v", v, err)
 	}
 	r.holds(0, 0, 1, 2, 3)
@@ -343,7 +343,7 @@
 			time.Sleep(50 * time.Millisecond) // the router asked is down: asked again by the same token
 		}
 		r.must(err)
-		if v.Everywhere {
+		if v.Committed {
 			current++
 		}
 		select {
@@ -367,7 +367,7 @@
 			r := founded(t, mode, 5, 3)
 			v, err := r.apply(4, 0, "first", docOut("s0"))
 			r.must(err)
-			if !v.Everywhere {
+			if !v.Committed {
 				t.Fatalf("%+v", v)
 			}
 			r.holds(1, upTo(5)...)
@@ -387,7 +387,7 @@
 				r.holds(policycommit.Revision(base+1), i)
 				v, err := r.apply(0, base+1, fmt.Sprint("then ", i), docOut(fmt.Sprint("s", i)))
 				r.must(err)
-				if !v.Everywhere {
+				if !v.Committed {
 					t.Fatalf("%+v", v)
 				}
 				r.holds(policycommit.Revision(base+2), upTo(5)...)
@@ -439,7 +439,7 @@
 	for n := range 8 {
 		v, err := r.apply(0, n, fmt.Sprint("change ", n), big)
 		r.must(err)
-		if !v.Everywhere {
+		if !v.Committed {
 			t.Fatalf("change %d: %+v", n, v)
 		}
 	}
@@ -469,7 +469,7 @@
 	for n := range *revisions {
 		v, err := r.apply(n%3, n, fmt.Sprint("change ", n), docOut(fmt.Sprint("s", n)))
 		r.must(err)
-		if !v.Everywhere || int(v.Revision) != n+1 {
+		if !v.Committed || int(v.Revision) != n+1 {
 			t.Fatalf("change %d: %+v", n, v)
 		}
 		if n == *revisions/2 { // of five keepers three are left
@@ -528,7 +528,7 @@
 			if err != nil {
 				continue
 			}
-			if v.Everywhere {
+			if v.Committed {
 				through++
 			}
 			base = int(v.Revision)
--- a/internal/lab/rig/site_test.go
+++ b/internal/lab/rig/site_test.go
@@ -20,12 +20,12 @@
 	r.ready(upTo(6)...)
 	v, err := r.apply(0, 0, "plan", SiteDoc(threeSites, "500ms"))
 	r.must(err)
-	if !v.Everywhere {
+	if !v.Committed {
 		t.Fatalf("the plan: %+v", v)
 	}
 	r.until("all keepers vote", func() bool {
 		s, err := r.AskPolicy(0, map[string]any{"what": "status"})
-		return err == nil && len(s.Keepers) == 3
+		return err == nil && len(s.Voters) == 3
 	})
 	r.until("every site is seen whole", func() bool { return r.stages(0) == "up up up" })
 	return r
@@ -178,7 +178,7 @@
 	r.start("again", leader)
 	v, err := r.apply(left[0], 1, "other", SiteDoc(threeSites, "600ms"))
 	r.must(err)
-	if !v.Everywhere {
+	if !v.Committed {
 		t.Fatalf("a change while a site is out: %+v", v)
 	}
 	r.keepsTo("coast", 0, upTo(6)...)
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -144,9 +144,9 @@
 	r.decided = append(r.decided, r.core.Step(r.now, routing.FleetShareChanged{Share: part})...)
 }
 
-// SitePlan has the router keep to what the fleet does about a lost site, until a time, and tells its load of late. It is in
+// SetSiteOrders has the router keep to what the fleet does about a lost site, until a time, and tells its load of late. It is in
 // force once the error is nil; with one it may come into force later.
-func (r *Router) SitePlan(p routing.FailoverOrders, until time.Time) (routing.RouterLoad, error) {
+func (r *Router) SetSiteOrders(p routing.FailoverOrders, until time.Time) (routing.RouterLoad, error) {
 	<-r.ready
 	var f routing.RouterLoad
 	busy := r.soon(func() {
@@ -167,8 +167,8 @@
 	return f, nil
 }
 
-// SetExtra adds to the router's part, until a time; it does not wait.
-func (r *Router) SetExtra(part float64, until time.Time) {
+// SetExtraShare adds to the router's part, until a time; it does not wait.
+func (r *Router) SetExtraShare(part float64, until time.Time) {
 	select {
 	case <-r.ready:
 	default:
@@ -193,9 +193,9 @@
 	return may == 0 || r.now < may
 }
 
-// MayTake has the router take new requests until a time: zero for ever, one that is past not at all. What it does not take
+// SetAdmissionDeadline has the router take new requests until a time: zero for ever, one that is past not at all. What it does not take
 // is rejected at once, and it is not ready meanwhile.
-func (r *Router) MayTake(until time.Time) {
+func (r *Router) SetAdmissionDeadline(until time.Time) {
 	at := clock.Time(0)
 	if !until.IsZero() {
 		at = max(1, r.began+clock.Time(until.Sub(r.start)/time.Microsecond))
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -421,11 +421,11 @@
 	})
 }
 
-// Inherit has what the process before this one leaves come to a function. Call it before Run.
-func (r *Router) Inherit(f func([]byte)) { r.takeover.inherit = f }
+// OnTransfer registers the function that receives the transfers of the process that this one replaces. Call it before Run.
+func (r *Router) OnTransfer(f func([]byte)) { r.takeover.inherit = f }
 
-// Transfer leaves something to the process that is to replace this one, if there is one; it is made only then.
-func (r *Router) Transfer(what func() []byte) {
+// OfferTransfer leaves something to the process that is to replace this one, if there is one; it is made only then.
+func (r *Router) OfferTransfer(what func() []byte) {
 	select {
 	case <-r.ready:
 	default:
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -352,13 +352,13 @@
 // What is counted for mechanisms of today rests on limits that stand in their code, unexported.
 func TestLimitsStandInTheCode(t *testing.T) {
 	for file, lines := range map[string][]string{
-		"../../controlplane/controlplane.go":    {fmt.Sprintf(`const most = %d\b`, mostAskings), fmt.Sprintf(`time\.After\(%d \* time\.Millisecond\)`, int(leaderRest*1e3))},
-		"../../gossip/delegate.go":              {fmt.Sprintf(`mostWords +=\s*%d\b`, mostWords), fmt.Sprintf(`mostAnswer +=\s*%d\b`, mostAnswers)},
-		"../../gossip/gossip.go":                {fmt.Sprintf(`HandoffQueueDepth = %d\b`, handoffQueue)},
-		"../../gossip/tiers.go":                 {fmt.Sprintf(`return min\(p\.cfg\.ProbeInterval/5, %d\*time\.Millisecond\)`, int(peersStep*1e3))},
-		"../../config/limits.go":                {fmt.Sprintf(`Watch: +%de6,`, int(watchWaitPush)), fmt.Sprintf(`l\.Watch, .* = %de6,`, int(watchWait))},
-		"../../../docs/operating.md":            {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
-		"../../../internal/controlplane/log.go": {`l\.decided\.Clone\(\)`},
+		"../../controlplane/leader_loop.go":              {fmt.Sprintf(`maxQueuedRenewals += %d\b`, mostAskings), fmt.Sprintf(`leaderInterval += %d \* time\.Millisecond`, int(leaderRest*1e3)), `time\.After\(leaderInterval\)`, `>= maxQueuedRenewals\b`},
+		"../../gossip/delegate.go":                       {fmt.Sprintf(`mostWords +=\s*%d\b`, mostWords), fmt.Sprintf(`mostAnswer +=\s*%d\b`, mostAnswers)},
+		"../../gossip/gossip.go":                         {fmt.Sprintf(`HandoffQueueDepth = %d\b`, handoffQueue)},
+		"../../gossip/tiers.go":                          {fmt.Sprintf(`return min\(p\.cfg\.ProbeInterval/5, %d\*time\.Millisecond\)`, int(peersStep*1e3))},
+		"../../config/limits.go":                         {fmt.Sprintf(`Watch: +%de6,`, int(watchWaitPush)), fmt.Sprintf(`l\.Watch, .* = %de6,`, int(watchWait))},
+		"../../../docs/operating.md":                     {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
+		"../../../internal/controlplane/raft_replica.go": {`r\.state\.Clone\(\)`},
 	} {
 		text := read(t, file)
 		for _, line := range lines {
--- a/internal/scale/capacity/design.go
+++ b/internal/scale/capacity/design.go
@@ -150,7 +150,9 @@
 
 // waitedFor is how long a router that does not answer holds a change up, by policycommit.Leader: its lease by a clock that runs a
 // hundredth slow, and a slack.
-func waitedFor(lease float64) float64 { return lease*1.01 + seconds(policycommit.DefaultRules().Slack) }
+func waitedFor(lease float64) float64 {
+	return lease*1.01 + seconds(policycommit.DefaultTiming().ClockSlack)
+}
 
 // PurgeOption is one way by which purges reach the cache servers of a site.
 type PurgeOption struct {
--- a/internal/scale/capacity/today.go
+++ b/internal/scale/capacity/today.go
@@ -86,9 +86,9 @@
 const nearDelay = 5 * time.Millisecond
 
 func today(t Target, slopes *LeaderSlopes) Today {
-	w, ask, lend := wireSizes(), policycommit.DefaultRules(), sharelease.DefaultTiming()
-	others, patience := t.Routers-1, seconds(ask.Patience)
-	d := Today{RenewalBytes: w.Renewal, GrantBytes: w.Grant, AskEvery: seconds(ask.Ask), AskAgain: seconds(ask.Again), Lease: seconds(ask.Lease)}
+	w, ask, lend := wireSizes(), policycommit.DefaultTiming(), sharelease.DefaultTiming()
+	others, patience := t.Routers-1, seconds(ask.PrepareTimeout)
+	d := Today{RenewalBytes: w.Renewal, GrantBytes: w.Grant, AskEvery: seconds(ask.RenewInterval), AskAgain: seconds(ask.RetryInterval), Lease: seconds(ask.LeaseDuration)}
 
 	// To the leader, from it to a majority and back, and to the router.
 	farDelay := 4 * time.Duration(t.Assumed.NetworkDelay)
@@ -143,16 +143,16 @@
 // are left out.
 func playAskings(delay clock.Time) (perSecond, covered float64) {
 	const step, begin, end = 20_000, 10 * microseconds, 70 * microseconds // internal/controlplane looks every 20 ms
-	rules := policycommit.DefaultRules()
+	rules := policycommit.DefaultTiming()
 	holder := policycommit.NewFollower(rules, sampleName, 1, false, sampleBuild, func(string) error { return nil })
 	var underWay []policycommit.Renewal
 	asked, may, looks := 0, 0, 0
 	for now := clock.Time(0); now < end; now += step {
-		for len(underWay) > 0 && underWay[0].At+delay <= now {
-			holder.Granted(now, policycommit.Lease{Process: 1, At: underWay[0].At, For: rules.Lease, Index: 1, Revision: 1})
+		for len(underWay) > 0 && underWay[0].SentAt+delay <= now {
+			holder.ReceiveLease(now, policycommit.Lease{Incarnation: 1, RenewalSentAt: underWay[0].SentAt, Duration: rules.LeaseDuration, Index: 1, Revision: 1})
 			underWay = underWay[1:]
 		}
-		if renewal, due := holder.Ask(now); due {
+		if renewal, due := holder.NextRenewal(now); due {
 			underWay = append(underWay, renewal)
 			if now >= begin {
 				asked++
@@ -162,7 +162,7 @@
 			continue
 		}
 		looks++
-		if holder.AcceptsUntil(now) > now {
+		if holder.AdmissionDeadline(now) > now {
 			may++
 		}
 	}
--- a/internal/scale/capacity/wire.go
+++ b/internal/scale/capacity/wire.go
@@ -34,12 +34,12 @@
 )
 
 func wireSizes() wire {
-	renewal := policycommit.Renewal{Name: sampleName, Process: sampleProcess, At: sampleTime, Serves: true, Build: sampleBuild, Site: sampleSite,
-		Held: sampleCount, Index: sampleCount}
-	grant := policycommit.Lease{Process: sampleProcess, At: sampleTime, For: policycommit.DefaultRules().Lease, Index: sampleCount, Revision: sampleCount}
+	renewal := policycommit.Renewal{Name: sampleName, Incarnation: sampleProcess, SentAt: sampleTime, FailOpen: true, Build: sampleBuild, Site: sampleSite,
+		ActiveRevision: sampleCount, Index: sampleCount}
+	grant := policycommit.Lease{Incarnation: sampleProcess, RenewalSentAt: sampleTime, Duration: policycommit.DefaultTiming().LeaseDuration, Index: sampleCount, Revision: sampleCount}
 	lending := sharelease.Message{Kind: sharelease.Revoke, From: 10_000, To: 10_001, Grantor: sampleProcess, Holder: sampleProcess, Stamp: sampleTime}
 	word := membership.Heartbeat{Incarnation: sampleProcess, Seq: sampleCount, Accepting: true, PolicyRevision: sampleCount, ViewDigest: sampleProcess}
-	member := map[policycommit.Name]policycommit.Member{sampleName: {Process: sampleProcess, Serves: true, Build: sampleBuild, Site: sampleSite}}
+	member := map[policycommit.RouterName]policycommit.Member{sampleName: {Incarnation: sampleProcess, FailOpen: true, Build: sampleBuild, Site: sampleSite}}
 	return wire{
 		Renewal:   encoded(renewal) + float64(talkFrame),
 		Grant:     encoded(grant) + float64(talkFrame),
--- a/internal/scale/leader/leader.go
+++ b/internal/scale/leader/leader.go
@@ -60,13 +60,13 @@
 
 func newFleet(routers int, seed uint64) *fleet {
 	random := rand.New(rand.NewPCG(seed, uint64(routers)))
-	f := &fleet{book: &policycommit.LogState{}, council: policycommit.NewLeader(0, policycommit.DefaultRules(), routers), now: 10e6}
+	f := &fleet{book: &policycommit.LogState{}, council: policycommit.NewLeader(0, policycommit.DefaultTiming(), routers), now: 10e6}
 	for i := range routers {
 		site := fmt.Sprintf("site-%04d", i/perSite)
-		name := policycommit.Name(fmt.Sprintf("%s-router-%02d", site, i%perSite))
-		process := policycommit.Process(random.Uint64() | 1)
-		f.book.Apply(policycommit.Index(steadyIndex+i), policycommit.Entry{Kind: policycommit.Enter, Name: name, Process: process, Serves: true, Build: sampleBuild, Site: site})
-		renewal := policycommit.Renewal{Name: name, Process: process, At: 86_400_000_000, Serves: true, Build: sampleBuild, Site: site, Index: steadyIndex}
+		name := policycommit.RouterName(fmt.Sprintf("%s-router-%02d", site, i%perSite))
+		process := policycommit.Incarnation(random.Uint64() | 1)
+		f.book.Apply(policycommit.Index(steadyIndex+i), policycommit.Entry{Kind: policycommit.EntryJoin, Name: name, Incarnation: process, FailOpen: true, Build: sampleBuild, Site: site})
+		renewal := policycommit.Renewal{Name: name, Incarnation: process, SentAt: 86_400_000_000, FailOpen: true, Build: sampleBuild, Site: site, Index: steadyIndex}
 		text, _ := json.Marshal(said{Renewal: &renewal}) // plain fields: it cannot fail
 		f.askings = append(f.askings, text)
 	}
@@ -88,11 +88,11 @@
 // answer answers them all, and tells how many were granted.
 func (f *fleet) answer() (granted int) {
 	for _, renewal := range f.decoded {
-		grant, ok, _ := f.council.Answer(f.now, f.book, renewal)
-		if !ok {
+		lease := f.council.AnswerRenewal(f.now, f.book, renewal).Lease
+		if lease == nil {
 			continue
 		}
-		if text, err := json.Marshal(said{Grant: &grant}); err == nil && len(text) > 0 {
+		if text, err := json.Marshal(said{Grant: lease}); err == nil && len(text) > 0 {
 			granted++
 		}
 	}
@@ -104,8 +104,8 @@
 	f.now += 20e3
 	_ = f.book.Clone() // for the answers
 	after := f.book.Clone()
-	_ = f.council.Resolve(f.now, after)
-	_ = f.council.Lend(f.now, after)
+	_ = f.council.ResolvePending(f.now, after)
+	_ = f.council.NextShareEntry(f.now, after)
 }
 
 // Measure times a roster of so many routers, each part for at least the given span.
--- a/internal/scale/leader/leader_test.go
+++ b/internal/scale/leader/leader_test.go
@@ -30,7 +30,7 @@
 			t.Fatalf("%d of 40 granted", granted)
 		}
 	}
-	if len(f.book.Roster) != 40 || len(f.book.Out) != 0 {
-		t.Errorf("%d on the roster, %d lent", len(f.book.Roster), len(f.book.Out))
+	if len(f.book.Members) != 40 || len(f.book.LeasedOut) != 0 {
+		t.Errorf("%d on the roster, %d lent", len(f.book.Members), len(f.book.LeasedOut))
 	}
 }
