--- a/internal/controlplane/follower_loop.go
+++ b/internal/controlplane/follower_loop.go
@@ -202,5 +202,5 @@
 		return own, err
 	}
 	settings, err := parsed.Settings(n.config.OwnSettings)
-	return revisionSettings{routing: settings, bannedServers: parsed.Out, sitePlan: plan}, err
+	return revisionSettings{routing: settings, bannedServers: parsed.BannedServers, sitePlan: plan}, err
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -4,14 +4,15 @@
 	"strings"
 	"testing"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 )
 
-var own = routing.Settings{MaxAttempts: 3, MaxRetryAfter: 2e6, OverShareWeight: 0.1, WarmUpShare: 0.3, WarmUpDuration: 6e6, OverloadMultiple: 3, OverloadWindow: 2e6,
-	Methods: []routing.MethodSettings{{Name: "read", LatencyBudget: 200e3, Deadline: 700e3, Criticality: 2}, {Name: "hold", LatencyBudget: 300e3, Deadline: 900e3}},
+var own = routing.Settings{MaxAttempts: 3, MaxRetryAfter: 2 * clock.Second, OverShareWeight: 0.1, WarmUpShare: 0.3, WarmUpDuration: 6 * clock.Second, OverloadMultiple: 3, OverloadWindow: 2 * clock.Second,
+	Methods: []routing.MethodSettings{{Name: "read", LatencyBudget: 200 * clock.Millisecond, Deadline: 700 * clock.Millisecond, Criticality: 2}, {Name: "hold", LatencyBudget: 300 * clock.Millisecond, Deadline: 900 * clock.Millisecond}},
 	Tenants: []routing.TenantSettings{{Name: "grain", Share: 0.6}, {Name: "dairy", Share: 0.4}}}
 
-func TestWhatIsLeftOutStays(t *testing.T) {
+func TestSettings_KeepsFieldsLeftOut(t *testing.T) {
 	d, err := Parse("schema = 1\nmax_write_outs = 2\n[cold]\nspan = \"3s\"\n[[method]]\nname = \"hold\"\ncriticality = 7.0\n" +
 		"[[tenant]]\nname = \"dairy\"\nshare = 0.2\n")
 	if err != nil {
@@ -21,16 +22,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.MaxAttempts != 2 || s.WarmUpDuration != 3e6 || s.Methods[1].Criticality != 7 || s.Tenants[1].Share != 0.2 || s.WarmUpShare != 0.3 ||
+	if s.MaxAttempts != 2 || s.WarmUpDuration != 3*clock.Second || s.Methods[1].Criticality != 7 || s.Tenants[1].Share != 0.2 || s.WarmUpShare != 0.3 ||
 		s.Methods[0] != own.Methods[0] || s.Tenants[0].Share != 0.6 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings: got %+v", s)
 	}
 	if own.Methods[1].Criticality != 0 || own.Tenants[1].Share != 0.4 {
-		t.Error("the router's own settings were written to")
+		t.Error("the router's own settings were changed")
 	}
 }
 
-func TestWrongDocumentsAreExplained(t *testing.T) {
+func TestSettings_ErrorNamesLineFieldAndRemedy(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                        "line 1: schema: is 0, and this build knows 1; write schema = 1",
 		"schema = 1\ncolor = 2":                   "line 2: color: is no field here; see docs/policy.md for all fields",
@@ -51,12 +52,12 @@
 			_, err = d.Settings(own)
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60q: %v", text, err)
+			t.Errorf("%.60q: got %v, want %q", text, err, want)
 		}
 	}
 }
 
-func TestWrongPlansOfSitesAreExplained(t *testing.T) {
+func TestPlan_ErrorNamesLineFieldAndRemedy(t *testing.T) {
 	const two = "[[sites.site]]\nname = \"hill\"\n[[sites.site]]\nname = \"coast\"\nbears = 100.0\n"
 	for text, want := range map[string]string{
 		"[sites]\nsteps = [0.5, 0.2]\n" + two:                                 "line 3: sites.steps: its entry 2, 0.2, is no part of one above the one before",
@@ -79,7 +80,7 @@
 			_, err = d.Plan(own, []string{"hill", "coast"})
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
 	d, err := Parse("schema = 1\n" + two)
@@ -87,10 +88,10 @@
 		t.Fatal(err)
 	}
 	if _, err := d.Plan(own, []string{"hill", "coast", "valley"}); err == nil || !strings.Contains(err.Error(), `"valley" is not planned for`) {
-		t.Error(err)
+		t.Errorf("plan without a site that the routers know: got %v", err)
 	}
 	p, err := d.Plan(own, nil)
-	if err != nil || !p.Enabled() || p.Sites[1].Capacity != 100 || p.RecoverAfter != 3e6 || len(p.RecoverySteps) != 8 {
-		t.Errorf("%+v %v", p, err)
+	if err != nil || !p.Enabled() || p.Sites[1].Capacity != 100 || p.RecoverAfter != 3*clock.Second || len(p.RecoverySteps) != 8 {
+		t.Errorf("plan: got %+v, %v", p, err)
 	}
 }
--- /dev/null
+++ b/internal/policy/settings.go
@@ -0,0 +1,115 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+)
+
+const (
+	maxAttemptsLimit = 100
+	// minAttemptsWithHedging lets a request that has two attempts at once make another when both fail.
+	minAttemptsWithHedging = 3
+	maxServerUIDLength     = 256
+	shareSumTolerance      = 1e-9
+	aboveZeroRemedy        = "write a number above 0"
+)
+
+// Settings returns the settings of a router with the document in force; own if there is an error.
+func (d Document) Settings(own routing.Settings) (routing.Settings, error) {
+	settings := own
+	settings.Methods, settings.Tenants = slices.Clone(own.Methods), slices.Clone(own.Tenants)
+	c := &checker{document: d}
+	c.fraction("over_share_worth", d.OverShareWeight, &settings.OverShareWeight)
+	c.duration("max_hint", d.MaxRetryAfter, &settings.MaxRetryAfter, 0, clock.Hour)
+	c.fraction("cold.share", d.WarmUp.Share, &settings.WarmUpShare)
+	c.duration("cold.span", d.WarmUp.Duration, &settings.WarmUpDuration, clock.Microsecond, clock.Hour)
+	c.positive("cold.fall_multiple", d.WarmUp.OverloadMultiple, &settings.OverloadMultiple, aboveZeroRemedy)
+	c.duration("cold.fall_span", d.WarmUp.OverloadWindow, &settings.OverloadWindow, clock.Microsecond, clock.Hour)
+	if d.MaxRetryAfter != nil && own.MaxRetryAfter == 0 && settings.MaxRetryAfter > 0 {
+		c.reject("max_hint", "is set, and the settings have nacks that say nothing of when to come back", "leave it out")
+	}
+	c.maxAttempts(own, &settings)
+	c.bannedServers()
+	c.methods(settings.Methods)
+	c.tenants(settings.Tenants)
+	if c.err != nil {
+		return own, c.err
+	}
+	return settings, nil
+}
+
+func (c *checker) maxAttempts(own routing.Settings, settings *routing.Settings) {
+	if c.document.MaxAttempts == nil {
+		return
+	}
+	attempts := *c.document.MaxAttempts
+	tooFewToHedge := own.HedgingAllowed && attempts < minAttemptsWithHedging
+	if attempts < 1 || attempts > maxAttemptsLimit || tooFewToHedge {
+		c.reject("max_write_outs", fmt.Sprintf("is %d", attempts), "write 1 to 100, and 3 at least where two may be out at once")
+	}
+	settings.MaxAttempts = attempts
+}
+
+func (c *checker) bannedServers() {
+	servers := c.document.BannedServers
+	for i, uid := range servers {
+		if uid == "" || len(uid) > maxServerUIDLength || slices.Contains(servers[:i], uid) {
+			c.reject("out", fmt.Sprintf("its entry %d, %q, is empty, too long or there twice", i+1, uid), "write each server's uid once")
+		}
+	}
+}
+
+func (c *checker) methods(settings []routing.MethodSettings) {
+	named := map[string]bool{}
+	for i, method := range c.document.Methods {
+		prefix := fmt.Sprintf("method[%d].", i)
+		at := slices.IndexFunc(settings, func(s routing.MethodSettings) bool { return s.Name == method.Name })
+		if at < 0 || named[method.Name] {
+			c.reject(prefix+"name", fmt.Sprintf("%q is no method of the settings, or is there twice", method.Name), "name each method once")
+			continue
+		}
+		named[method.Name] = true
+		c.fixedMethodFields(prefix, method)
+		own := &settings[at]
+		c.duration(prefix+"latency_budget", method.LatencyBudget, &own.LatencyBudget, clock.Millisecond, own.Deadline)
+		c.positive(prefix+"criticality", method.Criticality, &own.Criticality, aboveZeroRemedy)
+		c.fraction(prefix+"late_share", method.LateValue, &own.LateValue)
+	}
+}
+
+// fixedMethodFields rejects the fields that cannot change while routers serve.
+func (c *checker) fixedMethodFields(prefix string, method Method) {
+	for _, field := range []struct {
+		name  string
+		value any
+	}{{"effect", method.Effect}, {"group", method.Group}, {"window", method.Window}, {"deadline", method.Deadline}} {
+		if field.value != nil {
+			c.reject(prefix+field.name, "cannot change while routers serve: requests in hand were taken under it, at other routers as well",
+				"leave it out, and restart the routers with other settings")
+		}
+	}
+}
+
+func (c *checker) tenants(settings []routing.TenantSettings) {
+	named := map[string]bool{}
+	for i, tenant := range c.document.Tenants {
+		prefix := fmt.Sprintf("tenant[%d].", i)
+		at := slices.IndexFunc(settings, func(s routing.TenantSettings) bool { return string(s.Name) == tenant.Name })
+		if at < 0 || named[tenant.Name] {
+			c.reject(prefix+"name", fmt.Sprintf("%q is no tenant of the settings, or is there twice", tenant.Name), "name each tenant once")
+			continue
+		}
+		named[tenant.Name] = true
+		c.fraction(prefix+"share", tenant.Share, &settings[at].Share)
+	}
+	sum := 0.0
+	for _, tenant := range settings {
+		sum += tenant.Share
+	}
+	if len(c.document.Tenants) > 0 && sum > 1+shareSumTolerance {
+		c.reject("tenant[0].share", fmt.Sprintf("all shares come to %v", sum), "let them come to 1 at most")
+	}
+}
