--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -11,13 +11,6 @@
 	"spurtrestle/internal/router"
 )
 
-// failOpenMode is the value of policy.cut_off with which a router keeps serving while it cannot reach the leader; with
-// failClosedMode it does not.
-const (
-	failOpenMode   = "serve"
-	failClosedMode = "refuse"
-)
-
 // Join starts the node of a router by the [policy] section of the operator's file.
 func Join(section operator.Policy, fleetConfig fleet.Config, own routing.Settings, controlled *router.Router, member fleet.Node, log *logrus.Logger) (fleet.Policy, error) {
 	transport, ok := member.(fleet.Transport)
@@ -26,8 +19,8 @@
 	}
 	config := Config{
 		Name:        fleetConfig.Name,
-		FailOpen:    section.CutOff == failOpenMode,
-		Voters:      section.Keepers,
+		FailOpen:    section.WhenIsolated == operator.WhenIsolatedServe,
+		Voters:      section.Voters,
 		OwnSettings: own,
 		Site:        fleetConfig.Site,
 		Sites:       fleetConfig.Sites,
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -11,6 +11,7 @@
 
 	"spurtrestle/core/policycommit"
 	"spurtrestle/internal/fleet"
+	"spurtrestle/internal/operator"
 )
 
 const (
@@ -48,13 +49,13 @@
 		Admitting:   n.hasApplied() && (deadline == policycommit.NoDeadline || deadline > now),
 		ApplyError:  n.applyError,
 		Prepared:    n.follower.Prepared(),
-		CutOff:      failClosedMode,
+		CutOff:      operator.WhenIsolatedReject,
 		Voter:       n.config.isVoter(),
 		Leader:      n.leader.coordinator != nil,
 		ExtraShare:  n.extraShare,
 	}
 	if n.config.FailOpen {
-		status.CutOff = failOpenMode
+		status.CutOff = operator.WhenIsolatedServe
 	}
 	if n.raftLog != nil {
 		status.VoterFault = n.raftLog.fault()
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/scale/result"
 	"spurtrestle/internal/tomlfile"
 )
@@ -23,13 +24,13 @@
 )
 
 type checker struct {
-	at    tomlfile.Places
+	at    tomlfile.Lines
 	wrong []error
 }
 
 func (c *checker) want(ok bool, field, what, remedy string) {
 	if !ok {
-		c.wrong = append(c.wrong, tomlfile.Error{Line: c.at.Line(field), Field: field, What: what, Remedy: remedy})
+		c.wrong = append(c.wrong, &configerror.Error{Line: c.at.Line(field), Field: field, Problem: what, Remedy: remedy})
 	}
 }
 
@@ -52,7 +53,7 @@
 }
 
 // check tells all that is wrong with a scenario by itself, whatever the machine.
-func check(s *Scenario, at tomlfile.Places) []error {
+func check(s *Scenario, at tomlfile.Lines) []error {
 	c := &checker{at: at}
 	c.want(s.Title != "", "title", "is missing", "name the run in a few words")
 	oneOf(c, "topology", s.Topology, topologies)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,12 +1,13 @@
 // Package policy reads the document of the fleet's policy: the settings that may change while routers serve, as one strict TOML
 // file that is the same for all routers. It does no I/O. Package controlplane applies documents; cache-routerctl checks them.
 //
-// Every error names line, field and remedy (tomlfile.Error).
+// Every error names line, field and remedy (configerror.Error).
 package policy
 
 import (
 	"fmt"
 
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/tomlfile"
 )
 
@@ -28,7 +29,7 @@
 	Tenants         []Tenant `toml:"tenant"`
 	Sites           Sites    `toml:"sites"`
 
-	lines tomlfile.Places
+	lines tomlfile.Lines
 }
 
 // WarmUp is the slow start of cache servers.
@@ -67,7 +68,7 @@
 	if err := tomlfile.Decode([]byte(text), &document, "docs/policy.md"); err != nil {
 		return document, err
 	}
-	document.lines = tomlfile.PlacesIn([]byte(text))
+	document.lines = tomlfile.FieldLines([]byte(text))
 	if document.Schema != Schema {
 		return document, document.fieldError("schema", fmt.Sprintf("is %d, and this build knows %d", document.Schema, Schema), "write schema = 1")
 	}
@@ -75,5 +76,5 @@
 }
 
 func (d Document) fieldError(field, problem, remedy string) error {
-	return tomlfile.Error{Line: d.lines.Line(field), Field: field, What: problem, Remedy: remedy}
+	return &configerror.Error{Line: d.lines.Line(field), Field: field, Problem: problem, Remedy: remedy}
 }
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -59,7 +59,7 @@
 		x.Server = routing.ServerID(i) // only to find it again: numbers are given by the list
 		k.Servers = append(k.Servers, x.ServerKnowledge)
 	}
-	k = staleness.Fade(k, r.now)
+	k = staleness.Decay(k, r.now)
 	for _, x := range k.Servers {
 		m.waiting[discovery.UID(s.Servers[x.Server].UID)] = x
 	}
@@ -74,7 +74,7 @@
 	for _, m := range s.Methods {
 		theirs = append(theirs, m.Name)
 	}
-	return settings.SameService(theirs, settings.Methods(ours))
+	return settings.CheckSameService(theirs, settings.MethodNames(ours))
 }
 
 // name gives the decisions what is known of servers that a list names, ahead of the list.
