--- a/core/routing/admission.go
+++ b/core/routing/admission.go
@@ -1,16 +1,10 @@
 package routing
 
-import (
-	"slices"
-
-	"spurtrestle/core/clock"
-)
-
 const (
-	// grantedAnswers is how many answers per second count as given besides those counted: a few requests lost by chance
-	// are no overload, and in an overload some requests go on as a trial.
-	grantedAnswers = 0.3
-	// admittedPerAnswered is how many requests are admitted for each answered one at no weight, and
+	// priorAnswerRate, per second, is added to the rates of ended and answered requests: with few requests, some lost by
+	// chance are no overload, and in an overload some requests are admitted as trials.
+	priorAnswerRate = 0.3
+	// admittedPerAnswered is how many requests are admitted for each answered one at weight 0, and
 	// admittedPerWeight how many more at the highest.
 	admittedPerAnswered = 1.02
 	admittedPerWeight   = 0.43
@@ -58,12 +52,12 @@
 	request.admissionChecked = true
 	answered := r.admission.answered.at(r.now, trafficWindow)
 	ended := r.admission.ended.at(r.now, trafficWindow)
-	admitted := ((admittedPerAnswered+admittedPerWeight*request.weight)*answered + grantedAnswers) / ended
+	admitted := ((admittedPerAnswered+admittedPerWeight*request.weight)*answered + priorAnswerRate) / ended
 	// In an overload the requests of tenants over their share yield first, and are not counted: the surge of one tenant
-	// would take the place of the others.
+	// would displace the others.
 	overShare := request.weight < request.method.weight
 	if overShare && admitted < 1 {
-		admitted *= admitted * admitted
+		admitted *= admitted * admitted // the fraction admitted falls with the cube
 	}
 	rejected := r.random.float() > admitted
 	if rejected && !overShare {
@@ -97,16 +91,3 @@
 	answeredInWait := server.answerRate.at(r.now, answerWindow) * wait / microsecondsPerSecond
 	return max(floor, answeredInWait) * latency.slowdownFactor(crowdedMultiple)
 }
-
-// abandonedAttempt is an attempt that timed out and may still occupy its server.
-type abandonedAttempt struct {
-	sentAt clock.Time
-	until  clock.Time
-}
-
-// abandonedInFlight is how many attempts that timed out still count as in flight. If they did not, a server that
-// continues overdue work would receive ever more requests.
-func (s *server) abandonedInFlight(now clock.Time) int {
-	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return a.until <= now })
-	return len(s.abandoned)
-}
--- a/core/routing/attempt.go
+++ b/core/routing/attempt.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// usualAnswers is the least time-out of an attempt at a cache, in mean latencies: a shorter one cuts off answers of
+	// minTimeoutLatencies is the least time-out of an attempt at a cache, in mean latencies: a shorter one cuts off answers of
 	// healthy caches, whose latencies have a heavy tail.
-	usualAnswers = 8
-	// suspectAnswers is the longest time-out of an attempt at a cache whose last attempt failed, in mean latencies: it
+	minTimeoutLatencies = 8
+	// suspectTimeoutLatencies is the longest time-out of an attempt at a cache whose last attempt failed, in mean latencies: it
 	// may hang, and time must be left for another cache.
-	suspectAnswers = 3
-	// originReserveParts bounds the time that is reserved for a miss and the origin: one part in so many of what is left.
-	originReserveParts = 3
+	suspectTimeoutLatencies = 3
+	// originReserveDivisor bounds the time that is reserved for a miss and the origin, as a divisor of the time left.
+	originReserveDivisor = 3
 	// originBackoff is the wait after a failed attempt at the origin: a few of its fast answers.
 	originBackoff = 20 * clock.Millisecond
 	// methodLatencySamples is how many samples the latency of a method averages over.
@@ -68,12 +68,12 @@
 	}
 	reserve := request.method.latency // for the miss, and for one and a half fast answers of the origin
 	if r.origin.server != nil {
-		reserve = min(left/originReserveParts, reserve+r.origin.server.latency.fastest*3/2)
+		reserve = min(left/originReserveDivisor, reserve+r.origin.server.latency.fastest*3/2)
 	}
-	timeout := min(left, max(request.objective-r.now-reserve, usualAnswers*r.cacheLatency.mean))
+	timeout := min(left, max(request.objective-r.now-reserve, minTimeoutLatencies*r.cacheLatency.mean))
 	isSuspect := server.failurePoints > 0
 	if isSuspect && r.cacheLatency.samples > 0 {
-		timeout = min(timeout, suspectAnswers*r.cacheLatency.mean)
+		timeout = min(timeout, suspectTimeoutLatencies*r.cacheLatency.mean)
 	}
 	return timeout
 }
@@ -89,7 +89,7 @@
 	if request == nil {
 		return
 	}
-	attempt := request.takeAttempt(event.Attempt)
+	attempt := takeAttempt(request, event.Attempt)
 	if attempt == nil {
 		return
 	}
@@ -119,13 +119,13 @@
 }
 
 // takeAttempt removes an attempt from those in flight and returns it; nil if it is not in flight.
-func (r *request) takeAttempt(number Attempt) *attempt {
-	at := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.number == number })
+func takeAttempt(request *request, number Attempt) *attempt {
+	at := slices.IndexFunc(request.attempts, func(a *attempt) bool { return a.number == number })
 	if at < 0 {
 		return nil
 	}
-	taken := r.attempts[at]
-	r.attempts = slices.Delete(r.attempts, at, at+1)
+	taken := request.attempts[at]
+	request.attempts = slices.Delete(request.attempts, at, at+1)
 	return taken
 }
 
--- a/core/routing/config.go
+++ b/core/routing/config.go
@@ -22,8 +22,9 @@
 	smallestCost = 1e-9
 )
 
-// config is what follows from the settings. Its first part is fixed for the process; applySettings sets the others.
+// config is what follows from the settings.
 type config struct {
+	// Fixed for the process.
 	cacheAside       bool
 	weightsAreSizes  bool
 	originKind       Kind
@@ -37,6 +38,7 @@
 	// idleKeepRatio is the least use of a server, as a multiple of the mean, for which its idle connections stay open.
 	idleKeepRatio float64
 
+	// Replaced by applySettings.
 	methods              []method
 	maxAttempts          Attempt
 	maxRetryAfter        clock.Duration // 0: rejections carry no retry-after
@@ -59,7 +61,7 @@
 	strictestObjective clock.Duration // the shortest objective of the methods of at least its criticality
 	weight             float64        // criticality over the highest criticality of all methods
 	lateAnswerCounts   bool
-	latency            clock.Duration // smoothed latency of a cache's answer
+	latency            clock.Duration // measured: the smoothed latency of a cache's answer; a change of settings leaves it
 }
 
 // newConfig is the part of the configuration that is fixed for the process.
--- a/core/routing/decision.go
+++ b/core/routing/decision.go
@@ -13,7 +13,7 @@
 	Cancel                    // Request, Attempt
 	SetTimer                  // After, Timer
 	Subscribe                 // request the endpoint list
-	HealthCheck               // Server
+	HealthCheck               // Server; no rule decides it
 	CloseIdle                 // Server: close its idle connections
 )
 
@@ -23,7 +23,7 @@
 	Request RequestID
 	Server  ServerID
 	Attempt Attempt
-	After   clock.Duration
-	StartBy clock.Time // of an attempt: it is not started later than that; 0: no bound
+	After   clock.Duration // of Send the time-out, of Reject the retry-after, of SetTimer the delay
+	StartBy clock.Time     // of an attempt: it is not started later than that; 0: no bound
 	Timer   TimerID
 }
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -22,9 +22,13 @@
 //	connections.go  idle connections
 //	failover.go     orders of the fleet while a site is lost
 //	endpoints.go    the endpoint list, bans, polling
+//	server.go       the state of a server, what answers and load reports change in it
 //	restore.go      what is taken over from an earlier process
 //	config.go       what follows from the settings
 //
+// The design that comments refer to is docs/design.md, section Followed. The scripts in testdata show one behaviour each and are
+// the tests of most files.
+//
 // The files that decide nothing: settings.go, event.go and decision.go have the types of the interface, rate.go, latency.go
 // and random.go measuring and hashing, load.go and knowledge.go what the fleet and the next process get to know.
 package routing
--- a/core/routing/endpoints.go
+++ b/core/routing/endpoints.go
@@ -29,34 +29,6 @@
 	pollBackoff clock.Duration
 }
 
-// server is the state of one cache server, or of the origin.
-type server struct {
-	Endpoint
-	isOrigin bool
-	capacity float64 // relative, as listed; 1 where lists have none
-
-	inFlight       int
-	queuedAhead    int                // queued requests for it that go before the one at hand
-	abandoned      []abandonedAttempt // that timed out and may still occupy it
-	lastAttemptEnd clock.Time
-	lastResponseAt clock.Time // or when it was first used again after being idle
-
-	failurePoints int        // for failures in a row
-	ejectedUntil  clock.Time // 0: not ejected
-	connectFailed bool       // it may come back as a new process
-	restored      bool       // its latency is from before a restart of the router
-
-	latency     latencyEstimate
-	answerRate  decayingRate
-	attemptRate decayingRate
-	warmUp      warmUpBudget
-
-	reportedTimes []sample
-	writes        float64 // attempts since shares were last computed
-	reads         float64
-	lastInterval  intervalLoad
-}
-
 // subscribe requests the endpoint list.
 func (r *Router) subscribe() {
 	r.endpoints.pollAt = 0
@@ -74,7 +46,7 @@
 	}
 	if event.Kind != IncrementalUpdate {
 		for _, server := range r.endpoints.all {
-			server.State = Removed // unless named below
+			server.State = Removed // unless named below; rebuildEndpoints drops the others
 		}
 	}
 	capacityChanged := false
@@ -186,7 +158,7 @@
 			continue
 		}
 		listed++
-		if r.endpoints.banned[server.Server] || server.ejectedUntil > r.now {
+		if r.endpoints.banned[server.Server] || server.isEjected(r.now) {
 			avoided++
 		}
 	}
--- a/core/routing/failover.go
+++ b/core/routing/failover.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	// originReadsSavedParts is the part of a second for which reads at the origin are saved up: one in so many.
-	originReadsSavedParts = 4
+	// originReadsDivisor divides a second: reads at the origin may be saved up for one such part of it.
+	originReadsDivisor = 4
 	// lowestOriginReadRate is the rate, per second, of a router whose share of the fleet's limit is next to none.
 	lowestOriginReadRate = 0.02
 )
@@ -55,7 +55,7 @@
 func (r *Router) refillOriginReads() (perSecond float64) {
 	perSecond = max(lowestOriginReadRate, r.failover.OriginReadLimit*r.fleetShare)
 	earned := perSecond * float64(r.now-r.budgets.originReadsAt) / microsecondsPerSecond
-	r.budgets.originReads = min(max(1, perSecond/originReadsSavedParts), r.budgets.originReads+earned)
+	r.budgets.originReads = min(max(1, perSecond/originReadsDivisor), r.budgets.originReads+earned)
 	r.budgets.originReadsAt = r.now
 	return perSecond
 }
--- a/core/routing/hotkeys.go
+++ b/core/routing/hotkeys.go
@@ -15,8 +15,8 @@
 	hotKeyCapacity = 1024
 	// minimumReads is the least count that makes a key hot; a single read is chance.
 	minimumReads = 2
-	// otherReads is how many reads of other keys count as seen at the start.
-	otherReads = 40
+	// priorReads is how many reads of other keys count as seen at the start, so that no key is hot after a few reads.
+	priorReads = 40
 	// readsPerCache is how many reads for each cache are counted before the counts are halved. A router that sees few
 	// requests needs the window in reads, not in seconds.
 	readsPerCache = 10
@@ -31,8 +31,8 @@
 
 // hotKeyState finds the hot keys and paces the computation of shares.
 type hotKeyState struct {
-	counts          keyCounts // of reads
-	sharesComputeAt clock.Time
+	counts       keyCounts // of reads
+	nextSharesAt clock.Time
 }
 
 // intervalLoad is what the shares are computed from: the service time, and the requests of the last interval.
@@ -49,7 +49,7 @@
 	if count < minimumReads || request.write || request.key == "" {
 		return 0, 0
 	}
-	load = count / (r.hotKeys.counts.total + otherReads) * float64(len(r.endpoints.caches))
+	load = count / (r.hotKeys.counts.total + priorReads) * float64(len(r.endpoints.caches))
 	return load, 1 - 1/math.Sqrt(count)
 }
 
@@ -72,10 +72,10 @@
 
 // recomputeShares fixes, once an interval, what the shares are computed from until the next one.
 func (r *Router) recomputeShares() {
-	if r.now < r.hotKeys.sharesComputeAt {
+	if r.now < r.hotKeys.nextSharesAt {
 		return
 	}
-	r.hotKeys.sharesComputeAt = r.now + sharesInterval
+	r.hotKeys.nextSharesAt = r.now + sharesInterval
 	if r.hotKeys.counts.total >= readsPerCache*float64(len(r.endpoints.caches)) {
 		r.hotKeys.counts.halve()
 	}
@@ -84,7 +84,8 @@
 	for _, cache := range r.endpoints.caches {
 		cache.reportedTimes = slices.DeleteFunc(cache.reportedTimes, func(s sample) bool { return r.now-s.at > sampleAge })
 		cache.lastInterval = intervalLoad{meanOf(cache.reportedTimes), cache.writes, cache.reads}
-		cache.writes, cache.reads = 0, 0
+		cache.writes = 0
+		cache.reads = 0
 		if cache.lastInterval.serviceTime > 0 {
 			sum += cache.lastInterval.serviceTime
 			measured++
--- a/core/routing/knowledge.go
+++ b/core/routing/knowledge.go
@@ -89,7 +89,7 @@
 		AttemptRate:         r.correctedRate(&server.attemptRate, attemptWindow),
 		ReportedServiceTime: meanOf(server.reportedTimes),
 		FailurePoints:       server.failurePoints,
-		Ejected:             server.ejectedUntil > r.now,
+		Ejected:             server.isEjected(r.now),
 		ConnectFailed:       server.connectFailed,
 	}
 }
--- a/core/routing/latency.go
+++ b/core/routing/latency.go
@@ -1,10 +1,6 @@
 package routing
 
-import (
-	"slices"
-
-	"spurtrestle/core/clock"
-)
+import "spurtrestle/core/clock"
 
 const (
 	// fullSamples is how many samples a latency estimate averages over.
@@ -14,8 +10,6 @@
 	// fastestRecovery is how slowly the fastest latency rises to the mean: a fraction of the distance per sample. It
 	// does not rise noticeably within one fault.
 	fastestRecovery = 2000
-	// reportedSamples is N of the design: how many reported service times are averaged.
-	reportedSamples = 16
 )
 
 // latencyEstimate follows a latency: a recent and a longer mean, and the fastest level of the longer mean.
@@ -82,33 +76,3 @@
 	}
 	return sum / clock.Duration(max(1, len(samples)))
 }
-
-// addReportedTime records a service time that the server reported, or the measured one in its place.
-func (s *server) addReportedTime(at clock.Time, took clock.Duration) {
-	s.reportedTimes = append(s.reportedTimes, sample{at, took})
-	s.reportedTimes = s.reportedTimes[max(0, len(s.reportedTimes)-reportedSamples):]
-}
-
-// recordLatency records the latency of an answer, for caches also in the estimate over all of them.
-func (r *Router) recordLatency(server *server, took clock.Duration) {
-	server.latency.add(took)
-	if !server.isOrigin {
-		r.cacheLatency.add(took)
-	}
-}
-
-// recordReport records the service time of a load report, or the measured time if none is reported. The origin's
-// counts at once in place of the router's own average: it covers the reads of all routers, of which this one sees few.
-func (r *Router) recordReport(server *server, report Report, took clock.Duration) {
-	const microsecondsPerMillisecond = float64(clock.Millisecond)
-	field := slices.Index(r.config.reportFields, FigureServiceTime)
-	isReported := field >= 0 && field < len(report) && report[field] > 0
-	if isReported {
-		took = clock.Duration(report[field] * microsecondsPerMillisecond)
-	}
-	if server.isOrigin && isReported {
-		server.latency.recent = took
-	} else if took > 0 && !server.isOrigin {
-		server.addReportedTime(r.now, took)
-	}
-}
--- a/core/routing/load.go
+++ b/core/routing/load.go
@@ -22,7 +22,7 @@
 type ZoneLoad struct {
 	Zone        Zone
 	Listed      int
-	Unreachable int     // of the listed: silent, ejected, or behind a path that is backed off
+	Unreachable int     // of the listed: silent; or ejected or behind a path in backoff, until a trial has succeeded
 	AnswerRate  float64 // per second
 }
 
--- a/core/routing/origin.go
+++ b/core/routing/origin.go
@@ -82,8 +82,8 @@
 	return r.originReady() || request.write && origin != nil && r.isUsable(origin)
 }
 
-// originWait is the time until the origin can take one more request. A bound of less than one in flight is one with a
-// wait after it.
+// originWait is the time until the origin can take one more request. With a bound b below one, one request is
+// in flight for a fraction b of the time.
 func (r *Router) originWait() clock.Duration {
 	origin := r.origin.server
 	bound := r.originInFlightBound()
@@ -91,7 +91,8 @@
 		return max(1, origin.latency.recent)
 	}
 	spacing := min(float64(originMaxWait), (1/min(1, bound)-1)*float64(origin.latency.fastest))
-	return max(0, r.originReadWait(0), origin.lastAttemptEnd-r.now+clock.Duration(spacing))
+	spacingWait := origin.lastAttemptEnd - r.now + clock.Duration(spacing)
+	return max(0, r.originReadWait(0), spacingWait)
 }
 
 // originReadWait is the time until one more read may go to the origin, behind so many that wait, where the fleet limits
--- a/core/routing/random.go
+++ b/core/routing/random.go
@@ -20,7 +20,7 @@
 	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
 }
 
-// index draws an index by shares that add up to one.
+// index draws an index by shares that add up to one. If rounding leaves them below one, the rest belongs to the first.
 func (r *random) index(shares []float64) int {
 	x := r.float()
 	for i, share := range shares {
--- a/core/routing/rate.go
+++ b/core/routing/rate.go
@@ -36,7 +36,12 @@
 // windowCovered is the fraction of a decaying window for which the router has been running: rates start at zero and reach
 // their true value with it.
 func (r *Router) windowCovered(window clock.Duration) float64 {
-	return 1 - math.Exp(-float64(r.now+1-r.startedAt)/float64(window))
+	return coveredFraction(r.now+1-r.startedAt, window) // never zero: rates are divided by it
+}
+
+// coveredFraction is the fraction of a decaying window that an observation of a duration covers.
+func coveredFraction(observedFor, window clock.Duration) float64 {
+	return 1 - math.Exp(-float64(observedFor)/float64(window))
 }
 
 // correctedRate is a rate without the bias of a router that has just started.
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -16,9 +16,9 @@
 	retriesPerRequest = 0.1
 	// ranksPerWeight is the scale of ranks: millionths of the highest weight.
 	ranksPerWeight = 1e6
-	// clientRetryPenalty lowers the rank of a request that a client repeats, by one part in so many: within its rank a
-	// repeat yields to a new request.
-	clientRetryPenalty = 100
+	// clientRetryDivisor divides the rank of a request that a client repeats; the quotient is subtracted, so that a repeat yields to
+	// a new request of the same weight.
+	clientRetryDivisor = 100
 	// overShareTolerance is the multiple of a tenant's share that counts as chance.
 	overShareTolerance = 1.2
 	// retryAfterObjectives is how many latency objectives a rejected client is sent away for besides the wait: as long
@@ -51,6 +51,7 @@
 
 // request is the state of one client request.
 type request struct {
+	// Identity and priority.
 	id        RequestID
 	method    *method
 	key       Key
@@ -62,6 +63,7 @@
 	objective clock.Time // an answer until then has its full value
 	deadline  clock.Time // an answer after it has none
 
+	// Attempts.
 	attempts      []*attempt // in flight: at most two, the second a hedged one
 	attemptCount  Attempt
 	maxAttempts   Attempt
@@ -72,27 +74,29 @@
 	mayHaveRunAt  clock.Time // when the first attempt that may have run was sent; 0: none
 	mayHaveRunOn  *server
 
-	missed   bool // a cache missed: the origin is next
-	toOrigin bool // only the origin can answer
-	replica  int  // place in its group drawn for a hot key; -1: none yet
-	target   *server
+	// Selection.
+	missed   bool    // a cache missed: the origin is next
+	toOrigin bool    // only the origin can answer
+	replica  int     // place in its group drawn for a hot key; -1: none yet
+	target   *server // the cache to send to or to wait for; set by selectCache
 
-	nearDeadline     bool // it arrived with less than half of its latency objective left
-	shed             bool // the fleet rejects its rank
-	admissionChecked bool
-	responded        bool // answered, or a cache has responded to it
-	queued           bool
-	decided          bool // nothing more to do until the next event
-	finished         bool
+	// Flags. Each is set once, but for queued and decided.
+	nearDeadline     bool // arrived with less than half of its latency objective left, or its client left early
+	shed             bool // the fleet rejects its rank; set on arrival
+	admissionChecked bool // set by shedsUnanswered
+	responded        bool // answered, or a cache has responded to it; set by countResponse
+	queued           bool // in requestTable.queued; set by enqueue, cleared by checkQueue
+	decided          bool // nothing more to do until the next event; set by actions, cleared by applyRules
+	finished         bool // set by finish
 }
 
 // usefulUntil is the instant after which waiting for an answer is of no use. A late answer may have a value, but delays
 // one in time: an idempotent request waits no longer than its latency objective.
-func (r *request) usefulUntil() clock.Time {
-	if r.method.idempotency == Idempotent {
-		return min(r.objective, r.deadline)
+func usefulUntil(request *request) clock.Time {
+	if request.method.idempotency == Idempotent {
+		return min(request.objective, request.deadline)
 	}
-	return r.deadline
+	return request.deadline
 }
 
 // requestArrived handles a client's request: it is ranked, counted, and the rules are applied.
@@ -102,7 +106,7 @@
 	r.lowerWeightOverShare(request, event.Tenant)
 	request.rank = 1 + Rank(ranksPerWeight*request.weight)
 	if event.ClientRetry {
-		request.rank -= request.rank / clientRetryPenalty
+		request.rank -= request.rank / clientRetryDivisor
 	}
 	r.load.countArrival(request.rank, r.now)
 	request.shed = r.shedsRank(request.rank)
@@ -261,15 +265,15 @@
 	for _, request := range slices.Clone(r.requests.queued) {
 		r.applyRules(request)
 		waitsFor := r.waitsFor(request)
-		if waitsFor != nil && request.waits() {
+		if waitsFor != nil && isWaiting(request) {
 			waitsFor.queuedAhead++
 		}
 	}
 	r.requests.queued = slices.DeleteFunc(r.requests.queued, func(request *request) bool {
-		request.queued = request.waits()
+		request.queued = isWaiting(request)
 		return !request.queued
 	})
 }
 
-// waits reports whether the request has neither ended nor an attempt in flight.
-func (r *request) waits() bool { return !r.finished && len(r.attempts) == 0 }
+// isWaiting reports whether a request has neither ended nor an attempt in flight.
+func isWaiting(request *request) bool { return !request.finished && len(request.attempts) == 0 }
--- a/core/routing/restore.go
+++ b/core/routing/restore.go
@@ -1,10 +1,6 @@
 package routing
 
-import (
-	"math"
-
-	"spurtrestle/core/clock"
-)
+import "spurtrestle/core/clock"
 
 // MaxRestoredSamples is as how many samples a restored latency counts at most: a quarter of a full estimate, so that new
 // samples soon outweigh it.
@@ -22,7 +18,7 @@
 		r.config.methods[i].latency = latency
 	}
 	restored := func(rate float64, window clock.Duration) decayingRate {
-		return decayingRate{rate * (1 - math.Exp(-float64(knowledge.ObservedFor)/float64(window))), r.now}
+		return decayingRate{rate * coveredFraction(knowledge.ObservedFor, window), r.now}
 	}
 	r.traffic.requests = restored(knowledge.RequestRate, trafficWindow)
 	r.traffic.hits = restored(knowledge.HitRate, trafficWindow)
@@ -77,7 +73,7 @@
 	server.connectFailed = knowledge.ConnectFailed
 	server.answerRate = decayingRate{knowledge.AnswerRate, r.now}
 	// Without its rate of attempts a server would count as used seldom, and be ejected after one failure.
-	covered := 1 - math.Exp(-float64(r.now-r.startedAt)/float64(attemptWindow))
+	covered := coveredFraction(r.now-r.startedAt, attemptWindow)
 	server.attemptRate = decayingRate{knowledge.AttemptRate * covered, r.now}
 	if knowledge.ReportedServiceTime > 0 {
 		server.addReportedTime(r.now, knowledge.ReportedServiceTime)
--- a/core/routing/rules.go
+++ b/core/routing/rules.go
@@ -1,45 +1,47 @@
 package routing
 
-// rule is a condition on a request and the action that follows.
+// rule is a condition on a request and the action that follows. Three conditions also change the request, each once: hedgeIsDue
+// ends its hedging, shedsUnanswered draws whether it is admitted, and selectCache sets its target, which the rules after it read.
 type rule struct {
 	applies func(*Router, *request) bool
 	act     func(*Router, *request)
 }
 
-// requestRules are the rules for one request, in order: the first that applies acts. After every event the rules are
-// applied to each request that the event touched, until the request is decided for the moment. The last one always applies.
+// requestRules are the rules for one request. Their order is the specification: the first that applies acts. After every event
+// the rules are applied to each request that the event touched, until the request is decided for the moment. The last one
+// always applies.
 func requestRules() []rule {
 	return []rule{
 		// An attempt is in flight.
-		{(*Router).hedgeIsDue, (*Router).sendToOrigin},
-		{attemptInFlight, awaitOutcome},
+		{applies: (*Router).hedgeIsDue, act: (*Router).sendToOrigin},
+		{applies: attemptInFlight, act: awaitOutcome},
 
 		// Nothing may be sent any more.
-		{(*Router).deadlinePassed, (*Router).rejectOrFail},
-		{(*Router).mustNotRunAgain, (*Router).rejectOrFail},
-		{attemptsExhausted, (*Router).rejectOrFail},
-		{(*Router).hasNoFleetShare, (*Router).rejectOrFail},
-		{isShed, (*Router).rejectOrFail},
-		{(*Router).retryBudgetExhausted, (*Router).rejectOrFail},
+		{applies: (*Router).deadlinePassed, act: (*Router).rejectOrFail},
+		{applies: (*Router).mustNotRunAgain, act: (*Router).rejectOrFail},
+		{applies: attemptsExhausted, act: (*Router).rejectOrFail},
+		{applies: (*Router).hasNoFleetShare, act: (*Router).rejectOrFail},
+		{applies: isShed, act: (*Router).rejectOrFail},
+		{applies: (*Router).retryBudgetExhausted, act: (*Router).rejectOrFail},
 
 		// Not now.
-		{(*Router).inBackoff, (*Router).enqueue},
-		{(*Router).originReadInFlight, (*Router).enqueue},
+		{applies: (*Router).inBackoff, act: (*Router).enqueue},
+		{applies: (*Router).originReadInFlight, act: (*Router).enqueue},
 
 		// To the origin, or not at all.
-		{(*Router).belongsToOrigin, (*Router).turnToOrigin},
-		{(*Router).tooLateForAnswer, (*Router).rejectOrFail},
-		{(*Router).originUnusable, (*Router).rejectOrFail},
-		{(*Router).originHasCapacity, (*Router).sendToOrigin},
-		{(*Router).originTooSlow, (*Router).rejectOrFail},
-		{needsOrigin, (*Router).enqueue},
+		{applies: (*Router).belongsToOrigin, act: (*Router).turnToOrigin},
+		{applies: (*Router).tooLateForAnswer, act: (*Router).rejectOrFail},
+		{applies: (*Router).originUnusable, act: (*Router).rejectOrFail},
+		{applies: (*Router).originHasCapacity, act: (*Router).sendToOrigin},
+		{applies: (*Router).originTooSlow, act: (*Router).rejectOrFail},
+		{applies: needsOrigin, act: (*Router).enqueue},
 
 		// To a cache, or not at all.
-		{(*Router).shedsUnanswered, (*Router).rejectOrFail},
-		{(*Router).selectCache, (*Router).sendToTarget},
-		{hasNoCache, (*Router).turnToOrigin},
-		{(*Router).targetTooSlow, (*Router).rejectOrFail},
-		{always, (*Router).enqueue},
+		{applies: (*Router).shedsUnanswered, act: (*Router).rejectOrFail},
+		{applies: (*Router).selectCache, act: (*Router).sendToTarget},
+		{applies: hasNoCache, act: (*Router).turnToOrigin},
+		{applies: (*Router).targetTooSlow, act: (*Router).rejectOrFail},
+		{applies: always, act: (*Router).enqueue},
 	}
 }
 
@@ -108,7 +110,7 @@
 
 // originTooSlow reports whether the origin cannot answer in time.
 func (r *Router) originTooSlow(request *request) bool {
-	return request.toOrigin && r.now+r.expectedLatency(r.origin.server) > request.usefulUntil()
+	return request.toOrigin && r.now+r.expectedLatency(r.origin.server) > usefulUntil(request)
 }
 
 // needsOrigin reports whether only the origin can answer.
@@ -119,7 +121,7 @@
 
 // targetTooSlow reports whether the cache that was selected cannot answer in time.
 func (r *Router) targetTooSlow(request *request) bool {
-	return r.now+r.expectedLatency(request.target) > request.usefulUntil()
+	return r.now+r.expectedLatency(request.target) > usefulUntil(request)
 }
 
 func always(*Router, *request) bool { return true }
--- a/core/routing/selection.go
+++ b/core/routing/selection.go
@@ -14,8 +14,8 @@
 	groupSize = 3
 	// rankingSalt makes the ranking of caches independent of other hashes. A change of it moves all keys.
 	rankingSalt = 0xc20c576b48deae77
-	// silentAnswers is for how many mean latencies a server with attempts in flight may be silent before it gets no more.
-	silentAnswers = 3
+	// silentLatencies is for how many mean latencies a server with attempts in flight may be silent before it gets no more.
+	silentLatencies = 3
 )
 
 // selectCache selects the cache for a request: the owner of its key, or the replica drawn for a hot key; where that one
@@ -64,7 +64,7 @@
 // it gets the request only if the origin can serve the miss, or if waiting would miss the deadline.
 func (r *Router) shouldWaitAt(request *request, server *server) bool {
 	wait := r.expectedLatency(server)
-	inTime := r.now+wait <= request.usefulUntil()
+	inTime := r.now+wait <= usefulUntil(request)
 	return inTime && !r.originCanServeMiss(wait > server.latency.recent)
 }
 
@@ -78,7 +78,7 @@
 
 // isSilent reports whether a cache with attempts in flight has not responded for longer than it should: it may hang.
 func (r *Router) isSilent(server *server) bool {
-	limit := silentAnswers * r.cacheLatency.mean
+	limit := silentLatencies * r.cacheLatency.mean
 	return r.cacheLatency.mean > 0 && server.inFlight > 0 && !server.isOrigin && r.now-server.lastResponseAt > limit
 }
 
@@ -145,7 +145,7 @@
 
 // expectedLatency is the time until an answer of a server, behind the queued requests that go before.
 func (r *Router) expectedLatency(server *server) clock.Duration {
-	if server.ejectedUntil > r.now {
+	if server.isEjected(r.now) {
 		return server.ejectedUntil - r.now + server.latency.fastest
 	}
 	if server.isOrigin {
--- a/core/routing/settings.go
+++ b/core/routing/settings.go
@@ -71,7 +71,10 @@
 	Quota float64 // requests per second over all routers
 }
 
-// Settings configures a Router. Their names in the settings file stand in internal/settings.
+// Settings configures a Router. Their names in the settings file stand in internal/settings. Some fields are used by
+// internal/router or not at all: no decision depends on OriginOverloadMultiple, OriginOverloadWindow, ResponseSlack,
+// PollInterval, DrainTimeout, HealthChecksAllowed, ServerIdleTimeout, ReportsOnHealthChecks, MethodSettings.Deadline,
+// MethodSettings.Stream or TenantSettings.Quota.
 type Settings struct {
 	Routers                int
 	Methods                []MethodSettings
--- a/core/routing/warmup.go
+++ b/core/routing/warmup.go
@@ -5,8 +5,8 @@
 const (
 	// minimumWarmUpLimit is the least limit of a budget, in attempts: two may arrive together by chance.
 	minimumWarmUpLimit = 2
-	// warmUpLimitParts is the divisor of the overload window: a budget may be saved up for one such part of it.
-	warmUpLimitParts = 4
+	// warmUpLimitDivisor divides the overload window: a budget may be saved up for one such part of it.
+	warmUpLimitDivisor = 4
 	// warmUpLossFactor is how much the share of lost requests lowers the initial budget. From a quarter lost on no
 	// router starts with an attempt.
 	warmUpLossFactor = 4
@@ -38,8 +38,11 @@
 	age := r.warmUpAge(server)
 	keyPosition := float64(request.hash>>32&0xffff) / 0x10000 // in [0, 1), the same at every router
 	zoneShare := r.zoneShare(server.Zone)
-	if age >= r.config.warmUpDuration || keyPosition >= zoneShare {
-		return keyPosition < zoneShare
+	if keyPosition >= zoneShare { // by the fleet's orders
+		return false
+	}
+	if age >= r.config.warmUpDuration {
+		return true
 	}
 	initial := r.config.warmUpShare
 	share := r.config.warmUpMultiple * (initial + (1-initial)*float64(age)/float64(r.config.warmUpDuration))
@@ -50,8 +53,8 @@
 	if server.warmUp.attempts >= 1 {
 		return true
 	}
-	// The owner of a key may overdraw its budget by one. Not so a router that has just started: it does not know the hot
-	// keys yet, and one read of them from each new router is too much.
+	// The owner of a key may overdraw its budget by one. A router that has just started may not: it does not
+	// know the hot keys yet, and one read of them from each new router is too much.
 	overdraft := (1 - r.windowCovered(trafficWindow)) * (1 - r.fleetShare)
 	return isOwner && server.warmUp.attempts > overdraft
 }
@@ -67,7 +70,7 @@
 		r.beginWarmUp(server)
 	}
 	window := float64(r.config.overloadWindow)
-	limit := max(minimumWarmUpLimit, share*meanHits*window/(warmUpLimitParts*microsecondsPerSecond))
+	limit := max(minimumWarmUpLimit, share*meanHits*window/(warmUpLimitDivisor*microsecondsPerSecond))
 	earned := share / warmUpSafety * meanHits * float64(r.now-budget.updatedAt) / microsecondsPerSecond
 	budget.attempts = min(limit, budget.attempts+earned)
 	budget.updatedAt = r.now
@@ -79,7 +82,7 @@
 func (r *Router) beginWarmUp(server *server) {
 	answered := r.admission.answered.at(r.now, trafficWindow)
 	ended := r.admission.ended.at(r.now, trafficWindow)
-	lost := 1 - (answered+grantedAnswers)/(ended+grantedAnswers)
+	lost := 1 - (answered+priorAnswerRate)/(ended+priorAnswerRate)
 	server.warmUp.startedAt = startOf(server)
 	server.warmUp.attempts = r.random.float() - warmUpLossFactor*max(0, lost)
 	server.warmUp.updatedAt = r.now
--- a/core/routing/zonepath.go
+++ b/core/routing/zonepath.go
@@ -10,14 +10,14 @@
 	// zoneBackoff is how long nothing is sent to an unreachable zone before a trial: some usual answers. Up to half as
 	// much again is added at random. Each trial costs a request.
 	zoneBackoff = 300 * clock.Millisecond
-	// silentCaches is how many caches of a zone must be silent one after the other.
-	silentCaches = 2
+	// unreachableAfter is how many caches of a zone must be silent one after the other.
+	unreachableAfter = 2
 )
 
 // zonePath is the record of the path to the caches of one zone.
 type zonePath struct {
-	silent       int        // caches without a response, one after the other
-	last         *server    // the last of them
+	silentCaches int        // without a response, one after the other; repeats of one cache count once
+	lastSilent   *server    // the last of these caches
 	backoffUntil clock.Time // nothing is sent there until then; 0: in use
 }
 
@@ -33,9 +33,9 @@
 	case server.isOrigin || noEvidence:
 	case responded:
 		delete(r.zonePaths, server.Zone)
-	case path.last != server:
-		path.silent++
-		path.last = server
+	case path.lastSilent != server:
+		path.silentCaches++
+		path.lastSilent = server
 		r.backOffZone(server.Zone, path)
 	}
 }
@@ -43,7 +43,7 @@
 // backOffZone stores the path of a zone, with a backoff where enough of its caches were silent and there are other zones.
 func (r *Router) backOffZone(zone Zone, path zonePath) {
 	isOtherZone := func(cache *server) bool { return cache.Zone != zone }
-	if path.silent >= silentCaches && slices.ContainsFunc(r.endpoints.caches, isOtherZone) {
+	if path.silentCaches >= unreachableAfter && slices.ContainsFunc(r.endpoints.caches, isOtherZone) {
 		path.backoffUntil = r.now + clock.Duration(float64(zoneBackoff)*(1+r.random.float()/2))
 	}
 	r.zonePaths[zone] = path
