--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -34,11 +34,11 @@
 		return s, path, nil, err
 	}
 	if info.IsDir() {
-		s, name, passed, err := snapshot.NewStore(snapshot.Dir(path)).Load()
+		loaded, err := snapshot.NewStore(snapshot.Dir(path)).Load()
 		if err != nil {
-			return s, path, passed, fmt.Errorf("%s: %w", path, err)
+			return s, path, loaded.Skipped, fmt.Errorf("%s: %w", path, err)
 		}
-		return s, filepath.Join(path, name), passed, nil
+		return loaded.State, filepath.Join(path, loaded.File), loaded.Skipped, nil
 	}
 	if info.Size() > snapshot.MaxFileBytes {
 		return s, path, nil, fmt.Errorf("%s: %d bytes are too many for a state", path, info.Size())
@@ -109,7 +109,7 @@
 		out.Weights[name] = math.Round(1000*staleness.Weight(age, half)) / 1000
 	}
 	for _, m := range s.Methods {
-		out.Methods[m.Name] = ms(m.Time)
+		out.Methods[m.Name] = ms(m.Latency)
 	}
 	for i, x := range s.Servers {
 		x.Server = routing.ServerID(i)
@@ -319,18 +319,19 @@
 			}
 			defer lock.Close()
 			store := snapshot.NewStore(dir)
-			s, from, _, err := store.Load()
+			loaded, err := store.Load()
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
+			s := loaded.State
 			if s.Version == snapshot.Version {
-				_, err := fmt.Fprintf(c.OutOrStdout(), "%s is of version %d, the newest: nothing to do\n", from, s.Version)
+				_, err := fmt.Fprintf(c.OutOrStdout(), "%s is of version %d, the newest: nothing to do\n", loaded.File, s.Version)
 				return err
 			}
 			if err := store.Save(snapshot.Encode(s)); err != nil {
 				return fmt.Errorf("%s: %w; %s", args[0], err, snapshot.Remedy(args[0], err))
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%s was of version %d; its state now stands in version %d beside it\n", from, s.Version, snapshot.Version)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "%s was of version %d; its state now stands in version %d beside it\n", loaded.File, s.Version, snapshot.Version)
 			return err
 		}}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -12,7 +11,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
 // plainRouter answers with fixed texts. Its failing server is "broken", its unknown one "unknown".
 type plainRouter struct{ notReady error }
@@ -77,11 +76,6 @@
 				reply(t, addr, request.method, request.path, request.body))
 		}
 	}
-	if *update {
-		if err := os.WriteFile(golden, []byte(all.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,23 +1,17 @@
 package config
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
 // checkGolden holds a text to the golden file that build bfb4b5c wrote.
 func checkGolden(t *testing.T, file, got string) {
 	t.Helper()
-	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -13,7 +12,7 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
 // TestGolden_Frames holds the bytes of one frame of each kind to those that build bfb4b5c sent, and receives them again.
 func TestGolden_Frames(t *testing.T) {
@@ -27,11 +26,6 @@
 	for _, frame := range frames {
 		fmt.Fprintf(&sent, "%x\n", sentBytes(t, frame))
 	}
-	if *update {
-		if err := os.WriteFile(golden, []byte(sent.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -1,7 +1,6 @@
 package operator
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -9,7 +8,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
 // TestGolden_Errors holds the texts of errors in the operator's file to those of build bfb4b5c.
 func TestGolden_Errors(t *testing.T) {
@@ -46,11 +45,6 @@
 	}
 	_, err := Load("/nowhere/operator.toml")
 	fmt.Fprintln(&all, err)
-	if *update {
-		if err := os.WriteFile(golden, []byte(all.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operatorstate/golden_test.go
+++ b/internal/operatorstate/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,7 +9,7 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
 // goldenFile is an operator-state file as build bfb4b5c wrote it.
 const goldenFile = "testdata/spurtrestle-router.intent"
@@ -34,11 +33,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *update {
-		if err := os.WriteFile(goldenFile, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -50,7 +50,7 @@
 		time := clock.Time(0)
 		for _, x := range s.Methods {
 			if x.Name == method.Name {
-				time = x.Time
+				time = x.Latency
 			}
 		}
 		k.MethodLatencies = append(k.MethodLatencies, time)
@@ -110,7 +110,7 @@
 	k := r.core.Knowledge(r.clock())
 	s := snapshot.State{Version: snapshot.Version, Router: r.cfg.Name, Knowledge: k}
 	for i, t := range k.MethodLatencies {
-		s.Methods = append(s.Methods, snapshot.Method{Name: r.cfg.Settings.Methods[i].Name, Time: t})
+		s.Methods = append(s.Methods, snapshot.Method{Name: r.cfg.Settings.Methods[i].Name, Latency: t})
 	}
 	s.Servers = make([]snapshot.Server, 0, len(k.Servers))
 	for _, x := range k.Servers {
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -16,7 +16,7 @@
 	l, _, _ := newNoted(t)
 	var said strings.Builder
 	l.r.log.SetOutput(&said)
-	l.r.Remember(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Time: 7000}},
+	l.r.Remember(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
 		Servers: []snapshot.Server{{UID: "o"}}}, 1e6, func(snapshot.State) {})
 	l.r.now = l.r.clock()
 	l.r.remind()
@@ -30,7 +30,7 @@
 	l, client, _ := newNoted(t)
 	client.asks(l.r, "r1")
 	l.rounds()
-	old := snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: l.r.cfg.Settings.Methods[0].Name, Time: 7000}},
+	old := snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: l.r.cfg.Settings.Methods[0].Name, Latency: 7000}},
 		Knowledge: routing.Knowledge{CapturedAt: l.r.clock(), ObservedFor: 60e6, CacheLatency: routing.LatencySummary{Recent: 3000, Mean: 3000, Fastest: 2000, Samples: 32}}}
 	for i := range 3 {
 		old.Servers = append(old.Servers, snapshot.Server{UID: fmt.Sprint("uid-", i), ServerKnowledge: routing.ServerKnowledge{ObservedAt: l.r.clock(),
@@ -70,7 +70,7 @@
 	if got := known(); got["uid-2"] != 3000 || len(got) != 2 {
 		t.Errorf("with its next list the router knows %v", got)
 	}
-	if m := r.State().Methods[0].Time; m < 6900 || m > 7000 {
+	if m := r.State().Methods[0].Latency; m < 6900 || m > 7000 {
 		t.Errorf("the method's time is %v", m)
 	}
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -1,14 +1,13 @@
 package settings
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
 const wholeSettings = `{"balancers":3,"discovery":"on_request","weights":"rough","resolution-s":0.001,"flavors":["std","origin"],
 "over-share-worth":0.4,"fees":{"connection":0.1,"handshake":0.2,"waste":0.3,"cross-zone":0.5},"goal":{"worst-class":0.6},
@@ -35,11 +34,6 @@
 		s, err := Parse([]byte(strings.NewReplacer(replaced...).Replace(wholeSettings)))
 		fmt.Fprintf(&all, "%q\n%v\n%v\n", replaced, s, err)
 	}
-	if *update {
-		if err := os.WriteFile(golden, []byte(all.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
 	want, err := os.ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -189,24 +189,24 @@
 			err := s.Save(Encode(sample(saves)))
 			c.eachAfterPowerLoss(func(disk *crashFS) {
 				disks++
-				got, _, _, err := NewStore(disk).Load()
+				loaded, err := NewStore(disk).Load()
 				switch {
 				case saves == 0 && errors.Is(err, ErrNoSnapshot):
 				case err != nil:
-					t.Fatalf("save %d, operation %d: %v", saves, at, err)
-				case got.Router != generationName(saves) && (saves == 0 || got.Router != generationName(saves-1)):
-					t.Fatalf("save %d, operation %d: found %s", saves, at, got.Router)
-				case !sameState(got, sample(int(got.Knowledge.KeyReads))):
-					t.Fatalf("save %d, operation %d: got a mixture of two states", saves, at)
+					t.Fatalf("save %d, power loss at operation %d: got %v, want a state", saves, at, err)
+				case loaded.State.Router != generationName(saves) && (saves == 0 || loaded.State.Router != generationName(saves-1)):
+					t.Fatalf("save %d, power loss at operation %d: got %s, want the saved state or the one before", saves, at, loaded.State.Router)
+				case !sameState(loaded.State, sample(int(loaded.State.Knowledge.KeyReads))):
+					t.Fatalf("save %d, power loss at operation %d: got a mixture of two states", saves, at)
 				}
 				// The next process can load and save.
 				after := NewStore(disk)
-				_, _, _, _ = after.Load()
+				_, _ = after.Load()
 				if err := after.Save(Encode(sample(9))); err != nil {
 					t.Fatal(err)
 				}
-				if got, _, _, err := NewStore(disk).Load(); err != nil || got.Router != generationName(9) {
-					t.Fatalf("save %d, operation %d: after it %v, %v", saves, at, got.Router, err)
+				if loaded, err := NewStore(disk).Load(); err != nil || loaded.State.Router != generationName(9) {
+					t.Fatalf("save %d, power loss at operation %d, next save: got %v, %v, want sample 9", saves, at, loaded.State.Router, err)
 				}
 			})
 			if err == nil {
@@ -234,21 +234,21 @@
 			c.failAt, c.err = c.operations+at, cause
 			err := s.Save(Encode(sample(2)))
 			c.failAt = 0
-			got, _, _, loads := NewStore(c).Load()
-			if loads != nil || got.Router != generationName(1) && got.Router != generationName(2) {
-				t.Fatalf("%v at operation %d: %s, %v", cause, at, got.Router, loads)
+			loaded, loadErr := NewStore(c).Load()
+			if loadErr != nil || loaded.State.Router != generationName(1) && loaded.State.Router != generationName(2) {
+				t.Fatalf("%v at operation %d: got %s, %v, want sample 1 or 2", cause, at, loaded.State.Router, loadErr)
 			}
 			if err := s.Save(Encode(sample(3))); err != nil {
-				t.Fatalf("%v at operation %d, and then: %v", cause, at, err)
+				t.Fatalf("%v at operation %d, next save: got %v, want no error", cause, at, err)
 			}
-			if got, _, _, err := NewStore(c).Load(); err != nil || got.Router != generationName(3) {
-				t.Fatalf("%v at operation %d, and then: %s, %v", cause, at, got.Router, err)
+			if loaded, err := NewStore(c).Load(); err != nil || loaded.State.Router != generationName(3) {
+				t.Fatalf("%v at operation %d, next save: got %s, %v, want sample 3", cause, at, loaded.State.Router, err)
 			}
 			if err == nil {
 				break
 			}
 			if !errors.Is(err, cause) {
-				t.Fatalf("%v became %v", cause, err)
+				t.Fatalf("operation %d: got error %v, want %v", at, err, cause)
 			}
 		}
 	}
@@ -266,9 +266,9 @@
 		t.Fatal(err)
 	}
 	c.eachAfterPowerLoss(func(disk *crashFS) {
-		got, from, skipped, err := NewStore(disk).Load()
-		if err != nil || got.Router != generationName(0) && got.Router != generationName(1) {
-			t.Errorf("%s from %s: %v, %v", got.Router, from, skipped, err)
+		loaded, err := NewStore(disk).Load()
+		if err != nil || loaded.State.Router != generationName(0) && loaded.State.Router != generationName(1) {
+			t.Errorf("got %s from %s, skipped %v, error %v, want sample 0 or 1", loaded.State.Router, loaded.File, loaded.Skipped, err)
 		}
 	})
 }
@@ -287,17 +287,17 @@
 		t.Errorf("after five saves: got %s, want %s", got, want)
 	}
 	c.names["state.5"].now[200] ^= 1
-	got, from, skipped, err := NewStore(c).Load()
-	if err != nil || from != "state.4" || got.Router != generationName(3) || len(skipped) != 1 || !errors.Is(skipped[0], ErrCorrupt) {
-		t.Errorf("newest corrupt: got %s from %s, skipped %v, error %v, want state.4", got.Router, from, skipped, err)
+	loaded, err := NewStore(c).Load()
+	if err != nil || loaded.File != "state.4" || loaded.State.Router != generationName(3) || len(loaded.Skipped) != 1 || !errors.Is(loaded.Skipped[0], ErrCorrupt) {
+		t.Errorf("newest corrupt: got %s from %s, skipped %v, error %v, want state.4", loaded.State.Router, loaded.File, loaded.Skipped, err)
 	}
 	// Files of a newer version and other files stay.
 	newer := sample(6)
 	c.names["state.7"] = &inode{now: encodeAs(t, newer, Version+1)}
 	c.names["state.007"], c.names["notes"] = &inode{}, &inode{}
 	s = NewStore(c)
-	if _, from, skipped, err := s.Load(); err != nil || from != "state.4" || !errors.Is(skipped[0], ErrNewerVersion) {
-		t.Errorf("newest of a newer version: got %s, skipped %v, error %v, want state.4", from, skipped, err)
+	if loaded, err := s.Load(); err != nil || loaded.File != "state.4" || !errors.Is(loaded.Skipped[0], ErrNewerVersion) {
+		t.Errorf("newest of a newer version: got %s, skipped %v, error %v, want state.4", loaded.File, loaded.Skipped, err)
 	}
 	for i := 7; i < 10; i++ {
 		if err := s.Save(Encode(sample(i))); err != nil {
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -14,7 +14,7 @@
 // Bounds of single values. A value beyond them is corruption that no checksum shows, and is clamped or dropped.
 const (
 	maxTime          clock.Time = 1 << 53 // past the year 2200
-	maxReal                     = 1e12
+	maxDouble                   = 1e12
 	maxSamples                  = 32
 	maxFailurePoints            = 64
 )
@@ -47,17 +47,18 @@
 	if err != nil {
 		return State{}, err
 	}
-	version := int(fields.number(1))
+	version := int(fields.varint(fieldHeaderVersion))
 	if version < 1 {
 		return State{}, corruptf("version %d never was", version)
 	}
 	if version > Version {
 		return State{}, fmt.Errorf("%w: %d, and %d is the newest known here", ErrNewerVersion, version, Version)
 	}
-	return State{Version: version, Router: fields.texts[2]}, nil
+	return State{Version: version, Router: fields.texts[fieldHeaderRouter]}, nil
 }
 
-// decodeRecord adds one record to the state. Kinds that a later build of the same version may have added are skipped.
+// decodeRecord adds one record to the state. Unknown kinds, which a later build of the same version may have added, are
+// skipped; their payloads have to be in protobuf's wire form too.
 func (s *State) decodeRecord(r record) error {
 	if r.kind == kindKeys {
 		return s.decodeKeys(r.payload)
@@ -79,11 +80,11 @@
 
 func (s *State) decodeInstance(fields fieldSet) {
 	k := &s.Knowledge
-	k.CapturedAt = fields.time(1)
-	k.ObservedFor = fields.time(2)
-	k.CacheLatency = fields.latency(3)
+	k.CapturedAt = fields.time(fieldInstanceCapturedAt)
+	k.ObservedFor = fields.time(fieldInstanceObservedFor)
+	k.CacheLatency = fields.latency(fieldInstanceCacheLatency)
 	for i, rate := range ratesOf(k) {
-		*rate = fields.real(protowire.Number(firstRateField + i))
+		*rate = fields.double(fieldInstanceFirstRate + protowire.Number(i))
 	}
 }
 
@@ -91,7 +92,7 @@
 	if len(s.Methods) >= MaxMethods {
 		return corruptf("it names more than %d methods", MaxMethods)
 	}
-	s.Methods = append(s.Methods, Method{Name: fields.texts[1], Time: fields.time(2)})
+	s.Methods = append(s.Methods, Method{Name: fields.texts[fieldMethodName], Latency: fields.time(fieldMethodLatency)})
 	return nil
 }
 
@@ -100,17 +101,17 @@
 		return corruptf("it names more than %d servers", MaxServers)
 	}
 	s.Servers = append(s.Servers, Server{
-		UID: fields.texts[1],
+		UID: fields.texts[fieldServerUID],
 		ServerKnowledge: routing.ServerKnowledge{
-			StartedAt:           fields.time(2),
-			Latency:             fields.latency(3),
-			AnswerRate:          fields.real(7),
-			ReportedServiceTime: fields.time(8),
-			FailurePoints:       fields.count(9, maxFailurePoints),
-			Ejected:             fields.number(10) != 0,
-			ConnectFailed:       fields.number(11) != 0,
-			ObservedAt:          fields.time(12),
-			AttemptRate:         fields.real(13),
+			StartedAt:           fields.time(fieldServerStartedAt),
+			Latency:             fields.latency(fieldServerLatency),
+			AnswerRate:          fields.double(fieldServerAnswerRate),
+			ReportedServiceTime: fields.time(fieldServerReportedServiceTime),
+			FailurePoints:       fields.count(fieldServerFailurePoints, maxFailurePoints),
+			Ejected:             fields.varint(fieldServerEjected) != 0,
+			ConnectFailed:       fields.varint(fieldServerConnectFailed) != 0,
+			ObservedAt:          fields.time(fieldServerObservedAt),
+			AttemptRate:         fields.double(fieldServerAttemptRate),
 		},
 	})
 	return nil
@@ -123,7 +124,7 @@
 	for ; len(payload) > 0; payload = payload[keyEntryBytes:] {
 		hash := routing.KeyHash(binary.LittleEndian.Uint32(payload))
 		count := math.Float64frombits(binary.LittleEndian.Uint64(payload[4:]))
-		if count > 0 && count < maxReal {
+		if count > 0 && count < maxDouble {
 			s.Knowledge.Keys = append(s.Knowledge.Keys, routing.KeyKnowledge{Key: hash, Count: count})
 		}
 	}
@@ -173,23 +174,23 @@
 	return size
 }
 
-func (f fieldSet) number(field protowire.Number) int64 {
+func (f fieldSet) varint(field protowire.Number) int64 {
 	return protowire.DecodeZigZag(f.numbers[field])
 }
 
-func (f fieldSet) count(field protowire.Number, most int64) int {
-	return int(max(0, min(most, f.number(field))))
+func (f fieldSet) count(field protowire.Number, limit int64) int {
+	return int(max(0, min(limit, f.varint(field))))
 }
 
 // time is an instant or a duration.
 func (f fieldSet) time(field protowire.Number) clock.Time {
-	return max(0, min(clock.Time(f.number(field)), maxTime))
+	return max(0, min(clock.Time(f.varint(field)), maxTime))
 }
 
-// real is a rate or a count: not negative, and finite.
-func (f fieldSet) real(field protowire.Number) float64 {
+// double is a rate or a count: not negative, and finite.
+func (f fieldSet) double(field protowire.Number) float64 {
 	value := math.Float64frombits(f.numbers[field])
-	inRange := value > 0 && value <= maxReal // false for NaN
+	inRange := value > 0 && value <= maxDouble // false for NaN
 	if !inRange {
 		return 0
 	}
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -33,32 +33,30 @@
 
 func appendEnd(file []byte) []byte {
 	var m message
-	m.number(1, int64(crc32.Checksum(file, castagnoli)))
+	m.varint(fieldEndChecksum, int64(crc32.Checksum(file, castagnoli)))
 	return appendRecord(file, record{kindEnd, m})
 }
 
 func encodeHeader(version int, router string) []byte {
 	var m message
-	m.number(1, int64(version))
-	m.text(2, router)
+	m.varint(fieldHeaderVersion, int64(version))
+	m.text(fieldHeaderRouter, router)
 	return m
 }
 
 func encodeInstance(k routing.Knowledge) []byte {
 	var m message
-	m.number(1, int64(k.CapturedAt))
-	m.number(2, int64(k.ObservedFor))
-	m.latency(3, k.CacheLatency)
+	m.varint(fieldInstanceCapturedAt, int64(k.CapturedAt))
+	m.varint(fieldInstanceObservedFor, int64(k.ObservedFor))
+	m.latency(fieldInstanceCacheLatency, k.CacheLatency)
 	for i, rate := range ratesOf(&k) {
-		m.real(protowire.Number(firstRateField+i), *rate)
+		m.double(fieldInstanceFirstRate+protowire.Number(i), *rate)
 	}
 	return m
 }
 
-// firstRateField is the number of the first field of ratesOf in an instance record.
-const firstRateField = 7
-
-// ratesOf lists the rates of an instance record in the order of their fields.
+// ratesOf lists the rates of an instance record in the order of their fields: encodeInstance reads and decodeInstance
+// writes through the pointers.
 func ratesOf(k *routing.Knowledge) [8]*float64 {
 	return [...]*float64{
 		&k.RequestRate,
@@ -74,23 +72,23 @@
 
 func encodeMethod(method Method) []byte {
 	var m message
-	m.text(1, method.Name)
-	m.number(2, int64(method.Time))
+	m.text(fieldMethodName, method.Name)
+	m.varint(fieldMethodLatency, int64(method.Latency))
 	return m
 }
 
 func encodeServer(server Server) []byte {
 	var m message
-	m.text(1, server.UID)
-	m.number(2, int64(server.StartedAt))
-	m.latency(3, server.Latency)
-	m.real(7, server.AnswerRate)
-	m.number(8, int64(server.ReportedServiceTime))
-	m.number(9, int64(server.FailurePoints))
-	m.flag(10, server.Ejected)
-	m.flag(11, server.ConnectFailed)
-	m.number(12, int64(server.ObservedAt))
-	m.real(13, server.AttemptRate)
+	m.text(fieldServerUID, server.UID)
+	m.varint(fieldServerStartedAt, int64(server.StartedAt))
+	m.latency(fieldServerLatency, server.Latency)
+	m.double(fieldServerAnswerRate, server.AnswerRate)
+	m.varint(fieldServerReportedServiceTime, int64(server.ReportedServiceTime))
+	m.varint(fieldServerFailurePoints, int64(server.FailurePoints))
+	m.boolean(fieldServerEjected, server.Ejected)
+	m.boolean(fieldServerConnectFailed, server.ConnectFailed)
+	m.varint(fieldServerObservedAt, int64(server.ObservedAt))
+	m.double(fieldServerAttemptRate, server.AttemptRate)
 	return m
 }
 
@@ -110,14 +108,14 @@
 // message is a payload in protobuf's wire form. Zero values are left out.
 type message []byte
 
-func (m *message) number(field protowire.Number, value int64) {
+func (m *message) varint(field protowire.Number, value int64) {
 	if value != 0 {
 		*m = protowire.AppendTag(*m, field, protowire.VarintType)
 		*m = protowire.AppendVarint(*m, protowire.EncodeZigZag(value))
 	}
 }
 
-func (m *message) real(field protowire.Number, value float64) {
+func (m *message) double(field protowire.Number, value float64) {
 	if value != 0 {
 		*m = protowire.AppendTag(*m, field, protowire.Fixed64Type)
 		*m = protowire.AppendFixed64(*m, math.Float64bits(value))
@@ -129,16 +127,16 @@
 	*m = protowire.AppendString(*m, value)
 }
 
-func (m *message) flag(field protowire.Number, value bool) {
+func (m *message) boolean(field protowire.Number, value bool) {
 	if value {
-		m.number(field, 1)
+		m.varint(field, 1)
 	}
 }
 
 // latency writes four fields, of which field is the first.
 func (m *message) latency(field protowire.Number, latency routing.LatencySummary) {
-	m.number(field, int64(latency.Recent))
-	m.number(field+1, int64(latency.Mean))
-	m.number(field+2, int64(latency.Fastest))
-	m.number(field+3, int64(latency.Samples))
+	m.varint(field, int64(latency.Recent))
+	m.varint(field+1, int64(latency.Mean))
+	m.varint(field+2, int64(latency.Fastest))
+	m.varint(field+3, int64(latency.Samples))
 }
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is one folder, by the single operations that Store needs. Tests fail, tear, reorder and lose each of them.
-type FS interface {
+// Folder is a folder by the single operations that Store needs. Tests fail, tear, reorder and lose each of them. Errors
+// are *fs.PathError, with the operation and the file.
+type Folder interface {
 	// Names lists the files.
 	Names() ([]string, error)
 	// Read returns a file's content, or a little more than limit bytes of a longer one.
@@ -30,7 +31,7 @@
 	Sync() error
 }
 
-// Dir is the FS of a folder of the operating system, by its path.
+// Dir is a Folder of the operating system, by its path.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
@@ -51,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer file.Close() // only read: nothing can be lost
 	return io.ReadAll(io.LimitReader(file, int64(limit)+1))
 }
 
@@ -88,7 +89,7 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		file.Close()
+		file.Close() // nothing was written to it
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"maps"
 	"os"
 	"path/filepath"
@@ -11,9 +10,9 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+// Golden files were written by build bfb4b5c, never by a later one.
 
-// oldFolder holds a snapshot folder as build bfb4b5c left it: generations 4 and 5 of samples 4 and 5.
+// oldFolder holds a snapshot folder as that build left it after five saves: samples 4 and 5 as generations 4 and 5.
 const oldFolder = "testdata/folder"
 
 // TestGolden_EncodedBytes holds the bytes of a snapshot file to those that build bfb4b5c wrote.
@@ -31,9 +30,6 @@
 // save to those that it would have left.
 func TestGolden_FolderOfOlderBuild(t *testing.T) {
 	log, _ := bufferedLog()
-	if *update {
-		writeFolder(t)
-	}
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(oldFolder)); err != nil {
 		t.Fatal(err)
@@ -65,17 +61,3 @@
 	}
 	return files
 }
-
-func writeFolder(t *testing.T) {
-	t.Helper()
-	dir := t.TempDir()
-	store := NewStore(Dir(dir))
-	for i := range 5 {
-		if err := store.Save(Encode(sample(i + 1))); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := os.CopyFS(oldFolder, os.DirFS(dir)); err != nil {
-		t.Fatal(err)
-	}
-}
--- a/internal/snapshot/record.go
+++ b/internal/snapshot/record.go
@@ -4,11 +4,9 @@
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
-)
 
-// A file is the magic text, then records, of which the last is an end record with the checksum of all bytes before it. A
-// record is its kind (1 byte), payload length (4 bytes, little endian), CRC-32C of kind, length and payload (4 bytes), and
-// the payload.
+	"google.golang.org/protobuf/encoding/protowire"
+)
 
 const magic = "spurtrestle state"
 
@@ -30,6 +28,33 @@
 	kindEnd      recordKind = 6
 )
 
+// Field numbers in the payloads. A latency is four fields, of which the first is named here.
+const (
+	fieldHeaderVersion protowire.Number = 1
+	fieldHeaderRouter  protowire.Number = 2
+
+	fieldInstanceCapturedAt   protowire.Number = 1
+	fieldInstanceObservedFor  protowire.Number = 2
+	fieldInstanceCacheLatency protowire.Number = 3
+	fieldInstanceFirstRate    protowire.Number = 7 // see ratesOf
+
+	fieldMethodName    protowire.Number = 1
+	fieldMethodLatency protowire.Number = 2
+
+	fieldServerUID                 protowire.Number = 1
+	fieldServerStartedAt           protowire.Number = 2
+	fieldServerLatency             protowire.Number = 3
+	fieldServerAnswerRate          protowire.Number = 7
+	fieldServerReportedServiceTime protowire.Number = 8
+	fieldServerFailurePoints       protowire.Number = 9
+	fieldServerEjected             protowire.Number = 10
+	fieldServerConnectFailed       protowire.Number = 11
+	fieldServerObservedAt          protowire.Number = 12
+	fieldServerAttemptRate         protowire.Number = 13
+
+	fieldEndChecksum protowire.Number = 1
+)
+
 type record struct {
 	kind    recordKind
 	payload []byte
@@ -94,7 +119,7 @@
 // follows it.
 func checkEnd(file []byte, offset, end int, payload []byte) error {
 	fields, err := parseFields(payload)
-	if err != nil || fields.number(1) != int64(crc32.Checksum(file[:offset], castagnoli)) {
+	if err != nil || fields.varint(fieldEndChecksum) != int64(crc32.Checksum(file[:offset], castagnoli)) {
 		return corruptf("the checksum of the whole does not match")
 	}
 	if end != len(file) {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -3,6 +3,15 @@
 // A snapshot is one versioned, checksummed file. The folder stores two generations. A generation is written beside
 // the others, synced, renamed into place, and the folder synced; only then is the generation before the last removed.
 //
+// # File format
+//
+// A file is a magic text, then records, of which the last is an end record with the checksum of all bytes before it. A
+// record is its kind (1 byte), payload length (4 bytes, little endian), CRC-32C of kind, length and payload (4 bytes), and
+// the payload. The payload of a keys record is a list of hashes and counts; that of other kinds is in protobuf's wire
+// form, in which readers skip fields that they do not know.
+//
+// # Use
+//
 // internal/program opens a Writer, internal/router submits to it from its event loop, and the Writer's own goroutine does
 // all I/O. A predecessor sends its successor the same encoding over internal/handover.
 package snapshot
@@ -29,8 +38,8 @@
 	maxNameLength = 256
 )
 
-// State is the content of a file. Knowledge.Servers and Knowledge.MethodLatencies are empty: Servers and Methods stand in
-// their place, by names that outlive the process.
+// State is the content of a file. Knowledge.Servers and Knowledge.MethodLatencies are empty: Servers and Methods replace
+// them, identified by names that do not change between processes.
 type State struct {
 	Version   int // of the file that it was decoded from
 	Router    string
@@ -41,8 +50,8 @@
 
 // Method is the smoothed latency of one method.
 type Method struct {
-	Name string
-	Time clock.Duration
+	Name    string
+	Latency clock.Duration
 }
 
 // Server is what is known of one server, by its name in discovery: addresses and server numbers change.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -38,14 +38,39 @@
 // sample returns a state that differs from the others in several places by its number.
 func sample(n int) State {
 	x := float64(n)
-	s := State{Version: Version, Router: generationName(n), Methods: []Method{{"read", clock.Time(1000 + n)}},
-		Knowledge: routing.Knowledge{CapturedAt: 1e15 + clock.Time(n), ObservedFor: 5e6, CacheLatency: routing.LatencySummary{Recent: 900, Mean: 1000, Fastest: 500, Samples: 32},
-			RequestRate: 10 + x, HitRate: 9, EndedRate: 8, AnsweredRate: 7, AttemptRate: 6, FailureRate: 0.5, RetryBudget: 4, KeyReads: x,
-			Keys: []routing.KeyKnowledge{{Key: 0xfeedbeef, Count: 3 + x}, {Key: 7, Count: 2}}}}
+	s := State{
+		Version: Version,
+		Router:  generationName(n),
+		Methods: []Method{{Name: "read", Latency: clock.Duration(1000 + n)}},
+		Knowledge: routing.Knowledge{
+			CapturedAt:   1e15 + clock.Time(n),
+			ObservedFor:  5 * clock.Second,
+			CacheLatency: routing.LatencySummary{Recent: 900, Mean: 1000, Fastest: 500, Samples: 32},
+			RequestRate:  10 + x,
+			HitRate:      9,
+			EndedRate:    8,
+			AnsweredRate: 7,
+			AttemptRate:  6,
+			FailureRate:  0.5,
+			RetryBudget:  4,
+			KeyReads:     x,
+			Keys:         []routing.KeyKnowledge{{Key: 0xfeedbeef, Count: 3 + x}, {Key: 7, Count: 2}},
+		},
+	}
 	for i := range 20 {
-		s.Servers = append(s.Servers, Server{UID: fmt.Sprintf("s-%d.%02d", n, i), ServerKnowledge: routing.ServerKnowledge{
-			StartedAt: clock.Time(i), ObservedAt: 1e15, Latency: routing.LatencySummary{Recent: 5, Mean: 6, Fastest: 4, Samples: i}, AnswerRate: x, ReportedServiceTime: 77, FailurePoints: i % 3,
-			Ejected: i%2 == 0, ConnectFailed: i%5 == 0}})
+		s.Servers = append(s.Servers, Server{
+			UID: fmt.Sprintf("s-%d.%02d", n, i),
+			ServerKnowledge: routing.ServerKnowledge{
+				StartedAt:           clock.Time(i),
+				ObservedAt:          1e15,
+				Latency:             routing.LatencySummary{Recent: 5, Mean: 6, Fastest: 4, Samples: i},
+				AnswerRate:          x,
+				ReportedServiceTime: 77,
+				FailurePoints:       i % 3,
+				Ejected:             i%2 == 0,
+				ConnectFailed:       i%5 == 0,
+			},
+		})
 	}
 	return s
 }
@@ -99,8 +124,8 @@
 		}
 		want := sample(3)
 		want.Version = v
-		for i := range want.Servers {
-			if v == 1 {
+		if v == 1 {
+			for i := range want.Servers {
 				want.Servers[i].ObservedAt = want.Knowledge.CapturedAt
 			}
 		}
@@ -156,10 +181,10 @@
 	defer lock.Close()
 	store := NewStore(Dir(dir))
 	n := 0
-	if old, _, skipped, err := store.Load(); err == nil && len(skipped) == 0 {
-		n = int(old.Knowledge.KeyReads)
+	if loaded, err := store.Load(); err == nil && len(loaded.Skipped) == 0 {
+		n = int(loaded.State.Knowledge.KeyReads)
 	} else if !errors.Is(err, ErrNoSnapshot) {
-		fmt.Println("corrupt", err, skipped)
+		fmt.Println("corrupt", err, loaded.Skipped)
 		os.Exit(1)
 	}
 	for {
@@ -198,12 +223,14 @@
 			}
 			saved = max(saved, n)
 		}
-		got, _, skipped, err := NewStore(Dir(dir)).Load()
+		loaded, err := NewStore(Dir(dir)).Load()
 		if errors.Is(err, ErrNoSnapshot) && saved == 0 {
 			continue
 		}
-		if err != nil || len(skipped) > 0 || int(got.Knowledge.KeyReads) < saved || !sameState(got, sample(int(got.Knowledge.KeyReads))) {
-			t.Fatalf("kill %d: got %s, skipped %v, error %v, want sample %d or newer", i, got.Router, skipped, err, saved)
+		got := loaded.State
+		number := int(got.Knowledge.KeyReads)
+		if err != nil || len(loaded.Skipped) > 0 || number < saved || !sameState(got, sample(number)) {
+			t.Fatalf("kill %d: got %s, skipped %v, error %v, want sample %d or newer", i, got.Router, loaded.Skipped, err, saved)
 		}
 	}
 	if saved < *kills/4 {
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Names of files in the folder, and the number of generations stored.
+// Names of files in the folder, and how many generations stay in it.
 const (
-	generationPrefix  = "state."
-	pendingName       = "state.new"
-	generationsStored = 2
+	generationPrefix    = "state."
+	pendingName         = "state.new"
+	retainedGenerations = 2
 )
 
 // ErrNoSnapshot reports a folder without a generation.
@@ -24,40 +24,50 @@
 //
 // A Store is not safe for concurrent use; the folder's lock keeps other processes out.
 type Store struct {
-	fs       FS
+	folder   Folder
 	newest   uint64          // the highest number loaded or saved
 	readable map[uint64]bool // generations that this process has read or written
 }
 
 // NewStore returns a store on a folder. It reads nothing yet.
-func NewStore(fs FS) *Store {
-	return &Store{fs: fs, readable: map[uint64]bool{}}
+func NewStore(folder Folder) *Store {
+	return &Store{folder: folder, readable: map[uint64]bool{}}
 }
 
-// Load returns the newest generation that can be read, and its file's name. skipped has an error for each newer one that
-// cannot be read; those stay in the folder. The error is ErrNoSnapshot where there is no generation at all.
-func (s *Store) Load() (state State, file string, skipped []error, err error) {
+// Loaded is the result of Store.Load.
+type Loaded struct {
+	State   State
+	File    string  // the name of its generation's file
+	Skipped []error // one for each newer generation, which cannot be read and stays in the folder
+}
+
+// Load returns the newest generation that can be read. The error is ErrNoSnapshot where there is no generation at all;
+// Skipped is set also with an error.
+func (s *Store) Load() (Loaded, error) {
 	generations, err := s.generations()
 	if err != nil {
-		return State{}, "", nil, err
+		return Loaded{}, err
 	}
 	if len(generations) == 0 {
-		return State{}, "", nil, ErrNoSnapshot
+		return Loaded{}, ErrNoSnapshot
 	}
+	var loaded Loaded
 	s.newest = max(s.newest, generations[0])
 	for _, generation := range generations {
 		state, err := s.read(generation)
 		if err == nil {
 			s.readable[generation] = true
-			return state, fileName(generation), skipped, nil
+			loaded.State = state
+			loaded.File = fileName(generation)
+			return loaded, nil
 		}
-		skipped = append(skipped, fmt.Errorf("%s: %w", fileName(generation), err))
+		loaded.Skipped = append(loaded.Skipped, fmt.Errorf("%s: %w", fileName(generation), err))
 	}
-	return State{}, "", skipped, fmt.Errorf("no generation can be read: %w", errors.Join(skipped...))
+	return loaded, fmt.Errorf("no generation can be read: %w", errors.Join(loaded.Skipped...))
 }
 
 // Save writes an encoded state as the next generation, and then removes the generations that are no longer needed. After
-// an error the generations from before are still there.
+// an error the generations from before are still there. The folder's errors name the operation and the file.
 func (s *Store) Save(file []byte) error {
 	generations, err := s.generations()
 	if err != nil {
@@ -68,13 +78,13 @@
 		next = max(next, generations[0]+1)
 	}
 	if err := s.writePending(file); err != nil {
-		_ = s.fs.Remove(pendingName) // the next save overwrites it anyway
+		_ = s.folder.Remove(pendingName) // the next save overwrites it anyway
 		return err
 	}
-	if err := s.fs.Rename(pendingName, fileName(next)); err != nil {
+	if err := s.folder.Rename(pendingName, fileName(next)); err != nil {
 		return err
 	}
-	if err := s.fs.SyncDir(); err != nil {
+	if err := s.folder.SyncDir(); err != nil {
 		return err
 	}
 	s.newest = next
@@ -84,7 +94,7 @@
 
 // writePending writes and syncs a file that has no generation's name yet.
 func (s *Store) writePending(content []byte) error {
-	file, err := s.fs.Create(pendingName)
+	file, err := s.folder.Create(pendingName)
 	if err != nil {
 		return err
 	}
@@ -97,20 +107,20 @@
 	return file.Close()
 }
 
-// prune removes generations, given from new to old, that were there before a save. Generations of a newer version stay;
-// unreadable ones go and do not count as stored.
+// prune removes generations, given from new to old, that were there before a save. Those of a newer version stay. Those
+// that cannot be read for any other reason, an error of the disk included, are removed and do not count as retained.
 func (s *Store) prune(generations []uint64) error {
-	stored := 1 // the one just saved
+	retained := 1 // the one just saved
 	for _, generation := range generations {
 		err := s.checkReadable(generation)
 		if errors.Is(err, ErrNewerVersion) {
 			continue
 		}
-		if err == nil && stored < generationsStored {
-			stored++
+		if err == nil && retained < retainedGenerations {
+			retained++
 			continue
 		}
-		if err := s.fs.Remove(fileName(generation)); err != nil {
+		if err := s.folder.Remove(fileName(generation)); err != nil {
 			return err
 		}
 		delete(s.readable, generation)
@@ -128,7 +138,7 @@
 }
 
 func (s *Store) read(generation uint64) (State, error) {
-	file, err := s.fs.Read(fileName(generation), MaxFileBytes)
+	file, err := s.folder.Read(fileName(generation), MaxFileBytes)
 	if err != nil {
 		return State{}, err
 	}
@@ -137,7 +147,7 @@
 
 // generations lists the numbers of the generations in the folder, from new to old.
 func (s *Store) generations() ([]uint64, error) {
-	names, err := s.fs.Names()
+	names, err := s.folder.Names()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -52,14 +52,12 @@
 	case <-w.submitted: // replaced by the newer state
 	default:
 	}
-	select {
-	case w.submitted <- s:
-	default:
-	}
+	w.submitted <- s // cannot block: the only sender has just emptied the channel
 }
 
-// Close writes a final state, releases the folder and ends the goroutine. It waits no longer than timeout, so that a disk
-// that hangs does not delay the end of the process.
+// Close writes a final state, releases the folder and ends the goroutine. It is called once. It waits no longer than
+// timeout, so that a disk that hangs does not delay the end of the process: the goroutine is then still writing and holds
+// the lock until the process ends.
 func (w *Writer) Close(s State, timeout time.Duration) {
 	w.final <- s
 	select {
@@ -73,8 +71,8 @@
 	if !w.acquireLock() {
 		return nil
 	}
-	state, file, skipped, err := w.store.Load()
-	for _, skippedErr := range skipped {
+	loaded, err := w.store.Load()
+	for _, skippedErr := range loaded.Skipped {
 		w.log.WithError(skippedErr).Warn("snapshot: generation cannot be used, trying the one before")
 	}
 	if errors.Is(err, ErrNoSnapshot) {
@@ -86,11 +84,11 @@
 		return nil
 	}
 	w.log.WithFields(logrus.Fields{
-		"file":    file,
-		"servers": len(state.Servers),
-		"written": formatTime(state.Knowledge.CapturedAt),
+		"file":    loaded.File,
+		"servers": len(loaded.State.Servers),
+		"written": formatTime(loaded.State.Knowledge.CapturedAt),
 	}).Info("snapshot: loaded")
-	return &state
+	return &loaded.State
 }
 
 func formatTime(at clock.Time) string {
@@ -106,7 +104,7 @@
 		case s := <-w.final:
 			w.save(s)
 			if w.lock != nil {
-				w.lock.Close()
+				w.lock.Close() // the lock file is empty; closing releases it
 			}
 			return
 		}
