--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,7 +2,7 @@
 // internal/program calls it at the start and at SIGHUP, and the check command does without starting a router. It has no
 // state.
 //
-// Errors are of package configerror.
+// All errors are of type *configerror.Error.
 package config
 
 import (
@@ -39,10 +39,11 @@
 	Slot           int      // the router's place among the routers of the settings, from 0
 	Site           string   // empty: unknown
 	Sites          []string // all sites; empty: unknown
-	ShapeConflict  error    // settings of two shapes, which are served; nil: of one
+	ShapeConflict  error    // see shapeConflict: a warning at the start, an error of the check command; nil: none
 }
 
-// Load reads the variables through getenv, os.Getenv in service, and the file.
+// Load reads the variables through getenv, os.Getenv in service, and the file. The error is a *configerror.Error. File is
+// set also with an error; other fields are not valid then.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv(variableFile)
 	if path == "" {
@@ -131,18 +132,21 @@
 
 // address returns the value of a variable, or else that of the file's field.
 func address(getenv func(string) string, variable, field, value string) (string, error) {
-	name, fromEnvironment := field, false
-	if set := getenv(variable); set != "" {
-		name, value, fromEnvironment = variable, set, true
+	name := field
+	override := getenv(variable)
+	if override != "" {
+		name = variable
+		value = override
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return "", &configerror.Error{Field: name, Value: strconv.Quote(value), Problem: "is no address and port",
-			Remedy: `write it as "127.0.0.1:6379"`, Environment: fromEnvironment, Cause: err}
+			Remedy: `write it as "127.0.0.1:6379"`, Environment: override != "", Cause: err}
 	}
 	return value, nil
 }
 
-// setSettings reads the settings object, both what decisions use of it and the router's place in the fleet.
+// setSettings sets Settings from the settings object, and the router's slot and site, which package settings ignores: the
+// object is decoded twice.
 func (c *Config) setSettings(object json.RawMessage) error {
 	if len(object) == 0 {
 		return &configerror.Error{Field: "settings", Problem: "missing", Remedy: "give the object that describes the service"}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,16 +2,16 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"spurtrestle/core/clock"
 	"spurtrestle/internal/configerror"
 )
 
-const wholeFile = `{"name":"n3","listen":"127.0.0.4:6379","discovery":"127.0.1.1:8500","seed":"8c1f30d27a5be964",` +
+const completeFile = `{"name":"n3","listen":"127.0.0.4:6379","discovery":"127.0.1.1:8500","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[]},"settings":` +
 	`{"balancers":2,"discovery":"pushed","domain":{"mode":"aside","origin-kind":1},"flavors":["std","origin"],` +
 	`"policy-limits":{"send-cap":3,"connect-timeout-s":0.1,"idle-close-s":60},"rules":{},"request-classes":` +
@@ -34,17 +34,31 @@
 
 // TestLoad_EnvironmentTakesPrecedence reads a file, of which two fields are overridden.
 func TestLoad_EnvironmentTakesPrecedence(t *testing.T) {
-	c, err := load(t, wholeFile, map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"})
-	got := fmt.Sprintf("%v %s %s %s %x, %d routers, %d %d %d %s", err, c.Name, c.Listen, c.Discovery, c.Seed,
-		c.Settings.Routers, c.Limits.ConnectTimeout, c.Limits.ServerIdleTimeout, c.Limits.Descriptors, c.SavedEndpoints)
-	const want = "<nil> n9 127.0.0.9:1 127.0.1.1:8500 8c1f30d27a5be964, 2 routers, 100000 54000000 990 " +
-		`{"rev":1,"all":true,"targets":[]}`
-	if got != want {
-		t.Errorf("got %s, want %s", got, want)
+	c, err := load(t, completeFile, map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, field := range []struct {
+		name      string
+		got, want any
+	}{
+		{"Name", c.Name, "n9"},
+		{"Listen", c.Listen, "127.0.0.9:1"},
+		{"Discovery", c.Discovery, "127.0.1.1:8500"},
+		{"Seed", c.Seed, uint64(0x8c1f30d27a5be964)},
+		{"Settings.Routers", c.Settings.Routers, 2},
+		{"Limits.ConnectTimeout", c.Limits.ConnectTimeout, 100 * clock.Millisecond},
+		{"Limits.ServerIdleTimeout", c.Limits.ServerIdleTimeout, 54 * clock.Second},
+		{"Limits.Descriptors", c.Limits.Descriptors, 990},
+		{"SavedEndpoints", string(c.SavedEndpoints), `{"rev":1,"all":true,"targets":[]}`},
+	} {
+		if field.got != field.want {
+			t.Errorf("%s: got %v, want %v", field.name, field.got, field.want)
+		}
 	}
 }
 
-// TestLoad_ErrorsNameFieldAndRemedy holds the whole text of an error for each kind of fault.
+// TestLoad_ErrorsNameFieldAndRemedy checks the complete text of an error for each kind of fault.
 func TestLoad_ErrorsNameFieldAndRemedy(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"127.0.0.4:6379"`, `"here"`, `FILE: listen: "here" is no address and port; write it as "127.0.0.1:6379"`},
@@ -59,15 +73,15 @@
 			`effects are free, guarded and single_shot, groups all, zone and cell`},
 		{`"settings":`, `"set":`, "FILE: settings: missing; give the object that describes the service"},
 		{`"balancers":2`, `"balancers":2,"weights":"heavy"`, `FILE: settings: weights: "heavy"; say silent, nominal, rough or live`},
-		{wholeFile, `{"name"`, "FILE: unexpected end of JSON input; write one object of JSON, as README.md has it"},
+		{completeFile, `{"name"`, "FILE: unexpected end of JSON input; write one object of JSON, as README.md has it"},
 	} {
-		cfg, err := load(t, strings.Replace(wholeFile, c.from, c.to, 1), nil)
+		cfg, err := load(t, strings.Replace(completeFile, c.from, c.to, 1), nil)
 		if err == nil || err.Error() != strings.Replace(c.want, "FILE", cfg.File, 1) {
 			t.Errorf("with %s: got %v, want %s", c.to, err, c.want)
 		}
 	}
 	const variable = `EDGE_LISTEN: "there" is no address and port; write it as "127.0.0.1:6379"` // the file is right
-	if _, err := load(t, wholeFile, map[string]string{"EDGE_LISTEN": "there"}); err == nil || err.Error() != variable {
+	if _, err := load(t, completeFile, map[string]string{"EDGE_LISTEN": "there"}); err == nil || err.Error() != variable {
 		t.Errorf("bad variable: got %v, want %s", err, variable)
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil || err.Error() != "EDGE_CONFIG is not set; have it name the configuration" {
@@ -77,7 +91,7 @@
 
 // TestLoad_SettingsOfAnotherType rejects settings that are no object without printing a Go type's fields.
 func TestLoad_SettingsOfAnotherType(t *testing.T) {
-	cfg, err := load(t, strings.Replace(wholeFile, `"settings":`, `"settings":7,"set":`, 1), nil)
+	cfg, err := load(t, strings.Replace(completeFile, `"settings":`, `"settings":7,"set":`, 1), nil)
 	want := cfg.File + ": settings: json: cannot unmarshal number into Go value of type settings.document"
 	if err == nil || err.Error() != want {
 		t.Errorf("got %v, want %s", err, want)
@@ -92,8 +106,8 @@
 // costs and files for another router are errors.
 func TestLoad_Shape(t *testing.T) {
 	perClient := strings.NewReplacer(`"balancers":2`, `"balancers":800,"weights":"nominal","fees":{"waste":0.02,"cross-zone":0.06}`,
-		`"send-cap":3`, `"send-cap":4,"cancel":true,"parallel-tries":true`).Replace(wholeFile)
-	for _, text := range []string{wholeFile, perClient} {
+		`"send-cap":3`, `"send-cap":4,"cancel":true,"parallel-tries":true`).Replace(completeFile)
+	for _, text := range []string{completeFile, perClient} {
 		c, err := load(t, text, nil)
 		s := c.Settings
 		if want := text == perClient; err != nil || s.HedgingAllowed != want || s.WeightsAreCapacity != want || (s.WastedWorkCost == 0.02) != want ||
@@ -101,22 +115,25 @@
 			t.Errorf("got %+v, %v, want hedging, capacity weights and both costs: %v", s, err, text == perClient)
 		}
 	}
-	for _, c := range []struct{ text, from, to, key string }{
-		{perClient, `"nominal"`, `"silent"`, "weights"},
-		{perClient, `"weights":"nominal",`, "", "weights"},
-		{perClient, `"parallel-tries":true`, `"parallel-tries":false`, "weights"},
-		{perClient, `"cancel":true`, `"cancel":false`, "policy-limits.cancel"},
-		{perClient, `"mode":"aside"`, `"mode":"through"`, "domain.mode"},
-		{perClient, `"send-cap":4`, `"send-cap":2`, "policy-limits.send-cap"},
-		{perClient, `"waste":0.02`, `"waste":-1`, "fees.waste"},
-		{perClient, `"cross-zone":0.06`, `"cross-zone":-1`, "fees.cross-zone"},
-		{perClient, `"balancers":800`, `"balancers":800,"me":800`, "me"},
-		{wholeFile, `"balancers":2`, `"balancers":2,"zone":"c","zones":["a","b"]`, "zone"},
-		{wholeFile, `"balancers":2`, `"balancers":2,"weights":"rough"`, "weights"},
-		{wholeFile, `"send-cap":3`, `"send-cap":3,"cancel":true,"parallel-tries":true`, "weights"},
+	for _, c := range []struct {
+		text, from, to, key string
+		conflict            bool // loaded, with a ShapeConflict
+	}{
+		{perClient, `"nominal"`, `"silent"`, "weights", true},
+		{perClient, `"weights":"nominal",`, "", "weights", true},
+		{perClient, `"parallel-tries":true`, `"parallel-tries":false`, "weights", true},
+		{perClient, `"cancel":true`, `"cancel":false`, "policy-limits.cancel", true},
+		{perClient, `"mode":"aside"`, `"mode":"through"`, "domain.mode", true},
+		{perClient, `"send-cap":4`, `"send-cap":2`, "policy-limits.send-cap", true},
+		{perClient, `"waste":0.02`, `"waste":-1`, "fees.waste", false},
+		{perClient, `"cross-zone":0.06`, `"cross-zone":-1`, "fees.cross-zone", false},
+		{perClient, `"balancers":800`, `"balancers":800,"me":800`, "me", false},
+		{completeFile, `"balancers":2`, `"balancers":2,"zone":"c","zones":["a","b"]`, "zone", false},
+		{completeFile, `"balancers":2`, `"balancers":2,"weights":"rough"`, "weights", true},
+		{completeFile, `"send-cap":3`, `"send-cap":3,"cancel":true,"parallel-tries":true`, "weights", true},
 	} {
 		cfg, err := load(t, strings.Replace(c.text, c.from, c.to, 1), nil)
-		if mixed := c.key == "weights" || strings.Contains(c.key, "policy") || strings.Contains(c.key, "domain"); mixed {
+		if c.conflict {
 			if err != nil {
 				t.Errorf("with %s: got %v, want it loaded", c.to, err)
 			}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -21,7 +21,22 @@
 	}
 }
 
-// TestGolden_Limits holds all limits, in the order of the struct's fields, to those of build bfb4b5c.
+// inGoldenOrder shows all limits as the golden file has them, in the order of that build's fields.
+func inGoldenOrder(l Limits) string {
+	values := []any{
+		l.MemoryBytes, l.Descriptors, l.MaxDescriptors, l.ReservedDescriptors, l.ServerConnections, l.ClientConnections,
+		l.ActiveClients, l.AdminConnections, l.RESP, l.Origin, l.Discovery, l.ReadChunk, l.LargeValueWindow, l.ClientInput,
+		l.ClientOutput, l.ExternalRequests, l.PipelinedCommands, l.RequestBytes, l.ClientBufferBytes, l.ConnectTimeout,
+		l.ServerIdleTimeout, l.ReuseDelay, l.DuplicateMemory, l.IdleSweepInterval, l.QuietClientAge, l.SilentClientTimeout,
+		l.PartialCommandTimeout, l.LargeValueStallTimeout, l.ClientGoneCheckInterval, l.LargeValueRetryInterval,
+		l.LargeValueUnreadTimeout, l.TakeoverListTimeout, l.ClientNetworkMargin, l.WatchTimeout, l.WatchGrace, l.ListTimeout,
+		l.DiscoveryRetryDelay, l.ClientWriteTimeout, l.ShutdownTimeout, l.DrainAcceptPeriod, l.MetricsInterval,
+		l.LoopLagThreshold, l.StallThreshold, l.AdminCallTimeout,
+	}
+	return "{" + strings.Trim(fmt.Sprint(values), "[]") + "}"
+}
+
+// TestGolden_Limits holds all limits to those of build bfb4b5c.
 func TestGolden_Limits(t *testing.T) {
 	var all strings.Builder
 	for _, replaced := range [][]string{
@@ -33,8 +48,8 @@
 		{`"deadline-s":1`, `"deadline-s":7`, `"memory_mb":192,"sockets":1024`, `"memory_mb":16,"sockets":50`},
 		{`"discovery":"127`, `"admin":"127.0.0.1:1","discovery":"127`, `"sockets":1024`, `"sockets":100`},
 	} {
-		c, err := load(t, strings.NewReplacer(replaced...).Replace(wholeFile), nil)
-		fmt.Fprintf(&all, "%q\n%v %v\n", replaced, c.Limits, err)
+		c, err := load(t, strings.NewReplacer(replaced...).Replace(completeFile), nil)
+		fmt.Fprintf(&all, "%q\n%s %v\n", replaced, inGoldenOrder(c.Limits), err)
 	}
 	checkGolden(t, "testdata/limits.golden", all.String())
 }
@@ -51,27 +66,44 @@
 		fmt.Fprintf(&all, "%q\n  error %s\n  mixed %s\n", label, show(err), show(c.ShapeConflict))
 	}
 	for _, replaced := range [][]string{
-		{`"listen":"127.0.0.4:6379"`, `"listen":7`}, {`"limits":{`, `"limits":[`}, {`"seed":"8c1f30d27a5be964"`, `"seed":""`},
-		{`"sockets":1024`, `"sockets":49`}, {`"memory_mb":192`, `"memory_mb":15`}, {`"rules":{},`, ``}, {`"send-cap":3`, `"send-cap":0`},
-		{`"send-cap":3,`, ``}, {`"discovery":"pushed"`, `"discovery":"odd"`}, {`"mode":"aside"`, `"mode":"x"`}, {`"origin-kind":1`, `"origin-kind":2`},
-		{`,"origin-kind":1`, ``}, {`"deadline-s":1`, `"deadline-s":0`}, {`"name":"get"`, `"name":""`}, {`"effect":"free"`, `"effect":"free","group":"odd"`},
-		{`"request-classes":`, `"classes":`}, {`"balancers":2`, `"balancers":"x"`}, {`"balancers":2`, `"balancers":2,"me":2`},
-		{`"balancers":2`, `"balancers":2,"me":-1`}, {`"balancers":2`, `"balancers":2,"me":"a"`}, {`"balancers":2`, `"balancers":2,"zone":"c","zones":["a","b"]`},
-		{`"balancers":2`, `"balancers":2,"fees":{"waste":-1}`}, {`"balancers":2`, `"balancers":2,"fees":{"cross-zone":-1}`},
-		{`"send-cap":3`, `"send-cap":3,"parallel-tries":true`}, {`"balancers":2`, `"balancers":2,"weights":"rough"`},
+		{`"listen":"127.0.0.4:6379"`, `"listen":7`},
+		{`"limits":{`, `"limits":[`},
+		{`"seed":"8c1f30d27a5be964"`, `"seed":""`},
+		{`"sockets":1024`, `"sockets":49`},
+		{`"memory_mb":192`, `"memory_mb":15`},
+		{`"rules":{},`, ``},
+		{`"send-cap":3`, `"send-cap":0`},
+		{`"send-cap":3,`, ``},
+		{`"discovery":"pushed"`, `"discovery":"odd"`},
+		{`"mode":"aside"`, `"mode":"x"`},
+		{`"origin-kind":1`, `"origin-kind":2`},
+		{`,"origin-kind":1`, ``},
+		{`"deadline-s":1`, `"deadline-s":0`},
+		{`"name":"get"`, `"name":""`},
+		{`"effect":"free"`, `"effect":"free","group":"odd"`},
+		{`"request-classes":`, `"classes":`},
+		{`"balancers":2`, `"balancers":"x"`},
+		{`"balancers":2`, `"balancers":2,"me":2`},
+		{`"balancers":2`, `"balancers":2,"me":-1`},
+		{`"balancers":2`, `"balancers":2,"me":"a"`},
+		{`"balancers":2`, `"balancers":2,"zone":"c","zones":["a","b"]`},
+		{`"balancers":2`, `"balancers":2,"fees":{"waste":-1}`},
+		{`"balancers":2`, `"balancers":2,"fees":{"cross-zone":-1}`},
+		{`"send-cap":3`, `"send-cap":3,"parallel-tries":true`},
+		{`"balancers":2`, `"balancers":2,"weights":"rough"`},
 		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":3,"parallel-tries":true`},
 		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":3,"parallel-tries":true,"cancel":true`},
 		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":2,"parallel-tries":true,"cancel":true`},
 		{`"balancers":2`, `"balancers":2,"weights":"rough"`, `"send-cap":3`, `"send-cap":4,"parallel-tries":true,"cancel":true`, `"mode":"aside"`, `"mode":"through"`},
 		{`"settings":`, `"settings":`},
 	} {
-		add(strings.NewReplacer(replaced...).Replace(wholeFile), nil, replaced)
+		add(strings.NewReplacer(replaced...).Replace(completeFile), nil, replaced)
 	}
 	for _, variables := range []map[string]string{
 		{"EDGE_LISTEN": "x"}, {"EDGE_ADMIN": "x"}, {"EDGE_DISCOVERY": "x"}, {"EDGE_ADMIN": "127.0.0.4:6379"},
 		{"EDGE_ADMIN": "127.0.0.1:1", "EDGE_LISTEN": "127.0.0.1:1"},
 	} {
-		add(wholeFile, variables, variables)
+		add(completeFile, variables, variables)
 	}
 	_, err := Load(func(string) string { return "/nowhere/config.json" })
 	fmt.Fprintln(&all, err)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -14,52 +14,65 @@
 
 // Limits are the sizes, counts and durations that the network code observes. They are computed once, at start.
 type Limits struct {
-	MemoryBytes         int64 // soft limit of the whole process
-	Descriptors         int   // connections and dials, without the reserve
-	MaxDescriptors      int   // the same, for clients that connect while no other connection can be closed
-	ReservedDescriptors int   // not part of the two above
-	ServerConnections   int   // of Descriptors: connections to servers, and dials
-	ClientConnections   int   // of Descriptors: beyond it, a client's connection is closed before an idle server's
-	ActiveClients       int   // of Descriptors: clients that have sent a request; beyond it, the longest quiet one is closed
-
-	AdminConnections int // apart from all of these
-
-	RESP                    resp.Bounds
-	Origin                  httpwire.Bounds
-	Discovery               httpwire.Bounds
-	ReadChunk               int            // bytes of one read by the loop
-	LargeValueWindow        int            // bytes of one large value in transit
-	ClientInput             int            // unread bytes of one client
-	ClientOutput            int            // unsent bytes of answers to one client
-	ExternalRequests        int            // requests from other goroutines that wait for the loop
-	PipelinedCommands       int            // commands of one client that wait for their answers
-	RequestBytes            int            // bytes of all requests in flight
-	ClientBufferBytes       int            // bytes buffered by the connections of all clients
-	ConnectTimeout          clock.Duration // of a connection to a server
-	ServerIdleTimeout       clock.Duration // an idle connection to a server is closed before the server does
-	ReuseDelay              clock.Duration // before a connection is used again, where servers have answered twice
-	DuplicateMemory         clock.Duration // how long a second answer counts for ReuseDelay
-	IdleSweepInterval       clock.Duration // between two searches for idle connections
+	// File descriptors; see setDescriptors.
+	Descriptors         int // connections and dials, without the reserve
+	MaxDescriptors      int // the same, for clients that connect while no other connection can be closed
+	ReservedDescriptors int // not part of the two above
+	ServerConnections   int // of Descriptors: connections to servers, and dials
+	ClientConnections   int // of Descriptors: beyond it, a client's connection is closed before an idle server's
+	ActiveClients       int // of Descriptors: clients that have sent a request; beyond it, the longest quiet one is closed
+	AdminConnections    int // apart from all of these
+
+	// Memory, in bytes; see setMemory.
+	MemoryBytes       int64 // soft limit of the process
+	RequestBytes      int   // of all requests in flight
+	ClientBufferBytes int   // buffered by the connections of all clients
+
+	// Sizes, in bytes, and queue lengths; see setSizes.
+	RESP              resp.Bounds
+	Origin            httpwire.Bounds
+	Discovery         httpwire.Bounds
+	ReadChunk         int // of one read by the loop
+	LargeValueWindow  int // of one large value in transit
+	ClientInput       int // unread input of one client
+	ClientOutput      int // unsent answers to one client
+	ExternalRequests  int // requests from other goroutines that wait for the loop
+	PipelinedCommands int // commands of one client that wait for their answers
+
+	// Clients; see setClientTimeouts.
 	QuietClientAge          clock.Duration // a client that was quiet for so long may be closed for another one
 	SilentClientTimeout     clock.Duration // of a client that has no open request and sends nothing
 	PartialCommandTimeout   clock.Duration // of a client that has sent a part of a command
-	LargeValueStallTimeout  clock.Duration // of a server that sends nothing more of a large value
-	ClientGoneCheckInterval clock.Duration // between two looks whether the client of a large value has gone
-	LargeValueRetryInterval clock.Duration // until a large value that waits is tried again
 	LargeValueUnreadTimeout clock.Duration // of a client that reads nothing more of a large value
-	TakeoverListTimeout     clock.Duration // how long a successor waits for an endpoint list
-	ClientNetworkMargin     clock.Duration // subtracted from a client's deadline, for the network between
-	WatchTimeout            clock.Duration // a watch of discovery, as asked for
-	WatchGrace              clock.Duration // how much later than WatchTimeout its answer may come; also for connecting
-	ListTimeout             clock.Duration // of a list request to discovery
-	DiscoveryRetryDelay     clock.Duration // after a failed request to discovery
 	ClientWriteTimeout      clock.Duration // of a client that does not read its answers
-	ShutdownTimeout         clock.Duration // from SIGTERM to the end
-	DrainAcceptPeriod       clock.Duration // how long a draining router still accepts connections
-	MetricsInterval         clock.Duration // between two updates of the metrics, while there is traffic
-	LoopLagThreshold        clock.Duration // between two batches, from which the loop is late
-	StallThreshold          clock.Duration // between two batches, from which the process or its machine stood still
-	AdminCallTimeout        clock.Duration // how long a call to the admin endpoint may wait for the loop
+	ClientGoneCheckInterval clock.Duration // between two looks whether the client of a large value has gone
+	ClientNetworkMargin     clock.Duration // subtracted from a client's deadline, for the network between
+
+	// Start and end of the process; see setLifecycleTimeouts.
+	TakeoverListTimeout clock.Duration // how long a successor waits for an endpoint list
+	DrainAcceptPeriod   clock.Duration // how long a draining router still accepts connections
+	ShutdownTimeout     clock.Duration // from SIGTERM to the end
+
+	// Cache servers and the origin; see setServerTimeouts.
+	ConnectTimeout          clock.Duration
+	ServerIdleTimeout       clock.Duration // an idle connection is closed before the server closes it
+	IdleSweepInterval       clock.Duration // between two searches for idle connections
+	ReuseDelay              clock.Duration // before a connection is used again, where servers have answered twice
+	DuplicateMemory         clock.Duration // how long a second answer counts for ReuseDelay
+	LargeValueStallTimeout  clock.Duration // of a server that sends nothing more of a large value
+	LargeValueRetryInterval clock.Duration // until a large value that waits is tried again
+
+	// Discovery; see setDiscoveryTimeouts.
+	WatchTimeout        clock.Duration // the length of a watch that the router requests
+	WatchGrace          clock.Duration // how much later than WatchTimeout its answer may come; also for connecting
+	ListTimeout         clock.Duration // of a request for the full list
+	DiscoveryRetryDelay clock.Duration // after a failed request
+
+	// The event loop; see setLoopIntervals.
+	MetricsInterval  clock.Duration // between two updates of the metrics, while there is traffic
+	LoopLagThreshold clock.Duration // between two batches, from which the loop is late
+	StallThreshold   clock.Duration // between two batches, from which the process or its machine stood still
+	AdminCallTimeout clock.Duration // how long a call to the admin endpoint may wait for the loop
 }
 
 const (
@@ -86,9 +99,6 @@
 	maxAdminConnections = 32
 )
 
-// maxValueBytes is the longest value of a cache server.
-const maxValueBytes = 4 * mebibyte
-
 // newLimits computes the limits from those of the file.
 func newLimits(given limitsObject, adminEnabled bool, s routing.Settings) (Limits, error) {
 	if err := checkLimits(given); err != nil {
@@ -99,6 +109,7 @@
 	l.setMemory(given.Memory)
 	l.setSizes()
 	l.setClientTimeouts(s)
+	l.setLifecycleTimeouts(s)
 	l.setServerTimeouts(s)
 	l.setDiscoveryTimeouts(s.PollEndpoints)
 	l.setLoopIntervals()
@@ -117,59 +128,113 @@
 	return nil
 }
 
-// setDescriptors divides the process's file descriptors. Servers get half of those for connections. Clients that have sent
-// a request get a quarter, and clients together a third, so that new clients find some free.
+// Shares of the descriptors, as divisors. Servers get half of those for connections. Clients get a third of all, the
+// reserve included, and those that have sent a request a quarter, so that new clients find some free.
+const (
+	adminDivisor            = 12
+	serverConnectionDivisor = 2
+	clientConnectionDivisor = 3
+	activeClientDivisor     = 4
+)
+
 func (l *Limits) setDescriptors(sockets int, adminEnabled bool) {
 	if adminEnabled {
-		l.AdminConnections = min(maxAdminConnections, sockets/12)
+		l.AdminConnections = min(maxAdminConnections, sockets/adminDivisor)
 		sockets -= l.AdminConnections + adminFiles
 	}
 	l.Descriptors = sockets - reservedDescriptors
 	l.MaxDescriptors = sockets - openDescriptors
 	l.ReservedDescriptors = openDescriptors + l.AdminConnections
-	l.ServerConnections = (sockets - reservedDescriptors) / 2
-	l.ClientConnections = sockets / 3
-	l.ActiveClients = sockets / 4
+	l.ServerConnections = l.Descriptors / serverConnectionDivisor
+	l.ClientConnections = sockets / clientConnectionDivisor
+	l.ActiveClients = sockets / activeClientDivisor
 }
 
-// setMemory leaves three tenths to memory that the garbage collector does not count.
+// Shares of the memory. Three tenths are left to what the garbage collector does not count.
+const (
+	heapTenths          = 7
+	requestDivisor      = 8
+	clientBufferDivisor = 4
+)
+
 func (l *Limits) setMemory(mebibytes int) {
-	l.MemoryBytes = int64(mebibytes) * mebibyte * 7 / 10
-	l.RequestBytes = mebibytes * mebibyte / 8
-	l.ClientBufferBytes = mebibytes * mebibyte / 4
+	l.MemoryBytes = int64(mebibytes) * mebibyte * heapTenths / 10
+	l.RequestBytes = mebibytes * mebibyte / requestDivisor
+	l.ClientBufferBytes = mebibytes * mebibyte / clientBufferDivisor
 }
 
+const (
+	maxValueBytes         = 4 * mebibyte // the longest value of a cache server
+	maxSmallValueBytes    = 64 * kibibyte
+	maxHeadBytes          = 16 * kibibyte
+	maxEndpointListBytes  = 4 * mebibyte // a list of thousands
+	maxCommandLineBytes   = 4 * kibibyte
+	maxCommandArguments   = 16
+	readChunkBytes        = 64 * kibibyte
+	largeValueWindowBytes = 32 * kibibyte
+	clientInputBytes      = 256 * kibibyte
+	clientOutputBytes     = mebibyte
+	maxExternalRequests   = 4096
+	maxPipelinedCommands  = 256
+)
+
 func (l *Limits) setSizes() {
-	l.RESP = resp.Bounds{Bulk: 64 * kibibyte, Long: maxValueBytes, Line: 4 * kibibyte, Args: 16}
-	l.Origin = httpwire.Bounds{Head: 16 * kibibyte, Body: 64 * kibibyte, Long: maxValueBytes}
-	l.Discovery = httpwire.Bounds{Head: 16 * kibibyte, Body: 4 * mebibyte} // a list of thousands
-	l.ReadChunk = 64 * kibibyte
-	l.LargeValueWindow = 32 * kibibyte
-	l.ClientInput = 256 * kibibyte
-	l.ClientOutput = mebibyte
-	l.ExternalRequests = 4096
-	l.PipelinedCommands = 256
+	l.RESP = resp.Bounds{Bulk: maxSmallValueBytes, Long: maxValueBytes, Line: maxCommandLineBytes, Args: maxCommandArguments}
+	l.Origin = httpwire.Bounds{Head: maxHeadBytes, Body: maxSmallValueBytes, Long: maxValueBytes}
+	l.Discovery = httpwire.Bounds{Head: maxHeadBytes, Body: maxEndpointListBytes}
+	l.ReadChunk = readChunkBytes
+	l.LargeValueWindow = largeValueWindowBytes
+	l.ClientInput = clientInputBytes
+	l.ClientOutput = clientOutputBytes
+	l.ExternalRequests = maxExternalRequests
+	l.PipelinedCommands = maxPipelinedCommands
 }
 
+const (
+	quietClientAge          = 50 * clock.Millisecond // a connection's first request arrives earlier than this
+	silentClientTimeout     = 2 * clock.Second
+	partialCommandTimeout   = 2500 * clock.Millisecond
+	largeValueUnreadTimeout = 10 * clock.Second
+	minClientWriteTimeout   = 3 * clock.Second
+	// clientGoneCheckInterval lets a large value's attempt end within 100 ms of its client's going.
+	clientGoneCheckInterval = 25 * clock.Millisecond
+	clientNetworkMargin     = 3 * clock.Millisecond
+)
+
 func (l *Limits) setClientTimeouts(s routing.Settings) {
-	longest := settings.LongestDeadline(s)
-	l.QuietClientAge = 50 * clock.Millisecond // a client's first request arrives well before
-	l.SilentClientTimeout = 2 * clock.Second
-	l.PartialCommandTimeout = 2500 * clock.Millisecond
-	l.LargeValueUnreadTimeout = 10 * clock.Second
-	l.ClientGoneCheckInterval = 25 * clock.Millisecond // no attempt begins 0.1 s after its client has gone
-	l.ClientNetworkMargin = 3 * clock.Millisecond
-	l.ClientWriteTimeout = max(3*clock.Second, longest)
-	l.TakeoverListTimeout = 2 * clock.Second
-	l.DrainAcceptPeriod = 500 * clock.Millisecond
-	// SIGKILL follows SIGTERM after the longest deadline and 0.7 s, or after 3.7 s.
-	l.ShutdownTimeout = min(3*clock.Second, longest) + 500*clock.Millisecond
+	l.QuietClientAge = quietClientAge
+	l.SilentClientTimeout = silentClientTimeout
+	l.PartialCommandTimeout = partialCommandTimeout
+	l.LargeValueUnreadTimeout = largeValueUnreadTimeout
+	l.ClientWriteTimeout = max(minClientWriteTimeout, settings.LongestDeadline(s))
+	l.ClientGoneCheckInterval = clientGoneCheckInterval
+	l.ClientNetworkMargin = clientNetworkMargin
 }
 
-// Defaults of settings that leave a timeout out.
 const (
-	defaultConnectTimeout    = 250 * clock.Millisecond
-	defaultServerIdleTimeout = 15 * clock.Second
+	takeoverListTimeout = 2 * clock.Second
+	drainAcceptPeriod   = 500 * clock.Millisecond
+	// The process ends so long after the longest deadline, or after maxShutdownDeadline. SIGKILL comes 0.2 s later at the
+	// earliest.
+	shutdownMargin      = 500 * clock.Millisecond
+	maxShutdownDeadline = 3 * clock.Second
+)
+
+func (l *Limits) setLifecycleTimeouts(s routing.Settings) {
+	l.TakeoverListTimeout = takeoverListTimeout
+	l.DrainAcceptPeriod = drainAcceptPeriod
+	l.ShutdownTimeout = min(maxShutdownDeadline, settings.LongestDeadline(s)) + shutdownMargin
+}
+
+const (
+	defaultConnectTimeout     = 250 * clock.Millisecond // where the settings have none
+	defaultServerIdleTimeout  = 15 * clock.Second       // where the settings have none
+	maxIdleSweepInterval      = 250 * clock.Millisecond
+	idleSweepsPerTimeout      = 20
+	reuseDelay                = 50 * clock.Millisecond // second answers come some milliseconds late
+	duplicateMemory           = 30 * clock.Second
+	minLargeValueStallTimeout = 3 * clock.Second
+	largeValueRetryInterval   = 5 * clock.Millisecond
 )
 
 func (l *Limits) setServerTimeouts(s routing.Settings) {
@@ -181,32 +246,49 @@
 	if l.ServerIdleTimeout <= 0 {
 		l.ServerIdleTimeout = defaultServerIdleTimeout
 	}
-	l.IdleSweepInterval = min(250*clock.Millisecond, l.ServerIdleTimeout/20)
-	l.ReuseDelay = 50 * clock.Millisecond // second answers come some milliseconds late
-	l.DuplicateMemory = 30 * clock.Second
-	l.LargeValueStallTimeout = max(3*clock.Second, settings.LongestDeadline(s))
-	l.LargeValueRetryInterval = 5 * clock.Millisecond
+	l.IdleSweepInterval = min(maxIdleSweepInterval, l.ServerIdleTimeout/idleSweepsPerTimeout)
+	l.ReuseDelay = reuseDelay
+	l.DuplicateMemory = duplicateMemory
+	l.LargeValueStallTimeout = max(minLargeValueStallTimeout, settings.LongestDeadline(s))
+	l.LargeValueRetryInterval = largeValueRetryInterval
 }
 
-// setDiscoveryTimeouts sets the timeouts for the two kinds of discovery: an agent on the machine that answers at once, or
-// one service that all routers poll, where requests queue for up to two seconds. Either way a silent watch is given up
-// at least a second before the endpoint list counts as stale.
+// Discovery is an agent on the machine that pushes changes and answers at once, or one service that all routers poll,
+// where requests queue for up to two seconds. Either way a silent watch is given up at least a second before the endpoint
+// list counts as stale.
+const (
+	watchTimeoutPushed  = 4 * clock.Second
+	watchGracePushed    = 500 * clock.Millisecond
+	listTimeoutPushed   = 500 * clock.Millisecond
+	watchTimeoutPolled  = 20 * clock.Second
+	watchGracePolled    = clock.Second
+	listTimeoutPolled   = 2 * clock.Second
+	discoveryRetryDelay = 100 * clock.Millisecond
+)
+
 func (l *Limits) setDiscoveryTimeouts(polled bool) {
-	l.DiscoveryRetryDelay = 100 * clock.Millisecond // a watch begins anew within 200 ms
+	l.DiscoveryRetryDelay = discoveryRetryDelay
 	if polled {
-		l.WatchTimeout = 20 * clock.Second
-		l.WatchGrace = clock.Second
-		l.ListTimeout = 2 * clock.Second
+		l.WatchTimeout = watchTimeoutPolled
+		l.WatchGrace = watchGracePolled
+		l.ListTimeout = listTimeoutPolled
 		return
 	}
-	l.WatchTimeout = 4 * clock.Second
-	l.WatchGrace = 500 * clock.Millisecond
-	l.ListTimeout = 500 * clock.Millisecond
+	l.WatchTimeout = watchTimeoutPushed
+	l.WatchGrace = watchGracePushed
+	l.ListTimeout = listTimeoutPushed
 }
 
+const (
+	metricsInterval  = 20 * clock.Millisecond
+	loopLagThreshold = 80 * clock.Millisecond
+	stallThreshold   = 250 * clock.Millisecond
+	adminCallTimeout = 800 * clock.Millisecond // callers give up after a second
+)
+
 func (l *Limits) setLoopIntervals() {
-	l.MetricsInterval = 20 * clock.Millisecond // the loop runs at least every second interval
-	l.LoopLagThreshold = 80 * clock.Millisecond
-	l.StallThreshold = 250 * clock.Millisecond
-	l.AdminCallTimeout = 800 * clock.Millisecond // callers wait a second
+	l.MetricsInterval = metricsInterval
+	l.LoopLagThreshold = loopLagThreshold
+	l.StallThreshold = stallThreshold
+	l.AdminCallTimeout = adminCallTimeout
 }
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -10,35 +10,61 @@
 	"spurtrestle/internal/configerror"
 )
 
-// settingsSection is the field of the file that the faults below are in.
+// settingsSection is the section that errors about the settings object name.
 const settingsSection = "settings"
 
 // minAttemptsWithHedging is an attempt at a cache, a hedge, and one retry.
 const minAttemptsWithHedging = 3
 
-// shapeConflict returns an error for settings that mix the two shapes of a deployment: a pool of routers in front of many
-// clients, or a router in each client process. policy-limits.parallel-tries tells them apart. A mix mostly comes from a
-// file moved from one shape to the other by half. Some deployments mean it, so that a start only warns; the check command
-// rejects it.
+// conflict is a pair of settings that belong to different shapes of a deployment.
+type conflict struct {
+	found   bool
+	field   string
+	problem string
+	remedy  string
+}
+
+// shapeConflict returns an error for settings that mix the two shapes of a deployment: a shared proxy tier in front of
+// many clients, and a sidecar, a router in each client process. policy-limits.parallel-tries distinguishes them. A mix
+// mostly comes from a file that was moved from one shape to the other by half. Some deployments mean it, so that a start
+// only warns; the check command rejects it.
 func shapeConflict(s routing.Settings) error {
-	const perClient = "policy-limits.parallel-tries is true, as where each client process has a router of its own"
-	for _, conflict := range []struct {
-		found                  bool
-		field, problem, remedy string
-	}{
-		{s.HedgingAllowed && !s.WeightsAreCapacity, "weights",
-			"lists that tell no sizes, though " + perClient, "say nominal or rough"},
-		{!s.HedgingAllowed && s.WeightsAreCapacity, "weights",
-			"lists that tell sizes, as of routers in client processes, though policy-limits.parallel-tries is not true", "say silent, or set both"},
-		{s.HedgingAllowed && !s.CancelAllowed, "policy-limits.cancel",
-			"attempts cannot be called off, though " + perClient, "say true"},
-		{s.HedgingAllowed && !s.CacheAside, "domain.mode",
-			"the servers ask the origin themselves, though " + perClient, "say aside, or set parallel-tries to false"},
-		{s.HedgingAllowed && s.MaxAttempts < minAttemptsWithHedging, "policy-limits.send-cap",
-			"a cache, a copy and one more attempt do not fit, though " + perClient, "say 3 at least"},
+	const sidecarReason = "policy-limits.parallel-tries is true, as where each client process has a router of its own"
+	sidecar := s.HedgingAllowed
+	for _, c := range []conflict{
+		{
+			found:   sidecar && !s.WeightsAreCapacity,
+			field:   "weights",
+			problem: "lists that tell no sizes, though " + sidecarReason,
+			remedy:  "say nominal or rough",
+		},
+		{
+			found:   !sidecar && s.WeightsAreCapacity,
+			field:   "weights",
+			problem: "lists that tell sizes, as of routers in client processes, though policy-limits.parallel-tries is not true",
+			remedy:  "say silent, or set both",
+		},
+		{
+			found:   sidecar && !s.CancelAllowed,
+			field:   "policy-limits.cancel",
+			problem: "attempts cannot be called off, though " + sidecarReason,
+			remedy:  "say true",
+		},
+		{
+			found:   sidecar && !s.CacheAside,
+			field:   "domain.mode",
+			problem: "the servers ask the origin themselves, though " + sidecarReason,
+			remedy:  "say aside, or set parallel-tries to false",
+		},
+		{
+			found:   sidecar && s.MaxAttempts < minAttemptsWithHedging,
+			field:   "policy-limits.send-cap",
+			problem: "a cache, a copy and one more attempt do not fit, though " + sidecarReason,
+			remedy:  "say 3 at least",
+		},
 	} {
-		if conflict.found {
-			return &configerror.Error{Section: settingsSection, Field: conflict.field, Problem: conflict.problem, Remedy: conflict.remedy}
+		if c.found {
+			return &configerror.Error{Section: settingsSection, Field: c.field, Problem: c.problem, Remedy: c.remedy}
 		}
 	}
 	return nil
@@ -68,7 +94,8 @@
 	Zones   []string `json:"zones"`
 }
 
-// setPlace reads the router's place, and rejects one that does not exist: the file is meant for another router.
+// setPlace reads the router's slot and site. It rejects a slot or site outside the fleet, which means that the file is
+// another router's.
 func (c *Config) setPlace(object json.RawMessage) error {
 	var place placeDocument
 	if err := json.Unmarshal(object, &place); err != nil {
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -19,7 +19,7 @@
 	Line        int    // from 1
 	Section     string // the object that Field stands in, where that is not part of its name
 	Field       string // as the file names it, or the name of an environment variable
-	Value       string // as the text shows it, quoted if need be
+	Value       string // as the text shows it: strings by strconv.Quote, numbers and addresses plain
 	Problem     string // what is wrong with the value, or with the field
 	Remedy      string // what an operator can do
 	Environment bool   // Field is an environment variable: InFile does not blame the file
@@ -81,6 +81,7 @@
 		return nil
 	}
 	var located *Error
+	// An Error that another one wraps or joins is not taken out of it: the outer text would be lost.
 	if errors.As(err, &located) && located.Error() == err.Error() {
 		located := *located
 		return &located
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -357,7 +357,7 @@
 		"../../gossip/shares.go":                {fmt.Sprintf(`maxQueuedLeaseReplies = %d\b`, mostAnswers)},
 		"../../gossip/memberlist.go":            {fmt.Sprintf(`handoffQueueDepth = %d\b`, handoffQueue), `HandoffQueueDepth = handoffQueueDepth\b`, `gossipsPerProbe += 5\b`},
 		"../../gossip/tick.go":                  {fmt.Sprintf(`maxTickInterval += %d \* time\.Millisecond`, int(peersStep*1e3)), `return min\(n\.gossipInterval\(\), maxTickInterval\)`},
-		"../../config/limits.go":                {fmt.Sprintf(`if polled \{\s+l\.WatchTimeout = %d \* clock\.Second\n`, int(watchWait)), fmt.Sprintf(`return\s+\}\s+l\.WatchTimeout = %d \* clock\.Second\n`, int(watchWaitPush))},
+		"../../config/limits.go":                {fmt.Sprintf(`watchTimeoutPolled += %d \* clock\.Second\n`, int(watchWait)), fmt.Sprintf(`watchTimeoutPushed += %d \* clock\.Second\n`, int(watchWaitPush)), `if polled \{\s+l\.WatchTimeout = watchTimeoutPolled\n`, `return\s+\}\s+l\.WatchTimeout = watchTimeoutPushed\n`},
 		"../../../docs/operating.md":            {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
 		"../../../internal/controlplane/log.go": {`l\.decided\.Clone\(\)`},
 	} {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -9,7 +9,7 @@
 
 // Golden files were written by build bfb4b5c, never by a later one.
 
-const wholeSettings = `{"balancers":3,"discovery":"on_request","weights":"rough","resolution-s":0.001,"flavors":["std","origin"],
+const completeSettings = `{"balancers":3,"discovery":"on_request","weights":"rough","resolution-s":0.001,"flavors":["std","origin"],
 "over-share-worth":0.4,"fees":{"connection":0.1,"handshake":0.2,"waste":0.3,"cross-zone":0.5},"goal":{"worst-class":0.6},
 "domain":{"mode":"aside","origin-kind":1,"origin-fall-multiple":1.5,"origin-fall-s":2},
 "load-report":{"fields":["avg_ms","cpu","x0","odd"],"how":"pull"},
@@ -24,14 +24,32 @@
 	const golden = "testdata/parse.golden"
 	var all strings.Builder
 	for _, replaced := range [][]string{
-		{}, {`"rough"`, `"silent"`}, {`"on_request"`, `"pushed"`}, {`"pull"`, `"push"`}, {`"retry-after":true`, `"retry-after":false`},
-		{`"mode":"aside"`, `"mode":"through"`}, {`"origin-kind":1`, `"origin-kind":-1`}, {`"origin-kind":1`, `"origin-kind":2`},
-		{`"mode":"aside","origin-kind":1,`, `"mode":"through",`}, {`"origin-kind":1,`, ``}, {`"balancers":3`, `"balancers":0`},
-		{`"balancers":3,`, ``}, {`"send-cap":4`, `"send-cap":0`}, {`"rules"`, `"regeln"`}, {`"rough"`, `"odd"`}, {`"request-classes"`, `"classes"`},
-		{`"name":"put"`, `"name":""`}, {`"effect":"guarded"`, `"effect":"odd"`}, {`"group":"cell"`, `"group":"odd"`}, {`"deadline-s":2`, `"deadline-s":-2`},
-		{`"discovery":"on_request"`, `"discovery":""`}, {`"mode":"aside"`, `"mode":""`}, {`"balancers":3`, `"balancers":[]`}, {`"share":0.5`, `"share":"x"`},
+		{},
+		{`"rough"`, `"silent"`},
+		{`"on_request"`, `"pushed"`},
+		{`"pull"`, `"push"`},
+		{`"retry-after":true`, `"retry-after":false`},
+		{`"mode":"aside"`, `"mode":"through"`},
+		{`"origin-kind":1`, `"origin-kind":-1`},
+		{`"origin-kind":1`, `"origin-kind":2`},
+		{`"mode":"aside","origin-kind":1,`, `"mode":"through",`},
+		{`"origin-kind":1,`, ``},
+		{`"balancers":3`, `"balancers":0`},
+		{`"balancers":3,`, ``},
+		{`"send-cap":4`, `"send-cap":0`},
+		{`"rules"`, `"regeln"`},
+		{`"rough"`, `"odd"`},
+		{`"request-classes"`, `"classes"`},
+		{`"name":"put"`, `"name":""`},
+		{`"effect":"guarded"`, `"effect":"odd"`},
+		{`"group":"cell"`, `"group":"odd"`},
+		{`"deadline-s":2`, `"deadline-s":-2`},
+		{`"discovery":"on_request"`, `"discovery":""`},
+		{`"mode":"aside"`, `"mode":""`},
+		{`"balancers":3`, `"balancers":[]`},
+		{`"share":0.5`, `"share":"x"`},
 	} {
-		s, err := Parse([]byte(strings.NewReplacer(replaced...).Replace(wholeSettings)))
+		s, err := Parse([]byte(strings.NewReplacer(replaced...).Replace(completeSettings)))
 		fmt.Fprintf(&all, "%q\n%v\n%v\n", replaced, s, err)
 	}
 	want, err := os.ReadFile(golden)
