--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -42,7 +42,7 @@
 
 func (policyRouter) StatusJSON() (string, error) { return `{"routers":[]}`, nil }
 func (policyRouter) Policy() (string, error)     { return `{"revision":3}`, nil }
-func (policyRouter) Ask(request string) (string, error) {
+func (policyRouter) HandleRequest(request string) (string, error) {
 	if len(request) > 1000 {
 		return fmt.Sprint(len(request), "\n"), nil
 	}
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -19,8 +19,8 @@
 type Policy interface {
 	// Policy returns the policy in force here as JSON.
 	Policy() (string, error)
-	// Ask passes a request on to the voters and returns their reply.
-	Ask(request string) (string, error)
+	// HandleRequest passes a request on to the voters and returns their reply.
+	HandleRequest(request string) (string, error)
 }
 
 // Errors of requests that the router cannot answer.
@@ -130,7 +130,7 @@
 	}
 	r.maxBodyBytes = maxPolicyRequestBytes
 	r.timeout = policyRequestTimeout
-	r.reply = policy.Ask
+	r.reply = policy.HandleRequest
 	return r
 }
 
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -67,8 +67,8 @@
 	return status
 }
 
-// Ask sends an operator's request, a policycommit.Request as JSON, to the leader, and returns its policycommit.Reply as JSON.
-func (n *Node) Ask(text string) (string, error) {
+// HandleRequest sends an operator's request, a policycommit.Request as JSON, to the leader, and returns its policycommit.Reply as JSON.
+func (n *Node) HandleRequest(text string) (string, error) {
 	var request policycommit.Request
 	if err := json.Unmarshal([]byte(text), &request); err != nil {
 		return "", fmt.Errorf("what is asked cannot be read: %w", err)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,8 +69,8 @@
 
 // Policy is a router's side of the fleet's policy.
 type Policy interface {
-	Policy() (string, error)            // the policy in force, as JSON
-	Ask(request string) (string, error) // passes an operator's request to the voters
+	Policy() (string, error)                      // the policy in force, as JSON
+	HandleRequest(request string) (string, error) // passes an operator's request to the voters
 	// Close ends it. With handedOver, a successor has taken over with what this process left it.
 	Close(handedOver bool)
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -80,8 +80,8 @@
 // Policy returns the policy in force as JSON.
 func (r policyRouter) Policy() (string, error) { return r.policy.Policy() }
 
-// Ask passes an operator's request on to the voters.
-func (r policyRouter) Ask(request string) (string, error) { return r.policy.Ask(request) }
+// HandleRequest passes an operator's request on to the voters.
+func (r policyRouter) HandleRequest(request string) (string, error) { return r.policy.HandleRequest(request) }
 
 // The admin endpoint finds these interfaces by type assertion.
 var (
