--- /dev/null
+++ b/internal/controlplane/node_test.go
@@ -0,0 +1,308 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"errors"
+	"net/netip"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"spurtrestle/core/policycommit"
+	"spurtrestle/core/routing"
+	"spurtrestle/internal/fleet"
+)
+
+// loopbackTransport is the transport of a fleet of one router: it delivers every message to its own node.
+type loopbackTransport struct {
+	mu       sync.Mutex
+	handler  func(from fleet.Incarnation, body []byte)
+	isLeader bool
+	voter    fleet.VoterStatus
+	revision uint64
+}
+
+const ownIncarnation fleet.Incarnation = 7
+
+func (l *loopbackTransport) Self() fleet.Incarnation { return ownIncarnation }
+
+func (l *loopbackTransport) Send(to fleet.Incarnation, body []byte) {
+	l.mu.Lock()
+	handler := l.handler
+	l.mu.Unlock()
+	go handler(to, body) // as a network does: never on the sender's goroutine
+}
+
+func (l *loopbackTransport) OnMessage(handler func(from fleet.Incarnation, body []byte)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.handler = handler
+}
+
+func (l *loopbackTransport) Leaders() []fleet.Incarnation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.isLeader {
+		return nil
+	}
+	return []fleet.Incarnation{ownIncarnation}
+}
+
+func (l *loopbackTransport) SetLeader(isLeader bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.isLeader = isLeader
+}
+
+func (l *loopbackTransport) SetPolicyRevision(revision uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.revision = revision
+}
+
+func (l *loopbackTransport) SetVoter(status fleet.VoterStatus) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.voter = status
+}
+
+func (l *loopbackTransport) Voters() []fleet.VoterStatus {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return []fleet.VoterStatus{l.voter}
+}
+
+func (l *loopbackTransport) HasJoined() bool                 { return true }
+func (l *loopbackTransport) AcknowledgedIndex(uint64) uint64 { return 0 }
+func (l *loopbackTransport) Members() []fleet.Member         { return []fleet.Member{{Name: "n1"}} }
+
+// recordingRouter records what a node sets.
+type recordingRouter struct {
+	mu            sync.Mutex
+	deadline      time.Time
+	settings      routing.Settings
+	bannedServers []string
+	busy          int // this many calls of SetPolicy fail first
+}
+
+func (r *recordingRouter) SetPolicy(settings routing.Settings, bannedServers []string) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.busy > 0 {
+		r.busy--
+		return errors.New("the event loop is busy")
+	}
+	r.settings, r.bannedServers = settings, bannedServers
+	return nil
+}
+
+func (r *recordingRouter) SetAdmissionDeadline(deadline time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.deadline = deadline
+}
+
+func (r *recordingRouter) admits() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.deadline.IsZero() || r.deadline.After(time.Now())
+}
+
+func (r *recordingRouter) SetExtraShare(float64, time.Time) {}
+func (r *recordingRouter) OfferTransfer(func() []byte)      {}
+func (r *recordingRouter) OnTransfer(func(transfer []byte)) {}
+func (r *recordingRouter) SetSiteOrders(routing.FailoverOrders, time.Time) (routing.RouterLoad, error) {
+	return routing.RouterLoad{}, nil
+}
+
+func testConfig(t *testing.T) Config {
+	t.Helper()
+	return Config{
+		Name:   "n1",
+		Voters: []string{"n1"},
+		Raft: RaftConfig{
+			Dir:       filepath.Join(t.TempDir(), "raft"),
+			Listen:    netip.MustParseAddrPort("127.0.0.1:0"),
+			Advertise: netip.MustParseAddrPort("127.0.0.1:8500"),
+		},
+		OwnSettings: routing.Settings{Routers: 1, MaxAttempts: 2},
+		ConfigError: func(field, what, remedy string) error { return errors.New(field + ": " + what + "; " + remedy) },
+	}
+}
+
+func quietLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetLevel(logrus.PanicLevel)
+	return log
+}
+
+// startNode starts the node of a fleet of one router.
+func startNode(t *testing.T, config Config, router Router) *Node {
+	t.Helper()
+	node, err := start(config, ownIncarnation, "build", router, &loopbackTransport{}, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { node.Close(false) })
+	return node
+}
+
+func waitFor(t *testing.T, event string, happened func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !happened(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not in ten seconds: %s", event)
+		}
+	}
+}
+
+// ask sends a request and decodes the reply.
+func ask(t *testing.T, node *Node, request policycommit.Request) policycommit.Reply {
+	t.Helper()
+	text, err := json.Marshal(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	answer, err := node.Ask(string(text))
+	if err != nil {
+		t.Fatalf("request %s: %v", request.Type, err)
+	}
+	return *decode[policycommit.Reply](t, answer)
+}
+
+func bootstrapNode(t *testing.T, node *Node, router *recordingRouter) {
+	t.Helper()
+	answer, err := node.Ask(`{"what":"found"}`)
+	if err != nil || answer != "founded\n" {
+		t.Fatalf("bootstrap: got %q, %v", answer, err)
+	}
+	waitFor(t, "the router admits requests under revision 0", router.admits)
+}
+
+func TestNode_AdmitsNothingBeforeTheFirstLease(t *testing.T) {
+	router := &recordingRouter{}
+	node := startNode(t, testConfig(t), router)
+	time.Sleep(5 * followerInterval)
+	if router.admits() {
+		t.Error("the router admits requests before its voter was bootstrapped")
+	}
+	status := decode[policycommit.RouterStatus](t, policyText(t, node))
+	if status.HasRevision || status.Admitting || status.VoterFault != "it has not been welcomed yet" {
+		t.Errorf("status: got %+v", status)
+	}
+	bootstrapNode(t, node, router)
+}
+
+func policyText(t *testing.T, node *Node) string {
+	t.Helper()
+	text, err := node.Policy()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestNode_CommitsAndAppliesAChange(t *testing.T) {
+	router := &recordingRouter{busy: 2}
+	node := startNode(t, testConfig(t), router)
+	bootstrapNode(t, node, router)
+
+	apply := policycommit.Request{
+		Type:     policycommit.RequestApply,
+		Document: "schema = 1\nmax_write_outs = 5\nout = [\"s1\"]\n",
+		Token:    "t1",
+		Author:   "ada",
+		Reason:   "test",
+	}
+	reply := ask(t, node, apply)
+	if reply.Verdict == nil || !reply.Verdict.Committed || reply.Verdict.Revision != 1 {
+		t.Fatalf("verdict: got %+v, want revision 1 committed", reply.Verdict)
+	}
+	waitFor(t, "revision 1 is in force and the router admits requests", func() bool {
+		return decode[policycommit.RouterStatus](t, policyText(t, node)).InForce == 1 && router.admits()
+	})
+	router.mu.Lock()
+	if router.settings.MaxAttempts != 5 || len(router.bannedServers) != 1 || router.bannedServers[0] != "s1" {
+		t.Errorf("router: got %d attempts, banned %q", router.settings.MaxAttempts, router.bannedServers)
+	}
+	router.mu.Unlock()
+
+	if again := ask(t, node, apply); again.Verdict == nil || *again.Verdict != *reply.Verdict {
+		t.Errorf("repeated request: got %+v, want %+v", again.Verdict, reply.Verdict)
+	}
+	apply.Token = "t2"
+	if stale := ask(t, node, apply); stale.Verdict == nil || stale.Verdict.Committed || !strings.Contains(stale.Verdict.Reason, "made for revision 0, and 1 is in force") {
+		t.Errorf("change of an old revision: got %+v", stale.Verdict)
+	}
+}
+
+func TestNode_RepliesToRequests(t *testing.T) {
+	router := &recordingRouter{}
+	node := startNode(t, testConfig(t), router)
+	bootstrapNode(t, node, router)
+
+	status := ask(t, node, policycommit.Request{Type: policycommit.RequestStatus})
+	if len(status.Followers) != 1 || status.Followers[0].Name != "n1" || len(status.Voters) != 1 {
+		t.Errorf("status: got followers %+v, voters %q", status.Followers, status.Voters)
+	}
+	dead := ask(t, node, policycommit.Request{Type: policycommit.RequestMarkDead, Name: "n9", Author: "ada", Reason: "burnt"})
+	if dead.Error != "" {
+		t.Errorf("mark dead: got error %q", dead.Error)
+	}
+	history := ask(t, node, policycommit.Request{Type: policycommit.RequestHistory})
+	if len(history.DeathReports) != 1 || history.DeathReports[0].Name != "n9" {
+		t.Errorf("history: got death reports %+v, want one of n9", history.DeathReports)
+	}
+	removed := ask(t, node, policycommit.Request{Type: policycommit.RequestReplaceVoter, Name: "n9"})
+	if removed.Error != `"n9" is no keeper` {
+		t.Errorf("remove an unknown voter: got error %q", removed.Error)
+	}
+	unknown := ask(t, node, policycommit.Request{Type: "dance"})
+	if want := (&UnknownRequestError{Type: "dance"}).Error(); unknown.Error != want {
+		t.Errorf("unknown request: got error %q, want %q", unknown.Error, want)
+	}
+	if _, err := node.Ask(`{"what":"found"}`); err == nil || !strings.Contains(err.Error(), "was founded before") {
+		t.Errorf("second bootstrap: got %v", err)
+	}
+	if _, err := node.Ask(`{"what":"apply","doc":"color = 1"}`); err == nil || !strings.Contains(err.Error(), "line 1") {
+		t.Errorf("invalid document: got %v, want an error with its line", err)
+	}
+}
+
+func TestNode_AskWithoutLeaderEndsWithTheNode(t *testing.T) {
+	node, err := start(testConfig(t), ownIncarnation, "build", &recordingRouter{}, &loopbackTransport{}, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	result := make(chan error, 1)
+	go func() {
+		_, err := node.Ask(`{"what":"status"}`)
+		result <- err
+	}()
+	waitFor(t, "the request is pending", func() bool {
+		node.mu.Lock()
+		defer node.mu.Unlock()
+		return len(node.pendingCalls) == 1
+	})
+	node.Close(true)
+	select {
+	case err := <-result:
+		if !errors.Is(err, ErrNoLeader) {
+			t.Errorf("got %v, want ErrNoLeader", err)
+		}
+	case <-time.After(5 * time.Second):
+		t.Error("the request did not end with the node")
+	}
+}
+
+func TestStart_RejectsAFolderThatCannotBeMade(t *testing.T) {
+	config := testConfig(t)
+	config.Raft.Dir = "/dev/null/raft"
+	if _, err := start(config, ownIncarnation, "build", &recordingRouter{}, &loopbackTransport{}, quietLog()); err == nil || !strings.HasPrefix(err.Error(), "policy.dir: ") {
+		t.Errorf("got %v, want an error of policy.dir", err)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/raft_test.go
@@ -0,0 +1,185 @@
+package controlplane
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/hashicorp/raft"
+
+	"spurtrestle/core/policycommit"
+	"spurtrestle/core/sitefailover"
+)
+
+func TestOpenIdentity_KeepsTheIDOfAFolder(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "raft")
+	first, err := openIdentity(dir, "n1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if first.Name != "n1" || first.VoterID == 0 || first.Member {
+		t.Errorf("new folder: got %+v", first)
+	}
+	first.Member = true
+	if err := first.persist(dir); err != nil {
+		t.Fatal(err)
+	}
+	if second, err := openIdentity(dir, "n1"); err != nil || second != first {
+		t.Errorf("opened again: got %+v, %v, want %+v", second, err, first)
+	}
+	if _, err := openIdentity(dir, "n2"); err == nil || !strings.Contains(err.Error(), `the folder of keeper "n1"`) {
+		t.Errorf("folder of another voter: got %v", err)
+	}
+}
+
+func TestOpenIdentity_RejectsAMalformedFile(t *testing.T) {
+	for _, text := range []string{"", "{", `{"name":"n1","number":0}`} {
+		dir := t.TempDir()
+		if err := os.WriteFile(filepath.Join(dir, identityFileName), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := openIdentity(dir, "n1"); err == nil || !strings.Contains(err.Error(), "cannot be read") {
+			t.Errorf("%q: got %v", text, err)
+		}
+	}
+}
+
+func TestServerID_HasTheNameOfTheRouter(t *testing.T) {
+	id := serverID("n1", 0xa1b2)
+	if id != "n1/a1b2" {
+		t.Errorf("got %q, want n1/a1b2", id)
+	}
+	if name := routerName(id); name != "n1" {
+		t.Errorf("name: got %q, want n1", name)
+	}
+}
+
+// A folder whose log ends before an acknowledged entry does not take part, and its raft files are closed again.
+func TestRaftLog_RejectsAStaleFolder(t *testing.T) {
+	raftLog, err := openRaftLog(testConfig(t).Raft, "n1", quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(raftLog.close)
+	var stale *StaleLogError
+	err = raftLog.start(startOptions{acknowledgedIndex: 10})
+	if !errors.As(err, &stale) || stale.LastIndex != 0 || stale.AcknowledgedIndex != 10 {
+		t.Errorf("got %v, want a StaleLogError of entries 0 and 10", err)
+	}
+	if raftLog.voterStatus().Voter || !strings.Contains(raftLog.fault(), "it was put back, or lost") {
+		t.Errorf("after the error: voter %v, fault %q", raftLog.voterStatus().Voter, raftLog.fault())
+	}
+	if err := raftLog.start(startOptions{bootstrap: true}); err != nil {
+		t.Errorf("start again: %v", err)
+	}
+	if !raftLog.voterStatus().Voter || raftLog.fault() != "" {
+		t.Errorf("after the start: voter %v, fault %q", raftLog.voterStatus().Voter, raftLog.fault())
+	}
+}
+
+func TestRaftLog_ReportsWriteFaultsUntilAWriteSucceeds(t *testing.T) {
+	raftLog := &raftLog{log: quietLog()}
+	raftLog.recordWrite(errors.New("no space left on device"))
+	if want := "the folder cannot be written, and its keeper falls behind: no space left on device"; raftLog.fault() != want {
+		t.Errorf("got %q, want %q", raftLog.fault(), want)
+	}
+	raftLog.recordWrite(nil)
+	if raftLog.fault() != "" {
+		t.Errorf("after a write: got %q, want none", raftLog.fault())
+	}
+}
+
+func TestRaftLog_HasNoLeaderBeforeItsStart(t *testing.T) {
+	raftLog, err := openRaftLog(testConfig(t).Raft, "n1", quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if raftLog.isLeader() || raftLog.confirmLeadership() {
+		t.Error("a voter that takes no part leads")
+	}
+	if err := raftLog.append(policycommit.Entry{}); !errors.Is(err, ErrNoLeader) {
+		t.Errorf("append: got %v, want ErrNoLeader", err)
+	}
+	if err := raftLog.removeVoter("n1"); !errors.Is(err, ErrNoLeader) {
+		t.Errorf("remove a voter: got %v, want ErrNoLeader", err)
+	}
+}
+
+// memorySink is a raft.SnapshotSink in memory.
+type memorySink struct {
+	bytes.Buffer
+	closed, cancelled bool
+}
+
+func (m *memorySink) ID() string    { return "snapshot" }
+func (m *memorySink) Close() error  { m.closed = true; return nil }
+func (m *memorySink) Cancel() error { m.cancelled = true; return nil }
+
+func TestReplica_RestoresItsSnapshot(t *testing.T) {
+	source := newReplica()
+	for i, entry := range []policycommit.Entry{
+		{Kind: policycommit.EntryJoin, Name: "n1", Incarnation: 11},
+		{Kind: policycommit.EntryPropose, Token: "t1", Document: "d1"},
+		{Kind: policycommit.EntryCommit, Token: "t1"},
+	} {
+		data, err := json.Marshal(entry)
+		if err != nil {
+			t.Fatal(err)
+		}
+		source.Apply(&raft.Log{Index: uint64(i + 1), Data: data})
+	}
+	source.Apply(&raft.Log{Index: 4, Data: []byte("not JSON")}) // of a later build: ignored
+	if verdicts := source.takeVerdicts(); len(verdicts) != 1 || !verdicts["t1"].Committed {
+		t.Errorf("verdicts: got %+v, want t1 committed", verdicts)
+	}
+	if verdicts := source.takeVerdicts(); len(verdicts) != 0 {
+		t.Errorf("verdicts taken twice: got %+v", verdicts)
+	}
+	snapshot, err := source.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var sink memorySink
+	if err := snapshot.Persist(&sink); err != nil || !sink.closed || sink.cancelled {
+		t.Fatalf("persist: %v, closed %v, cancelled %v", err, sink.closed, sink.cancelled)
+	}
+	restored := newReplica()
+	if err := restored.Restore(io.NopCloser(&sink.Buffer)); err != nil {
+		t.Fatal(err)
+	}
+	want, _ := json.Marshal(source.currentState())
+	if got, _ := json.Marshal(restored.currentState()); string(got) != string(want) {
+		t.Errorf("restored:\n got %s\nwant %s", got, want)
+	}
+	if err := restored.Restore(io.NopCloser(strings.NewReader("{"))); err == nil {
+		t.Error("a truncated snapshot was restored")
+	}
+}
+
+func TestSelectHistory(t *testing.T) {
+	var history []policycommit.Change
+	for revision := range policycommit.Revision(30) {
+		history = append(history, policycommit.Change{Revision: revision + 1})
+	}
+	latest := selectHistory(history, 0)
+	if len(latest) != maxHistoryReply || latest[0].Revision != 11 {
+		t.Errorf("latest: got %d changes from revision %d, want %d from 11", len(latest), latest[0].Revision, maxHistoryReply)
+	}
+	if one := selectHistory(history, 3); len(one) != 1 || one[0].Revision != 3 {
+		t.Errorf("revision 3: got %+v", one)
+	}
+	if none := selectHistory(history, 99); len(none) != 0 {
+		t.Errorf("revision 99: got %+v, want none", none)
+	}
+}
+
+func TestFailoverOrders_OfNoOrdersAreZero(t *testing.T) {
+	if orders := failoverOrders(sitefailover.Orders{}); orders.ZoneShares != nil || orders.FailoverWeights != nil || orders.MinimumRank != 0 {
+		t.Errorf("got %+v, want the zero value: the router takes anything else for orders", orders)
+	}
+}
