--- a/core/policycommit/explore_test.go
+++ b/core/policycommit/explore_test.go
@@ -20,6 +20,9 @@
 // The model has two routers that renew, a leader that answers and resolves, and an operator that proposes. Messages may be
 // delayed without bound. A router that stalls is one that takes no step.
 
+// acceptAll is the validation of a build that can apply every document.
+func acceptAll(string) error { return nil }
+
 // eventBudget bounds the events of a run that are not steps of the protocol.
 type eventBudget struct {
 	proposals, losses, duplicates, crashes, newLeaders int
@@ -102,11 +105,11 @@
 		token(s.log.Pending.Token)
 	}
 	for i, follower := range s.followers {
-		known := s.leader.renewals[follower.name]
+		known := s.leader.renewals[follower.config.Name]
 		numbers(int64(s.renewalsLeft[i]), int64(follower.active.Revision), int64(follower.index), int64(follower.leaseExpiresAt))
-		numbers(int64(follower.preparedIndex), int64(follower.incarnation))
+		numbers(int64(follower.preparedIndex), int64(follower.config.Incarnation))
 		numbers(int64(known.receivedAt), int64(known.Incarnation), int64(known.ActiveRevision))
-		numbers(int64(s.log.Members[follower.name].Incarnation))
+		numbers(int64(s.log.Members[follower.config.Name].Incarnation))
 		if follower.hasRevision {
 			token("k")
 		}
@@ -155,7 +158,7 @@
 		name := RouterName(fmt.Sprint("r", i))
 		s.append(Entry{Kind: EntryJoin, Name: name, Incarnation: incarnation, FailOpen: failOpen})
 		s.incarnations = append(s.incarnations, incarnation)
-		follower := NewFollower(modelTiming, name, incarnation, failOpen, "", func(string) error { return nil })
+		follower := NewFollower(modelTiming, FollowerConfig{Name: name, Incarnation: incarnation, FailOpen: failOpen, Validate: acceptAll})
 		if answer := s.leader.AnswerRenewal(0, s.log, follower.renewal(0)); answer.Lease != nil {
 			follower.ReceiveLease(0, *answer.Lease)
 		}
@@ -332,8 +335,9 @@
 	e.step(s, func(next *modelState) {
 		next.budget.crashes--
 		next.incarnations[i] += 10
-		old := s.followers[i]
-		next.followers[i] = NewFollower(modelTiming, old.name, next.incarnations[i], old.failOpen, "", old.validate)
+		config := s.followers[i].config
+		config.Incarnation = next.incarnations[i]
+		next.followers[i] = NewFollower(modelTiming, config)
 	})
 }
 
--- a/core/policycommit/follower.go
+++ b/core/policycommit/follower.go
@@ -7,12 +7,8 @@
 
 // Follower is the participant of a change on a router, and the owner of its lease. It is not safe for concurrent use.
 type Follower struct {
-	timing      Timing
-	name        RouterName
-	incarnation Incarnation
-	failOpen    bool
-	build       string
-	validate    func(document string) error
+	timing Timing
+	config FollowerConfig
 
 	active      ActivePolicy
 	hasRevision bool
@@ -32,6 +28,15 @@
 	answered   bool // the last renewal
 }
 
+// FollowerConfig describes a router to its leader.
+type FollowerConfig struct {
+	Name        RouterName
+	Incarnation Incarnation
+	FailOpen    bool // keep serving under the active revision while the leader cannot be reached
+	Build       string
+	Validate    func(document string) error // reports why this build cannot apply a document
+}
+
 // ActivePolicy is the revision that a router's lease is for.
 type ActivePolicy struct {
 	Revision Revision
@@ -44,18 +49,9 @@
 	RenewNow bool // send the next renewal at once: it says what became of the prepare
 }
 
-// NewFollower returns the follower of a router that has no lease yet. A router with failOpen keeps serving under its policy
-// while it cannot reach the leader. validate reports why this build cannot apply a document.
-func NewFollower(timing Timing, name RouterName, incarnation Incarnation, failOpen bool, build string, validate func(document string) error) *Follower {
-	return &Follower{
-		timing:      timing,
-		name:        name,
-		incarnation: incarnation,
-		failOpen:    failOpen,
-		build:       build,
-		validate:    validate,
-		answered:    true,
-	}
+// NewFollower returns the follower of a router that has no lease yet.
+func NewFollower(timing Timing, config FollowerConfig) *Follower {
+	return &Follower{timing: timing, config: config, answered: true}
 }
 
 // NextRenewal returns the renewal to send to the leader, if one is due now.
@@ -75,11 +71,11 @@
 
 func (f *Follower) renewal(now clock.Time) Renewal {
 	return Renewal{
-		Name:           f.name,
-		Incarnation:    f.incarnation,
+		Name:           f.config.Name,
+		Incarnation:    f.config.Incarnation,
 		SentAt:         now,
-		FailOpen:       f.failOpen,
-		Build:          f.build,
+		FailOpen:       f.config.FailOpen,
+		Build:          f.config.Build,
 		ActiveRevision: f.active.Revision,
 		Index:          f.index,
 		Prepared:       f.prepared,
@@ -124,7 +120,7 @@
 
 // isAcceptable reports whether a lease answers a renewal of this process and is not older than what the follower has acted on.
 func (f *Follower) isAcceptable(now clock.Time, lease Lease) bool {
-	answersThisProcess := lease.Incarnation == f.incarnation && lease.RenewalSentAt <= now
+	answersThisProcess := lease.Incarnation == f.config.Incarnation && lease.RenewalSentAt <= now
 	if !answersThisProcess || lease.Index < f.index || f.leaving {
 		return false
 	}
@@ -149,7 +145,7 @@
 
 // prepare validates the pending document and makes the next renewal due at once.
 func (f *Follower) prepare(now clock.Time, lease Lease) {
-	if err := f.validate(lease.PrepareDocument); err != nil {
+	if err := f.config.Validate(lease.PrepareDocument); err != nil {
 		f.rejected, f.rejectReason = lease.Pending, err.Error()
 	} else {
 		f.prepared, f.preparedIndex = lease.Pending, lease.Index
@@ -167,7 +163,7 @@
 	switch {
 	case !f.hasRevision || f.leaving:
 		return now
-	case f.failOpen && f.prepared == "" && f.hasOwnLease:
+	case f.config.FailOpen && f.prepared == "" && f.hasOwnLease:
 		return NoDeadline
 	}
 	return f.leaseExpiresAt
--- a/core/policycommit/leader_shares_test.go
+++ b/core/policycommit/leader_shares_test.go
@@ -76,7 +76,7 @@
 	router.incarnation = s.nextIncarnation
 	router.up = true
 	router.extraShare = 0
-	router.follower = NewFollower(s.timing, router.name, router.incarnation, false, "", func(string) error { return nil })
+	router.follower = NewFollower(s.timing, FollowerConfig{Name: router.name, Incarnation: router.incarnation, Validate: acceptAll})
 }
 
 func (s *shareTrial) append(entry Entry) { s.log.Apply(s.log.Index+1, entry) }
--- a/core/policycommit/transfer_test.go
+++ b/core/policycommit/transfer_test.go
@@ -6,32 +6,35 @@
 	"spurtrestle/core/clock"
 )
 
-// What a process leaves to the next one ends as its own would: after a promise no later than its grant, and never later than a
-// lease from when it was left, also where it may serve for ever.
+// A transferred lease ends as the predecessor's would: once a change is prepared no later than the lease, and never later than a
+// lease after the transfer, also where the predecessor has no deadline.
 func ExampleFollower_AdoptTransfer() {
-	sure := func(string) error { return nil }
-	rules := DefaultTiming()
-	for _, serves := range []bool{false, true} {
-		old, heir := NewFollower(rules, "r", 1, serves, "", sure), NewFollower(rules, "r", 2, serves, "", sure)
-		show := func(now clock.Time) {
-			b, ok := old.Transfer(now)
+	const millisecond = clock.Millisecond
+	timing := DefaultTiming()
+	for _, failOpen := range []bool{false, true} {
+		predecessor := NewFollower(timing, FollowerConfig{Name: "r", Incarnation: 1, FailOpen: failOpen, Validate: acceptAll})
+		successor := NewFollower(timing, FollowerConfig{Name: "r", Incarnation: 2, FailOpen: failOpen, Validate: acceptAll})
+		transferAt := func(now clock.Time) {
+			transfer, ok := predecessor.Transfer(now)
 			if ok {
-				fmt.Printf("adopts %v, ", heir.AdoptTransfer(now, b))
+				fmt.Printf("adopts %v, ", successor.AdoptTransfer(now, transfer))
 			}
-			active, knows := heir.Active()
-			fmt.Printf("left %v, revision %d %v, until %d ms\n", ok, active.Revision, knows, heir.AdmissionDeadline(now)/1e3)
+			active, hasRevision := successor.Active()
+			fmt.Printf("left %v, revision %d %v, until %d ms\n", ok, active.Revision, hasRevision, successor.AdmissionDeadline(now)/millisecond)
 		}
-		fmt.Println("serves when cut off:", serves)
-		show(0)
-		old.ReceiveLease(100e3, Lease{Incarnation: 1, RenewalSentAt: 0, Duration: rules.LeaseDuration, Index: 5, Revision: 3})
-		show(100e3)
-		old.ReceiveLease(300e3, Lease{Incarnation: 1, RenewalSentAt: 300e3, Duration: rules.LeaseDuration, Index: 6, Revision: 3, Pending: "t", PrepareDocument: "doc"})
-		show(400e3)
-		old.ReceiveLease(500e3, Lease{Incarnation: 1, RenewalSentAt: 450e3, Duration: rules.LeaseDuration, Index: 8, Revision: 4, Document: "doc"})
-		show(500e3)
-		// What the leader grants the heir itself goes before all that is left.
-		heir.ReceiveLease(600e3, Lease{Incarnation: 2, RenewalSentAt: 600e3, Duration: rules.LeaseDuration, Index: 9, Revision: 5})
-		show(700e3)
+		fmt.Println("serves when cut off:", failOpen)
+		transferAt(0)
+		predecessor.ReceiveLease(100*millisecond, Lease{Incarnation: 1, RenewalSentAt: 0, Duration: timing.LeaseDuration, Index: 5, Revision: 3})
+		transferAt(100 * millisecond)
+		predecessor.ReceiveLease(300*millisecond, Lease{Incarnation: 1, RenewalSentAt: 300 * millisecond, Duration: timing.LeaseDuration,
+			Index: 6, Revision: 3, Pending: "t", PrepareDocument: "doc"})
+		transferAt(400 * millisecond)
+		predecessor.ReceiveLease(500*millisecond, Lease{Incarnation: 1, RenewalSentAt: 450 * millisecond, Duration: timing.LeaseDuration,
+			Index: 8, Revision: 4, Document: "doc"})
+		transferAt(500 * millisecond)
+		// The successor's own lease goes before every transfer.
+		successor.ReceiveLease(600*millisecond, Lease{Incarnation: 2, RenewalSentAt: 600 * millisecond, Duration: timing.LeaseDuration, Index: 9, Revision: 5})
+		transferAt(700 * millisecond)
 	}
 	// Output:
 	// serves when cut off: false
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	joinWait           = 3 * time.Second // until other routers must have been heard, before a voter takes part again
+	joinWait           = 3 * time.Second // for a heartbeat of another router, before a voter joins raft again
 	joinPollInterval   = 50 * time.Millisecond
 	startRetryInterval = 500 * time.Millisecond
 )
 
-// bootstrap begins the raft log of the fleet with this voter. It fails if any voter known takes part in one.
+// bootstrap begins the raft log of the fleet with this voter. It fails if any known voter has joined one.
 func (n *Node) bootstrap() (string, error) {
 	if n.raftLog == nil {
 		return "", fmt.Errorf("this router is no keeper; found the policy at one of %q", n.config.Voters)
@@ -35,7 +35,7 @@
 	return "founded\n", nil
 }
 
-// inviteVoter tells a voter that it may take part. The leader adds it to raft once it does.
+// inviteVoter tells a voter that it may join raft. The leader adds it to the configuration once it has.
 func (n *Node) inviteVoter(voter fleet.VoterStatus) {
 	n.send(voter.Incarnation, message{VoterInvitation: formatVoterID(voter.VoterID)})
 }
@@ -56,7 +56,7 @@
 	n.log.Info("policy: voter joins, as the leader invited it")
 }
 
-// resumeVoter starts raft again after a restart. It waits for other routers first: they know the last index that this voter
+// resumeVoter joins raft again after a restart. It waits for other routers first: they know the last index that this voter
 // acknowledged, and so whether its folder was restored from an older copy.
 func (n *Node) resumeVoter() {
 	identity := n.raftLog.currentIdentity()
@@ -83,7 +83,7 @@
 	}
 }
 
-// waitUntilJoined waits until another router was heard, at most for joinWait; false if the node is closed.
+// waitUntilJoined waits at most joinWait for a heartbeat of another router; false if the node is closed.
 func (n *Node) waitUntilJoined() bool {
 	for deadline := time.Now().Add(joinWait); time.Now().Before(deadline) && !n.transport.HasJoined(); {
 		select {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -7,7 +7,7 @@
 // fleet (fleet.Transport) and may be lost.
 //
 // The program calls Join at its start and Close at its end; the admin endpoint calls Policy and Ask. A Node runs goroutines of its
-// own, which share its state under Node.mu; no caller and no goroutine holds up the router's event loop.
+// own, which share its state under Node.mu; none of them blocks the router's event loop.
 //
 //	node.go            Config, Router, Node: its life and its goroutines
 //	join.go            from the operator's file to a Node
@@ -15,7 +15,7 @@
 //	follower_loop.go   lease, admission and revision of this router
 //	leader_loop.go     renewals, changes and shares, on the leader
 //	requests.go        operators' requests, at the router asked and on the leader
-//	bootstrap.go       how a voter takes part: bootstrap, invitation, restart
+//	bootstrap.go       how a voter joins raft: bootstrap, invitation, restart
 //	site_reports.go    load reports and orders on sites, of this router
 //	site_leader.go     the coordinator of sites, on the leader
 //	raft_log.go        the raft log of a voter; its state, identity, store, transport and voters in the other raft_ files
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -14,7 +14,7 @@
 	Lease           *policycommit.Lease   `json:"g,omitempty"` // from the leader
 	Request         *policycommit.Request `json:"q,omitempty"` // to the leader
 	Reply           *policycommit.Reply   `json:"a,omitempty"` // from the leader
-	VoterInvitation string                `json:"w,omitempty"` // from the leader: the voter with this ID may take part
+	VoterInvitation string                `json:"w,omitempty"` // from the leader: the voter with this ID may join raft
 
 	SiteReport *sitefailover.Report `json:"s,omitempty"` // with Renewal
 	SiteOrders *sitefailover.Orders `json:"o,omitempty"` // with Lease
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -83,8 +83,13 @@
 		wake:         make(chan struct{}, 1),
 		stop:         make(chan struct{}),
 	}
-	n.follower = policycommit.NewFollower(policycommit.DefaultTiming(), policycommit.RouterName(config.Name),
-		policycommit.Incarnation(incarnation), config.FailOpen, build, n.validate)
+	n.follower = policycommit.NewFollower(policycommit.DefaultTiming(), policycommit.FollowerConfig{
+		Name:        policycommit.RouterName(config.Name),
+		Incarnation: policycommit.Incarnation(incarnation),
+		FailOpen:    config.FailOpen,
+		Build:       build,
+		Validate:    n.validate,
+	})
 	if config.isVoter() {
 		raftLog, err := openRaftLog(config.Raft, config.Name, log)
 		if err != nil {
--- a/internal/controlplane/raft_identity.go
+++ b/internal/controlplane/raft_identity.go
@@ -19,7 +19,7 @@
 type voterIdentity struct {
 	Name    string `json:"name"`
 	VoterID uint64 `json:"number"`
-	Member  bool   `json:"member"` // the voter has taken part in raft with this folder
+	Member  bool   `json:"member"` // the voter has joined raft with this folder
 }
 
 // openIdentity reads the identity of a folder, or persists one in a new folder.
--- a/internal/controlplane/raft_log.go
+++ b/internal/controlplane/raft_log.go
@@ -57,8 +57,8 @@
 		"empty it, and have the keeper taken up anew with cache-routerctl policy keeper replace", e.LastIndex, e.AcknowledgedIndex)
 }
 
-// raftLog is the replicated log of one voter. It is open from the node's start, and takes part in raft from start on: a voter
-// with a new folder first waits for a bootstrap or an invitation, so that a folder that was lost has no vote. All methods may
+// raftLog is the replicated log of one voter. It is opened at the node's start and joins raft by start: a voter with a
+// new folder first waits for a bootstrap or an invitation, so that a voter whose folder was lost has no vote by the new one. All methods may
 // be called concurrently, but for isLeader.
 type raftLog struct {
 	config  RaftConfig
@@ -70,14 +70,14 @@
 
 	mu             sync.Mutex // guards the fields below
 	identity       voterIdentity
-	inactiveReason string // why the voter takes no part; empty if it does
+	inactiveReason string // why the voter has not joined raft; empty if it has
 	node           *raft.Raft
 	closers        []func() error // in the order of opening
 }
 
-// startOptions are how a voter takes part.
+// startOptions are how a voter joins raft.
 type startOptions struct {
-	acknowledgedIndex uint64 // the highest that the other routers have heard from this voter
+	acknowledgedIndex uint64 // the highest that this voter has announced to other routers
 	bootstrap         bool   // begin a new log, with this voter alone
 }
 
@@ -96,7 +96,7 @@
 	}, nil
 }
 
-// start takes part in raft. It does nothing if the voter does already, and can be repeated after an error.
+// start joins raft. It does nothing if the voter has joined, and can be repeated after an error.
 func (l *raftLog) start(options startOptions) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,7 +219,7 @@
 	return true
 }
 
-// confirmLeadership reports whether a majority of the voters held this one for the leader at some time since the call.
+// confirmLeadership reports whether a majority of the voters has confirmed, since the call, that this one leads.
 func (l *raftLog) confirmLeadership() bool {
 	node := l.raftNode()
 	return node != nil && node.VerifyLeader().Error() == nil
@@ -267,7 +267,7 @@
 	return status
 }
 
-// fault returns why the voter takes no part or falls behind; empty if it does neither.
+// fault returns why the voter has not joined raft or cannot write its folder; empty if all is well.
 func (l *raftLog) fault() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/raft_replica.go
+++ b/internal/controlplane/raft_replica.go
@@ -11,8 +11,8 @@
 	"spurtrestle/core/policycommit"
 )
 
-// replica is this voter's copy of the replicated state: the finite state machine of raft. Its lock is apart from that of raftLog,
-// which holds its own while raft restores a snapshot.
+// replica is this voter's copy of the replicated state: the finite state machine of raft. It has a lock of its own: raftLog.mu is
+// locked while raft restores a snapshot.
 type replica struct {
 	mu       sync.Mutex
 	state    *policycommit.LogState
--- a/internal/controlplane/raft_transport.go
+++ b/internal/controlplane/raft_transport.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// streamLayer is raft's network: TCP between the voters. It dials from the address that it listens on, so that the voter called
-// can tell by the address who calls.
+// streamLayer is raft's network: TCP between the voters. It dials from the address that it listens on, so that the other
+// voter can identify it by its address.
 type streamLayer struct {
 	net.Listener
 	config RaftConfig
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// serveRequest carries out an operator's request and sends the reply to the router asked. It does nothing if this voter does not
-// lead: the router asked repeats the request.
+// serveRequest carries out an operator's request and sends the reply to the router that forwarded it. It does nothing if this voter
+// does not lead: that router repeats the request.
 func (n *Node) serveRequest(from fleet.Incarnation, request policycommit.Request) {
 	n.mu.Lock()
 	coordinator := n.leader.coordinator
@@ -164,7 +164,7 @@
 	if len(calls) > 1 || isPending {
 		return
 	}
-	_ = n.raftLog.append(policycommit.Entry{ // if it fails, the router asked repeats the request
+	_ = n.raftLog.append(policycommit.Entry{ // if it fails, the forwarding router repeats the request
 		Kind:        policycommit.EntryPropose,
 		Token:       request.Token,
 		Base:        request.Base,
@@ -175,7 +175,7 @@
 	})
 }
 
-// execute makes the change that a request asks for, if it asks for one.
+// execute appends the entry, or removes the voter, that a request is for. Queries need neither.
 func (n *Node) execute(request policycommit.Request) error {
 	switch request.Type {
 	case policycommit.RequestMarkDead:
@@ -203,7 +203,7 @@
 	return err
 }
 
-// newReply returns the parts of a reply that the request's type asks for, by the state of the log now.
+// newReply returns the reply to a request by the current state of the log.
 func (n *Node) newReply(coordinator *policycommit.Leader, request policycommit.Request) policycommit.Reply {
 	state := n.raftLog.currentState()
 	current, _ := state.Current()
--- a/internal/controlplane/site_leader.go
+++ b/internal/controlplane/site_leader.go
@@ -123,7 +123,7 @@
 }
 
 // withPolicyMembers adds the members of the policy that the membership view does not have. A view that began after a site was
-// lost has never heard of the site's routers, and the coordinator would take the site for one without routers.
+// lost does not have its routers, and the coordinator would count the site as one without routers.
 func withPolicyMembers(members []fleet.Member, state *policycommit.LogState) []fleet.Member {
 	for name, member := range state.Members {
 		isKnown := slices.ContainsFunc(members, func(known fleet.Member) bool { return known.Name == string(name) })
--- a/internal/scale/capacity/today.go
+++ b/internal/scale/capacity/today.go
@@ -144,7 +144,8 @@
 func playAskings(delay clock.Time) (perSecond, covered float64) {
 	const step, begin, end = 20_000, 10 * microseconds, 70 * microseconds // internal/controlplane looks every 20 ms
 	rules := policycommit.DefaultTiming()
-	holder := policycommit.NewFollower(rules, sampleName, 1, false, sampleBuild, func(string) error { return nil })
+	holder := policycommit.NewFollower(rules, policycommit.FollowerConfig{Name: sampleName, Incarnation: 1, Build: sampleBuild,
+		Validate: func(string) error { return nil }})
 	var underWay []policycommit.Renewal
 	asked, may, looks := 0, 0, 0
 	for now := clock.Time(0); now < end; now += step {
