--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -28,7 +28,7 @@
 
 const ownIncarnation fleet.Incarnation = 7
 
-func (l *loopbackTransport) Self() fleet.Incarnation { return ownIncarnation }
+func (*loopbackTransport) Self() fleet.Incarnation { return ownIncarnation }
 
 func (l *loopbackTransport) Send(to fleet.Incarnation, body []byte) {
 	l.mu.Lock()
@@ -76,9 +76,9 @@
 	return []fleet.VoterStatus{l.voter}
 }
 
-func (l *loopbackTransport) HasJoined() bool                 { return true }
-func (l *loopbackTransport) AcknowledgedIndex(uint64) uint64 { return 0 }
-func (l *loopbackTransport) Members() []fleet.Member         { return []fleet.Member{{Name: "n1"}} }
+func (*loopbackTransport) HasJoined() bool                 { return true }
+func (*loopbackTransport) AcknowledgedIndex(uint64) uint64 { return 0 }
+func (*loopbackTransport) Members() []fleet.Member         { return []fleet.Member{{Name: "n1"}} }
 
 // recordingRouter records what a node sets.
 type recordingRouter struct {
@@ -112,10 +112,10 @@
 	return r.deadline.IsZero() || r.deadline.After(time.Now())
 }
 
-func (r *recordingRouter) SetExtraShare(float64, time.Time) {}
-func (r *recordingRouter) OfferTransfer(func() []byte)      {}
-func (r *recordingRouter) OnTransfer(func(transfer []byte)) {}
-func (r *recordingRouter) SetSiteOrders(routing.FailoverOrders, time.Time) (routing.RouterLoad, error) {
+func (*recordingRouter) SetExtraShare(float64, time.Time) {}
+func (*recordingRouter) OfferTransfer(func() []byte)      {}
+func (*recordingRouter) OnTransfer(func(transfer []byte)) {}
+func (*recordingRouter) SetSiteOrders(routing.FailoverOrders, time.Time) (routing.RouterLoad, error) {
 	return routing.RouterLoad{}, nil
 }
 
--- a/internal/controlplane/raft_test.go
+++ b/internal/controlplane/raft_test.go
@@ -116,7 +116,7 @@
 	closed, cancelled bool
 }
 
-func (m *memorySink) ID() string    { return "snapshot" }
+func (*memorySink) ID() string      { return "snapshot" }
 func (m *memorySink) Close() error  { m.closed = true; return nil }
 func (m *memorySink) Cancel() error { m.cancelled = true; return nil }
 
