--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -90,13 +90,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(raftLog.close)
 	if !raftLog.currentIdentity().Member {
 		t.Error("the folder's identity does not say that it takes part")
 	}
-	if err := raftLog.start(startOptions{}); err != nil {
-		t.Fatal(err)
+	started := make(chan error, 1)
+	go func() { started <- raftLog.start(startOptions{}) }()
+	select {
+	case err := <-started:
+		if err != nil {
+			t.Fatal(err)
+		}
+	case <-time.After(5 * time.Second):
+		t.Fatal("start did not return in five seconds: it hangs while raft restores the snapshot")
 	}
+	t.Cleanup(raftLog.close)
 	for deadline := time.Now().Add(10 * time.Second); !raftLog.isLeader(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the only voter did not become the leader in ten seconds")
