--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := node.Ask(string(text))
+	answer, err := node.HandleRequest(string(text))
 	if err != nil {
 		t.Fatalf("request %s: %v", request.Type, err)
 	}
@@ -176,7 +176,7 @@
 
 func bootstrapNode(t *testing.T, node *Node, router *recordingRouter) {
 	t.Helper()
-	answer, err := node.Ask(`{"what":"found"}`)
+	answer, err := node.HandleRequest(`{"what":"found"}`)
 	if err != nil || answer != "founded\n" {
 		t.Fatalf("bootstrap: got %q, %v", answer, err)
 	}
@@ -265,10 +265,10 @@
 	if want := (&UnknownRequestError{Type: "dance"}).Error(); unknown.Error != want {
 		t.Errorf("unknown request: got error %q, want %q", unknown.Error, want)
 	}
-	if _, err := node.Ask(`{"what":"found"}`); err == nil || !strings.Contains(err.Error(), "was founded before") {
+	if _, err := node.HandleRequest(`{"what":"found"}`); err == nil || !strings.Contains(err.Error(), "was founded before") {
 		t.Errorf("second bootstrap: got %v", err)
 	}
-	if _, err := node.Ask(`{"what":"apply","doc":"color = 1"}`); err == nil || !strings.Contains(err.Error(), "line 1") {
+	if _, err := node.HandleRequest(`{"what":"apply","doc":"color = 1"}`); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Errorf("invalid document: got %v, want an error with its line", err)
 	}
 }
@@ -280,7 +280,7 @@
 	}
 	result := make(chan error, 1)
 	go func() {
-		_, err := node.Ask(`{"what":"status"}`)
+		_, err := node.HandleRequest(`{"what":"status"}`)
 		result <- err
 	}()
 	waitFor(t, "the request is pending", func() bool {
