--- a/core/routing/attempt.go
+++ b/core/routing/attempt.go
@@ -165,7 +165,7 @@
 			request.mayHaveRunAt, request.mayHaveRunOn = attempt.sentAt, server
 		}
 	}
-	// The first broken response in a row is more often chance than the server's end, and only this one has the key: it
+	// The first broken response is more often chance than the end of the server, and only this one has the key: it
 	// is retried there.
 	retrySameServer := brokenResponse(status) && server.failurePoints <= 1
 	if status == QueueFull || request.retryPending && !retrySameServer {
--- a/core/routing/knowledge.go
+++ b/core/routing/knowledge.go
@@ -19,7 +19,7 @@
 	AnswerRate          float64        // per second
 	AttemptRate         float64        // per second, over a longer window
 	ReportedServiceTime clock.Duration // mean of those that the server reported; 0: none
-	FailurePoints       int            // for failures in a row
+	FailurePoints       int            // for consecutive failures
 	Ejected             bool
 	ConnectFailed       bool // it may come back as a new process
 }
--- a/core/routing/server.go
+++ b/core/routing/server.go
@@ -21,7 +21,7 @@
 	lastAttemptEnd clock.Time         // by this router, or by the process whose knowledge was restored
 	lastResponseAt clock.Time         // or when it was first used again after being idle
 
-	failurePoints int        // for failures in a row
+	failurePoints int        // for consecutive failures
 	ejectedUntil  clock.Time // 0: not ejected; in the past: the next attempt is the trial that ends the ejection
 	connectFailed bool       // it may come back as a new process
 	restored      bool       // its latency is from before a restart of the router
--- a/simwire/fields.go
+++ b/simwire/fields.go
@@ -18,7 +18,7 @@
 	maxNumber = 1e12
 )
 
-// fields walks the fields of one line and keeps the error of the first one that is malformed. The fields after it read as
+// fields reads the fields of one line and records the error of the first malformed one. The fields after it read as
 // zero values.
 type fields struct {
 	name string
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -14,7 +14,7 @@
 
 const (
 	readBufferBytes = 1 << 20
-	// listSlots is how many endpoint lists the wire holds at once.
+	// listSlots is how many endpoint lists the wire can refer to at once.
 	listSlots = 16
 	// maxServers bounds an endpoint list; maxPreallocated is for how many entries space is made beforehand.
 	maxServers      = 1 << 20
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -1,5 +1,5 @@
 // Package simwire reads and writes the wire of the simulator, slate-8695. The wire's names end here: a Reader gives the
-// events of package routing, a Writer takes its decisions. Its only caller is cmd/sim-adapter, in one goroutine.
+// events of package routing, a Writer writes its decisions. Its only caller is cmd/sim-adapter, in one goroutine.
 package simwire
 
 import (
@@ -25,7 +25,7 @@
 	Event    any
 }
 
-// Batch holds the inputs of one instant.
+// Batch is the inputs of one instant.
 type Batch struct {
 	Now            clock.Time
 	SequenceNumber string // the reply repeats it
