--- a/core/membership/changes.go
+++ b/core/membership/changes.go
@@ -46,7 +46,7 @@
 
 func (o nameOwner) reportedState() reportedState {
 	return reportedState{
-		state:          o.state,
+		state:          o.routerState,
 		incarnation:    o.Incarnation,
 		duplicated:     o.duplicated,
 		accepting:      o.heartbeat.Accepting,
@@ -64,7 +64,7 @@
 		owner := ownerOf(processes)
 		before, current := v.reported[name], owner.reportedState()
 		v.reported[name] = current
-		event := before.eventOf(current)
+		event := eventBetween(before, current)
 		if event == "" {
 			continue
 		}
@@ -91,30 +91,31 @@
 	return changes
 }
 
-// eventOf names the change from s to current, of several the most important one. It returns "" if there is nothing to log.
-// The zero state stands for a router that was not known.
-func (s reportedState) eventOf(current reportedState) Event {
+// eventBetween names the change from one state of a router to the current one, of several the most important one. It returns
+// "" if there is nothing to log. The zero state stands for a router that was not known.
+func eventBetween(before, current reportedState) Event {
 	switch {
-	case s == current:
+	case before == current:
 		return ""
-	case current.duplicated && !s.duplicated:
+	case current.duplicated && !before.duplicated:
 		return EventDuplicateName
-	case s.state != current.state:
+	case before.state != current.state:
 		return Event(current.state.String())
-	case s.incarnation != current.incarnation:
+	case before.incarnation != current.incarnation:
 		return EventNewIncarnation
 	case current.state != Alive:
 		return ""
-	case !s.draining && current.draining:
+	case !before.draining && current.draining:
 		return EventDraining
-	case s.draining && !current.draining:
+	case before.draining && !current.draining:
 		return EventDrainEnded
-	case !s.accepting && current.accepting:
+	case !before.accepting && current.accepting:
 		return EventAccepting
-	case s.accepting && !current.accepting:
+	case before.accepting && !current.accepting:
 		return EventNotAccepting
-	case s.policyRevision != current.policyRevision:
+	case before.policyRevision != current.policyRevision:
 		return EventPolicyChanged
+	default: // before.duplicated alone is left
+		return EventDuplicateResolved
 	}
-	return EventDuplicateResolved
 }
--- a/core/membership/diff.go
+++ b/core/membership/diff.go
@@ -5,6 +5,14 @@
 	"slices"
 )
 
+// The texts of a router's status in the output of cache-routerctl fleet status, which operators read.
+const (
+	textMissing   = "not there"
+	textAccepting = "takes clients"
+	textDraining  = "draining"
+	textDuplicate = "two of the name"
+)
+
 // Diff compares the snapshots of two routers and returns a line for each router that they show differently. Spans are not
 // compared, and a router that is gone in one snapshot may be missing in the other.
 func Diff(a, b Snapshot) []string {
@@ -43,20 +51,20 @@
 // describe returns the compared part of a router's status. Suspect counts as Alive: it is one router's own observation.
 func describe(router RouterStatus, isKnown bool) string {
 	if !isKnown {
-		return "not there"
+		return textMissing
 	}
 	text := router.State.String()
 	if router.State == Suspect {
 		text = Alive.String()
 	}
 	if router.Accepting {
-		text += ", takes clients"
+		text += ", " + textAccepting
 	}
 	if router.Draining {
-		text += ", draining"
+		text += ", " + textDraining
 	}
 	if router.NameConflict {
-		text += ", two of the name"
+		text += ", " + textDuplicate
 	}
 	return fmt.Sprintf("%s, process %s, policy %d", text, router.Incarnation, router.PolicyRevision)
 }
--- a/core/membership/digest.go
+++ b/core/membership/digest.go
@@ -1,7 +1,7 @@
 package membership
 
 import (
-	"cmp"
+	"bytes"
 	"encoding/binary"
 	"hash/crc64"
 	"slices"
@@ -22,16 +22,18 @@
 	v.expireHandovers(now)
 	var rows [][]byte
 	for name, processes := range v.byName() {
-		if owner := ownerOf(processes); owner.state == Alive {
+		owner := ownerOf(processes)
+		if owner.routerState == Alive {
 			rows = append(rows, digestRow(name, owner))
 		}
 	}
-	slices.SortFunc(rows, func(a, b []byte) int { return cmp.Compare(string(a), string(b)) })
+	slices.SortFunc(rows, bytes.Compare)
 	hash := crc64.New(digestTable)
 	for _, row := range rows {
 		_, _ = hash.Write(row) // a hash's Write never fails
 	}
-	if digest := hash.Sum64(); digest != v.digest {
+	digest := hash.Sum64()
+	if digest != v.digest {
 		v.digest = digest
 		v.changedAt = now
 	}
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -70,7 +70,7 @@
 	StallThreshold    clock.Duration // gap between two ticks from which on the view counts as stale
 	ForgetAfter       clock.Duration // until a lost or left router is removed
 	ReconnectInterval clock.Duration // between two reconnect attempts, in a small fleet
-	MaxReconnectAddrs int            // addresses remembered of routers that are not alive
+	MaxReconnectAddrs int            // addresses remembered of routers that are not alive; bounds the processes of a view as well
 }
 
 // Timings of DefaultConfig, in probe intervals.
--- a/core/membership/owner.go
+++ b/core/membership/owner.go
@@ -8,11 +8,11 @@
 // nameOwner is the process that owns a router's name, with the state of the router.
 type nameOwner struct {
 	*process
-	state      State
-	duplicated bool // an older alive process has seen a younger alive one of its name
+	routerState State // Alive during a handover, whatever the state of the process is
+	duplicated  bool  // an older alive process has seen a younger alive one of its name
 }
 
-// ownerOf decides which of the processes of one name owns it. It orders processes by age.
+// ownerOf decides which of the processes of one name owns it. It sorts the slice, the youngest process first.
 //
 // Of several alive processes the youngest owns the name, since the failure detector will find the others dead, with two
 // exceptions: an older process that announces the younger one as a duplicate is alive, and keeps the name; and a predecessor
@@ -20,8 +20,9 @@
 // Alive if that process has handed over to a successor that has yet to join.
 func ownerOf(processes []*process) nameOwner {
 	slices.SortFunc(processes, youngerFirst)
-	if owner := aliveOwnerOf(processes); owner.process != nil {
-		return owner
+	aliveOwner := aliveOwnerOf(processes)
+	if aliveOwner.process != nil {
+		return aliveOwner
 	}
 	last := processes[0]
 	for _, p := range processes {
@@ -30,11 +31,12 @@
 		}
 	}
 	if last.heartbeat.HandingOver {
-		return nameOwner{process: last, state: Alive}
+		return nameOwner{process: last, routerState: Alive}
 	}
-	return nameOwner{process: last, state: last.state}
+	return nameOwner{process: last, routerState: last.state}
 }
 
+// youngerFirst orders processes of different incarnations; two of them are never equal.
 func youngerFirst(a, b *process) int {
 	if a.olderThan(b.Member) {
 		return 1
@@ -45,7 +47,7 @@
 // aliveOwnerOf decides among the alive processes of one name, ordered from the youngest. The result has no process if none
 // is alive.
 func aliveOwnerOf(processes []*process) nameOwner {
-	owner := nameOwner{state: Alive}
+	owner := nameOwner{routerState: Alive}
 	for _, p := range processes {
 		if p.state != Alive {
 			continue
@@ -58,11 +60,13 @@
 			if younger.state != Alive || !p.olderThan(younger.Member) {
 				continue
 			}
-			stillServes := younger.Predecessor == p.Incarnation && !p.heartbeat.HandingOver
-			if p.heartbeat.Duplicate == younger.Incarnation {
+			announcesDuplicate := p.heartbeat.Duplicate == younger.Incarnation
+			servesAsPredecessor := younger.Predecessor == p.Incarnation && !p.heartbeat.HandingOver
+			switch {
+			case announcesDuplicate: // the first exception
 				owner.process = p
 				owner.duplicated = true
-			} else if stillServes && owner.process == younger {
+			case servesAsPredecessor && owner.process == younger: // the second one
 				owner.process = p
 			}
 		}
--- a/core/membership/reconnect.go
+++ b/core/membership/reconnect.go
@@ -6,12 +6,13 @@
 	"spurtrestle/core/clock"
 )
 
-// reconnectsPerInterval is the rate of reconnect attempts of the whole fleet: larger fleets have longer intervals.
+// reconnectsPerInterval bounds the reconnect attempts of the whole fleet in a reconnect interval. Routers of a fleet up to that
+// size make one attempt each; in a larger fleet each router's interval is longer.
 const reconnectsPerInterval = 8
 
 // NextReconnect returns the address of a router that is not alive, if a reconnect attempt is due. Attempts go to the
-// seeds and to the addresses of lost and left routers in turn, so that a partition heals even after both sides have
-// forgotten each other.
+// seeds and to the addresses of lost and left routers, approximately in turn since the addresses change meanwhile. A partition
+// therefore heals even after both sides have forgotten each other.
 func (v *View) NextReconnect(now clock.Time, seeds []string) (addr string, ok bool) {
 	if now < v.reconnectAt {
 		return "", false
@@ -41,14 +42,14 @@
 // KnownAddrs returns the addresses of all other processes that are alive or have been, sorted, for the file that a restart
 // reads.
 func (v *View) KnownAddrs() []string {
-	all := slices.Clone(v.reconnectAddrs)
+	addrs := slices.Clone(v.reconnectAddrs)
 	for _, p := range v.processes {
 		if p.isAlive() && p.Incarnation != v.self.Incarnation {
-			all = append(all, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(addrs)
+	return slices.Compact(addrs)
 }
 
 // rememberAddr adds an address to reconnect to, in place of the oldest one when there are too many.
--- a/core/membership/state.go
+++ b/core/membership/state.go
@@ -5,7 +5,8 @@
 // State is the state of a router in a view.
 type State uint8
 
-// A router that is Lost or Left becomes Alive again when a process of it joins.
+// A router that is Lost or Left becomes Alive again when a process of it joins. The zero State is that of a process that has
+// not joined; no router of a snapshot has it.
 const (
 	Alive   State = iota + 1
 	Suspect       // alive according to others, without recent direct contact
--- a/core/membership/status.go
+++ b/core/membership/status.go
@@ -71,7 +71,7 @@
 }
 
 func (v *View) statusOf(now clock.Time, owner nameOwner) RouterStatus {
-	state := owner.state
+	state := owner.routerState
 	if state == Alive && now-owner.lastContact > v.config.SuspectAfter {
 		state = Suspect
 	}
--- a/core/membership/tick.go
+++ b/core/membership/tick.go
@@ -6,7 +6,7 @@
 // changed, and what has changed in the view since the last call.
 func (v *View) Tick(now clock.Time) (heartbeatChanged bool, changes []Change) {
 	v.detectStall(now)
-	v.processes[v.self.Incarnation].lastContact = now
+	v.processes[v.self.Incarnation].lastContact = now // this process never suspects itself
 	expired := v.expireHandovers(now)
 	forgotten := v.forgetGone(now)
 	if expired || forgotten {
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -63,10 +63,14 @@
 	return v
 }
 
-// MemberJoined records that the failure detector has found a process alive, for the first time or again.
+// MemberJoined records that the failure detector has found a process alive, for the first time or again. A process that has
+// announced its shutdown does not come back: the failure detector has outdated news of it.
 func (v *View) MemberJoined(now clock.Time, member Member) {
 	p := v.findOrAdd(now, member.Incarnation)
-	if p == nil || member.Incarnation == v.self.Incarnation || p.heartbeat.Left {
+	if p == nil || member.Incarnation == v.self.Incarnation {
+		return
+	}
+	if p.heartbeat.Left {
 		return
 	}
 	if !p.isAlive() {
@@ -97,7 +101,8 @@
 		return false
 	}
 	p.heartbeat = heartbeat
-	if p.joined && heartbeat.Left && p.state != Left {
+	isFirstLeave := p.joined && heartbeat.Left && p.state != Left
+	if isFirstLeave {
 		v.setGone(now, p)
 	}
 	v.updateDigest(now)
@@ -106,7 +111,8 @@
 
 // RecordContact records that a process itself has answered.
 func (v *View) RecordContact(now clock.Time, incarnation Incarnation) {
-	if p := v.processes[incarnation]; p != nil {
+	p, ok := v.processes[incarnation]
+	if ok {
 		p.lastContact = now
 	}
 }
@@ -127,12 +133,20 @@
 	return v.setHeartbeat(now, heartbeat)
 }
 
-// AnnounceEnd marks this process as ending: gracefully, or because a successor has taken over.
-func (v *View) AnnounceEnd(now clock.Time, handingOver bool) {
-	heartbeat := v.Heartbeat()
-	heartbeat.HandingOver = handingOver
-	heartbeat.Left = !handingOver
-	v.setHeartbeat(now, heartbeat)
+// AnnounceLeave announces that this process shuts down gracefully.
+func (v *View) AnnounceLeave(now clock.Time) {
+	v.UpdateHeartbeat(now, func(heartbeat *Heartbeat) {
+		heartbeat.HandingOver = false
+		heartbeat.Left = true
+	})
+}
+
+// AnnounceHandover announces that this process exits since a successor has taken over.
+func (v *View) AnnounceHandover(now clock.Time) {
+	v.UpdateHeartbeat(now, func(heartbeat *Heartbeat) {
+		heartbeat.HandingOver = true
+		heartbeat.Left = false
+	})
 }
 
 // Heartbeat returns this process's heartbeat.
@@ -149,26 +163,27 @@
 
 // Heartbeats returns the last heartbeat of each process, ordered by incarnation: the full state for anti-entropy.
 func (v *View) Heartbeats() []Heartbeat {
-	var all []Heartbeat
+	var heartbeats []Heartbeat
 	for _, p := range v.processes {
 		if p.heartbeat.Seq > 0 {
-			all = append(all, p.heartbeat)
+			heartbeats = append(heartbeats, p.heartbeat)
 		}
 	}
-	slices.SortFunc(all, func(a, b Heartbeat) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	return all
+	slices.SortFunc(heartbeats, func(a, b Heartbeat) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	return heartbeats
 }
 
 // AliveMembers returns the owner of each alive router's name, ordered by name. It includes this process.
 func (v *View) AliveMembers() []Member {
-	var all []Member
+	var members []Member
 	for _, processes := range v.byName() {
-		if owner := ownerOf(processes); owner.state == Alive {
-			all = append(all, owner.Member)
+		owner := ownerOf(processes)
+		if owner.routerState == Alive {
+			members = append(members, owner.Member)
 		}
 	}
-	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
 }
 
 // Disagreeing returns the names of alive routers whose last announced digest differs from this view's, in order.
@@ -176,7 +191,7 @@
 	var names []Name
 	for name, processes := range v.byName() {
 		owner := ownerOf(processes)
-		isPeer := owner.state == Alive && owner.Incarnation != v.self.Incarnation
+		isPeer := owner.routerState == Alive && owner.Incarnation != v.self.Incarnation
 		if isPeer && owner.heartbeat.ViewDigest != v.digest {
 			names = append(names, name)
 		}
--- a/core/sharelease/leases.go
+++ b/core/sharelease/leases.go
@@ -14,57 +14,58 @@
 	Granting    bool // it announces that it is drained
 }
 
-// grantedShare is a portion of this slot's share that another slot may use.
-type grantedShare struct {
+// grantedPortion is a portion of this slot's share that another slot may use.
+type grantedPortion struct {
 	expiresAt clock.Time
 	holder    Incarnation // 0: granted by an earlier process of this slot, to an unknown holder
 	stamp     int64       // of the last grant
 }
 
-// Leases is the state of one process, as grantor and as holder. It is not safe for concurrent use.
+// Leases is the state of one process, as grantor and as holder. Its maps have an entry for each other slot of the fleet at
+// most. It is not safe for concurrent use.
 type Leases struct {
-	timing    Timing
-	fleetSize int
-	self      Slot
-	process   Incarnation
-	granting  bool
-	ending    bool  // the process is about to exit
-	stamp     int64 // counts grants and revocations
-
-	granted     map[Slot]grantedShare
-	borrowed    map[Slot]clock.Time // expiry of the portions of other slots
-	revokedAt   map[Slot]clock.Time // grants of requests up to then are void
-	lastSent    map[Slot]clock.Time // last request or revocation
-	lastRequest map[Slot]Message    // last request received
+	timing      Timing
+	fleetSize   int
+	ownSlot     Slot
+	incarnation Incarnation
+	granting    bool
+	ending      bool  // the process is about to exit
+	stamp       int64 // counts grants and revocations
+
+	granted       map[Slot]grantedPortion
+	borrowedUntil map[Slot]clock.Time // expiry of the portions of other slots
+	revokedAt     map[Slot]clock.Time // grants of requests up to then are void
+	lastSentAt    map[Slot]clock.Time // last request or revocation
+	lastRequests  map[Slot]Message    // last request received from each slot
 }
 
 // New returns the state of a process that starts. All of its portions count as granted by an earlier process of its slot,
 // until their holders release them or a transfer has expired; with noneGranted, none is.
-func New(now clock.Time, timing Timing, fleetSize int, self Slot, process Incarnation, noneGranted bool) *Leases {
+func New(now clock.Time, timing Timing, fleetSize int, ownSlot Slot, incarnation Incarnation, noneGranted bool) *Leases {
 	l := &Leases{
-		timing:      timing,
-		fleetSize:   max(1, fleetSize),
-		self:        self,
-		process:     process,
-		granted:     map[Slot]grantedShare{},
-		borrowed:    map[Slot]clock.Time{},
-		revokedAt:   map[Slot]clock.Time{},
-		lastSent:    map[Slot]clock.Time{},
-		lastRequest: map[Slot]Message{},
+		timing:        timing,
+		fleetSize:     max(1, fleetSize),
+		ownSlot:       ownSlot,
+		incarnation:   incarnation,
+		granted:       map[Slot]grantedPortion{},
+		borrowedUntil: map[Slot]clock.Time{},
+		revokedAt:     map[Slot]clock.Time{},
+		lastSentAt:    map[Slot]clock.Time{},
+		lastRequests:  map[Slot]Message{},
 	}
 	if noneGranted {
 		return l
 	}
 	for slot := range Slot(l.fleetSize) {
-		if slot != self {
-			l.granted[slot] = grantedShare{expiresAt: timing.grantorExpiry(now, timing.Transfer)}
+		if slot != ownSlot {
+			l.granted[slot] = grantedPortion{expiresAt: timing.grantorExpiry(now, timing.Transfer)}
 		}
 	}
 	return l
 }
 
-// SetGranting has the router grant its portions, or revoke them. The router must use no more than ReducedShare before it is
-// called with granting. ending tells that the process is about to exit.
+// SetGranting has the router grant its portions, which it does while it is drained, or revoke them. The router must use no more
+// than ReducedShare before SetGranting is called with granting set. With ending, the process is about to exit.
 func (l *Leases) SetGranting(granting, ending bool) {
 	l.granting = granting
 	l.ending = ending
@@ -72,8 +73,7 @@
 
 // ReducedShare returns the share of a router that grants its portions.
 func (l *Leases) ReducedShare() Share {
-	minimum := MinimumShare(l.fleetSize)
-	return Share{Current: minimum, AfterExpiry: minimum}
+	return unexpiring(MinimumShare(l.fleetSize))
 }
 
 // Share returns the share that the router may use.
@@ -89,7 +89,7 @@
 		}
 	}
 	share.AfterExpiry = share.Current
-	for _, expiresAt := range l.borrowed {
+	for _, expiresAt := range l.borrowedUntil {
 		if expiresAt <= now {
 			continue
 		}
@@ -118,41 +118,44 @@
 		if !l.isOther(slot) || l.sentRecently(now, slot) {
 			continue
 		}
-		message, isDue := l.nextMessage(now, slot, peers[slot], wantsMore)
-		if isDue {
+		message, ok := l.nextMessage(now, slot, peers[slot], wantsMore)
+		if ok {
 			messages = append(messages, message)
-			l.lastSent[slot] = now
+			l.lastSentAt[slot] = now
 		}
 	}
 	return messages
 }
 
+// removeExpired takes expired granted portions back, and ends the use of expired borrowed ones.
 func (l *Leases) removeExpired(now clock.Time) {
-	maps.DeleteFunc(l.granted, func(_ Slot, granted grantedShare) bool { return granted.expiresAt <= now })
-	maps.DeleteFunc(l.borrowed, func(_ Slot, expiresAt clock.Time) bool { return expiresAt <= now })
+	maps.DeleteFunc(l.granted, func(_ Slot, granted grantedPortion) bool { return granted.expiresAt <= now })
+	maps.DeleteFunc(l.borrowedUntil, func(_ Slot, expiresAt clock.Time) bool { return expiresAt <= now })
 }
 
 // isOther reports whether a slot is one of the fleet's, and not this router's.
 func (l *Leases) isOther(slot Slot) bool {
-	return slot != l.self && slot >= 0 && int(slot) < l.fleetSize
+	return slot != l.ownSlot && slot >= 0 && int(slot) < l.fleetSize
 }
 
 func (l *Leases) sentRecently(now clock.Time, slot Slot) bool {
-	sentAt, ok := l.lastSent[slot]
+	sentAt, ok := l.lastSentAt[slot]
 	return ok && now-sentAt < l.timing.RetryInterval
 }
 
-// nextMessage returns the revocation of a portion that the peer may hold, or else the request for a portion that it grants.
-func (l *Leases) nextMessage(now clock.Time, slot Slot, peer Peer, wantsMore bool) (message Message, isDue bool) {
+// nextMessage returns the revocation of a portion that the peer may use, or else the request for a portion that it grants. ok
+// is false if neither is needed.
+func (l *Leases) nextMessage(now clock.Time, slot Slot, peer Peer, wantsMore bool) (message Message, ok bool) {
 	if l.granting {
 		return Message{}, false
 	}
-	if _, isGranted := l.granted[slot]; isGranted {
+	_, isGranted := l.granted[slot]
+	if isGranted {
 		l.stamp++
-		return Message{Kind: Revoke, From: l.self, To: slot, Grantor: l.process, Holder: peer.Incarnation, Stamp: l.stamp}, true
+		return Message{Kind: Revoke, From: l.ownSlot, To: slot, Grantor: l.incarnation, Holder: peer.Incarnation, Stamp: l.stamp}, true
 	}
 	if peer.Granting && wantsMore {
-		return Message{Kind: Request, From: l.self, To: slot, Grantor: peer.Incarnation, Holder: l.process, Stamp: int64(now)}, true
+		return Message{Kind: Request, From: l.ownSlot, To: slot, Grantor: peer.Incarnation, Holder: l.incarnation, Stamp: int64(now)}, true
 	}
 	return Message{}, false
 }
@@ -162,7 +165,7 @@
 func (l *Leases) TransferAll(now clock.Time) []Message {
 	l.SetGranting(true, true)
 	var grants []Message
-	for _, request := range l.lastRequest {
+	for _, request := range l.lastRequests { // in any order: stamps are compared within a slot alone
 		if grant, ok := l.Receive(now, request); ok {
 			grants = append(grants, grant)
 		}
--- a/core/sharelease/message.go
+++ b/core/sharelease/message.go
@@ -21,10 +21,16 @@
 	To       Slot           `json:"To"`
 	Grantor  Incarnation    `json:"Lender"`
 	Holder   Incarnation    `json:"Borrower"`
-	Stamp    int64          `json:"At"`
+	Stamp    int64          `json:"At"` // the sender's time or count, or that of the message it answers; see Kind
 	Duration clock.Duration `json:"For"`
 }
 
+// requestedAt is when the holder sent the request, by the holder's clock. The message is a Request or a Grant.
+func (m Message) requestedAt() clock.Time { return clock.Time(m.Stamp) }
+
+// sequence is the grantor's count of grants and revocations. The message is a Revoke or a Release.
+func (m Message) sequence() int64 { return m.Stamp }
+
 // Recipient returns the incarnation that the message is for.
 func (m Message) Recipient() Incarnation {
 	if m.Kind == Request || m.Kind == Release {
--- a/core/sharelease/receive.go
+++ b/core/sharelease/receive.go
@@ -4,8 +4,8 @@
 
 // Receive handles a message and returns the reply to send, if there is one. Messages for other processes, and those that
 // are older than what they would change, have no effect.
-func (l *Leases) Receive(now clock.Time, message Message) (reply Message, hasReply bool) {
-	if message.To != l.self || !l.isOther(message.From) {
+func (l *Leases) Receive(now clock.Time, message Message) (reply Message, ok bool) {
+	if message.To != l.ownSlot || !l.isOther(message.From) {
 		return Message{}, false
 	}
 	switch message.Kind {
@@ -23,15 +23,16 @@
 
 // receiveRequest grants a portion, unless it may still be in use by an earlier process of the requesting slot.
 func (l *Leases) receiveRequest(now clock.Time, request Message) (grant Message, ok bool) {
-	if request.Grantor != l.process {
+	if request.Grantor != l.incarnation {
 		return Message{}, false
 	}
-	l.lastRequest[request.From] = request
+	l.lastRequests[request.From] = request // also one that is not granted yet: TransferAll grants it
 	if !l.granting {
 		return Message{}, false
 	}
 	previous, isGranted := l.granted[request.From]
-	if isGranted && previous.holder != request.Holder && previous.expiresAt > now {
+	mayBeInUse := isGranted && previous.holder != request.Holder && previous.expiresAt > now
+	if mayBeInUse {
 		return Message{}, false
 	}
 	duration := l.timing.Lease
@@ -39,16 +40,16 @@
 		duration = l.timing.Transfer
 	}
 	l.stamp++
-	l.granted[request.From] = grantedShare{
-		expiresAt: max(previous.expiresAt, l.timing.grantorExpiry(now, duration)),
+	l.granted[request.From] = grantedPortion{
+		expiresAt: max(previous.expiresAt, l.timing.grantorExpiry(now, duration)), // 0 without a previous grant
 		holder:    request.Holder,
 		stamp:     l.stamp,
 	}
 	return Message{
 		Kind:     Grant,
-		From:     l.self,
+		From:     l.ownSlot,
 		To:       request.From,
-		Grantor:  l.process,
+		Grantor:  l.incarnation,
 		Holder:   request.Holder,
 		Stamp:    request.Stamp,
 		Duration: duration,
@@ -57,29 +58,29 @@
 
 // receiveGrant begins or extends the use of a portion. The lease counts from the request, however long the reply took.
 func (l *Leases) receiveGrant(now clock.Time, grant Message) {
-	requestedAt := clock.Time(grant.Stamp)
+	requestedAt := grant.requestedAt()
 	expiresAt := requestedAt + grant.Duration
 	isRevoked := requestedAt <= l.revokedAt[grant.From]
 	isInFuture := requestedAt > now // by the clock of an earlier process of this slot
-	if grant.Holder != l.process || isRevoked || isInFuture || expiresAt <= now {
+	if grant.Holder != l.incarnation || isRevoked || isInFuture || expiresAt <= now {
 		return
 	}
-	l.borrowed[grant.From] = max(l.borrowed[grant.From], expiresAt)
+	l.borrowedUntil[grant.From] = max(l.borrowedUntil[grant.From], expiresAt)
 }
 
 // receiveRevoke ends the use of a portion and confirms that. Grants of earlier requests that are still on their way are void.
 func (l *Leases) receiveRevoke(now clock.Time, revocation Message) (release Message, ok bool) {
-	if revocation.Holder != l.process {
+	if revocation.Holder != l.incarnation {
 		return Message{}, false
 	}
-	delete(l.borrowed, revocation.From)
+	delete(l.borrowedUntil, revocation.From)
 	l.revokedAt[revocation.From] = now
 	return Message{
 		Kind:    Release,
-		From:    l.self,
+		From:    l.ownSlot,
 		To:      revocation.From,
 		Grantor: revocation.Grantor,
-		Holder:  l.process,
+		Holder:  l.incarnation,
 		Stamp:   revocation.Stamp,
 	}, true
 }
@@ -87,7 +88,7 @@
 // receiveRelease takes a portion back, unless it has been granted again since the revocation.
 func (l *Leases) receiveRelease(release Message) {
 	granted, isGranted := l.granted[release.From]
-	if !isGranted || release.Grantor != l.process || release.Stamp <= granted.stamp {
+	if !isGranted || release.Grantor != l.incarnation || release.sequence() <= granted.stamp {
 		return
 	}
 	if granted.holder == 0 || granted.holder == release.Holder {
--- a/core/sharelease/sharelease.go
+++ b/core/sharelease/sharelease.go
@@ -54,10 +54,13 @@
 	return now + duration + duration/clockDriftDivisor + t.ExpiryMargin
 }
 
-// Share is the share of the fleet's limits that a router may use: Current until ExpiresAt, AfterExpiry from then on. It
-// holds until it is computed anew.
+// Share is the share of the fleet's limits that a router may use: Current until ExpiresAt, AfterExpiry from then on. The caller
+// computes it anew well before.
 type Share struct {
 	Current     float64
-	ExpiresAt   clock.Time // 0: Current does not expire
-	AfterExpiry float64
+	ExpiresAt   clock.Time // when the first borrowed portion expires; 0: Current does not expire
+	AfterExpiry float64    // without any borrowed portion, also without those that expire later
 }
+
+// unexpiring returns a share that does not expire.
+func unexpiring(share float64) Share { return Share{Current: share, AfterExpiry: share} }
--- a/core/sharelease/sharelease_test.go
+++ b/core/sharelease/sharelease_test.go
@@ -113,7 +113,7 @@
 		}
 		sum += share
 		if !r.stalled {
-			s.borrowedSeen += len(r.leases.borrowed)
+			s.borrowedSeen += len(r.leases.borrowedUntil)
 		}
 	}
 	if sum > 1+1e-9 && s.violation == "" {
--- a/internal/gossip/admission.go
+++ b/internal/gossip/admission.go
@@ -102,7 +102,8 @@
 	if err != nil {
 		return err
 	}
-	if pool := poolName(n.config); member.Fleet != pool {
+	pool := poolName(n.config)
+	if member.Fleet != pool {
 		return fmt.Errorf("router %q at %s is of fleet %q, and this one, %q, of fleet %q; correct %s of one of them",
 			member.Name, member.Addr, member.Fleet, n.self.Name, pool, differingFields(member.Fleet, pool))
 	}
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -89,7 +89,8 @@
 // isRepairDue reports whether the view has not been settled, and no repair made, for an interval. It then sets lastRepair to
 // now. n.mu is held.
 func (n *Node) isRepairDue(now clock.Time, lastRepair *clock.Time, interval clock.Duration) bool {
-	if _, settled := n.view.Digest(); settled {
+	_, settled := n.view.Digest()
+	if settled {
 		*lastRepair = now
 	}
 	if now-*lastRepair < interval {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -150,9 +150,11 @@
 	}
 	n.mu.Lock()
 	now := n.now()
-	n.view.AnnounceEnd(now, handedOver)
 	var transfers []sharelease.Message
-	if !handedOver {
+	if handedOver {
+		n.view.AnnounceHandover(now)
+	} else {
+		n.view.AnnounceLeave(now)
 		transfers = n.leases.TransferAll(now)
 	}
 	n.mu.Unlock()
@@ -169,7 +171,8 @@
 
 // Kill ends the node as a killed process does: without notice to the others.
 func (n *Node) Kill() {
-	if list := n.stopRunning(); list != nil {
+	list := n.stopRunning()
+	if list != nil {
 		_ = list.Shutdown() // the node is not used any more
 	}
 }
--- a/internal/gossip/log.go
+++ b/internal/gossip/log.go
@@ -42,7 +42,8 @@
 
 func changeFields(change membership.Change) logrus.Fields {
 	fields := logrus.Fields{"router": string(change.Router), "mono_us": fleet.Monotonic()}
-	if owner := change.Owner; owner != nil {
+	owner := change.Owner
+	if owner != nil {
 		fields["site"] = owner.Site
 		fields["incarnation"] = strconv.FormatUint(uint64(owner.Incarnation), 16)
 		fields["address"] = owner.Addr
