--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -3,12 +3,12 @@
 package main
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
 	"spurtrestle/internal/config"
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/controlplane"
 	"spurtrestle/internal/gossip"
 	"spurtrestle/internal/grpcfront"
@@ -24,7 +24,7 @@
 func listen(r *router.Router, cfg config.Config, g operator.GRPC, log *logrus.Logger) (stop func(), err error) {
 	ln, err := router.Listen(g.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("grpc.listen: %w", err)
+		return nil, &configerror.Error{Field: "grpc.listen", Problem: err.Error(), Cause: err}
 	}
 	front := grpcfront.New(r, grpcfront.Limits{Connections: g.Connections, Streams: g.Streams, Value: cfg.Limits.RESP.Bulk})
 	go func() {
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -81,7 +81,9 @@
 func (r policyRouter) Policy() (string, error) { return r.policy.Policy() }
 
 // HandleRequest passes an operator's request on to the voters.
-func (r policyRouter) HandleRequest(request string) (string, error) { return r.policy.HandleRequest(request) }
+func (r policyRouter) HandleRequest(request string) (string, error) {
+	return r.policy.HandleRequest(request)
+}
 
 // The admin endpoint finds these interfaces by type assertion.
 var (
--- /dev/null
+++ b/internal/router/handover_golden_test.go
@@ -0,0 +1,38 @@
+package router
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"spurtrestle/internal/operatorstate"
+)
+
+// TestGolden_HandoverBodies holds the JSON bodies of handover frames to those of build bfb4b5c, which a predecessor or
+// successor of that build sends and reads: their names are the names of Go fields. That build wrote the golden file.
+func TestGolden_HandoverBodies(t *testing.T) {
+	const golden = "testdata/handover.golden"
+	var state operatorstate.State
+	if err := json.Unmarshal([]byte(`{"down":["cache-a"],"back":{"cache-b":7},"empty":true}`), &state); err != nil {
+		t.Fatal(err)
+	}
+	got := ""
+	for _, body := range []any{
+		asked{State: state, Unkept: true, Whole: true},
+		moved{Server: "cache-a", Method: "get", Pending: []byte("p"), Left: 5, Last: true, Ended: true, Has: []byte("h"),
+			Answers: []byte("a"), Rest: []byte("r")},
+	} {
+		text, err := json.Marshal(body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got += string(text) + "\n"
+	}
+	want, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("bodies:\ngot\n%swant\n%s", got, want)
+	}
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -22,6 +22,7 @@
 	"spurtrestle/core/clock"
 	"spurtrestle/core/routing"
 	"spurtrestle/internal/config"
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/counters"
 	"spurtrestle/internal/discovery"
 	"spurtrestle/internal/wire"
@@ -113,7 +114,8 @@
 	if len(cfg.SavedEndpoints) > 0 {
 		var err error
 		if r.known, err = r.book.ApplySaved(cfg.SavedEndpoints); err != nil {
-			return nil, fmt.Errorf("%s: known: %w; give a list in discovery's form, or leave it out", cfg.File, err)
+			return nil, &configerror.Error{File: cfg.File, Field: "known", Problem: err.Error(),
+				Remedy: "give a list in discovery's form, or leave it out", Cause: err}
 		}
 	}
 	return r, nil
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -17,6 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"spurtrestle/core/routing"
+	"spurtrestle/internal/configerror"
 	"spurtrestle/internal/discovery"
 	"spurtrestle/internal/handover"
 	"spurtrestle/internal/operatorstate"
@@ -102,7 +103,8 @@
 		}
 		old.Close()
 		if another != nil {
-			return fmt.Errorf("listen: a process serves at %s, but %w; give this one an address or a TMPDIR of its own", r.cfg.Listen, another)
+			return &configerror.Error{Field: "listen", Problem: fmt.Sprintf("a process serves at %s, but %v", r.cfg.Listen, another),
+				Remedy: "give this one an address or a TMPDIR of its own", Cause: another}
 		}
 		r.log.WithError(err).Warn("a process that this one replaces does not hand over; both listen")
 		return nil
@@ -133,7 +135,7 @@
 	}
 	ln, err := Listen(r.cfg.Listen)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return &configerror.Error{Field: "listen", Problem: err.Error(), Cause: err}
 	}
 	t.ln = ln.(*net.TCPListener)
 	return nil
