--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -89,44 +89,44 @@
 }
 
 func parse(data []byte, getenv func(string) string) (Config, error) {
-	var d document
-	if err := json.Unmarshal(data, &d); err != nil {
+	var object document
+	if err := json.Unmarshal(data, &object); err != nil {
 		err = configerror.WithoutGoType(err)
 		return Config{}, &configerror.Error{Problem: err.Error(), Remedy: "write one object of JSON, as README.md has it", Cause: err}
 	}
-	c := Config{Name: d.Name, SavedEndpoints: d.Known}
+	c := Config{Name: object.Name, SavedEndpoints: object.Known}
 	if name := getenv(variableName); name != "" {
 		c.Name = name
 	}
-	if err := c.setAddresses(d, getenv); err != nil {
+	if err := c.setAddresses(object, getenv); err != nil {
 		return c, err
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(d.Seed, 16, 64); err != nil {
-		return c, &configerror.Error{Field: "seed", Value: strconv.Quote(d.Seed), Problem: "is no number",
+	if c.Seed, err = strconv.ParseUint(object.Seed, 16, 64); err != nil {
+		return c, &configerror.Error{Field: "seed", Value: strconv.Quote(object.Seed), Problem: "is no number",
 			Remedy: "write up to 16 hexadecimal digits", Cause: err}
 	}
-	if err := c.setSettings(d.Settings); err != nil {
+	if err := c.setSettings(object.Settings); err != nil {
 		return c, err
 	}
-	c.Limits, err = newLimits(d.Limits, c.Admin != "", c.Settings)
+	c.Limits, err = newLimits(object.Limits, c.Admin != "", c.Settings)
 	return c, err
 }
 
-func (c *Config) setAddresses(d document, getenv func(string) string) error {
+func (c *Config) setAddresses(object document, getenv func(string) string) error {
 	var err error
-	if c.Listen, err = address(getenv, variableListen, "listen", d.Listen); err != nil {
+	if c.Listen, err = address(getenv, variableListen, "listen", object.Listen); err != nil {
 		return err
 	}
-	if d.Admin != "" || getenv(variableAdmin) != "" {
-		if c.Admin, err = address(getenv, variableAdmin, "admin", d.Admin); err != nil {
+	if object.Admin != "" || getenv(variableAdmin) != "" {
+		if c.Admin, err = address(getenv, variableAdmin, "admin", object.Admin); err != nil {
 			return err
 		}
 		if c.Admin == c.Listen {
 			return &configerror.Error{Field: "admin", Value: c.Admin, Problem: "is listen too", Remedy: "give the operators' door an address of its own"}
 		}
 	}
-	c.Discovery, err = address(getenv, variableDiscovery, "discovery", d.Discovery)
+	c.Discovery, err = address(getenv, variableDiscovery, "discovery", object.Discovery)
 	return err
 }
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -100,7 +100,7 @@
 )
 
 // newLimits computes the limits from those of the file.
-func newLimits(given limitsObject, adminEnabled bool, s routing.Settings) (Limits, error) {
+func newLimits(given limitsObject, adminEnabled bool, service routing.Settings) (Limits, error) {
 	if err := checkLimits(given); err != nil {
 		return Limits{}, err
 	}
@@ -108,10 +108,10 @@
 	l.setDescriptors(given.Sockets, adminEnabled)
 	l.setMemory(given.Memory)
 	l.setSizes()
-	l.setClientTimeouts(s)
-	l.setLifecycleTimeouts(s)
-	l.setServerTimeouts(s)
-	l.setDiscoveryTimeouts(s.PollEndpoints)
+	l.setClientTimeouts(service)
+	l.setLifecycleTimeouts(service)
+	l.setServerTimeouts(service)
+	l.setDiscoveryTimeouts(service.PollEndpoints)
 	l.setLoopIntervals()
 	return l, nil
 }
@@ -201,12 +201,12 @@
 	clientNetworkMargin     = 3 * clock.Millisecond
 )
 
-func (l *Limits) setClientTimeouts(s routing.Settings) {
+func (l *Limits) setClientTimeouts(service routing.Settings) {
 	l.QuietClientAge = quietClientAge
 	l.SilentClientTimeout = silentClientTimeout
 	l.PartialCommandTimeout = partialCommandTimeout
 	l.LargeValueUnreadTimeout = largeValueUnreadTimeout
-	l.ClientWriteTimeout = max(minClientWriteTimeout, settings.LongestDeadline(s))
+	l.ClientWriteTimeout = max(minClientWriteTimeout, settings.LongestDeadline(service))
 	l.ClientGoneCheckInterval = clientGoneCheckInterval
 	l.ClientNetworkMargin = clientNetworkMargin
 }
@@ -220,10 +220,10 @@
 	maxShutdownDeadline = 3 * clock.Second
 )
 
-func (l *Limits) setLifecycleTimeouts(s routing.Settings) {
+func (l *Limits) setLifecycleTimeouts(service routing.Settings) {
 	l.TakeoverListTimeout = takeoverListTimeout
 	l.DrainAcceptPeriod = drainAcceptPeriod
-	l.ShutdownTimeout = min(maxShutdownDeadline, settings.LongestDeadline(s)) + shutdownMargin
+	l.ShutdownTimeout = min(maxShutdownDeadline, settings.LongestDeadline(service)) + shutdownMargin
 }
 
 const (
@@ -237,19 +237,19 @@
 	largeValueRetryInterval   = 5 * clock.Millisecond
 )
 
-func (l *Limits) setServerTimeouts(s routing.Settings) {
-	l.ConnectTimeout = s.ConnectTimeout
+func (l *Limits) setServerTimeouts(service routing.Settings) {
+	l.ConnectTimeout = service.ConnectTimeout
 	if l.ConnectTimeout <= 0 {
 		l.ConnectTimeout = defaultConnectTimeout
 	}
-	l.ServerIdleTimeout = s.ServerIdleTimeout * 9 / 10 // a request may be in transit when the server closes
+	l.ServerIdleTimeout = service.ServerIdleTimeout * 9 / 10 // a request may be in transit when the server closes
 	if l.ServerIdleTimeout <= 0 {
 		l.ServerIdleTimeout = defaultServerIdleTimeout
 	}
 	l.IdleSweepInterval = min(maxIdleSweepInterval, l.ServerIdleTimeout/idleSweepsPerTimeout)
 	l.ReuseDelay = reuseDelay
 	l.DuplicateMemory = duplicateMemory
-	l.LargeValueStallTimeout = max(minLargeValueStallTimeout, settings.LongestDeadline(s))
+	l.LargeValueStallTimeout = max(minLargeValueStallTimeout, settings.LongestDeadline(service))
 	l.LargeValueRetryInterval = largeValueRetryInterval
 }
 
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -28,56 +28,56 @@
 // many clients, and a sidecar, a router in each client process. policy-limits.parallel-tries distinguishes them. A mix
 // mostly comes from a file that was moved from one shape to the other by half. Some deployments mean it, so that a start
 // only warns; the check command rejects it.
-func shapeConflict(s routing.Settings) error {
+func shapeConflict(service routing.Settings) error {
 	const sidecarReason = "policy-limits.parallel-tries is true, as where each client process has a router of its own"
-	sidecar := s.HedgingAllowed
-	for _, c := range []conflict{
+	sidecar := service.HedgingAllowed
+	for _, conflict := range []conflict{
 		{
-			found:   sidecar && !s.WeightsAreCapacity,
+			found:   sidecar && !service.WeightsAreCapacity,
 			field:   "weights",
 			problem: "lists that tell no sizes, though " + sidecarReason,
 			remedy:  "say nominal or rough",
 		},
 		{
-			found:   !sidecar && s.WeightsAreCapacity,
+			found:   !sidecar && service.WeightsAreCapacity,
 			field:   "weights",
 			problem: "lists that tell sizes, as of routers in client processes, though policy-limits.parallel-tries is not true",
 			remedy:  "say silent, or set both",
 		},
 		{
-			found:   sidecar && !s.CancelAllowed,
+			found:   sidecar && !service.CancelAllowed,
 			field:   "policy-limits.cancel",
 			problem: "attempts cannot be called off, though " + sidecarReason,
 			remedy:  "say true",
 		},
 		{
-			found:   sidecar && !s.CacheAside,
+			found:   sidecar && !service.CacheAside,
 			field:   "domain.mode",
 			problem: "the servers ask the origin themselves, though " + sidecarReason,
 			remedy:  "say aside, or set parallel-tries to false",
 		},
 		{
-			found:   sidecar && s.MaxAttempts < minAttemptsWithHedging,
+			found:   sidecar && service.MaxAttempts < minAttemptsWithHedging,
 			field:   "policy-limits.send-cap",
 			problem: "a cache, a copy and one more attempt do not fit, though " + sidecarReason,
 			remedy:  "say 3 at least",
 		},
 	} {
-		if c.found {
-			return &configerror.Error{Section: settingsSection, Field: c.field, Problem: c.problem, Remedy: c.remedy}
+		if conflict.found {
+			return &configerror.Error{Section: settingsSection, Field: conflict.field, Problem: conflict.problem, Remedy: conflict.remedy}
 		}
 	}
 	return nil
 }
 
 // checkCosts rejects negative costs.
-func checkCosts(s routing.Settings) error {
+func checkCosts(service routing.Settings) error {
 	for _, cost := range []struct {
 		field string
 		value float64
 	}{
-		{"fees.waste", s.WastedWorkCost},
-		{"fees.cross-zone", s.CrossZoneCost},
+		{"fees.waste", service.WastedWorkCost},
+		{"fees.cross-zone", service.CrossZoneCost},
 	} {
 		if cost.value < 0 {
 			return &configerror.Error{Section: settingsSection, Field: cost.field, Problem: "less than nothing", Remedy: "say 0 or more"}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -71,19 +71,19 @@
 // nothing. Entries without a name are skipped.
 func (l *EndpointList) Apply(body []byte) (routing.EndpointsUpdated, error) {
 	update := routing.EndpointsUpdated{Kind: routing.IncrementalUpdate}
-	r, err := parseResponse(body)
+	received, err := parseResponse(body)
 	if err != nil {
 		return update, err
 	}
-	if err := l.checkContinues(r); err != nil {
+	if err := l.checkContinues(received); err != nil {
 		return update, err
 	}
-	l.revision = *r.Revision
-	if r.Full {
+	l.revision = *received.Revision
+	if received.Full {
 		l.synced = true
 		update.Kind = routing.FullUpdate
 	}
-	entries := *r.Endpoints
+	entries := *received.Endpoints
 	// Sorted, so that two names with the same hash get the same numbers in every router.
 	slices.SortStableFunc(entries, func(a, b endpointEntry) int { return strings.Compare(string(a.UID), string(b.UID)) })
 	for _, entry := range entries {
@@ -102,15 +102,15 @@
 
 // checkContinues rejects a response that does not continue the list: changes without a full list, and changes of an
 // earlier revision, which come from a discovery server that started anew and lacks the changes up to there.
-func (l *EndpointList) checkContinues(r response) error {
-	if r.Full {
+func (l *EndpointList) checkContinues(received response) error {
+	if received.Full {
 		return nil
 	}
 	if !l.synced {
 		return errNotFull
 	}
-	if *r.Revision < l.revision {
-		return &revisionError{received: *r.Revision, current: l.revision}
+	if *received.Revision < l.revision {
+		return &revisionError{received: *received.Revision, current: l.revision}
 	}
 	return nil
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -38,21 +38,21 @@
 
 // Send sends a frame. Its descriptors stay open in this process. After an error a part of the frame may have been sent, so
 // that the connection is of no more use.
-func (c *Conn) Send(f Frame) error {
+func (c *Conn) Send(frame Frame) error {
 	c.sendMu.Lock()
 	defer c.sendMu.Unlock()
 	_ = c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // fails for a closed connection, as the write will
-	header := binary.BigEndian.AppendUint32([]byte{byte(f.Kind)}, uint32(len(f.Body)))
+	header := binary.BigEndian.AppendUint32([]byte{byte(frame.Kind)}, uint32(len(frame.Body)))
 	var rights []byte
-	if len(f.FDs) > 0 {
-		rights = unix.UnixRights(f.FDs...)
+	if len(frame.FDs) > 0 {
+		rights = unix.UnixRights(frame.FDs...)
 	}
 	n, _, err := c.conn.WriteMsgUnix(header, rights, nil)
 	if err == nil && n < len(header) {
 		_, err = c.conn.Write(header[n:])
 	}
-	if err == nil && len(f.Body) > 0 {
-		_, err = c.conn.Write(f.Body)
+	if err == nil && len(frame.Body) > 0 {
+		_, err = c.conn.Write(frame.Body)
 	}
 	return err
 }
--- a/internal/operator/address.go
+++ b/internal/operator/address.go
@@ -12,18 +12,18 @@
 }
 
 // parseEndpoint reads the fields listen and advertise of a table, of which the second is optional.
-func parseEndpoint(t table, listen, advertise, example string) (endpoint, error) {
+func parseEndpoint(table tomlTable, listen, advertise, example string) (endpoint, error) {
 	var e endpoint
 	var ok bool
 	if e.listen, ok = parseAddress(listen); !ok {
-		return e, t.fault("listen", strconv.Quote(listen), "is no address and port", example)
+		return e, table.fault("listen", strconv.Quote(listen), "is no address and port", example)
 	}
 	e.advertise = e.listen
 	if advertise == "" {
 		return e, nil
 	}
 	if e.advertise, ok = parseAddress(advertise); !ok {
-		return e, t.fault("advertise", strconv.Quote(advertise), "is no address and port", example)
+		return e, table.fault("advertise", strconv.Quote(advertise), "is no address and port", example)
 	}
 	return e, nil
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -43,14 +43,14 @@
 // ForgetAfter is how long lost routers, and those that left, are shown.
 func (f Fleet) ForgetAfter() time.Duration { return f.forgetAfter }
 
-func (f *Fleet) check(t table) error {
+func (f *Fleet) check(table tomlTable) error {
 	if f.Name == "" {
 		if f.Listen != "" || len(f.Join) > 0 {
-			return t.fault("name", "", "is empty, though other fields are set", "name the fleet, or leave all of them empty")
+			return table.fault("name", "", "is empty, though other fields are set", "name the fleet, or leave all of them empty")
 		}
 		return nil
 	}
-	for _, step := range []func(table) error{
+	for _, step := range []func(tomlTable) error{
 		f.checkNames,
 		f.checkEndpoint,
 		f.checkPeers,
@@ -58,7 +58,7 @@
 		f.checkDir,
 		f.checkDurations,
 	} {
-		if err := step(t); err != nil {
+		if err := step(table); err != nil {
 			return err
 		}
 	}
@@ -67,7 +67,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,60}$`)
 
-func (f *Fleet) checkNames(t table) error {
+func (f *Fleet) checkNames(table tomlTable) error {
 	for _, field := range []struct{ name, value string }{
 		{"name", f.Name},
 		{"router", f.Router},
@@ -75,30 +75,30 @@
 		{"region", f.Region},
 	} {
 		if field.value != "" && !namePattern.MatchString(field.value) {
-			return t.fault(field.name, strconv.Quote(field.value), "is no name", "write 1 to 60 letters, digits, dots, dashes or underscores")
+			return table.fault(field.name, strconv.Quote(field.value), "is no name", "write 1 to 60 letters, digits, dots, dashes or underscores")
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) checkEndpoint(t table) error {
+func (f *Fleet) checkEndpoint(table tomlTable) error {
 	var err error
-	if f.endpoint, err = parseEndpoint(t, f.Listen, f.Advertise, fleetAddressExample); err != nil {
+	if f.endpoint, err = parseEndpoint(table, f.Listen, f.Advertise, fleetAddressExample); err != nil {
 		return err
 	}
 	if advertise := f.endpoint.advertise; advertise.Addr().IsUnspecified() {
-		return t.fault("advertise", "", fmt.Sprintf("others cannot reach %s", advertise), "write the address at which they do")
+		return table.fault("advertise", "", fmt.Sprintf("others cannot reach %s", advertise), "write the address at which they do")
 	}
 	for _, field := range f.endpoint.fields() {
 		if !f.Anywhere && !isPrivate(field.address) {
-			return t.fault(field.name, field.address.String(), "is no address of a private network, and nothing is signed or encrypted here",
+			return table.fault(field.name, field.address.String(), "is no address of a private network, and nothing is signed or encrypted here",
 				"write one of a network that is trusted, or set anywhere = true if this is meant")
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) checkPeers(t table) error {
+func (f *Fleet) checkPeers(table tomlTable) error {
 	for _, field := range []struct {
 		name      string
 		addresses []string
@@ -108,26 +108,26 @@
 	} {
 		for i, address := range field.addresses {
 			if _, err := netip.ParseAddrPort(address); err != nil {
-				return t.fault(field.name, "", fmt.Sprintf("its entry %d, %q, is no address and port", i+1, address), fleetAddressExample)
+				return table.fault(field.name, "", fmt.Sprintf("its entry %d, %q, is no address and port", i+1, address), fleetAddressExample)
 			}
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) checkTiers(t table) error {
+func (f *Fleet) checkTiers(table tomlTable) error {
 	if !f.Tiered && (f.Region != "" || len(f.Remote) > 0) {
-		return t.fault("tiered", "", "is false, though region or remote is set", "set tiered = true at every router of the fleet, or leave both empty")
+		return table.fault("tiered", "", "is false, though region or remote is set", "set tiered = true at every router of the fleet, or leave both empty")
 	}
 	if f.Tiered && f.Region == "" {
-		return t.fault("region", "", "is empty, and tiered is true", "name the region that the router's site is in")
+		return table.fault("region", "", "is empty, and tiered is true", "name the region that the router's site is in")
 	}
 	return nil
 }
 
-func (f *Fleet) checkDir(t table) error {
+func (f *Fleet) checkDir(table tomlTable) error {
 	if f.Dir != "" && !filepath.IsAbs(f.Dir) {
-		return relativePath(t, f.Dir)
+		return relativePath(table, f.Dir)
 	}
 	return nil
 }
@@ -141,19 +141,19 @@
 	defaultValue time.Duration
 }
 
-func (f *Fleet) checkDurations(t table) error {
+func (f *Fleet) checkDurations(table tomlTable) error {
 	for _, field := range []durationField{
 		{"probe", f.Probe, &f.probe, 100 * time.Millisecond, 10 * time.Second, time.Second},
 		{"forget", f.Forget, &f.forgetAfter, time.Second, 240 * time.Hour, 10 * time.Minute},
 	} {
-		if err := field.parse(t); err != nil {
+		if err := field.parse(table); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f durationField) parse(t table) error {
+func (f durationField) parse(table tomlTable) error {
 	*f.value = f.defaultValue
 	if f.text == "" {
 		return nil
@@ -161,7 +161,7 @@
 	var err error
 	*f.value, err = time.ParseDuration(f.text)
 	if err != nil || *f.value < f.least || *f.value > f.most {
-		return t.fault(f.name, strconv.Quote(f.text), fmt.Sprintf("is no span from %v to %v", f.least, f.most), `write it as "1s" or "10m"`)
+		return table.fault(f.name, strconv.Quote(f.text), fmt.Sprintf("is no span from %v to %v", f.least, f.most), `write it as "1s" or "10m"`)
 	}
 	return nil
 }
--- a/internal/operator/grpc.go
+++ b/internal/operator/grpc.go
@@ -19,22 +19,22 @@
 	maxGRPCCount     = 10000
 )
 
-func (g *GRPC) check(t table) error {
+func (g *GRPC) check(table tomlTable) error {
 	if _, err := netip.ParseAddrPort(g.Listen); g.Listen != "" && err != nil {
-		return t.fault("listen", strconv.Quote(g.Listen), "is no address and port", `write it as "127.0.0.1:7443"`)
+		return table.fault("listen", strconv.Quote(g.Listen), "is no address and port", `write it as "127.0.0.1:7443"`)
 	}
-	if err := checkGRPCCount(t, "connections", &g.Connections); err != nil {
+	if err := checkGRPCCount(table, "connections", &g.Connections); err != nil {
 		return err
 	}
-	return checkGRPCCount(t, "streams", &g.Streams)
+	return checkGRPCCount(table, "streams", &g.Streams)
 }
 
-func checkGRPCCount(t table, field string, count *int) error {
+func checkGRPCCount(table tomlTable, field string, count *int) error {
 	if *count == 0 {
 		*count = defaultGRPCCount
 	}
 	if *count < 1 || *count > maxGRPCCount {
-		return t.fault(field, strconv.Itoa(*count), fmt.Sprintf("is not from 1 to %d", maxGRPCCount), "write such a number")
+		return table.fault(field, strconv.Itoa(*count), fmt.Sprintf("is not from 1 to %d", maxGRPCCount), "write such a number")
 	}
 	return nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -73,16 +73,16 @@
 	return nil
 }
 
-// table makes the errors of one table's fields.
-type table struct {
+// tomlTable makes the errors of one table's fields.
+type tomlTable struct {
 	name  string
 	lines tomlfile.Lines
 }
 
-func (f *File) table(name string) table { return table{name: name, lines: f.lines} }
+func (f *File) table(name string) tomlTable { return tomlTable{name: name, lines: f.lines} }
 
 // fault returns an error of a field. value is as the text shows it; empty where the problem includes it.
-func (t table) fault(field, value, problem, remedy string) error {
+func (t tomlTable) fault(field, value, problem, remedy string) error {
 	name := t.name + "." + field
 	return &configerror.Error{Line: t.lines.Line(name), Field: name, Value: value, Problem: problem, Remedy: remedy}
 }
--- a/internal/operator/policy.go
+++ b/internal/operator/policy.go
@@ -32,70 +32,70 @@
 	return p.endpoint.listen, p.endpoint.advertise
 }
 
-func (p *Policy) check(t table, fleet Fleet) error {
+func (p *Policy) check(table tomlTable, fleet Fleet) error {
 	if p.WhenIsolated == "" {
 		if p.Dir != "" || len(p.Voters) > 0 {
-			return t.fault("cut_off", "", "is empty, though other fields are set", "say serve or refuse, or leave all of them empty")
+			return table.fault("cut_off", "", "is empty, though other fields are set", "say serve or refuse, or leave all of them empty")
 		}
 		return nil
 	}
-	if err := p.checkWhenIsolated(t, fleet); err != nil {
+	if err := p.checkWhenIsolated(table, fleet); err != nil {
 		return err
 	}
-	if err := p.checkVoters(t); err != nil {
+	if err := p.checkVoters(table); err != nil {
 		return err
 	}
 	isVoter := p.Listen != "" || p.Dir != ""
 	if !isVoter {
 		return nil
 	}
-	if err := p.checkEndpoint(t, fleet); err != nil {
+	if err := p.checkEndpoint(table, fleet); err != nil {
 		return err
 	}
 	if !filepath.IsAbs(p.Dir) {
-		return t.fault("dir", strconv.Quote(p.Dir), "is no absolute path", "write the whole path of a folder for this keeper alone, on a disk that lasts")
+		return table.fault("dir", strconv.Quote(p.Dir), "is no absolute path", "write the whole path of a folder for this keeper alone, on a disk that lasts")
 	}
 	return nil
 }
 
-func (p *Policy) checkWhenIsolated(t table, fleet Fleet) error {
+func (p *Policy) checkWhenIsolated(table tomlTable, fleet Fleet) error {
 	if p.WhenIsolated != WhenIsolatedServe && p.WhenIsolated != WhenIsolatedReject {
-		return t.fault("cut_off", strconv.Quote(p.WhenIsolated), "is neither serve nor refuse", "say what a router does that cannot reach the keepers")
+		return table.fault("cut_off", strconv.Quote(p.WhenIsolated), "is neither serve nor refuse", "say what a router does that cannot reach the keepers")
 	}
 	if fleet.Name == "" {
-		return t.fault("cut_off", "", "is set, and the router keeps no view of a fleet", "name the fleet under [fleet]")
+		return table.fault("cut_off", "", "is set, and the router keeps no view of a fleet", "name the fleet under [fleet]")
 	}
 	if fleet.Tiered {
-		return t.fault("cut_off", "", "is set, and fleet.tiered is true: keepers and routers of several sites do not reach one another through it yet",
+		return table.fault("cut_off", "", "is set, and fleet.tiered is true: keepers and routers of several sites do not reach one another through it yet",
 			"leave policy.cut_off empty, or set fleet.tiered = false")
 	}
 	return nil
 }
 
-func (p *Policy) checkVoters(t table) error {
+func (p *Policy) checkVoters(table tomlTable) error {
 	if count := len(p.Voters); count != 1 && count != 3 && count != 5 {
-		return t.fault("keepers", strconv.Itoa(count), "are named", "name three or five routers; one alone, where none may be lost")
+		return table.fault("keepers", strconv.Itoa(count), "are named", "name three or five routers; one alone, where none may be lost")
 	}
 	for i, name := range p.Voters {
 		if !namePattern.MatchString(name) || slices.Contains(p.Voters[:i], name) {
-			return t.fault("keepers", "", fmt.Sprintf("its entry %d, %q, is no name or there twice", i+1, name), "name each router once")
+			return table.fault("keepers", "", fmt.Sprintf("its entry %d, %q, is no name or there twice", i+1, name), "name each router once")
 		}
 	}
 	return nil
 }
 
-func (p *Policy) checkEndpoint(t table, fleet Fleet) error {
+func (p *Policy) checkEndpoint(table tomlTable, fleet Fleet) error {
 	if _, ok := parseAddress(p.Listen); !ok || p.Listen == fleet.Listen {
-		return t.fault("listen", strconv.Quote(p.Listen), "is no address and port, or that of fleet.listen", `write one of its own, as "10.1.2.3:7947"`)
+		return table.fault("listen", strconv.Quote(p.Listen), "is no address and port, or that of fleet.listen", `write one of its own, as "10.1.2.3:7947"`)
 	}
 	var err error
-	if p.endpoint, err = parseEndpoint(t, p.Listen, p.Advertise, policyAddressExample); err != nil {
+	if p.endpoint, err = parseEndpoint(table, p.Listen, p.Advertise, policyAddressExample); err != nil {
 		return err
 	}
 	for _, field := range p.endpoint.fields() {
 		allowed := fleet.Anywhere || isPrivate(field.address)
 		if field.address.IsUnspecified() || !allowed {
-			return t.fault(field.name, field.address.String(), "is no address of a private network", "write one of a network that is trusted")
+			return table.fault(field.name, field.address.String(), "is no address of a private network", "write one of a network that is trusted")
 		}
 	}
 	return nil
--- a/internal/operator/state.go
+++ b/internal/operator/state.go
@@ -24,9 +24,9 @@
 // Interval is the time between two writes; each varies by a quarter of it.
 func (s State) Interval() time.Duration { return s.interval }
 
-func (s *State) check(t table) error {
+func (s *State) check(table tomlTable) error {
 	if s.Dir != "" && !filepath.IsAbs(s.Dir) {
-		return relativePath(t, s.Dir)
+		return relativePath(table, s.Dir)
 	}
 	s.interval = defaultInterval
 	if s.IntervalText == "" {
@@ -34,20 +34,20 @@
 	}
 	interval, err := time.ParseDuration(s.IntervalText)
 	if err != nil {
-		return t.fault("every", strconv.Quote(s.IntervalText), "is no span", `write it as "10s" or "1m"`)
+		return table.fault("every", strconv.Quote(s.IntervalText), "is no span", `write it as "10s" or "1m"`)
 	}
 	s.interval = interval
 	return nil
 }
 
-func (s *State) checkInterval(t table) error {
+func (s *State) checkInterval(table tomlTable) error {
 	if s.interval < minInterval || s.interval > maxInterval {
-		return t.fault("every", s.interval.String(), fmt.Sprintf("is not from %v to %v", minInterval, maxInterval), "write such a span")
+		return table.fault("every", s.interval.String(), fmt.Sprintf("is not from %v to %v", minInterval, maxInterval), "write such a span")
 	}
 	return nil
 }
 
 // relativePath is the error of a dir that depends on the folder from which the router is started.
-func relativePath(t table, dir string) error {
-	return t.fault("dir", strconv.Quote(dir), "is no absolute path", "write the whole path: what the router is started from may change")
+func relativePath(table tomlTable, dir string) error {
+	return table.fault("dir", strconv.Quote(dir), "is no absolute path", "write the whole path: what the router is started from may change")
 }
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -43,7 +43,7 @@
 
 // run carries out a command line.
 func run(args []string, out io.Writer, parts Parts) error {
-	o, err := parseOptions(args)
+	opts, err := parseOptions(args)
 	if errors.Is(err, flag.ErrHelp) {
 		_, err = io.WriteString(out, usage)
 		return err
@@ -51,67 +51,67 @@
 	if err != nil {
 		return err
 	}
-	switch o.command {
+	switch opts.command {
 	case commandCheck:
-		return check(o.configFile, o.operatorFile, out, parts)
+		return check(opts.configFile, opts.operatorFile, out, parts)
 	case commandVersion:
 		_, err := fmt.Fprintln(out, "cache-router", revision())
 		return err
 	}
-	log, err := newLogger(o)
+	log, err := newLogger(opts)
 	if err != nil {
 		return err
 	}
-	return serve(log, o.operatorFile, parts)
+	return serve(log, opts.operatorFile, parts)
 }
 
 // parseOptions returns errUsage for a wrong command line, and flag.ErrHelp for a request for help.
 func parseOptions(args []string) (options, error) {
-	var o options
+	var opts options
 	if len(args) > 0 && args[0] != "" && args[0][0] != '-' {
-		o.command = args[0]
+		opts.command = args[0]
 		args = args[1:]
 	}
-	flags := flag.NewFlagSet(o.command, flag.ContinueOnError)
+	flags := flag.NewFlagSet(opts.command, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	switch o.command {
+	switch opts.command {
 	case commandServe:
-		flags.StringVar(&o.operatorFile, "file", "", "")
-		flags.StringVar(&o.logFormat, "log-format", "text", "")
-		flags.StringVar(&o.logLevel, "log-level", "info", "")
+		flags.StringVar(&opts.operatorFile, "file", "", "")
+		flags.StringVar(&opts.logFormat, "log-format", "text", "")
+		flags.StringVar(&opts.logLevel, "log-level", "info", "")
 	case commandCheck:
-		flags.StringVar(&o.configFile, "config", os.Getenv("EDGE_CONFIG"), "")
-		flags.StringVar(&o.operatorFile, "file", "", "")
+		flags.StringVar(&opts.configFile, "config", os.Getenv("EDGE_CONFIG"), "")
+		flags.StringVar(&opts.operatorFile, "file", "", "")
 	case commandVersion:
 	default:
-		return o, fmt.Errorf("%q is no command: %w", o.command, errUsage)
+		return opts, fmt.Errorf("%q is no command: %w", opts.command, errUsage)
 	}
 	err := flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
-		return o, err
+		return opts, err
 	}
 	if err != nil {
-		return o, fmt.Errorf("%v: %w", err, errUsage)
+		return opts, fmt.Errorf("%v: %w", err, errUsage)
 	}
 	if flags.NArg() > 0 {
-		return o, fmt.Errorf("%q is one word too many: %w", flags.Arg(0), errUsage)
+		return opts, fmt.Errorf("%q is one word too many: %w", flags.Arg(0), errUsage)
 	}
-	return o, nil
+	return opts, nil
 }
 
-func newLogger(o options) (*logrus.Logger, error) {
+func newLogger(opts options) (*logrus.Logger, error) {
 	log := logrus.New()
-	level, err := logrus.ParseLevel(o.logLevel)
+	level, err := logrus.ParseLevel(opts.logLevel)
 	if err != nil {
-		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warning, error: %w", o.logLevel, errUsage)
+		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warning, error: %w", opts.logLevel, errUsage)
 	}
 	log.Level = level
-	switch o.logFormat {
+	switch opts.logFormat {
 	case "text":
 	case "json":
 		log.SetFormatter(&logrus.JSONFormatter{})
 	default:
-		return nil, fmt.Errorf("--log-format: %q is neither text nor json: %w", o.logFormat, errUsage)
+		return nil, fmt.Errorf("--log-format: %q is neither text nor json: %w", opts.logFormat, errUsage)
 	}
 	return log, nil
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -44,19 +44,19 @@
 	return c, checkFleetConfig(c)
 }
 
-func checkFleetConfig(c fleet.Config) error {
-	if c.Name == "" {
-		return c.ConfigError("fleet.router", "is empty, and so is name in the configuration", "give the router a name")
+func checkFleetConfig(cfg fleet.Config) error {
+	if cfg.Name == "" {
+		return cfg.ConfigError("fleet.router", "is empty, and so is name in the configuration", "give the router a name")
 	}
-	if len(c.Sites) > 0 && !slices.Contains(c.Sites, c.Site) {
-		return c.ConfigError("fleet.site", fmt.Sprintf("%q is none of the settings' zones", c.Site), fmt.Sprintf("write one of %q", c.Sites))
+	if len(cfg.Sites) > 0 && !slices.Contains(cfg.Sites, cfg.Site) {
+		return cfg.ConfigError("fleet.site", fmt.Sprintf("%q is none of the settings' zones", cfg.Site), fmt.Sprintf("write one of %q", cfg.Sites))
 	}
-	if c.Tiered && c.Site == "" {
-		return c.ConfigError("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet is made of them")
+	if cfg.Tiered && cfg.Site == "" {
+		return cfg.ConfigError("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet is made of them")
 	}
-	if c.Dir != "" {
-		if info, err := os.Stat(c.Dir); err == nil && !info.IsDir() {
-			return c.ConfigError("fleet.dir", c.Dir+" is no folder", "name a folder, one for each router")
+	if cfg.Dir != "" {
+		if info, err := os.Stat(cfg.Dir); err == nil && !info.IsDir() {
+			return cfg.ConfigError("fleet.dir", cfg.Dir+" is no folder", "name a folder, one for each router")
 		}
 	}
 	return nil
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -120,9 +120,9 @@
 }
 
 // serveAdmin answers on the admin endpoint until its listener is closed.
-func (p *process) serveAdmin(r admin.Router) {
+func (p *process) serveAdmin(served admin.Router) {
 	if p.admin != nil {
-		go admin.Serve(p.admin, p.config.Limits.AdminConnections, r)
+		go admin.Serve(p.admin, p.config.Limits.AdminConnections, served)
 	}
 }
 
--- a/internal/settings/service.go
+++ b/internal/settings/service.go
@@ -10,18 +10,18 @@
 )
 
 // MethodNames lists the names of all methods.
-func MethodNames(s routing.Settings) []string {
+func MethodNames(service routing.Settings) []string {
 	var names []string
-	for _, method := range s.Methods {
+	for _, method := range service.Methods {
 		names = append(names, method.Name)
 	}
 	return names
 }
 
 // LongestDeadline is the longest deadline of any method.
-func LongestDeadline(s routing.Settings) clock.Duration {
+func LongestDeadline(service routing.Settings) clock.Duration {
 	longest := clock.Duration(0)
-	for _, method := range s.Methods {
+	for _, method := range service.Methods {
 		longest = max(longest, method.Deadline)
 	}
 	return longest
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -51,21 +51,21 @@
 	if err := d.check(); err != nil {
 		return routing.Settings{}, err
 	}
-	s := routing.Settings{
+	service := routing.Settings{
 		Routers:          *d.Balancers,
 		ClockGranularity: Seconds(d.Resolution),
 		OverShareWeight:  d.OverShare,
 	}
-	d.applyDomain(&s)
-	d.applyCosts(&s)
-	d.applyDiscovery(&s)
-	d.applyLimits(&s)
-	d.applyRules(&s)
-	if err := d.applyMethods(&s); err != nil {
-		return s, err
+	d.applyDomain(&service)
+	d.applyCosts(&service)
+	d.applyDiscovery(&service)
+	d.applyLimits(&service)
+	d.applyRules(&service)
+	if err := d.applyMethods(&service); err != nil {
+		return service, err
 	}
-	d.applyTenants(&s)
-	return s, nil
+	d.applyTenants(&service)
+	return service, nil
 }
 
 // check rejects an object in which something is missing or contradicts something else.
@@ -103,58 +103,58 @@
 	return nil
 }
 
-func (d *document) applyDomain(s *routing.Settings) {
-	s.CacheAside = d.Domain.Mode == modeAside
+func (d *document) applyDomain(service *routing.Settings) {
+	service.CacheAside = d.Domain.Mode == modeAside
 	kind := d.Domain.OriginKind
 	if kind != nil && *kind >= 0 {
-		s.OriginKind = routing.Kind(d.Flavors[*kind])
+		service.OriginKind = routing.Kind(d.Flavors[*kind])
 	}
-	s.OriginOverloadMultiple = d.Domain.OriginOverloadMultiple
-	s.OriginOverloadWindow = Seconds(d.Domain.OriginOverloadWindow)
+	service.OriginOverloadMultiple = d.Domain.OriginOverloadMultiple
+	service.OriginOverloadWindow = Seconds(d.Domain.OriginOverloadWindow)
 }
 
-func (d *document) applyCosts(s *routing.Settings) {
-	s.ConnectionCost = d.Fees.Connection
-	s.HandshakeCost = d.Fees.Handshake
-	s.WastedWorkCost = d.Fees.Waste
-	s.CrossZoneCost = d.Fees.CrossZone
-	s.WorstMethodWeight = d.Goal.WorstClass
+func (d *document) applyCosts(service *routing.Settings) {
+	service.ConnectionCost = d.Fees.Connection
+	service.HandshakeCost = d.Fees.Handshake
+	service.WastedWorkCost = d.Fees.Waste
+	service.CrossZoneCost = d.Fees.CrossZone
+	service.WorstMethodWeight = d.Goal.WorstClass
 }
 
-func (d *document) applyDiscovery(s *routing.Settings) {
-	s.PollEndpoints = d.Discovery == discoveryOnRequest
-	s.WeightsAreCapacity = d.Weights == weightsNominal || d.Weights == weightsRough
-	s.ReportsOnHealthChecks = d.LoadReport.How == reportPull
+func (d *document) applyDiscovery(service *routing.Settings) {
+	service.PollEndpoints = d.Discovery == discoveryOnRequest
+	service.WeightsAreCapacity = d.Weights == weightsNominal || d.Weights == weightsRough
+	service.ReportsOnHealthChecks = d.LoadReport.How == reportPull
 	for _, name := range d.LoadReport.Fields {
-		s.ReportFields = append(s.ReportFields, ReportFields[name])
+		service.ReportFields = append(service.ReportFields, ReportFields[name])
 	}
 }
 
-func (d *document) applyLimits(s *routing.Settings) {
+func (d *document) applyLimits(service *routing.Settings) {
 	limits := &d.Limits
-	s.CancelAllowed = limits.Cancel
-	s.HealthChecksAllowed = limits.HealthChecks
-	s.HedgingAllowed = limits.Hedging
-	s.MaxAttempts = *limits.MaxAttempts
+	service.CancelAllowed = limits.Cancel
+	service.HealthChecksAllowed = limits.HealthChecks
+	service.HedgingAllowed = limits.Hedging
+	service.MaxAttempts = *limits.MaxAttempts
 	if limits.RetryAfter {
-		s.MaxRetryAfter = Seconds(limits.MaxRetryAfter)
+		service.MaxRetryAfter = Seconds(limits.MaxRetryAfter)
 	}
-	s.ConnectTimeout = Seconds(limits.ConnectTimeout)
-	s.ServerIdleTimeout = Seconds(limits.IdleTimeout)
+	service.ConnectTimeout = Seconds(limits.ConnectTimeout)
+	service.ServerIdleTimeout = Seconds(limits.IdleTimeout)
 }
 
-func (d *document) applyRules(s *routing.Settings) {
+func (d *document) applyRules(service *routing.Settings) {
 	rules := d.Rules
-	s.ResponseSlack = Seconds(rules.ResponseSlack)
-	s.PollInterval = Seconds(rules.PollInterval)
-	s.DrainTimeout = Seconds(rules.DrainTimeout)
-	s.WarmUpShare = rules.WarmUpShare
-	s.WarmUpDuration = Seconds(rules.WarmUpDuration)
-	s.OverloadMultiple = rules.OverloadMultiple
-	s.OverloadWindow = Seconds(rules.OverloadWindow)
+	service.ResponseSlack = Seconds(rules.ResponseSlack)
+	service.PollInterval = Seconds(rules.PollInterval)
+	service.DrainTimeout = Seconds(rules.DrainTimeout)
+	service.WarmUpShare = rules.WarmUpShare
+	service.WarmUpDuration = Seconds(rules.WarmUpDuration)
+	service.OverloadMultiple = rules.OverloadMultiple
+	service.OverloadWindow = Seconds(rules.OverloadWindow)
 }
 
-func (d *document) applyMethods(s *routing.Settings) error {
+func (d *document) applyMethods(service *routing.Settings) error {
 	for _, class := range d.Classes {
 		effect, effectKnown := effects[class.Effect]
 		group, groupKnown := groups[class.Group]
@@ -166,7 +166,7 @@
 				Remedy:  "effects are free, guarded and single_shot, groups all, zone and cell",
 			}
 		}
-		s.Methods = append(s.Methods, routing.MethodSettings{
+		service.Methods = append(service.Methods, routing.MethodSettings{
 			Name:                class.Name,
 			Idempotency:         effect,
 			DeduplicationScope:  group,
@@ -181,9 +181,9 @@
 	return nil
 }
 
-func (d *document) applyTenants(s *routing.Settings) {
+func (d *document) applyTenants(service *routing.Settings) {
 	for _, tenant := range d.Tenants {
-		s.Tenants = append(s.Tenants, routing.TenantSettings{
+		service.Tenants = append(service.Tenants, routing.TenantSettings{
 			Name:  routing.Tenant(tenant.Name),
 			Share: tenant.Share,
 			Quota: tenant.Quota,
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -14,19 +14,19 @@
 
 // Encode returns the file for a state, in format Version. Servers are sorted by UID; those beyond MaxServers, and keys
 // beyond MaxKeys, are left out.
-func Encode(s State) []byte {
+func Encode(state State) []byte {
 	file := []byte(magic)
-	file = appendRecord(file, record{kindHeader, encodeHeader(Version, s.Router)})
-	file = appendRecord(file, record{kindInstance, encodeInstance(s.Knowledge)})
-	for _, method := range s.Methods {
+	file = appendRecord(file, record{kindHeader, encodeHeader(Version, state.Router)})
+	file = appendRecord(file, record{kindInstance, encodeInstance(state.Knowledge)})
+	for _, method := range state.Methods {
 		file = appendRecord(file, record{kindMethod, encodeMethod(method)})
 	}
-	servers := slices.SortedFunc(slices.Values(s.Servers), func(a, b Server) int { return strings.Compare(a.UID, b.UID) })
+	servers := slices.SortedFunc(slices.Values(state.Servers), func(a, b Server) int { return strings.Compare(a.UID, b.UID) })
 	for _, server := range servers[:min(len(servers), MaxServers)] {
 		file = appendRecord(file, record{kindServer, encodeServer(server)})
 	}
-	if len(s.Knowledge.Keys) > 0 {
-		file = appendRecord(file, record{kindKeys, encodeKeys(s.Knowledge.Keys)})
+	if len(state.Knowledge.Keys) > 0 {
+		file = appendRecord(file, record{kindKeys, encodeKeys(state.Knowledge.Keys)})
 	}
 	return appendEnd(file)
 }
@@ -44,12 +44,12 @@
 	return m
 }
 
-func encodeInstance(k routing.Knowledge) []byte {
+func encodeInstance(knowledge routing.Knowledge) []byte {
 	var m message
-	m.varint(fieldInstanceCapturedAt, int64(k.CapturedAt))
-	m.varint(fieldInstanceObservedFor, int64(k.ObservedFor))
-	m.latency(fieldInstanceCacheLatency, k.CacheLatency)
-	for i, rate := range ratesOf(&k) {
+	m.varint(fieldInstanceCapturedAt, int64(knowledge.CapturedAt))
+	m.varint(fieldInstanceObservedFor, int64(knowledge.ObservedFor))
+	m.latency(fieldInstanceCacheLatency, knowledge.CacheLatency)
+	for i, rate := range ratesOf(&knowledge) {
 		m.double(fieldInstanceFirstRate+protowire.Number(i), *rate)
 	}
 	return m
@@ -57,16 +57,16 @@
 
 // ratesOf lists the rates of an instance record in the order of their fields: encodeInstance reads and decodeInstance
 // writes through the pointers.
-func ratesOf(k *routing.Knowledge) [8]*float64 {
+func ratesOf(knowledge *routing.Knowledge) [8]*float64 {
 	return [...]*float64{
-		&k.RequestRate,
-		&k.HitRate,
-		&k.EndedRate,
-		&k.AnsweredRate,
-		&k.AttemptRate,
-		&k.FailureRate,
-		&k.RetryBudget,
-		&k.KeyReads,
+		&knowledge.RequestRate,
+		&knowledge.HitRate,
+		&knowledge.EndedRate,
+		&knowledge.AnsweredRate,
+		&knowledge.AttemptRate,
+		&knowledge.FailureRate,
+		&knowledge.RetryBudget,
+		&knowledge.KeyReads,
 	}
 }
 
--- a/internal/snapshot/upgrade.go
+++ b/internal/snapshot/upgrade.go
@@ -6,15 +6,15 @@
 }
 
 // upgrade brings a decoded state to the form of the newest version. Its Version stays that of the file.
-func upgrade(s *State) {
-	for version := s.Version; version < Version; version++ {
-		upgrades[version](s)
+func upgrade(state *State) {
+	for version := state.Version; version < Version; version++ {
+		upgrades[version](state)
 	}
 }
 
 // setObservedAt upgrades version 1, which had no ObservedAt: the servers' evidence is as old as the file.
-func setObservedAt(s *State) {
-	for i := range s.Servers {
-		s.Servers[i].ObservedAt = s.Knowledge.CapturedAt
+func setObservedAt(state *State) {
+	for i := range state.Servers {
+		state.Servers[i].ObservedAt = state.Knowledge.CapturedAt
 	}
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -47,19 +47,19 @@
 }
 
 // Submit hands over a state without waiting. It is called from one goroutine, the event loop.
-func (w *Writer) Submit(s State) {
+func (w *Writer) Submit(state State) {
 	select {
 	case <-w.submitted: // replaced by the newer state
 	default:
 	}
-	w.submitted <- s // cannot block: the only sender has just emptied the channel
+	w.submitted <- state // cannot block: the only sender has just emptied the channel
 }
 
 // Close writes a final state, releases the folder and ends the goroutine. It is called once. It waits no longer than
 // timeout, so that a disk that hangs does not delay the end of the process: the goroutine is then still writing and holds
 // the lock until the process ends.
-func (w *Writer) Close(s State, timeout time.Duration) {
-	w.final <- s
+func (w *Writer) Close(state State, timeout time.Duration) {
+	w.final <- state
 	select {
 	case <-w.done:
 	case <-time.After(timeout):
@@ -99,10 +99,10 @@
 	defer close(w.done)
 	for {
 		select {
-		case s := <-w.submitted:
-			w.save(s)
-		case s := <-w.final:
-			w.save(s)
+		case state := <-w.submitted:
+			w.save(state)
+		case state := <-w.final:
+			w.save(state)
 			if w.lock != nil {
 				w.lock.Close() // the lock file is empty; closing releases it
 			}
@@ -111,11 +111,11 @@
 	}
 }
 
-func (w *Writer) save(s State) {
+func (w *Writer) save(state State) {
 	if !w.acquireLock() {
 		return
 	}
-	if err := w.store.Save(Encode(s)); err != nil {
+	if err := w.store.Save(Encode(state)); err != nil {
 		w.logFailure(err)
 		return
 	}
