--- a/core/policycommit/explore_test.go
+++ b/core/policycommit/explore_test.go
@@ -33,9 +33,9 @@
 
 const (
 	noBug               plantedBug = ""
-	leaseFromReceipt    plantedBug = "a lease counts from when it comes"
-	leaseIgnored        plantedBug = "a lease is not looked at"
-	preparedIsForgotten plantedBug = "a promise is forgotten"
+	leaseFromReceipt    plantedBug = "lease counts from its receipt"
+	leaseIgnored        plantedBug = "lease is not checked"
+	preparedIsForgotten plantedBug = "prepared change is forgotten"
 )
 
 // scope bounds the states that are explored.
@@ -346,16 +346,16 @@
 func TestEveryOrder(t *testing.T) {
 	failClosed, mixed, failOpen := []bool{false, false}, []bool{true, false}, []bool{true, true}
 	scopes := map[string]scope{
-		"both refuse": {failClosed, 5, []int{3, 1}, eventBudget{proposals: 1}},
-		"both serve":  {failOpen, 5, []int{3, 2}, eventBudget{proposals: 1}},
-		"one serves":  {mixed, 5, []int{3, 1}, eventBudget{proposals: 1}},
+		"both fail closed": {failClosed, 5, []int{3, 1}, eventBudget{proposals: 1}},
+		"both fail open":   {failOpen, 5, []int{3, 2}, eventBudget{proposals: 1}},
+		"one fails open":   {mixed, 5, []int{3, 1}, eventBudget{proposals: 1}},
 		// Shorter runs with other events.
-		"one message is lost, one comes twice": {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, losses: 1, duplicates: 1}},
-		"one router begins anew":               {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, crashes: 1}},
-		"another keeper leads":                 {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, newLeaders: 1}},
-		"all of that":                          {mixed, 4, []int{2, 1}, eventBudget{proposals: 1, losses: 1, duplicates: 1, crashes: 1, newLeaders: 1}},
+		"loss and duplicate": {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, losses: 1, duplicates: 1}},
+		"crash":              {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, crashes: 1}},
+		"new leader":         {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, newLeaders: 1}},
+		"all events":         {mixed, 4, []int{2, 1}, eventBudget{proposals: 1, losses: 1, duplicates: 1, crashes: 1, newLeaders: 1}},
 	}
-	takesMinutes := map[string]bool{"both serve": true, "all of that": true}
+	takesMinutes := map[string]bool{"both fail open": true, "all events": true}
 	for name, s := range scopes {
 		t.Run(name, func(t *testing.T) {
 			if takesMinutes[name] && !*long {
@@ -371,7 +371,7 @@
 	}
 	// A forgotten prepare does not show where fail-closed routers get a new lease.
 	shownIn := map[plantedBug][]string{
-		preparedIsForgotten: {"both serve", "all of that"},
+		preparedIsForgotten: {"both fail open", "all events"},
 		leaseFromReceipt:    slices.Collect(maps.Keys(scopes)),
 		leaseIgnored:        slices.Collect(maps.Keys(scopes)),
 	}
--- a/internal/controlplane/leader_loop.go
+++ b/internal/controlplane/leader_loop.go
@@ -65,7 +65,9 @@
 	n.raftLog.addVoters(n.transport.Voters(), n.config.Voters, n.inviteVoter)
 	n.evaluateSites() // before the first lease of a term: a lease without orders would end those of the term before
 	n.answerRenewals(coordinator, renewals)
-	n.resolvePending(coordinator)
+	state := n.raftLog.currentState()
+	n.resolvePending(coordinator, state)
+	n.updateShares(coordinator, state)
 	n.sendVerdicts()
 }
 
@@ -139,27 +141,32 @@
 	})
 }
 
-// resolvePending appends the entry that ends the pending change and the one that a lost router's share needs, if they are due.
-func (n *Node) resolvePending(coordinator *policycommit.Leader) {
-	state := n.raftLog.currentState()
+// resolvePending appends the entry that ends the pending change, if it is due. A failed append is repeated by the next pass.
+func (n *Node) resolvePending(coordinator *policycommit.Leader, state *policycommit.LogState) {
 	n.mu.Lock()
 	entry := coordinator.ResolvePending(n.now(), state)
 	n.mu.Unlock()
 	if entry != nil {
-		_ = n.raftLog.append(*entry) // a failed append is repeated by the next pass
+		_ = n.raftLog.append(*entry)
 	}
+}
+
+// updateShares appends the entry that leases out the share of a lost router or gives it back, if one is due. A failed append is
+// repeated by the next pass.
+func (n *Node) updateShares(coordinator *policycommit.Leader, state *policycommit.LogState) {
 	n.mu.Lock()
-	entry = coordinator.NextShareEntry(n.now(), state)
+	entry := coordinator.NextShareEntry(n.now(), state)
 	n.mu.Unlock()
-	if entry != nil {
-		n.log.WithFields(logrus.Fields{
-			"kind":     string(entry.Kind),
-			"router":   string(entry.Name),
-			"what":     string(entry.Kind),
-			"formerly": "policy: a lost router's part",
-		}).Warn("policy: share of a lost router")
-		_ = n.raftLog.append(*entry)
+	if entry == nil {
+		return
 	}
+	n.log.WithFields(logrus.Fields{
+		"kind":     string(entry.Kind),
+		"router":   string(entry.Name),
+		"what":     string(entry.Kind), // the key of earlier releases, until the next one
+		"formerly": "policy: a lost router's part",
+	}).Warn("policy: share of a lost router")
+	_ = n.raftLog.append(*entry)
 }
 
 // sendVerdicts replies to the operators' requests whose changes have been resolved.
--- a/internal/controlplane/site_leader.go
+++ b/internal/controlplane/site_leader.go
@@ -172,7 +172,7 @@
 	n.log.WithFields(logrus.Fields{
 		"site":     request.Name,
 		"action":   request.SiteAction,
-		"word":     request.SiteAction,
+		"word":     request.SiteAction, // the key of earlier releases, until the next one
 		"by":       request.Author,
 		"reason":   request.Reason,
 		"formerly": "site: an operator's word",
