--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -3,7 +3,7 @@
 // events and heartbeats together with the current time of the process's monotonic clock, from any goroutine but under one lock.
 //
 // A router is identified by its name. Each process of a router is an incarnation with a random number, so that a restart, a
-// replacement and a name that is used twice are told apart without comparing wall clocks.
+// replacement and a name that is used twice are distinguished without comparing wall clocks.
 package membership
 
 import "spurtrestle/core/clock"
@@ -58,11 +58,11 @@
 	Leader    bool   `json:"Leads"`  // it is the leader of the policy's voters
 	VoterID   uint64 `json:"Folder"` // its identity as a voter; 0: it is none
 	VoterAddr string `json:"Keeper"` // address of its raft log
-	Voter     bool   `json:"Member"` // its raft log takes part in the quorum
+	Voter     bool   `json:"Member"` // its raft log is part of the quorum
 	LastIndex uint64 `json:"Last"`   // last entry of its raft log
 }
 
-// Config holds the timings and limits of a View.
+// Config is the timings and limits of a View.
 type Config struct {
 	StableFor         clock.Duration // without a change of the view until its digest is announced
 	SuspectAfter      clock.Duration // without direct contact until an alive router is shown as suspect
--- a/core/membership/reconnect.go
+++ b/core/membership/reconnect.go
@@ -6,7 +6,7 @@
 	"spurtrestle/core/clock"
 )
 
-// reconnectsPerInterval bounds the reconnect attempts of the whole fleet in a reconnect interval. Routers of a fleet up to that
+// reconnectsPerInterval bounds the reconnect attempts of the fleet in a reconnect interval. Routers of a fleet up to that
 // size make one attempt each; in a larger fleet each router's interval is longer.
 const reconnectsPerInterval = 8
 
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -63,8 +63,8 @@
 	return v
 }
 
-// MemberJoined records that the failure detector has found a process alive, for the first time or again. A process that has
-// announced its shutdown does not come back: the failure detector has outdated news of it.
+// MemberJoined records that the failure detector has found a process alive, for the first time or again, or with changed metadata. A process that has
+// announced its shutdown does not come back: the failure detector is outdated.
 func (v *View) MemberJoined(now clock.Time, member Member) {
 	p := v.findOrAdd(now, member.Incarnation)
 	if p == nil || member.Incarnation == v.self.Incarnation {
--- a/core/sharelease/leases.go
+++ b/core/sharelease/leases.go
@@ -110,7 +110,7 @@
 }
 
 // Tick lets time pass and returns the requests and revocations that are due, ordered by slot. peers are the alive processes
-// of the other slots; wantsMore tells whether this router can use more than its own share.
+// of the other slots; wantsMore is whether this router can use more than its own share.
 func (l *Leases) Tick(now clock.Time, peers map[Slot]Peer, wantsMore bool) []Message {
 	l.removeExpired(now)
 	var messages []Message
--- a/core/sharelease/message.go
+++ b/core/sharelease/message.go
@@ -7,9 +7,9 @@
 
 // Holders send Request and Release, grantors Grant and Revoke. The values go over the wire.
 const (
-	Request Kind = iota + 1 // asks for a lease of the grantor's portion; Stamp is the holder's time
+	Request Kind = iota + 1 // requests a lease of the grantor's portion; Stamp is the holder's time
 	Grant                   // grants it for Duration from Stamp on, which is that of the request
-	Revoke                  // takes it back; Stamp is the grantor's count of its messages
+	Revoke                  // ends it; Stamp is the grantor's count of its messages
 	Release                 // confirms that the holder does not use it; Stamp is that of the revocation
 )
 
--- a/core/sharelease/sharelease.go
+++ b/core/sharelease/sharelease.go
@@ -27,7 +27,7 @@
 // MinimumShare returns the share that a router of a fleet of this size can always use.
 func MinimumShare(fleetSize int) float64 { return minimumRatio / float64(max(1, fleetSize)) }
 
-// Timing holds the spans of leases.
+// Timing is the spans of leases.
 type Timing struct {
 	Lease         clock.Duration // duration of a lease; holders renew it
 	Transfer      clock.Duration // duration of a lease from a process that is about to exit; it cannot be renewed
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet declares how a program, its router and the node that represents the router in the fleet are connected. It has
-// types and interfaces alone, so that a program can be built without internal/gossip, which implements them, and the traffic
-// counters of such a node.
+// no I/O and no state, so that a program can be built without internal/gossip, which implements it. The traffic counters of a
+// node are here as well, since the lab reads them from a router's metrics.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config configures a router's node. Fields of the operator's file have the comments of that file.
+// Config configures a router's node. Most fields are those of section fleet of the operator's file, see docs/fleet.md.
 type Config struct {
 	Fleet           string
 	Name            string // of the router
@@ -43,7 +43,8 @@
 	Idle      bool // no request of a client is in progress or can arrive
 }
 
-// Share is the share of the fleet's limits that a router may use: Current until ExpiresAt, AfterExpiry from then on.
+// Share is the share of the fleet's limits that a router may use: Current until ExpiresAt, AfterExpiry from then on. It is a
+// sharelease.Share by the router's clock.
 type Share struct {
 	Current     float64
 	ExpiresAt   time.Time // zero: Current does not expire
@@ -67,11 +68,12 @@
 	Close(handedOver bool)
 }
 
-// Policy is a router's side of the fleet's policy.
+// Policy is a router's side of the fleet's policy. It uses the transport of a Node.
 type Policy interface {
-	Policy() (string, error)                      // the policy in force, as JSON
+	Policy() (string, error)                      // this router's state and the policy in force, as JSON
 	HandleRequest(request string) (string, error) // passes an operator's request to the voters
-	// Close ends it. With handedOver, a successor has taken over with what this process left it.
+	// Close ends the router's side. It is called before Node.Close, since its last messages go over the node's transport. With
+	// handedOver, a successor has taken over with what this process left it.
 	Close(handedOver bool)
 }
 
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -28,7 +28,7 @@
 
 func (k TrafficKind) String() string { return trafficKindNames[k] }
 
-// Count counts bytes, headers included, and messages.
+// Count counts bytes, headers included, and messages. Its JSON is part of the replies of the lab's workers.
 type Count struct {
 	Bytes    int64 `json:"b"`
 	Messages int64 `json:"m"`
@@ -111,11 +111,13 @@
 
 func (c *atomicCount) load() Count { return Count{Bytes: c.bytes.Load(), Messages: c.messages.Load()} }
 
-// Sent counts outgoing bytes, headers included, and messages.
-func (t *Traffic) Sent(kind TrafficKind, bytes, messages int) { t.sent[kind].add(bytes, messages) }
+// RecordSent counts outgoing bytes, headers included, and messages.
+func (t *Traffic) RecordSent(kind TrafficKind, bytes, messages int) {
+	t.sent[kind].add(bytes, messages)
+}
 
-// Received counts incoming bytes, headers included, and messages.
-func (t *Traffic) Received(kind TrafficKind, bytes, messages int) {
+// RecordReceived counts incoming bytes, headers included, and messages.
+func (t *Traffic) RecordReceived(kind TrafficKind, bytes, messages int) {
 	t.received[kind].add(bytes, messages)
 }
 
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -10,9 +10,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var traffic Traffic
 		for range rapid.IntRange(0, 20).Draw(t, "events") {
-			record := traffic.Sent
+			record := traffic.RecordSent
 			if rapid.Bool().Draw(t, "received") {
-				record = traffic.Received
+				record = traffic.RecordReceived
 			}
 			kind := TrafficKind(rapid.IntRange(0, int(TrafficKinds)-1).Draw(t, "kind"))
 			record(kind, rapid.IntRange(0, 1<<40).Draw(t, "bytes"), 1)
@@ -35,9 +35,9 @@
 
 func TestTrafficCounts_Add(t *testing.T) {
 	var first, second Traffic
-	first.Sent(Probe, 10, 1)
-	second.Sent(Probe, 5, 2)
-	second.Received(Summary, 7, 1)
+	first.RecordSent(Probe, 10, 1)
+	second.RecordSent(Probe, 5, 2)
+	second.RecordReceived(Summary, 7, 1)
 	sum := first.Counts()
 	sum.Add(second.Counts())
 	if want := (Count{15, 3}); sum.Sent[Probe] != want {
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -11,7 +11,7 @@
 	Incarnation Incarnation
 	VoterID     uint64 // identity of its raft log; 0: the router is no voter
 	Addr        string // of its raft log
-	Voter       bool   // its raft log takes part in the quorum
+	Voter       bool   // its raft log is part of the quorum
 	LastIndex   uint64 // last entry of its raft log
 }
 
@@ -19,10 +19,14 @@
 // messages may be lost.
 type Transport interface {
 	Self() Incarnation
+	// Send sends a message. One to this process itself is handled on another goroutine, so that the caller may have locked what
+	// the handler locks; it requires OnMessage before.
 	Send(to Incarnation, body []byte)
 	// OnMessage sets the function that receives messages. It is called from the receiving goroutine and must not block.
 	OnMessage(handler func(from Incarnation, body []byte))
 
+	// The setters announce with the next heartbeat.
+
 	SetLeader(isLeader bool) // announces whether this process is the leader of the voters
 	Leaders() []Incarnation  // processes that announce that they are the leader
 	SetPolicyRevision(revision uint64)
--- a/internal/gossip/admission.go
+++ b/internal/gossip/admission.go
@@ -64,22 +64,31 @@
 	}
 }
 
-// memberOf reads a node's metadata. The Fleet of the result is the name of its pool.
-func memberOf(peer *memberlist.Node) (membership.Member, error) {
+// metadataOf reads a node's metadata.
+func metadataOf(peer *memberlist.Node) (nodeMetadata, error) {
 	var metadata nodeMetadata
 	if err := json.Unmarshal(peer.Meta, &metadata); err != nil {
-		return membership.Member{}, fmt.Errorf("read metadata of router at %s: %w", peer.Address(), err)
+		return nodeMetadata{}, fmt.Errorf("read metadata of router at %s: %w", peer.Address(), err)
 	}
 	incarnation := membership.Incarnation(metadata.Incarnation)
 	if metadata.Name == "" || incarnation == 0 || incarnation != incarnationOf(peer) {
-		return membership.Member{}, fmt.Errorf("read metadata of router at %s: it is incomplete", peer.Address())
+		return nodeMetadata{}, fmt.Errorf("read metadata of router at %s: it is incomplete", peer.Address())
+	}
+	return metadata, nil
+}
+
+// memberOf returns a node as a member of the view. Its Fleet is the name of its pool.
+func memberOf(peer *memberlist.Node) (membership.Member, error) {
+	metadata, err := metadataOf(peer)
+	if err != nil {
+		return membership.Member{}, err
 	}
 	ip, _ := netip.AddrFromSlice(peer.Addr)
 	return membership.Member{
 		Fleet:       metadata.Pool,
 		Name:        membership.Name(metadata.Name),
 		Site:        membership.Site(metadata.Site),
-		Incarnation: incarnation,
+		Incarnation: membership.Incarnation(metadata.Incarnation),
 		Slot:        membership.Slot(metadata.Slot),
 		StartedAt:   metadata.StartedAt,
 		Build:       metadata.Build,
@@ -98,27 +107,25 @@
 }
 
 func (n *Node) rejectionOf(peer *memberlist.Node) error {
-	member, err := memberOf(peer)
+	metadata, err := metadataOf(peer)
 	if err != nil {
 		return err
 	}
 	pool := poolName(n.config)
-	if member.Fleet != pool {
+	if metadata.Pool != pool {
 		return fmt.Errorf("router %q at %s is of fleet %q, and this one, %q, of fleet %q; correct %s of one of them",
-			member.Name, member.Addr, member.Fleet, n.self.Name, pool, differingFields(member.Fleet, pool))
+			metadata.Name, peer.Address(), metadata.Pool, n.self.Name, pool, differingFields(metadata.Pool, pool))
 	}
-	if err := n.checkService(peer); err != nil {
+	if err := n.checkService(metadata); err != nil {
 		return fmt.Errorf("router %q at %s: %w; correct fleet.name or fleet.join of one of them, %q or this one, %q",
-			member.Name, member.Addr, err, member.Name, n.self.Name)
+			metadata.Name, peer.Address(), err, metadata.Name, n.self.Name)
 	}
 	return nil
 }
 
 // checkService compares the service's methods: a router of another service has other servers and limits, even if its fleet
 // has the same name. Older builds announce no methods, and pass.
-func (n *Node) checkService(peer *memberlist.Node) error {
-	var metadata nodeMetadata
-	_ = json.Unmarshal(peer.Meta, &metadata) // memberOf has read it before
+func (n *Node) checkService(metadata nodeMetadata) error {
 	isOwnMethod := func(method string) bool { return slices.Contains(n.config.Methods, method) }
 	sharesMethod := metadata.MethodsTruncated && slices.ContainsFunc(metadata.Methods, isOwnMethod)
 	if len(metadata.Methods) == 0 || sharesMethod {
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -46,7 +46,7 @@
 }
 
 // nextHeartbeatRequests returns some peers whose announced digest has differed from this view's for a probe interval: this
-// router or they have missed a heartbeat. n.mu is held.
+// router or they have missed a heartbeat. n.mu is locked.
 func (n *Node) nextHeartbeatRequests(now clock.Time) []*memberlist.Node {
 	if !n.config.Tiered || !n.isRepairDue(now, &n.antiEntropy.heartbeatsRequestedAt, micros(n.config.ProbeInterval)) {
 		return nil
@@ -67,7 +67,7 @@
 }
 
 // nextFullStateExchange returns the address of a peer whose view has disagreed with this one for several probe intervals.
-// n.mu is held.
+// n.mu is locked.
 func (n *Node) nextFullStateExchange(now clock.Time) (addr string, isDue bool) {
 	interval := disagreementProbes * micros(n.config.ProbeInterval)
 	if !n.config.Tiered || !n.isRepairDue(now, &n.antiEntropy.stateExchangedAt, interval) {
@@ -87,7 +87,7 @@
 }
 
 // isRepairDue reports whether the view has not been settled, and no repair made, for an interval. It then sets lastRepair to
-// now. n.mu is held.
+// now. n.mu is locked.
 func (n *Node) isRepairDue(now clock.Time, lastRepair *clock.Time, interval clock.Duration) bool {
 	_, settled := n.view.Digest()
 	if settled {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// requestHeartbeats asks peers for their heartbeats.
+// requestHeartbeats requests the heartbeats of peers.
 func (n *Node) requestHeartbeats(peers []*memberlist.Node) {
 	request := encodeHeartbeatRequest(n.self.Incarnation)
 	for _, peer := range peers {
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -11,8 +11,8 @@
 	"spurtrestle/core/sharelease"
 )
 
-// All that goes over the wire between nodes is encoded and decoded here. Nodes of different builds exchange it: the bytes
-// are held by the golden files of testdata. A flat fleet exchanges heartbeats as JSON; a tiered fleet packs them, since they
+// All that goes over the wire between nodes is encoded and decoded here. Nodes of different builds exchange it, and the golden
+// files of testdata fix the bytes. A flat fleet exchanges heartbeats as JSON; a tiered fleet packs them, since they
 // go with each reply to a probe.
 
 // messageKind is the first byte of a message.
@@ -21,7 +21,7 @@
 const (
 	kindHeartbeat        messageKind = 'w' // a heartbeat as JSON
 	kindPackedHeartbeat  messageKind = 'q' // a packed heartbeat; also the first byte of a packed full state
-	kindHeartbeatRequest messageKind = 'a' // asks the recipient for its heartbeat
+	kindHeartbeatRequest messageKind = 'a' // requests the recipient's heartbeat
 	kindShareLease       messageKind = 'p' // of package sharelease, as JSON
 	kindPolicy           messageKind = 't' // of the policy, with the sender's incarnation
 	kindSummary          messageKind = 'h' // a datagram of package hierarchy
@@ -187,6 +187,9 @@
 	return 0
 }
 
+// boolByte returns 1 for true and 0 for false.
+func boolByte(value bool) byte { return flagBit(1, value) }
+
 // appendHeartbeat appends a packed heartbeat.
 func appendHeartbeat(packed []byte, heartbeat membership.Heartbeat) []byte {
 	hasVoter := heartbeat.VoterID != 0 || heartbeat.VoterAddr != "" || heartbeat.Voter || heartbeat.LastIndex != 0
@@ -209,7 +212,7 @@
 	if hasVoter {
 		addr := heartbeat.VoterAddr[:min(len(heartbeat.VoterAddr), maxVoterAddr)]
 		packed = binary.BigEndian.AppendUint64(packed, heartbeat.VoterID)
-		packed = append(packed, flagBit(1, heartbeat.Voter), byte(len(addr)))
+		packed = append(packed, boolByte(heartbeat.Voter), byte(len(addr)))
 		packed = append(packed, addr...)
 		packed = binary.AppendUvarint(packed, heartbeat.LastIndex)
 	}
@@ -219,26 +222,26 @@
 // unpackHeartbeat reads a packed heartbeat and returns what follows it.
 func unpackHeartbeat(packed []byte) (heartbeat membership.Heartbeat, rest []byte, err error) {
 	r := &fieldReader{rest: packed}
-	heartbeat.Incarnation = membership.Incarnation(r.uint64())
-	heartbeat.Seq = r.uvarint()
-	flags := r.byte()
+	heartbeat.Incarnation = membership.Incarnation(r.readUint64())
+	heartbeat.Seq = r.readUvarint()
+	flags := r.readByte()
 	heartbeat.Accepting = flags&flagAccepting != 0
 	heartbeat.Draining = flags&flagDraining != 0
 	heartbeat.HandingOver = flags&flagHandingOver != 0
 	heartbeat.Yielded = flags&flagYielded != 0
 	heartbeat.Left = flags&flagLeft != 0
 	heartbeat.Leader = flags&flagLeader != 0
-	heartbeat.PolicyRevision = r.uvarint()
-	heartbeat.ViewDigest = r.uint64()
+	heartbeat.PolicyRevision = r.readUvarint()
+	heartbeat.ViewDigest = r.readUint64()
 	if flags&flagDuplicate != 0 {
-		heartbeat.Duplicate = membership.Incarnation(r.uint64())
+		heartbeat.Duplicate = membership.Incarnation(r.readUint64())
 	}
 	if flags&flagVoter != 0 {
-		heartbeat.VoterID = r.uint64()
-		heartbeat.Voter = r.byte() != 0
-		addrSize := int(r.byte())
-		heartbeat.VoterAddr = string(r.bytes(min(maxVoterAddr, addrSize)))
-		heartbeat.LastIndex = r.uvarint()
+		heartbeat.VoterID = r.readUint64()
+		heartbeat.Voter = r.readByte() != 0
+		addrSize := int(r.readByte())
+		heartbeat.VoterAddr = string(r.readBytes(min(maxVoterAddr, addrSize)))
+		heartbeat.LastIndex = r.readUvarint()
 	}
 	if r.truncated {
 		return membership.Heartbeat{}, nil, errHeartbeatTruncated
@@ -275,7 +278,7 @@
 	truncated bool
 }
 
-func (r *fieldReader) bytes(size int) []byte {
+func (r *fieldReader) readBytes(size int) []byte {
 	if r.truncated || len(r.rest) < size {
 		r.truncated = true
 		return make([]byte, size)
@@ -285,11 +288,11 @@
 	return field
 }
 
-func (r *fieldReader) byte() byte { return r.bytes(1)[0] }
+func (r *fieldReader) readByte() byte { return r.readBytes(1)[0] }
 
-func (r *fieldReader) uint64() uint64 { return binary.BigEndian.Uint64(r.bytes(8)) }
+func (r *fieldReader) readUint64() uint64 { return binary.BigEndian.Uint64(r.readBytes(8)) }
 
-func (r *fieldReader) uvarint() uint64 {
+func (r *fieldReader) readUvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if r.truncated || size <= 0 {
 		r.truncated = true
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -10,7 +10,7 @@
 )
 
 // delegate receives the callbacks of memberlist, and passes them to the node. Memberlist calls it from its own goroutines,
-// some of them while it holds its own locks: a callback must not call memberlist.
+// some of them under its own locks: a callback must not call memberlist.
 type delegate struct{ node *Node }
 
 var (
@@ -63,12 +63,12 @@
 	}
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
-	clone := *peer // memberlist goes on to change its own
+	clone := *peer // memberlist changes its own later
 	d.node.peers[member.Incarnation] = &clone
 	d.node.view.MemberJoined(d.node.now(), member)
 }
 
-// NotifyUpdate records changed metadata of a process.
+// NotifyUpdate records changed metadata of a process, as at its join.
 func (d delegate) NotifyUpdate(peer *memberlist.Node) { d.NotifyJoin(peer) }
 
 // NotifyLeave records that a process is dead or has left.
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -104,9 +104,9 @@
 	if err := os.WriteFile(filepath.Join(n.config.Dir, "peers.json"), tiered, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	peers, err := n.loadPeers()
-	if err != nil || !slices.Equal(peers, []string{"10.0.0.2:7946"}) || !slices.Equal(n.config.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
-		t.Errorf("peers are read as %q, remote %q, %v", peers, n.config.Remote, err)
+	read, err := n.loadPeers()
+	if err != nil || !slices.Equal(read.Peers, []string{"10.0.0.2:7946"}) || !slices.Equal(read.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
+		t.Errorf("peers are read as %+v, %v", read, err)
 	}
 }
 
@@ -127,7 +127,7 @@
 // Dashboards read the names of the metrics.
 func TestGolden_Figures(t *testing.T) {
 	n := goldenNode(false)
-	n.applied = fleet.Share{Current: 0.25}
-	n.traffic.Sent(fleet.Heartbeat, 100, 2)
+	n.shares.applied = fleet.Share{Current: 0.25}
+	n.traffic.RecordSent(fleet.Heartbeat, 100, 2)
 	goldentest.Compare(t, "figures.txt", []byte(n.Metrics()))
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -3,14 +3,14 @@
 // summaries. Decisions are made in core/membership, core/sharelease and core/hierarchy; this package has their sockets, timers
 // and goroutines.
 //
-// A program opens one Node for its router. The node's state is guarded by one mutex, which is never held while memberlist is
+// A program opens one Node for its router. The node's state is guarded by one mutex, which is never locked while memberlist is
 // called, since memberlist calls back. A goroutine of the node ticks every few milliseconds; the router's event loop never
 // waits for the node.
 //
 // By file: gossip.go opens and closes a node, join.go joins the fleet, tick.go is the periodic work, delegate.go is called by
 // memberlist, receive.go dispatches messages, codec.go encodes them, shares.go applies share leases, antientropy.go repairs
 // missed heartbeats, hierarchy.go connects core/hierarchy, transport.go implements fleet.Transport, peersfile.go persists
-// addresses, and meter.go counts traffic.
+// addresses, meter.go counts traffic, and introspection.go is for the lab.
 package gossip
 
 import (
@@ -40,16 +40,16 @@
 	self      membership.Member
 	traffic   fleet.Traffic
 
-	mu            sync.Mutex             // guards the fields up to the next group; not held while memberlist is called
+	mu            sync.Mutex             // guards the fields up to antiEntropy; not locked while memberlist is called
 	list          *memberlist.Memberlist // nil until the node listens
 	peers         map[membership.Incarnation]*memberlist.Node
 	view          *membership.View
 	localChanged  bool                 // the own heartbeat has changed since its last broadcast
 	rejections    map[string]time.Time // when a rejection was last logged, by its reason
 	policyHandler func(fleet.Incarnation, []byte)
-	shareState
-	hierarchyState
-	antiEntropy antiEntropyState
+	shares        shareState
+	tiers         hierarchyState
+	antiEntropy   antiEntropyState
 
 	broadcasts     *memberlist.TransmitLimitedQueue // safe for concurrent use
 	reconnecting   atomic.Bool
@@ -71,14 +71,15 @@
 		return nil, err
 	}
 	n := newNode(config, router, logger, incarnation)
-	peers, err := n.loadPeers()
+	persisted, err := n.loadPeers()
 	if err != nil {
 		return nil, err
 	}
+	n.config.Remote = slices.Concat(config.Remote, persisted.Remote)
 	if err := n.openHierarchy(); err != nil {
 		return nil, err
 	}
-	n.config.Join = slices.Compact(slices.Sorted(slices.Values(append(peers, config.Join...))))
+	n.config.Join = slices.Compact(slices.Sorted(slices.Values(append(persisted.Peers, config.Join...))))
 	if config.HasPredecessor {
 		n.running.Go(n.runAfterPredecessor)
 		return n, nil
@@ -130,16 +131,16 @@
 	}
 	now := n.now()
 	n.view = membership.New(now, viewConfig, n.self)
-	n.leases = sharelease.New(now, sharelease.DefaultTiming(), config.FleetSize, sharelease.Slot(config.Slot),
+	n.shares.leases = sharelease.New(now, sharelease.DefaultTiming(), config.FleetSize, sharelease.Slot(config.Slot),
 		sharelease.Incarnation(incarnation), config.NoSharesGranted)
-	n.applied = unknownShare
+	n.shares.applied = unknownShare
 	return n
 }
 
 // micros converts a span to the core packages' unit.
 func micros(span time.Duration) clock.Duration { return clock.Duration(span / time.Microsecond) }
 
-// now is the time since the node was opened, by the monotonic clock.
+// now is the clock of the core packages: the time since the node was opened, by the monotonic clock.
 func (n *Node) now() clock.Time { return micros(time.Since(n.startedAt)) }
 
 // Close leaves the fleet, once the router sends nothing more: gracefully, or because a successor has taken over.
@@ -155,7 +156,7 @@
 		n.view.AnnounceHandover(now)
 	} else {
 		n.view.AnnounceLeave(now)
-		transfers = n.leases.TransferAll(now)
+		transfers = n.shares.leases.TransferAll(now)
 	}
 	n.mu.Unlock()
 
@@ -169,14 +170,6 @@
 	n.persistPeers()
 }
 
-// Kill ends the node as a killed process does: without notice to the others.
-func (n *Node) Kill() {
-	list := n.stopRunning()
-	if list != nil {
-		_ = list.Shutdown() // the node is not used any more
-	}
-}
-
 // stopRunning ends the node's goroutines. It returns nil if the node has never listened.
 func (n *Node) stopRunning() *memberlist.Memberlist {
 	close(n.stop)
@@ -186,10 +179,7 @@
 	return n.list
 }
 
-// Traffic returns what the node has sent and received so far.
-func (n *Node) Traffic() fleet.TrafficCounts { return n.traffic.Counts() }
-
-// heartbeatsByIncarnation indexes the last heartbeat of each process. n.mu is held.
+// heartbeatsByIncarnation indexes the last heartbeat of each process. n.mu is locked.
 func (n *Node) heartbeatsByIncarnation() map[membership.Incarnation]membership.Heartbeat {
 	heartbeats := map[membership.Incarnation]membership.Heartbeat{}
 	for _, heartbeat := range n.view.Heartbeats() {
--- a/internal/gossip/hierarchy.go
+++ b/internal/gossip/hierarchy.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"hash/crc64"
 	"net/netip"
 
@@ -10,7 +9,6 @@
 
 	"spurtrestle/core/clock"
 	"spurtrestle/core/hierarchy"
-	"spurtrestle/core/membership"
 )
 
 // siteRefreshInterval is the span between two computations of the local site's state while the view does not change.
@@ -24,9 +22,6 @@
 	siteUpdatedAt clock.Time
 }
 
-// errFlatFleet reports a request about sites and regions to a router of a flat fleet.
-var errFlatFleet = errors.New("this router is of no tiered fleet; set fleet.tiered")
-
 // openHierarchy begins the node's part in a tiered fleet. In a flat one it does nothing.
 func (n *Node) openHierarchy() error {
 	if !n.config.Tiered {
@@ -51,39 +46,39 @@
 		}
 		config.SeedAddrs = append(config.SeedAddrs, addr)
 	}
-	n.hierarchy = hierarchy.New(n.now(), hierarchy.DefaultParameters(), config)
+	n.tiers.hierarchy = hierarchy.New(n.now(), hierarchy.DefaultParameters(), config)
 	return nil
 }
 
-// knownRepresentatives returns the addresses of representatives of other sites. n.mu is held.
+// knownRepresentatives returns the addresses of representatives of other sites. n.mu is locked.
 func (n *Node) knownRepresentatives() []string {
-	if n.hierarchy == nil {
+	if n.tiers.hierarchy == nil {
 		return nil
 	}
 	var addrs []string
-	for _, addr := range n.hierarchy.KnownRepresentatives() {
+	for _, addr := range n.tiers.hierarchy.KnownRepresentatives() {
 		addrs = append(addrs, addr.String())
 	}
 	return addrs
 }
 
-// tickHierarchy lets time pass and returns the datagrams to send. n.mu is held.
+// tickHierarchy lets time pass and returns the datagrams to send. n.mu is locked.
 func (n *Node) tickHierarchy(now clock.Time) []hierarchy.Datagram {
-	if n.hierarchy == nil {
+	if n.tiers.hierarchy == nil {
 		return nil
 	}
 	digest, _ := n.view.Digest()
-	if digest != n.siteDigest || now-n.siteUpdatedAt >= siteRefreshInterval {
-		n.siteDigest = digest
-		n.siteUpdatedAt = now
-		n.site = n.localSite(now)
+	if digest != n.tiers.siteDigest || now-n.tiers.siteUpdatedAt >= siteRefreshInterval {
+		n.tiers.siteDigest = digest
+		n.tiers.siteUpdatedAt = now
+		n.tiers.site = n.localSite(now)
 	}
-	return n.hierarchy.Tick(now, n.site)
+	return n.tiers.hierarchy.Tick(now, n.tiers.site)
 }
 
 var siteDigestTable = crc64.MakeTable(crc64.ECMA)
 
-// localSite returns the state of this router's site. n.mu is held.
+// localSite returns the state of this router's site. n.mu is locked.
 func (n *Node) localSite(now clock.Time) hierarchy.LocalSite {
 	var site hierarchy.LocalSite
 	for _, count := range n.view.Snapshot(now).Sites {
@@ -123,64 +118,7 @@
 func (n *Node) receiveSummary(body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.hierarchy != nil {
-		n.hierarchy.Receive(n.now(), body)
-	}
-}
-
-// HierarchyStatus returns what this router knows of sites and regions. It fails in a flat fleet.
-func (n *Node) HierarchyStatus() (hierarchy.Status, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.hierarchy == nil {
-		return hierarchy.Status{}, errFlatFleet
-	}
-	return n.hierarchy.Status(n.now()), nil
-}
-
-// HierarchyRole returns what this router represents in a tiered fleet: nothing in a flat one.
-func (n *Node) HierarchyRole() hierarchy.Role {
-	const noRank = -1
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.hierarchy == nil {
-		return hierarchy.Role{Rank: noRank}
-	}
-	return n.hierarchy.Role()
-}
-
-// Settled reports whether the view is settled and, in a tiered fleet, the summaries are.
-func (n *Node) Settled() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	_, settled := n.view.Digest()
-	if n.hierarchy == nil {
-		return settled
-	}
-	return settled && n.hierarchy.Settled(n.now())
-}
-
-// HierarchyDigests returns the digests of the known summaries of sites and of regions; zero in a flat fleet. Routers of a
-// region that agree have the same first one, routers of the fleet the same second one.
-func (n *Node) HierarchyDigests() (sites, regions uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.hierarchy == nil {
-		return 0, 0
-	}
-	return n.hierarchy.Digests()
-}
-
-// NewestRevision returns the highest policy revision that a router of this site or a summary announces.
-func (n *Node) NewestRevision() uint64 {
-	var newest uint64
-	n.forEachAlive(func(_ membership.Member, heartbeat membership.Heartbeat) {
-		newest = max(newest, heartbeat.PolicyRevision)
-	})
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.hierarchy != nil {
-		newest = max(newest, n.hierarchy.NewestRevision())
+	if n.tiers.hierarchy != nil {
+		n.tiers.hierarchy.Receive(n.now(), body)
 	}
-	return newest
 }
--- a/internal/gossip/join.go
+++ b/internal/gossip/join.go
@@ -28,11 +28,11 @@
 }
 
 // joinFleet contacts the seeds and returns an error if an alive router has this one's name. Otherwise a process with a wrong
-// file would accept clients until the first heartbeats arrive. Without an answer from the seeds it returns at once: the node
-// goes on contacting them.
+// file would accept clients until the first heartbeats arrive. Without an answer from the seeds it returns after joinTimeout; the
+// node contacts them again later.
 func (n *Node) joinFleet() error {
 	joined := make(chan struct{})
-	go func() { // ends by the connection timeout of memberlist
+	go func() { // ends by the connection timeout of memberlist, which cannot be cancelled; Close does not wait for it
 		defer close(joined)
 		if len(n.config.Join) > 0 {
 			_, _ = n.list.Join(n.config.Join) // seeds that do not answer are contacted again by reconnect
@@ -46,7 +46,7 @@
 	deadline := time.Now().Add(duplicateProbes * n.config.ProbeInterval)
 	for time.Now().Before(deadline) {
 		n.mu.Lock()
-		heartbeatChanged, _ := n.view.Tick(n.now())
+		heartbeatChanged, _ := n.view.Tick(n.now()) // changes during the start are not logged
 		reason := n.view.YieldReason()
 		hasDuplicate := n.view.HasOlderDuplicate()
 		n.mu.Unlock()
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -11,7 +11,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Timings of memberlist, in probe intervals: those that the library has by default, relative to its probe interval.
+// Timings of memberlist, in probe intervals. Broadcasts are as in memberlist.DefaultLANConfig, whose probe interval is a second;
+// full states are exchanged more often, and connections time out sooner.
 const (
 	gossipsPerProbe    = 5
 	fullStateProbes    = 10
--- a/internal/gossip/meter.go
+++ b/internal/gossip/meter.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/fleet"
 )
 
-// meteredTransport counts the traffic of another transport, and drops what the faulty links of a trial say. A goroutine of
+// meteredTransport counts the traffic of another transport, and drops packets by the faulty links of a trial. A goroutine of
 // its own passes on what arrives, from its creation until Shutdown.
 type meteredTransport struct {
 	memberlist.NodeAwareTransport
@@ -59,7 +59,7 @@
 		case <-t.stop:
 			return
 		case packet := <-t.NodeAwareTransport.PacketCh():
-			countPacket(packet.Buf, t.traffic.Received)
+			countPacket(packet.Buf, t.traffic.RecordReceived)
 			select {
 			case t.packets <- packet:
 			case <-t.stop:
@@ -89,7 +89,7 @@
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (t meteredTransport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
-	countPacket(packet, t.traffic.Sent)
+	countPacket(packet, t.traffic.RecordSent)
 	if t.links.DropsPacket(to.Addr) {
 		return time.Now(), nil
 	}
@@ -125,7 +125,7 @@
 	return err
 }
 
-// meteredConn counts the bytes of a connection. The side that has opened it writes first, and the first byte tells the kind
+// meteredConn counts the bytes of a connection. The side that has opened it writes first, and the first byte is the kind
 // of its traffic. Reads and writes of one connection do not overlap.
 type meteredConn struct {
 	net.Conn
@@ -138,7 +138,7 @@
 func (c *meteredConn) Read(buffer []byte) (int, error) {
 	size, err := c.Conn.Read(buffer)
 	c.classify(buffer[:size])
-	c.traffic.Received(c.kind, size, 0)
+	c.traffic.RecordReceived(c.kind, size, 0)
 	return size, err
 }
 
@@ -146,11 +146,12 @@
 func (c *meteredConn) Write(data []byte) (int, error) {
 	size, err := c.Conn.Write(data)
 	c.classify(data[:size])
-	c.traffic.Sent(c.kind, size, 0)
+	c.traffic.RecordSent(c.kind, size, 0)
 	return size, err
 }
 
-// classify sets the kind by the first bytes, and counts the connection itself. Each carries one message each way.
+// classify sets the kind by the first bytes in either direction, and counts the connection itself: one message each way, and an
+// estimate of what the layers below add.
 func (c *meteredConn) classify(data []byte) {
 	if c.classified || len(data) == 0 {
 		return
@@ -160,6 +161,6 @@
 	if data[0] == memberlistPushPull {
 		c.kind = fleet.FullState
 	}
-	c.traffic.Sent(c.kind, connectionOverhead/2, 1)
-	c.traffic.Received(c.kind, connectionOverhead/2, 1)
+	c.traffic.RecordSent(c.kind, connectionOverhead/2, 1)
+	c.traffic.RecordReceived(c.kind, connectionOverhead/2, 1)
 }
--- a/internal/gossip/peersfile.go
+++ b/internal/gossip/peersfile.go
@@ -7,7 +7,6 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"slices"
 
 	"spurtrestle/core/membership"
 )
@@ -22,16 +21,15 @@
 
 const peersFileName = "peers.json"
 
-// loadPeers returns the peers of the file and adds its representatives to the configured remote seeds. A file that cannot be
-// read counts as empty; one of another router is an error.
-func (n *Node) loadPeers() ([]string, error) {
+// loadPeers reads the file. A missing file and one that cannot be read count as empty; one of another router is an error.
+func (n *Node) loadPeers() (peersFile, error) {
 	if n.config.Dir == "" {
-		return nil, nil
+		return peersFile{}, nil
 	}
 	name := filepath.Join(n.config.Dir, peersFileName)
 	text, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
+		return peersFile{}, nil
 	}
 	var file peersFile
 	if err == nil {
@@ -39,14 +37,13 @@
 	}
 	if err != nil {
 		n.log.WithError(err).WithField("file", name).Warn("fleet: peers file not read; joining the routers of fleet.join")
-		return nil, nil
+		return peersFile{}, nil
 	}
 	if file.Fleet != n.self.Fleet || file.Router != n.self.Name {
-		return nil, n.config.ConfigError("fleet.dir", fmt.Sprintf("%s is that of router %q of fleet %q, and this one is %q of %q", n.config.Dir,
+		return peersFile{}, n.config.ConfigError("fleet.dir", fmt.Sprintf("%s is that of router %q of fleet %q, and this one is %q of %q", n.config.Dir,
 			file.Router, file.Fleet, n.self.Name, n.self.Fleet), "give each router a folder of its own")
 	}
-	n.config.Remote = append(slices.Clone(n.config.Remote), file.Remote...)
-	return file.Peers, nil
+	return file, nil
 }
 
 // persistPeers replaces the file atomically. A failure is logged once, until a write succeeds again.
--- a/internal/gossip/peersfile_test.go
+++ b/internal/gossip/peersfile_test.go
@@ -30,9 +30,9 @@
 					t.Fatal(err)
 				}
 			}
-			peers, err := n.loadPeers()
-			if len(peers) != test.wantPeers {
-				t.Errorf("peers: got %q, want %d", peers, test.wantPeers)
+			read, err := n.loadPeers()
+			if len(read.Peers) != test.wantPeers {
+				t.Errorf("peers: got %q, want %d", read.Peers, test.wantPeers)
 			}
 			hasError := err != nil && strings.Contains(err.Error(), test.wantErr)
 			if (test.wantErr == "") != (err == nil) || test.wantErr != "" && !hasError {
--- a/internal/gossip/shares.go
+++ b/internal/gossip/shares.go
@@ -22,19 +22,26 @@
 // unknownShare stands for a share that the router may or may not use.
 var unknownShare = fleet.Share{Current: -1}
 
-// updateGranting begins or ends the granting of the own share. The router uses the reduced share before the first grant.
+// updateGranting begins or ends the granting of the own share. The router uses the reduced share before the first grant. SetShare
+// is called without n.mu, since the router may take long.
 func (n *Node) updateGranting(granting bool) {
 	n.mu.Lock()
-	reduced := n.routerShare(n.leases.ReducedShare())
-	isUnchanged := granting == n.granting
+	reduced := n.routerShare(n.shares.leases.ReducedShare())
+	isUnchanged := granting == n.shares.granting
 	n.mu.Unlock()
-	if isUnchanged || granting && !n.applyShare(reduced) {
+	if isUnchanged {
 		return
 	}
+	if granting {
+		isInForce := n.applyShare(reduced)
+		if !isInForce {
+			return
+		}
+	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.granting = granting
-	n.leases.SetGranting(granting, false)
+	n.shares.granting = granting
+	n.shares.leases.SetGranting(granting, false)
 }
 
 // routerShare converts a share to the router's clock.
@@ -51,14 +58,15 @@
 	err := n.router.SetShare(share)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.applied = share
+	n.shares.applied = share
 	if err != nil {
-		n.applied = unknownShare
+		n.shares.applied = unknownShare
 	}
 	return err == nil
 }
 
-// leasePeers returns the alive routers by slot, without the slots that two of them claim. n.mu is held.
+// leasePeers returns the alive routers by slot, without the slots that two of them claim: two owners of one share would use more
+// than the whole fleet's limits. n.mu is locked.
 func (n *Node) leasePeers() map[sharelease.Slot]sharelease.Peer {
 	peers := map[sharelease.Slot]sharelease.Peer{}
 	claimedTwice := map[sharelease.Slot]bool{}
@@ -66,8 +74,8 @@
 	for _, member := range n.view.AliveMembers() {
 		slot := sharelease.Slot(member.Slot)
 		_, isClaimed := peers[slot]
-		isOwnSlot := slot == sharelease.Slot(n.config.Slot) && member.Incarnation != n.self.Incarnation
-		if isClaimed || isOwnSlot {
+		claimsOwnSlot := slot == sharelease.Slot(n.config.Slot) && member.Incarnation != n.self.Incarnation
+		if isClaimed || claimsOwnSlot {
 			claimedTwice[slot] = true
 		}
 		peers[slot] = sharelease.Peer{
@@ -100,13 +108,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply, hasReply := n.leases.Receive(n.now(), message)
+	reply, hasReply := n.shares.leases.Receive(n.now(), message)
 	if !hasReply {
 		return
 	}
-	if len(n.leaseReplies) >= maxQueuedLeaseReplies {
+	if len(n.shares.leaseReplies) >= maxQueuedLeaseReplies {
 		n.droppedReplies.Add(1)
 		return
 	}
-	n.leaseReplies = append(n.leaseReplies, reply)
+	n.shares.leaseReplies = append(n.shares.leaseReplies, reply)
 }
--- a/internal/gossip/shares_test.go
+++ b/internal/gossip/shares_test.go
@@ -31,16 +31,16 @@
 	n.router = router
 
 	n.updateGranting(true)
-	if n.granting {
+	if n.shares.granting {
 		t.Error("the node grants its share, which the router may still use")
 	}
-	if n.applied != unknownShare {
-		t.Errorf("applied share after a failure: got %+v, want it unknown", n.applied)
+	if n.shares.applied != unknownShare {
+		t.Errorf("applied share after a failure: got %+v, want it unknown", n.shares.applied)
 	}
 
 	router.err = nil
 	n.updateGranting(true)
-	if !n.granting {
+	if !n.shares.granting {
 		t.Error("the node does not grant its share after the router's confirmation")
 	}
 	minimum := sharelease.MinimumShare(n.config.FleetSize)
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -20,8 +20,8 @@
 	n.mu.Lock()
 	now := n.now()
 	view := fullView{Snapshot: n.view.Snapshot(now)}
-	if n.hierarchy != nil {
-		status := n.hierarchy.Status(now)
+	if n.tiers.hierarchy != nil {
+		status := n.tiers.hierarchy.Status(now)
 		view.Hierarchy = &status
 	}
 	n.mu.Unlock()
@@ -36,7 +36,7 @@
 func (n *Node) Metrics() string {
 	n.mu.Lock()
 	snapshot := n.view.Snapshot(n.now())
-	share := n.applied.Current
+	share := n.shares.applied.Current
 	n.mu.Unlock()
 
 	routers := map[membership.State]int{}
@@ -59,10 +59,3 @@
 	out.WriteString(counts.Statsd())
 	return out.String()
 }
-
-// Digest returns the digest of the view, and whether the view is settled.
-func (n *Node) Digest() (digest uint64, settled bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.view.Digest()
-}
--- a/internal/gossip/tick.go
+++ b/internal/gossip/tick.go
@@ -61,8 +61,10 @@
 	if actions.broadcast {
 		n.broadcastLocal()
 	}
-	// Lease messages go out after the share they presuppose is in force: a release confirms that a share is not used.
-	if actions.share == n.applied || n.applyShare(actions.share) {
+	// Lease messages go out after the share that they presuppose is in force: a release confirms that a portion is not used.
+	// Otherwise they are dropped, and repeated by the next tick or after a repetition of the peer. This goroutine alone writes
+	// shares.applied, and reads it without the lock.
+	if actions.share == n.shares.applied || n.applyShare(actions.share) {
 		n.sendLeaseMessages(actions.leaseMessages)
 	}
 	n.logChanges(actions.changes)
@@ -92,9 +94,9 @@
 	actions.changes = changes
 	actions.yieldReason = n.view.YieldReason()
 
-	actions.leaseMessages = append(n.leases.Tick(now, n.leasePeers(), status.Accepting), n.leaseReplies...)
-	n.leaseReplies = nil
-	actions.share = n.routerShare(n.leases.Share(now))
+	actions.leaseMessages = append(n.shares.leases.Tick(now, n.leasePeers(), status.Accepting), n.shares.leaseReplies...)
+	n.shares.leaseReplies = nil
+	actions.share = n.routerShare(n.shares.leases.Share(now))
 
 	addr, isDue := n.view.NextReconnect(now, n.config.Join)
 	if !isDue {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -32,10 +32,11 @@
 	}
 }
 
-// Send sends a message of the policy to a process, which may be this one. A message may be lost; the sender sends it again.
+// Send sends a message of the policy to a process. A message to this process itself is handled on another goroutine, and
+// requires OnMessage before. A message may be lost; the sender sends it again.
 func (n *Node) Send(to fleet.Incarnation, body []byte) {
 	if to == n.Self() {
-		go n.currentPolicyHandler()(to, body) // the sender may hold a lock that the handler needs
+		go n.currentPolicyHandler()(to, body) // the sender may have locked what the handler locks; Close does not wait for it
 		return
 	}
 	peer, list := n.lookupPeer(membership.Incarnation(to))
@@ -47,7 +48,7 @@
 		_ = list.SendBestEffort(peer, message)
 		return
 	}
-	go func() { _ = list.SendReliable(peer, message) }() // ends by the connection timeout of memberlist
+	go func() { _ = list.SendReliable(peer, message) }() // ends by memberlist's connection timeout; Close does not wait for it
 }
 
 // SetLeader announces whether this process is the leader of the policy's voters.
@@ -141,14 +142,6 @@
 	return members
 }
 
-// RevisionOf returns the policy revision that a process last announced; 0 if it has announced none.
-func (n *Node) RevisionOf(incarnation fleet.Incarnation) uint64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	heartbeat, _ := n.view.HeartbeatOf(membership.Incarnation(incarnation))
-	return heartbeat.PolicyRevision
-}
-
 // forEachAlive calls visit with the owner of each alive router's name and its heartbeat, in the order of names.
 func (n *Node) forEachAlive(visit func(membership.Member, membership.Heartbeat)) {
 	n.mu.Lock()
