--- a/core/hierarchy/decode.go
+++ b/core/hierarchy/decode.go
@@ -77,7 +77,7 @@
 // more reports whether there are fields left to read.
 func (r *reader) more() bool { return len(r.remaining) > 0 && !r.malformed }
 
-// require marks the datagram as malformed unless a condition holds.
+// require marks the datagram as malformed unless a condition is true.
 func (r *reader) require(condition bool) { r.malformed = r.malformed || !condition }
 
 func (r *reader) message() (received message) {
--- a/core/hierarchy/election.go
+++ b/core/hierarchy/election.go
@@ -9,7 +9,7 @@
 // NoRank is the rank of a router that is not known to be a member of its site, and of all routers of a fleet without tiers.
 const NoRank = -1
 
-// Role is a router's rank in its site and whom it represents. There is no vote: each router applies the same rule to its own
+// Role is a router's rank in its site and the groups that it represents. There is no vote: each router applies the same rule to its own
 // membership view. Views that differ for a moment may give a site too many representatives; summary versions resolve what they
 // publish.
 type Role struct {
@@ -69,7 +69,7 @@
 }
 
 // isElected reports whether a router of this rank represents the site. The first ranks always do. A standby does while fewer
-// than RepresentativesPerSite routers before it are responsive: the membership takes some seconds to detect a failed router.
+// than RepresentativesPerSite routers before it are responsive: the membership detects a failed router after some seconds.
 func (h *Hierarchy) isElected(rank int) bool {
 	if rank < h.parameters.RepresentativesPerSite {
 		return true
--- a/core/hierarchy/encode.go
+++ b/core/hierarchy/encode.go
@@ -109,7 +109,7 @@
 }
 
 // encodeVersions returns datagrams with all versions of a tier, each for a range of names. The ranges cover all names, so that
-// the receiver can tell which summaries this router lacks.
+// the receiver can determine which summaries this router lacks.
 func (h *Hierarchy) encodeVersions(tier Tier) (bodies [][]byte) {
 	summaries := h.tables[tier]
 	names := summaries.sortedKeys()
--- a/core/hierarchy/reconnect.go
+++ b/core/hierarchy/reconnect.go
@@ -19,7 +19,7 @@
 		return
 	}
 	interval := h.reconnectInterval()
-	// Jitter keeps routers that started together from reconnecting together.
+	// Jitter spreads the reconnects of routers that started together.
 	jitter := clock.Duration(h.random.Int64N(int64(interval / 2)))
 	d.nextReconnectAt = h.now + interval - jitter
 	peers := h.unknownPeers()
--- a/core/hierarchy/repair.go
+++ b/core/hierarchy/repair.go
@@ -12,7 +12,7 @@
 	maxReplyDatagrams  = 3  // datagrams that answer one digest or request
 	maxForwardedRepair = 8  // summaries of a repair up to which a router without a role forwards them in its site
 
-	// versionsInterval is the minimum time between two answers to digests that differ; while the table keeps changing it is
+	// versionsInterval is the minimum time between two answers to digests that differ; while the table is changing it is
 	// changingVersionsInterval.
 	versionsInterval         = 1 * clock.Second
 	changingVersionsInterval = 2 * clock.Second
--- a/core/hierarchy/summary.go
+++ b/core/hierarchy/summary.go
@@ -35,7 +35,7 @@
 }
 
 // Version orders the summaries of one name. From the high bits down: 32 bits of wall clock at which the sequence of versions
-// began, 16 bits of counter, 16 bits that identify the writer. A counter overflow carries into the clock's bits and keeps the
+// began, 16 bits of counter, 16 bits that identify the writer. A counter overflow carries into the clock's bits and preserves the
 // order.
 type Version uint64
 
--- a/core/hierarchy/table.go
+++ b/core/hierarchy/table.go
@@ -24,7 +24,7 @@
 	heartbeatAt clock.Time // when Heartbeat.Sequence last rose
 }
 
-// table holds the summaries of one tier.
+// table contains the summaries of one tier.
 type table struct {
 	limit   int
 	entries map[nameHash]*entry
--- a/core/sitefailover/doc.go
+++ b/core/sitefailover/doc.go
@@ -1,4 +1,4 @@
-// Package sitefailover decides how a fleet handles the loss of a whole site: which sites count as lost, how a site recovers in
+// Package sitefailover decides how a fleet handles the loss of an entire site: which sites count as lost, how a site recovers in
 // steps, how the keys of a lost site are spread over the others, and which requests all routers reject meanwhile.
 //
 // The leader of the policy quorum (package policycommit, process internal/controlplane) runs a Coordinator. Each router sends a
--- a/core/sitefailover/evidence.go
+++ b/core/sitefailover/evidence.go
@@ -104,7 +104,7 @@
 	return e.otherSites > 0 && sites >= min(2, e.otherSites) && 2*sites > e.otherSites
 }
 
-// showsLoss reports whether the whole site is lost: a quorum of the other sites finds it silent, and no router of the site that
+// showsLoss reports whether the entire site is lost: a quorum of the other sites finds it silent, and no router of the site that
 // reports disagrees. A site that is slow, partly failed or partitioned from one other site is not lost.
 func (e evidence) showsLoss() bool {
 	isUncontested := e.reportingRouters == 0 || e.localWitnesses == 0
--- a/core/sitefailover/shedding.go
+++ b/core/sitefailover/shedding.go
@@ -167,11 +167,11 @@
 func (t *throttle) adjustTarget(now clock.Time, failedFraction, highestAnswered float64, anyDegraded bool) {
 	switch {
 	case failedFraction > highFailedFraction && now-t.capacityChangedAt < changeGracePeriod:
-		// Requests that were in flight at the change fail: keep the target.
+		// Requests that were in flight at the change fail: the target stays.
 	case failedFraction > highFailedFraction:
 		t.target = max(t.target*decreaseFactor, min(highestAnswered, t.target))
 	case failedFraction >= lowFailedFraction:
-		// Acceptable: keep the target.
+		// Acceptable: the target stays.
 	case anyDegraded:
 		t.target *= increaseFactor
 	default:
--- a/core/sitefailover/sitestate.go
+++ b/core/sitefailover/sitestate.go
@@ -14,7 +14,7 @@
 	// maxWaitDoublings limits the doubling to the range of a Duration.
 	maxWaitDoublings = 20
 
-	// healthyFraction of its servers must respond before a recovering site takes the next step. An up site below it is degraded.
+	// healthyFraction of its servers must respond before the next step of a recovery. An up site below it is degraded.
 	healthyFraction = 0.8
 	// maxOriginSlowdown is the slowdown of the origin over which no recovery step is taken.
 	maxOriginSlowdown = 1.5
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -3,7 +3,7 @@
 // state, does no I/O and reads no clock.
 //
 // Each kind of measurement decays exponentially with its own half-life, by the age of its own evidence. Restored measurements that
-// were not confirmed since keep the time of their evidence, so that repeated restarts do not make them younger. As the weights
+// were not confirmed since have the time of their old evidence, so that repeated restarts do not make them younger. As the weights
 // fall to zero, the defaults of package routing for unmeasured servers take over.
 package staleness
 
