--- a/core/policycommit/api.go
+++ b/core/policycommit/api.go
@@ -5,9 +5,6 @@
 	"spurtrestle/core/sitefailover"
 )
 
-// This file has the calls of the admin endpoint on the policy: POST /ops/policy/ask takes a Request and answers with a Reply,
-// GET /ops/policy answers with a RouterStatus.
-
 // RequestType is the operation of a Request.
 type RequestType string
 
@@ -23,7 +20,7 @@
 	RequestBootstrap    RequestType = "found"   // begin the raft log of the fleet with this voter
 )
 
-// Request is an operator's request. Any router forwards it to the leader.
+// Request is an operator's request, the body of POST /ops/policy/ask. Any router forwards it to the leader.
 type Request struct {
 	ID          uint64              `json:"id"`
 	Type        RequestType         `json:"what"`
@@ -37,7 +34,7 @@
 	RequestedAt int64               `json:"at,omitempty"` // the operator's wall clock, in microseconds since 1970
 }
 
-// Reply is the leader's reply to a Request.
+// Reply is the leader's reply to a Request, the answer to POST /ops/policy/ask.
 type Reply struct {
 	ID           uint64          `json:"id"`
 	Error        string          `json:"error,omitempty"`
@@ -64,7 +61,7 @@
 	RenewalAge     clock.Duration `json:"heard"` // negative: this leader has had no renewal
 }
 
-// RouterStatus is the policy of one router, from its own state alone.
+// RouterStatus is the policy of one router, from its own state alone: the answer to GET /ops/policy.
 type RouterStatus struct {
 	Revision    Revision `json:"revision"` // by the last lease
 	InForce     Revision `json:"in_force"` // that requests are decided by
--- a/core/policycommit/follower.go
+++ b/core/policycommit/follower.go
@@ -2,7 +2,8 @@
 
 import "spurtrestle/core/clock"
 
-// NoDeadline is the admission deadline of a router that may serve until further notice.
+// NoDeadline is the admission deadline of a router that may serve until further notice. It compares as a deadline that has
+// passed: test for it first.
 const NoDeadline clock.Time = 0
 
 // Follower is the participant of a change on a router, and the owner of its lease. It is not safe for concurrent use.
@@ -19,7 +20,7 @@
 	leaving        bool
 
 	prepared      Token
-	preparedIndex Index // of the log state that asked for it
+	preparedIndex Index // of the lease that had the document
 	rejected      Token
 	rejectReason  string
 
@@ -46,7 +47,7 @@
 // LeaseUpdate is what the caller of ReceiveLease has to do.
 type LeaseUpdate struct {
 	Adopt    bool // apply the active policy, which has changed
-	RenewNow bool // send the next renewal at once: it says what became of the prepare
+	RenewNow bool // send the next renewal at once: it reports the outcome of the prepare
 }
 
 // NewFollower returns the follower of a router that has no lease yet.
@@ -85,13 +86,14 @@
 	}
 }
 
-// Leave ends the admission of requests for good and returns the renewal that says so.
+// Leave ends the admission of requests permanently and returns the renewal that reports it.
 func (f *Follower) Leave(now clock.Time) Renewal {
 	f.leaving = true
 	return f.renewal(now)
 }
 
-// ReceiveLease takes in the answer to a renewal. A router never goes back to an earlier revision.
+// ReceiveLease handles the answer to a renewal. A router never goes back to an earlier revision: a lease of one counts as an
+// answer, but extends nothing.
 func (f *Follower) ReceiveLease(now clock.Time, lease Lease) LeaseUpdate {
 	if !f.isAcceptable(now, lease) {
 		return LeaseUpdate{}
@@ -124,6 +126,7 @@
 	if !answersThisProcess || lease.Index < f.index || f.leaving {
 		return false
 	}
+	// The leader granted it before it had the change that this router has prepared.
 	grantedBeforeProposal := f.prepared != "" && lease.Pending != f.prepared && lease.Index <= f.preparedIndex
 	return !grantedBeforeProposal
 }
--- a/core/policycommit/leader.go
+++ b/core/policycommit/leader.go
@@ -14,7 +14,7 @@
 type Leader struct {
 	timing       Timing
 	startedAt    clock.Time
-	renewals     map[RouterName]receivedRenewal // the last of each router
+	renewals     map[RouterName]receivedRenewal // the last of each router; bounded by the names of the fleet
 	pendingToken Token
 	pendingSince clock.Time // when this leader first saw the pending change
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// AnswerRenewal records a renewal and answers it. The caller must have received the renewal before a majority confirmed this
+// AnswerRenewal records a renewal and answers it. If the router's share is leased out, it also begins to reclaim the share. The caller must have received the renewal before a majority confirmed this
 // leader, and must have read state after.
 func (l *Leader) AnswerRenewal(now clock.Time, state *LogState, renewal Renewal) RenewalAnswer {
 	l.renewals[renewal.Name] = receivedRenewal{Renewal: renewal, receivedAt: now}
@@ -100,7 +100,7 @@
 
 // leaseBound is how long a lease may count after it was granted, by the clock of any router that runs a hundredth slow.
 func (l *Leader) leaseBound() clock.Duration {
-	return l.timing.LeaseDuration + l.timing.LeaseDuration/100 + l.timing.ClockSlack
+	return l.timing.LeaseDuration + l.timing.LeaseDuration/clockDriftDivisor + l.timing.ClockSlack
 }
 
 // ResolvePending returns the entry that ends the pending change, or nil while it has to wait: a commit once every router that
@@ -116,19 +116,16 @@
 	}
 	var unprepared []string
 	for _, name := range slices.Sorted(maps.Keys(state.Members)) {
-		member, renewal := state.Members[name], l.renewals[name]
-		isCurrent := renewal.Incarnation == member.Incarnation
-		switch {
-		case isCurrent && renewal.Rejected == pending.Token:
-			reason := fmt.Sprintf("%s (build %s) cannot hold it: %s", name, member.Build, renewal.RejectReason)
+		member := state.Members[name]
+		switch l.voteOf(now, name, member, pending.Token) {
+		case voteRejected:
+			reason := fmt.Sprintf("%s (build %s) cannot hold it: %s", name, member.Build, l.renewals[name].RejectReason)
 			return &Entry{Kind: EntryAbort, Token: pending.Token, AbortReason: reason}
-		case isCurrent && renewal.Prepared == pending.Token:
-		case !member.FailOpen && l.leaseExpired(now, name, member):
-			// The router admits nothing until it has a lease of the revision that is decided on now.
-		case isCurrent && now-renewal.receivedAt < l.timing.LeaseDuration:
+		case voteMissing:
 			unprepared = append(unprepared, fmt.Sprintf("%s has not said what it makes of it", name))
-		default:
+		case voteUnreachable:
 			unprepared = append(unprepared, fmt.Sprintf("%s does not answer, and may be serving", name))
+		case votePrepared, voteNotNeeded:
 		}
 	}
 	if len(unprepared) == 0 {
@@ -140,6 +137,33 @@
 	return nil
 }
 
+// vote is what the leader knows of a member's part in the pending change.
+type vote int
+
+const (
+	votePrepared vote = iota
+	voteRejected
+	voteNotNeeded   // the member has no lease, and admits nothing until it has one of the revision that is decided on now
+	voteMissing     // it renews, but has neither prepared nor rejected
+	voteUnreachable // it does not renew, and may be serving
+)
+
+func (l *Leader) voteOf(now clock.Time, name RouterName, member Member, pending Token) vote {
+	renewal := l.renewals[name]
+	isCurrent := renewal.Incarnation == member.Incarnation
+	switch {
+	case isCurrent && renewal.Rejected == pending:
+		return voteRejected
+	case isCurrent && renewal.Prepared == pending:
+		return votePrepared
+	case !member.FailOpen && l.leaseExpired(now, name, member):
+		return voteNotNeeded
+	case isCurrent && now-renewal.receivedAt < l.timing.LeaseDuration:
+		return voteMissing
+	}
+	return voteUnreachable
+}
+
 // leaseExpired reports whether the last lease of a router has certainly expired. A new leader waits first for the leases that the
 // one before may have granted.
 func (l *Leader) leaseExpired(now clock.Time, name RouterName, member Member) bool {
--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -81,7 +81,7 @@
 }
 
 // Apply applies the entry at an index of the log. ok reports whether the entry ended a proposed change, the entry's own or the
-// pending one; verdict is how.
+// pending one; verdict is how, and is that of entry.Token.
 func (l *LogState) Apply(index Index, entry Entry) (verdict Verdict, ok bool) {
 	l.Index = index
 	if l.Verdicts == nil {
--- a/core/policycommit/policycommit.go
+++ b/core/policycommit/policycommit.go
@@ -35,16 +35,19 @@
 // Token identifies a proposed change. The operator's tool draws it, so that a repeated request proposes the change once.
 type Token string
 
-// Timing has the durations that the leader and its followers keep to.
+// Timing has the durations of the protocol.
 type Timing struct {
 	LeaseDuration  clock.Duration // how long a lease counts from its renewal; two revisions may both be served for as long
 	RenewInterval  clock.Duration // between two renewals
 	RetryInterval  clock.Duration // until an unanswered renewal is repeated
 	PrepareTimeout clock.Duration // until a change is aborted that not all routers have prepared
 	ClockSlack     clock.Duration // added by the leader to a lease, beside a hundredth of it, before it counts as expired
-	QuiescePeriod  clock.Duration // after a router's last lease, until no request or share that it granted can be left
+	QuiescePeriod  clock.Duration // after a router's last lease expired: until its requests in flight have ended and the shares that it granted have expired
 }
 
+// clockDriftDivisor is the inverse of the largest error in rate of a router's clock: a hundredth.
+const clockDriftDivisor = 100
+
 const (
 	leaseDuration  = 950 * clock.Millisecond // below a second, by a clock that runs a hundredth slow as well
 	renewInterval  = 200 * clock.Millisecond // four renewals in a lease
--- a/core/policycommit/transfer.go
+++ b/core/policycommit/transfer.go
@@ -17,7 +17,7 @@
 	return transfer, f.hasRevision && deadline > now
 }
 
-// AdoptTransfer takes over the lease of the predecessor and reports whether the active policy has changed. It does nothing once
+// AdoptTransfer adopts the lease of the predecessor and reports whether the active policy has changed. It does nothing once
 // the leader has granted this process a lease of its own.
 func (f *Follower) AdoptTransfer(now clock.Time, transfer LeaseTransfer) (adopt bool) {
 	isOlder := f.hasRevision && transfer.Revision < f.active.Revision
--- a/internal/controlplane/follower_loop.go
+++ b/internal/controlplane/follower_loop.go
@@ -95,7 +95,7 @@
 	return ok && n.applyError == "" && n.inForce == active.Revision
 }
 
-// receiveLease takes in the answer to a renewal. n.mu must be held.
+// receiveLease handles the answer to a renewal. n.mu must be held.
 func (n *Node) receiveLease(lease policycommit.Lease) {
 	update := n.follower.ReceiveLease(n.now(), lease)
 	if lease.Incarnation == policycommit.Incarnation(n.transport.Self()) {
@@ -125,7 +125,7 @@
 	return text
 }
 
-// receiveTransfer takes in a transfer of the predecessor.
+// receiveTransfer handles a transfer of the predecessor.
 func (n *Node) receiveTransfer(text []byte) {
 	var transfer policycommit.LeaseTransfer
 	if json.Unmarshal(text, &transfer) != nil {
@@ -163,7 +163,8 @@
 		}).Error("policy: this build cannot apply the revision; admitting no requests")
 		return
 	}
-	n.inForce, n.siteOrders.plan = active.Revision, settings.sitePlan
+	n.inForce = active.Revision
+	n.siteOrders.plan = settings.sitePlan
 	n.wakeFollower() // to admit requests again without waiting for the next tick
 	n.transport.SetPolicyRevision(uint64(active.Revision))
 	n.log.WithFields(logrus.Fields{"revision": uint64(active.Revision), "mono_us": fleet.Monotonic()}).Info("policy: in force")
--- a/internal/controlplane/leader_loop.go
+++ b/internal/controlplane/leader_loop.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	leaderInterval    = 20 * time.Millisecond // between two passes of the leader
-	maxQueuedRenewals = 10000                 // for a fleet of thousands
-	joinRetryInterval = 200 * clock.Millisecond
-	deadlineMargin    = 1 * clock.Second // after the longest deadline of a method, until its requests are certainly over
+	leaderInterval          = 20 * time.Millisecond // between two passes of the leader
+	maxQueuedRenewals       = 10000                 // for a fleet of thousands
+	membershipRetryInterval = 200 * clock.Millisecond
+	deadlineMargin          = 1 * clock.Second // after the longest deadline of a method, until its requests are certainly over
 )
 
 // leaderState is the state of a node as leader; on other nodes coordinator is nil. Node.mu guards it.
 type leaderState struct {
-	coordinator    *policycommit.Leader
-	renewals       []queuedRenewal
-	verdictWaiters map[policycommit.Token][]pendingCall
-	joinAppendedAt map[policycommit.RouterName]clock.Time // when an EntryJoin was last appended
-	sites          siteLeader
+	coordinator          *policycommit.Leader
+	renewals             []queuedRenewal
+	verdictWaiters       map[policycommit.Token][]pendingCall
+	membershipAppendedAt map[policycommit.RouterName]clock.Time // when an EntryJoin or EntryLeave was last appended
+	sites                siteLeader
 }
 
 type queuedRenewal struct {
@@ -40,8 +40,8 @@
 
 func newLeaderState() leaderState {
 	return leaderState{
-		verdictWaiters: map[policycommit.Token][]pendingCall{},
-		joinAppendedAt: map[policycommit.RouterName]clock.Time{},
+		verdictWaiters:       map[policycommit.Token][]pendingCall{},
+		membershipAppendedAt: map[policycommit.RouterName]clock.Time{},
 	}
 }
 
@@ -65,7 +65,7 @@
 	n.raftLog.addVoters(n.transport.Voters(), n.config.Voters, n.inviteVoter)
 	n.evaluateSites() // before the first lease of a term: a lease without orders would end those of the term before
 	n.answerRenewals(coordinator, renewals)
-	state := n.raftLog.currentState()
+	state := n.raftLog.currentState() // with the entries that were applied while renewals were answered
 	n.resolvePending(coordinator, state)
 	n.updateShares(coordinator, state)
 	n.sendVerdicts()
@@ -113,20 +113,22 @@
 }
 
 // answerRenewals answers what was received before a majority confirmed this leader; the rest waits for the next pass.
+// It sends under n.mu: sending does not wait for the network.
 func (n *Node) answerRenewals(coordinator *policycommit.Leader, renewals []queuedRenewal) {
 	if len(renewals) == 0 || !n.raftLog.confirmLeadership() {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now, state := n.now(), n.raftLog.currentState()
+	now := n.now()
+	state := n.raftLog.currentState()
 	for _, renewal := range renewals {
 		answer := coordinator.AnswerRenewal(now, state, renewal.Renewal)
 		if answer.Lease != nil {
 			n.send(renewal.from, message{Lease: answer.Lease, SiteOrders: n.leader.sites.orders})
 		}
-		if answer.Entry != nil && now-n.leader.joinAppendedAt[answer.Entry.Name] > joinRetryInterval {
-			n.leader.joinAppendedAt[answer.Entry.Name] = now
+		if answer.Entry != nil && now-n.leader.membershipAppendedAt[answer.Entry.Name] > membershipRetryInterval {
+			n.leader.membershipAppendedAt[answer.Entry.Name] = now
 			n.appendAsync(*answer.Entry) // if it fails, the router's next renewal repeats it
 		}
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -24,7 +24,7 @@
 	Sites       []string // all that the settings name; empty if they name none
 
 	// ConfigError makes the error of a field of the operator's file.
-	ConfigError func(field, what, remedy string) error
+	ConfigError func(field, problem, remedy string) error
 }
 
 func (c Config) isVoter() bool { return slices.Contains(c.Voters, c.Name) }
@@ -55,7 +55,8 @@
 	startedAt time.Time
 	raftLog   *raftLog // nil if this router is no voter
 
-	mu           sync.Mutex // guards the fields below
+	// mu guards the fields below. Of Router, only SetExtraShare is called with mu held: it does not block.
+	mu           sync.Mutex
 	follower     *policycommit.Follower
 	inForce      policycommit.Revision // that the router decides by
 	applyError   string                // why this build cannot apply the active revision
--- a/internal/controlplane/raft_log.go
+++ b/internal/controlplane/raft_log.go
@@ -37,6 +37,9 @@
 	connectionsPerPeer = 3
 )
 
+// notInvited is the fault of a voter with a new folder. It and the other faults are part of the answer to GET /ops/policy.
+const notInvited = "it has not been welcomed yet"
+
 // RaftConfig is where a voter stores the raft log, and where the other voters reach it.
 type RaftConfig struct {
 	Dir       string
@@ -92,7 +95,7 @@
 		log:            log,
 		replica:        newReplica(),
 		identity:       identity,
-		inactiveReason: "it has not been welcomed yet",
+		inactiveReason: notInvited,
 	}, nil
 }
 
@@ -103,7 +106,7 @@
 	if l.node != nil {
 		return nil
 	}
-	if err := l.startLocked(options); err != nil {
+	if err := l.joinRaft(options); err != nil {
 		l.inactiveReason = err.Error()
 		closers := l.closers
 		l.closers = nil
@@ -113,7 +116,8 @@
 	return nil
 }
 
-func (l *raftLog) startLocked(options startOptions) error {
+// joinRaft opens the store, the snapshots and the transport, and starts raft on them. l.mu must be held.
+func (l *raftLog) joinRaft(options startOptions) error {
 	store, err := raftboltdb.New(raftboltdb.Options{
 		Path:        filepath.Join(l.config.Dir, logStoreName),
 		BoltOptions: &bbolt.Options{Timeout: logStoreLockWait},
@@ -201,8 +205,8 @@
 	return l.node
 }
 
-// isLeader reports whether this voter leads raft and its replica has all entries that earlier leaders committed. Only the leader's
-// loop calls it.
+// isLeader reports whether this voter leads raft and its replica has all entries that earlier leaders committed. It blocks for raftTimeout
+// at most, once in a term. Only the leader's loop calls it.
 func (l *raftLog) isLeader() bool {
 	node := l.raftNode()
 	if node == nil || node.State() != raft.Leader {
@@ -278,7 +282,7 @@
 	return l.inactiveReason
 }
 
-// recordWrite takes in the result of a write to the folder, and logs when the folder ceases to be writable or is writable again.
+// recordWrite handles the result of a write to the folder, and logs when the folder ceases to be writable or is writable again.
 func (l *raftLog) recordWrite(err error) {
 	var fault *string
 	if err != nil {
--- a/internal/controlplane/raft_replica.go
+++ b/internal/controlplane/raft_replica.go
@@ -56,7 +56,7 @@
 
 // Restore implements raft.FSM.
 func (r *replica) Restore(from io.ReadCloser) error {
-	defer from.Close()
+	defer from.Close() // it was read to its end: an error to close it means nothing
 	state := &policycommit.LogState{}
 	if err := json.NewDecoder(from).Decode(state); err != nil {
 		return err
--- a/internal/controlplane/raft_test.go
+++ b/internal/controlplane/raft_test.go
@@ -13,7 +13,6 @@
 	"github.com/hashicorp/raft"
 
 	"spurtrestle/core/policycommit"
-	"spurtrestle/core/sitefailover"
 )
 
 func TestOpenIdentity_KeepsTheIDOfAFolder(t *testing.T) {
@@ -160,26 +159,3 @@
 		t.Error("a truncated snapshot was restored")
 	}
 }
-
-func TestSelectHistory(t *testing.T) {
-	var history []policycommit.Change
-	for revision := range policycommit.Revision(30) {
-		history = append(history, policycommit.Change{Revision: revision + 1})
-	}
-	latest := selectHistory(history, 0)
-	if len(latest) != maxHistoryReply || latest[0].Revision != 11 {
-		t.Errorf("latest: got %d changes from revision %d, want %d from 11", len(latest), latest[0].Revision, maxHistoryReply)
-	}
-	if one := selectHistory(history, 3); len(one) != 1 || one[0].Revision != 3 {
-		t.Errorf("revision 3: got %+v", one)
-	}
-	if none := selectHistory(history, 99); len(none) != 0 {
-		t.Errorf("revision 99: got %+v, want none", none)
-	}
-}
-
-func TestFailoverOrders_OfNoOrdersAreZero(t *testing.T) {
-	if orders := failoverOrders(sitefailover.Orders{}); orders.ZoneShares != nil || orders.FailoverWeights != nil || orders.MinimumRank != 0 {
-		t.Errorf("got %+v, want the zero value: the router takes anything else for orders", orders)
-	}
-}
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -20,7 +20,8 @@
 	maxHistoryReply      = 20 // changes
 )
 
-// ErrNoLeader reports that no leader answered. Whether a change was made is unknown then.
+// ErrNoLeader reports that no leader answered. Whether a change was made is unknown then. The text is part of the answer to
+// operators, as those of bootstrap and of StaleLogError are.
 var ErrNoLeader = errors.New("no leader of the keepers can be reached; nothing was changed, or it is not known: ask again with the same token")
 
 // UnknownRequestError reports a request of a type that this build does not have.
@@ -203,7 +204,7 @@
 	return err
 }
 
-// newReply returns the reply to a request by the current state of the log.
+// newReply returns the reply to a request by the current state of the log. All replies have followers and voters.
 func (n *Node) newReply(coordinator *policycommit.Leader, request policycommit.Request) policycommit.Reply {
 	state := n.raftLog.currentState()
 	current, _ := state.Current()
--- a/internal/controlplane/site_leader.go
+++ b/internal/controlplane/site_leader.go
@@ -148,7 +148,8 @@
 
 // executeSiteAction appends the transition that an operator asks for. A repeated request does nothing.
 func (n *Node) executeSiteAction(request policycommit.Request) error {
-	state, site := n.raftLog.currentState(), sitefailover.Site(request.Name)
+	state := n.raftLog.currentState()
+	site := sitefailover.Site(request.Name)
 	n.mu.Lock()
 	plan := n.siteOrders.plan
 	var failoverWeights []sitefailover.SiteShare
--- a/internal/controlplane/site_reports.go
+++ b/internal/controlplane/site_reports.go
@@ -30,7 +30,7 @@
 
 func (s *siteOrders) isCurrent(now clock.Time) bool { return s.receivedAt != 0 && now < s.expiresAt() }
 
-// receiveSiteOrders takes in the orders that came with a lease; nil: none. n.mu must be held.
+// receiveSiteOrders handles the orders that came with a lease; nil: none. n.mu must be held.
 func (n *Node) receiveSiteOrders(orders *sitefailover.Orders) {
 	n.siteOrders.receivedAt = n.now()
 	n.siteOrders.orders = sitefailover.Orders{}
