--- a/core/policycommit/leader_shares.go
+++ b/core/policycommit/leader_shares.go
@@ -11,7 +11,7 @@
 type shareLeases struct {
 	fleetSize   int
 	lastGranted map[RouterName]clock.Time // when a lease last had a share of the lost router's
-	reclaimed   map[RouterName]bool       // the router renews again, and its share is granted to nobody else any more
+	reclaimed   map[RouterName]bool       // the router renews again, and its share is no longer granted to others
 }
 
 func newShareLeases(fleetSize int) shareLeases {
--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -187,7 +187,7 @@
 }
 
 // applySiteTransition ignores a transition that was made for an earlier decision on the site: of two concurrent transitions, an
-// operator's and the leader's, the first in the log holds.
+// operator's and the leader's, the first in the log is applied.
 func (l *LogState) applySiteTransition(index Index, transition *sitefailover.Transition) {
 	if transition == nil || l.Sites[transition.Site].Index != transition.PreviousIndex {
 		return
--- a/internal/controlplane/leader_loop.go
+++ b/internal/controlplane/leader_loop.go
@@ -71,7 +71,7 @@
 	n.sendVerdicts()
 }
 
-// updateLeadership begins or ends a term of this leader, and takes the renewals received since the last pass. The coordinator is
+// updateLeadership begins or ends a term of this leader, and dequeues the renewals received since the last pass. The coordinator is
 // nil if this voter does not lead.
 func (n *Node) updateLeadership() (*policycommit.Leader, []queuedRenewal) {
 	isLeader := n.raftLog.isLeader()
@@ -101,7 +101,7 @@
 	return timing
 }
 
-// enqueueRenewal keeps a renewal for the next pass of the leader. n.mu must be held.
+// enqueueRenewal queues a renewal for the next pass of the leader. n.mu must be held.
 func (n *Node) enqueueRenewal(from fleet.Incarnation, renewal policycommit.Renewal, report *sitefailover.Report) {
 	if n.leader.coordinator == nil || len(n.leader.renewals) >= maxQueuedRenewals {
 		return
--- a/internal/controlplane/raft_identity.go
+++ b/internal/controlplane/raft_identity.go
@@ -14,7 +14,7 @@
 
 const identityFileName = "keeper.json"
 
-// voterIdentity says which voter a folder belongs to. It is stored in the folder. A new folder has a new ID, and so is another
+// voterIdentity is the voter that a folder belongs to. It is stored in the folder. A new folder has a new ID, and so is another
 // voter to raft.
 type voterIdentity struct {
 	Name    string `json:"name"`
--- a/internal/controlplane/raft_log.go
+++ b/internal/controlplane/raft_log.go
@@ -32,7 +32,7 @@
 	raftCommit         = 20 * time.Millisecond
 	snapshotInterval   = 10 * time.Second
 	snapshotThreshold  = 512 // entries
-	trailingEntries    = 256 // kept behind a snapshot, for voters that lag
+	trailingEntries    = 256 // retained behind a snapshot, for voters that lag
 	retainedSnapshots  = 2
 	connectionsPerPeer = 3
 )
--- a/internal/controlplane/site_leader.go
+++ b/internal/controlplane/site_leader.go
@@ -146,7 +146,7 @@
 	return &status, document
 }
 
-// executeSiteAction appends the transition that an operator asks for. A repeated request does nothing.
+// executeSiteAction appends the transition of an operator's action. A repeated request does nothing.
 func (n *Node) executeSiteAction(request policycommit.Request) error {
 	state := n.raftLog.currentState()
 	site := sitefailover.Site(request.Name)
--- a/internal/controlplane/site_reports.go
+++ b/internal/controlplane/site_reports.go
@@ -10,7 +10,7 @@
 
 const (
 	siteReportInterval = 100 * time.Millisecond // twice as often as renewals, which take the last report along
-	// siteOrdersTTL is how long orders hold without a new lease. Then the router decides by its own evidence again.
+	// siteOrdersTTL is how long orders are valid without a new lease. Then the router decides by its own evidence again.
 	siteOrdersTTL = 3 * clock.Second
 	// minReportedRate, in requests a second, bounds the size of a report.
 	minReportedRate = 0.05
--- a/internal/policy/checker.go
+++ b/internal/policy/checker.go
@@ -8,7 +8,7 @@
 	"spurtrestle/core/clock"
 )
 
-// checker copies the fields of a document that are set, and keeps the first error.
+// checker copies the fields of a document that are set, and records the first error.
 type checker struct {
 	document Document
 	err      error
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -40,7 +40,7 @@
 	OverloadWindow   *string  `toml:"fall_span"`
 }
 
-// Method is the part of a method's settings that may change. Effect, Group, Window and Deadline may not; they are read to say so.
+// Method is the part of a method's settings that may change. Effect, Group, Window and Deadline may not: they are read to reject them.
 type Method struct {
 	Name          string   `toml:"name"`
 	LatencyBudget *string  `toml:"latency_budget"`
