--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -33,13 +33,13 @@
 	// MaxObservedFor bounds the time for which restored rates count as observed.
 	MaxObservedFor = 60 * clock.Second
 
-	// MinWeight is the weight under which a measurement is dropped: one of 32 samples.
+	// MinWeight is the weight under which a measurement is dropped: one of the 32 samples that package routing counts at most.
 	MinWeight = 1.0 / 32
 
 	// minHealthWeight is the weight under which health is reset: after two half-lives an ejected server would be due for a retry.
 	minHealthWeight = 0.25
 
-	// initialRetryBudget is the retry budget of a new router.
+	// initialRetryBudget is the retry budget of a new router, as in package routing (initialRetries).
 	initialRetryBudget = 10
 
 	// minKeyCount is the count under which a hot key is dropped.
@@ -54,7 +54,7 @@
 	return now - observedAt
 }
 
-// Weight returns the weight of evidence by its age, from 1 down to MinWeight, and 0 below.
+// Weight returns the weight of evidence by its age, from 1 down to MinWeight, and 0 below. The half-life must not be 0.
 func Weight(age, halfLife clock.Duration) float64 {
 	weight := math.Exp2(-float64(age) / float64(halfLife))
 	if weight < MinWeight {
@@ -63,7 +63,8 @@
 	return weight
 }
 
-// Decay returns the part of the knowledge that is still valid. It does not modify its argument.
+// Decay returns the part of the knowledge that is still valid. It does not modify its argument. Knowledge from a predecessor is not
+// necessarily valid, so negative durations and counts are read as 0.
 func Decay(knowledge routing.Knowledge, now clock.Time) routing.Knowledge {
 	age := Age(now, knowledge.CapturedAt)
 	decayed := knowledge
@@ -77,13 +78,14 @@
 	decayed.KeyReads = hotKeyWeight * knowledge.KeyReads
 	decayed.Keys = decayKeys(knowledge.Keys, hotKeyWeight)
 	decayed.MethodLatencies = nil
+	latencyWeight := Weight(age, LatencyHalfLife)
 	for _, latency := range knowledge.MethodLatencies {
-		decayed.MethodLatencies = append(decayed.MethodLatencies, scale(latency, Weight(age, LatencyHalfLife)))
+		decayed.MethodLatencies = append(decayed.MethodLatencies, scale(latency, latencyWeight))
 	}
 	decayed.Servers = nil
 	for _, server := range knowledge.Servers {
 		server = decayServer(server, now)
-		if isUsable(server) {
+		if hasEvidence(server) {
 			decayed.Servers = append(decayed.Servers, server)
 		}
 	}
@@ -104,7 +106,8 @@
 	return decayed
 }
 
-// decayServer decays the knowledge about one server by the age of its own evidence.
+// decayServer decays the knowledge about one server by the age of its own evidence. AttemptRate stays: package routing corrects it by the
+// time for which rates count as observed. ReportedServiceTime stays until latencies have no weight.
 func decayServer(server routing.ServerKnowledge, now clock.Time) routing.ServerKnowledge {
 	age := Age(now, server.ObservedAt)
 	server.Latency = decayLatency(server.Latency, age)
@@ -113,16 +116,19 @@
 		server.ReportedServiceTime = 0
 	}
 	if Weight(age, HealthHalfLife) < minHealthWeight {
-		server.FailurePoints, server.Ejected, server.ConnectFailed = 0, false, false
+		server.FailurePoints = 0
+		server.Ejected = false
+		server.ConnectFailed = false
 	}
 	if server.ObservedAt > now {
-		server.ObservedAt = max(1, now-UnknownAge) // a later snapshot must not contain evidence from the future
+		// A later snapshot must not contain evidence from the future. Time 0 would mean that no attempt has ended.
+		server.ObservedAt = max(1, now-UnknownAge)
 	}
 	return server
 }
 
-// isUsable reports whether any knowledge about a server is left.
-func isUsable(server routing.ServerKnowledge) bool {
+// hasEvidence reports whether enough knowledge about a server is left to restore it.
+func hasEvidence(server routing.ServerKnowledge) bool {
 	return server.Latency.Samples > 0 || server.Ejected
 }
 
