--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,11 +28,10 @@
 var ErrUnknownServer = errors.New("no cache server has that id; see discovery's list")
 
 const (
-	// callTimeout bounds reading a request and writing a reply. It is shorter than the four seconds for which silent
-	// callers stay.
+	// callTimeout bounds reading a request and writing a reply, so that silent callers occupy no connection for long.
 	callTimeout = 2 * time.Second
-	// policyRequestTimeout bounds the reply to a policy request: a change of policy takes up to five seconds, and its
-	// result follows.
+	// policyRequestTimeout bounds the reply to a policy request: five seconds for a change of policy, and the time to
+	// forward it and to reply.
 	policyRequestTimeout = 12 * time.Second
 	maxHeaderBytes       = 8 << 10
 )
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,7 +6,7 @@
 // without a request thus take no descriptors from clients, and do not block other callers.
 type evictingListener struct {
 	net.Listener
-	accepted chan net.Conn // the latest ones by age, those that have ended included
+	accepted chan net.Conn // the latest ones by age, those that have ended included: calls are short
 }
 
 func newEvictingListener(ln net.Listener, maxConnections int) *evictingListener {
@@ -25,7 +25,7 @@
 			return conn, nil
 		default:
 			oldest := <-l.accepted
-			oldest.Close()
+			oldest.Close() // the caller gets no reply; an error means that the connection has ended
 		}
 	}
 }
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -32,8 +32,8 @@
 
 const (
 	maxServerIDBytes = 256
-	// maxBodyBytes is a server's id with some white space around it.
-	maxBodyBytes = maxServerIDBytes + 64
+	// maxServerIDBodyBytes is a server's id with some white space around it.
+	maxServerIDBodyBytes = maxServerIDBytes + 64
 	// maxPolicyRequestBytes is a policy document, as JSON.
 	maxPolicyRequestBytes = 256 << 10
 )
@@ -42,11 +42,12 @@
 type route struct {
 	path         string
 	method       string
-	maxBodyBytes int64         // the rest of a body is not read
+	maxBodyBytes int64         // the rest of a body is not read: a longer policy request is cut, and fails as bad JSON
 	timeout      time.Duration // of the reply; 0: callTimeout
 	reply        func(body string) (string, error)
 }
 
+// routes lists the paths of a router. Replies in older words (out, in use, taking clients) are read by tools and stay.
 func routes(router Router) []route {
 	return []route{
 		get("/ops/readiness", func() (string, error) { return "ready\n", router.Ready() }),
@@ -84,6 +85,8 @@
 	_, _ = io.WriteString(w, text) // the caller may have gone
 }
 
+// statusOf is the status of a reply with an error: 503 for every error that says that the router cannot do now what the
+// request asks for, a rejected policy request included.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrUnknownServer), errors.Is(err, errNoFleet), errors.Is(err, errNoPolicy):
@@ -95,12 +98,12 @@
 }
 
 func get(path string, reply func() (string, error)) route {
-	return route{path: path, method: http.MethodGet, maxBodyBytes: maxBodyBytes,
+	return route{path: path, method: http.MethodGet, maxBodyBytes: maxServerIDBodyBytes,
 		reply: func(string) (string, error) { return reply() }}
 }
 
 func put(path string, reply func(body string) (string, error)) route {
-	return route{path: path, method: http.MethodPut, maxBodyBytes: maxBodyBytes, reply: reply}
+	return route{path: path, method: http.MethodPut, maxBodyBytes: maxServerIDBodyBytes, reply: reply}
 }
 
 func fleetView(router Router) (string, error) {
@@ -124,7 +127,7 @@
 	r := route{path: "/ops/policy/ask", method: http.MethodPost}
 	policy, ok := router.(Policy)
 	if !ok {
-		r.maxBodyBytes = maxBodyBytes
+		r.maxBodyBytes = maxServerIDBodyBytes
 		r.reply = func(string) (string, error) { return "", errNoPolicy }
 		return r
 	}
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -15,7 +15,7 @@
 //
 // without the parts that are empty.
 type Error struct {
-	File        string
+	File        string // its path; empty for an environment variable
 	Line        int    // from 1
 	Section     string // the object that Field stands in, where that is not part of its name
 	Field       string // as the file names it, or the name of an environment variable
@@ -55,7 +55,7 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // InFile returns an error with the file that it is about. An error of an environment variable is returned as it is, and
-// an error of another type becomes an Error with its text.
+// an error of another type becomes an Error with its text. The error itself is not modified.
 func InFile(file string, err error) error {
 	located := asError(err)
 	if located == nil || located.Environment {
@@ -65,7 +65,8 @@
 	return located
 }
 
-// InSection returns an error with the section of the file that it is about, as InFile does with the file.
+// InSection returns an error with the section of the file that it is about, as InFile does with the file. Environment
+// variables have no sections.
 func InSection(section string, err error) error {
 	located := asError(err)
 	if located == nil {
@@ -83,14 +84,14 @@
 	var located *Error
 	// An Error that another one wraps or joins is not taken out of it: the outer text would be lost.
 	if errors.As(err, &located) && located.Error() == err.Error() {
-		located := *located
-		return &located
+		copied := *located
+		return &copied
 	}
 	return &Error{Problem: err.Error(), Cause: err}
 }
 
-// WithoutGoType removes the name of a Go type from the text of an error of encoding/json: authors of
-// files do not know it.
+// WithoutGoType removes the name of the Go struct from an error of encoding/json, and returns it: authors of files do not
+// know that name. It modifies the error.
 func WithoutGoType(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -15,7 +15,8 @@
 // UID is a server's name in discovery, the same for every router.
 type UID string
 
-// EndpointList is the endpoint list so far.
+// EndpointList is this router's copy of discovery's endpoint list, with the numbers of its servers. It is not safe for
+// concurrent use.
 type EndpointList struct {
 	revision  int64
 	synced    bool // a full list has been applied, so that the next request is a watch
@@ -36,7 +37,7 @@
 const endpointsPath = "/registry/instances"
 
 // NextRequest returns the path of the next request, and how long discovery may take to answer: a request for the full
-// list, which is answered at once, and then watches of the given length.
+// list, which is answered at once (0), and then watches of the given length.
 func (l *EndpointList) NextRequest(watchTimeout clock.Duration) (path string, wait clock.Duration) {
 	if !l.synced {
 		return endpointsPath, 0
@@ -68,7 +69,7 @@
 }
 
 // Apply applies a response to the last request and returns the update for the decisions. A response with an error changes
-// nothing. Entries without a name are skipped.
+// nothing; the caller then calls Invalidate. Entries without a name are skipped.
 func (l *EndpointList) Apply(body []byte) (routing.EndpointsUpdated, error) {
 	update := routing.EndpointsUpdated{Kind: routing.IncrementalUpdate}
 	received, err := parseResponse(body)
@@ -84,7 +85,7 @@
 		update.Kind = routing.FullUpdate
 	}
 	entries := *received.Endpoints
-	// Sorted, so that two names with the same hash get the same numbers in every router.
+	// Sorted, so that two names of one response with the same hash get the same numbers in every router.
 	slices.SortStableFunc(entries, func(a, b endpointEntry) int { return strings.Compare(string(a.UID), string(b.UID)) })
 	for _, entry := range entries {
 		if entry.UID == "" {
@@ -115,7 +116,8 @@
 	return nil
 }
 
-// prune removes servers that have gone: new ones come under new names all day.
+// prune removes servers that have gone. A server that is replaced comes back under a new name, so that without pruning the
+// maps would grow.
 func (l *EndpointList) prune(update routing.EndpointsUpdated) {
 	present := map[routing.ServerID]bool{} // by the update; false: removed
 	for _, endpoint := range update.Endpoints {
@@ -134,13 +136,13 @@
 }
 
 // assignID returns the number of a server: a hash of its name, the same in every router. Of two names with one hash the
-// later gets the hash of its name with a zero byte behind it, and so on.
+// later, in the order of responses, gets the hash of its name with a zero byte behind it, and so on.
 func (l *EndpointList) assignID(uid UID) routing.ServerID {
 	if id, ok := l.ids[uid]; ok {
 		return id
 	}
 	hash := fnv.New32a()
-	hash.Write([]byte(uid))
+	hash.Write([]byte(uid)) // a hash returns no error
 	id := routing.ServerID(hash.Sum32())
 	for l.uids[id] != "" {
 		hash.Write([]byte{0})
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -74,7 +74,7 @@
 
 // startedAt returns the start of the server's process; 0 where the entry has none, or an impossible one.
 func (e endpointEntry) startedAt() clock.Time {
-	const maxBootMillis = math.MaxInt64 / 2e3 // half of the largest Time
+	const maxBootMillis = math.MaxInt64 / 2e3 // half of the largest Time, in milliseconds
 	if e.BootMillis < 0 || e.BootMillis > maxBootMillis {
 		return 0
 	}
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -5,7 +5,7 @@
 // Kind is the type of a frame, its first byte on the wire.
 type Kind byte
 
-// The kinds of frames.
+// The kinds of frames. Their letters are those of earlier releases.
 const (
 	Hello           Kind = 'H' // successor: begins the handover
 	Listener        Kind = 'L' // predecessor: with the clients' listener
@@ -23,14 +23,14 @@
 	headerBytes    = 5
 	maxBodyBytes   = 4 << 20
 	maxDescriptors = 2
-	descriptorSize = 4
+	descriptorSize = 4 // of a C int
 )
 
 // Frame is one message.
 type Frame struct {
 	Kind Kind
-	Body []byte
-	FDs  []int // at most two; the receiver of a frame has to close them
+	Body []byte // at most maxBodyBytes; a receiver rejects a longer one
+	FDs  []int  // at most two; the receiver of a frame has to close them
 }
 
 // CloseDescriptors closes the descriptors of a received frame.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -48,7 +48,7 @@
 		rights = unix.UnixRights(frame.FDs...)
 	}
 	n, _, err := c.conn.WriteMsgUnix(header, rights, nil)
-	if err == nil && n < len(header) {
+	if err == nil && n < len(header) { // the descriptors went with the first byte
 		_, err = c.conn.Write(header[n:])
 	}
 	if err == nil && len(frame.Body) > 0 {
@@ -104,7 +104,7 @@
 	return body, err
 }
 
-// parseDescriptors returns the descriptors of a control message; none where it is malformed.
+// parseDescriptors returns the descriptors of a control message; none where it is not the one message that Send writes.
 func parseDescriptors(rights []byte) []int {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
@@ -121,4 +121,6 @@
 }
 
 // Close ends the connection; a Receive that waits returns an error.
-func (c *Conn) Close() { c.conn.Close() }
+func (c *Conn) Close() {
+	c.conn.Close() // nothing is buffered here that could be lost
+}
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -20,9 +20,9 @@
 }
 
 // Listen waits under a name in a folder for the process that will replace this one. The name is taken over from the
-// process that had it.
+// process that had it, by a rename, so that there is a listener under the name at every moment.
 func Listen(dir, name string) (*net.UnixListener, error) {
-	ownName := fmt.Sprint(name, ".", os.Getpid())
+	ownName := fmt.Sprintf("%s.%d", name, os.Getpid())
 	path, release := socketPath(dir, ownName)
 	defer release()
 	_ = os.Remove(path) // a process that has ended had the same id
@@ -31,6 +31,7 @@
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false) // the name may be a successor's by then
+	// A rename has no limit on the length of a path.
 	if err = os.Rename(filepath.Join(dir, ownName), filepath.Join(dir, name)); err != nil {
 		ln.Close()
 		return nil, err
@@ -51,7 +52,8 @@
 const maxSocketPath = 100
 
 // socketPath returns a path of a file that fits into a socket's address: through an open descriptor of the folder where
-// the plain path is too long. The caller calls release once the path is no longer used.
+// the plain path is too long. The caller calls release once the path is no longer used. Where the folder cannot be opened
+// the plain path is returned, whose use then fails.
 func socketPath(dir, name string) (path string, release func()) {
 	path = filepath.Join(dir, name)
 	if len(path) <= maxSocketPath {
--- a/internal/operator/address.go
+++ b/internal/operator/address.go
@@ -34,7 +34,7 @@
 	return address, err == nil && address.Port() != 0
 }
 
-// fields lists the endpoint's addresses by the names of their fields, in the file's order.
+// fields lists the endpoint's addresses by the names of their fields. The order decides which fault is reported.
 func (e endpoint) fields() []addressField {
 	return []addressField{{"listen", e.listen.Addr()}, {"advertise", e.advertise.Addr()}}
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Fleet is about the view of the fleet that the routers share (internal/gossip).
+// Fleet is the table [fleet]: the view of the fleet that the routers share (internal/gossip).
 type Fleet struct {
 	Name        string   `toml:"name"`      // of the fleet; empty: this router has no view
 	Router      string   `toml:"router"`    // this router's name; empty: that of its configuration
@@ -136,15 +136,30 @@
 type durationField struct {
 	name         string
 	text         string
-	value        *time.Duration
-	least, most  time.Duration
+	value        *time.Duration // set by parse
+	minimum      time.Duration
+	maximum      time.Duration
 	defaultValue time.Duration
 }
 
 func (f *Fleet) checkDurations(table tomlTable) error {
 	for _, field := range []durationField{
-		{"probe", f.Probe, &f.probe, 100 * time.Millisecond, 10 * time.Second, time.Second},
-		{"forget", f.Forget, &f.forgetAfter, time.Second, 240 * time.Hour, 10 * time.Minute},
+		{
+			name:         "probe",
+			text:         f.Probe,
+			value:        &f.probe,
+			minimum:      100 * time.Millisecond,
+			maximum:      10 * time.Second,
+			defaultValue: time.Second,
+		},
+		{
+			name:         "forget",
+			text:         f.Forget,
+			value:        &f.forgetAfter,
+			minimum:      time.Second,
+			maximum:      240 * time.Hour,
+			defaultValue: 10 * time.Minute,
+		},
 	} {
 		if err := field.parse(table); err != nil {
 			return err
@@ -160,8 +175,8 @@
 	}
 	var err error
 	*f.value, err = time.ParseDuration(f.text)
-	if err != nil || *f.value < f.least || *f.value > f.most {
-		return table.fault(f.name, strconv.Quote(f.text), fmt.Sprintf("is no span from %v to %v", f.least, f.most), `write it as "1s" or "10m"`)
+	if err != nil || *f.value < f.minimum || *f.value > f.maximum {
+		return table.fault(f.name, strconv.Quote(f.text), fmt.Sprintf("is no span from %v to %v", f.minimum, f.maximum), `write it as "1s" or "10m"`)
 	}
 	return nil
 }
--- a/internal/operator/grpc.go
+++ b/internal/operator/grpc.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// GRPC is about gRPC clients (internal/grpcfront).
+// GRPC is the table [grpc]: gRPC clients (internal/grpcfront).
 type GRPC struct {
 	Listen      string `toml:"listen"`      // address and port; empty: there are none
 	Connections int    `toml:"connections"` // at once
@@ -20,8 +20,10 @@
 )
 
 func (g *GRPC) check(table tomlTable) error {
-	if _, err := netip.ParseAddrPort(g.Listen); g.Listen != "" && err != nil {
-		return table.fault("listen", strconv.Quote(g.Listen), "is no address and port", `write it as "127.0.0.1:7443"`)
+	if g.Listen != "" {
+		if _, err := netip.ParseAddrPort(g.Listen); err != nil {
+			return table.fault("listen", strconv.Quote(g.Listen), "is no address and port", `write it as "127.0.0.1:7443"`)
+		}
 	}
 	if err := checkGRPCCount(table, "connections", &g.Connections); err != nil {
 		return err
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -57,7 +57,7 @@
 }
 
 // check validates all tables and computes the values behind their texts. The first fault in a fixed order is returned, so
-// that a file with several gives the same error each time.
+// that a file with several gives the same error each time. The interval is checked after [grpc], as in earlier releases.
 func (f *File) check() error {
 	for _, step := range []func() error{
 		func() error { return f.State.check(f.table("state")) },
--- a/internal/operator/policy.go
+++ b/internal/operator/policy.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Policy is about one policy for the whole fleet (internal/controlplane).
+// Policy is the table [policy]: one policy for all routers of the fleet (internal/controlplane).
 type Policy struct {
 	WhenIsolated string   `toml:"cut_off"`   // serve or refuse, where the voters cannot be reached; empty: there is no policy
 	Voters       []string `toml:"keepers"`   // names of the routers that vote: three or five
@@ -45,6 +45,7 @@
 	if err := p.checkVoters(table); err != nil {
 		return err
 	}
+	// A voter is found by its fields: its name may come from the configuration, which is not read here.
 	isVoter := p.Listen != "" || p.Dir != ""
 	if !isVoter {
 		return nil
@@ -85,7 +86,9 @@
 }
 
 func (p *Policy) checkEndpoint(table tomlTable, fleet Fleet) error {
-	if _, ok := parseAddress(p.Listen); !ok || p.Listen == fleet.Listen {
+	_, isAddress := parseAddress(p.Listen)
+	sameAsFleet := p.Listen == fleet.Listen
+	if !isAddress || sameAsFleet {
 		return table.fault("listen", strconv.Quote(p.Listen), "is no address and port, or that of fleet.listen", `write one of its own, as "10.1.2.3:7947"`)
 	}
 	var err error
--- a/internal/operator/state.go
+++ b/internal/operator/state.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// State is about learned state that survives a restart (internal/snapshot).
+// State is the table [state]: learned state that survives a restart (internal/snapshot).
 type State struct {
 	Dir          string `toml:"dir"`   // the folder, one for each router; empty: nothing is written
 	IntervalText string `toml:"every"` // see Interval
--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -16,14 +16,15 @@
 const (
 	// maxBanned bounds the file.
 	maxBanned = 4096
-	// unbannedMemory is longer than any warm-up, for which UnbannedAt is needed.
-	unbannedMemory = 5 * time.Minute
+	// unbannedRetention bounds UnbannedAt. It exceeds the longest warm-up, which starts at the unban.
+	unbannedRetention = 5 * time.Minute
 )
 
 // IsBanned reports whether a cache server is to be avoided.
 func (s State) IsBanned(uid string) bool { return slices.Contains(s.Banned, uid) }
 
-// Ban adds a cache server to those to avoid. A banned one stays banned. The error is one of too many.
+// Ban adds a cache server to those to avoid. A banned one stays banned. It fails if
+// maxBanned servers are banned.
 func (s *State) Ban(uid string) error {
 	if s.IsBanned(uid) {
 		return nil
@@ -41,7 +42,7 @@
 // is.
 func (s *State) Unban(uid string, now time.Time) {
 	for other, at := range s.UnbannedAt {
-		if now.Sub(time.UnixMicro(at)) > unbannedMemory {
+		if now.Sub(time.UnixMicro(at)) > unbannedRetention {
 			delete(s.UnbannedAt, other)
 		}
 	}
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -39,7 +39,7 @@
 // Load reads the file. Without a file the state is empty. The error, of a file that cannot be read or that belongs to
 // another service's router, names the file and the remedy.
 func (s *Store) Load() (State, error) {
-	s.lastSeen, _ = os.Stat(s.path)
+	s.lastSeen, _ = os.Stat(s.path) // nil for a missing file, which makes the store stale
 	text, err := os.ReadFile(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return State{}, nil
@@ -65,13 +65,14 @@
 	return d, settings.CheckSameService(d.Methods, s.methods)
 }
 
-// Stale reports whether the file is missing or lacks a change that this process knows of.
+// Stale reports whether the file was missing when it was last read or written, or lacks a change that this process knows
+// of. It does not look at the disk.
 func (s *Store) Stale() bool { return s.notPersisted || s.lastSeen == nil }
 
 // MarkStale records that this process knows more than the file. The next Update writes all of it.
 func (s *Store) MarkStale() { s.notPersisted = true }
 
-// Changed reports whether another process has written the file since this one last read or wrote it.
+// Changed looks at the disk and reports whether another process has written the file since this one last read or wrote it.
 func (s *Store) Changed() bool {
 	now, err := os.Stat(s.path)
 	if err != nil {
@@ -80,11 +81,12 @@
 	return s.lastSeen == nil || !os.SameFile(now, s.lastSeen) || !now.ModTime().Equal(s.lastSeen.ModTime())
 }
 
-// Update changes the state and writes it, under a lock that all processes of the router take. The state that is changed is
-// that of the file, or known, what this process knows, where the file is stale or cannot be read.
+// Update changes the state and writes it, under a lock that all processes of the router take. change is applied to the
+// stored state. If the file is stale or cannot be read, it is applied to known, the state in force in this process.
 //
-// An error of change is returned as it is, and nothing is written. Where writing fails the changed state is returned with
-// a *PersistError.
+// An error of change is returned as it is, and nothing is written. Where writing fails, change is applied again, to known
+// alone, and the result is returned with a *PersistError: it is in force in this process and not in the file. change may
+// thus be called twice and must have no other effect.
 func (s *Store) Update(known State, change func(*State) error) (State, error) {
 	state := known
 	var rejected error
@@ -137,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	defer lock.Close()
+	defer lock.Close() // the file is empty, and is never removed: another process may have it open
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX); err != nil {
 		return err
 	}
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"os"
+	"strings"
 
 	"github.com/sirupsen/logrus"
 )
@@ -65,10 +66,12 @@
 	return serve(log, opts.operatorFile, parts)
 }
 
-// parseOptions returns errUsage for a wrong command line, and flag.ErrHelp for a request for help.
+// parseOptions returns errUsage for a wrong command line, and flag.ErrHelp for a request for help. The flags are those of
+// the usage text.
 func parseOptions(args []string) (options, error) {
 	var opts options
-	if len(args) > 0 && args[0] != "" && args[0][0] != '-' {
+	hasCommand := len(args) > 0 && args[0] != "" && !strings.HasPrefix(args[0], "-")
+	if hasCommand {
 		opts.command = args[0]
 		args = args[1:]
 	}
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -80,7 +80,7 @@
 // Policy returns the policy in force as JSON.
 func (r policyRouter) Policy() (string, error) { return r.policy.Policy() }
 
-// HandleRequest passes an operator's request on to the voters.
+// HandleRequest forwards an operator's request to the voters.
 func (r policyRouter) HandleRequest(request string) (string, error) {
 	return r.policy.HandleRequest(request)
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,8 +18,8 @@
 	"spurtrestle/internal/router"
 )
 
-// Parts are the parts that a program links in beside the router, each of which costs memory and time at the start; nil:
-// it does not.
+// Parts are the optional parts of a program; a nil part is not linked in. Programs without them are smaller and start
+// faster.
 type Parts struct {
 	GRPC   StartFront
 	Fleet  fleet.Join
@@ -27,7 +27,7 @@
 }
 
 // StartFront starts to accept clients of a further protocol and returns the function that ends that gracefully. It is
-// called before the router runs.
+// called before the router runs. stop may be called more than once, also concurrently.
 type StartFront func(*router.Router, config.Config, operator.GRPC, *logrus.Logger) (stop func(), err error)
 
 // FollowPolicy makes the router follow the policy of its fleet.
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -22,7 +22,7 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// finalSnapshotTimeout is a part of the time that a planned restart leaves.
+// finalSnapshotTimeout bounds the last write, within the grace period between SIGTERM and SIGKILL.
 const finalSnapshotTimeout = time.Second
 
 // process is one serving process: the router and the parts around it.
@@ -31,7 +31,7 @@
 	parts     Parts
 	config    config.Config
 	file      operator.File
-	fleet     fleet.Config // Fleet is empty where the router is in none
+	fleet     fleet.Config // fleet.Fleet is empty without a fleet
 	router    *router.Router
 	snapshots *snapshot.Writer // nil: learned state is not persisted
 	admin     net.Listener     // nil: there is no admin endpoint
@@ -40,7 +40,7 @@
 }
 
 // serve runs a router until a signal ends it. After an error the process exits, which ends the goroutines that were
-// started by then.
+// started by then and releases the lock of the snapshot folder.
 func serve(log *logrus.Logger, operatorFile string, parts Parts) error {
 	signals := notifySignals()
 	p, err := newProcess(log, operatorFile, parts)
@@ -100,8 +100,8 @@
 	p.router.Remember(learned, interval, p.snapshots.Submit)
 }
 
-// openAdmin listens for operators, takes over from a predecessor, and reads the operator state. The endpoint answers once
-// serveAdmin is called.
+// openAdmin listens for operators, connects to a predecessor, and reads the operator state. The endpoint answers once
+// serveAdmin is called. The processes of a router find each other and the operator state in the temporary folder.
 func (p *process) openAdmin() error {
 	if p.config.Admin == "" {
 		return nil
--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -28,7 +28,8 @@
 	return s
 }
 
-// handleEnd prints the counters at SIGUSR1 and drains the router at other signals. It runs until the process exits.
+// handleEnd prints the counters at SIGUSR1 and drains the router at other signals. gRPC clients are drained at the same time.
+// It runs until the process exits.
 func (p *process) handleEnd(signals <-chan os.Signal) {
 	for s := range signals {
 		if s == syscall.SIGUSR1 {
@@ -40,8 +41,8 @@
 	}
 }
 
-// handleReload reads the configuration again at each SIGHUP, of which discovery's address comes into force. It runs until
-// the process exits.
+// handleReload reads the configuration again at each SIGHUP. Only the address of discovery takes effect without a restart.
+// It runs until the process exits.
 func (p *process) handleReload(signals <-chan os.Signal) {
 	for range signals {
 		cfg, err := config.Reload(os.Getenv)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,6 +1,7 @@
 package settings
 
-// The settings object as JSON has it. Spans are in seconds.
+// The settings object as JSON has it. Durations are in seconds; their keys end in -s. The apply functions have the term of
+// each field.
 type (
 	document struct {
 		Balancers  *int           `json:"balancers"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that describes the service: its methods, tenants, prices and rules. The
-// router's configuration has it (internal/config) and the simulator sends it (simwire). It has no state.
+// Package settings reads the settings object that describes the service: its methods, tenants, costs and rules. The
+// router's configuration contains it (internal/config) and the simulator sends it (simwire). It has no state.
 package settings
 
 import (
@@ -14,7 +14,8 @@
 	"spurtrestle/internal/configerror"
 )
 
-// ReportFields maps the names of a load report's fields.
+// ReportFields maps the field names of a server's load report to the figures that they have. Other names are
+// routing.FigureUnknown.
 var ReportFields = map[string]routing.Figure{
 	"avg_ms":  routing.FigureServiceTime,
 	"waiting": routing.FigureQueue,
@@ -42,7 +43,8 @@
 	return clock.Duration(math.Round(seconds * float64(clock.Second)))
 }
 
-// Parse reads the settings object. Unknown keys are ignored. The error is a *configerror.Error, or one of encoding/json.
+// Parse reads the settings object. Unknown keys are ignored. The error is a *configerror.Error, or one of encoding/json,
+// which the caller locates with configerror.InSection. The settings are valid without an error only.
 func Parse(data []byte) (routing.Settings, error) {
 	var d document
 	if err := json.Unmarshal(data, &d); err != nil {
@@ -106,7 +108,7 @@
 func (d *document) applyDomain(service *routing.Settings) {
 	service.CacheAside = d.Domain.Mode == modeAside
 	kind := d.Domain.OriginKind
-	if kind != nil && *kind >= 0 {
+	if kind != nil && *kind >= 0 { // below 0 the origin is not listed
 		service.OriginKind = routing.Kind(d.Flavors[*kind])
 	}
 	service.OriginOverloadMultiple = d.Domain.OriginOverloadMultiple
@@ -154,6 +156,7 @@
 	service.OverloadWindow = Seconds(rules.OverloadWindow)
 }
 
+// applyMethods is checked last, as in earlier releases; the text does not say which of the four faults it is.
 func (d *document) applyMethods(service *routing.Settings) error {
 	for _, class := range d.Classes {
 		effect, effectKnown := effects[class.Effect]
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -56,8 +56,8 @@
 }
 
 // Close writes a final state, releases the folder and ends the goroutine. It is called once. It waits no longer than
-// timeout, so that a disk that hangs does not delay the end of the process: the goroutine is then still writing and holds
-// the lock until the process ends.
+// timeout, so that a disk that hangs does not delay the end of the process: the goroutine then goes on writing, and the
+// lock is released when the process ends.
 func (w *Writer) Close(state State, timeout time.Duration) {
 	w.final <- state
 	select {
@@ -125,7 +125,7 @@
 	}
 }
 
-// acquireLock takes the folder's lock unless the writer has it, and reports whether it has it now.
+// acquireLock locks the folder unless it is locked by this writer already, and reports whether it is.
 func (w *Writer) acquireLock() bool {
 	if w.lock != nil {
 		return true
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -15,21 +15,21 @@
 )
 
 // Decode reads text into a struct and rejects fields that the struct does not have. reference names the place where all
-// fields are described, for the remedy.
+// fields are described, for the remedy. Errors of several unknown fields are joined.
 func Decode(text []byte, into any, reference string) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
-		return unknownFields(unknown, reference)
+		return unknownFieldsError(unknown, reference)
 	}
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
-		return malformedLine(malformed)
+		return malformedError(malformed)
 	}
 	return err
 }
 
-func unknownFields(unknown *toml.StrictMissingError, reference string) error {
+func unknownFieldsError(unknown *toml.StrictMissingError, reference string) error {
 	var all []error
 	for _, field := range unknown.Errors {
 		line, _ := field.Position()
@@ -43,7 +43,7 @@
 	return errors.Join(all...)
 }
 
-func malformedLine(malformed *toml.DecodeError) error {
+func malformedError(malformed *toml.DecodeError) error {
 	line, _ := malformed.Position()
 	field := strings.Join(malformed.Key(), ".")
 	if field == "" {
@@ -67,18 +67,19 @@
 	fieldEntry  = regexp.MustCompile(`^\s*([A-Za-z_]+)\s*=`)
 )
 
-// FieldLines finds the fields and tables of a text.
+// FieldLines finds the fields and tables of a text by lines, as far as their names are letters, underscores and, of tables,
+// dots. Others are attributed to the table around them, and lines within multi-line strings are taken for fields.
 func FieldLines(text []byte) Lines {
 	lines := Lines{}
-	elements := map[string]int{} // by array of tables: the elements so far
+	elementCount := map[string]int{} // by array of tables
 	prefix := ""
 	for i, content := range strings.Split(string(text), "\n") {
 		line := i + 1
 		if header := tableHeader.FindStringSubmatch(content); header != nil {
 			table := header[2]
 			if header[1] == "[[" {
-				element := elements[table]
-				elements[table]++
+				element := elementCount[table]
+				elementCount[table]++
 				table = fmt.Sprintf("%s[%d]", table, element)
 			}
 			lines[table] = line
