--- a/cmd/cache-routerctl/policy.go
+++ b/cmd/cache-routerctl/policy.go
@@ -118,9 +118,9 @@
 	if err != nil {
 		return "", err
 	}
-	if info.Size() > policy.Longest {
+	if info.Size() > policy.MaxDocumentBytes {
 		return "", fmt.Errorf("%s: %d bytes are more than the %d that a policy may have; leave out what is as the routers' own settings have it",
-			file, info.Size(), policy.Longest)
+			file, info.Size(), policy.MaxDocumentBytes)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/policy/checker.go
+++ b/internal/policy/checker.go
@@ -26,7 +26,7 @@
 	case value == nil:
 	case *value >= 0 && *value <= 1:
 		*into = *value
-	default: // NaN as well
+	default: // also NaN, for which every comparison is false
 		c.reject(field, fmt.Sprintf("%v is no part of one", *value), "write a number from 0 to 1")
 	}
 }
@@ -36,7 +36,7 @@
 	case value == nil:
 	case *value > 0 && !math.IsInf(*value, 0):
 		*into = *value
-	default: // NaN as well
+	default: // also NaN, for which every comparison is false
 		c.reject(field, fmt.Sprintf("%v is not above zero", *value), remedy)
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -14,8 +14,8 @@
 // Schema is the version of the document that this build reads.
 const Schema = 1
 
-// Longest is the largest size of a document, in bytes. Each router gets it in one message, and the raft log has the last hundred.
-const Longest = 64 << 10
+// MaxDocumentBytes is the largest size of a document. Each router gets it in one message, and the raft log has the last hundred.
+const MaxDocumentBytes = 64 << 10
 
 // Document is the policy. A field that is left out has each router's own setting. docs/policy.md describes the fields.
 type Document struct {
@@ -40,7 +40,8 @@
 	OverloadWindow   *string  `toml:"fall_span"`
 }
 
-// Method is the part of a method's settings that may change. Effect, Group, Window and Deadline may not: they are read to reject them.
+// Method is the part of a method's settings that may change. Effect, Group, Window and Deadline may not: they are read to reject them, and only their presence
+// matters.
 type Method struct {
 	Name          string   `toml:"name"`
 	LatencyBudget *string  `toml:"latency_budget"`
@@ -62,8 +63,11 @@
 // Parse reads a document. Settings and Plan check it against the settings of a router.
 func Parse(text string) (Document, error) {
 	var document Document
-	if len(text) > Longest {
-		return document, fmt.Errorf("it has %d bytes, and %d are the most; leave out what is as the routers' own settings have it", len(text), Longest)
+	if len(text) > MaxDocumentBytes {
+		return document, &configerror.Error{
+			Problem: fmt.Sprintf("it has %d bytes, and %d are the most", len(text), MaxDocumentBytes),
+			Remedy:  "leave out what is as the routers' own settings have it",
+		}
 	}
 	if err := tomlfile.Decode([]byte(text), &document, "docs/policy.md"); err != nil {
 		return document, err
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -45,7 +45,7 @@
 		"schema = 1\n[[method]]\nname = \"read\"\nlatency_budget = \"2s\"": `line 4: method[0].latency_budget: "2s" is no span from 1ms to 700ms`,
 		"schema = 1\n[[tenant]]\nname = \"grain\"\nshare = 0.9":            "line 4: tenant[0].share: all shares come to 1.3; let them come to 1 at most",
 		"schema = 1\n[[tenant]]\nname = \"grain\"\nshare = nan":            "line 4: tenant[0].share: NaN is no part of one",
-		"schema = 1\n#" + strings.Repeat("x", Longest):                     "it has 65548 bytes, and 65536 are the most",
+		"schema = 1\n#" + strings.Repeat("x", MaxDocumentBytes):            "it has 65548 bytes, and 65536 are the most",
 	} {
 		d, err := Parse(text)
 		if err == nil {
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -12,7 +12,7 @@
 	maxAttemptsLimit = 100
 	// minAttemptsWithHedging lets a request that has two attempts at once make another when both fail.
 	minAttemptsWithHedging = 3
-	maxServerUIDLength     = 256
+	maxServerUIDBytes      = 256
 	shareSumTolerance      = 1e-9
 	aboveZeroRemedy        = "write a number above 0"
 )
@@ -20,7 +20,8 @@
 // Settings returns the settings of a router with the document in force; own if there is an error.
 func (d Document) Settings(own routing.Settings) (routing.Settings, error) {
 	settings := own
-	settings.Methods, settings.Tenants = slices.Clone(own.Methods), slices.Clone(own.Tenants)
+	settings.Methods = slices.Clone(own.Methods)
+	settings.Tenants = slices.Clone(own.Tenants)
 	c := &checker{document: d}
 	c.fraction("over_share_worth", d.OverShareWeight, &settings.OverShareWeight)
 	c.duration("max_hint", d.MaxRetryAfter, &settings.MaxRetryAfter, 0, clock.Hour)
@@ -31,17 +32,17 @@
 	if d.MaxRetryAfter != nil && own.MaxRetryAfter == 0 && settings.MaxRetryAfter > 0 {
 		c.reject("max_hint", "is set, and the settings have nacks that say nothing of when to come back", "leave it out")
 	}
-	c.maxAttempts(own, &settings)
-	c.bannedServers()
-	c.methods(settings.Methods)
-	c.tenants(settings.Tenants)
+	c.applyMaxAttempts(own, &settings)
+	c.checkBannedServers()
+	c.applyMethods(settings.Methods)
+	c.applyTenants(settings.Tenants)
 	if c.err != nil {
 		return own, c.err
 	}
 	return settings, nil
 }
 
-func (c *checker) maxAttempts(own routing.Settings, settings *routing.Settings) {
+func (c *checker) applyMaxAttempts(own routing.Settings, settings *routing.Settings) {
 	if c.document.MaxAttempts == nil {
 		return
 	}
@@ -50,19 +51,19 @@
 	if attempts < 1 || attempts > maxAttemptsLimit || tooFewToHedge {
 		c.reject("max_write_outs", fmt.Sprintf("is %d", attempts), "write 1 to 100, and 3 at least where two may be out at once")
 	}
-	settings.MaxAttempts = attempts
+	settings.MaxAttempts = attempts // also after a rejection: Settings then returns the router's own
 }
 
-func (c *checker) bannedServers() {
+func (c *checker) checkBannedServers() {
 	servers := c.document.BannedServers
 	for i, uid := range servers {
-		if uid == "" || len(uid) > maxServerUIDLength || slices.Contains(servers[:i], uid) {
+		if uid == "" || len(uid) > maxServerUIDBytes || slices.Contains(servers[:i], uid) {
 			c.reject("out", fmt.Sprintf("its entry %d, %q, is empty, too long or there twice", i+1, uid), "write each server's uid once")
 		}
 	}
 }
 
-func (c *checker) methods(settings []routing.MethodSettings) {
+func (c *checker) applyMethods(settings []routing.MethodSettings) {
 	named := map[string]bool{}
 	for i, method := range c.document.Methods {
 		prefix := fmt.Sprintf("method[%d].", i)
@@ -72,7 +73,7 @@
 			continue
 		}
 		named[method.Name] = true
-		c.fixedMethodFields(prefix, method)
+		c.checkFixedMethodFields(prefix, method)
 		own := &settings[at]
 		c.duration(prefix+"latency_budget", method.LatencyBudget, &own.LatencyBudget, clock.Millisecond, own.Deadline)
 		c.positive(prefix+"criticality", method.Criticality, &own.Criticality, aboveZeroRemedy)
@@ -80,12 +81,17 @@
 	}
 }
 
-// fixedMethodFields rejects the fields that cannot change while routers serve.
-func (c *checker) fixedMethodFields(prefix string, method Method) {
+// checkFixedMethodFields rejects the fields that cannot change while routers serve.
+func (c *checker) checkFixedMethodFields(prefix string, method Method) {
 	for _, field := range []struct {
 		name  string
 		value any
-	}{{"effect", method.Effect}, {"group", method.Group}, {"window", method.Window}, {"deadline", method.Deadline}} {
+	}{
+		{name: "effect", value: method.Effect},
+		{name: "group", value: method.Group},
+		{name: "window", value: method.Window},
+		{name: "deadline", value: method.Deadline},
+	} {
 		if field.value != nil {
 			c.reject(prefix+field.name, "cannot change while routers serve: requests in hand were taken under it, at other routers as well",
 				"leave it out, and restart the routers with other settings")
@@ -93,7 +99,7 @@
 	}
 }
 
-func (c *checker) tenants(settings []routing.TenantSettings) {
+func (c *checker) applyTenants(settings []routing.TenantSettings) {
 	named := map[string]bool{}
 	for i, tenant := range c.document.Tenants {
 		prefix := fmt.Sprintf("tenant[%d].", i)
--- a/internal/policy/site_plan.go
+++ b/internal/policy/site_plan.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	minEvidenceDuration = 500 * time.Millisecond // a busy process stands still for less
+	minEvidenceDuration = 500 * time.Millisecond // longer than a busy process stalls
 	minStepDuration     = 100 * time.Millisecond
 	maxSiteDuration     = time.Hour
 )
@@ -44,23 +44,23 @@
 // Plan returns the document's plan for sites. sites are all sites that the settings name; empty if they name none.
 func (d Document) Plan(own routing.Settings, sites []string) (sitefailover.Plan, error) {
 	plan := sitefailover.DefaultPlan()
-	c := &siteChecker{checker: checker{document: d}, sites: d.Sites, plan: &plan}
-	c.timing()
-	c.recoverySteps()
-	c.eachSite(sites)
-	c.completeness(sites)
-	c.loads(own)
-	if c.err != nil {
-		return sitefailover.Plan{}, c.err
+	c := &siteChecker{checker: &checker{document: d}, sites: d.Sites, plan: &plan}
+	c.applyTiming()
+	c.applyRecoverySteps()
+	c.applySites(sites)
+	c.checkCompleteness(sites)
+	c.applyLoads(own)
+	if c.checker.err != nil {
+		return sitefailover.Plan{}, c.checker.err
 	}
 	return plan, nil
 }
 
 // siteChecker checks the section [sites] of a document and copies it into a plan.
 type siteChecker struct {
-	checker
-	sites Sites
-	plan  *sitefailover.Plan
+	checker *checker
+	sites   Sites
+	plan    *sitefailover.Plan
 }
 
 func (c *siteChecker) reject(field, problem, remedy string) {
@@ -74,6 +74,7 @@
 	return result
 }
 
+// duration has other bounds and another text than checker.duration, as in earlier releases.
 func (c *siteChecker) duration(field string, value *string, into *clock.Duration, least time.Duration) {
 	if value == nil {
 		return
@@ -86,14 +87,14 @@
 	*into = clock.Duration(duration / time.Microsecond)
 }
 
-func (c *siteChecker) timing() {
+func (c *siteChecker) applyTiming() {
 	c.plan.OriginReadRate = c.positive("fetches", c.sites.OriginReadRate)
 	c.duration("lost_after", c.sites.LostAfter, &c.plan.LostAfter, minEvidenceDuration)
 	c.duration("back_after", c.sites.RecoverAfter, &c.plan.RecoverAfter, minEvidenceDuration)
 	c.duration("hold", c.sites.MinStepDuration, &c.plan.MinStepDuration, minStepDuration)
 }
 
-func (c *siteChecker) recoverySteps() {
+func (c *siteChecker) applyRecoverySteps() {
 	steps := c.sites.RecoverySteps
 	if len(steps) == 0 {
 		return
@@ -101,7 +102,7 @@
 	c.plan.RecoverySteps = steps
 	for i, step := range steps {
 		isFraction := step > 0 && step <= 1
-		isAscending := i == 0 || !(step <= steps[i-1])
+		isAscending := i == 0 || step > steps[i-1]
 		if !isFraction || !isAscending {
 			c.reject("steps", fmt.Sprintf("its entry %d, %v, is no part of one above the one before", i+1, step), "write them in order, such as [0.25, 0.5, 1.0]")
 			break
@@ -112,7 +113,7 @@
 	}
 }
 
-func (c *siteChecker) eachSite(known []string) {
+func (c *siteChecker) applySites(known []string) {
 	var names []string
 	for i, site := range c.sites.Sites {
 		prefix := fmt.Sprintf("site[%d].", i)
@@ -148,8 +149,8 @@
 	return slices.ContainsFunc(c.sites.Sites, func(site Site) bool { return site.Name == name })
 }
 
-// completeness checks that the plan has all known sites, and more than one, or nothing at all.
-func (c *siteChecker) completeness(known []string) {
+// checkCompleteness checks that the plan has all known sites, and more than one, or nothing at all.
+func (c *siteChecker) checkCompleteness(known []string) {
 	if len(c.sites.Sites) == 1 {
 		c.reject("site[0].name", "is the only site, and its load could go nowhere", "name all sites, or leave [sites] out")
 	}
@@ -168,7 +169,7 @@
 	return hasTiming || s.OriginReadRate != nil || len(s.RecoverySteps) > 0 || len(s.Loads) > 0
 }
 
-func (c *siteChecker) loads(own routing.Settings) {
+func (c *siteChecker) applyLoads(own routing.Settings) {
 	for i, load := range c.sites.Loads {
 		prefix := fmt.Sprintf("load[%d].", i)
 		if !slices.ContainsFunc(own.Methods, func(m routing.MethodSettings) bool { return m.Name == load.Method }) {
@@ -179,6 +180,6 @@
 			c.reject(prefix+"tenant", fmt.Sprintf("%q is no tenant of the settings", load.Tenant), "write one of them, or leave it out for all")
 		}
 		c.positive(prefix+"rate", &load.Rate)
-		c.plan.ExpectedLoads = append(c.plan.ExpectedLoads, sitefailover.ExpectedLoad(load))
+		c.plan.ExpectedLoads = append(c.plan.ExpectedLoads, sitefailover.ExpectedLoad{Method: load.Method, Tenant: load.Tenant, Rate: load.Rate})
 	}
 }
