--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -11,19 +11,21 @@
 
 // Fleet is the table [fleet]: the view of the fleet that the routers share (internal/gossip).
 type Fleet struct {
-	Name        string   `toml:"name"`      // of the fleet; empty: this router has no view
-	Router      string   `toml:"router"`    // this router's name; empty: that of its configuration
-	Site        string   `toml:"site"`      // empty: that of the configuration
-	Listen      string   `toml:"listen"`    // address and port, for UDP and TCP
-	Advertise   string   `toml:"advertise"` // the address for the others; empty: listen
-	Join        []string `toml:"join"`      // addresses of other routers, to begin with
-	Dir         string   `toml:"dir"`       // the folder of the known peers; empty: they are not persisted
-	Probe       string   `toml:"probe"`     // see ProbeInterval
-	Forget      string   `toml:"forget"`    // see ForgetAfter
-	Tiered      bool     `toml:"tiered"`    // full membership within the site, summaries of other sites and regions
-	Region      string   `toml:"region"`    // with Tiered: the site's region
-	Remote      []string `toml:"remote"`    // with Tiered: addresses of routers of other sites, to begin with
-	Anywhere    bool     `toml:"anywhere"`  // allows unspecified and public addresses
+	Name       string   `toml:"name"`      // of the fleet; empty: this router has no view
+	Router     string   `toml:"router"`    // this router's name; empty: that of its configuration
+	Site       string   `toml:"site"`      // empty: that of the configuration
+	Listen     string   `toml:"listen"`    // address and port, for UDP and TCP
+	Advertise  string   `toml:"advertise"` // the address for the others; empty: listen
+	Join       []string `toml:"join"`      // addresses of other routers, to begin with
+	Dir        string   `toml:"dir"`       // the folder of the known peers; empty: they are not persisted
+	ProbeText  string   `toml:"probe"`     // see ProbeInterval
+	ForgetText string   `toml:"forget"`    // see ForgetAfter
+	Tiered     bool     `toml:"tiered"`    // full membership within the site, summaries of other sites and regions
+	Region     string   `toml:"region"`    // with Tiered: the site's region
+	Remote     []string `toml:"remote"`    // with Tiered: addresses of routers of other sites, to begin with
+	Anywhere   bool     `toml:"anywhere"`  // allows unspecified and public addresses
+
+	// Parsed by check.
 	endpoint    endpoint
 	probe       time.Duration
 	forgetAfter time.Duration
@@ -146,7 +148,7 @@
 	for _, field := range []durationField{
 		{
 			name:         "probe",
-			text:         f.Probe,
+			text:         f.ProbeText,
 			value:        &f.probe,
 			minimum:      100 * time.Millisecond,
 			maximum:      10 * time.Second,
@@ -154,7 +156,7 @@
 		},
 		{
 			name:         "forget",
-			text:         f.Forget,
+			text:         f.ForgetText,
 			value:        &f.forgetAfter,
 			minimum:      time.Second,
 			maximum:      240 * time.Hour,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,14 +24,14 @@
 	lines  tomlfile.Lines
 }
 
-// Load reads a file. An empty path is no file.
+// Load reads a file. An empty path is no file. The error is a *configerror.Error; the file is valid without one only.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, err
+		return File{}, &configerror.Error{Problem: err.Error(), Cause: err}
 	}
 	f, err := Parse(text)
 	if err != nil {
--- a/internal/operator/policy.go
+++ b/internal/operator/policy.go
@@ -15,7 +15,9 @@
 	Listen       string   `toml:"listen"`    // at a voter: address and port for the log
 	Advertise    string   `toml:"advertise"` // the address for the other voters; empty: listen
 	Dir          string   `toml:"dir"`       // at a voter: the folder of the log
-	endpoint     endpoint
+
+	// Parsed by check.
+	endpoint endpoint
 }
 
 // Values of Policy.WhenIsolated.
--- a/internal/operator/state.go
+++ b/internal/operator/state.go
@@ -11,7 +11,9 @@
 type State struct {
 	Dir          string `toml:"dir"`   // the folder, one for each router; empty: nothing is written
 	IntervalText string `toml:"every"` // see Interval
-	interval     time.Duration
+
+	// Parsed by check.
+	interval time.Duration
 }
 
 // Bounds of the interval. A kill loses half an interval on average, little against half-lives of a minute.
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -34,15 +34,15 @@
 	if !two.Changed() || one.Changed() {
 		t.Errorf("Changed: got %v at the reader, %v at the writer, want true, false", two.Changed(), one.Changed())
 	}
-	i, err := two.Update(State{Banned: []string{"of no account"}}, unban("b"))
-	if got, want := fmt.Sprint(i, err, two.Changed(), one.Changed()), "{[a] map[b:7000000] false} <nil> false true"; got != want {
+	state, err := two.Update(State{Banned: []string{"of no account"}}, unban("b"))
+	if got, want := fmt.Sprint(state, err, two.Changed(), one.Changed()), "{[a] map[b:7000000] false} <nil> false true"; got != want {
 		t.Errorf("after the unban: got %s, want %s", got, want)
 	}
-	if i, err = one.Load(); fmt.Sprint(i, err) != "{[a] map[b:7000000] false} <nil>" {
-		t.Errorf("read again: got %v, %v, want the state with the unban", i, err)
+	if state, err = one.Load(); fmt.Sprint(state, err) != "{[a] map[b:7000000] false} <nil>" {
+		t.Errorf("read again: got %v, %v, want the state with the unban", state, err)
 	}
-	if i, err = Open(dir, "127.0.0.1:2", nil).Load(); len(i.Banned) > 0 || err != nil {
-		t.Errorf("another router's store: got %v, %v, want none banned", i, err)
+	if state, err = Open(dir, "127.0.0.1:2", nil).Load(); len(state.Banned) > 0 || err != nil {
+		t.Errorf("another router's store: got %v, %v, want none banned", state, err)
 	}
 }
 
@@ -61,8 +61,8 @@
 		})
 	}
 	all.Wait()
-	if i, err := Open(dir, "r", nil).Load(); len(i.Banned) != 100 || err != nil {
-		t.Errorf("got %d banned, %v, want 100", len(i.Banned), err)
+	if state, err := Open(dir, "r", nil).Load(); len(state.Banned) != 100 || err != nil {
+		t.Errorf("got %d banned, %v, want 100", len(state.Banned), err)
 	}
 }
 
@@ -75,25 +75,25 @@
 	if err := os.WriteFile(file, []byte(`{"down":["x"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if i, err := s.Load(); err == nil || !strings.HasPrefix(err.Error(), file+": ") || len(i.Banned) > 0 {
-		t.Errorf("corrupt file: got %v, %v, want an error with its name", i, err)
+	if state, err := s.Load(); err == nil || !strings.HasPrefix(err.Error(), file+": ") || len(state.Banned) > 0 {
+		t.Errorf("corrupt file: got %v, %v, want an error with its name", state, err)
 	}
-	if i, err := s.Update(State{Banned: []string{"y"}}, ban("z")); fmt.Sprint(i.Banned, err) != "[y z] <nil>" {
-		t.Errorf("update over a corrupt file: got %v, %v, want [y z]", i, err)
+	if state, err := s.Update(State{Banned: []string{"y"}}, ban("z")); fmt.Sprint(state.Banned, err) != "[y z] <nil>" {
+		t.Errorf("update over a corrupt file: got %v, %v, want [y z]", state, err)
 	}
 	rejected := errors.New("no")
 	if _, err := s.Update(State{}, func(*State) error { return rejected }); err != rejected {
 		t.Errorf("rejected change: got %v, want %v", err, rejected)
 	}
-	if i, _ := s.Load(); fmt.Sprint(i.Banned) != "[y z]" {
-		t.Errorf("after the rejected change: got %v, want [y z]", i)
+	if state, _ := s.Load(); fmt.Sprint(state.Banned) != "[y z]" {
+		t.Errorf("after the rejected change: got %v, want [y z]", state)
 	}
 	var persistError *PersistError
 	gone := filepath.Join(dir, "gone")
 	s = Open(gone, "r", nil)
-	i, err := s.Update(State{}, ban("a"))
-	if fmt.Sprint(i.Banned) != "[a]" || !errors.As(err, &persistError) || !strings.Contains(err.Error(), "TMPDIR") {
-		t.Errorf("no folder: got %v, %v, want [a] and a PersistError", i, err)
+	state, err := s.Update(State{}, ban("a"))
+	if fmt.Sprint(state.Banned) != "[a]" || !errors.As(err, &persistError) || !strings.Contains(err.Error(), "TMPDIR") {
+		t.Errorf("no folder: got %v, %v, want [a] and a PersistError", state, err)
 	}
 	// Once the folder is there, the next update writes the state that was not persisted, over an older file.
 	if err := os.Mkdir(gone, 0o700); err != nil {
@@ -105,8 +105,8 @@
 	if !s.Stale() {
 		t.Error("Stale: got false, want true: the file lacks a change")
 	}
-	if i, err := s.Update(i, ban("b")); fmt.Sprint(i.Banned, err, s.Stale()) != "[a b] <nil> false" {
-		t.Errorf("update with the folder back: got %v, %v, stale %v, want [a b]", i, err, s.Stale())
+	if state, err := s.Update(state, ban("b")); fmt.Sprint(state.Banned, err, s.Stale()) != "[a b] <nil> false" {
+		t.Errorf("update with the folder back: got %v, %v, stale %v, want [a b]", state, err, s.Stale())
 	}
 }
 
@@ -133,29 +133,29 @@
 	if _, err := theirs.Update(State{}, ban("a")); err != nil {
 		t.Fatal(err)
 	}
-	i, err := ours.Load()
-	if len(i.Banned) > 0 || err == nil || !strings.Contains(err.Error(), "r.intent: it is of a service with the methods tile, put, and this router serves one with get, put; ") {
-		t.Errorf("got %v, %v, want an error that names both services", i, err)
+	state, err := ours.Load()
+	if len(state.Banned) > 0 || err == nil || !strings.Contains(err.Error(), "r.intent: it is of a service with the methods tile, put, and this router serves one with get, put; ") {
+		t.Errorf("got %v, %v, want an error that names both services", state, err)
 	}
-	if i, err = ours.Update(State{}, ban("b")); err != nil || len(i.Banned) != 1 {
-		t.Errorf("update: got %v, %v, want one banned", i, err)
+	if state, err = ours.Update(State{}, ban("b")); err != nil || len(state.Banned) != 1 {
+		t.Errorf("update: got %v, %v, want one banned", state, err)
 	}
-	if i, err = Open(dir, "r", []string{"get"}).Load(); err != nil || !i.IsBanned("b") { // a part of the methods is the same service
-		t.Errorf("a store with fewer methods: got %v, %v, want b banned", i, err)
+	if state, err = Open(dir, "r", []string{"get"}).Load(); err != nil || !state.IsBanned("b") { // a part of the methods is the same service
+		t.Errorf("a store with fewer methods: got %v, %v, want b banned", state, err)
 	}
 }
 
 // TestStore_ThousandsOfBans reads thousands of bans again.
 func TestStore_ThousandsOfBans(t *testing.T) {
 	const servers = 2000
-	i := State{}
+	state := State{}
 	for n := range servers {
-		if err := i.Ban(fmt.Sprint("s-", n)); err != nil {
+		if err := state.Ban(fmt.Sprint("s-", n)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	dir := t.TempDir()
-	if _, err := Open(dir, "r", nil).Update(i, ban("last")); err != nil {
+	if _, err := Open(dir, "r", nil).Update(state, ban("last")); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := Open(dir, "r", nil).Load(); len(again.Banned) != servers+1 || err != nil {
