--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -81,7 +81,7 @@
 }
 
 // Apply applies the entry at an index of the log. ok reports whether the entry ended a proposed change, the entry's own or the
-// pending one; verdict is how.
+// pending one; verdict is how, and is that of entry.Token.
 func (l *LogState) Apply(index Index, entry Entry) (verdict Verdict, ok bool) {
 	l.Index = index
 	if l.Verdicts == nil {
@@ -187,7 +187,7 @@
 }
 
 // applySiteTransition ignores a transition that was made for an earlier decision on the site: of two concurrent transitions, an
-// operator's and the leader's, the first in the log holds.
+// operator's and the leader's, the first in the log is applied.
 func (l *LogState) applySiteTransition(index Index, transition *sitefailover.Transition) {
 	if transition == nil || l.Sites[transition.Site].Index != transition.PreviousIndex {
 		return
--- a/internal/controlplane/site_leader.go
+++ b/internal/controlplane/site_leader.go
@@ -146,9 +146,10 @@
 	return &status, document
 }
 
-// executeSiteAction appends the transition that an operator asks for. A repeated request does nothing.
+// executeSiteAction appends the transition of an operator's action. A repeated request does nothing.
 func (n *Node) executeSiteAction(request policycommit.Request) error {
-	state, site := n.raftLog.currentState(), sitefailover.Site(request.Name)
+	state := n.raftLog.currentState()
+	site := sitefailover.Site(request.Name)
 	n.mu.Lock()
 	plan := n.siteOrders.plan
 	var failoverWeights []sitefailover.SiteShare
--- a/internal/controlplane/site_reports.go
+++ b/internal/controlplane/site_reports.go
@@ -10,7 +10,7 @@
 
 const (
 	siteReportInterval = 100 * time.Millisecond // twice as often as renewals, which take the last report along
-	// siteOrdersTTL is how long orders hold without a new lease. Then the router decides by its own evidence again.
+	// siteOrdersTTL is how long orders are valid without a new lease. Then the router decides by its own evidence again.
 	siteOrdersTTL = 3 * clock.Second
 	// minReportedRate, in requests a second, bounds the size of a report.
 	minReportedRate = 0.05
@@ -30,7 +30,7 @@
 
 func (s *siteOrders) isCurrent(now clock.Time) bool { return s.receivedAt != 0 && now < s.expiresAt() }
 
-// receiveSiteOrders takes in the orders that came with a lease; nil: none. n.mu must be held.
+// receiveSiteOrders handles the orders that came with a lease; nil: none. n.mu must be held.
 func (n *Node) receiveSiteOrders(orders *sitefailover.Orders) {
 	n.siteOrders.receivedAt = n.now()
 	n.siteOrders.orders = sitefailover.Orders{}
