--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -41,6 +41,9 @@
 	}
 }
 
+// formerReloadRejected is the text of the log line in earlier releases, for one release more.
+const formerReloadRejected = "the new configuration is not taken; the old one holds"
+
 // handleReload reads the configuration again at each SIGHUP. Only the address of discovery takes effect without a restart.
 // It runs until the process exits.
 func (p *process) handleReload(signals <-chan os.Signal) {
@@ -50,7 +53,7 @@
 			err = p.checkReloaded(cfg)
 		}
 		if err != nil {
-			p.log.WithError(err).Error("config: reload rejected, the previous configuration stays in force")
+			p.log.WithError(err).WithField("formerly", formerReloadRejected).Error("config: reload rejected, the previous configuration stays in force")
 			p.router.NotLoaded()
 			continue
 		}
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -14,6 +14,15 @@
 	"spurtrestle/core/clock"
 )
 
+// Log lines whose earlier text operators' pages named have it in this field for one release.
+const (
+	formerly           = "formerly"
+	formerSkipped      = "a state cannot be used; the one before it is tried"
+	formerNoneUsable   = "no state can be used: beginning anew"
+	formerNotPersisted = "state is not kept; serving on without"
+	formerNotWritten   = "the last state was not written in time"
+)
+
 // Writer writes submitted states to a folder on a goroutine of its own, which ends with Close. A state that waits to be
 // written is replaced by a newer one.
 //
@@ -63,7 +72,7 @@
 	select {
 	case <-w.done:
 	case <-time.After(timeout):
-		w.log.Warn("snapshot: last state not written in time")
+		w.log.WithField(formerly, formerNotWritten).Warn("snapshot: last state not written in time")
 	}
 }
 
@@ -73,14 +82,14 @@
 	}
 	loaded, err := w.store.Load()
 	for _, skippedErr := range loaded.Skipped {
-		w.log.WithError(skippedErr).Warn("snapshot: generation cannot be used, trying the one before")
+		w.log.WithError(skippedErr).WithField(formerly, formerSkipped).Warn("snapshot: generation cannot be used, trying the one before")
 	}
 	if errors.Is(err, ErrNoSnapshot) {
 		w.log.Info("snapshot: none yet, starting without learned state")
 		return nil
 	}
 	if err != nil {
-		w.log.WithError(err).Warn("snapshot: no generation can be used, starting without learned state; run `cache-routerctl state verify`")
+		w.log.WithError(err).WithField(formerly, formerNoneUsable).Warn("snapshot: no generation can be used, starting without learned state; run `cache-routerctl state verify`")
 		return nil
 	}
 	w.log.WithFields(logrus.Fields{
@@ -145,7 +154,7 @@
 		return
 	}
 	w.lastFailure = err.Error()
-	w.log.WithError(err).Warn("snapshot: state not persisted, serving without. " + Remedy(string(w.dir), err))
+	w.log.WithError(err).WithField(formerly, formerNotPersisted).Warn("snapshot: state not persisted, serving without. " + Remedy(string(w.dir), err))
 }
 
 // Remedy returns what an operator can do about an error of a folder, as a sentence.
