--- a/core/hierarchy/golden_test.go
+++ b/core/hierarchy/golden_test.go
@@ -6,31 +6,17 @@
 	"encoding/json"
 	"fmt"
 	"net/netip"
-	"os"
 	"slices"
 	"testing"
 
 	"spurtrestle/core/clock"
+	"spurtrestle/internal/goldentest"
 )
 
 // The datagrams of a small fleet over twelve seconds and the status of each router at the end are byte for byte those of the build
 // before the renames, which wrote the file: the first datagrams of each kind in full, and a digest over all in the order of sending.
 func TestGolden_DatagramsAndStatus(t *testing.T) {
-	const path = "testdata/datagrams.golden"
-	got := goldenRun(t)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
-	for i := range min(len(gotLines), len(wantLines)) {
-		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Fatalf("line %d: got\n%s\nwant as in %s\n%s", i+1, gotLines[i], path, wantLines[i])
-		}
-	}
-	if len(gotLines) != len(wantLines) {
-		t.Errorf("got %d lines, want %d as in %s", len(gotLines), len(wantLines), path)
-	}
+	goldentest.CompareFile(t, "testdata/datagrams.golden", goldenRun(t))
 }
 
 type goldenRouter struct {
--- a/core/policycommit/golden_test.go
+++ b/core/policycommit/golden_test.go
@@ -2,31 +2,14 @@
 
 import (
 	"encoding/json"
-	"os"
-	"strings"
 	"testing"
 
 	"spurtrestle/core/sitefailover"
+	"spurtrestle/internal/goldentest"
 )
 
-// goldenMessages are the JSON forms of everything that routers exchange and that the raft log holds, by name, as the build
-// bfb4b5c wrote them.
-func goldenMessages(t *testing.T) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile("testdata/messages.golden")
-	if err != nil {
-		t.Fatal(err)
-	}
-	messages := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, message, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
-		if !ok {
-			t.Fatalf("golden line without a name: %q", line)
-		}
-		messages[name] = message
-	}
-	return messages
-}
+// messagesFile has the JSON forms of everything that is exchanged or stored, by name, as the build bfb4b5c wrote them.
+const messagesFile = "testdata/messages.golden"
 
 // siteOrder has an order in its JSON form, so that the test does not depend on the names of its fields.
 func siteOrder(t *testing.T) *sitefailover.Transition {
@@ -67,18 +50,10 @@
 }
 
 func TestMessages_JSONIsUnchanged(t *testing.T) {
-	golden := goldenMessages(t)
-	checked := map[string]bool{}
+	golden := goldentest.ReadMessages(t, messagesFile)
 	check := func(name string, value any) {
 		t.Helper()
-		text, err := json.Marshal(value)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if want, ok := golden[name]; !ok || string(text) != want {
-			t.Errorf("%s:\n got %s\nwant %s", name, text, want)
-		}
-		checked[name] = true
+		golden.Compare(t, name, value)
 	}
 
 	for name, entry := range map[string]Entry{
@@ -132,16 +107,12 @@
 	check("abort/timeout", leader.ResolvePending(timing.PrepareTimeout+4, state))
 	check("followers", leader.Followers(timing.PrepareTimeout+5, state))
 
-	for name := range golden {
-		if !checked[name] {
-			t.Errorf("golden message %q is not compared", name)
-		}
-	}
+	golden.CheckAllCompared(t)
 }
 
 // A log state of the older build is read without loss.
 func TestLogState_ReadsOlderSnapshot(t *testing.T) {
-	want := goldenMessages(t)["logstate/full"]
+	want := goldentest.ReadMessages(t, messagesFile).Text("logstate/full")
 	var state LogState
 	if err := json.Unmarshal([]byte(want), &state); err != nil {
 		t.Fatal(err)
--- a/core/sitefailover/golden_test.go
+++ b/core/sitefailover/golden_test.go
@@ -5,28 +5,15 @@
 	"crypto/sha256"
 	"encoding/json"
 	"fmt"
-	"os"
 	"testing"
+
+	"spurtrestle/internal/goldentest"
 )
 
 // Reports, orders, transitions and statuses of a run with losses, operator commands and a change of leader, byte for byte as the build
 // before the renames wrote them: some of each in full, and a digest over all in their order.
 func TestGolden_JSON(t *testing.T) {
-	const path = "testdata/json.golden"
-	got := goldenRun(t)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
-	for i := range min(len(gotLines), len(wantLines)) {
-		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Fatalf("line %d: got\n%s\nwant as in %s\n%s", i+1, gotLines[i], path, wantLines[i])
-		}
-	}
-	if len(gotLines) != len(wantLines) {
-		t.Errorf("got %d lines, want %d as in %s", len(gotLines), len(wantLines), path)
-	}
+	goldentest.CompareFile(t, "testdata/json.golden", goldenRun(t))
 }
 
 func goldenRun(t *testing.T) []byte {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -2,25 +2,14 @@
 
 import (
 	"fmt"
-	"os"
 	"strings"
 	"testing"
+
+	"spurtrestle/internal/goldentest"
 )
 
 // Golden files were written by build bfb4b5c, never by a later one.
 
-// checkGolden holds a text to the golden file that build bfb4b5c wrote.
-func checkGolden(t *testing.T, file, got string) {
-	t.Helper()
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s:\ngot\n%s\nwant\n%s", file, got, want)
-	}
-}
-
 // inGoldenOrder shows all limits as the golden file has them, in the order of that build's fields.
 func inGoldenOrder(l Limits) string {
 	values := []any{
@@ -51,7 +40,7 @@
 		c, err := load(t, strings.NewReplacer(replaced...).Replace(completeFile), nil)
 		fmt.Fprintf(&all, "%q\n%s %v\n", replaced, inGoldenOrder(c.Limits), err)
 	}
-	checkGolden(t, "testdata/limits.golden", all.String())
+	goldentest.CompareFile(t, "testdata/limits.golden", []byte(all.String()))
 }
 
 // TestGolden_Errors holds the texts of errors to those of build bfb4b5c.
@@ -107,5 +96,5 @@
 	}
 	_, err := Load(func(string) string { return "/nowhere/config.json" })
 	fmt.Fprintln(&all, err)
-	checkGolden(t, "testdata/errors.golden", all.String())
+	goldentest.CompareFile(t, "testdata/errors.golden", []byte(all.String()))
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -5,7 +5,6 @@
 	"net/netip"
 	"os"
 	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
@@ -13,25 +12,11 @@
 
 	"spurtrestle/core/policycommit"
 	"spurtrestle/core/sitefailover"
+	"spurtrestle/internal/goldentest"
 )
 
-// goldenMessages are the JSON forms of the messages between routers and of the files, by name, as the build bfb4b5c wrote them.
-func goldenMessages(t *testing.T) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile("testdata/messages.golden")
-	if err != nil {
-		t.Fatal(err)
-	}
-	messages := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, message, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
-		if !ok {
-			t.Fatalf("golden line without a name: %q", line)
-		}
-		messages[name] = message
-	}
-	return messages
-}
+// messagesFile has the JSON forms of everything that is exchanged or stored, by name, as the build bfb4b5c wrote them.
+const messagesFile = "testdata/messages.golden"
 
 func decode[T any](t *testing.T, text string) *T {
 	t.Helper()
@@ -43,18 +28,10 @@
 }
 
 func TestMessages_JSONIsUnchanged(t *testing.T) {
-	golden := goldenMessages(t)
-	checked := map[string]bool{}
+	golden := goldentest.ReadMessages(t, messagesFile)
 	check := func(name string, value any) {
 		t.Helper()
-		text, err := json.Marshal(value)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if want, ok := golden[name]; !ok || string(text) != want {
-			t.Errorf("%s:\n got %s\nwant %s", name, text, want)
-		}
-		checked[name] = true
+		golden.Compare(t, name, value)
 	}
 	report := decode[sitefailover.Report](t, `{"site":"hill","offered":[{"k":2,"r":10.5}],"let":9,"lost":1,"worth":20,"missed":2,`+
 		`"origin":1.5,"target":100,"seen":[{"s":"coast","u":6,"l":4,"q":1,"a":50}]}`)
@@ -72,11 +49,7 @@
 		CutOff: "serve", Voter: true, Leader: true, ExtraShare: 0.05, VoterFault: "full", Orders: orders})
 	check("identity", voterIdentity{Name: "n1", VoterID: 77, Member: true})
 	check("voter", serverID("n1", 0xa1b2))
-	for name := range golden {
-		if !checked[name] {
-			t.Errorf("golden message %q is not compared", name)
-		}
-	}
+	golden.CheckAllCompared(t)
 }
 
 // A folder that the build bfb4b5c wrote, with a snapshot and entries behind it, is opened, replayed and led.
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,35 +1,89 @@
 // Package goldentest compares bytes that go over the wire, to disk or to operators with files in the repository. Tests call it;
-// it has no state but its flag.
+// it has no state.
+//
+// Nothing here writes the files. They were written by an earlier release, whose routers read and write these bytes.
 package goldentest
 
 import (
-	"flag"
+	"bytes"
+	"encoding/json"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 )
 
-// update writes the files in place of comparing them. A file that was written by an earlier release stays as it is: routers of
-// that release read and write these bytes.
-var update = flag.Bool("update-golden", false, "write the golden files")
+// Compare fails the test if got differs from the content of the named file in testdata/golden.
+func Compare(t *testing.T, name string, got []byte) {
+	t.Helper()
+	CompareFile(t, filepath.Join("testdata", "golden", name), got)
+}
+
+// CompareFile fails the test if got differs from the content of a file. It shows the first line that differs.
+func CompareFile(t *testing.T, path string, got []byte) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Fatalf("%s, line %d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Errorf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+}
 
-// dir is the folder of the files, in the folder of the test's package.
-const dir = "testdata/golden"
+// Messages are JSON texts by name, read from a file with a line for each: the name, a tab, the text.
+type Messages struct {
+	texts    map[string]string
+	compared map[string]bool
+}
 
-// Compare fails the test if got differs from the content of the named file.
-func Compare(t *testing.T, file string, got []byte) {
+// ReadMessages reads messages from a file.
+func ReadMessages(t *testing.T, path string) *Messages {
 	t.Helper()
-	name := filepath.Join(dir, file)
-	if *update {
-		if err := os.WriteFile(name, got, 0o600); err != nil {
-			t.Fatal(err)
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &Messages{texts: map[string]string{}, compared: map[string]bool{}}
+	for line := range strings.Lines(string(content)) {
+		name, text, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		if !ok {
+			t.Fatalf("%s: line without a name: %q", path, line)
 		}
+		m.texts[name] = text
 	}
-	want, err := os.ReadFile(name)
+	return m
+}
+
+// Text returns the message of a name; empty where there is none.
+func (m *Messages) Text(name string) string { return m.texts[name] }
+
+// Compare fails the test if the JSON form of a value differs from the message of a name.
+func (m *Messages) Compare(t *testing.T, name string, value any) {
+	t.Helper()
+	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(got) != string(want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	if want, ok := m.texts[name]; !ok || string(text) != want {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, text, want)
+	}
+	m.compared[name] = true
+}
+
+// CheckAllCompared fails the test for each message that Compare was not called for.
+func (m *Messages) CheckAllCompared(t *testing.T) {
+	t.Helper()
+	for name := range m.texts {
+		if !m.compared[name] {
+			t.Errorf("message %q is not compared", name)
+		}
 	}
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -5,11 +5,12 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"spurtrestle/internal/goldentest"
 )
 
 // Golden files were written by build bfb4b5c, never by a later one.
@@ -26,14 +27,8 @@
 	for _, frame := range frames {
 		fmt.Fprintf(&sent, "%x\n", sentBytes(t, frame))
 	}
-	want, err := os.ReadFile(golden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if sent.String() != string(want) {
-		t.Errorf("frames:\ngot\n%swant\n%s", sent.String(), want)
-	}
-	for i, line := range strings.Fields(string(want)) {
+	goldentest.CompareFile(t, golden, []byte(sent.String()))
+	for i, line := range strings.Fields(sent.String()) {
 		var raw []byte
 		if _, err := fmt.Sscanf(line, "%x", &raw); err != nil {
 			t.Fatal(err)
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -6,6 +6,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"spurtrestle/internal/goldentest"
 )
 
 // Golden files were written by build bfb4b5c, never by a later one.
@@ -71,11 +73,5 @@
 	}
 	_, err := Load("/nowhere/operator.toml")
 	fmt.Fprintln(&all, err)
-	want, err := os.ReadFile(golden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if all.String() != string(want) {
-		t.Errorf("errors:\ngot\n%s\nwant\n%s", all.String(), want)
-	}
+	goldentest.CompareFile(t, golden, []byte(all.String()))
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"os"
 	"strings"
 	"testing"
+
+	"spurtrestle/internal/goldentest"
 )
 
 // Golden files were written by build bfb4b5c, never by a later one.
@@ -52,11 +53,5 @@
 		s, err := Parse([]byte(strings.NewReplacer(replaced...).Replace(completeSettings)))
 		fmt.Fprintf(&all, "%q\n%v\n%v\n", replaced, s, err)
 	}
-	want, err := os.ReadFile(golden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if all.String() != string(want) {
-		t.Errorf("settings:\ngot\n%s\nwant\n%s", all.String(), want)
-	}
+	goldentest.CompareFile(t, golden, []byte(all.String()))
 }
