--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,45 +1,48 @@
-// Package counters holds what a router counts, printed on request and at exit.
+// Package counters declares the counters of a router. The router's event loop updates them; the program logs them on request
+// and at exit.
 package counters
 
 import "fmt"
 
-// Counters are the loop's own: nothing else may touch them.
+// Counters counts what a router has handled since its start. The router's event loop owns it: no other goroutine may access it.
 type Counters struct {
-	Taken    int // requests
-	Served   int
-	Rejected int
-	Failed   int
-	Left     int // their clients had gone before the answer
+	Requests  int // received from clients
+	Served    int
+	Rejected  int
+	Failed    int
+	Abandoned int // the client disconnected before the answer
 
-	LeftWaiting int // attempts that were not sent since their clients had gone meanwhile
+	UnsentAttempts int // cancelled before they were sent, because the client had disconnected
 
-	Ended [][3]int // by method: satisfied, rejected, failed
+	OutcomesByMethod [][3]int // for each method: served, rejected, failed
 
-	Attempts int
-	Forwards int // of them written whole
-	OK       int
-	Miss     int
-	NeverRan int // turned away, or could not connect
-	MayHave  int // errors, resets, time-outs
-	GivenUp  int // recalled
+	Attempts          int
+	ForwardedAttempts int // written to the server's connection as a whole
+	OK                int
+	Misses            int
+	NotExecuted       int // rejected by the server, or not sent because the connection failed
+	MaybeExecuted     int // ended by an error, a reset or a timeout: the server may have executed them
+	Canceled          int
 
-	ClientConns int // accepted
-	Dials       int
-	DialsFailed int
-	Shed        int // connections closed to make room for others
-	Broken      int // connections closed for what came on them
-	Lists       int
-	ListsFailed int
-	Batches     int
-	Reloaded    int // by signal
-	NotLoaded   int
+	ClientConnections    int // accepted
+	Dials                int
+	FailedDials          int
+	EvictedConnections   int // closed to free resources for others
+	AbortedConnections   int // closed because of invalid data, or of output that the client does not read
+	ServerLists          int // received from discovery
+	FailedDiscoveryCalls int
+	Batches              int // of the event loop
+	ConfigReloads        int // successful, requested by a signal
+	RejectedReloads      int
 }
 
-// String is one line of names and values. The names of earlier releases stand at its end, for one release.
+// String returns one line of names and values. Names of earlier releases are repeated at its end for one release.
 func (c Counters) String() string {
 	return fmt.Sprintf("taken=%d served=%d rejected=%d failed=%d left=%d attempts=%d ok=%d miss=%d never-ran=%d "+
 		"may-have-run=%d given-up=%d client-conns=%d dials=%d dials-failed=%d shed=%d broken=%d lists=%d "+
-		"lists-failed=%d batches=%d left-waiting=%d deprecated(satisfied=%d nacked=%d write-outs=%d)", c.Taken, c.Served, c.Rejected, c.Failed, c.Left, c.Attempts, c.OK, c.Miss,
-		c.NeverRan, c.MayHave, c.GivenUp, c.ClientConns, c.Dials, c.DialsFailed, c.Shed, c.Broken, c.Lists,
-		c.ListsFailed, c.Batches, c.LeftWaiting, c.Served, c.Rejected, c.Attempts)
+		"lists-failed=%d batches=%d left-waiting=%d deprecated(satisfied=%d nacked=%d write-outs=%d)",
+		c.Requests, c.Served, c.Rejected, c.Failed, c.Abandoned, c.Attempts, c.OK, c.Misses,
+		c.NotExecuted, c.MaybeExecuted, c.Canceled, c.ClientConnections, c.Dials, c.FailedDials, c.EvictedConnections,
+		c.AbortedConnections, c.ServerLists, c.FailedDiscoveryCalls, c.Batches, c.UnsentAttempts,
+		c.Served, c.Rejected, c.Attempts)
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -57,7 +57,7 @@
 	c.conn, c.idle = conn, c.r.clock()
 	c.whole = c.idle
 	c.r.clients[c] = struct{}{}
-	c.r.counts.ClientConns++
+	c.r.counts.ClientConnections++
 	if c.r.takeover.handing {
 		c.r.queue()
 	}
@@ -80,7 +80,7 @@
 			c.r.left(s.q)
 		}
 		if s.long != nil {
-			c.r.counts.Left++
+			c.r.counts.Abandoned++
 			s.long.drop()
 		}
 	}
@@ -221,7 +221,7 @@
 
 // broken answers a command that cannot be read, behind the answers that are due, and closes.
 func (c *client) broken(why string) {
-	c.r.counts.Broken++
+	c.r.counts.AbortedConnections++
 	c.now(resp.AppendLine(nil, '-', "ERR "+why))
 	c.over = true
 }
@@ -285,7 +285,7 @@
 		return
 	}
 	if n := c.conn.OutboundBuffered(); n > c.r.lim.ClientOutput { // it does not take its answers
-		c.r.counts.Broken++
+		c.r.counts.AbortedConnections++
 		c.r.close(c.conn)
 	} else {
 		c.r.buffer(n)
@@ -311,7 +311,7 @@
 		if r.buffered <= r.lim.ClientBufferBytes/2 {
 			return
 		}
-		r.counts.Shed++
+		r.counts.EvictedConnections++
 		r.close(most.conn)
 	}
 }
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -374,7 +374,7 @@
 	}
 	n := r.counts
 	var ended [3]int
-	for _, m := range n.Ended {
+	for _, m := range n.OutcomesByMethod {
 		for i := range m {
 			ended[i] += m[i]
 		}
@@ -382,10 +382,10 @@
 	if ended != [3]int{n.Served, n.Rejected, n.Failed} {
 		t.Errorf("%v by method, %v in all", ended, n)
 	}
-	if n.Taken != n.Served+n.Rejected+n.Failed+n.Left || len(r.requests) != 0 || r.held != 0 {
+	if n.Requests != n.Served+n.Rejected+n.Failed+n.Abandoned || len(r.requests) != 0 || r.held != 0 {
 		t.Errorf("%v, %d reqs, %d bytes", n, len(r.requests), r.held)
 	}
-	if n.Attempts != n.OK+n.Miss+n.NeverRan+n.MayHave+n.GivenUp {
+	if n.Attempts != n.OK+n.Misses+n.NotExecuted+n.MaybeExecuted+n.Canceled {
 		t.Errorf("write-outs without an outcome: %v", n)
 	}
 	up := len(open(servers))
--- a/internal/router/long.go
+++ b/internal/router/long.go
@@ -361,7 +361,7 @@
 	l.client.Close()
 	l.server.Close()
 	delete(r.passing, l)
-	r.counts.Taken-- // the next process counts it
+	r.counts.Requests-- // the next process counts it
 	r.away--
 	r.upstreams--
 	if l.c.asked {
@@ -393,7 +393,7 @@
 		}
 		l := &long{r: r, c: c, up: &upstream{r: r, server: s, addr: s.addr, away: true}, method: method, client: to, server: from,
 			pending: m.Pending, left: m.Left, last: m.Last, ended: m.Ended, has: m.Has}
-		r.counts.Taken++
+		r.counts.Requests++
 		r.away++
 		r.upstreams++
 		r.conns += 2
--- a/internal/router/longwrite.go
+++ b/internal/router/longwrite.go
@@ -230,7 +230,7 @@
 		done := make(chan struct{})
 		r.execute(func() {
 			defer close(done)
-			r.counts.Forwards++
+			r.counts.ForwardedAttempts++
 			w.whole, w.sent = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time counts from there
 			r.spoke(w, o)
 			if !keep {
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -254,8 +254,8 @@
 // publish leaves the figures for the admin endpoint.
 func (r *Router) publish() {
 	c := &r.counts
-	f := &figures{ended: append([][3]int(nil), c.Ended...), forwards: c.Forwards, reloaded: c.Reloaded, notLoaded: c.NotLoaded,
-		open: c.Taken - c.Served - c.Rejected - c.Failed - c.Left, why: r.notReady(), draining: r.draining || r.ops.wanted.Drain}
+	f := &figures{ended: append([][3]int(nil), c.OutcomesByMethod...), forwards: c.ForwardedAttempts, reloaded: c.ConfigReloads, notLoaded: c.RejectedReloads,
+		open: c.Requests - c.Served - c.Rejected - c.Failed - c.Abandoned, why: r.notReady(), draining: r.draining || r.ops.wanted.Drain}
 	f.empty = (r.ops.emptied || r.closing) && len(r.clients) == 0 && len(r.requests) == 0 && r.away == 0 && r.offers.open == 0
 	if r.core != nil {
 		f.listed, f.avoided = r.core.CountCaches()
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -72,7 +72,7 @@
 func (r *Router) take(q *request, came routing.RequestArrived, waits, since clock.Time) {
 	r.requests[q.ID] = q
 	r.held += q.size
-	r.counts.Taken++
+	r.counts.Requests++
 	q.method = came.Method
 	r.input(&arrival{q: q, came: came, waits: max(waits-r.lim.ClientNetworkMargin, 1), since: since})
 }
@@ -106,12 +106,12 @@
 	case wire.Failed:
 		r.counts.Failed++
 	}
-	r.counts.Ended[m][k]++
+	r.counts.OutcomesByMethod[m][k]++
 }
 
 // refused counts a request that ended before the decisions saw it.
 func (r *Router) refused(m routing.Method, k wire.Kind) {
-	r.counts.Taken++
+	r.counts.Requests++
 	r.count(m, k)
 }
 
@@ -145,11 +145,11 @@
 	if _, off := q.from.(*Offer); off {
 		r.offers.open--
 	}
-	r.counts.Left++
+	r.counts.Abandoned++
 	r.input(routing.ClientDisconnected{Request: q.ID})
 	for _, w := range slices.Clone(q.attempts) {
 		if w.unsent() {
-			r.counts.LeftWaiting++
+			r.counts.UnsentAttempts++
 			r.giveUp(w, routing.NotSent)
 		}
 	}
@@ -210,13 +210,13 @@
 	case routing.OK:
 		r.counts.OK++
 	case routing.Miss:
-		r.counts.Miss++
+		r.counts.Misses++
 	case routing.QueueFull, routing.ConnectError, routing.NotSent:
-		r.counts.NeverRan++
+		r.counts.NotExecuted++
 	case routing.Canceled:
-		r.counts.GivenUp++
+		r.counts.Canceled++
 	default:
-		r.counts.MayHave++
+		r.counts.MaybeExecuted++
 	}
 	r.input(routing.AttemptEnded{Request: q.ID, Server: w.server.id, Attempt: w.nth, Status: status,
 		Took: r.clock() - w.sent, Answered: q.over, Report: report})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -105,7 +105,7 @@
 		servers: map[routing.ServerID]*server{}, book: discovery.New(), cache: resp2.Back{Bounds: cfg.Limits.RESP},
 		origin: http1.Back{Bounds: cfg.Limits.Origin}}
 	r.ops.barred = map[routing.ServerID]bool{}
-	r.counts.Ended = make([][3]int, len(cfg.Settings.Methods))
+	r.counts.OutcomesByMethod = make([][3]int, len(cfg.Settings.Methods))
 	r.dialer, r.began = r.dialOff, clock.Time(r.start.UnixMicro())
 	r.sinceStart = func() time.Duration { return time.Since(r.start) }
 	for i, m := range cfg.Settings.Methods {
@@ -257,7 +257,7 @@
 func (r *Router) Reload(discovery string) {
 	<-r.ready
 	r.execute(func() {
-		r.counts.Reloaded++
+		r.counts.ConfigReloads++
 		r.log.WithField("discovery", discovery).Info("configuration read again")
 		r.rewatch(discovery)
 	})
@@ -266,7 +266,7 @@
 // NotLoaded counts a new configuration that was refused.
 func (r *Router) NotLoaded() {
 	<-r.ready
-	r.execute(func() { r.counts.NotLoaded++ })
+	r.execute(func() { r.counts.RejectedReloads++ })
 }
 
 // Print logs the counters.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -210,7 +210,7 @@
 	}
 	r.timedOut(s.waiting[0])
 	l.rounds()
-	if client.wrote != "-BUSY\r\n" || len(s.waiting) != 0 || r.counts.NeverRan != 1 {
+	if client.wrote != "-BUSY\r\n" || len(s.waiting) != 0 || r.counts.NotExecuted != 1 {
 		t.Errorf("%q, %d wait, %+v", client.wrote, len(s.waiting), r.counts)
 	}
 }
@@ -274,7 +274,7 @@
 	client.asks(l.r, "r1")
 	_ = l.Close(client)
 	l.rounds()
-	if origin.wrote != "" || len(l.r.requests) != 0 || l.r.counts.Left != 1 {
+	if origin.wrote != "" || len(l.r.requests) != 0 || l.r.counts.Abandoned != 1 {
 		t.Errorf("the server got %q, and %d reqs are left", origin.wrote, len(l.r.requests))
 	}
 }
@@ -351,7 +351,7 @@
 	time.Sleep(20 * time.Millisecond)
 	r.lim.QuietClientAge = 10e3
 	newest := l.open(nil)
-	if client.closed || origin.closed || newest.closed || r.counts.Shed != 1 {
+	if client.closed || origin.closed || newest.closed || r.counts.EvictedConnections != 1 {
 		t.Error("one that waits for an answer was closed, or the newest")
 	}
 	if r.closeIdleClients(); newest.closed {
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -94,7 +94,7 @@
 	r.counts.Dials++
 	addr := s.addr
 	r.dialer(addr, &upstream{r: r, server: s, addr: addr}, func(error) {
-		r.counts.DialsFailed++
+		r.counts.FailedDials++
 		s.dialing--
 		if addr != s.addr { // nothing is known of the new one
 			r.starved = append(r.starved, s)
@@ -235,7 +235,7 @@
 func (up *upstream) left() {
 	if w := up.carries; w != nil && !w.whole && !up.writing && up.conn.OutboundBuffered() == 0 {
 		w.whole = true
-		up.r.counts.Forwards++
+		up.r.counts.ForwardedAttempts++
 	}
 }
 
@@ -243,7 +243,7 @@
 func (up *upstream) traffic() gnet.Action {
 	w := up.carries
 	if w == nil {
-		up.r.counts.Broken++
+		up.r.counts.AbortedConnections++
 		up.r.unasked()
 		return gnet.Close
 	}
@@ -257,7 +257,7 @@
 	}
 	if err != nil {
 		// It answered, so that it is no lost connection, but what it said is spoilt: its request may have run.
-		up.r.counts.Broken++
+		up.r.counts.AbortedConnections++
 		up.r.returned(w, routing.Failed, nil)
 		return gnet.Close
 	}
@@ -407,7 +407,7 @@
 	if oldest == nil {
 		return false
 	}
-	r.counts.Shed++
+	r.counts.EvictedConnections++
 	r.close(oldest.conn)
 	return true
 }
@@ -430,14 +430,14 @@
 		longest.idle = now
 		return r.shedClient(askers)
 	}
-	r.counts.Shed++
+	r.counts.EvictedConnections++
 	r.close(longest.conn)
 	return true
 }
 
 // listCame takes a list: who is named, and where.
 func (r *Router) listCame(l routing.EndpointsUpdated) {
-	r.counts.Lists++
+	r.counts.ServerLists++
 	r.name(l)
 	r.input(l)
 	named := map[routing.ServerID]bool{}
--- a/internal/router/told_test.go
+++ b/internal/router/told_test.go
@@ -122,7 +122,7 @@
 	}
 	if asked == "pushed" { // a watch is out as the outage begins, and is never answered
 		o.ended = true
-		for l.r.counts.Lists < 2 {
+		for l.r.counts.ServerLists < 2 {
 			advance()
 		}
 		o.ended = false
@@ -130,10 +130,10 @@
 	for passed := clock.Time(0); passed < lasts; passed += step {
 		advance()
 	}
-	before := l.r.counts.Lists
+	before := l.r.counts.ServerLists
 	o.ended = true // what was asked in the outage stays without an answer
 	for passed := clock.Time(0); passed < 20e6; passed += step {
-		if l.r.counts.Lists > before {
+		if l.r.counts.ServerLists > before {
 			return passed
 		}
 		advance()
@@ -155,8 +155,8 @@
 		o.step()
 		l.pass(step)
 	}
-	if n := l.r.counts.ListsFailed; n > most {
+	if n := l.r.counts.FailedDiscoveryCalls; n > most {
 		t.Errorf("%d calls in %v", n, span(lasts))
 	}
-	t.Logf("%d calls", l.r.counts.ListsFailed)
+	t.Logf("%d calls", l.r.counts.FailedDiscoveryCalls)
 }
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -164,7 +164,7 @@
 	w.calling = false
 	w.r.book.Invalidate()
 	w.r.cancel(w.late)
-	w.r.counts.ListsFailed++
+	w.r.counts.FailedDiscoveryCalls++
 	if !w.failing { // once for a row of them
 		w.failing = true
 		w.r.log.WithError(err).Warn("a call to discovery failed; going on with the last list")
