--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -7,28 +7,29 @@
 	"sync/atomic"
 )
 
-// TrafficKind is a purpose of traffic between routers.
+// TrafficKind classifies traffic between routers by its purpose.
 type TrafficKind uint8
 
-// The purposes that traffic is counted by.
+// The kinds of traffic that are counted separately.
 const (
-	Probe         TrafficKind = iota // pings, their replies, and the heartbeats in these
-	Gossip                           // memberlist's own broadcasts of changed members
+	Probe         TrafficKind = iota // pings and their replies, which carry a heartbeat
+	Gossip                           // memberlist's own broadcasts about changed members
 	Heartbeat                        // broadcast heartbeats
-	FullState                        // exchanges of the full state over connections
+	FullState                        // full state exchanges over connections
 	ShareLease                       // messages about leases of shares
 	PolicyMessage                    // messages between the voters of the policy and its followers
 	Summary                          // summaries of sites and regions
-	Other                            // anything else
-	TrafficKinds                     // number of kinds
+	Other                            // all other traffic
+	TrafficKinds                     // the number of kinds
 )
 
-// trafficKindNames are part of the names of metrics.
+// trafficKindNames are the last parts of metric names.
 var trafficKindNames = [TrafficKinds]string{"probe", "gossip", "heartbeat", "full_state", "lending", "grant", "summary", "other"}
 
+// String returns the name of the kind in metrics.
 func (k TrafficKind) String() string { return trafficKindNames[k] }
 
-// Count counts bytes, headers included, and messages. Its JSON is part of the replies of the lab's workers.
+// Count is a number of bytes, including headers, and of messages. The replies of the lab's workers contain it as JSON.
 type Count struct {
 	Bytes    int64 `json:"b"`
 	Messages int64 `json:"m"`
@@ -39,13 +40,13 @@
 	c.Messages += other.Messages
 }
 
-// TrafficCounts is what a node has sent and received since its start, by kind.
+// TrafficCounts has the traffic that a node has sent and received since its start, by kind.
 type TrafficCounts struct {
 	Sent     [TrafficKinds]Count `json:"s"`
 	Received [TrafficKinds]Count `json:"r"`
 }
 
-// Names of the metrics in the form of statsd; the name of the kind follows.
+// Prefixes of the names of statsd metrics. The name of the traffic kind follows.
 const (
 	sentBytes        = "router.fleet.sent_bytes."
 	sentMessages     = "router.fleet.sent_messages."
@@ -54,7 +55,7 @@
 	counterSuffix    = "|c"
 )
 
-// forEachMetric calls visit with each metric's name and count.
+// forEachMetric calls visit with the name and the count of each metric.
 func (c *TrafficCounts) forEachMetric(visit func(name string, count *int64)) {
 	for kind := range TrafficKinds {
 		visit(sentBytes+kind.String(), &c.Sent[kind].Bytes)
@@ -64,14 +65,14 @@
 	}
 }
 
-// Statsd formats the counts as lines of statsd.
+// Statsd formats the counts as statsd lines.
 func (c *TrafficCounts) Statsd() string {
 	var out strings.Builder
 	c.forEachMetric(func(name string, count *int64) { fmt.Fprintf(&out, "%s:%d%s\n", name, *count, counterSuffix) })
 	return out.String()
 }
 
-// ParseStatsd reads the counts among a router's lines of statsd. Those that are missing are zero.
+// ParseStatsd reads the counts from a router's statsd lines and ignores all other metrics. Missing counts are zero.
 func ParseStatsd(text string) (TrafficCounts, error) {
 	var counts TrafficCounts
 	byName := map[string]*int64{}
@@ -99,7 +100,7 @@
 	}
 }
 
-// Traffic counts what a node sends and receives. It is safe for concurrent use.
+// Traffic counts the traffic of a node. It is safe for concurrent use.
 type Traffic struct{ sent, received [TrafficKinds]atomicCount }
 
 type atomicCount struct{ bytes, messages atomic.Int64 }
@@ -111,17 +112,17 @@
 
 func (c *atomicCount) load() Count { return Count{Bytes: c.bytes.Load(), Messages: c.messages.Load()} }
 
-// RecordSent counts outgoing bytes, headers included, and messages.
+// RecordSent counts outgoing bytes, including headers, and messages.
 func (t *Traffic) RecordSent(kind TrafficKind, bytes, messages int) {
 	t.sent[kind].add(bytes, messages)
 }
 
-// RecordReceived counts incoming bytes, headers included, and messages.
+// RecordReceived counts incoming bytes, including headers, and messages.
 func (t *Traffic) RecordReceived(kind TrafficKind, bytes, messages int) {
 	t.received[kind].add(bytes, messages)
 }
 
-// Counts returns the counts so far. Those of different kinds may be of slightly different times.
+// Counts returns the current counts. They are not an atomic snapshot: traffic may be counted while they are read.
 func (t *Traffic) Counts() TrafficCounts {
 	var counts TrafficCounts
 	for kind := range TrafficKinds {
@@ -131,9 +132,9 @@
 	return counts
 }
 
-// FaultyLinks is the network of a trial, which may lose messages. It is safe for concurrent use.
+// FaultyLinks injects network faults in tests and trials. It is safe for concurrent use.
 type FaultyLinks interface {
-	// DropsPacket reports whether a packet to an address gets lost. It counts as sent all the same.
+	// DropsPacket reports whether a packet to an address is lost. A lost packet is still counted as sent.
 	DropsPacket(to string) bool
 	// RejectsConnection reports whether a connection to an address fails.
 	RejectsConnection(to string) bool
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -28,7 +28,7 @@
 func TestParseStatsd_RejectsMalformedCount(t *testing.T) {
 	for _, line := range []string{"router.fleet.sent_bytes.probe:x|c", "router.fleet.sent_bytes.probe", "router.fleet.sent_bytes.probe:1|c|c"} {
 		if counts, err := ParseStatsd(line); err == nil {
-			t.Errorf("%q: got %+v, want an error", line, counts)
+			t.Errorf("ParseStatsd(%q): got %+v, want an error", line, counts)
 		}
 	}
 }
@@ -41,9 +41,9 @@
 	sum := first.Counts()
 	sum.Add(second.Counts())
 	if want := (Count{15, 3}); sum.Sent[Probe] != want {
-		t.Errorf("sent probes: got %+v, want %+v", sum.Sent[Probe], want)
+		t.Errorf("sent probe traffic: got %+v, want %+v", sum.Sent[Probe], want)
 	}
 	if want := (Count{7, 1}); sum.Received[Summary] != want {
-		t.Errorf("received summaries: got %+v, want %+v", sum.Received[Summary], want)
+		t.Errorf("received summary traffic: got %+v, want %+v", sum.Received[Summary], want)
 	}
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -2,52 +2,52 @@
 
 import "golang.org/x/sys/unix"
 
-// Incarnation identifies one process of a router; 0 is none.
+// Incarnation identifies one process of a router. 0 identifies no process.
 type Incarnation uint64
 
-// VoterStatus is what a router announces about itself as a voter of the policy.
+// VoterStatus is the state that a router announces as a voter of the policy.
 type VoterStatus struct {
 	Name        string
 	Incarnation Incarnation
-	VoterID     uint64 // identity of its raft log; 0: the router is no voter
-	Addr        string // of its raft log
-	Voter       bool   // its raft log is part of the quorum
-	LastIndex   uint64 // last entry of its raft log
+	VoterID     uint64 // identity of its raft log; 0 if the router is not a voter
+	Addr        string // address of its raft log
+	Voter       bool   // its raft log has joined raft
+	LastIndex   uint64 // index of the last entry in its raft log
 }
 
 // Transport carries the messages of the policy between the routers of a fleet. Its methods do not wait for the network, and
 // messages may be lost.
 type Transport interface {
 	Self() Incarnation
-	// Send sends a message. One to this process itself is handled on another goroutine, so that the caller may have locked what
-	// the handler locks; it requires OnMessage before.
+	// Send sends a message. OnMessage must be called before a process sends to itself. Such a message is handled on another
+	// goroutine, so that the caller may hold locks that the handler acquires.
 	Send(to Incarnation, body []byte)
-	// OnMessage sets the function that receives messages. It is called from the receiving goroutine and must not block.
+	// OnMessage sets the handler of incoming messages. It is called from the receiving goroutine and must not block.
 	OnMessage(handler func(from Incarnation, body []byte))
 
-	// The setters announce with the next heartbeat.
+	// The setters take effect with the next heartbeat.
 
 	SetLeader(isLeader bool) // announces whether this process is the leader of the voters
-	Leaders() []Incarnation  // processes that announce that they are the leader
+	Leaders() []Incarnation  // returns the processes that announce that they are the leader
 	SetPolicyRevision(revision uint64)
 	SetVoter(VoterStatus) // announces this router's state as a voter
 	Voters() []VoterStatus
-	// AcknowledgedIndex is the highest index that any process with this voter's identity has announced.
+	// AcknowledgedIndex returns the highest index that any process with this voter's identity has announced.
 	AcknowledgedIndex(voterID uint64) (lastIndex uint64)
 
-	HasJoined() bool   // another router is alive
-	Members() []Member // routers that are alive or were lost recently, this one included
+	HasJoined() bool   // reports whether another router is alive
+	Members() []Member // returns the routers that are alive or were lost recently, including this one
 }
 
-// Member is a router of the fleet.
+// Member identifies a router of the fleet.
 type Member struct {
 	Name, Site string
 }
 
-// Monotonic is the clock that all processes of a machine share, in microseconds.
+// Monotonic returns the time, in microseconds, of the monotonic clock that all processes of a machine share.
 func Monotonic() int64 {
 	const nanosecondsPerMicrosecond = 1000
 	var now unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // this clock exists on all systems
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // cannot fail: all systems have this clock
 	return now.Nano() / nanosecondsPerMicrosecond
 }
--- a/internal/gossip/admission.go
+++ b/internal/gossip/admission.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	rejectionLogInterval = time.Minute // between two log lines of one reason
-	maxRejections        = 1000        // reasons that are remembered
+	rejectionLogInterval = time.Minute // minimum interval between two log lines with the same reason
+	maxRejections        = 1000        // limits Node.rejections; further reasons are logged at each rejection
 )
 
-// poolSeparator is not allowed in the name of a fleet.
+// poolSeparator separates the parts of a pool's name. The name of a fleet cannot contain it.
 const poolSeparator = "/"
 
-// poolName names the routers that share full membership: a fleet, or a site of a tiered fleet. Nodes of other pools reject
-// each other, so that a flat router and a tiered one of the same fleet do as well.
+// poolName returns the name of the pool, the set of routers that exchange full membership: a fleet, or a site of a tiered fleet.
+// Nodes of different pools reject each other. So do a flat and a tiered router of the same fleet.
 func poolName(config fleet.Config) string {
 	if !config.Tiered {
 		return config.Fleet
@@ -33,13 +33,13 @@
 	return strings.Join([]string{config.Fleet, config.Region, config.Site}, poolSeparator)
 }
 
-// memberName is the name of a process in memberlist. It differs between the processes of a router, since memberlist rejects
-// a new node whose name is that of a node that is not found dead yet.
+// memberName returns the name of a process in memberlist. It contains the incarnation, since memberlist rejects a new node with
+// the name of a node that it has not declared dead yet.
 func memberName(member membership.Member) string {
 	return fmt.Sprintf("%s#%x", member.Name, uint64(member.Incarnation))
 }
 
-// incarnationOf reads the incarnation of a node's name in memberlist. It returns 0 for a name without one.
+// incarnationOf returns the incarnation in a node's memberlist name, or 0 if the name has none.
 func incarnationOf(peer *memberlist.Node) membership.Incarnation {
 	separator := strings.LastIndexByte(peer.Name, '#')
 	if separator < 0 {
@@ -49,7 +49,7 @@
 	return membership.Incarnation(number)
 }
 
-// metadata is what this process announces once.
+// metadata returns the metadata that this process announces.
 func (n *Node) metadata() nodeMetadata {
 	return nodeMetadata{
 		Pool:        poolName(n.config),
@@ -64,20 +64,20 @@
 	}
 }
 
-// metadataOf reads a node's metadata.
+// metadataOf decodes and validates a node's metadata.
 func metadataOf(peer *memberlist.Node) (nodeMetadata, error) {
 	var metadata nodeMetadata
 	if err := json.Unmarshal(peer.Meta, &metadata); err != nil {
-		return nodeMetadata{}, fmt.Errorf("read metadata of router at %s: %w", peer.Address(), err)
+		return nodeMetadata{}, fmt.Errorf("decode metadata of router at %s: %w", peer.Address(), err)
 	}
 	incarnation := membership.Incarnation(metadata.Incarnation)
 	if metadata.Name == "" || incarnation == 0 || incarnation != incarnationOf(peer) {
-		return nodeMetadata{}, fmt.Errorf("read metadata of router at %s: it is incomplete", peer.Address())
+		return nodeMetadata{}, fmt.Errorf("decode metadata of router at %s: name or incarnation missing or inconsistent", peer.Address())
 	}
 	return metadata, nil
 }
 
-// memberOf returns a node as a member of the view. Its Fleet is the name of its pool.
+// memberOf converts a node to a member of the view. The member's Fleet is the name of its pool.
 func memberOf(peer *memberlist.Node) (membership.Member, error) {
 	metadata, err := metadataOf(peer)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}, nil
 }
 
-// checkPeer returns why a node may not be a member of this one's pool, or nil, and logs a rejection.
+// checkPeer returns an error if a node may not join this one's pool, and logs the rejection.
 func (n *Node) checkPeer(peer *memberlist.Node) error {
 	err := n.rejectionOf(peer)
 	if err != nil && n.isRejectionDue(err.Error()) {
@@ -106,6 +106,7 @@
 	return err
 }
 
+// rejectionOf returns the reason why a node may not join this one's pool, or nil.
 func (n *Node) rejectionOf(peer *memberlist.Node) error {
 	metadata, err := metadataOf(peer)
 	if err != nil {
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// checkService compares the service's methods: a router of another service has other servers and limits, even if its fleet
-// has the same name. Older builds announce no methods, and pass.
+// checkService returns an error if a node announces the methods of another service. Such a router has other servers and limits,
+// even if its fleet has the same name. Older builds announce no methods and are accepted.
 func (n *Node) checkService(metadata nodeMetadata) error {
 	isOwnMethod := func(method string) bool { return slices.Contains(n.config.Methods, method) }
 	sharesMethod := metadata.MethodsTruncated && slices.ContainsFunc(metadata.Methods, isOwnMethod)
@@ -134,7 +135,7 @@
 	return settings.CheckSameService(metadata.Methods, n.config.Methods)
 }
 
-// isRejectionDue reports whether a rejection is to be logged, and records that it is.
+// isRejectionDue reports whether to log a rejection, and records the time if so.
 func (n *Node) isRejectionDue(reason string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,7 +150,7 @@
 	return true
 }
 
-// differingFields are the fields of the operator's file by which two pools differ.
+// differingFields names the fields of the operator's file that may make two pools differ.
 func differingFields(theirs, own string) string {
 	isTheirsTiered := strings.Contains(theirs, poolSeparator)
 	isOwnTiered := strings.Contains(own, poolSeparator)
--- a/internal/gossip/admission_test.go
+++ b/internal/gossip/admission_test.go
@@ -12,7 +12,7 @@
 	"spurtrestle/core/membership"
 )
 
-// peerWith returns a node of memberlist with the given metadata.
+// peerWith returns a memberlist node with the given metadata.
 func peerWith(metadata nodeMetadata) *memberlist.Node {
 	name := memberName(membership.Member{Name: membership.Name(metadata.Name), Incarnation: membership.Incarnation(metadata.Incarnation)})
 	const metadataLimit = 512
@@ -52,7 +52,7 @@
 		name     string
 		tiered   bool
 		metadata nodeMetadata
-		want     string // part of the rejection; empty: the peer is accepted
+		want     string // part of the rejection; empty if the peer is accepted
 	}{
 		{"same fleet", false, nodeMetadata{Pool: "harvest"}, ""},
 		{"other fleet", false, nodeMetadata{Pool: "vintage"}, "correct fleet.name or fleet.join of"},
@@ -83,17 +83,17 @@
 func TestNode_LogsRejectionOnce(t *testing.T) {
 	n := newTestNode(false)
 	if !n.isRejectionDue("reason") {
-		t.Error("first rejection: not logged")
+		t.Error("first rejection is not logged")
 	}
 	if n.isRejectionDue("reason") {
-		t.Error("second rejection for the same reason: logged again")
+		t.Error("second rejection with the same reason is logged")
 	}
 	if !n.isRejectionDue("another reason") {
-		t.Error("rejection for another reason: not logged")
+		t.Error("rejection with another reason is not logged")
 	}
 }
 
-// newTestNode returns a node that listens nowhere, with the state of goldenNode.
+// newTestNode returns a node without sockets, with the configuration and incarnation of goldenNode.
 func newTestNode(tiered bool) *Node {
 	golden := goldenNode(tiered)
 	log := logrus.New()
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -10,26 +10,26 @@
 	"spurtrestle/core/membership"
 )
 
-// Memberlist exchanges full states at an interval, which repairs missed broadcasts. In a site of a tiered fleet these would
-// be most of the traffic at rest, so that the interval is long there; a missed heartbeat is found by the digests that routers
-// announce instead.
+// Memberlist exchanges full states periodically, which repairs missed broadcasts. In a site of a tiered fleet, these exchanges
+// would be most of the traffic of an idle fleet. There the interval is long, and routers detect missed heartbeats by the view
+// digests in the heartbeats of the others.
 const (
-	tieredFullStateProbes = 300 // probe intervals between two exchanges
-	disagreementProbes    = 5   // for which views disagree until a full state is exchanged, and between two of these
-	maxHeartbeatRequests  = 3   // at once
+	tieredFullStateProbes = 300 // probe intervals between two periodic full state exchanges
+	disagreementProbes    = 5   // probe intervals of disagreement before a full state exchange, and between two of them
+	maxHeartbeatRequests  = 3   // heartbeat requests per tick
 
-	// tieredRetransmitFactor is how often a router repeats a broadcast, for each power of ten of routers. It is low since a
-	// router that misses a heartbeat requests it.
+	// tieredRetransmitFactor is how often a router repeats a broadcast for each power of ten of routers. It can be low, since
+	// a router that misses a heartbeat requests it.
 	tieredRetransmitFactor = 2
 )
 
-// antiEntropyState is when repairs were last made or not needed. The node's mutex guards it.
+// antiEntropyState has the times at which each repair was last made or not necessary. Node.mu guards it.
 type antiEntropyState struct {
 	heartbeatsRequestedAt clock.Time
 	stateExchangedAt      clock.Time
 }
 
-// fullStateInterval is the span between two periodic exchanges of full states.
+// fullStateInterval returns the interval between two periodic full state exchanges.
 func (n *Node) fullStateInterval() time.Duration {
 	if n.config.Tiered {
 		return tieredFullStateProbes * n.config.ProbeInterval
@@ -37,7 +37,7 @@
 	return fullStateProbes * n.config.ProbeInterval
 }
 
-// retransmitFactor is how often a broadcast is repeated, for each power of ten of routers.
+// retransmitFactor returns how often a broadcast is repeated for each power of ten of routers.
 func (n *Node) retransmitFactor(config *memberlist.Config) int {
 	if n.config.Tiered {
 		return tieredRetransmitFactor
@@ -45,8 +45,8 @@
 	return config.RetransmitMult
 }
 
-// nextHeartbeatRequests returns some peers whose announced digest has differed from this view's for a probe interval: this
-// router or they have missed a heartbeat. n.mu is locked.
+// nextHeartbeatRequests returns peers to request heartbeats from, if this view has been unsettled for a probe interval: peers
+// whose announced digest differs from this view's, since one of the two routers has missed a heartbeat. n.mu must be held.
 func (n *Node) nextHeartbeatRequests(now clock.Time) []*memberlist.Node {
 	if !n.config.Tiered || !n.isRepairDue(now, &n.antiEntropy.heartbeatsRequestedAt, micros(n.config.ProbeInterval)) {
 		return nil
@@ -66,8 +66,8 @@
 	return requested
 }
 
-// nextFullStateExchange returns the address of a peer whose view has disagreed with this one for several probe intervals.
-// n.mu is locked.
+// nextFullStateExchange returns the address of a peer to exchange full states with, if this view has been unsettled for several
+// probe intervals: a peer whose view disagrees with this one. n.mu must be held.
 func (n *Node) nextFullStateExchange(now clock.Time) (addr string, isDue bool) {
 	interval := disagreementProbes * micros(n.config.ProbeInterval)
 	if !n.config.Tiered || !n.isRepairDue(now, &n.antiEntropy.stateExchangedAt, interval) {
@@ -86,8 +86,8 @@
 	return "", false
 }
 
-// isRepairDue reports whether the view has not been settled, and no repair made, for an interval. It then sets lastRepair to
-// now. n.mu is locked.
+// isRepairDue reports whether for an interval the view has been unsettled and no repair was made. If so, or if the view is
+// settled, it sets lastRepair to now. n.mu must be held.
 func (n *Node) isRepairDue(now clock.Time, lastRepair *clock.Time, interval clock.Duration) bool {
 	_, settled := n.view.Digest()
 	if settled {
@@ -100,11 +100,11 @@
 	return true
 }
 
-// requestHeartbeats requests the heartbeats of peers.
+// requestHeartbeats asks peers for their heartbeats.
 func (n *Node) requestHeartbeats(peers []*memberlist.Node) {
 	request := encodeHeartbeatRequest(n.self.Incarnation)
 	for _, peer := range peers {
-		_ = n.list.SendBestEffort(peer, request) // a lost request is sent again
+		_ = n.list.SendBestEffort(peer, request) // a later tick repeats a lost request
 	}
 }
 
@@ -121,10 +121,11 @@
 	n.mu.Lock()
 	heartbeat := n.view.Heartbeat()
 	n.mu.Unlock()
-	_ = list.SendBestEffort(peer, encodeHeartbeat(heartbeat, n.config.Tiered)) // it is requested again
+	_ = list.SendBestEffort(peer, encodeHeartbeat(heartbeat, n.config.Tiered)) // if it is lost, the peer requests it again
 }
 
-// lookupPeer returns the node of a process. Both results are nil if it is not alive, or this node does not listen yet.
+// lookupPeer returns the memberlist node of a process, and the memberlist to send with. Both are nil if the process is not alive
+// or this node does not listen yet.
 func (n *Node) lookupPeer(incarnation membership.Incarnation) (*memberlist.Node, *memberlist.Memberlist) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/classify.go
+++ b/internal/gossip/classify.go
@@ -6,17 +6,17 @@
 	"spurtrestle/internal/fleet"
 )
 
-// What the layers below memberlist add to a packet and to a short connection, in bytes.
+// The overhead of the layers below memberlist for a packet and for a short connection, in bytes.
 const (
 	ipv4Header         = 20
 	udpHeader          = 8
 	packetOverhead     = ipv4Header + udpHeader
 	handshakeSegment   = 60 // IPv4 and TCP headers with options
 	plainSegment       = 52
-	connectionOverhead = 2*handshakeSegment + 6*plainSegment // handshake, acknowledgements and close, half of it each way
+	connectionOverhead = 2*handshakeSegment + 6*plainSegment // handshake, acknowledgements and close; half in each direction
 )
 
-// The types of memberlist's messages, the first byte of each packet. They are part of its protocol.
+// The message types of memberlist's protocol: the first byte of each packet.
 const (
 	memberlistPing = iota
 	memberlistIndirectPing
@@ -33,14 +33,15 @@
 	memberlistChecksum
 )
 
-// Sizes in the framing of memberlist's packets, in bytes.
+// Sizes in memberlist's packet framing, in bytes.
 const (
 	checksumFrame      = 1 + 4 // type and checksum, before the message
 	compoundHeader     = 2     // type and number of messages
-	compoundLengthSize = 2     // of each message
+	compoundLengthSize = 2     // length field of each message
 )
 
-// countPacket passes a packet's bytes to record by their kind. The overhead and the framing count for the first message.
+// countPacket calls record for each message of a packet. The overhead and the framing are counted with the first message. A
+// malformed packet is counted as one message of kind fleet.Other.
 func countPacket(packet []byte, record func(kind fleet.TrafficKind, bytes, messages int)) {
 	messages, isComplete := splitPacket(packet)
 	if !isComplete || len(messages) == 0 {
@@ -85,7 +86,7 @@
 	return messages, true
 }
 
-// trafficKind returns the kind of one of memberlist's messages.
+// trafficKind returns the kind of a memberlist message.
 func trafficKind(message []byte) fleet.TrafficKind {
 	if len(message) == 0 {
 		return fleet.Other
@@ -101,7 +102,7 @@
 	return fleet.Other
 }
 
-// userTrafficKind returns the kind of one of this package's messages.
+// userTrafficKind returns the kind of a message of this package, which memberlist carries as a user message.
 func userTrafficKind(message []byte) fleet.TrafficKind {
 	if len(message) == 0 {
 		return fleet.Other
--- a/internal/gossip/close_test.go
+++ b/internal/gossip/close_test.go
@@ -10,15 +10,15 @@
 	"spurtrestle/internal/fleet"
 )
 
-// goroutinesOf counts the goroutines of this process that run a function, or were started by it.
-func goroutinesOf(function string) int {
+// countGoroutines counts the occurrences of a function in the stacks of all goroutines, including the calls that started them.
+func countGoroutines(function string) int {
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
 	return strings.Count(string(stacks), function)
 }
 
-// Close leaves no goroutine behind that waits for a seed which accepts a connection and never answers.
-func TestNode_CloseEndsTheCallsOfItsStart(t *testing.T) {
+// A seed accepts the connection and never answers. Close must end the goroutine of joinFleet that waits for it.
+func TestNode_CloseEndsPendingJoin(t *testing.T) {
 	seed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,11 +36,11 @@
 		FleetSize:     1,
 	})
 	const call = "(*Node).joinFleet"
-	if goroutinesOf(call) == 0 {
-		t.Fatal("the call to the seed has ended by itself, so that this test shows nothing")
+	if countGoroutines(call) == 0 {
+		t.Fatal("the call to the seed ended before Close: the test cannot check Close")
 	}
 	f.nodes[0].Close(true)
-	if left := goroutinesOf(call); left > 0 {
-		t.Errorf("after Close: %d goroutines of the call to the seed are left", left)
+	if left := countGoroutines(call); left > 0 {
+		t.Errorf("after Close: got %d goroutines of the call to the seed, want none", left)
 	}
 }
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -11,9 +11,9 @@
 	"spurtrestle/core/sharelease"
 )
 
-// All that goes over the wire between nodes is encoded and decoded here. Nodes of different builds exchange it, and the golden
-// files of testdata fix the bytes. A flat fleet exchanges heartbeats as JSON; a tiered fleet packs them, since they
-// go with each reply to a probe.
+// This file has the encodings of all messages between nodes. Nodes of different builds exchange them, so the golden files in
+// testdata fix the bytes. A flat fleet exchanges heartbeats as JSON; a tiered fleet uses a packed binary form, since every reply
+// to a probe carries a heartbeat.
 
 // messageKind is the first byte of a message.
 type messageKind byte
@@ -22,28 +22,28 @@
 	kindHeartbeat        messageKind = 'w' // a heartbeat as JSON
 	kindPackedHeartbeat  messageKind = 'q' // a packed heartbeat; also the first byte of a packed full state
 	kindHeartbeatRequest messageKind = 'a' // requests the recipient's heartbeat
-	kindShareLease       messageKind = 'p' // of package sharelease, as JSON
-	kindPolicy           messageKind = 't' // of the policy, with the sender's incarnation
+	kindShareLease       messageKind = 'p' // a message of package sharelease as JSON
+	kindPolicy           messageKind = 't' // a policy message after the sender's incarnation
 	kindSummary          messageKind = 'h' // a datagram of package hierarchy
 )
 
 // Limits of messages that are accepted, in bytes.
 const (
 	maxMessageSize       = 4 << 10
-	maxPolicyMessageSize = 1 << 20 // carries the history of a policy
+	maxPolicyMessageSize = 1 << 20 // a reply may contain the history of the policy
 )
 
-// maxStateHeartbeats bounds a full state.
+// maxStateHeartbeats limits the number of heartbeats in a full state.
 const maxStateHeartbeats = 8192
 
-// maxStateSize bounds a full state, in bytes.
+// maxStateSize limits the size of a full state, in bytes.
 const maxStateSize = maxStateHeartbeats * maxMessageSize / 8
 
 const incarnationSize = 8
 
 var (
-	errHeartbeatTruncated = errors.New("decode heartbeat: it is truncated")
-	errStateTooLarge      = errors.New("decode full state: it is too large")
+	errHeartbeatTruncated = errors.New("decode heartbeat: unexpected end of data")
+	errStateTooLarge      = errors.New("decode full state: too large")
 )
 
 // isAcceptable reports whether a message's size is within the limit of its kind.
@@ -56,7 +56,8 @@
 	return len(message) >= minMessageSize && len(message) <= limit
 }
 
-// nodeMetadata is what a process announces in memberlist's node metadata, in few bytes. The keys are part of the protocol.
+// nodeMetadata is the node metadata of memberlist that a process announces, as JSON. The keys are short since memberlist limits
+// the size; they are part of the protocol.
 type nodeMetadata struct {
 	Pool             string   `json:"f"`
 	Name             string   `json:"n"`
@@ -66,11 +67,11 @@
 	StartedAt        int64    `json:"t"`
 	Build            string   `json:"b"`
 	Predecessor      uint64   `json:"o,omitempty"`
-	Methods          []string `json:"m,omitempty"` // of the service, as many as fit
+	Methods          []string `json:"m,omitempty"` // methods of the service, as many as fit
 	MethodsTruncated bool     `json:"c,omitempty"`
 }
 
-// encode leaves out methods from the end until the metadata fits into limit bytes.
+// encode returns the metadata as JSON. It drops methods from the end until the result fits into limit bytes.
 func (m nodeMetadata) encode(limit int) []byte {
 	for {
 		text := mustMarshal(m)
@@ -82,7 +83,7 @@
 	}
 }
 
-// mustMarshal encodes a value of plain fields, which cannot fail.
+// mustMarshal encodes a value as JSON. It panics if the value has fields that JSON cannot encode.
 func mustMarshal(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return text
 }
 
-// withKind returns a message of a kind.
+// withKind returns a message of a kind with a body.
 func withKind(kind messageKind, body []byte) []byte { return append([]byte{byte(kind)}, body...) }
 
 func encodeShareLease(message sharelease.Message) []byte {
@@ -103,12 +104,12 @@
 	return message, err
 }
 
-// encodePolicyMessage prefixes a message of the policy with its sender.
+// encodePolicyMessage returns a policy message with its sender.
 func encodePolicyMessage(from membership.Incarnation, body []byte) []byte {
 	return append(withIncarnation(kindPolicy, from), body...)
 }
 
-// decodePolicyMessage returns the sender and a copy of the message. ok is false if the message is empty.
+// decodePolicyMessage returns the sender of a policy message and a copy of its body. ok is false if the body is empty.
 func decodePolicyMessage(body []byte) (from membership.Incarnation, message []byte, ok bool) {
 	if len(body) <= incarnationSize {
 		return 0, nil, false
@@ -131,7 +132,7 @@
 	return binary.BigEndian.AppendUint64([]byte{byte(kind)}, uint64(incarnation))
 }
 
-// encodeHeartbeat returns a heartbeat as a message, packed or as JSON.
+// encodeHeartbeat returns a heartbeat message, in packed form or as JSON.
 func encodeHeartbeat(heartbeat membership.Heartbeat, packed bool) []byte {
 	if packed {
 		return appendHeartbeat([]byte{byte(kindPackedHeartbeat)}, heartbeat)
@@ -139,7 +140,7 @@
 	return withKind(kindHeartbeat, mustMarshal(heartbeat))
 }
 
-// encodeState returns the full state, packed or as JSON.
+// encodeState returns a full state, in packed form or as JSON.
 func encodeState(heartbeats []membership.Heartbeat, packed bool) []byte {
 	if packed {
 		return packHeartbeats(heartbeats)
@@ -147,7 +148,7 @@
 	return mustMarshal(heartbeats)
 }
 
-// decodeState reads a full state in either form.
+// decodeState decodes a full state in either form.
 func decodeState(state []byte) (heartbeats []membership.Heartbeat, err error) {
 	isPacked := len(state) > 0 && messageKind(state[0]) == kindPackedHeartbeat
 	switch {
@@ -164,7 +165,7 @@
 	return heartbeats, err
 }
 
-// The flags of a packed heartbeat.
+// Flags in a packed heartbeat.
 const (
 	flagAccepting byte = 1 << iota
 	flagDraining
@@ -172,11 +173,11 @@
 	flagYielded
 	flagLeft
 	flagLeader
-	flagDuplicate // the duplicate's incarnation follows
-	flagVoter     // the fields of a voter follow
+	flagDuplicate // followed by the incarnation of the duplicate
+	flagVoter     // followed by the fields of a voter
 )
 
-// maxVoterAddr is the longest address of a voter in a packed heartbeat, in bytes.
+// maxVoterAddr limits the address of a voter in a packed heartbeat, in bytes. Longer addresses are truncated.
 const maxVoterAddr = 64
 
 // flagBit returns the flag if it is set, and 0 otherwise.
@@ -219,7 +220,7 @@
 	return packed
 }
 
-// unpackHeartbeat reads a packed heartbeat and returns what follows it.
+// unpackHeartbeat decodes a packed heartbeat and returns the bytes after it.
 func unpackHeartbeat(packed []byte) (heartbeat membership.Heartbeat, rest []byte, err error) {
 	r := &fieldReader{rest: packed}
 	heartbeat.Incarnation = membership.Incarnation(r.readUint64())
@@ -249,7 +250,7 @@
 	return heartbeat, r.rest, nil
 }
 
-// packHeartbeats returns a full state.
+// packHeartbeats returns a full state in packed form.
 func packHeartbeats(heartbeats []membership.Heartbeat) []byte {
 	packed := []byte{byte(kindPackedHeartbeat)}
 	for _, heartbeat := range heartbeats {
@@ -258,7 +259,7 @@
 	return packed
 }
 
-// unpackHeartbeats reads a full state of packHeartbeats.
+// unpackHeartbeats decodes the output of packHeartbeats. packed must not be empty.
 func unpackHeartbeats(packed []byte) ([]membership.Heartbeat, error) {
 	var heartbeats []membership.Heartbeat
 	for rest := packed[1:]; len(rest) > 0; {
@@ -272,7 +273,7 @@
 	return heartbeats, nil
 }
 
-// fieldReader reads fields in order. After the first one that is incomplete, all are zero.
+// fieldReader decodes the fields of a packed heartbeat in order. After the first incomplete field, all fields are zero.
 type fieldReader struct {
 	rest      []byte
 	truncated bool
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -7,7 +7,7 @@
 	"spurtrestle/core/membership"
 )
 
-// A packed heartbeat is read as it was written, and a truncated one is rejected.
+// A packed heartbeat is decoded unchanged, and every truncated one is rejected.
 func TestUnpackHeartbeat(t *testing.T) {
 	for _, heartbeat := range []membership.Heartbeat{
 		{Incarnation: 1, Seq: 1},
@@ -21,7 +21,7 @@
 		}
 		for size := range packed {
 			if _, _, err := unpackHeartbeat(packed[:size]); err == nil {
-				t.Errorf("%d bytes of %d: got no error", size, len(packed))
+				t.Errorf("first %d of %d bytes: got no error", size, len(packed))
 			}
 		}
 	}
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -9,8 +9,8 @@
 	"spurtrestle/core/membership"
 )
 
-// delegate receives the callbacks of memberlist, and passes them to the node. Memberlist calls it from its own goroutines,
-// some of them under its own locks: a callback must not call memberlist.
+// delegate forwards the callbacks of memberlist to the node. Memberlist calls it from its own goroutines, sometimes with its own
+// locks held: a callback must not call memberlist.
 type delegate struct{ node *Node }
 
 var (
@@ -21,31 +21,31 @@
 	_ memberlist.MergeDelegate = delegate{}
 )
 
-// NodeMeta returns the metadata of this process.
+// NodeMeta implements memberlist.Delegate. It returns the metadata of this process.
 func (d delegate) NodeMeta(limit int) []byte { return d.node.metadata().encode(limit) }
 
-// NotifyMsg receives a message.
+// NotifyMsg implements memberlist.Delegate. It handles a message of another node.
 func (d delegate) NotifyMsg(message []byte) { d.node.receive(message) }
 
-// GetBroadcasts returns the broadcasts to send with the next packet.
+// GetBroadcasts implements memberlist.Delegate. It returns the broadcasts to send with the next packet.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.node.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns the full state, for anti-entropy with another node.
+// LocalState implements memberlist.Delegate. It returns the full state for an exchange with another node.
 func (d delegate) LocalState(_ bool) []byte {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
 	return encodeState(d.node.view.Heartbeats(), d.node.config.Tiered)
 }
 
-// MergeRemoteState receives the full state of another node.
+// MergeRemoteState implements memberlist.Delegate. It merges the full state of another node.
 func (d delegate) MergeRemoteState(state []byte, _ bool) { d.node.receiveState(state) }
 
-// NotifyAlive rejects nodes of other fleets and of other services.
+// NotifyAlive implements memberlist.AliveDelegate. It rejects nodes of other fleets and of other services.
 func (d delegate) NotifyAlive(peer *memberlist.Node) error { return d.node.checkPeer(peer) }
 
-// NotifyMerge rejects a full state exchange with such nodes.
+// NotifyMerge implements memberlist.MergeDelegate. It rejects a full state exchange with nodes that NotifyAlive rejects.
 func (d delegate) NotifyMerge(peers []*memberlist.Node) error {
 	for _, peer := range peers {
 		if err := d.node.checkPeer(peer); err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// NotifyJoin records that a process has joined.
+// NotifyJoin implements memberlist.EventDelegate. It adds a process to the view.
 func (d delegate) NotifyJoin(peer *memberlist.Node) {
 	member, err := memberOf(peer)
 	if err != nil {
@@ -63,15 +63,15 @@
 	}
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
-	clone := *peer // memberlist changes its own later
+	clone := *peer // memberlist modifies the original later
 	d.node.peers[member.Incarnation] = &clone
 	d.node.view.MemberJoined(d.node.now(), member)
 }
 
-// NotifyUpdate records changed metadata of a process, as at its join.
+// NotifyUpdate implements memberlist.EventDelegate. It replaces the metadata of a process in the view.
 func (d delegate) NotifyUpdate(peer *memberlist.Node) { d.NotifyJoin(peer) }
 
-// NotifyLeave records that a process is dead or has left.
+// NotifyLeave implements memberlist.EventDelegate. It records that a process is dead or has left.
 func (d delegate) NotifyLeave(peer *memberlist.Node) {
 	incarnation := incarnationOf(peer)
 	d.node.mu.Lock()
@@ -80,14 +80,16 @@
 	d.node.view.MemberFailed(d.node.now(), incarnation)
 }
 
-// AckPayload returns this process's heartbeat, which goes with each reply to a probe: it repairs a missed broadcast.
+// AckPayload implements memberlist.PingDelegate. It returns this process's heartbeat, so that each reply to a probe repairs a
+// missed broadcast.
 func (d delegate) AckPayload() []byte {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
 	return encodeHeartbeat(d.node.view.Heartbeat(), d.node.config.Tiered)
 }
 
-// NotifyPingComplete records that a process has replied to a probe.
+// NotifyPingComplete implements memberlist.PingDelegate. It records that a process has replied to a probe, and handles the
+// heartbeat in the reply.
 func (d delegate) NotifyPingComplete(peer *memberlist.Node, _ time.Duration, payload []byte) {
 	d.node.mu.Lock()
 	d.node.view.RecordContact(d.node.now(), incarnationOf(peer))
@@ -95,7 +97,7 @@
 	d.node.receive(payload)
 }
 
-// heartbeatBroadcast is a heartbeat in memberlist's queue of broadcasts. A newer one of the same process replaces it.
+// heartbeatBroadcast is a heartbeat in memberlist's broadcast queue. A newer heartbeat of the same process replaces it.
 type heartbeatBroadcast struct {
 	incarnation membership.Incarnation
 	seq         uint64
@@ -112,17 +114,17 @@
 	}
 }
 
-// Name identifies the process.
+// Name implements memberlist.NamedBroadcast. It identifies the process.
 func (b heartbeatBroadcast) Name() string { return fmt.Sprintf("%x", uint64(b.incarnation)) }
 
-// Invalidates reports whether another broadcast is outdated by this one.
+// Invalidates implements memberlist.Broadcast. It reports whether this broadcast replaces another one.
 func (b heartbeatBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	older, ok := other.(heartbeatBroadcast)
 	return ok && older.incarnation == b.incarnation && older.seq <= b.seq
 }
 
-// Message returns the bytes to send.
+// Message implements memberlist.Broadcast. It returns the bytes to send.
 func (b heartbeatBroadcast) Message() []byte { return b.message }
 
-// Finished does nothing: no goroutine waits for the broadcast.
+// Finished implements memberlist.Broadcast. It does nothing, since no goroutine waits for the broadcast.
 func (heartbeatBroadcast) Finished() {}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -25,7 +25,7 @@
 	{Incarnation: 11, Seq: 2, VoterAddr: strings.Repeat("k", 70), LastIndex: 1 << 20},
 }
 
-// goldenNode is a router's node that listens nowhere, with a view of three routers.
+// goldenNode returns a node without sockets, with a view of three routers.
 func goldenNode(tiered bool) *Node {
 	config := fleet.Config{Fleet: "harvest", Name: "hill-0", Site: "hill", Tiered: tiered, Region: "north",
 		Advertise: netip.MustParseAddrPort("10.0.0.1:7946"), ProbeInterval: time.Second, FleetSize: 3, Slot: 2}
@@ -37,11 +37,11 @@
 	n.view.MemberJoined(1e6, membership.Member{Fleet: "harvest", Name: "hill-2", Site: "hill", Incarnation: 23, Slot: 1, StartedAt: 6, Addr: "10.0.0.3:7946"})
 	n.view.ReceiveHeartbeat(2e6, goldenHeartbeats[3])
 	n.view.MemberFailed(3e6, 23)
-	n.view.UpdateHeartbeat(4e6, func(w *membership.Heartbeat) { w.PolicyRevision, w.Leader = 9, true })
+	n.view.UpdateHeartbeat(4e6, func(heartbeat *membership.Heartbeat) { heartbeat.PolicyRevision, heartbeat.Leader = 9, true })
 	return n
 }
 
-// Packed heartbeats, alone and as the full state.
+// Checks the bytes of packed heartbeats, single and as a full state.
 func TestGolden_PackedHeartbeats(t *testing.T) {
 	lines := ""
 	for _, heartbeat := range goldenHeartbeats {
@@ -51,11 +51,11 @@
 	goldentest.Compare(t, "packed.hex", []byte(lines))
 	read, err := unpackHeartbeats(packHeartbeats(goldenHeartbeats[:4]))
 	if err != nil || !slices.Equal(read, goldenHeartbeats[:4]) {
-		t.Errorf("packed heartbeats are read as %+v, %v", read, err)
+		t.Errorf("unpacked heartbeats: got %+v, %v, want %+v", read, err, goldenHeartbeats[:4])
 	}
 }
 
-// Broadcasts, the payload of replies to probes and the full state, of a flat and of a tiered fleet.
+// Checks the bytes of broadcasts, of the payload of replies to probes and of the full state, in a flat and in a tiered fleet.
 func TestGolden_Messages(t *testing.T) {
 	text := ""
 	for _, tiered := range []bool{false, true} {
@@ -85,7 +85,7 @@
 	goldentest.Compare(t, "meta.txt", []byte(text))
 }
 
-// The peers file is written and read as by earlier builds.
+// Checks that the peers file has the format of earlier builds.
 func TestGolden_PeersFile(t *testing.T) {
 	n := goldenNode(false)
 	n.config.Dir = t.TempDir()
@@ -106,11 +106,11 @@
 	}
 	read, err := n.loadPeers()
 	if err != nil || !slices.Equal(read.Peers, []string{"10.0.0.2:7946"}) || !slices.Equal(read.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
-		t.Errorf("peers are read as %+v, %v", read, err)
+		t.Errorf("peers file: got %+v, %v", read, err)
 	}
 }
 
-// The view on the admin endpoint, of a flat and of a tiered fleet.
+// Checks the JSON of the view on the admin endpoint, in a flat and in a tiered fleet.
 func TestGolden_AdminView(t *testing.T) {
 	flat, err := json.MarshalIndent(fullView{Snapshot: goldenNode(false).view.Snapshot(5e6)}, "", " ")
 	if err != nil {
@@ -124,8 +124,8 @@
 	goldentest.Compare(t, "view-tiered.json", tiered)
 }
 
-// Dashboards read the names of the metrics.
-func TestGolden_Figures(t *testing.T) {
+// Checks the names of the metrics, which dashboards refer to.
+func TestGolden_Metrics(t *testing.T) {
 	n := goldenNode(false)
 	n.shares.applied = fleet.Share{Current: 0.25}
 	n.traffic.RecordSent(fleet.Heartbeat, 100, 2)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,28 @@
 // Package gossip connects a router with the other routers of its fleet. It runs hashicorp/memberlist for failure detection and
 // dissemination, broadcasts heartbeats over it, and exchanges the messages of share leases, of the policy and of site
-// summaries. Decisions are made in core/membership, core/sharelease and core/hierarchy; this package has their sockets, timers
-// and goroutines.
+// summaries. The protocols are implemented in core/membership, core/sharelease and core/hierarchy, which do no I/O; this package
+// provides their sockets, timers and goroutines.
 //
-// A program opens one Node for its router. The node's state is guarded by one mutex, which is never locked while memberlist is
-// called, since memberlist calls back. A goroutine of the node ticks every few milliseconds; the router's event loop never
-// waits for the node.
+// A program opens one Node for its router. One mutex guards the state of the node. It is never held while memberlist is called,
+// since memberlist calls back. One goroutine of the node does all periodic work; the router's event loop never waits for the
+// node.
 //
-// By file: gossip.go opens and closes a node, join.go joins the fleet, tick.go is the periodic work, delegate.go is called by
-// memberlist, receive.go dispatches messages, codec.go encodes them, shares.go applies share leases, antientropy.go repairs
-// missed heartbeats, hierarchy.go connects core/hierarchy, transport.go implements fleet.Transport, peersfile.go persists
-// addresses, meter.go counts traffic, and introspection.go is for the lab.
+//	gossip.go         opens and closes a node
+//	join.go           joins the fleet, and reconnects to lost routers
+//	tick.go           the periodic work
+//	memberlist.go     configures memberlist, and the sockets that it uses
+//	delegate.go       the callbacks of memberlist
+//	admission.go      rejects nodes of other fleets and services
+//	receive.go        dispatches incoming messages
+//	codec.go          encodes and decodes messages
+//	shares.go         applies share leases to the router
+//	antientropy.go    repairs missed heartbeats
+//	hierarchy.go      connects core/hierarchy in a tiered fleet
+//	transport.go      implements fleet.Transport
+//	peersfile.go      persists the addresses of other routers
+//	meter.go          counts traffic; classify.go assigns packets to kinds of traffic
+//	status.go, log.go the view as JSON, as metrics and as log lines
+//	introspection.go  access for the lab and tests
 package gossip
 
 import (
@@ -40,12 +52,12 @@
 	self      membership.Member
 	traffic   fleet.Traffic
 
-	mu            sync.Mutex             // guards the fields up to antiEntropy; not locked while memberlist is called
+	mu            sync.Mutex             // guards the fields up to antiEntropy; not held while memberlist is called
 	list          *memberlist.Memberlist // nil until the node listens
 	peers         map[membership.Incarnation]*memberlist.Node
 	view          *membership.View
-	localChanged  bool                 // the own heartbeat has changed since its last broadcast
-	rejections    map[string]time.Time // when a rejection was last logged, by its reason
+	localChanged  bool                 // this process's heartbeat has changed since its last broadcast
+	rejections    map[string]time.Time // the time of the last log line, by the reason of the rejection
 	policyHandler func(fleet.Incarnation, []byte)
 	shares        shareState
 	tiers         hierarchyState
@@ -55,19 +67,19 @@
 	reconnecting   atomic.Bool
 	droppedReplies atomic.Int64 // replies to lease requests
 
-	// Of the ticking goroutine.
-	yieldReason    string // as last passed to the router
-	persistFailing bool   // the last write of the peers file has failed
+	// Owned by the ticking goroutine.
+	yieldReason    string // the last reason that was passed to the router
+	persistFailing bool   // the last write of the peers file failed
 
-	stop    chan struct{} // closed to end the goroutines
+	stop    chan struct{} // closed to stop the goroutines
 	running sync.WaitGroup
 
 	spawnMu   sync.Mutex
-	closing   bool           // nothing is spawned any more
-	transient sync.WaitGroup // single messages and calls, which end with the transport at the latest
+	closing   bool           // spawn starts no more goroutines
+	transient sync.WaitGroup // goroutines for single messages and calls, which end at the latest when the transport shuts down
 }
 
-// spawn runs a function that Close waits for, in a goroutine of its own; not at all once the node is closing.
+// spawn runs f in a goroutine that Close waits for. It does nothing once the node is closing.
 func (n *Node) spawn(f func()) {
 	n.spawnMu.Lock()
 	defer n.spawnMu.Unlock()
@@ -76,7 +88,7 @@
 	}
 }
 
-// awaitTransient ends spawning and waits for what was spawned. The transport must be shut down.
+// awaitTransient prevents further calls of spawn and waits for the goroutines that it started. The transport must be shut down.
 func (n *Node) awaitTransient() {
 	n.spawnMu.Lock()
 	n.closing = true
@@ -84,8 +96,8 @@
 	n.transient.Wait()
 }
 
-// Open joins the fleet. Its errors are about the configuration and name file, field and remedy. Later failures are logged,
-// and the router serves as if it were alone.
+// Open starts the node of a router and joins the fleet. An error reports an invalid configuration and names the file, the field
+// and a remedy. Failures after Open has returned are logged, and the router serves as if it were the only one.
 func Open(config fleet.Config, router fleet.Router, logger *logrus.Logger) (fleet.Node, error) {
 	incarnation, err := randomIncarnation()
 	if err != nil {
@@ -106,11 +118,11 @@
 		return n, nil
 	}
 	if err := n.listen(); err != nil {
-		return nil, config.ConfigError("fleet.listen", err.Error(), "give it an address of this machine that nobody listens on")
+		return nil, config.ConfigError("fleet.listen", err.Error(), "use an address of this machine that no other process listens on")
 	}
 	if err := n.joinFleet(); err != nil {
 		close(n.stop)
-		_ = n.list.Shutdown() // the configuration error is the one to report
+		_ = n.list.Shutdown() // the configuration error is more important
 		n.awaitTransient()
 		return nil, err
 	}
@@ -121,13 +133,13 @@
 func randomIncarnation() (membership.Incarnation, error) {
 	var random [incarnationSize]byte
 	if _, err := crand.Read(random[:]); err != nil {
-		return 0, fmt.Errorf("draw the number of this process: %w", err)
+		return 0, fmt.Errorf("generate the incarnation of this process: %w", err)
 	}
-	return membership.Incarnation(binary.BigEndian.Uint64(random[:]) | 1), nil // not 0
+	return membership.Incarnation(binary.BigEndian.Uint64(random[:]) | 1), nil // 0 would mean no process
 }
 
 func newNode(config fleet.Config, router fleet.Router, logger *logrus.Logger, incarnation membership.Incarnation) *Node {
-	const maxBuildLength = 12 // node metadata is short
+	const maxBuildLength = 12 // memberlist limits the size of node metadata
 	n := &Node{
 		config:     config,
 		router:     router,
@@ -159,13 +171,15 @@
 	return n
 }
 
-// micros converts a span to the core packages' unit.
-func micros(span time.Duration) clock.Duration { return clock.Duration(span / time.Microsecond) }
+// micros converts a duration to the unit of the core packages.
+func micros(duration time.Duration) clock.Duration {
+	return clock.Duration(duration / time.Microsecond)
+}
 
-// now is the clock of the core packages: the time since the node was opened, by the monotonic clock.
+// now returns the time that the core packages use: the monotonic time since the node was opened.
 func (n *Node) now() clock.Time { return micros(time.Since(n.startedAt)) }
 
-// Close leaves the fleet, once the router sends nothing more: gracefully, or because a successor has taken over.
+// Close implements fleet.Node. Unless a successor has taken over, it returns leased shares and announces the leave first.
 func (n *Node) Close(handedOver bool) {
 	list := n.stopRunning()
 	if list == nil {
@@ -184,17 +198,17 @@
 	n.mu.Unlock()
 
 	n.broadcastLocal()
-	n.sendLeaseMessages(append(transfers, transfers...)) // twice, since holders do not request them again
-	time.Sleep(2 * n.gossipInterval())                   // two rounds of broadcasts
+	n.sendLeaseMessages(append(transfers, transfers...)) // twice, since the recipients do not request a lost message again
+	time.Sleep(2 * n.gossipInterval())                   // lets memberlist send two rounds of broadcasts
 	if !handedOver {
-		_ = list.Leave(n.config.ProbeInterval) // after a failure the others detect the end by themselves
+		_ = list.Leave(n.config.ProbeInterval) // if it fails, the others detect the failure of this node
 	}
 	_ = list.Shutdown() // the process exits
 	n.awaitTransient()
 	n.persistPeers()
 }
 
-// stopRunning ends the node's goroutines. It returns nil if the node has never listened.
+// stopRunning stops the node's goroutines and returns its memberlist, or nil if the node has never listened.
 func (n *Node) stopRunning() *memberlist.Memberlist {
 	close(n.stop)
 	n.running.Wait()
@@ -203,7 +217,7 @@
 	return n.list
 }
 
-// heartbeatsByIncarnation indexes the last heartbeat of each process. n.mu is locked.
+// heartbeatsByIncarnation returns the last heartbeat of each process. n.mu must be held.
 func (n *Node) heartbeatsByIncarnation() map[membership.Incarnation]membership.Heartbeat {
 	heartbeats := map[membership.Incarnation]membership.Heartbeat{}
 	for _, heartbeat := range n.view.Heartbeats() {
--- a/internal/gossip/hierarchy.go
+++ b/internal/gossip/hierarchy.go
@@ -11,24 +11,24 @@
 	"spurtrestle/core/hierarchy"
 )
 
-// siteRefreshInterval is the span between two computations of the local site's state while the view does not change.
+// siteRefreshInterval is how often the state of the local site is computed while the view does not change.
 const siteRefreshInterval = clock.Second
 
-// hierarchyState is the node's part in a tiered fleet. The node's mutex guards it.
+// hierarchyState is the state of a node in a tiered fleet. Node.mu guards it.
 type hierarchyState struct {
 	hierarchy     *hierarchy.Hierarchy // nil in a flat fleet
 	site          hierarchy.LocalSite
-	siteDigest    uint64 // of the view that site was computed from
+	siteDigest    uint64 // digest of the view that site was computed from
 	siteUpdatedAt clock.Time
 }
 
-// openHierarchy begins the node's part in a tiered fleet. In a flat one it does nothing.
+// openHierarchy creates the hierarchy of a tiered fleet. In a flat fleet it does nothing.
 func (n *Node) openHierarchy() error {
 	if !n.config.Tiered {
 		return nil
 	}
 	if n.config.Region == "" || n.config.Site == "" {
-		return n.config.ConfigError("fleet.region", "is empty, or the site is", "name the region of the site, and the site")
+		return n.config.ConfigError("fleet.region", "is empty, or the site is", "set both fleet.region and fleet.site")
 	}
 	config := hierarchy.Config{
 		Fleet:            n.config.Fleet,
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// knownRepresentatives returns the addresses of representatives of other sites. n.mu is locked.
+// knownRepresentatives returns the addresses of the representatives of other sites. n.mu must be held.
 func (n *Node) knownRepresentatives() []string {
 	if n.tiers.hierarchy == nil {
 		return nil
@@ -62,7 +62,7 @@
 	return addrs
 }
 
-// tickHierarchy lets time pass and returns the datagrams to send. n.mu is locked.
+// tickHierarchy advances the hierarchy and returns the datagrams to send. n.mu must be held.
 func (n *Node) tickHierarchy(now clock.Time) []hierarchy.Datagram {
 	if n.tiers.hierarchy == nil {
 		return nil
@@ -78,7 +78,7 @@
 
 var siteDigestTable = crc64.MakeTable(crc64.ECMA)
 
-// localSite returns the state of this router's site. n.mu is locked.
+// localSite computes the state of this router's site. n.mu must be held.
 func (n *Node) localSite(now clock.Time) hierarchy.LocalSite {
 	var site hierarchy.LocalSite
 	for _, count := range n.view.Snapshot(now).Sites {
@@ -111,7 +111,7 @@
 func (n *Node) sendSummaries(datagrams []hierarchy.Datagram) {
 	for _, datagram := range datagrams {
 		to := memberlist.Address{Addr: datagram.To.String()}
-		_ = n.list.SendToAddress(to, withKind(kindSummary, datagram.Body)) // a lost datagram is repaired by later ones
+		_ = n.list.SendToAddress(to, withKind(kindSummary, datagram.Body)) // later datagrams make up for a lost one
 	}
 }
 
--- a/internal/gossip/hierarchy_test.go
+++ b/internal/gossip/hierarchy_test.go
@@ -26,11 +26,11 @@
 func (idleRouter) SetShare(fleet.Share) error      { return nil }
 func (idleRouter) SetOutOfService(string)          {}
 
-// addressesUsed counts the addresses that this process has used.
+// addressesUsed counts the addresses that newAddress has returned.
 var addressesUsed atomic.Uint32
 
-// newAddress returns a loopback address that no other test uses. A free port of 127.0.0.1 could be taken by a connection
-// before a router listens on it.
+// newAddress returns a loopback address that no other test uses. With a free port of 127.0.0.1 instead, an outgoing connection
+// could take the port before a router listens on it.
 func newAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	const (
@@ -39,7 +39,7 @@
 	)
 	number := addressesUsed.Add(1)
 	if number > maxAddresses {
-		t.Fatal("no more addresses")
+		t.Fatalf("newAddress: more than %d addresses requested", maxAddresses)
 	}
 	addr := netip.AddrFrom4([4]byte{127, 66, byte(1 + os.Getpid()%250), byte(number)})
 	return netip.AddrPortFrom(addr, port)
@@ -54,7 +54,7 @@
 
 const routersPerSite = 3
 
-// tieredConfigs returns the configurations of a fleet's routers: four sites in two regions.
+// tieredConfigs returns the configurations of the routers of a tiered fleet with four sites in two regions.
 func tieredConfigs(t *testing.T) []fleet.Config {
 	t.Helper()
 	var all []fleet.Config
@@ -89,7 +89,7 @@
 	return all
 }
 
-// openFleet opens a node for each configuration, and closes those that are left at the end of the test.
+// openFleet opens a node for each configuration, and closes the remaining nodes at the end of the test.
 func openFleet(t *testing.T, configs []fleet.Config) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t}
@@ -118,7 +118,7 @@
 	f.configs = append(f.configs, config)
 }
 
-// waitFor waits until a condition holds at all nodes.
+// waitFor waits until a condition holds on all nodes, and returns how long that took.
 func (f *testFleet) waitFor(what string, condition func(*Node) bool) time.Duration {
 	f.t.Helper()
 	const timeout = time.Minute
@@ -130,7 +130,7 @@
 			return time.Since(startedAt)
 		case time.Since(startedAt) > timeout:
 			text, _ := f.nodes[missing].StatusJSON()
-			f.t.Fatalf("after %v not %s at %s: %s", timeout, what, f.configs[missing].Name, text)
+			f.t.Fatalf("not %s after %v: %s has the view %s", what, timeout, f.configs[missing].Name, text)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -141,7 +141,7 @@
 	return status
 }
 
-// aliveIn returns the number of alive routers of a group, 0 if the group is not known.
+// aliveIn returns the number of alive routers of a group, or 0 if the group is unknown.
 func aliveIn(groups []hierarchy.GroupStatus, name string) uint32 {
 	for _, group := range groups {
 		if group.Name == name {
@@ -151,7 +151,7 @@
 	return 0
 }
 
-// isComplete reports whether a node is settled, agrees with the first one, and knows all routers of both regions.
+// isComplete reports whether a node is settled, agrees with the first node about the regions, and knows all of their routers.
 func (f *testFleet) isComplete(node *Node) bool {
 	_, regions := node.HierarchyDigests()
 	_, want := f.nodes[0].HierarchyDigests()
@@ -161,8 +161,8 @@
 		aliveIn(status.Regions, "south") == 2*routersPerSite
 }
 
-// Four sites of two regions find each other by their summaries alone; a change becomes known everywhere; a representative
-// that dies is replaced.
+// Four sites in two regions learn about each other only by summaries. All routers learn of a new policy revision, of a router
+// that leaves, and of the death of a representative, which another router replaces.
 func TestNode_SitesLearnSummaries(t *testing.T) {
 	f := openFleet(t, tieredConfigs(t))
 	t.Logf("settled after %v", f.waitFor("settled", f.isComplete))
@@ -201,7 +201,7 @@
 	}))
 }
 
-// A site that stops and starts again, with nothing but the peers files of its routers, finds the other sites.
+// A site whose routers all restart without configured seeds rejoins the other sites by the addresses in the peers files.
 func TestNode_SiteRejoinsByPeersFile(t *testing.T) {
 	configs := tieredConfigs(t)[:2*routersPerSite]
 	for i := range configs {
@@ -237,7 +237,7 @@
 	return false
 }
 
-// A flat router and a tiered one of the same fleet reject each other, whichever contacts the other.
+// A flat router and a tiered router of the same fleet reject each other, whichever of them contacts the other.
 func TestNode_FlatAndTieredRejectEachOther(t *testing.T) {
 	configs := tieredConfigs(t)
 	tiered := configs[0]
@@ -256,7 +256,8 @@
 	}
 	for deadline := time.Now().Add(30 * time.Second); !isDone(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("rejected: %v; members of the tiered one: %v", hasRejected(flatNode, "fleet.tiered"), tieredNode.Members())
+			t.Fatalf("flat router rejected the tiered one: got %v, want true; members of the tiered router: got %v, want 2",
+				hasRejected(flatNode, "fleet.tiered"), tieredNode.Members())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -265,7 +266,7 @@
 	}
 }
 
-// The metadata and the view of a flat router have no fields of the hierarchy.
+// The metadata and the view of a flat router contain no fields of the hierarchy.
 func TestNode_FlatShowsNoHierarchy(t *testing.T) {
 	const flatViewFields = 9
 	config := tieredConfigs(t)[0]
@@ -286,7 +287,7 @@
 		t.Errorf("fields of the view: got %d, %v, want %d; view %s", len(shown), err, flatViewFields, text)
 	}
 	if _, err := node.HierarchyStatus(); err == nil {
-		t.Error("hierarchy of a flat router: got a status, want an error")
+		t.Error("HierarchyStatus of a flat router: got no error")
 	}
 }
 
--- a/internal/gossip/introspection.go
+++ b/internal/gossip/introspection.go
@@ -8,30 +8,30 @@
 	"spurtrestle/internal/fleet"
 )
 
-// The lab and tests call the methods of this file; a router's program does not.
+// Only the lab and tests call the methods in this file.
 
-// errFlatFleet reports a request about sites and regions to a router of a flat fleet.
-var errFlatFleet = errors.New("this router is of no tiered fleet; set fleet.tiered")
+// errFlatFleet reports that a router of a flat fleet has no hierarchy.
+var errFlatFleet = errors.New("the fleet is not tiered; set fleet.tiered")
 
-// Kill ends the node as a killed process does: without notice to the others.
+// Kill stops the node without leaving the fleet, like a killed process.
 func (n *Node) Kill() {
 	list := n.stopRunning()
 	if list != nil {
-		_ = list.Shutdown() // the node is not used any more
+		_ = list.Shutdown() // the node is no longer used
 	}
 }
 
-// Traffic returns what the node has sent and received so far.
+// Traffic returns the traffic of the node since its start.
 func (n *Node) Traffic() fleet.TrafficCounts { return n.traffic.Counts() }
 
-// Digest returns the digest of the view, and whether the view is settled.
+// Digest returns the digest of the view and whether the view is settled.
 func (n *Node) Digest() (digest uint64, settled bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Digest()
 }
 
-// RevisionOf returns the policy revision that a process last announced; 0 if it has announced none.
+// RevisionOf returns the policy revision that a process last announced, or 0 if it has announced none.
 func (n *Node) RevisionOf(incarnation fleet.Incarnation) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -39,7 +39,7 @@
 	return heartbeat.PolicyRevision
 }
 
-// HierarchyStatus returns what this router knows of sites and regions. It fails in a flat fleet.
+// HierarchyStatus returns this router's view of sites and regions. It fails in a flat fleet.
 func (n *Node) HierarchyStatus() (hierarchy.Status, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +49,7 @@
 	return n.tiers.hierarchy.Status(n.now()), nil
 }
 
-// HierarchyRole returns what this router represents in a tiered fleet: nothing in a flat one.
+// HierarchyRole returns which groups this router represents in a tiered fleet. In a flat fleet it represents none.
 func (n *Node) HierarchyRole() hierarchy.Role {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,7 @@
 	return n.tiers.hierarchy.Role()
 }
 
-// Settled reports whether the view is settled and, in a tiered fleet, the summaries are.
+// Settled reports whether the view and, in a tiered fleet, the summaries are settled.
 func (n *Node) Settled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,8 +70,8 @@
 	return settled && n.tiers.hierarchy.Settled(n.now())
 }
 
-// HierarchyDigests returns the digests of the known summaries of sites and of regions; zero in a flat fleet. Routers of a
-// region that agree have the same first one, routers of the fleet the same second one.
+// HierarchyDigests returns the digests of the known summaries of sites and of regions, or 0 in a flat fleet. Once the fleet has
+// converged, routers of a region have equal site digests, and all routers of the fleet have equal region digests.
 func (n *Node) HierarchyDigests() (sites, regions uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,7 +81,7 @@
 	return n.tiers.hierarchy.Digests()
 }
 
-// NewestRevision returns the highest policy revision that a router of this site or a summary announces.
+// NewestRevision returns the highest policy revision that an alive router of this site or a summary announces.
 func (n *Node) NewestRevision() uint64 {
 	var newest uint64
 	n.forEachAlive(func(_ membership.Member, heartbeat membership.Heartbeat) {
--- a/internal/gossip/join.go
+++ b/internal/gossip/join.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// joinTimeout bounds how long the start of a router waits for its seeds. A seed that is cut off would delay a restart by as
-// much.
+// joinTimeout limits how long the start of a router waits for its seeds. An unreachable seed delays a restart by this time.
 const joinTimeout = 100 * time.Millisecond
 
-// duplicateProbes bounds, in probe intervals, how long the start waits for the heartbeat of an older process of this name.
+// duplicateProbes limits how long the start waits for the heartbeat of an older process with this name, in probe intervals.
 const duplicateProbes = 3
 
-// duplicateCheckInterval is the span between two looks at the view during that wait.
+// duplicateCheckInterval is how often the view is checked during that wait.
 const duplicateCheckInterval = 10 * time.Millisecond
 
-// listenRetryInterval is the span between two attempts to listen at the address of a predecessor.
+// listenRetryInterval is how often the node tries to listen at the address of its predecessor.
 const listenRetryInterval = 50 * time.Millisecond
 
-// runAfterPredecessor waits until the predecessor has left the address, and runs the node from then on.
+// runAfterPredecessor waits until the predecessor has released the address, then listens and runs the node.
 func (n *Node) runAfterPredecessor() {
 	for n.listen() != nil {
 		select {
@@ -27,15 +26,15 @@
 	n.run()
 }
 
-// joinFleet contacts the seeds and returns an error if an alive router has this one's name. Otherwise a process with a wrong
-// file would accept clients until the first heartbeats arrive. Without an answer from the seeds it returns after joinTimeout; the
-// node contacts them again later.
+// joinFleet contacts the seeds and returns an error if an alive router has the name of this one. Without this check, a router
+// with a wrong name would accept clients until the first heartbeats arrive. If the seeds do not answer within joinTimeout, it
+// returns nil, and the node contacts them again later.
 func (n *Node) joinFleet() error {
 	joined := make(chan struct{})
 	n.spawn(func() {
 		defer close(joined)
 		if len(n.config.Join) > 0 {
-			_, _ = n.list.Join(n.config.Join) // seeds that do not answer are contacted again by reconnect
+			_, _ = n.list.Join(n.config.Join) // reconnect contacts unreachable seeds again
 		}
 	})
 	select {
@@ -46,7 +45,7 @@
 	deadline := time.Now().Add(duplicateProbes * n.config.ProbeInterval)
 	for time.Now().Before(deadline) {
 		n.mu.Lock()
-		heartbeatChanged, _ := n.view.Tick(n.now()) // changes during the start are not logged
+		heartbeatChanged, _ := n.view.Tick(n.now()) // changes during startup are not logged
 		reason := n.view.YieldReason()
 		hasDuplicate := n.view.HasOlderDuplicate()
 		n.mu.Unlock()
@@ -54,23 +53,23 @@
 			n.broadcastLocal()
 		}
 		if reason != "" {
-			return n.config.ConfigError("fleet.router", reason, "give this one a name of its own")
+			return n.config.ConfigError("fleet.router", reason, "give each router a unique name")
 		}
 		if !hasDuplicate {
 			return nil
 		}
 		time.Sleep(duplicateCheckInterval)
 	}
-	return nil // the older process sends no heartbeat: it was killed, and is not found dead yet
+	return nil // the older process sends no heartbeats: it was killed, and has not been declared dead yet
 }
 
-// reconnect contacts a router that is not alive. One attempt runs at a time.
+// reconnect exchanges full states with a router, and so joins one that was lost. Only one attempt runs at a time.
 func (n *Node) reconnect(addr string) {
 	if !n.reconnecting.CompareAndSwap(false, true) {
 		return
 	}
 	n.running.Go(func() {
 		defer n.reconnecting.Store(false)
-		_, _ = n.list.Join([]string{addr}) // a failed attempt is made again
+		_, _ = n.list.Join([]string{addr}) // a later tick repeats a failed attempt
 	})
 }
--- a/internal/gossip/log.go
+++ b/internal/gossip/log.go
@@ -10,13 +10,14 @@
 	"spurtrestle/internal/fleet"
 )
 
-// The texts of renamed log lines stand in their field "formerly" for one release.
+// Log lines that were renamed have their previous text in the field "formerly" for one release.
 const (
 	formerRejected         = "fleet: refused"
 	formerPersistFailed    = "fleet: the peers known are not kept; free the disk, or give fleet.dir a folder that can be written"
 	formerPersistRecovered = "fleet: the peers known are kept again"
 )
 
+// formerEvents has the previous log texts of renamed events.
 var formerEvents = map[membership.Event]string{
 	membership.EventNewIncarnation:    "fleet: another process",
 	membership.EventAccepting:         "fleet: takes clients",
@@ -27,7 +28,7 @@
 	membership.EventStalled:           "fleet: this process stood still; its view is old",
 }
 
-// logChanges logs a line for each change of the view.
+// logChanges logs each change of the view.
 func (n *Node) logChanges(changes []membership.Change) {
 	for _, change := range changes {
 		entry := n.log.WithFields(changeFields(change))
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Timings of memberlist, in probe intervals. Broadcasts are as in memberlist.DefaultLANConfig, whose probe interval is a second;
-// full states are exchanged more often, and connections time out sooner.
+// Timings of memberlist, relative to the probe interval. The rate of broadcasts is that of memberlist.DefaultLANConfig, whose
+// probe interval is a second; full states are exchanged more often, and connections time out sooner.
 const (
 	gossipsPerProbe    = 5
 	fullStateProbes    = 10
@@ -21,16 +21,16 @@
 	connectionProbes   = 2
 )
 
-// minConnectionTimeout is the lower bound of the timeout of connections.
+// minConnectionTimeout is the lower bound of the connection timeout.
 const minConnectionTimeout = time.Second
 
-// handoffQueueDepth has place for the messages of some hundred routers that start at once.
+// handoffQueueDepth is enough for the messages of some hundred routers that start at the same time.
 const handoffQueueDepth = 4096
 
-// gossipInterval is the span between two rounds of broadcasts.
+// gossipInterval returns the interval between two rounds of broadcasts.
 func (n *Node) gossipInterval() time.Duration { return n.config.ProbeInterval / gossipsPerProbe }
 
-// listen opens the sockets and starts memberlist, which from then on answers other nodes.
+// listen opens the sockets and starts memberlist, which then answers other nodes.
 func (n *Node) listen() error {
 	config := n.memberlistConfig()
 	listenAddr := n.config.Listen
@@ -67,7 +67,7 @@
 	config.PushPullInterval = n.fullStateInterval()
 	config.GossipToTheDeadTime = gossipToDeadProbes * probe
 	config.TCPTimeout = max(connectionProbes*probe, minConnectionTimeout)
-	config.EnableCompression = false // heartbeats are too short for it
+	config.EnableCompression = false // heartbeats are too short to benefit
 	config.HandoffQueueDepth = handoffQueueDepth
 	callbacks := delegate{node: n}
 	config.Delegate = callbacks
@@ -88,8 +88,9 @@
 	return len(n.peers)
 }
 
-// boundTransport dials from the address that the router listens on, so that the peer knows who calls. Its shutdown ends the
-// connections that it has dialled, and the dials: a peer that does not answer would hold them until the connection timeout.
+// boundTransport dials from the address that the router listens on, so that the peer can identify the router by its address.
+// Shutdown closes the dialled connections and aborts dials in progress: with a peer that does not answer, they would last until
+// the connection timeout.
 type boundTransport struct {
 	*memberlist.NetTransport
 	local  *net.TCPAddr
@@ -114,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	release := context.AfterFunc(t.ctx, func() { _ = conn.Close() }) // its user notices by an error
+	release := context.AfterFunc(t.ctx, func() { _ = conn.Close() }) // reads and writes in progress fail
 	return &dialledConn{Conn: conn, release: release}, nil
 }
 
@@ -124,10 +125,10 @@
 	return t.NetTransport.Shutdown()
 }
 
-// dialledConn is a connection that ends with its transport.
+// dialledConn is a connection that its transport closes at shutdown.
 type dialledConn struct {
 	net.Conn
-	release func() bool
+	release func() bool // detaches the connection from the transport
 }
 
 // Close implements net.Conn.
--- a/internal/gossip/meter.go
+++ b/internal/gossip/meter.go
@@ -11,8 +11,8 @@
 	"spurtrestle/internal/fleet"
 )
 
-// meteredTransport counts the traffic of another transport, and drops packets by the faulty links of a trial. A goroutine of
-// its own passes on what arrives, from its creation until Shutdown.
+// meteredTransport counts the traffic of another transport, and injects the faults of fleet.FaultyLinks. From its creation until
+// Shutdown, a goroutine of its own forwards incoming packets and connections.
 type meteredTransport struct {
 	memberlist.NodeAwareTransport
 	traffic *fleet.Traffic
@@ -23,7 +23,7 @@
 	running *sync.WaitGroup
 }
 
-// reliableLinks drops nothing on purpose.
+// reliableLinks injects no faults.
 type reliableLinks struct{}
 
 // DropsPacket implements fleet.FaultyLinks.
@@ -32,8 +32,8 @@
 // RejectsConnection implements fleet.FaultyLinks.
 func (reliableLinks) RejectsConnection(string) bool { return false }
 
-// errLinkCut reports a connection that the faulty links of a trial reject.
-var errLinkCut = errors.New("connect to router: the link is cut")
+// errLinkCut is the error of a connection that fleet.FaultyLinks rejects.
+var errLinkCut = errors.New("connect to router: rejected by fault injection")
 
 func newMeteredTransport(inner memberlist.NodeAwareTransport, traffic *fleet.Traffic, links fleet.FaultyLinks) meteredTransport {
 	if links == nil {
@@ -52,7 +52,7 @@
 	return t
 }
 
-// forward counts and passes on incoming packets and connections until Shutdown.
+// forward counts and forwards incoming packets and connections until Shutdown.
 func (t meteredTransport) forward() {
 	for {
 		select {
@@ -69,7 +69,7 @@
 			select {
 			case t.streams <- t.metered(conn):
 			case <-t.stop:
-				_ = conn.Close() // memberlist has stopped and handles no connections
+				_ = conn.Close() // memberlist has stopped and no longer handles connections
 				return
 			}
 		}
@@ -125,8 +125,8 @@
 	return err
 }
 
-// meteredConn counts the bytes of a connection. The side that has opened it writes first, and the first byte is the kind
-// of its traffic. Reads and writes of one connection do not overlap.
+// meteredConn counts the bytes of a connection. The side that has opened the connection writes first, and the first byte tells
+// the kind of traffic. It is not safe for concurrent use: memberlist does not read and write a connection at the same time.
 type meteredConn struct {
 	net.Conn
 	traffic    *fleet.Traffic
@@ -150,8 +150,8 @@
 	return size, err
 }
 
-// classify sets the kind by the first bytes in either direction, and counts the connection itself: one message each way, and an
-// estimate of what the layers below add.
+// classify sets the kind by the first bytes in either direction. It also counts the connection: one message in each direction,
+// and an estimate of the overhead of the lower layers.
 func (c *meteredConn) classify(data []byte) {
 	if c.classified || len(data) == 0 {
 		return
--- a/internal/gossip/meter_test.go
+++ b/internal/gossip/meter_test.go
@@ -7,14 +7,15 @@
 	"spurtrestle/internal/fleet"
 )
 
-type tally [fleet.TrafficKinds]struct{ bytes, messages int }
+// countsByKind records the calls of countPacket.
+type countsByKind [fleet.TrafficKinds]struct{ bytes, messages int }
 
-func (t *tally) add(kind fleet.TrafficKind, bytes, messages int) {
-	t[kind].bytes += bytes
-	t[kind].messages += messages
+func (c *countsByKind) add(kind fleet.TrafficKind, bytes, messages int) {
+	c[kind].bytes += bytes
+	c[kind].messages += messages
 }
 
-// compound frames messages as memberlist does.
+// compound returns a packet with the framing of memberlist's compound messages.
 func compound(messages ...[]byte) []byte {
 	packet := []byte{memberlistCompound, byte(len(messages))}
 	for _, message := range messages {
@@ -31,11 +32,11 @@
 	alive := []byte{memberlistAlive, 1}
 	heartbeat := []byte{memberlistUser, byte(kindHeartbeat), '{', '}'}
 	packet := compound(ping, alive, heartbeat)
-	var got tally
+	var got countsByKind
 	countPacket(packet, got.add)
 	countPacket([]byte{memberlistUser, byte(kindShareLease), 1}, got.add)
 	countPacket([]byte{memberlistUser, byte(kindSummary), 1}, got.add)
-	var want tally
+	var want countsByKind
 	framing := packetOverhead + len(packet) - len(ping) - len(alive) - len(heartbeat)
 	want.add(fleet.Probe, framing+len(ping), 1)
 	want.add(fleet.Gossip, len(alive), 1)
@@ -50,14 +51,14 @@
 func TestCountPacket_CountsAllBytesOfTruncatedPackets(t *testing.T) {
 	packet := compound([]byte{memberlistPing, 1}, []byte{memberlistUser, byte(kindHeartbeat), 7, 7})
 	for size := range len(packet) {
-		var got tally
+		var got countsByKind
 		countPacket(packet[:size], got.add)
 		sum := 0
 		for _, count := range got {
 			sum += count.bytes
 		}
 		if want := packetOverhead + size; sum != want {
-			t.Errorf("packet of %d bytes: got %d, want %d", size, sum, want)
+			t.Errorf("packet truncated to %d bytes: got %d bytes counted, want %d", size, sum, want)
 		}
 	}
 }
--- a/internal/gossip/peersfile.go
+++ b/internal/gossip/peersfile.go
@@ -11,7 +11,7 @@
 	"spurtrestle/core/membership"
 )
 
-// peersFile is the content of the persisted peers file: the addresses that a restart joins in addition to the configured seeds.
+// peersFile is the JSON content of the peers file: addresses that a restarted router joins in addition to the configured seeds.
 type peersFile struct {
 	Fleet  string          `json:"fleet"`
 	Router membership.Name `json:"router"`
@@ -21,7 +21,7 @@
 
 const peersFileName = "peers.json"
 
-// loadPeers reads the file. A missing file and one that cannot be read count as empty; one of another router is an error.
+// loadPeers reads the peers file. A missing or unreadable file counts as empty; the file of another router is an error.
 func (n *Node) loadPeers() (peersFile, error) {
 	if n.config.Dir == "" {
 		return peersFile{}, nil
@@ -40,13 +40,13 @@
 		return peersFile{}, nil
 	}
 	if file.Fleet != n.self.Fleet || file.Router != n.self.Name {
-		return peersFile{}, n.config.ConfigError("fleet.dir", fmt.Sprintf("%s is that of router %q of fleet %q, and this one is %q of %q", n.config.Dir,
-			file.Router, file.Fleet, n.self.Name, n.self.Fleet), "give each router a folder of its own")
+		return peersFile{}, n.config.ConfigError("fleet.dir", fmt.Sprintf("%s belongs to router %q of fleet %q, and this is router %q of fleet %q",
+			n.config.Dir, file.Router, file.Fleet, n.self.Name, n.self.Fleet), "use a separate directory for each router")
 	}
 	return file, nil
 }
 
-// persistPeers replaces the file atomically. A failure is logged once, until a write succeeds again.
+// persistPeers replaces the peers file atomically. It logs a failure only if the previous write succeeded, and vice versa.
 func (n *Node) persistPeers() {
 	if n.config.Dir == "" {
 		return
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -6,7 +6,7 @@
 	"spurtrestle/core/membership"
 )
 
-// receive dispatches a message of another node. Messages that cannot be read are ignored.
+// receive dispatches a message of another node. It ignores messages that cannot be decoded.
 func (n *Node) receive(message []byte) {
 	if !isAcceptable(message) {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// receiveHeartbeat records a heartbeat, and broadcasts it again if it is newer than the last one.
+// receiveHeartbeat records a heartbeat, and broadcasts it again if it is newer than the last one of its process.
 func (n *Node) receiveHeartbeat(heartbeat membership.Heartbeat) {
 	n.mu.Lock()
 	isNewer := n.view.ReceiveHeartbeat(n.now(), heartbeat)
--- a/internal/gossip/shares.go
+++ b/internal/gossip/shares.go
@@ -8,22 +8,22 @@
 	"spurtrestle/internal/fleet"
 )
 
-// maxQueuedLeaseReplies bounds the replies between two ticks.
+// maxQueuedLeaseReplies limits the replies that wait for the next tick. Further ones are dropped and counted.
 const maxQueuedLeaseReplies = 1024
 
-// shareState is the router's side of share leases. The node's mutex guards it.
+// shareState is the state of share leases. Node.mu guards it.
 type shareState struct {
 	leases       *sharelease.Leases
 	granting     bool
-	applied      fleet.Share          // as the router last confirmed it; written by the ticking goroutine alone
-	leaseReplies []sharelease.Message // for the next tick
+	applied      fleet.Share          // last confirmed by the router; written only by the ticking goroutine
+	leaseReplies []sharelease.Message // sent by the next tick
 }
 
-// unknownShare stands for a share that the router may or may not use.
+// unknownShare is the applied share after a failed call of SetShare, when the router may use either the old or the new share.
 var unknownShare = fleet.Share{Current: -1}
 
-// updateGranting begins or ends the granting of the own share. The router uses the reduced share before the first grant. SetShare
-// is called without n.mu, since the router may take long.
+// updateGranting starts or stops granting this router's share to others. Before the first grant, the router must have confirmed
+// that it uses only the reduced share. SetShare is called without n.mu, since the router may take long to reply.
 func (n *Node) updateGranting(granting bool) {
 	n.mu.Lock()
 	reduced := n.routerShare(n.shares.leases.ReducedShare())
@@ -53,7 +53,7 @@
 	return converted
 }
 
-// applyShare passes a share to the router and reports whether it is in force.
+// applyShare passes a share to the router and reports whether the router has confirmed it.
 func (n *Node) applyShare(share fleet.Share) bool {
 	err := n.router.SetShare(share)
 	n.mu.Lock()
@@ -65,8 +65,8 @@
 	return err == nil
 }
 
-// leasePeers returns the alive routers by slot, without the slots that two of them claim: two owners of one share would use more
-// than the whole fleet's limits. n.mu is locked.
+// leasePeers returns the alive routers by slot. It leaves out slots that two routers claim: two owners of one share would
+// together exceed the limits of the fleet. n.mu must be held.
 func (n *Node) leasePeers() map[sharelease.Slot]sharelease.Peer {
 	peers := map[sharelease.Slot]sharelease.Peer{}
 	claimedTwice := map[sharelease.Slot]bool{}
@@ -95,12 +95,12 @@
 		peer := n.peers[membership.Incarnation(message.Recipient())]
 		n.mu.Unlock()
 		if peer != nil {
-			_ = n.list.SendBestEffort(peer, encodeShareLease(message)) // a lost message is sent again
+			_ = n.list.SendBestEffort(peer, encodeShareLease(message)) // package sharelease repeats lost messages
 		}
 	}
 }
 
-// receiveShareLease handles a message about a lease. The reply goes out with the next tick, after the router's share.
+// receiveShareLease handles a lease message. The next tick sends the reply, once the router has applied its share.
 func (n *Node) receiveShareLease(body []byte) {
 	message, err := decodeShareLease(body)
 	if err != nil {
--- a/internal/gossip/shares_test.go
+++ b/internal/gossip/shares_test.go
@@ -10,7 +10,7 @@
 	"spurtrestle/internal/fleet"
 )
 
-// shareRouter records the shares that are applied, and fails as long as err is set.
+// shareRouter records the applied shares. While err is set, SetShare fails with it.
 type shareRouter struct {
 	idleRouter
 	applied []fleet.Share
@@ -24,7 +24,7 @@
 	return r.err
 }
 
-// A node grants its share only once the router has confirmed that it uses the reduced one.
+// A node grants its share to others only after the router has confirmed that it uses the reduced share.
 func TestNode_GrantsAfterReducedShareIsInForce(t *testing.T) {
 	n := newTestNode(false)
 	router := &shareRouter{err: errors.New("the event loop did not reply")}
@@ -32,25 +32,25 @@
 
 	n.updateGranting(true)
 	if n.shares.granting {
-		t.Error("the node grants its share, which the router may still use")
+		t.Error("the node grants its share although SetShare failed")
 	}
 	if n.shares.applied != unknownShare {
-		t.Errorf("applied share after a failure: got %+v, want it unknown", n.shares.applied)
+		t.Errorf("applied share after a failure: got %+v, want unknownShare", n.shares.applied)
 	}
 
 	router.err = nil
 	n.updateGranting(true)
 	if !n.shares.granting {
-		t.Error("the node does not grant its share after the router's confirmation")
+		t.Error("the node does not grant its share after SetShare succeeded")
 	}
 	minimum := sharelease.MinimumShare(n.config.FleetSize)
 	want := fleet.Share{Current: minimum, AfterExpiry: minimum}
 	if len(router.applied) != 1 || router.applied[0] != want {
-		t.Errorf("applied shares: got %+v, want %+v alone", router.applied, want)
+		t.Errorf("applied shares: got %+v, want only %+v", router.applied, want)
 	}
 }
 
-// A slot that two alive routers claim takes no part in leases.
+// leasePeers leaves out a slot that two alive routers claim.
 func TestNode_LeasePeersLeaveOutDuplicateSlots(t *testing.T) {
 	n := newTestNode(false) // of slot 2
 	for i, slot := range []membership.Slot{0, 1, 1, 2} {
@@ -61,7 +61,7 @@
 	got := n.leasePeers()
 	want := sharelease.Peer{Incarnation: 10, Granting: true}
 	if len(got) != 1 || got[0] != want {
-		t.Errorf("got %+v, want slot 0 alone: %+v", got, want)
+		t.Errorf("got %+v, want only slot 0: %+v", got, want)
 	}
 }
 
@@ -73,6 +73,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := n.routerShare(sharelease.Share{Current: 0.5}); !got.ExpiresAt.IsZero() {
-		t.Errorf("share without expiry: got %v", got.ExpiresAt)
+		t.Errorf("share without expiry: got expiry %v, want none", got.ExpiresAt)
 	}
 }
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -9,7 +9,7 @@
 	"spurtrestle/core/membership"
 )
 
-// fullView is the view with the hierarchy, as the admin endpoint shows it.
+// fullView is the view of the fleet that the admin endpoint returns.
 type fullView struct {
 	membership.Snapshot
 	Hierarchy *hierarchy.Status `json:"tiers,omitempty"`
@@ -29,10 +29,10 @@
 	return string(text) + "\n", err
 }
 
-// partsPerMillion is the unit of the share among the metrics.
+// partsPerMillion converts a share to the unit of its metric.
 const partsPerMillion = 1e6
 
-// Metrics returns the metrics as lines of statsd.
+// Metrics returns the metrics as statsd lines.
 func (n *Node) Metrics() string {
 	n.mu.Lock()
 	snapshot := n.view.Snapshot(n.now())
--- a/internal/gossip/tick.go
+++ b/internal/gossip/tick.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/fleet"
 )
 
-// Upper bounds of the span between two ticks.
+// Upper bounds of the interval between two ticks.
 const (
 	maxTickInterval       = 100 * time.Millisecond
 	maxTieredTickInterval = 200 * time.Millisecond
@@ -24,7 +24,7 @@
 	return min(n.gossipInterval(), maxTickInterval)
 }
 
-// run ticks until the node is closed.
+// run calls tick periodically until the node is closed.
 func (n *Node) run() {
 	ticker := time.NewTicker(n.tickInterval())
 	defer ticker.Stop()
@@ -38,19 +38,19 @@
 	}
 }
 
-// tickActions is what a tick has decided under the lock and carries out without it.
+// tickActions has the actions that a tick computes with the mutex held and carries out without it.
 type tickActions struct {
-	broadcast     bool
+	broadcast     bool // broadcast this process's heartbeat
 	changes       []membership.Change
 	yieldReason   string
 	leaseMessages []sharelease.Message
 	share         fleet.Share
-	requestFrom   []*memberlist.Node // heartbeats
+	requestFrom   []*memberlist.Node // peers to request heartbeats from
 	summaries     []hierarchy.Datagram
-	reconnectAddr string // empty: none
+	reconnectAddr string // address to exchange full states with; empty if none
 }
 
-// tick does all periodic work.
+// tick does all periodic work once.
 func (n *Node) tick() {
 	status := n.router.FleetStatus()
 	n.updateGranting(status.Draining && status.Idle)
@@ -61,9 +61,9 @@
 	if actions.broadcast {
 		n.broadcastLocal()
 	}
-	// Lease messages go out after the share that they presuppose is in force: a release confirms that a portion is not used.
-	// Otherwise they are dropped, and repeated by the next tick or after a repetition of the peer. This goroutine alone writes
-	// shares.applied, and reads it without the lock.
+	// Lease messages are sent only once the router has applied the share: a release confirms that the router no longer uses a
+	// portion. If the router cannot apply it, they are dropped; the next tick or a repeated message of the peer produces them
+	// again. Only this goroutine writes shares.applied, so it reads the field without the mutex.
 	if actions.share == n.shares.applied || n.applyShare(actions.share) {
 		n.sendLeaseMessages(actions.leaseMessages)
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// decide updates the node's state and returns what is to be done.
+// decide updates the node's state and returns the actions to carry out.
 func (n *Node) decide(status fleet.RouterStatus) tickActions {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -5,13 +5,14 @@
 	"spurtrestle/internal/fleet"
 )
 
-// maxPacketMessage is the longest message that is sent in a packet, in bytes. Longer ones go over a connection.
+// maxPacketMessage is the size, in bytes, of the longest message that is sent in a packet. Longer messages are sent over a
+// connection.
 const maxPacketMessage = 1200
 
-// Self returns this process.
+// Self returns the incarnation of this process.
 func (n *Node) Self() fleet.Incarnation { return fleet.Incarnation(n.self.Incarnation) }
 
-// OnMessage sets the function that receives messages of the policy.
+// OnMessage sets the handler of policy messages.
 func (n *Node) OnMessage(handler func(fleet.Incarnation, []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,12 +33,12 @@
 	}
 }
 
-// Send sends a message of the policy to a process. A message to this process itself is handled on another goroutine, and
-// requires OnMessage before. A message may be lost; the sender sends it again.
+// Send sends a policy message to a process. The message may be lost; the sender repeats it. OnMessage must be called before a
+// process sends to itself; such a message is handled on another goroutine.
 func (n *Node) Send(to fleet.Incarnation, body []byte) {
 	if to == n.Self() {
 		handler := n.currentPolicyHandler()
-		n.spawn(func() { handler(to, body) }) // the sender may have locked what the handler locks
+		n.spawn(func() { handler(to, body) }) // the sender may hold locks that the handler acquires
 		return
 	}
 	peer, list := n.lookupPeer(membership.Incarnation(to))
@@ -49,7 +50,7 @@
 		_ = list.SendBestEffort(peer, message)
 		return
 	}
-	n.spawn(func() { _ = list.SendReliable(peer, message) }) // what is lost is sent again
+	n.spawn(func() { _ = list.SendReliable(peer, message) }) // the sender repeats lost messages
 }
 
 // SetLeader announces whether this process is the leader of the policy's voters.
@@ -57,7 +58,7 @@
 	n.updateHeartbeat(func(heartbeat *membership.Heartbeat) { heartbeat.Leader = isLeader })
 }
 
-// SetPolicyRevision announces the revision of the policy in force at this router.
+// SetPolicyRevision announces the policy revision in force at this router.
 func (n *Node) SetPolicyRevision(revision uint64) {
 	n.updateHeartbeat(func(heartbeat *membership.Heartbeat) { heartbeat.PolicyRevision = revision })
 }
@@ -72,7 +73,7 @@
 	})
 }
 
-// updateHeartbeat edits this process's heartbeat. The next tick broadcasts it.
+// updateHeartbeat changes this process's heartbeat, which the next tick broadcasts.
 func (n *Node) updateHeartbeat(change func(*membership.Heartbeat)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,7 +131,7 @@
 	return len(n.view.AliveMembers()) > 1
 }
 
-// Members returns the routers that are alive or were lost and are not forgotten, this one included.
+// Members returns the routers that are alive or were lost recently, including this one.
 func (n *Node) Members() []fleet.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -143,7 +144,8 @@
 	return members
 }
 
-// forEachAlive calls visit with the owner of each alive router's name and its heartbeat, in the order of names.
+// forEachAlive calls visit for each alive router in the order of their names, with the process that owns the name and its
+// heartbeat. n.mu is held during the calls.
 func (n *Node) forEachAlive(visit func(membership.Member, membership.Heartbeat)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,8 @@
-// Package policy reads the document of the fleet's policy: the settings that may change while routers serve, as one strict TOML
-// file that is the same for all routers. It does no I/O. Package controlplane applies documents; cache-routerctl checks them.
+// Package policy parses and validates the document of the fleet's policy: the settings that may change while routers serve, as
+// one TOML file that is the same for all routers. Unknown fields are errors. The package does no I/O and has no state. Package
+// controlplane applies documents to a router; cache-routerctl checks them.
 //
-// Every error names line, field and remedy (configerror.Error).
+// Every error is a configerror.Error, which names the line, the field and a remedy.
 package policy
 
 import (
@@ -14,16 +15,18 @@
 // Schema is the version of the document that this build reads.
 const Schema = 1
 
-// MaxDocumentBytes is the largest size of a document. Each router gets it in one message, and the raft log has the last hundred.
+// MaxDocumentBytes limits the size of a document. Each router receives it in one message, and the raft log retains the last
+// hundred documents.
 const MaxDocumentBytes = 64 << 10
 
-// Document is the policy. A field that is left out has each router's own setting. docs/policy.md describes the fields.
+// Document is the fleet's policy. Where a field is left out, each router uses its own setting. docs/policy.md describes the
+// fields.
 type Document struct {
 	Schema          int      `toml:"schema"`
 	OverShareWeight *float64 `toml:"over_share_worth"`
 	MaxAttempts     *int     `toml:"max_write_outs"`
 	MaxRetryAfter   *string  `toml:"max_hint"`
-	BannedServers   []string `toml:"out"` // uids of cache servers that no router uses
+	BannedServers   []string `toml:"out"` // UIDs of cache servers that no router uses
 	WarmUp          WarmUp   `toml:"cold"`
 	Methods         []Method `toml:"method"`
 	Tenants         []Tenant `toml:"tenant"`
@@ -32,7 +35,7 @@
 	lines tomlfile.Lines
 }
 
-// WarmUp is the slow start of cache servers.
+// WarmUp configures how cache servers that start cold are ramped up.
 type WarmUp struct {
 	Share            *float64 `toml:"share"`
 	Duration         *string  `toml:"span"`
@@ -40,8 +43,8 @@
 	OverloadWindow   *string  `toml:"fall_span"`
 }
 
-// Method is the part of a method's settings that may change. Effect, Group, Window and Deadline may not: they are read to reject them, and only their presence
-// matters.
+// Method has the settings of a method that may change. Effect, Group, Window and Deadline may not: they are parsed only to
+// reject a document that sets them.
 type Method struct {
 	Name          string   `toml:"name"`
 	LatencyBudget *string  `toml:"latency_budget"`
@@ -54,13 +57,13 @@
 	Deadline any `toml:"deadline"`
 }
 
-// Tenant is the part of a tenant's settings that may change.
+// Tenant has the settings of a tenant that may change.
 type Tenant struct {
 	Name  string   `toml:"name"`
 	Share *float64 `toml:"share"`
 }
 
-// Parse reads a document. Settings and Plan check it against the settings of a router.
+// Parse parses a document. Settings and Plan validate it against the settings of a router.
 func Parse(text string) (Document, error) {
 	var document Document
 	if len(text) > MaxDocumentBytes {
@@ -79,6 +82,7 @@
 	return document, nil
 }
 
+// fieldError returns an error about a field, with the line that sets it.
 func (d Document) fieldError(field, problem, remedy string) error {
 	return &configerror.Error{Line: d.lines.Line(field), Field: field, Problem: problem, Remedy: remedy}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("settings: got %+v", s)
 	}
 	if own.Methods[1].Criticality != 0 || own.Tenants[1].Share != 0.4 {
-		t.Error("the router's own settings were changed")
+		t.Error("Settings changed the router's own settings")
 	}
 }
 
@@ -58,22 +58,22 @@
 }
 
 func TestPlan_ErrorNamesLineFieldAndRemedy(t *testing.T) {
-	const two = "[[sites.site]]\nname = \"hill\"\n[[sites.site]]\nname = \"coast\"\nbears = 100.0\n"
+	const twoSites = "[[sites.site]]\nname = \"hill\"\n[[sites.site]]\nname = \"coast\"\nbears = 100.0\n"
 	for text, want := range map[string]string{
-		"[sites]\nsteps = [0.5, 0.2]\n" + two:                                 "line 3: sites.steps: its entry 2, 0.2, is no part of one above the one before",
-		"[sites]\nsteps = [0.5, 1.5]\n" + two:                                 "line 3: sites.steps: its entry 2, 1.5, is no part of one above",
-		"[sites]\nsteps = [0.5]\n" + two:                                      "line 3: sites.steps: end at 0.5, and the site would never be whole again",
-		"[sites]\nfetches = -1.0\n" + two:                                     "line 3: sites.fetches: -1 is not above zero",
-		"[sites]\nlost_after = \"9ms\"\n" + two:                               `line 3: sites.lost_after: "9ms" is no span from 500ms to an hour`,
-		"[sites]\nhold = \"2s\"\n":                                            "line 2: sites.site: none is there, though other fields of [sites] are set",
-		"[[sites.site]]\nname = \"hill\"\n":                                   "line 3: sites.site[0].name: is the only site, and its load could go nowhere",
-		two + "[[sites.site]]\nname = \"moon\"\n":                             `line 8: sites.site[2].name: "moon" is no site that the routers know; write one of ["hill" "coast"]`,
-		two + "[[sites.site]]\nname = \"hill\"\n":                             `line 8: sites.site[2].name: "hill" is empty or there twice`,
-		"[[sites.site]]\nname = \"hill\"\nprefer = [\"hill\"]\n" + two:        `line 4: sites.site[0].prefer: its entry 1, "hill", is the site itself`,
-		two + "[[sites.load]]\nmethod = \"x\"\nrate = 1.0\n":                  `line 8: sites.load[0].method: "x" is no method of the settings`,
-		two + "[[sites.load]]\nmethod = \"read\"\ntenant = \"x\"\nrate = 1.0": `line 9: sites.load[0].tenant: "x" is no tenant of the settings`,
-		two + "[[sites.load]]\nmethod = \"read\"\n":                           "line 7: sites.load[0].rate: 0 is not above zero",
-		"[[sites.site]]\nname = \"hill\"\nstays = true\n":                     "line 4: sites.site.stays: is no field here",
+		"[sites]\nsteps = [0.5, 0.2]\n" + twoSites:                                 "line 3: sites.steps: its entry 2, 0.2, is no part of one above the one before",
+		"[sites]\nsteps = [0.5, 1.5]\n" + twoSites:                                 "line 3: sites.steps: its entry 2, 1.5, is no part of one above",
+		"[sites]\nsteps = [0.5]\n" + twoSites:                                      "line 3: sites.steps: end at 0.5, and the site would never be whole again",
+		"[sites]\nfetches = -1.0\n" + twoSites:                                     "line 3: sites.fetches: -1 is not above zero",
+		"[sites]\nlost_after = \"9ms\"\n" + twoSites:                               `line 3: sites.lost_after: "9ms" is no span from 500ms to an hour`,
+		"[sites]\nhold = \"2s\"\n":                                                 "line 2: sites.site: none is there, though other fields of [sites] are set",
+		"[[sites.site]]\nname = \"hill\"\n":                                        "line 3: sites.site[0].name: is the only site, and its load could go nowhere",
+		twoSites + "[[sites.site]]\nname = \"moon\"\n":                             `line 8: sites.site[2].name: "moon" is no site that the routers know; write one of ["hill" "coast"]`,
+		twoSites + "[[sites.site]]\nname = \"hill\"\n":                             `line 8: sites.site[2].name: "hill" is empty or there twice`,
+		"[[sites.site]]\nname = \"hill\"\nprefer = [\"hill\"]\n" + twoSites:        `line 4: sites.site[0].prefer: its entry 1, "hill", is the site itself`,
+		twoSites + "[[sites.load]]\nmethod = \"x\"\nrate = 1.0\n":                  `line 8: sites.load[0].method: "x" is no method of the settings`,
+		twoSites + "[[sites.load]]\nmethod = \"read\"\ntenant = \"x\"\nrate = 1.0": `line 9: sites.load[0].tenant: "x" is no tenant of the settings`,
+		twoSites + "[[sites.load]]\nmethod = \"read\"\n":                           "line 7: sites.load[0].rate: 0 is not above zero",
+		"[[sites.site]]\nname = \"hill\"\nstays = true\n":                          "line 4: sites.site.stays: is no field here",
 	} {
 		d, err := Parse("schema = 1\n" + text)
 		if err == nil {
@@ -83,12 +83,12 @@
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
-	d, err := Parse("schema = 1\n" + two)
+	d, err := Parse("schema = 1\n" + twoSites)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := d.Plan(own, []string{"hill", "coast", "valley"}); err == nil || !strings.Contains(err.Error(), `"valley" is not planned for`) {
-		t.Errorf("plan without a site that the routers know: got %v", err)
+		t.Errorf("plan without one of the known sites: got %v", err)
 	}
 	p, err := d.Plan(own, nil)
 	if err != nil || !p.Enabled() || p.Sites[1].Capacity != 100 || p.RecoverAfter != 3*clock.Second || len(p.RecoverySteps) != 8 {
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -10,14 +10,14 @@
 
 const (
 	maxAttemptsLimit = 100
-	// minAttemptsWithHedging lets a request that has two attempts at once make another when both fail.
+	// minAttemptsWithHedging lets a request retry after both attempts of a hedged request have failed.
 	minAttemptsWithHedging = 3
 	maxServerUIDBytes      = 256
 	shareSumTolerance      = 1e-9
 	aboveZeroRemedy        = "write a number above 0"
 )
 
-// Settings returns the settings of a router with the document in force; own if there is an error.
+// Settings returns own with the document applied. With an error it returns own unchanged.
 func (d Document) Settings(own routing.Settings) (routing.Settings, error) {
 	settings := own
 	settings.Methods = slices.Clone(own.Methods)
@@ -51,7 +51,7 @@
 	if attempts < 1 || attempts > maxAttemptsLimit || tooFewToHedge {
 		c.reject("max_write_outs", fmt.Sprintf("is %d", attempts), "write 1 to 100, and 3 at least where two may be out at once")
 	}
-	settings.MaxAttempts = attempts // also after a rejection: Settings then returns the router's own
+	settings.MaxAttempts = attempts // also if it was rejected: Settings then returns the router's own settings
 }
 
 func (c *checker) checkBannedServers() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkFixedMethodFields rejects the fields that cannot change while routers serve.
+// checkFixedMethodFields rejects a method that sets a field which cannot change while routers serve.
 func (c *checker) checkFixedMethodFields(prefix string, method Method) {
 	for _, field := range []struct {
 		name  string
--- a/internal/policy/site_plan.go
+++ b/internal/policy/site_plan.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	minEvidenceDuration = 500 * time.Millisecond // longer than a busy process stalls
+	minEvidenceDuration = 500 * time.Millisecond // longer than the stall of a busy process
 	minStepDuration     = 100 * time.Millisecond
 	maxSiteDuration     = time.Hour
 )
 
-// Sites is the plan for the loss of a site.
+// Sites is the section of a document that plans for the loss of a site.
 type Sites struct {
-	OriginReadRate  *float64  `toml:"fetches"` // reads a second that the origin can take
-	RecoverySteps   []float64 `toml:"steps"`   // fractions of its keys that a recovering site gets
+	OriginReadRate  *float64  `toml:"fetches"` // reads per second that the origin sustains
+	RecoverySteps   []float64 `toml:"steps"`   // fractions of its keys that a recovering site gets, in order
 	LostAfter       *string   `toml:"lost_after"`
 	RecoverAfter    *string   `toml:"back_after"`
 	MinStepDuration *string   `toml:"hold"`
 	Sites           []Site    `toml:"site"`
-	Loads           []Load    `toml:"load"` // for rehearsals
+	Loads           []Load    `toml:"load"` // expected load, for forecasts of a failover
 }
 
-// Site is one site of the plan.
+// Site configures one site of the plan.
 type Site struct {
 	Name             string   `toml:"name"`
-	Capacity         *float64 `toml:"bears"`  // answers a second
-	PreferredTargets []string `toml:"prefer"` // sites that its load goes to first
+	Capacity         *float64 `toml:"bears"`  // answers per second
+	PreferredTargets []string `toml:"prefer"` // sites that receive its load first if it is lost
 }
 
 // Load is the expected load of a method.
 type Load struct {
 	Method string  `toml:"method"`
-	Tenant string  `toml:"tenant"` // empty: all, by their shares
-	Rate   float64 `toml:"rate"`   // requests a second
+	Tenant string  `toml:"tenant"` // if empty, the load is divided among all tenants by their shares
+	Rate   float64 `toml:"rate"`   // requests per second
 }
 
-// Plan returns the document's plan for sites. sites are all sites that the settings name; empty if they name none.
+// Plan returns the document's plan for the loss of a site. sites has all sites that the settings name; it is empty if they name
+// none.
 func (d Document) Plan(own routing.Settings, sites []string) (sitefailover.Plan, error) {
 	plan := sitefailover.DefaultPlan()
 	c := &siteChecker{checker: &checker{document: d}, sites: d.Sites, plan: &plan}
@@ -56,7 +57,7 @@
 	return plan, nil
 }
 
-// siteChecker checks the section [sites] of a document and copies it into a plan.
+// siteChecker validates the section [sites] of a document and copies it into a plan.
 type siteChecker struct {
 	checker *checker
 	sites   Sites
@@ -67,21 +68,22 @@
 	c.checker.reject("sites."+field, problem, remedy)
 }
 
-// positive returns the value, 0 if it is not set.
+// positive returns a value that must be above 0, or 0 if it is not set.
 func (c *siteChecker) positive(field string, value *float64) float64 {
 	result := 0.0
 	c.checker.positive("sites."+field, value, &result, "write a number above 0, or leave it out")
 	return result
 }
 
-// duration has other bounds and another text than checker.duration, as in earlier releases.
-func (c *siteChecker) duration(field string, value *string, into *clock.Duration, least time.Duration) {
+// duration parses and copies a value from shortest to maxSiteDuration. Its bounds and error text differ from those of
+// checker.duration for compatibility with earlier releases.
+func (c *siteChecker) duration(field string, value *string, into *clock.Duration, shortest time.Duration) {
 	if value == nil {
 		return
 	}
 	duration, err := time.ParseDuration(*value)
-	if err != nil || duration < least || duration > maxSiteDuration {
-		c.reject(field, fmt.Sprintf("%q is no span from %v to an hour", *value, least), `write it as "1s" or "90s"`)
+	if err != nil || duration < shortest || duration > maxSiteDuration {
+		c.reject(field, fmt.Sprintf("%q is no span from %v to an hour", *value, shortest), `write it as "1s" or "90s"`)
 		return
 	}
 	*into = clock.Duration(duration / time.Microsecond)
@@ -149,7 +151,7 @@
 	return slices.ContainsFunc(c.sites.Sites, func(site Site) bool { return site.Name == name })
 }
 
-// checkCompleteness checks that the plan has all known sites, and more than one, or nothing at all.
+// checkCompleteness checks that the plan is either empty or has all known sites, and more than one.
 func (c *siteChecker) checkCompleteness(known []string) {
 	if len(c.sites.Sites) == 1 {
 		c.reject("site[0].name", "is the only site, and its load could go nowhere", "name all sites, or leave [sites] out")
