--- a/internal/controlplane/applier.go
+++ b/internal/controlplane/applier.go
@@ -9,32 +9,35 @@
 	"spurtrestle/internal/fleet"
 )
 
+// applyRetryInterval is the wait before another attempt while the router's event loop is busy.
 const applyRetryInterval = 50 * time.Millisecond
 
-// adopt has the applier put the active revision into force. The router admits nothing until it is. n.mu must be held.
-func (n *Node) adopt() {
+// startApplying makes the applier apply the active revision. The router admits no requests until it is in force. n.mu must be
+// held.
+func (n *Node) startApplying() {
 	n.applyPending = true
 	n.updateAdmission()
 	select {
-	case n.adopted <- struct{}{}:
+	case n.applierWake <- struct{}{}:
 	default:
 	}
 }
 
-// runApplier puts revisions into force on the router until the node is closed. It is the only caller of Router.SetPolicy, so
-// that a revision never reaches the router behind a later one.
+// runApplier applies revisions to the router until the node is closed. Only this goroutine calls Router.SetPolicy, so that a
+// revision cannot overwrite a later one.
 func (n *Node) runApplier() {
 	for {
 		select {
 		case <-n.stop:
 			return
-		case <-n.adopted:
+		case <-n.applierWake:
 		}
 		n.applyPendingRevisions()
 	}
 }
 
-// applyPendingRevisions retries while the event loop is busy. Each attempt is for the revision that is active by then.
+// applyPendingRevisions applies the active revision, and retries while the event loop is busy. Each attempt is for the revision
+// that is active at that time.
 func (n *Node) applyPendingRevisions() {
 	for {
 		active, pending := n.pendingRevision()
@@ -55,7 +58,7 @@
 	}
 }
 
-// pendingRevision returns the revision that is to be put into force, if there is one.
+// pendingRevision returns the revision that is waiting to be applied, if there is one.
 func (n *Node) pendingRevision() (policycommit.ActivePolicy, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,7 +66,7 @@
 	return active, ok && n.applyPending
 }
 
-// sleep reports whether the node is still open after a duration.
+// sleep waits for a duration. It returns false at once if the node is closed.
 func (n *Node) sleep(duration time.Duration) bool {
 	select {
 	case <-n.stop:
@@ -73,13 +76,13 @@
 	}
 }
 
-// recordApplied records that the router decides by a revision, or that this build cannot apply it.
+// recordApplied records that a revision is in force on the router, or that this build cannot apply it.
 func (n *Node) recordApplied(applied policycommit.ActivePolicy, settings revisionSettings, applyError error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	active, _ := n.follower.Active()
 	if active.Revision != applied.Revision {
-		return // a later one is pending
+		return // a later revision is pending
 	}
 	n.applyPending = false
 	n.applyError = ""
@@ -94,7 +97,7 @@
 	n.inForce = applied.Revision
 	n.siteOrders.plan = settings.sitePlan
 	n.updateAdmission()
-	n.wakeFollower() // to report the revision without waiting for the next tick
+	n.wakeFollower() // reports the revision to the leader without waiting for the next tick
 	n.transport.SetPolicyRevision(uint64(applied.Revision))
 	n.log.WithFields(logrus.Fields{"revision": uint64(applied.Revision), "mono_us": fleet.Monotonic()}).Info("policy: in force")
 }
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	joinWait           = 3 * time.Second // for a heartbeat of another router, before a voter joins raft again
+	joinWait           = 3 * time.Second // for a heartbeat of another router, before a restarted voter rejoins raft
 	joinPollInterval   = 50 * time.Millisecond
 	startRetryInterval = 500 * time.Millisecond
 )
 
-// bootstrap begins the raft log of the fleet with this voter. It fails if any known voter has joined one.
+// bootstrap creates the raft log of the fleet with this voter as its only member. It fails if any known voter has joined raft.
+// The results are replies to operators, whose texts are part of the protocol.
 func (n *Node) bootstrap() (string, error) {
 	if n.raftLog == nil {
 		return "", fmt.Errorf("this router is no keeper; found the policy at one of %q", n.config.Voters)
@@ -35,12 +36,12 @@
 	return "founded\n", nil
 }
 
-// inviteVoter tells a voter that it may join raft. The leader adds it to the configuration once it has.
+// inviteVoter sends a voter the invitation to join raft. Once it has started, the leader adds it to raft's configuration.
 func (n *Node) inviteVoter(voter fleet.VoterStatus) {
 	n.send(voter.Incarnation, message{VoterInvitation: formatVoterID(voter.VoterID)})
 }
 
-// acceptInvitation starts raft if the invitation is for the ID of this voter's folder.
+// acceptInvitation starts raft if the invitation is for the voter ID of this router's directory.
 func (n *Node) acceptInvitation(voterID string) {
 	if n.raftLog == nil {
 		return
@@ -50,14 +51,14 @@
 		return
 	}
 	if err := n.raftLog.start(startOptions{}); err != nil {
-		n.log.WithError(err).Error("policy: voter cannot start")
+		n.log.WithError(err).Error("policy: voter cannot join raft")
 		return
 	}
-	n.log.Info("policy: voter joins, as the leader invited it")
+	n.log.Info("policy: voter joined raft by invitation of the leader")
 }
 
-// resumeVoter joins raft again after a restart. It waits for other routers first: they know the last index that this voter
-// acknowledged, and so whether its folder was restored from an older copy.
+// resumeVoter rejoins raft after a restart. It first waits for other routers: they know the last index that this voter has
+// acknowledged, and so whether its directory was restored from an older copy.
 func (n *Node) resumeVoter() {
 	identity := n.raftLog.currentIdentity()
 	if !identity.Member || !n.waitUntilJoined() {
@@ -69,13 +70,13 @@
 			return
 		}
 		if attempt == 0 {
-			n.log.WithError(err).Error("policy: voter cannot start")
+			n.log.WithError(err).Error("policy: voter cannot join raft")
 		}
 		var staleLog *StaleLogError
 		if errors.As(err, &staleLog) {
 			return
 		}
-		select { // the predecessor may have the folder or the address still
+		select { // the predecessor may still use the directory or the address
 		case <-n.stop:
 			return
 		case <-time.After(startRetryInterval):
@@ -83,7 +84,7 @@
 	}
 }
 
-// waitUntilJoined waits at most joinWait for a heartbeat of another router; false if the node is closed.
+// waitUntilJoined waits up to joinWait for a heartbeat of another router. It returns false if the node is closed meanwhile.
 func (n *Node) waitUntilJoined() bool {
 	for deadline := time.Now().Add(joinWait); time.Now().Before(deadline) && !n.transport.HasJoined(); {
 		select {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,23 +1,24 @@
-// Package controlplane connects a router to the policy of its fleet. Package policycommit decides; this package gives it a
-// network, a clock, a raft log and the router's event loop.
+// Package controlplane connects a router to the policy of its fleet. The protocol is implemented in core/policycommit, and the
+// failover of sites in core/sitefailover; this package connects them to the network, the clock, the raft log and the router.
 //
-// Every router with a policy has a Node, which renews the router's lease and applies the active revision. The routers that the
-// operator's file names as keepers are the voters: their nodes have a raft log (hashicorp/raft), and the node that leads raft
-// also answers renewals, resolves changes and coordinates the loss of a site. Messages between nodes go over the transport of the
-// fleet (fleet.Transport) and may be lost.
+// Every router of a fleet with a policy has a Node, which renews the router's lease and applies the active revision. The routers
+// that the operator's file lists as keepers are the voters: their nodes have a raft log (hashicorp/raft). The node of the raft
+// leader also answers renewals, resolves changes and coordinates the failover of sites. Nodes exchange messages over the
+// transport of the fleet (fleet.Transport), which may lose them.
 //
-// The program calls Join at its start and Close at its end; the admin endpoint calls Policy and HandleRequest. A Node runs goroutines of its
-// own, which share its state under Node.mu; none of them blocks the router's event loop.
+// The program calls Join when it starts and Close when it ends; the admin endpoint calls Policy and HandleRequest. A Node runs
+// several goroutines, which share its state under Node.mu. None of them blocks the router's event loop.
 //
-//	node.go            Config, Router, Node: its life and its goroutines
-//	join.go            from the operator's file to a Node
+//	node.go            Config, Router, and the lifecycle of a Node
+//	join.go            starts a Node with the settings of the operator's file
 //	message.go         messages between nodes
-//	follower_loop.go   lease and admission of this router
-//	applier.go         puts the active revision into force on the router
-//	leader_loop.go     renewals, changes and shares, on the leader
-//	requests.go        operators' requests, forwarded to the leader and served there
-//	bootstrap.go       how a voter joins raft: bootstrap, invitation, restart
-//	site_reports.go    load reports and orders on sites, of this router
-//	site_leader.go     the coordinator of sites, on the leader
-//	raft_log.go        the raft log of a voter; its state, identity, store, transport and voters in the other raft_ files
+//	follower_loop.go   renews the lease and sets the admission deadline of this router
+//	applier.go         applies the active revision to the router
+//	leader_loop.go     answers renewals, resolves changes and leases out shares, on the leader
+//	requests.go        forwards operators' requests to the leader, and serves them there
+//	bootstrap.go       how a voter joins raft: bootstrap, invitation or restart
+//	site_reports.go    reports the load of this router, and applies the leader's site orders
+//	site_leader.go     coordinates the failover of sites, on the leader
+//	raft_log.go        the raft log of a voter
+//	raft_*.go          its replicated state, identity, store, transport and voters
 package controlplane
--- a/internal/controlplane/follower_loop.go
+++ b/internal/controlplane/follower_loop.go
@@ -14,20 +14,20 @@
 
 const (
 	followerInterval = 20 * time.Millisecond
-	transferInterval = 80 * time.Millisecond // between two offers to the process that replaces this one
+	transferInterval = 80 * time.Millisecond // between two transfers to the process that replaces this one
 )
 
-// admitNothing is an admission deadline that has passed.
+// admitNothing is an admission deadline in the past.
 var admitNothing = time.Unix(0, 1)
 
-// revisionSettings is a document of the policy, combined with the router's own settings.
+// revisionSettings has the settings of a revision: its document combined with the router's own settings.
 type revisionSettings struct {
 	routing       routing.Settings
 	bannedServers []string
 	sitePlan      sitefailover.Plan
 }
 
-// runFollower renews the lease and sets the router's admission deadline until the node is closed.
+// runFollower renews the lease and updates the router's admission deadline periodically until the node is closed.
 func (n *Node) runFollower() {
 	ticker := time.NewTicker(followerInterval)
 	defer ticker.Stop()
@@ -41,20 +41,21 @@
 		select {
 		case <-n.stop:
 			return
-		case <-n.wake:
+		case <-n.followerWake:
 		case <-ticker.C:
 		}
 	}
 }
 
-// wakeFollower makes runFollower's next pass come at once.
+// wakeFollower makes runFollower run its next pass immediately.
 func (n *Node) wakeFollower() {
 	select {
-	case n.wake <- struct{}{}:
+	case n.followerWake <- struct{}{}:
 	default:
 	}
 }
 
+// renewAndAdmit sends a renewal if one is due, and updates the admission deadline and the announced state of a voter.
 func (n *Node) renewAndAdmit() {
 	n.mu.Lock()
 	renewal, due := n.follower.NextRenewal(n.now())
@@ -73,11 +74,11 @@
 	}
 }
 
-// updateAdmission sets the router's admission deadline. It does so with n.mu held, so that no deadline of an earlier state is
-// set over that of a later one. n.mu must be held.
+// updateAdmission sets the router's admission deadline. n.mu must be held, so that the deadline of an earlier state cannot
+// overwrite that of a later one.
 func (n *Node) updateAdmission() { n.router.SetAdmissionDeadline(n.admissionDeadline()) }
 
-// admissionDeadline returns the deadline for the router. n.mu must be held.
+// admissionDeadline returns the argument for Router.SetAdmissionDeadline. n.mu must be held.
 func (n *Node) admissionDeadline() time.Time {
 	if !n.hasApplied() {
 		return admitNothing
@@ -95,7 +96,7 @@
 	return ok && !n.applyPending && n.applyError == "" && n.inForce == active.Revision
 }
 
-// receiveLease handles the answer to a renewal. n.mu must be held.
+// receiveLease handles a lease, the leader's answer to a renewal. n.mu must be held.
 func (n *Node) receiveLease(lease policycommit.Lease) {
 	update := n.follower.ReceiveLease(n.now(), lease)
 	if lease.Incarnation == policycommit.Incarnation(n.transport.Self()) {
@@ -103,15 +104,16 @@
 		n.router.SetExtraShare(lease.ExtraShare, n.timeOf(lease.RenewalSentAt+lease.Duration))
 	}
 	if update.Adopt {
-		n.adopt()
+		n.startApplying()
 	}
 	if update.Adopt || update.RenewNow {
 		n.wakeFollower()
 	}
 }
 
-// leaseTransfer returns what the successor may serve by until it has the address and can renew itself. Its expiry is by the clock
-// that all processes of a machine share.
+// leaseTransfer returns the lease for the successor, which cannot renew it before it listens at the router's address. The
+// remaining time is sent as an expiry by the clock that all processes of a machine share. The result is nil if there is no lease
+// or the active revision is not in force.
 func (n *Node) leaseTransfer() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,11 +122,11 @@
 		return nil
 	}
 	transfer.Remaining += clock.Duration(fleet.Monotonic())
-	text, _ := json.Marshal(transfer) // cannot fail: plain fields
+	text, _ := json.Marshal(transfer) // cannot fail: JSON can encode all fields
 	return text
 }
 
-// receiveTransfer handles a transfer of the predecessor.
+// receiveTransfer adopts the lease that the predecessor transferred.
 func (n *Node) receiveTransfer(text []byte) {
 	var transfer policycommit.LeaseTransfer
 	if json.Unmarshal(text, &transfer) != nil {
@@ -134,18 +136,18 @@
 	defer n.mu.Unlock()
 	transfer.Remaining -= clock.Duration(fleet.Monotonic())
 	if n.follower.AdoptTransfer(n.now(), transfer) {
-		n.adopt()
+		n.startApplying()
 	}
 	n.wakeFollower()
 }
 
-// validate reports why this router cannot apply a document.
+// validate returns an error if this router cannot apply a document.
 func (n *Node) validate(document string) error {
 	_, err := n.parse(document)
 	return err
 }
 
-// parse returns the settings of a document; of the empty one, revision 0, the router's own.
+// parse returns the settings of a document. The empty document, that of revision 0, stands for the router's own settings.
 func (n *Node) parse(document string) (revisionSettings, error) {
 	own := revisionSettings{routing: n.config.OwnSettings}
 	if document == "" {
--- a/internal/controlplane/follower_loop_test.go
+++ b/internal/controlplane/follower_loop_test.go
@@ -9,10 +9,11 @@
 	"spurtrestle/core/routing"
 )
 
-// orderedRouter is busy for the settings of one revision until it has those of a later one.
+// orderedRouter rejects the settings of one revision as busy until it has received those of a later one. MaxAttempts identifies
+// the revisions.
 type orderedRouter struct {
 	recordingRouter
-	busyFor, busyUntil int // MaxAttempts of the two
+	busyFor, busyUntil int
 }
 
 func (o *orderedRouter) SetPolicy(settings routing.Settings, bannedServers []string) error {
@@ -31,13 +32,13 @@
 	return o.settings.MaxAttempts
 }
 
-// A revision whose application is retried is not applied over a later one.
+// While the event loop is busy, the node retries to apply a revision. The retries must stop once a later revision is in force.
 func TestNode_KeepsTheLaterRevisionWhenTheEventLoopIsBusy(t *testing.T) {
 	router := &orderedRouter{busyFor: 5, busyUntil: 6}
 	node := startNode(t, testConfig(t), router)
 	bootstrapNode(t, node, &router.recordingRouter)
 	for i, document := range []string{"schema = 1\nmax_write_outs = 5\n", "schema = 1\nmax_write_outs = 6\n"} {
-		reply := ask(t, node, policycommit.Request{
+		reply := sendRequest(t, node, policycommit.Request{
 			Type:     policycommit.RequestApply,
 			Document: document,
 			Base:     policycommit.Revision(i),
@@ -59,7 +60,7 @@
 	})
 	for deadline := time.Now().Add(10 * applyRetryInterval); time.Now().Before(deadline); time.Sleep(applyRetryInterval) {
 		if attempts := router.maxAttempts(); attempts != 6 {
-			t.Fatalf("revision 2 is in force, and the router decides by %d attempts, want 6", attempts)
+			t.Fatalf("MaxAttempts after revision 2 is in force: got %d, want 6", attempts)
 		}
 	}
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -15,7 +15,7 @@
 	"spurtrestle/internal/goldentest"
 )
 
-// messagesFile has the JSON forms of everything that is exchanged or stored, by name, as the build bfb4b5c wrote them.
+// messagesFile has the JSON of all messages and stored values, by name, as written by build bfb4b5c.
 const messagesFile = "testdata/messages.golden"
 
 func decode[T any](t *testing.T, text string) *T {
@@ -52,8 +52,9 @@
 	golden.CheckAllCompared(t)
 }
 
-// A folder that the build bfb4b5c wrote, with a snapshot and entries behind it, is opened, replayed and led.
-func TestRaftLog_ReadsOlderFolder(t *testing.T) {
+// The directory in testdata was written by build bfb4b5c and contains a snapshot and later entries. This build must replay it,
+// become the leader and append to it.
+func TestRaftLog_ReadsOlderDirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "raft")
 	if err := os.CopyFS(dir, os.DirFS("testdata/raft")); err != nil {
 		t.Fatal(err)
@@ -64,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if !raftLog.currentIdentity().Member {
-		t.Error("the folder's identity does not say that it takes part")
+		t.Error("identity in the directory: got Member false, want true")
 	}
 	started := make(chan error, 1)
 	go func() { started <- raftLog.start(startOptions{}) }()
@@ -74,12 +75,12 @@
 			t.Fatal(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("start did not return in five seconds: it hangs while raft restores the snapshot")
+		t.Fatal("start did not return within five seconds: it hangs while raft restores the snapshot")
 	}
 	t.Cleanup(raftLog.close)
 	for deadline := time.Now().Add(10 * time.Second); !raftLog.isLeader(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the only voter did not become the leader in ten seconds")
+			t.Fatal("the only voter did not become the leader within ten seconds")
 		}
 	}
 	want, err := os.ReadFile("testdata/raft-state.json")
--- a/internal/controlplane/leader_loop.go
+++ b/internal/controlplane/leader_loop.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	leaderInterval          = 20 * time.Millisecond // between two passes of the leader
-	maxQueuedRenewals       = 10000                 // for a fleet of thousands
-	membershipRetryInterval = 200 * clock.Millisecond
-	deadlineMargin          = 1 * clock.Second // after the longest deadline of a method, until its requests are certainly over
+	leaderInterval          = 20 * time.Millisecond   // between two passes of the leader
+	maxQueuedRenewals       = 10000                   // enough for a fleet of thousands of routers
+	membershipRetryInterval = 200 * clock.Millisecond // between two appends of the same router's join or leave
+	deadlineMargin          = 1 * clock.Second        // after the longest deadline, by when all requests have certainly ended
 )
 
-// leaderState is the state of a node as leader; on other nodes coordinator is nil. Node.mu guards it.
+// leaderState is the state of a node that leads. coordinator is nil on other nodes. Node.mu guards it.
 type leaderState struct {
 	coordinator          *policycommit.Leader
 	renewals             []queuedRenewal
@@ -27,6 +27,7 @@
 	sites                siteLeader
 }
 
+// queuedRenewal is a renewal that waits for the next pass of the leader.
 type queuedRenewal struct {
 	policycommit.Renewal
 	from fleet.Incarnation
@@ -45,7 +46,7 @@
 	}
 }
 
-// runLeader makes a pass of the leader while this voter leads, until the node is closed.
+// runLeader calls leaderPass periodically until the node is closed.
 func (n *Node) runLeader() {
 	for {
 		n.leaderPass()
@@ -57,22 +58,23 @@
 	}
 }
 
+// leaderPass updates the leadership and, if this voter leads, does the periodic work of the leader.
 func (n *Node) leaderPass() {
 	coordinator, renewals := n.updateLeadership()
 	if coordinator == nil {
 		return
 	}
 	n.raftLog.addVoters(n.transport.Voters(), n.config.Voters, n.inviteVoter)
-	n.evaluateSites() // before the first lease of a term: a lease without orders would end those of the term before
+	n.evaluateSites() // before the first lease of a term: a lease without orders would cancel the orders of the previous term
 	n.answerRenewals(coordinator, renewals)
-	state := n.raftLog.currentState() // with the entries that were applied while renewals were answered
+	state := n.raftLog.currentState() // includes entries that were applied while renewals were answered
 	n.resolvePending(coordinator, state)
 	n.updateShares(coordinator, state)
 	n.sendVerdicts()
 }
 
-// updateLeadership begins or ends a term of this leader, and dequeues the renewals received since the last pass. The coordinator is
-// nil if this voter does not lead.
+// updateLeadership begins or ends the term of this voter as leader if raft's leadership has changed, and returns the renewals
+// received since the last pass. The coordinator is nil if this voter does not lead.
 func (n *Node) updateLeadership() (*policycommit.Leader, []queuedRenewal) {
 	isLeader := n.raftLog.isLeader()
 	n.mu.Lock()
@@ -92,7 +94,7 @@
 	return n.leader.coordinator, renewals
 }
 
-// leaderTiming is the timing of a leader whose routers have no request in flight longer than the longest deadline.
+// leaderTiming returns the timing of a leader. Its quiesce period covers the longest deadline of a request in flight.
 func (n *Node) leaderTiming() policycommit.Timing {
 	timing := policycommit.DefaultTiming()
 	for _, method := range n.config.OwnSettings.Methods {
@@ -112,8 +114,8 @@
 	}
 }
 
-// answerRenewals answers what was received before a majority confirmed this leader; the rest waits for the next pass.
-// It sends under n.mu: sending does not wait for the network.
+// answerRenewals answers renewals with leases. A majority of the voters must confirm the leader after the renewals were received;
+// renewals that arrive meanwhile wait for the next pass. It sends with n.mu held, since sending does not wait for the network.
 func (n *Node) answerRenewals(coordinator *policycommit.Leader, renewals []queuedRenewal) {
 	if len(renewals) == 0 || !n.raftLog.confirmLeadership() {
 		return
@@ -129,7 +131,7 @@
 		}
 		if answer.Entry != nil && now-n.leader.membershipAppendedAt[answer.Entry.Name] > membershipRetryInterval {
 			n.leader.membershipAppendedAt[answer.Entry.Name] = now
-			n.appendAsync(*answer.Entry) // if it fails, the router's next renewal repeats it
+			n.appendAsync(*answer.Entry) // if it fails, a later renewal of the router causes another append
 		}
 	}
 }
@@ -143,7 +145,8 @@
 	})
 }
 
-// resolvePending appends the entry that ends the pending change, if it is due. A failed append is repeated by the next pass.
+// resolvePending appends the entry that commits or aborts the pending change, if one is due. The next pass repeats a failed
+// append.
 func (n *Node) resolvePending(coordinator *policycommit.Leader, state *policycommit.LogState) {
 	n.mu.Lock()
 	entry := coordinator.ResolvePending(n.now(), state)
@@ -153,8 +156,8 @@
 	}
 }
 
-// updateShares appends the entry that leases out the share of a lost router or gives it back, if one is due. A failed append is
-// repeated by the next pass.
+// updateShares appends the entry that leases out the share of a lost router or returns it, if one is due. The next pass repeats a
+// failed append.
 func (n *Node) updateShares(coordinator *policycommit.Leader, state *policycommit.LogState) {
 	n.mu.Lock()
 	entry := coordinator.NextShareEntry(n.now(), state)
@@ -165,13 +168,13 @@
 	n.log.WithFields(logrus.Fields{
 		"kind":     string(entry.Kind),
 		"router":   string(entry.Name),
-		"what":     string(entry.Kind), // the key of earlier releases, until the next one
+		"what":     string(entry.Kind), // deprecated key, kept for one release
 		"formerly": "policy: a lost router's part",
 	}).Warn("policy: share of a lost router")
 	_ = n.raftLog.append(*entry)
 }
 
-// sendVerdicts replies to the operators' requests whose changes have been resolved.
+// sendVerdicts replies to the operators' requests whose changes have been committed or aborted.
 func (n *Node) sendVerdicts() {
 	for token, verdict := range n.raftLog.takeVerdicts() {
 		n.mu.Lock()
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -8,13 +8,13 @@
 	"spurtrestle/internal/fleet"
 )
 
-// message is what nodes send one another, as JSON. Exactly one of Renewal, Lease, Request, Reply and VoterInvitation is set.
+// message is a message between nodes, encoded as JSON. Exactly one of Renewal, Lease, Request, Reply and VoterInvitation is set.
 type message struct {
 	Renewal         *policycommit.Renewal `json:"r,omitempty"` // to the leader
 	Lease           *policycommit.Lease   `json:"g,omitempty"` // from the leader
 	Request         *policycommit.Request `json:"q,omitempty"` // to the leader
 	Reply           *policycommit.Reply   `json:"a,omitempty"` // from the leader
-	VoterInvitation string                `json:"w,omitempty"` // from the leader: the voter with this ID may join raft
+	VoterInvitation string                `json:"w,omitempty"` // from the leader; the ID of the voter that may join raft
 
 	SiteReport *sitefailover.Report `json:"s,omitempty"` // with Renewal
 	SiteOrders *sitefailover.Orders `json:"o,omitempty"` // with Lease
@@ -22,11 +22,11 @@
 
 // send sends a message, which may be lost.
 func (n *Node) send(to fleet.Incarnation, m message) {
-	body, _ := json.Marshal(m) // cannot fail: plain fields
+	body, _ := json.Marshal(m) // cannot fail: JSON can encode all fields
 	n.transport.Send(to, body)
 }
 
-// receive handles a message. The transport calls it from its reading goroutine, so it must not block.
+// receive handles a message. The transport calls it from its receiving goroutine, so it must not block.
 func (n *Node) receive(from fleet.Incarnation, body []byte) {
 	var m message
 	if json.Unmarshal(body, &m) != nil {
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -16,66 +16,68 @@
 // Config is the configuration of a Node.
 type Config struct {
 	Name        string
-	FailOpen    bool     // keep serving under the active revision while the leader cannot be reached
+	FailOpen    bool     // keep admitting requests under the active revision while the leader is unreachable
 	Voters      []string // names of the routers with a raft log
 	Raft        RaftConfig
-	OwnSettings routing.Settings // of revision 0, and for what a document leaves out
+	OwnSettings routing.Settings // used for revision 0, and for the fields that a document leaves out
 	Site        string
-	Sites       []string // all that the settings name; empty if they name none
+	Sites       []string // all sites in the settings; empty if the settings name none
 
-	// ConfigError makes the error of a field of the operator's file.
+	// ConfigError returns an error about a field of the operator's file.
 	ConfigError func(field, problem, remedy string) error
 }
 
 func (c Config) isVoter() bool { return slices.Contains(c.Voters, c.Name) }
 
-// Router is the router that a Node controls. Its methods may be called from any goroutine but the router's event loop.
+// Router is the router that a Node controls. Its methods may be called from any goroutine except the router's event loop.
 type Router interface {
-	// SetPolicy replaces the settings and the banned cache servers. They are in force once it returns nil. After an error they
-	// are not, and never will be by this call.
+	// SetPolicy replaces the settings and the banned cache servers. They are in force once it returns nil. If it fails, they are
+	// not, and this call will not put them into force later.
 	SetPolicy(settings routing.Settings, bannedServers []string) error
-	// SetAdmissionDeadline lets the router admit requests until deadline: always if it is zero, not at all if it has passed.
+	// SetAdmissionDeadline lets the router admit requests until deadline. A zero deadline never ends admission; one in the past
+	// ends it at once.
 	SetAdmissionDeadline(deadline time.Time)
 	// SetExtraShare adds to the router's share of the fleet's limits until expiresAt.
 	SetExtraShare(share float64, expiresAt time.Time)
-	// OfferTransfer passes the result of transfer to the process that replaces this one, if there is one.
+	// OfferTransfer sends the result of transfer to the process that replaces this one, if there is one.
 	OfferTransfer(transfer func() []byte)
-	// OnTransfer registers the function that receives the transfers of the process that this one replaces.
+	// OnTransfer registers the handler of transfers from the process that this one replaces.
 	OnTransfer(receive func([]byte))
-	// SetSiteOrders replaces the orders on lost sites until expiresAt, and returns the router's recent load. They are in force
-	// once the error is nil.
+	// SetSiteOrders replaces the site failover orders until expiresAt, and returns the router's recent load. The orders are in
+	// force once it returns a nil error.
 	SetSiteOrders(orders routing.FailoverOrders, expiresAt time.Time) (routing.RouterLoad, error)
 }
 
-// Node is a router's part in the control plane. Close ends it.
+// Node is a router's part in the control plane. It implements fleet.Policy, and is safe for concurrent use.
 type Node struct {
 	config    Config
 	router    Router
 	transport fleet.Transport
 	log       *logrus.Logger
 	startedAt time.Time
-	raftLog   *raftLog // nil if this router is no voter
+	raftLog   *raftLog // nil if this router is not a voter
 
-	// mu guards the fields below. Of Router, only SetExtraShare and SetAdmissionDeadline are called with mu held: they do not
-	// block.
+	// mu guards the fields below. Of the methods of Router, only SetExtraShare and SetAdmissionDeadline are called with mu held,
+	// since they do not block.
 	mu           sync.Mutex
 	follower     *policycommit.Follower
-	applyPending bool                  // the active revision is neither in force nor found to be impossible to apply
-	inForce      policycommit.Revision // that the router decides by
+	applyPending bool                  // the active revision has been neither applied nor rejected by this build
+	inForce      policycommit.Revision // the revision that the router has applied
 	applyError   string                // why this build cannot apply the active revision
 	extraShare   float64               // of the last lease
 	siteOrders   siteOrders
-	pendingCalls map[uint64]chan policycommit.Reply // operators' requests sent by this node, by ID
+	pendingCalls map[uint64]chan policycommit.Reply // operators' requests that this node has sent, by ID
 	leader       leaderState
 	closed       bool
 
-	adopted    chan struct{} // makes the applier run
-	wake       chan struct{} // makes the follower loop run at once
-	stop       chan struct{} // closed by Close
-	goroutines sync.WaitGroup
+	applierWake  chan struct{} // signals the applier that a revision is pending
+	followerWake chan struct{} // makes the follower loop run immediately
+	stop         chan struct{} // closed by Close
+	goroutines   sync.WaitGroup
 }
 
-// start opens the raft log of a voter and starts the goroutines of a Node. The router admits nothing before its first lease.
+// start opens the raft log if the router is a voter, and starts the goroutines of a Node. The router admits no requests before
+// its first lease.
 func start(config Config, incarnation fleet.Incarnation, build string, router Router, transport fleet.Transport, log *logrus.Logger) (*Node, error) {
 	n := &Node{
 		config:       config,
@@ -85,8 +87,8 @@
 		startedAt:    time.Now(),
 		pendingCalls: map[uint64]chan policycommit.Reply{},
 		leader:       newLeaderState(),
-		adopted:      make(chan struct{}, 1),
-		wake:         make(chan struct{}, 1),
+		applierWake:  make(chan struct{}, 1),
+		followerWake: make(chan struct{}, 1),
 		stop:         make(chan struct{}),
 	}
 	n.follower = policycommit.NewFollower(policycommit.DefaultTiming(), policycommit.FollowerConfig{
@@ -99,7 +101,7 @@
 	if config.isVoter() {
 		raftLog, err := openRaftLog(config.Raft, config.Name, log)
 		if err != nil {
-			return nil, config.ConfigError("policy.dir", err.Error(), "give the keeper a folder of its own that it can write, and an address that nobody listens on")
+			return nil, config.ConfigError("policy.dir", err.Error(), "use a separate, writable directory for each keeper, and an address that no other process listens on")
 		}
 		n.raftLog = raftLog
 	}
@@ -116,16 +118,16 @@
 	return n, nil
 }
 
-// now returns the time since the node's start.
+// now returns the time that the core packages use: the monotonic time since the node's start.
 func (n *Node) now() clock.Time { return clock.Time(time.Since(n.startedAt) / time.Microsecond) }
 
-// timeOf converts a time of now to the process's clock.
+// timeOf converts a time of now to a time.Time.
 func (n *Node) timeOf(t clock.Time) time.Time {
 	return n.startedAt.Add(time.Duration(t) * time.Microsecond)
 }
 
-// Close tells the leader that this router admits nothing any more, and ends the node. With replaced, another process goes on for
-// the router: it stays a member, and the leader waits for the renewals of that process.
+// Close implements fleet.Policy. It announces to the leader that this router no longer admits requests, and stops the node. If
+// replaced, a successor continues for the router: the router stays a member, and the leader waits for the successor's renewals.
 func (n *Node) Close(replaced bool) {
 	n.mu.Lock()
 	renewal := n.follower.Leave(n.now())
@@ -138,19 +140,20 @@
 	n.mu.Unlock()
 	close(n.stop)
 	if n.raftLog != nil {
-		n.raftLog.close() // ends the appends that wait for a majority
+		n.raftLog.close() // makes appends fail that wait for a majority
 	}
 	n.goroutines.Wait()
 }
 
-// spawn runs f in a goroutine that Close waits for; not at all once the node is closed. n.mu must be held.
+// spawn runs f in a goroutine that Close waits for. It does nothing once the node is closed. n.mu must be held.
 func (n *Node) spawn(f func()) {
 	if !n.closed {
 		n.goroutines.Go(f)
 	}
 }
 
-// sendLeaving sends the last renewal. If all its copies are lost, the leader waits for the lease to expire, as after a crash.
+// sendLeaving sends the last renewal of this router. If all copies are lost, the leader waits until the lease has expired, as
+// after a crash.
 func (n *Node) sendLeaving(renewal policycommit.Renewal) {
 	const copies, interval = 2, 60 * time.Millisecond
 	renewal.Site = n.config.Site
--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -17,7 +17,7 @@
 	"spurtrestle/internal/fleet"
 )
 
-// loopbackTransport is the transport of a fleet of one router: it delivers every message to its own node.
+// loopbackTransport is the transport of a fleet with one router. It delivers every message to the sender.
 type loopbackTransport struct {
 	mu       sync.Mutex
 	handler  func(from fleet.Incarnation, body []byte)
@@ -34,7 +34,7 @@
 	l.mu.Lock()
 	handler := l.handler
 	l.mu.Unlock()
-	go handler(to, body) // as a network does: never on the sender's goroutine
+	go handler(to, body) // on another goroutine, as fleet.Transport requires
 }
 
 func (l *loopbackTransport) OnMessage(handler func(from fleet.Incarnation, body []byte)) {
@@ -80,13 +80,13 @@
 func (*loopbackTransport) AcknowledgedIndex(uint64) uint64 { return 0 }
 func (*loopbackTransport) Members() []fleet.Member         { return []fleet.Member{{Name: "n1"}} }
 
-// recordingRouter records what a node sets.
+// recordingRouter records the calls of a node.
 type recordingRouter struct {
 	mu            sync.Mutex
 	deadline      time.Time
 	settings      routing.Settings
 	bannedServers []string
-	busy          int // this many calls of SetPolicy fail first
+	busy          int // number of calls of SetPolicy that are still to fail
 }
 
 func (r *recordingRouter) SetPolicy(settings routing.Settings, bannedServers []string) error {
@@ -130,7 +130,7 @@
 			Advertise: netip.MustParseAddrPort("127.0.0.1:8500"),
 		},
 		OwnSettings: routing.Settings{Routers: 1, MaxAttempts: 2},
-		ConfigError: func(field, what, remedy string) error { return errors.New(field + ": " + what + "; " + remedy) },
+		ConfigError: func(field, problem, remedy string) error { return errors.New(field + ": " + problem + "; " + remedy) },
 	}
 }
 
@@ -140,7 +140,7 @@
 	return log
 }
 
-// startNode starts the node of a fleet of one router.
+// startNode starts the node of a fleet with one router, and closes it at the end of the test.
 func startNode(t *testing.T, config Config, router Router) *Node {
 	t.Helper()
 	node, err := start(config, ownIncarnation, "build", router, &loopbackTransport{}, quietLog())
@@ -155,13 +155,13 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !happened(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in ten seconds: %s", event)
+			t.Fatalf("timeout of ten seconds: %s", event)
 		}
 	}
 }
 
-// ask sends a request and decodes the reply.
-func ask(t *testing.T, node *Node, request policycommit.Request) policycommit.Reply {
+// sendRequest sends an operator's request and decodes the reply.
+func sendRequest(t *testing.T, node *Node, request policycommit.Request) policycommit.Reply {
 	t.Helper()
 	text, err := json.Marshal(request)
 	if err != nil {
@@ -218,7 +218,7 @@
 		Author:   "ada",
 		Reason:   "test",
 	}
-	reply := ask(t, node, apply)
+	reply := sendRequest(t, node, apply)
 	if reply.Verdict == nil || !reply.Verdict.Committed || reply.Verdict.Revision != 1 {
 		t.Fatalf("verdict: got %+v, want revision 1 committed", reply.Verdict)
 	}
@@ -231,16 +231,16 @@
 	}
 	router.mu.Unlock()
 
-	if again := ask(t, node, apply); again.Verdict == nil || *again.Verdict != *reply.Verdict {
+	if again := sendRequest(t, node, apply); again.Verdict == nil || *again.Verdict != *reply.Verdict {
 		t.Errorf("repeated request: got %+v, want %+v", again.Verdict, reply.Verdict)
 	}
 	apply.Token = "t2"
-	if stale := ask(t, node, apply); stale.Verdict == nil || stale.Verdict.Committed || !strings.Contains(stale.Verdict.Reason, "made for revision 0, and 1 is in force") {
-		t.Errorf("change of an old revision: got %+v", stale.Verdict)
+	if stale := sendRequest(t, node, apply); stale.Verdict == nil || stale.Verdict.Committed || !strings.Contains(stale.Verdict.Reason, "made for revision 0, and 1 is in force") {
+		t.Errorf("change based on an old revision: got %+v, want it rejected", stale.Verdict)
 	}
 }
 
-func TestStart_RejectsAFolderThatCannotBeMade(t *testing.T) {
+func TestStart_RejectsADirectoryThatCannotBeCreated(t *testing.T) {
 	config := testConfig(t)
 	config.Raft.Dir = "/dev/null/raft"
 	if _, err := start(config, ownIncarnation, "build", &recordingRouter{}, &loopbackTransport{}, quietLog()); err == nil || !strings.HasPrefix(err.Error(), "policy.dir: ") {
--- a/internal/controlplane/raft_identity.go
+++ b/internal/controlplane/raft_identity.go
@@ -14,15 +14,15 @@
 
 const identityFileName = "keeper.json"
 
-// voterIdentity is the voter that a folder belongs to. It is stored in the folder. A new folder has a new ID, and so is another
-// voter to raft.
+// voterIdentity identifies the voter that a directory belongs to, and is stored in it. A new directory has a new ID, so that raft
+// regards it as another voter.
 type voterIdentity struct {
 	Name    string `json:"name"`
 	VoterID uint64 `json:"number"`
-	Member  bool   `json:"member"` // the voter has joined raft with this folder
+	Member  bool   `json:"member"` // the voter has joined raft with this directory
 }
 
-// openIdentity reads the identity of a folder, or persists one in a new folder.
+// openIdentity reads the identity in a directory, or stores a new one if there is none.
 func openIdentity(dir, name string) (voterIdentity, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return voterIdentity{}, err
@@ -40,12 +40,12 @@
 		return voterIdentity{}, fmt.Errorf("%s in %s cannot be read (%v)", identityFileName, dir, err)
 	}
 	if identity.Name != name {
-		return voterIdentity{}, fmt.Errorf("%s is the folder of keeper %q, and this one is %q", dir, identity.Name, name)
+		return voterIdentity{}, fmt.Errorf("%s belongs to router %q, and this is router %q", dir, identity.Name, name)
 	}
 	return identity, nil
 }
 
-// persist writes the identity to a new file and renames it.
+// persist replaces the identity file atomically.
 func (v voterIdentity) persist(dir string) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -58,12 +58,12 @@
 	return os.Rename(name+".new", name)
 }
 
-// serverID returns raft's ID of a voter: its name and the ID of its folder.
+// serverID returns the ID of a voter in raft: the router's name and the voter ID of its directory.
 func serverID(name string, voterID uint64) raft.ServerID {
 	return raft.ServerID(name + "/" + formatVoterID(voterID))
 }
 
-// routerName returns the name in raft's ID of a voter.
+// routerName returns the router's name in the ID of a voter.
 func routerName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), "/")
 	return name
--- a/internal/controlplane/raft_log.go
+++ b/internal/controlplane/raft_log.go
@@ -24,67 +24,68 @@
 
 const (
 	logStoreName       = "log.db"
-	logStoreLockWait   = 100 * time.Millisecond // for a process that has the folder; without it bbolt waits for ever
-	raftTimeout        = 2 * time.Second        // of one append, barrier or change of voters
+	logStoreLockWait   = 100 * time.Millisecond // for another process that has the store open; by default bbolt waits forever
+	raftTimeout        = 2 * time.Second        // of one append, barrier or configuration change
 	raftHeartbeat      = 600 * time.Millisecond
 	raftElection       = 600 * time.Millisecond
 	raftLeaderLease    = 400 * time.Millisecond
 	raftCommit         = 20 * time.Millisecond
 	snapshotInterval   = 10 * time.Second
 	snapshotThreshold  = 512 // entries
-	trailingEntries    = 256 // retained behind a snapshot, for voters that lag
+	trailingEntries    = 256 // retained after a snapshot, for voters that lag behind
 	retainedSnapshots  = 2
 	connectionsPerPeer = 3
 )
 
-// notInvited is the fault of a voter with a new folder. It and the other faults are part of the answer to GET /ops/policy.
+// notInvited is the fault of a voter with a new directory. The response to GET /ops/policy contains this text, and those of all
+// other faults.
 const notInvited = "it has not been welcomed yet"
 
-// RaftConfig is where a voter stores the raft log, and where the other voters reach it.
+// RaftConfig configures the raft log of a voter.
 type RaftConfig struct {
-	Dir       string
-	Listen    netip.AddrPort
-	Advertise netip.AddrPort
+	Dir       string         // directory of the log
+	Listen    netip.AddrPort // address that this voter listens on
+	Advertise netip.AddrPort // address at which the other voters reach this one
 }
 
-// StaleLogError reports a folder whose log ends before an entry that the voter has acknowledged: the folder was restored from an
-// older copy, and the voter must not vote by it.
+// StaleLogError reports that the log in a directory ends before an entry that the voter has acknowledged. The directory was
+// restored from an older copy, and the voter must not vote with it.
 type StaleLogError struct {
-	LastIndex         uint64
-	AcknowledgedIndex uint64
+	LastIndex         uint64 // last entry in the directory
+	AcknowledgedIndex uint64 // highest entry that the voter has acknowledged
 }
 
-// Error implements error.
+// Error implements error. The response to GET /ops/policy contains the text.
 func (e *StaleLogError) Error() string {
 	return fmt.Sprintf("the folder ends at entry %d, and its keeper has spoken of %d: it was put back, or lost; "+
 		"empty it, and have the keeper taken up anew with cache-routerctl policy keeper replace", e.LastIndex, e.AcknowledgedIndex)
 }
 
-// raftLog is the replicated log of one voter. It is opened at the node's start and joins raft by start: a voter with a
-// new folder first waits for a bootstrap or an invitation, so that a voter whose folder was lost has no vote by the new one. All methods may
-// be called concurrently, but for isLeader.
+// raftLog is the replicated log of one voter. The node opens it at its start and calls start when the voter may join raft. A
+// voter with a new directory waits for a bootstrap or an invitation first: a voter that has lost its directory must not vote with
+// an empty log. All methods except isLeader are safe for concurrent use.
 type raftLog struct {
 	config  RaftConfig
 	log     *logrus.Logger
 	replica replica
 
-	writeFault  atomic.Pointer[string] // the folder cannot be written; nil: it can
-	barrierTerm uint64                 // the term in which the replica has all entries of earlier terms; owned by isLeader
+	writeFault  atomic.Pointer[string] // why the last write to the directory failed; nil if it succeeded
+	barrierTerm uint64                 // term in which the replica has applied all entries of earlier terms; owned by isLeader
 
 	mu             sync.Mutex // guards the fields below
 	identity       voterIdentity
 	inactiveReason string // why the voter has not joined raft; empty if it has
 	node           *raft.Raft
-	closers        []func() error // in the order of opening
+	closers        []func() error // in the order in which the resources were opened
 }
 
-// startOptions are how a voter joins raft.
+// startOptions determines how a voter joins raft.
 type startOptions struct {
-	acknowledgedIndex uint64 // the highest that this voter has announced to other routers
-	bootstrap         bool   // begin a new log, with this voter alone
+	acknowledgedIndex uint64 // the highest index that this voter has announced to other routers
+	bootstrap         bool   // begin a new log with this voter as the only one
 }
 
-// openRaftLog reads the identity of a folder, or makes one in a new folder.
+// openRaftLog reads the identity in a directory, or creates one in a new directory.
 func openRaftLog(config RaftConfig, name string, log *logrus.Logger) (*raftLog, error) {
 	identity, err := openIdentity(config.Dir, name)
 	if err != nil {
@@ -99,7 +100,7 @@
 	}, nil
 }
 
-// start joins raft. It does nothing if the voter has joined, and can be repeated after an error.
+// start joins raft. It does nothing if the voter has already joined. It can be called again after an error.
 func (l *raftLog) start(options startOptions) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// joinRaft opens the store, the snapshots and the transport, and starts raft on them. l.mu must be held.
+// joinRaft opens the store, the snapshots and the transport, and starts raft with them. l.mu must be held.
 func (l *raftLog) joinRaft(options startOptions) error {
 	store, err := raftboltdb.New(raftboltdb.Options{
 		Path:        filepath.Join(l.config.Dir, logStoreName),
@@ -154,7 +155,7 @@
 	return err
 }
 
-// checkLogIsCurrent returns a StaleLogError if the folder ends before acknowledgedIndex.
+// checkLogIsCurrent returns a StaleLogError if the log and the snapshots end before acknowledgedIndex.
 func checkLogIsCurrent(store raft.LogStore, snapshots raft.SnapshotStore, acknowledgedIndex uint64) error {
 	last, err := store.LastIndex()
 	if err != nil {
@@ -169,6 +170,7 @@
 	return nil
 }
 
+// listen opens raft's transport. l.mu must be held.
 func (l *raftLog) listen() (*raft.NetworkTransport, error) {
 	listener, err := net.Listen("tcp", l.config.Listen.String())
 	if err != nil {
@@ -198,15 +200,15 @@
 	return config
 }
 
-// raftNode returns nil before start.
+// raftNode returns raft's node, or nil before start.
 func (l *raftLog) raftNode() *raft.Raft {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.node
 }
 
-// isLeader reports whether this voter leads raft and its replica has all entries that earlier leaders committed. It blocks for raftTimeout
-// at most, once in a term. Only the leader's loop calls it.
+// isLeader reports whether this voter leads raft and its replica has applied all entries that earlier leaders committed. It may
+// block for up to raftTimeout, until its barrier has succeeded once in the term. Only the goroutine of runLeader may call it.
 func (l *raftLog) isLeader() bool {
 	node := l.raftNode()
 	if node == nil || node.State() != raft.Leader {
@@ -223,13 +225,13 @@
 	return true
 }
 
-// confirmLeadership reports whether a majority of the voters has confirmed, since the call, that this one leads.
+// confirmLeadership reports whether a majority of the voters confirms, after the call began, that this one leads.
 func (l *raftLog) confirmLeadership() bool {
 	node := l.raftNode()
 	return node != nil && node.VerifyLeader().Error() == nil
 }
 
-// append appends an entry and waits until the replica has applied it. After an error the entry may be in the log or not.
+// append appends an entry and waits until the replica has applied it. If it fails, the entry may still have been appended.
 func (l *raftLog) append(entry policycommit.Entry) error {
 	node := l.raftNode()
 	if node == nil {
@@ -242,7 +244,7 @@
 	return node.Apply(data, raftTimeout).Error()
 }
 
-// currentState returns a copy of the state that the entries applied so far add up to.
+// currentState returns a copy of the state after all entries applied so far.
 func (l *raftLog) currentState() *policycommit.LogState { return l.replica.currentState() }
 
 // takeVerdicts returns the verdicts since the last call.
@@ -256,7 +258,7 @@
 	return l.identity
 }
 
-// voterStatus returns what the other routers are to know of this voter.
+// voterStatus returns the state of this voter to announce to the other routers. It leaves out Name and Incarnation.
 func (l *raftLog) voterStatus() fleet.VoterStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -271,7 +273,7 @@
 	return status
 }
 
-// fault returns why the voter has not joined raft or cannot write its folder; empty if all is well.
+// fault returns why the voter has not joined raft or cannot write its directory. It is empty if there is no fault.
 func (l *raftLog) fault() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,7 +284,7 @@
 	return l.inactiveReason
 }
 
-// recordWrite handles the result of a write to the folder, and logs when the folder ceases to be writable or is writable again.
+// recordWrite records the result of a write to the directory. It logs the first failure, and the first success after one.
 func (l *raftLog) recordWrite(err error) {
 	var fault *string
 	if err != nil {
@@ -299,7 +301,7 @@
 	}
 }
 
-// close shuts raft down. Appends that wait for a majority fail.
+// close shuts raft down. Appends that are waiting for a majority fail.
 func (l *raftLog) close() {
 	l.mu.Lock()
 	node, closers := l.node, l.closers
@@ -309,11 +311,11 @@
 		_ = node.Shutdown().Error() // always nil
 	}
 	if err := closeAll(closers); err != nil {
-		l.log.WithError(err).Debug("policy: closing the raft log")
+		l.log.WithError(err).Debug("policy: raft log not closed cleanly")
 	}
 }
 
-// closeAll closes what was opened, the last first.
+// closeAll calls the closers in reverse order.
 func closeAll(closers []func() error) error {
 	var errs []error
 	for _, closeNext := range slices.Backward(closers) {
--- a/internal/controlplane/raft_replica.go
+++ b/internal/controlplane/raft_replica.go
@@ -11,12 +11,12 @@
 	"spurtrestle/core/policycommit"
 )
 
-// replica is this voter's copy of the replicated state: the finite state machine of raft. It has a lock of its own: raftLog.mu is
-// locked while raft restores a snapshot.
+// replica is this voter's copy of the replicated state. It implements raft.FSM. It has its own mutex, since raft restores a
+// snapshot while raftLog.mu is held.
 type replica struct {
 	mu       sync.Mutex
 	state    *policycommit.LogState
-	verdicts map[policycommit.Token]policycommit.Verdict // since takeVerdicts
+	verdicts map[policycommit.Token]policycommit.Verdict // since the last call of takeVerdicts
 }
 
 func newReplica() replica {
@@ -37,7 +37,7 @@
 	return verdicts
 }
 
-// Apply implements raft.FSM. An entry that cannot be decoded is of a later build and is ignored.
+// Apply implements raft.FSM. It ignores an entry that it cannot decode, which a later build has written.
 func (r *replica) Apply(log *raft.Log) any {
 	var entry policycommit.Entry
 	if json.Unmarshal(log.Data, &entry) != nil {
@@ -56,7 +56,7 @@
 
 // Restore implements raft.FSM.
 func (r *replica) Restore(from io.ReadCloser) error {
-	defer from.Close() // it was read to its end: an error to close it means nothing
+	defer from.Close() // the snapshot was read completely: an error of Close does not matter
 	state := &policycommit.LogState{}
 	if err := json.NewDecoder(from).Decode(state); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// stateSnapshot is a state that raft writes to a snapshot.
+// stateSnapshot is a state to be written to a snapshot. It implements raft.FSMSnapshot.
 type stateSnapshot struct{ *policycommit.LogState }
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/controlplane/raft_store.go
+++ b/internal/controlplane/raft_store.go
@@ -5,11 +5,11 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// observedStore is a raft store that reports the result of each write. raft itself does not: a follower whose disk is full just
-// falls behind.
+// observedStore is a raft store that reports the result of each write. Raft does not report it: a follower with a full disk
+// falls behind silently.
 type observedStore struct {
 	*raftboltdb.BoltStore
-	afterWrite func(error)
+	afterWrite func(error) // called with the error of each write, or nil
 }
 
 // StoreLog implements raft.LogStore.
--- a/internal/controlplane/raft_test.go
+++ b/internal/controlplane/raft_test.go
@@ -15,14 +15,14 @@
 	"spurtrestle/core/policycommit"
 )
 
-func TestOpenIdentity_KeepsTheIDOfAFolder(t *testing.T) {
+func TestOpenIdentity_KeepsTheIDOfADirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "raft")
 	first, err := openIdentity(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first.Name != "n1" || first.VoterID == 0 || first.Member {
-		t.Errorf("new folder: got %+v", first)
+		t.Errorf("new directory: got %+v", first)
 	}
 	first.Member = true
 	if err := first.persist(dir); err != nil {
@@ -31,8 +31,8 @@
 	if second, err := openIdentity(dir, "n1"); err != nil || second != first {
 		t.Errorf("opened again: got %+v, %v, want %+v", second, err, first)
 	}
-	if _, err := openIdentity(dir, "n2"); err == nil || !strings.Contains(err.Error(), `the folder of keeper "n1"`) {
-		t.Errorf("folder of another voter: got %v", err)
+	if _, err := openIdentity(dir, "n2"); err == nil || !strings.Contains(err.Error(), `belongs to router "n1"`) {
+		t.Errorf("directory of another voter: got %v", err)
 	}
 }
 
@@ -58,8 +58,9 @@
 	}
 }
 
-// A folder whose log ends before an acknowledged entry does not take part, and its raft files are closed again.
-func TestRaftLog_RejectsAStaleFolder(t *testing.T) {
+// A voter must not join raft with a log that ends before an entry which it has acknowledged. The failed start must close the
+// raft files, so that another start can open them.
+func TestRaftLog_RejectsAStaleDirectory(t *testing.T) {
 	raftLog, err := openRaftLog(testConfig(t).Raft, "n1", quietLog())
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +69,7 @@
 	var stale *StaleLogError
 	err = raftLog.start(startOptions{acknowledgedIndex: 10})
 	if !errors.As(err, &stale) || stale.LastIndex != 0 || stale.AcknowledgedIndex != 10 {
-		t.Errorf("got %v, want a StaleLogError of entries 0 and 10", err)
+		t.Errorf("got %v, want a StaleLogError with LastIndex 0 and AcknowledgedIndex 10", err)
 	}
 	if raftLog.voterStatus().Voter || !strings.Contains(raftLog.fault(), "it was put back, or lost") {
 		t.Errorf("after the error: voter %v, fault %q", raftLog.voterStatus().Voter, raftLog.fault())
@@ -99,7 +100,7 @@
 		t.Fatal(err)
 	}
 	if raftLog.isLeader() || raftLog.confirmLeadership() {
-		t.Error("a voter that takes no part leads")
+		t.Error("a voter that has not joined raft reports that it leads")
 	}
 	if err := raftLog.append(policycommit.Entry{}); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("append: got %v, want ErrNoLeader", err)
@@ -132,12 +133,12 @@
 		}
 		source.Apply(&raft.Log{Index: uint64(i + 1), Data: data})
 	}
-	source.Apply(&raft.Log{Index: 4, Data: []byte("not JSON")}) // of a later build: ignored
+	source.Apply(&raft.Log{Index: 4, Data: []byte("not JSON")}) // stands for an entry of a later build, which is ignored
 	if verdicts := source.takeVerdicts(); len(verdicts) != 1 || !verdicts["t1"].Committed {
 		t.Errorf("verdicts: got %+v, want t1 committed", verdicts)
 	}
 	if verdicts := source.takeVerdicts(); len(verdicts) != 0 {
-		t.Errorf("verdicts taken twice: got %+v", verdicts)
+		t.Errorf("second takeVerdicts: got %+v, want none", verdicts)
 	}
 	snapshot, err := source.Snapshot()
 	if err != nil {
@@ -156,6 +157,6 @@
 		t.Errorf("restored:\n got %s\nwant %s", got, want)
 	}
 	if err := restored.Restore(io.NopCloser(strings.NewReader("{"))); err == nil {
-		t.Error("a truncated snapshot was restored")
+		t.Error("restore of a truncated snapshot: got no error")
 	}
 }
--- a/internal/controlplane/raft_transport.go
+++ b/internal/controlplane/raft_transport.go
@@ -7,14 +7,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// streamLayer is raft's network: TCP between the voters. It dials from the address that it listens on, so that the other
-// voter can identify it by its address.
+// streamLayer connects voters over TCP. It implements raft.StreamLayer. It dials from the IP address that it listens on, so that
+// the other voters can identify this one by its address.
 type streamLayer struct {
 	net.Listener
 	config RaftConfig
 }
 
-// Addr returns the address at which the other voters reach this one.
+// Addr implements net.Listener. It returns the address at which the other voters reach this one.
 func (s streamLayer) Addr() net.Addr { return net.TCPAddrFromAddrPort(s.config.Advertise) }
 
 // Dial implements raft.StreamLayer.
--- a/internal/controlplane/raft_voters.go
+++ b/internal/controlplane/raft_voters.go
@@ -9,8 +9,9 @@
 	"spurtrestle/internal/fleet"
 )
 
-// addVoters adds the first of the candidates that is configured and not a voter yet. It is invited to take part first, and added
-// only once it does, so that raft never counts on a voter that does not answer. A failed call is repeated by the next pass.
+// addVoters adds the first candidate that is configured as a voter and not known to raft yet. It invites the candidate to start
+// raft, and adds it only once it has, so that the quorum never includes a voter that does not answer. The leader's next pass
+// repeats a failed call.
 func (l *raftLog) addVoters(candidates []fleet.VoterStatus, configured []string, invite func(fleet.VoterStatus)) {
 	servers, err := l.servers()
 	if err != nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-// removeVoter removes a voter whose folder is lost. Its new folder is another voter, which addVoters adds.
+// removeVoter removes a voter that has lost its directory. With its new directory it is another voter, which addVoters adds.
 func (l *raftLog) removeVoter(name string) error {
 	servers, err := l.servers()
 	if err != nil {
@@ -44,7 +45,7 @@
 	return fmt.Errorf("%q is no keeper", name)
 }
 
-// voters describes the voters, with ID and address, for operators.
+// voters returns a description of each voter, with ID and address, for operators.
 func (l *raftLog) voters() []string {
 	servers, err := l.servers()
 	if err != nil {
@@ -62,7 +63,7 @@
 	return descriptions
 }
 
-// servers returns the voters that raft knows; ErrNoLeader before start.
+// servers returns the voters in raft's configuration. It returns ErrNoLeader before start.
 func (l *raftLog) servers() ([]raft.Server, error) {
 	node := l.raftNode()
 	if node == nil {
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -17,14 +17,14 @@
 const (
 	requestTimeout       = 8 * time.Second // longer than a change may be pending
 	requestRetryInterval = 500 * time.Millisecond
-	maxHistoryReply      = 20 // changes
+	maxHistoryReply      = 20 // maximum number of changes in a reply
 )
 
-// ErrNoLeader reports that no leader answered. Whether a change was made is unknown then. The text is part of the answer to
-// operators, as those of bootstrap and of StaleLogError are.
+// ErrNoLeader reports that no leader replied, so that it is unknown whether a requested change was made. The text is part of the
+// reply to operators, like those of bootstrap and of StaleLogError.
 var ErrNoLeader = errors.New("no leader of the keepers can be reached; nothing was changed, or it is not known: ask again with the same token")
 
-// UnknownRequestError reports a request of a type that this build does not have.
+// UnknownRequestError reports a request of a type that this build does not support.
 type UnknownRequestError struct{ Type policycommit.RequestType }
 
 // Error implements error.
@@ -38,7 +38,7 @@
 	return string(text) + "\n", err
 }
 
-// status returns the policy of this router. n.mu must be held.
+// status returns the state of this router's policy. n.mu must be held.
 func (n *Node) status() policycommit.RouterStatus {
 	now := n.now()
 	active, hasRevision := n.follower.Active()
@@ -68,7 +68,8 @@
 	return status
 }
 
-// HandleRequest sends an operator's request, a policycommit.Request as JSON, to the leader, and returns its policycommit.Reply as JSON.
+// HandleRequest forwards an operator's request, a policycommit.Request as JSON, to the leader, and returns the leader's
+// policycommit.Reply as JSON. Only a bootstrap request is handled by this node itself.
 func (n *Node) HandleRequest(text string) (string, error) {
 	var request policycommit.Request
 	if err := json.Unmarshal([]byte(text), &request); err != nil {
@@ -91,7 +92,8 @@
 	return string(out) + "\n", err
 }
 
-// call sends a request to the leader until a reply comes. The leader carries a repeated request out once, by its token.
+// call sends a request to the leader repeatedly until a reply arrives. The leader identifies a repeated change by its token and
+// makes it only once.
 func (n *Node) call(request policycommit.Request) (policycommit.Reply, error) {
 	replies := make(chan policycommit.Reply, 1)
 	n.mu.Lock()
@@ -121,12 +123,12 @@
 func (n *Node) receiveReply(reply policycommit.Reply) {
 	select {
 	case n.pendingCalls[reply.ID] <- reply:
-	default: // a second reply, or the call has timed out
+	default: // a duplicate reply, or the call has timed out
 	}
 }
 
-// serveRequest carries out an operator's request and sends the reply to the router that forwarded it. It does nothing if this voter
-// does not lead: that router repeats the request.
+// serveRequest executes an operator's request and sends the reply to the router that forwarded it. If this voter does not lead,
+// it does nothing, and that router repeats the request.
 func (n *Node) serveRequest(from fleet.Incarnation, request policycommit.Request) {
 	n.mu.Lock()
 	coordinator := n.leader.coordinator
@@ -149,8 +151,8 @@
 	n.send(from, message{Reply: &reply})
 }
 
-// proposeChange appends a change to the log. sendVerdicts replies when it is resolved; a change that was resolved before, for a
-// repeated request, is replied to at once.
+// proposeChange appends a change to the log, and sendVerdicts replies once the change is resolved. If the request is a repetition
+// and the change is already resolved, proposeChange replies at once.
 func (n *Node) proposeChange(from fleet.Incarnation, request policycommit.Request) {
 	state := n.raftLog.currentState()
 	if verdict, resolved := state.Verdicts[request.Token]; resolved {
@@ -176,7 +178,7 @@
 	})
 }
 
-// execute appends the entry, or removes the voter, that a request is for. Queries need neither.
+// execute carries out the command of a request. It does nothing for a query.
 func (n *Node) execute(request policycommit.Request) error {
 	switch request.Type {
 	case policycommit.RequestMarkDead:
@@ -191,6 +193,7 @@
 	return &UnknownRequestError{Type: request.Type}
 }
 
+// markDead appends the statement of an operator that a router is dead.
 func (n *Node) markDead(request policycommit.Request) error {
 	err := n.raftLog.append(policycommit.Entry{
 		Kind:        policycommit.EntryMarkDead,
@@ -204,7 +207,7 @@
 	return err
 }
 
-// newReply returns the reply to a request by the current state of the log. All replies have followers and voters.
+// newReply returns the reply to a request with the current state of the log. All replies contain the followers and the voters.
 func (n *Node) newReply(coordinator *policycommit.Leader, request policycommit.Request) policycommit.Reply {
 	state := n.raftLog.currentState()
 	current, _ := state.Current()
@@ -227,7 +230,7 @@
 	return reply
 }
 
-// selectHistory returns the latest changes, or the one of a revision that is not 0.
+// selectHistory returns the latest changes, or only the change of a revision if that is not 0.
 func selectHistory(history []policycommit.Change, revision policycommit.Revision) []policycommit.Change {
 	if revision == 0 {
 		return history[max(0, len(history)-maxHistoryReply):]
--- a/internal/controlplane/requests_test.go
+++ b/internal/controlplane/requests_test.go
@@ -14,23 +14,23 @@
 	node := startNode(t, testConfig(t), router)
 	bootstrapNode(t, node, router)
 
-	status := ask(t, node, policycommit.Request{Type: policycommit.RequestStatus})
+	status := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestStatus})
 	if len(status.Followers) != 1 || status.Followers[0].Name != "n1" || len(status.Voters) != 1 {
 		t.Errorf("status: got followers %+v, voters %q", status.Followers, status.Voters)
 	}
-	dead := ask(t, node, policycommit.Request{Type: policycommit.RequestMarkDead, Name: "n9", Author: "ada", Reason: "burnt"})
+	dead := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestMarkDead, Name: "n9", Author: "ada", Reason: "burnt"})
 	if dead.Error != "" {
 		t.Errorf("mark dead: got error %q", dead.Error)
 	}
-	history := ask(t, node, policycommit.Request{Type: policycommit.RequestHistory})
+	history := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestHistory})
 	if len(history.DeathReports) != 1 || history.DeathReports[0].Name != "n9" {
 		t.Errorf("history: got death reports %+v, want one of n9", history.DeathReports)
 	}
-	removed := ask(t, node, policycommit.Request{Type: policycommit.RequestReplaceVoter, Name: "n9"})
+	removed := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestReplaceVoter, Name: "n9"})
 	if removed.Error != `"n9" is no keeper` {
 		t.Errorf("remove an unknown voter: got error %q", removed.Error)
 	}
-	unknown := ask(t, node, policycommit.Request{Type: "dance"})
+	unknown := sendRequest(t, node, policycommit.Request{Type: "dance"})
 	if want := (&UnknownRequestError{Type: "dance"}).Error(); unknown.Error != want {
 		t.Errorf("unknown request: got error %q, want %q", unknown.Error, want)
 	}
@@ -42,7 +42,8 @@
 	}
 }
 
-func TestNode_AskWithoutLeaderEndsWithTheNode(t *testing.T) {
+// Without a leader, a request waits for a reply. Closing the node must end it with ErrNoLeader.
+func TestNode_CloseEndsPendingRequest(t *testing.T) {
 	node, err := start(testConfig(t), ownIncarnation, "build", &recordingRouter{}, &loopbackTransport{}, quietLog())
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +65,7 @@
 			t.Errorf("got %v, want ErrNoLeader", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the request did not end with the node")
+		t.Error("the request did not end within five seconds after Close")
 	}
 }
 
--- a/internal/controlplane/site_leader.go
+++ b/internal/controlplane/site_leader.go
@@ -14,27 +14,30 @@
 
 const (
 	siteEvaluationInterval = 100 * clock.Millisecond
-	// siteReportTTL is how long a router counts as reporting: five renewals, so that a path that loses a third of its packets
-	// does no harm.
-	siteReportTTL           = 1200 * clock.Millisecond
-	transitionRetryInterval = 500 * clock.Millisecond // the entry of a transition may not be in the log state yet
+	// siteReportTTL is how long a router counts as reporting after a report: five renewals, so that a network path which loses
+	// a third of its packets has no effect.
+	siteReportTTL = 1200 * clock.Millisecond
+	// transitionRetryInterval is the minimum interval between two appends of transitions: the entry of the first one may not be
+	// applied to the log state yet.
+	transitionRetryInterval = 500 * clock.Millisecond
 )
 
-// siteLeader is the leader's part in the failover of sites. Node.mu guards it.
+// siteLeader is the leader's state of the failover of sites. Node.mu guards it.
 type siteLeader struct {
 	coordinator  *sitefailover.Coordinator
 	reports      map[policycommit.RouterName]receivedReport
-	orders       *sitefailover.Orders // sent with each lease; nil: none
+	orders       *sitefailover.Orders // sent with each lease; nil if there are none
 	evaluatedAt  clock.Time
 	transitionAt clock.Time // when a transition was last appended
 }
 
+// receivedReport is the last report of a router.
 type receivedReport struct {
 	sitefailover.Report
 	receivedAt clock.Time
 }
 
-// reset drops what an earlier term has left.
+// reset discards the state of an earlier term.
 func (s *siteLeader) reset(now clock.Time) {
 	s.coordinator = sitefailover.NewCoordinator(now)
 	s.reports = map[policycommit.RouterName]receivedReport{}
@@ -61,7 +64,7 @@
 	return states
 }
 
-// evaluateSites renews the orders on sites, and appends the transition of a site if one is due.
+// evaluateSites updates the site orders, and appends the transition of a site if one is due.
 func (n *Node) evaluateSites() {
 	now, due := n.siteEvaluationDue()
 	if !due {
@@ -84,11 +87,11 @@
 	}).Warn("site: decision")
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// If the append fails, a later evaluation finds the transition due again.
+	// If the append fails, a later evaluation returns the transition again.
 	n.appendAsync(policycommit.Entry{Kind: policycommit.EntrySiteTransition, Transition: transition})
 }
 
-// siteEvaluationDue reports whether the sites are to be evaluated now. Without a plan it drops the orders.
+// siteEvaluationDue reports whether to evaluate the sites now. Without a plan it clears the orders.
 func (n *Node) siteEvaluationDue() (now clock.Time, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,7 +108,7 @@
 	return now, true
 }
 
-// nextTransition evaluates the sites, and returns the transition to append, or nil.
+// nextTransition evaluates the sites, updates the orders, and returns the transition to append, or nil.
 func (n *Node) nextTransition(now clock.Time, members []fleet.Member, state *policycommit.LogState) *sitefailover.Transition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,8 +125,8 @@
 	return transition
 }
 
-// withPolicyMembers adds the members of the policy that the membership view does not have. A view that began after a site was
-// lost does not have its routers, and the coordinator would count the site as one without routers.
+// withPolicyMembers adds the members of the policy that are missing in the membership view. A process that started after a site
+// was lost has never seen the site's routers, and its coordinator would regard the site as one without routers.
 func withPolicyMembers(members []fleet.Member, state *policycommit.LogState) []fleet.Member {
 	for name, member := range state.Members {
 		isKnown := slices.ContainsFunc(members, func(known fleet.Member) bool { return known.Name == string(name) })
@@ -134,7 +137,7 @@
 	return members
 }
 
-// siteStatus returns the coordinator's status, nil without a plan, and the document in force.
+// siteStatus returns the coordinator's status, which is nil without a plan, and the document in force.
 func (n *Node) siteStatus(state *policycommit.LogState) (*sitefailover.Status, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,7 +149,7 @@
 	return &status, document
 }
 
-// executeSiteAction appends the transition of an operator's action. A repeated request does nothing.
+// executeSiteAction appends the transition that an operator requests. It does nothing if the request is a repetition.
 func (n *Node) executeSiteAction(request policycommit.Request) error {
 	state := n.raftLog.currentState()
 	site := sitefailover.Site(request.Name)
@@ -173,7 +176,7 @@
 	n.log.WithFields(logrus.Fields{
 		"site":     request.Name,
 		"action":   request.SiteAction,
-		"word":     request.SiteAction, // the key of earlier releases, until the next one
+		"word":     request.SiteAction, // deprecated key, kept for one release
 		"by":       request.Author,
 		"reason":   request.Reason,
 		"formerly": "site: an operator's word",
--- a/internal/controlplane/site_reports.go
+++ b/internal/controlplane/site_reports.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	siteReportInterval = 100 * time.Millisecond // twice as often as renewals, which take the last report along
-	// siteOrdersTTL is how long orders are valid without a new lease. Then the router decides by its own evidence again.
+	siteReportInterval = 100 * time.Millisecond // twice the rate of renewals, which carry the last report
+	// siteOrdersTTL is how long orders are valid after the last lease. After that, the router decides by its own observations.
 	siteOrdersTTL = 3 * clock.Second
-	// minReportedRate, in requests a second, bounds the size of a report.
+	// minReportedRate, in requests per second, limits the size of a report: lower rates are left out.
 	minReportedRate = 0.05
 )
 
-// siteOrders is a router's part in the failover of sites. Node.mu guards it.
+// siteOrders is a router's state of the failover of sites. Node.mu guards it.
 type siteOrders struct {
 	plan         sitefailover.Plan // of the revision in force
 	serverCounts sitefailover.ServerCounts
-	report       *sitefailover.Report // the last; nil without a plan
+	report       *sitefailover.Report // the last report; nil without a plan
 	orders       sitefailover.Orders
-	receivedAt   clock.Time // 0: no lease has come
+	receivedAt   clock.Time // time of the last lease; 0 if none was received
 }
 
-// expiresAt is when the orders end if no lease comes.
+// expiresAt returns when the orders expire if no further lease arrives.
 func (s *siteOrders) expiresAt() clock.Time { return s.receivedAt + siteOrdersTTL }
 
 func (s *siteOrders) isCurrent(now clock.Time) bool { return s.receivedAt != 0 && now < s.expiresAt() }
 
-// receiveSiteOrders handles the orders that came with a lease; nil: none. n.mu must be held.
+// receiveSiteOrders replaces the orders with those of a lease, which may be nil. n.mu must be held.
 func (n *Node) receiveSiteOrders(orders *sitefailover.Orders) {
 	n.siteOrders.receivedAt = n.now()
 	n.siteOrders.orders = sitefailover.Orders{}
@@ -39,12 +39,11 @@
 	}
 }
 
-// runSiteReports passes the leader's orders to the router and reports the router's load, while the policy has a plan for sites,
-// until the node is closed.
+// runSiteReports calls exchangeSiteOrders periodically until the node is closed.
 func (n *Node) runSiteReports() {
 	ticker := time.NewTicker(siteReportInterval)
 	defer ticker.Stop()
-	hasOrders := false // the router was given orders under a plan
+	hasOrders := false // the router has received orders under a plan
 	for {
 		select {
 		case <-n.stop:
@@ -55,8 +54,8 @@
 	}
 }
 
-// exchangeSiteOrders passes orders and reports load once. It returns whether the router has orders now; without a plan it only
-// withdraws those that the router has.
+// exchangeSiteOrders passes the leader's orders to the router, and records the router's load for the next report. Without a plan
+// it only withdraws the orders that the router has. It returns whether the router has orders now.
 func (n *Node) exchangeSiteOrders(hasOrders bool) bool {
 	n.mu.Lock()
 	hasPlan := n.siteOrders.plan.Enabled()
@@ -73,7 +72,7 @@
 	}
 	load, err := n.router.SetSiteOrders(failoverOrders(orders), n.timeOf(expiresAt))
 	if err != nil {
-		return hasOrders // the event loop is busy; the next tick repeats it
+		return hasOrders // the event loop is busy; the next tick retries
 	}
 	if hasPlan {
 		n.recordSiteReport(load, orders.AdmissionTarget)
@@ -81,7 +80,7 @@
 	return hasPlan
 }
 
-// recordSiteReport makes the report that the next renewals take along.
+// recordSiteReport creates the report that the next renewals carry.
 func (n *Node) recordSiteReport(load routing.RouterLoad, admissionTarget float64) {
 	report := newSiteReport(sitefailover.Site(n.config.Site), load, admissionTarget)
 	n.mu.Lock()
@@ -116,7 +115,7 @@
 	return report
 }
 
-// failoverOrders converts orders to the terms of package routing.
+// failoverOrders converts orders to the types of package routing.
 func failoverOrders(orders sitefailover.Orders) routing.FailoverOrders {
 	return routing.FailoverOrders{
 		MinimumRank:      routing.Rank(orders.MinRank),
