--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -192,7 +192,7 @@
 	}
 	status := decode[policycommit.RouterStatus](t, policyText(t, node))
 	if status.HasRevision || status.Admitting || status.VoterFault != "it has not been welcomed yet" {
-		t.Errorf("status: got %+v", status)
+		t.Errorf("status before the bootstrap: got %+v, want no revision, no admission and the fault of a new directory", status)
 	}
 	bootstrapNode(t, node, router)
 }
@@ -227,7 +227,7 @@
 	})
 	router.mu.Lock()
 	if router.settings.MaxAttempts != 5 || len(router.bannedServers) != 1 || router.bannedServers[0] != "s1" {
-		t.Errorf("router: got %d attempts, banned %q", router.settings.MaxAttempts, router.bannedServers)
+		t.Errorf("router: got MaxAttempts %d, banned servers %q, want 5 and s1", router.settings.MaxAttempts, router.bannedServers)
 	}
 	router.mu.Unlock()
 
--- a/internal/controlplane/raft_test.go
+++ b/internal/controlplane/raft_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if first.Name != "n1" || first.VoterID == 0 || first.Member {
-		t.Errorf("new directory: got %+v", first)
+		t.Errorf("new directory: got %+v, want name n1, a voter ID and no membership", first)
 	}
 	first.Member = true
 	if err := first.persist(dir); err != nil {
@@ -32,7 +32,7 @@
 		t.Errorf("opened again: got %+v, %v, want %+v", second, err, first)
 	}
 	if _, err := openIdentity(dir, "n2"); err == nil || !strings.Contains(err.Error(), `belongs to router "n1"`) {
-		t.Errorf("directory of another voter: got %v", err)
+		t.Errorf("directory of another router: got %v, want an error that names it", err)
 	}
 }
 
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		if _, err := openIdentity(dir, "n1"); err == nil || !strings.Contains(err.Error(), "cannot be read") {
-			t.Errorf("%q: got %v", text, err)
+			t.Errorf("identity file %q: got %v, want an error that it cannot be read", text, err)
 		}
 	}
 }
@@ -72,13 +72,13 @@
 		t.Errorf("got %v, want a StaleLogError with LastIndex 0 and AcknowledgedIndex 10", err)
 	}
 	if raftLog.voterStatus().Voter || !strings.Contains(raftLog.fault(), "it was put back, or lost") {
-		t.Errorf("after the error: voter %v, fault %q", raftLog.voterStatus().Voter, raftLog.fault())
+		t.Errorf("after the error: got voter %v, fault %q, want no voter and the text of StaleLogError", raftLog.voterStatus().Voter, raftLog.fault())
 	}
 	if err := raftLog.start(startOptions{bootstrap: true}); err != nil {
 		t.Errorf("start again: %v", err)
 	}
 	if !raftLog.voterStatus().Voter || raftLog.fault() != "" {
-		t.Errorf("after the start: voter %v, fault %q", raftLog.voterStatus().Voter, raftLog.fault())
+		t.Errorf("after the start: got voter %v, fault %q, want a voter without fault", raftLog.voterStatus().Voter, raftLog.fault())
 	}
 }
 
--- a/internal/controlplane/requests_test.go
+++ b/internal/controlplane/requests_test.go
@@ -16,7 +16,7 @@
 
 	status := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestStatus})
 	if len(status.Followers) != 1 || status.Followers[0].Name != "n1" || len(status.Voters) != 1 {
-		t.Errorf("status: got followers %+v, voters %q", status.Followers, status.Voters)
+		t.Errorf("status: got followers %+v, voters %q, want n1 as the only follower and one voter", status.Followers, status.Voters)
 	}
 	dead := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestMarkDead, Name: "n9", Author: "ada", Reason: "burnt"})
 	if dead.Error != "" {
@@ -28,14 +28,14 @@
 	}
 	removed := sendRequest(t, node, policycommit.Request{Type: policycommit.RequestReplaceVoter, Name: "n9"})
 	if removed.Error != `"n9" is no keeper` {
-		t.Errorf("remove an unknown voter: got error %q", removed.Error)
+		t.Errorf("remove an unknown voter: got error %q, want one that n9 is no keeper", removed.Error)
 	}
 	unknown := sendRequest(t, node, policycommit.Request{Type: "dance"})
 	if want := (&UnknownRequestError{Type: "dance"}).Error(); unknown.Error != want {
 		t.Errorf("unknown request: got error %q, want %q", unknown.Error, want)
 	}
 	if _, err := node.HandleRequest(`{"what":"found"}`); err == nil || !strings.Contains(err.Error(), "was founded before") {
-		t.Errorf("second bootstrap: got %v", err)
+		t.Errorf("second bootstrap: got %v, want an error", err)
 	}
 	if _, err := node.HandleRequest(`{"what":"apply","doc":"color = 1"}`); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Errorf("invalid document: got %v, want an error with its line", err)
@@ -79,7 +79,7 @@
 		t.Errorf("latest: got %d changes from revision %d, want %d from 11", len(latest), latest[0].Revision, maxHistoryReply)
 	}
 	if one := selectHistory(history, 3); len(one) != 1 || one[0].Revision != 3 {
-		t.Errorf("revision 3: got %+v", one)
+		t.Errorf("revision 3: got %+v, want only its change", one)
 	}
 	if none := selectHistory(history, 99); len(none) != 0 {
 		t.Errorf("revision 99: got %+v, want none", none)
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -106,7 +106,7 @@
 	}
 	read, err := n.loadPeers()
 	if err != nil || !slices.Equal(read.Peers, []string{"10.0.0.2:7946"}) || !slices.Equal(read.Remote, []string{"10.1.0.1:7946", "10.2.0.1:7946"}) {
-		t.Errorf("peers file: got %+v, %v", read, err)
+		t.Errorf("peers file: got %+v, %v, want one peer and two remote addresses", read, err)
 	}
 }
 
--- a/internal/gossip/hierarchy_test.go
+++ b/internal/gossip/hierarchy_test.go
@@ -262,7 +262,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if got := len(flatNode.Members()); got != 1 {
-		t.Errorf("members of the flat router: got %d, want itself alone", got)
+		t.Errorf("members of the flat router: got %d, want only itself", got)
 	}
 }
 
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -24,7 +24,7 @@
 	}
 	if s.MaxAttempts != 2 || s.WarmUpDuration != 3*clock.Second || s.Methods[1].Criticality != 7 || s.Tenants[1].Share != 0.2 || s.WarmUpShare != 0.3 ||
 		s.Methods[0] != own.Methods[0] || s.Tenants[0].Share != 0.6 {
-		t.Errorf("settings: got %+v", s)
+		t.Errorf("settings: got %+v, want those of the document, and the router's own for all other fields", s)
 	}
 	if own.Methods[1].Criticality != 0 || own.Tenants[1].Share != 0.4 {
 		t.Error("Settings changed the router's own settings")
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if _, err := d.Plan(own, []string{"hill", "coast", "valley"}); err == nil || !strings.Contains(err.Error(), `"valley" is not planned for`) {
-		t.Errorf("plan without one of the known sites: got %v", err)
+		t.Errorf("plan without one of the known sites: got %v, want an error about the site", err)
 	}
 	p, err := d.Plan(own, nil)
 	if err != nil || !p.Enabled() || p.Sites[1].Capacity != 100 || p.RecoverAfter != 3*clock.Second || len(p.RecoverySteps) != 8 {
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -10,7 +10,7 @@
 
 const (
 	maxAttemptsLimit = 100
-	// minAttemptsWithHedging lets a request retry after both attempts of a hedged request have failed.
+	// minAttemptsWithHedging lets a hedged request retry after its two concurrent attempts have failed.
 	minAttemptsWithHedging = 3
 	maxServerUIDBytes      = 256
 	shareSumTolerance      = 1e-9
