--- a/cmd/sim-adapter/golden_test.go
+++ b/cmd/sim-adapter/golden_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestHost_RepliesAsTheGoldenSession plays a session with every event of the wire. The replies in testdata were written by
-// an earlier build and hold the bytes of the wire.
-func TestHost_RepliesAsTheGoldenSession(t *testing.T) {
+// TestRun_RepliesMatchGoldenSession replays a session with every event of the wire and compares the replies byte for byte with
+// those that an earlier build wrote to testdata.
+func TestRun_RepliesMatchGoldenSession(t *testing.T) {
 	session, err := os.Open("testdata/session.in")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	if err := host(session, &got); err != nil {
+	if err := run(session, &got); err != nil {
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,6 @@
-// Command sim-adapter hosts router instances that share nothing and speaks the bench's wire.
+// Command sim-adapter connects the simulator to the routing core. It hosts the router instances of a simulation in one
+// process and one goroutine: it reads batches of events from standard input, gives each event to its instance, and writes the
+// decisions of a batch to standard output. The instances share no state. Package simwire defines the format of both streams.
 package main
 
 import (
@@ -12,41 +14,43 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // hundreds of small instances: memory is at hand, time is what is counted
-	if err := host(os.Stdin, os.Stdout); err != nil {
+	debug.SetGCPercent(400) // trades memory for speed: hundreds of small instances leave memory free, and run time is what counts
+	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "sim-adapter:", err)
 		os.Exit(1)
 	}
 }
 
-func host(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), simwire.NewWriter(out)
+// run replies to each batch of its input until the input ends. Malformed input ends it with an error that names the line and
+// the field.
+func run(stdin io.Reader, stdout io.Writer) error {
+	reader, writer := simwire.NewReader(stdin), simwire.NewWriter(stdout)
 	routers := map[simwire.Instance]*routing.Router{}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for _, input := range b.Inputs {
-			var decided []routing.Decision
-			switch ev := input.Event.(type) {
+		for _, input := range batch.Inputs {
+			var decisions []routing.Decision
+			switch event := input.Event.(type) {
 			case simwire.Launch:
-				routers[input.Instance], decided = routing.New(b.Now, ev.Settings, ev.Seed)
+				routers[input.Instance], decisions = routing.New(batch.Now, event.Settings, event.Seed)
 			case simwire.Shutdown:
 				delete(routers, input.Instance)
 			default:
 				if router := routers[input.Instance]; router != nil {
-					decided = router.Step(b.Now, ev)
+					decisions = router.Step(batch.Now, event)
 				}
 			}
-			for _, d := range decided {
-				w.Add(input.Instance, d)
+			for _, decision := range decisions {
+				writer.Add(input.Instance, decision)
 			}
 		}
-		if err := w.Send(b.SequenceNumber); err != nil {
+		if err := writer.Send(batch.SequenceNumber); err != nil {
 			return err
 		}
 	}
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -9,10 +9,10 @@
 	"spurtrestle/internal/settings"
 )
 
-// noTenant is the tenant of requests without one.
+// noTenant is the text of the field team of requests without a tenant.
 const noTenant = "0"
 
-// The keywords of the wire.
+// The keywords of the protocol and the values they stand for.
 var (
 	updateKinds = map[string]routing.EndpointUpdateKind{
 		"INCREMENTAL": routing.IncrementalUpdate,
@@ -38,7 +38,7 @@
 	}
 )
 
-// eventParsers read the fields of an event, by its name on the wire. A nil event is ignored.
+// eventParsers parse the fields of an event, by the name of the event in the protocol. A nil result is ignored.
 var eventParsers = map[string]func(*Reader, *fields, Instance) any{
 	"launch":       (*Reader).parseLaunch,
 	"shutdown":     parseShutdown,
@@ -69,7 +69,7 @@
 	update := routing.EndpointsUpdated{Kind: keyword(line, "how", updateKinds)}
 	line.text("seq-no")
 	if update.Kind == routing.FailedUpdate {
-		update.Rejected = true // the wire gives no reason; discovery rejects calls beyond its capacity
+		update.Rejected = true // the protocol gives no reason; discovery rejects calls beyond its capacity
 		return update
 	}
 	slot := line.unsigned("slot", listSlots-1)
@@ -89,7 +89,7 @@
 	name := line.text("kind")
 	method := slices.IndexFunc(r.settings[instance].Methods, func(m routing.MethodSettings) bool { return m.Name == name })
 	if method < 0 {
-		line.fail("kind", fmt.Sprintf("%q is no class of the settings", name))
+		line.fail("kind", fmt.Sprintf("%q is not a request class of the settings", name))
 	}
 	request.Method = routing.Method(method)
 	tenant := line.optional("team")
@@ -141,7 +141,7 @@
 	}
 }
 
-// parseMessage reads a message of another router and ignores it: routers exchange nothing on this wire.
+// parseMessage parses and ignores a message of another router: instances do not communicate in the simulation.
 func parseMessage(_ *Reader, line *fields, _ Instance) any {
 	line.text("sender")
 	line.optional("contents")
--- a/simwire/fields.go
+++ b/simwire/fields.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	// absent stands for a field without a value.
+	// absent is the text of a field without a value.
 	absent = "-"
 	// maxNumber bounds the magnitude of numbers.
 	maxNumber = 1e12
 )
 
-// fields reads the fields of one line and records the error of the first malformed one. The fields after it read as
-// zero values.
+// fields reads the fields of one line in order. It keeps the error of the first malformed field; later errors are dropped.
 type fields struct {
 	name string
 	rest string
-	more bool // fields are left
+	more bool // whether fields are left
 	err  error
 }
 
@@ -33,7 +32,7 @@
 	}
 }
 
-// text reads a field that must have a value.
+// text reads a field. It is an error if the field is missing or empty.
 func (f *fields) text(field string) string {
 	if !f.more {
 		f.fail(field, "is missing")
@@ -47,7 +46,7 @@
 	return value
 }
 
-// optional reads a field, empty where it is absent.
+// optional reads a field that may be absent, and returns the empty string if it is.
 func (f *fields) optional(field string) string {
 	value := f.text(field)
 	if value == absent {
@@ -56,7 +55,7 @@
 	return value
 }
 
-// unsigned reads a whole number up to a limit.
+// unsigned reads a whole number of at most the limit.
 func (f *fields) unsigned(field string, limit uint64) uint64 {
 	value := f.text(field)
 	n, err := strconv.ParseUint(value, 10, 64)
@@ -66,7 +65,7 @@
 	return n
 }
 
-// number reads a number, 0 where it is absent.
+// number reads a number that may be absent, and returns 0 if it is.
 func (f *fields) number(field string) float64 {
 	value := f.optional(field)
 	if value == "" {
@@ -90,7 +89,7 @@
 	return value == "1"
 }
 
-// report reads the figures of a load report; an absent figure is not a number.
+// report reads the comma-separated figures of a load report. An absent figure is NaN.
 func (f *fields) report(field string) routing.Report {
 	value := f.optional(field)
 	if value == "" {
@@ -112,7 +111,7 @@
 	return report
 }
 
-// keyword reads one of a set of keywords.
+// keyword reads a keyword and returns the value it stands for.
 func keyword[T any](line *fields, field string, values map[string]T) T {
 	text := line.text(field)
 	value, known := values[text]
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -14,14 +14,14 @@
 
 const (
 	readBufferBytes = 1 << 20
-	// listSlots is how many endpoint lists the wire can refer to at once.
+	// listSlots is the number of endpoint lists that events can refer to at one time.
 	listSlots = 16
-	// maxServers bounds an endpoint list; maxPreallocated is for how many entries space is made beforehand.
+	// maxServers bounds the length of an endpoint list, and maxPreallocated the entries that are allocated before they are read.
 	maxServers      = 1 << 20
 	maxPreallocated = 1024
 )
 
-// Reader reads batches.
+// Reader reads batches of events. It keeps the endpoint lists and the settings that later events refer to.
 type Reader struct {
 	input    *bufio.Reader
 	line     int
@@ -29,18 +29,18 @@
 	settings map[Instance]routing.Settings
 }
 
-// endpointList is a list that events refer to by its slot.
+// endpointList is an endpoint list that events refer to by its slot.
 type endpointList struct {
 	received  bool
 	endpoints []routing.Endpoint
 }
 
-// NewReader returns a Reader on an input.
+// NewReader returns a Reader of an input.
 func NewReader(input io.Reader) *Reader {
 	return &Reader{input: bufio.NewReaderSize(input, readBufferBytes), settings: map[Instance]routing.Settings{}}
 }
 
-// Next returns the next batch; io.EOF at the end of the input. Other errors name the line and the field.
+// Next returns the next batch, or io.EOF at the end of the input. Other errors name the line and the field.
 func (r *Reader) Next() (Batch, error) {
 	var batch Batch
 	line, err := r.readLine()
@@ -51,7 +51,7 @@
 		return batch, r.atLine(err)
 	}
 	if line.name != "mark" {
-		return batch, r.atLine(fmt.Errorf("%q stands where mark is due", line.name))
+		return batch, r.atLine(fmt.Errorf("got %q, want mark", line.name))
 	}
 	batch.Now = line.seconds("time")
 	batch.SequenceNumber = strconv.FormatUint(line.unsigned("batch", 1<<63), 10)
@@ -68,7 +68,8 @@
 	return batch, r.atLine(line.err)
 }
 
-// readLine reads the next line and its name. It returns io.EOF only where the line is absent altogether.
+// readLine reads the next line and its name. It returns io.EOF only at the end of the input, and io.ErrUnexpectedEOF for a
+// line that is cut off.
 func (r *Reader) readLine() (*fields, error) {
 	text, err := r.input.ReadString('\n')
 	if err == io.EOF && text != "" {
@@ -85,7 +86,7 @@
 
 func (r *Reader) atLine(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
 
-// readEvent reads one event into the batch. An error stays with the line.
+// readEvent reads one event into the batch. Errors are left in line.err.
 func (r *Reader) readEvent(line *fields, batch *Batch) {
 	if line.name == "list" {
 		r.readList(line)
@@ -103,7 +104,7 @@
 	}
 }
 
-// readList reads an endpoint list, a line for each server.
+// readList reads an endpoint list, which has one line per server. Errors are left in line.err.
 func (r *Reader) readList(line *fields) {
 	slot := line.unsigned("slot", listSlots-1)
 	count := line.unsigned("nodes-list", maxServers)
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -1,5 +1,6 @@
-// Package simwire reads and writes the wire of the simulator, slate-8695. The wire's names end here: a Reader gives the
-// events of package routing, a Writer writes its decisions. Its only caller is cmd/sim-adapter, in one goroutine.
+// Package simwire implements the line protocol of the simulator, slate-8695. It translates the names of the protocol: a Reader
+// returns the events of package routing, a Writer writes its decisions. Its only caller is cmd/sim-adapter, and one goroutine
+// owns a Reader or a Writer.
 package simwire
 
 import (
@@ -7,10 +8,10 @@
 	"spurtrestle/core/routing"
 )
 
-// Instance is the number of a router hosted by this process.
+// Instance is the number of a router instance in this process.
 type Instance int
 
-// Launch starts an instance.
+// Launch starts an instance with a seed and its settings.
 type Launch struct {
 	Seed     uint64
 	Settings routing.Settings
@@ -19,13 +20,13 @@
 // Shutdown ends an instance.
 type Shutdown struct{}
 
-// Input is one event for one instance: a routing.Event, a Launch or a Shutdown.
+// Input is one event for one instance. Event is a routing.Event, a Launch or a Shutdown.
 type Input struct {
 	Instance Instance
 	Event    any
 }
 
-// Batch is the inputs of one instant.
+// Batch holds the inputs of one instant.
 type Batch struct {
 	Now            clock.Time
 	SequenceNumber string // the reply repeats it
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -9,13 +9,13 @@
 	"spurtrestle/core/routing"
 )
 
-// Writer collects the reply to one batch.
+// Writer collects the reply to a batch and writes it as one block.
 type Writer struct {
 	output io.Writer
 	reply  []byte
 }
 
-// NewWriter returns a Writer on an output.
+// NewWriter returns a Writer to an output.
 func NewWriter(output io.Writer) *Writer { return &Writer{output: output} }
 
 // Add appends one decision of an instance to the reply.
@@ -53,7 +53,7 @@
 	w.reply = append(w.reply, '\n')
 }
 
-// Send ends the reply to a batch and writes it.
+// Send completes the reply to a batch with its sequence number and writes it.
 func (w *Writer) Send(sequenceNumber string) error {
 	w.reply = append(w.reply, "ready "...)
 	w.reply = append(w.reply, sequenceNumber...)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// formatSeconds writes a duration in seconds with six decimals.
+// formatSeconds formats a duration in seconds with six decimals.
 func formatSeconds(d clock.Duration) string {
 	return fmt.Sprintf("%d.%06d", d/clock.Second, d%clock.Second)
 }
--- a/simwire/writer_test.go
+++ b/simwire/writer_test.go
@@ -8,7 +8,7 @@
 	"spurtrestle/core/routing"
 )
 
-// The lines of the wire, one for each action.
+// Each action is written as one line of the protocol.
 func TestWriter_AddWritesEachAction(t *testing.T) {
 	tests := []struct {
 		decision routing.Decision
