--- a/core/routing/admission.go
+++ b/core/routing/admission.go
@@ -1,28 +1,29 @@
 package routing
 
 const (
-	// priorAnswerRate, per second, is added to the rates of ended and answered requests: with few requests, some lost by
-	// chance are no overload, and in an overload some requests are admitted as trials.
+	// priorAnswerRate, per second, is added to the rate of answered requests, in beginWarmUp also to that of ended ones. With
+	// few requests, some that are lost by chance then do not count as an overload, and in an overload some requests are
+	// admitted as trials.
 	priorAnswerRate = 0.3
-	// admittedPerAnswered is how many requests are admitted for each answered one at weight 0, and
-	// admittedPerWeight how many more at the highest.
+	// admittedPerAnswered is the number of requests admitted per answered request at weight 0, and admittedPerWeight the
+	// number added at weight 1, the highest.
 	admittedPerAnswered = 1.02
 	admittedPerWeight   = 0.43
-	// cacheWaitRatio is the fraction of the strictest latency objective that may be spent waiting at a cache. The rest
-	// is for a miss and the origin.
+	// cacheWaitRatio is the fraction of the strictest latency objective that may be spent waiting at a cache. The rest is left
+	// for a miss and the origin.
 	cacheWaitRatio = 0.6
-	// crowdedMultiple is the mean latency, in fastest ones, from which on a machine is overloaded.
-	crowdedMultiple = 2
-	// fleetInFlight is the number of requests in flight, over all routers, that fully uses a machine of a few cores without a
-	// long queue.
+	// overloadedMultiple is the mean latency, as a multiple of the fastest one, from which on a cache is overloaded.
+	overloadedMultiple = 2
+	// fleetInFlight is the number of requests in flight, over all routers, that keeps a machine of a few cores fully used
+	// without a long queue.
 	fleetInFlight = 8
 )
 
-// admissionState is what the rejection of load is decided by.
+// admissionState holds what load shedding is decided by.
 type admissionState struct {
 	tenants  map[Tenant]*tenant
 	ended    decayingRate // requests for caches that ended
-	answered decayingRate // and those of them that were answered
+	answered decayingRate // those of them that were answered
 }
 
 // tenant is the entitlement of a tenant and the rate of its requests.
@@ -31,7 +32,7 @@
 	rate  decayingRate
 }
 
-// tooLateForAnswer reports whether a read has less time left than a fast answer needs. Half of its latency objective always
+// tooLateForAnswer reports whether a read has less time left than a fast answer takes. Half of its latency objective always
 // counts as enough.
 func (r *Router) tooLateForAnswer(request *request) bool {
 	fastest := r.cacheLatency.fastest
@@ -41,10 +42,10 @@
 	return !request.write && request.deadline-r.now < min(fastest, request.method.latencyObjective/2)
 }
 
-// shedsUnanswered reports, once for each request, whether it is rejected because the caches answer too few requests. It
-// guards against a metastable overload: caches that continue overdue work, filled by many routers with one request each,
-// answer none in time. A router admits as many requests as were recently answered of those that ended, and some more, by
-// weight.
+// shedsUnanswered reports, once for each request, whether it is rejected because the caches answer too few requests. This
+// prevents a metastable overload, in which caches that continue overdue work, and get one request from each of many routers,
+// answer none in time. The fraction of requests admitted is the fraction recently answered of those that ended, plus a margin
+// that grows with the weight.
 func (r *Router) shedsUnanswered(request *request) bool {
 	if request.admissionChecked {
 		return false
@@ -53,8 +54,8 @@
 	answered := r.admission.answered.at(r.now, trafficWindow)
 	ended := r.admission.ended.at(r.now, trafficWindow)
 	admitted := ((admittedPerAnswered+admittedPerWeight*request.weight)*answered + priorAnswerRate) / ended
-	// In an overload the requests of tenants over their share yield first, and are not counted: the surge of one tenant
-	// would displace the others.
+	// In an overload the requests of tenants over their share are rejected first, and are not counted: otherwise the surge of
+	// one tenant would displace the others.
 	overShare := request.weight < request.method.weight
 	if overShare && admitted < 1 {
 		admitted *= admitted * admitted // the fraction admitted falls with the cube
@@ -66,28 +67,28 @@
 	return rejected
 }
 
-// hasCapacity reports whether a request may be sent to a cache now: what is in flight there is bounded by what the cache
-// answers, by its measured rate, within the wait allowed.
+// hasCapacity reports whether a request may be sent to a cache now. The requests in flight there are bounded by the number that
+// the cache answers, at its measured rate, within the allowed wait.
 func (r *Router) hasCapacity(request *request, server *server) bool {
 	bound := r.inFlightBound(request, server)
 	inFlight := server.inFlight + server.abandonedInFlight(r.now)
 	if bound >= 1 {
 		return float64(inFlight) < bound
 	}
-	return inFlight == 0 // a bound of less than one is one
+	return inFlight == 0 // a bound below one counts as one
 }
 
-// inFlightBound is how many requests of this router may be in flight at a cache when one more is sent.
+// inFlightBound returns the bound on requests of this router in flight at a cache, for sending the given request.
 func (r *Router) inFlightBound(request *request, server *server) float64 {
-	// The most important requests may use all of the wait, the least only a part: a queue that those still fit into
-	// rejects these.
+	// Requests of the highest weight may use all of the allowed wait, those of the lowest only a part: as the queue grows, the
+	// latter are rejected first.
 	minimum := r.config.lowPriorityWaitRatio
 	weightFactor := minimum + (1-minimum)*min(1, request.weight)
 	wait := float64(request.method.strictestObjective) * cacheWaitRatio * weightFactor
 	latency := server.latency.blend(r.cacheLatency)
-	// The floor applies while answers are shorter than the wait. It falls with the bound once the machine is overloaded:
-	// one request in flight from every router would sustain the overload.
+	// The floor applies in full while answers take less than the allowed wait. Like the bound it falls once the cache is
+	// overloaded: one request in flight from every router would sustain the overload.
 	floor := fleetInFlight * r.fleetShare * min(1, wait/float64(max(1, latency.recent)))
 	answeredInWait := server.answerRate.at(r.now, answerWindow) * wait / microsecondsPerSecond
-	return max(floor, answeredInWait) * latency.slowdownFactor(crowdedMultiple)
+	return max(floor, answeredInWait) * latency.slowdownFactor(overloadedMultiple)
 }
--- a/core/routing/attempt.go
+++ b/core/routing/attempt.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// minTimeoutLatencies is the least time-out of an attempt at a cache, in mean latencies: a shorter one cuts off answers of
-	// healthy caches, whose latencies have a heavy tail.
+	// minTimeoutLatencies is the shortest time-out of an attempt at a cache, in mean latencies, if the time left allows it. A
+	// shorter one cuts off answers of healthy caches, whose latencies have a heavy tail.
 	minTimeoutLatencies = 8
-	// suspectTimeoutLatencies is the longest time-out of an attempt at a cache whose last attempt failed, in mean latencies: it
-	// may hang, and time must be left for another cache.
+	// suspectTimeoutLatencies is the longest time-out of an attempt at a cache whose last attempt failed, in mean latencies. The
+	// cache may hang, and time must be left for another one.
 	suspectTimeoutLatencies = 3
-	// originReserveDivisor bounds the time that is reserved for a miss and the origin, as a divisor of the time left.
+	// originReserveDivisor bounds the time reserved for a miss and the origin, as a divisor of the time left.
 	originReserveDivisor = 3
-	// originBackoff is the wait after a failed attempt at the origin: a few of its fast answers.
+	// originBackoff is the wait after a failed attempt at the origin, as long as a few of its fast answers.
 	originBackoff = 20 * clock.Millisecond
-	// methodLatencySamples is how many samples the latency of a method averages over.
+	// methodLatencySamples is the number of samples that the latency of a method averages over.
 	methodLatencySamples = 20
-	// freeRetryAnsweredRatio is the ratio of answered to ended requests from which on an attempt after a full queue is
-	// free. Below it every retry is charged to the budget, so that requests do not try their entire group in an overload.
+	// freeRetryAnsweredRatio is the ratio of answered to ended requests from which on a retry after a full queue is not charged
+	// to the retry budget. Below it every retry is charged, so that requests do not try their entire group in an overload.
 	freeRetryAnsweredRatio = 0.8
 )
 
@@ -52,21 +52,22 @@
 		server.reads++
 	}
 	decision := Decision{Action: Send, Request: request.id, Server: server.Server, After: max(timeout, r.config.clockGranularity)}
-	if request.mayHaveRunAt > 0 && request.method.idempotency == Deduplicated { // it may wait for a connection past the window
+	// A repeat may wait for a connection, but must not be sent after the deduplication window.
+	if request.mayHaveRunAt > 0 && request.method.idempotency == Deduplicated {
 		decision.StartBy = request.mayHaveRunAt + request.method.window - r.config.clockGranularity
 	}
 	r.decide(decision)
 }
 
-// attemptTimeout is the time until the deadline; at a cache, where a retry at the origin can follow, it leaves time for that
-// within the latency objective.
+// attemptTimeout returns the time-out of an attempt: the time until the deadline, but at a cache, if a retry can follow, it
+// leaves time for the origin within the latency objective.
 func (r *Router) attemptTimeout(request *request, server *server) clock.Duration {
 	left := request.deadline - r.now
 	retryPossible := r.config.cacheAside && request.attemptCount+1 < request.maxAttempts && r.budgets.retries >= 1
 	if server.isOrigin || !retryPossible {
 		return left
 	}
-	reserve := request.method.latency // for the miss, and for one and a half fast answers of the origin
+	reserve := request.method.latency // for a miss, and below for one and a half fast answers of the origin
 	if r.origin.server != nil {
 		reserve = min(left/originReserveDivisor, reserve+r.origin.server.latency.fastest*3/2)
 	}
@@ -78,7 +79,7 @@
 	return timeout
 }
 
-// attemptEnded handles the outcome of an attempt: it updates the server's record, then finishes the request or applies the
+// attemptEnded handles the outcome of an attempt: it updates the state of the server, then finishes the request or applies the
 // rules to it again.
 func (r *Router) attemptEnded(event AttemptEnded) {
 	server := r.endpoints.servers[event.Server]
@@ -110,7 +111,7 @@
 	if attempt.server.isOrigin && len(request.attempts) == 0 {
 		request.backoffUntil = r.now + originBackoff
 		originOverloaded := event.Status == TimedOut || event.Status == QueueFull
-		if !request.write && originOverloaded { // the reads that wait for this one are free to go
+		if !request.write && originOverloaded { // this lets the reads of the key that wait for it proceed
 			r.rejectOrFail(request)
 			return
 		}
@@ -118,7 +119,7 @@
 	r.applyRules(request)
 }
 
-// takeAttempt removes an attempt from those in flight and returns it; nil if it is not in flight.
+// takeAttempt removes an attempt from those in flight and returns it, nil if it is not in flight.
 func takeAttempt(request *request, number Attempt) *attempt {
 	at := slices.IndexFunc(request.attempts, func(a *attempt) bool { return a.number == number })
 	if at < 0 {
@@ -129,8 +130,8 @@
 	return taken
 }
 
-// countResponse counts a request, once, that was answered, or to which a cache responded at all: an overloaded cache is
-// silent. An error of the origin in the place of a full or silent cache does not count.
+// countResponse counts a request as answered, once, if it was answered or a cache responded to it in any way: an overloaded
+// cache is silent. An error of the origin does not count, since the origin may stand in for a full or silent cache.
 func (r *Router) countResponse(request *request, server *server, status AttemptStatus) {
 	cacheResponded := !server.isOrigin && (status == Miss || brokenResponse(status))
 	if (status == OK || cacheResponded) && !request.responded && !request.nearDeadline {
@@ -139,15 +140,15 @@
 	}
 }
 
-// brokenResponse reports whether a server responded, but with an error or a connection that broke.
+// brokenResponse reports whether a server responded, but with an error or by breaking the connection.
 func brokenResponse(status AttemptStatus) bool { return status == Failed || status == Reset }
 
-// prepareNextAttempt sets where the next attempt of a request may go, and whether it is charged to the retry budget.
+// prepareNextAttempt determines where the next attempt of a request may go, and whether it is charged to the retry budget.
 func (r *Router) prepareNextAttempt(request *request, attempt *attempt, status AttemptStatus) {
 	server := attempt.server
 	switch status {
 	case Miss:
-		// Where another read of the key is on its way to the origin, that one fills this cache.
+		// If another read of the key is in flight at the origin, its result fills this cache.
 		request.missed = !request.write && !server.isOrigin && !r.originReadInFlight(request)
 	case QueueFull:
 		isLastAttempt := request.attemptCount+1 >= request.maxAttempts
@@ -165,15 +166,15 @@
 			request.mayHaveRunAt, request.mayHaveRunOn = attempt.sentAt, server
 		}
 	}
-	// The first broken response is more often chance than the end of the server, and only this one has the key: it
-	// is retried there.
+	// A single broken response is more often chance than the failure of the server. It is retried at the same server, the only
+	// one that has the key.
 	retrySameServer := brokenResponse(status) && server.failurePoints <= 1
 	if status == QueueFull || request.retryPending && !retrySameServer {
 		request.failedServers = append(request.failedServers, server)
 	}
 }
 
-// cancelAttempts cancels what is still in flight for a request that ends.
+// cancelAttempts cancels the attempts that are in flight when a request ends.
 func (r *Router) cancelAttempts(request *request) {
 	if !r.config.cancelAllowed || request.finished {
 		return
@@ -183,8 +184,8 @@
 	}
 }
 
-// mustNotRunAgain reports whether the request may have run and a repeat could run a second time. A repeat must leave one
-// tick before the deduplication window ends, so that it arrives within it.
+// mustNotRunAgain reports whether the request may have run and a repeat could run a second time. A repeat must be sent one
+// tick before the deduplication window ends, so that it arrives within the window.
 func (r *Router) mustNotRunAgain(request *request) bool {
 	if request.mayHaveRunAt == 0 || request.method.idempotency == Idempotent {
 		return false
@@ -193,7 +194,8 @@
 	return request.method.idempotency == NonIdempotent || r.now+r.config.clockGranularity >= windowEnds
 }
 
-// recognizesRepeat reports whether a server exists and would drop the repeat of a deduplicated request that may have run.
+// recognizesRepeat reports whether a server may get a request: it is not nil, and if the request is deduplicated and may have
+// run, the server would recognize the repeat and drop it.
 func recognizesRepeat(request *request, server *server) bool {
 	if server == nil {
 		return false
--- a/core/routing/config.go
+++ b/core/routing/config.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// hedgeDelay is after how many mean latencies of the caches a read is hedged where a hedged request costs nothing.
-	hedgeDelay = 0.7
-	// hedgeDelayPerCost is by how many more for each unit of the cost of wasted work and crossings.
+	// baseHedgeDelay is the delay of a hedged request, in mean latencies of the caches, where wasted work and zone crossings
+	// cost nothing.
+	baseHedgeDelay = 0.7
+	// hedgeDelayPerCost is added to it for each unit of the cost of wasted work and zone crossings.
 	hedgeDelayPerCost = 18
-	// lowestWaitRatio is the fraction of the wait allowed at a cache that the least important requests may use.
+	// lowestWaitRatio is the fraction of the allowed wait at a cache that requests of the lowest weight may use.
 	lowestWaitRatio = 0.2
-	// warmUpSafety is the fraction of the overload multiple that warming caches get: the work of requests varies, and
-	// so do their keys.
+	// warmUpSafety is the fraction of the overload multiple that warming caches may receive: the work per request and the
+	// distribution of keys vary.
 	warmUpSafety = 0.6
-	// smallestCost stands for costs and weights of zero in quotients.
+	// smallestCost replaces costs and weights of zero in divisors.
 	smallestCost = 1e-9
 )
 
-// config is what follows from the settings.
+// config holds the values derived from the settings.
 type config struct {
 	// Fixed for the process.
-	cacheAside       bool
-	weightsAreSizes  bool
-	originKind       Kind
-	reportFields     []Figure
-	pollEndpoints    bool
-	clockGranularity clock.Duration
-	connectTimeout   clock.Duration // 0: not known
-	cancelAllowed    bool
-	hedgingAllowed   bool
-	hedgeDelay       float64 // in mean latencies of the caches
-	// idleKeepRatio is the least use of a server, as a multiple of the mean, for which its idle connections stay open.
+	cacheAside         bool
+	weightsAreCapacity bool
+	originKind         Kind
+	reportFields       []Figure
+	pollEndpoints      bool
+	clockGranularity   clock.Duration
+	connectTimeout     clock.Duration // 0: not known
+	cancelAllowed      bool
+	hedgingAllowed     bool
+	hedgeDelay         float64 // in mean latencies of the caches
+	// idleKeepRatio is the rate of attempts at a server, as a multiple of the mean rate, from which on its idle connections
+	// stay open.
 	idleKeepRatio float64
 
 	// Replaced by applySettings.
@@ -43,52 +45,53 @@
 	maxAttempts          Attempt
 	maxRetryAfter        clock.Duration // 0: rejections carry no retry-after
 	overShareWeight      float64
-	lowPriorityWaitRatio float64 // fraction of the wait allowed that a request of no weight may use
+	lowPriorityWaitRatio float64 // fraction of the allowed wait that a request of weight 0 may use
 	originLatencyGoal    clock.Duration
 	warmUpShare          float64
 	warmUpDuration       clock.Duration
 	overloadWindow       clock.Duration
-	// warmUpMultiple is the multiple of a warming cache's present capacity that the routers may send it.
+	// warmUpMultiple is the load that all routers together may send a warming cache, as a multiple of its present capacity.
 	warmUpMultiple float64
 }
 
-// method is what follows from the settings of a method, and the latency that the router has measured for it.
+// method holds the values derived from the settings of one method, and the latency measured for it.
 type method struct {
 	idempotency        Idempotency
 	scope              DeduplicationScope
 	window             clock.Duration
 	latencyObjective   clock.Duration
 	strictestObjective clock.Duration // the shortest objective of the methods of at least its criticality
-	weight             float64        // criticality over the highest criticality of all methods
+	weight             float64        // criticality divided by the highest criticality of all methods
 	lateAnswerCounts   bool
-	latency            clock.Duration // measured: the smoothed latency of a cache's answer; a change of settings leaves it
+	latency            clock.Duration // measured: the smoothed latency of a cache's answer; kept when settings change
 }
 
-// newConfig is the part of the configuration that is fixed for the process.
+// newConfig derives the values that are fixed for the process. applySettings sets the others.
 func newConfig(settings Settings) config {
 	c := config{
-		cacheAside:       settings.CacheAside,
-		weightsAreSizes:  settings.WeightsAreCapacity,
-		originKind:       settings.OriginKind,
-		reportFields:     settings.ReportFields,
-		pollEndpoints:    settings.PollEndpoints,
-		clockGranularity: max(settings.ClockGranularity, 1),
-		connectTimeout:   settings.ConnectTimeout,
-		cancelAllowed:    settings.CancelAllowed,
-		hedgingAllowed:   settings.HedgingAllowed && settings.CancelAllowed,
-		methods:          make([]method, len(settings.Methods)),
+		cacheAside:         settings.CacheAside,
+		weightsAreCapacity: settings.WeightsAreCapacity,
+		originKind:         settings.OriginKind,
+		reportFields:       settings.ReportFields,
+		pollEndpoints:      settings.PollEndpoints,
+		clockGranularity:   max(settings.ClockGranularity, 1),
+		connectTimeout:     settings.ConnectTimeout,
+		cancelAllowed:      settings.CancelAllowed,
+		hedgingAllowed:     settings.HedgingAllowed && settings.CancelAllowed,
+		methods:            make([]method, len(settings.Methods)),
 	}
-	// An open connection to every server has a cost for each hundred of them, a handshake for each request has its own.
-	// If all routers use a server equally, an open connection costs less from this ratio of the mean use on.
+	// The cost of open connections counts per hundred of them, that of handshakes per request. If all routers use a server
+	// equally, keeping a connection open costs less than handshakes from this multiple of the mean rate on.
 	const connectionsPerCost = 100
 	openCost := settings.ConnectionCost * float64(settings.Routers) / connectionsPerCost
 	c.idleKeepRatio = openCost / max(smallestCost, settings.HandshakeCost)
-	// A hedged request is work and a crossing: the more these cost, the later it is sent.
-	c.hedgeDelay = hedgeDelay + hedgeDelayPerCost*(settings.WastedWorkCost+settings.CrossZoneCost)
+	// A hedged request adds work and may cross zones: the higher the cost of these, the later it is sent.
+	c.hedgeDelay = baseHedgeDelay + hedgeDelayPerCost*(settings.WastedWorkCost+settings.CrossZoneCost)
 	return c
 }
 
-// applySettings replaces the settings that may change in service. Requests in flight continue under the earlier ones.
+// applySettings replaces the settings that may change in service. Requests in flight keep the method and the number of
+// attempts that were valid when they arrived.
 func (r *Router) applySettings(settings Settings) {
 	c := &r.config
 	c.maxAttempts = Attempt(settings.MaxAttempts)
@@ -98,17 +101,17 @@
 	c.warmUpDuration = max(settings.WarmUpDuration, 1)
 	c.overloadWindow = max(settings.OverloadWindow, 1)
 	c.warmUpMultiple = warmUpSafety * settings.OverloadMultiple
-	// Where the worst-served method counts much, the least important requests may wait longer, so that they do not starve.
+	// The more the worst-served method counts, the longer requests of the lowest weight may wait, so that they do not starve.
 	c.lowPriorityWaitRatio = min(1, lowestWaitRatio+settings.WorstMethodWeight)
 	c.applyMethods(settings.Methods)
 	for _, t := range settings.Tenants {
-		own := cmp.Or(r.admission.tenants[t.Name], &tenant{})
-		own.share = t.Share
-		r.admission.tenants[t.Name] = own
+		entitlement := cmp.Or(r.admission.tenants[t.Name], &tenant{})
+		entitlement.share = t.Share
+		r.admission.tenants[t.Name] = entitlement
 	}
 }
 
-// applyMethods replaces the methods, in a new slice: requests refer to the methods that were valid when they arrived.
+// applyMethods replaces the methods in a new slice, since requests refer to the methods that were valid when they arrived.
 func (c *config) applyMethods(settings []MethodSettings) {
 	c.methods = slices.Clone(c.methods)
 	highest := 0.0
@@ -119,7 +122,7 @@
 			strictest = min(strictest, m.LatencyBudget)
 		}
 	}
-	// Two fifths of the strictest read: its miss at the cache and a wait must fit into its objective as well.
+	// Two fifths of the strictest read objective: the miss at the cache and a wait must fit into it as well.
 	c.originLatencyGoal = strictest / 5 * 2
 	for i, m := range settings {
 		c.methods[i] = method{
@@ -135,7 +138,7 @@
 	}
 }
 
-// strictestObjective is the shortest latency objective of the methods that are at least as critical as one.
+// strictestObjective returns the shortest latency objective of the methods that are at least as critical as the given one.
 func strictestObjective(all []MethodSettings, of MethodSettings) clock.Duration {
 	strictest := of.LatencyBudget
 	for _, m := range all {
--- a/core/routing/connections.go
+++ b/core/routing/connections.go
@@ -1,14 +1,14 @@
 package routing
 
-// closeIdle closes the idle connections to a server if leaving them open costs more than opening new ones. It guards against
-// caches that reach their connection limit: with hundreds of routers, one connection from each is too many.
+// closeIdle closes the idle connections to a server if keeping them open costs more than opening new ones. It prevents caches
+// from reaching their connection limit: with hundreds of routers, one connection from each is too many.
 func (r *Router) closeIdle(server *server) {
-	const oneUse = microsecondsPerSecond / float64(attemptWindow) // less is chance
-	meanUse := r.traffic.attempts.at(r.now, attemptWindow) / float64(len(r.endpoints.caches)+1)
+	const oneAttempt = microsecondsPerSecond / float64(attemptWindow) // the rate of one attempt: smaller differences are chance
+	meanRate := r.traffic.attempts.at(r.now, attemptWindow) / float64(len(r.endpoints.caches)+1)
 	if server.inFlight > 0 {
 		return
 	}
-	if server.attemptRate.at(r.now, attemptWindow)+oneUse < r.config.idleKeepRatio*(meanUse+oneUse) {
+	if server.attemptRate.at(r.now, attemptWindow)+oneAttempt < r.config.idleKeepRatio*(meanRate+oneAttempt) {
 		r.decide(Decision{Action: CloseIdle, Server: server.Server})
 	}
 }
--- a/core/routing/decision.go
+++ b/core/routing/decision.go
@@ -13,17 +13,17 @@
 	Cancel                    // Request, Attempt
 	SetTimer                  // After, Timer
 	Subscribe                 // request the endpoint list
-	HealthCheck               // Server; no rule decides it
+	HealthCheck               // Server; no rule makes this decision
 	CloseIdle                 // Server: close its idle connections
 )
 
-// Decision is one thing to do now.
+// Decision is one action for the caller to carry out.
 type Decision struct {
 	Action  Action
 	Request RequestID
 	Server  ServerID
 	Attempt Attempt
-	After   clock.Duration // of Send the time-out, of Reject the retry-after, of SetTimer the delay
-	StartBy clock.Time     // of an attempt: it is not started later than that; 0: no bound
+	After   clock.Duration // the time-out of Send, the retry-after of Reject, the delay of SetTimer
+	StartBy clock.Time     // the attempt must not be sent later than this; 0: no bound
 	Timer   TimerID
 }
--- a/core/routing/endpoints.go
+++ b/core/routing/endpoints.go
@@ -8,24 +8,24 @@
 )
 
 // The backoff between polls for the endpoint list doubles from the first to the longest. A change must arrive within six
-// seconds, of which two calls that time out use four and rejected calls none.
+// seconds: two calls that time out take four of them, rejected calls take none.
 const (
 	firstPollBackoff    = 250 * clock.Millisecond
 	longestPollBackoff  = 1500 * clock.Millisecond
 	longestRejectedPoll = 3500 * clock.Millisecond
 )
 
-// endpointTable is the endpoint list and what follows from it.
+// endpointTable is the endpoint list and the state derived from it.
 type endpointTable struct {
 	servers  map[ServerID]*server
 	all      []*server                    // sorted by id
-	caches   []*server                    // that may get requests, sorted by id: groups are built from these
-	excluded []*server                    // caches of zones that the fleet's orders exclude
+	caches   []*server                    // those that may get requests, sorted by id: groups consist of these
+	excluded []*server                    // caches in zones that the fleet's orders exclude
 	banned   map[ServerID]bool            // by an operator, listed or not
-	groups   map[uint32][groupSize]uint32 // by slot, for the slots needed since the list changed: places in caches
-	group    []*server                    // what groupOf returned last
+	groups   map[uint32][groupSize]uint32 // indices into caches by slot, for slots needed since the list changed
+	group    []*server                    // buffer of groupOf
 
-	pollAt      clock.Time // when the list is requested again; 0: it is not due
+	pollAt      clock.Time // time of the next poll; 0: none is scheduled
 	pollBackoff clock.Duration
 }
 
@@ -58,7 +58,7 @@
 	r.rebuildEndpoints(capacityChanged)
 }
 
-// pollFailed sets when the endpoint list is requested again: half of the backoff is random.
+// pollFailed schedules the next poll with exponential backoff, half of which is random.
 func (r *Router) pollFailed(rejected bool) {
 	longest := longestPollBackoff
 	if rejected {
@@ -69,7 +69,7 @@
 	r.endpoints.pollAt = r.now + backoff/2 + clock.Duration(r.random.float()*float64(backoff)/2)
 }
 
-// updateEndpoint applies one entry of the list and reports whether its capacity changed.
+// updateEndpoint applies one entry of the endpoint list and reports whether the server's capacity changed.
 func (r *Router) updateEndpoint(endpoint Endpoint) (capacityChanged bool) {
 	server := r.endpoints.servers[endpoint.Server]
 	if server == nil {
@@ -78,7 +78,7 @@
 		server.processReplaced()
 	}
 	capacity := 1.0
-	if r.config.weightsAreSizes && endpoint.Weight > 0 {
+	if r.config.weightsAreCapacity && endpoint.Weight > 0 {
 		capacity = endpoint.Weight
 	}
 	capacityChanged = server.capacity != capacity
@@ -89,7 +89,7 @@
 	return capacityChanged
 }
 
-// addServer adds a server to the table, in the order of the ids.
+// addServer adds a server to the table and keeps it sorted by id.
 func (r *Router) addServer(id ServerID) *server {
 	added := &server{}
 	r.endpoints.servers[id] = added
@@ -109,8 +109,8 @@
 	}
 }
 
-// rebuildEndpoints drops removed servers and computes which caches may get requests. If these or their capacities changed,
-// the cached groups are invalid.
+// rebuildEndpoints drops removed servers and determines the caches that may get requests. If these or their capacities
+// changed, it drops the computed groups.
 func (r *Router) rebuildEndpoints(capacityChanged bool) {
 	before := r.endpoints.caches
 	r.endpoints.caches = make([]*server, 0, len(r.endpoints.all))
@@ -135,8 +135,8 @@
 	}
 }
 
-// banChanged applies an operator's ban, or its end. A banned server is treated as a draining one; after the ban it counts
-// as a process that has just started.
+// banChanged applies or lifts an operator's ban. A banned server is treated like a draining one; after the ban it is treated
+// like a process that has just started.
 func (r *Router) banChanged(event BanChanged) {
 	if event.Banned {
 		r.endpoints.banned[event.Server] = true
@@ -151,7 +151,7 @@
 	r.endpointsUpdated(EndpointsUpdated{Kind: IncrementalUpdate})
 }
 
-// CountCaches counts the caches in the list, and those of them that are banned or ejected.
+// CountCaches returns the number of listed caches, and how many of them are avoided because they are banned or ejected.
 func (r *Router) CountCaches() (listed, avoided int) {
 	for _, server := range r.endpoints.all {
 		if server.isOrigin {
--- a/core/routing/event.go
+++ b/core/routing/event.go
@@ -20,13 +20,13 @@
 	Cell      Cell
 	State     EndpointState
 	Weight    float64
-	StartedAt clock.Time // start of the server's process; 0: long ago
+	StartedAt clock.Time // start of the server's process; 0: unknown or long ago
 }
 
 // EndpointUpdateKind is the kind of an update of the endpoint list.
 type EndpointUpdateKind int
 
-// The kinds of updates.
+// The kinds of endpoint updates.
 const (
 	FullUpdate        EndpointUpdateKind = iota // endpoints that are not named are removed
 	IncrementalUpdate                           // endpoints that are not named stay
@@ -46,11 +46,11 @@
 	ConnectError               // no connection; the request did not run
 	Reset                      // the connection broke after the request was sent; it may have run
 	Canceled
-	NotSent // its time ended, or its server drained, before it was sent; the request did not run
+	NotSent // its time-out passed, or its server drained, before it was sent; the request did not run
 	Miss    // the cache does not have the key
 )
 
-// Report is the load figures of a server in the order of Settings.ReportFields.
+// Report has the load figures of a server, in the order of Settings.ReportFields.
 type Report []float64
 
 // Event is an input of a Router: one of the types below.
@@ -60,10 +60,10 @@
 type EndpointsUpdated struct {
 	Kind      EndpointUpdateKind
 	Endpoints []Endpoint
-	Rejected  bool // for FailedUpdate: discovery answered that it accepts no such call at present
+	Rejected  bool // for FailedUpdate: discovery answered, but rejected the call for now
 }
 
-// RequestArrived is a request of a client.
+// RequestArrived is the arrival of a client request.
 type RequestArrived struct {
 	Request       RequestID
 	Method        Method
@@ -82,11 +82,12 @@
 	Attempt  Attempt
 	Status   AttemptStatus
 	Took     clock.Duration
-	Answered bool // the client has its answer
+	Answered bool // the client has received its answer
 	Report   Report
 }
 
-// ResponseStarted is the event that the first bytes of an answer went to the client: no other attempt can answer it.
+// ResponseStarted is the event that the first bytes of an answer were sent to the client, so that no other attempt can answer
+// the request.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt Attempt
@@ -97,12 +98,12 @@
 	Request RequestID
 }
 
-// KnowledgeRestored is the knowledge of an earlier process, discounted by its age. It precedes all other events.
+// KnowledgeRestored restores the knowledge of an earlier process, discounted by its age. It precedes all other events.
 type KnowledgeRestored struct {
 	Knowledge
 }
 
-// ServersRestored is the knowledge of an earlier process about servers. It precedes the list that names them.
+// ServersRestored restores the knowledge of an earlier process about servers. It precedes the endpoint list that names them.
 type ServersRestored struct {
 	Servers []ServerKnowledge
 }
@@ -111,42 +112,42 @@
 type BanChanged struct {
 	Server ServerID
 	Banned bool
-	Since  clock.Time // of a ban that is lifted: the server counts as started then
+	Since  clock.Time // when the ban was lifted: the server counts as started then
 }
 
-// FleetShareChanged sets this router's share of the load that all routers may send together. It starts as one part in
-// Settings.Routers.
+// FleetShareChanged sets this router's share of the load that all routers may send together. The initial share is one divided
+// by Settings.Routers.
 type FleetShareChanged struct {
 	Share float64
 }
 
-// ZoneShare is a fraction for a zone: of the keys of its caches, or a weight.
+// ZoneShare assigns a zone a fraction of the keys of its caches, or a weight.
 type ZoneShare struct {
 	Zone  Zone
-	Share float64 // as a fraction of keys, 0: its caches count as not listed
+	Share float64 // a fraction of 0 excludes the zone's caches as if they were not listed
 }
 
-// FailoverOrders are the fleet's orders while a site is lost. The zero value orders nothing.
+// FailoverOrders are the fleet's orders to its routers while a site is lost. The zero value changes nothing.
 type FailoverOrders struct {
 	ZoneShares       []ZoneShare    // fraction of their keys that the caches of a zone get; 1 for zones not named
 	FailoverWeights  []ZoneShare    // weights of zones for keys whose owner's zone has a reduced share; 1 for zones not named
 	MinimumRank      Rank           // requests of a lower rank are rejected
-	MinimumRankShare float64        // fraction of the requests of just that rank that are admitted
+	MinimumRankShare float64        // fraction of the requests of exactly that rank that are admitted
 	RetryAfter       clock.Duration // the longest retry-after of rejected requests
 	OriginReadLimit  float64        // reads per second at the origin, of all routers together; 0: no limit
 }
 
-// SettingsChanged replaces the settings. Methods and tenants are the same ones, in the same order.
+// SettingsChanged replaces the settings. Methods and tenants must be the same as before, in the same order.
 type SettingsChanged struct {
 	Settings
 }
 
-// ShutdownScheduled is the event that the process will end: no answer has a value after the deadline.
+// ShutdownScheduled is the event that the process will end: answers after the deadline have no value.
 type ShutdownScheduled struct {
 	Deadline clock.Time
 }
 
-// TimerFired is the event of a SetTimer decision.
+// TimerFired is the event that a timer set by a SetTimer decision fired.
 type TimerFired struct {
 	Timer TimerID
 }
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -18,19 +18,19 @@
 	"spurtrestle/core/routing"
 )
 
-// goldenFile was written by the code of commit bfb4b5c. There is no flag that rewrites it: a change of what the router decides
-// puts the hashes that the failed test prints there, with the reason in its commit.
+// goldenFile was written by the code of commit bfb4b5c. There is no flag that rewrites it: a commit that changes decisions copies
+// the hashes that the failing test prints into the file, and gives the reason.
 const goldenFile = "testdata/golden-drive.txt"
 
-// TestRouter_DecidesAsTheGoldenDrive drives routers of several settings through pseudo-random events and compares a hash of
-// all decisions, loads and knowledge, in their order and to the last bit, with the one that an earlier build wrote.
-func TestRouter_DecidesAsTheGoldenDrive(t *testing.T) {
+// TestRouter_DecisionsMatchGoldenFile drives routers with several settings through pseudo-random events. It compares a hash of
+// all decisions, loads and knowledge, in order and to the last bit, with that of an earlier build.
+func TestRouter_DecisionsMatchGoldenFile(t *testing.T) {
 	var got strings.Builder
 	for _, name := range goldenSettingsNames {
 		for seed := range uint64(4) {
-			d := newDrive(goldenSettings(name), seed)
+			d := newDriver(goldenSettings(name), seed)
 			d.run(10000)
-			fmt.Fprintf(&got, "%s %d: %d decisions, hash %016x\n", name, seed, d.decisions, d.sum.Sum64())
+			fmt.Fprintf(&got, "%s %d: %d decisions, hash %016x\n", name, seed, d.decisions, d.digest.Sum64())
 		}
 	}
 	want, err := os.ReadFile(goldenFile)
@@ -38,13 +38,13 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("decisions differ from the golden drive:\ngot\n%swant\n%s", got.String(), want)
+		t.Errorf("decisions differ from the golden file:\ngot\n%swant\n%s", got.String(), want)
 	}
 }
 
 var goldenSettingsNames = []string{"plain", "through", "large", "sparse", "hedged", "sized", "on-request"}
 
-// goldenSettings are the settings of one deployment.
+// goldenSettings returns the settings of a deployment by its name.
 func goldenSettings(name string) routing.Settings {
 	s := routing.Settings{Routers: 3, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, WarmUpShare: 0.2,
 		WarmUpDuration: 10e6, OverloadWindow: 1e6, OverloadMultiple: 2, CancelAllowed: true, MaxRetryAfter: 1e6,
@@ -84,83 +84,83 @@
 	return s
 }
 
-// scheduled is an event that is due at an instant; a nil event is the next client request.
-type scheduled struct {
+// scheduledEvent is an event that is due at an instant. A nil event is the next client request.
+type scheduledEvent struct {
 	at    clock.Time
-	order int
+	order int // breaks ties between events of the same instant
 	event routing.Event
 }
 
-type schedule []scheduled
+type eventQueue []scheduledEvent
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
+func (s eventQueue) Len() int { return len(s) }
+func (s eventQueue) Less(i, j int) bool {
 	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].order < s[j].order
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *schedule) Push(x any)   { *s = append(*s, x.(scheduled)) }
-func (s *schedule) Pop() any {
+func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *eventQueue) Push(x any)   { *s = append(*s, x.(scheduledEvent)) }
+func (s *eventQueue) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
 }
 
-// goldenServer is a simulated server: what it does to the attempts that it gets.
-type goldenServer struct {
-	entry    routing.Endpoint
-	listed   bool
-	slowness float64 // factor of its service time
-	faults   float64 // probability of a fault for each attempt
-	silent   bool
-	missing  float64 // probability of a miss
+// simulatedServer is a cache or the origin, with the outcomes of the attempts that it gets.
+type simulatedServer struct {
+	endpoint         routing.Endpoint
+	listed           bool
+	slowness         float64 // factor on its service time
+	faultProbability float64 // probability of a fault for each attempt
+	silent           bool
+	missProbability  float64 // probability of a miss
 }
 
-// drive is one router and the simulated servers and clients around it.
-type drive struct {
+// driver simulates the servers and the clients of one router.
+type driver struct {
 	random    *rand.Rand
 	settings  routing.Settings
 	seed      uint64
 	router    *routing.Router
 	now       clock.Time
-	pending   schedule
-	scheduled int
-	servers   []*goldenServer
+	pending   eventQueue
+	scheduled int // number of events scheduled so far
+	servers   []*simulatedServer
 	sent      map[routing.RequestID]routing.Attempt
 	requests  int
-	rate      float64 // client requests a second
-	keys      float64 // distinct keys
+	rate      float64 // client requests per second
+	keys      float64 // number of distinct keys
 	decisions int
-	sum       hash.Hash64
+	digest    hash.Hash64
 }
 
-func newDrive(settings routing.Settings, seed uint64) *drive {
-	d := &drive{random: rand.New(rand.NewPCG(seed, 11)), settings: settings, seed: seed, now: 1e6,
-		sent: map[routing.RequestID]routing.Attempt{}, rate: 60, keys: 300, sum: fnv.New64a()}
-	if settings.WeightsAreCapacity { // more keys than the table of hot keys has places
+func newDriver(settings routing.Settings, seed uint64) *driver {
+	d := &driver{random: rand.New(rand.NewPCG(seed, 11)), settings: settings, seed: seed, now: 1e6,
+		sent: map[routing.RequestID]routing.Attempt{}, rate: 60, keys: 300, digest: fnv.New64a()}
+	if settings.WeightsAreCapacity { // more keys than the router counts
 		d.keys = 30000
 	}
 	for i := range 14 {
-		s := &goldenServer{listed: true, slowness: 1, missing: 0.05,
-			entry: routing.Endpoint{Server: routing.ServerID(i*7 + 1), Kind: "cache", Zone: routing.Zone("abc"[i%3 : i%3+1]),
+		s := &simulatedServer{listed: true, slowness: 1, missProbability: 0.05,
+			endpoint: routing.Endpoint{Server: routing.ServerID(i*7 + 1), Kind: "cache", Zone: routing.Zone("abc"[i%3 : i%3+1]),
 				Cell: routing.Cell(i % 5), Weight: float64(1 + i%4)}}
 		if i == 13 && settings.OriginKind != "" {
-			s.entry.Kind, s.slowness, s.missing = settings.OriginKind, 3, 0
+			s.endpoint.Kind, s.slowness, s.missProbability = settings.OriginKind, 3, 0
 		}
 		d.servers = append(d.servers, s)
 	}
-	router, decided := routing.New(d.now, settings, seed)
+	router, decisions := routing.New(d.now, settings, seed)
 	d.router = router
-	d.carryOut(decided)
+	d.carryOut(decisions)
 	d.step(routing.EndpointsUpdated{Kind: routing.CachedUpdate, Endpoints: d.list()})
 	d.step(routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 	d.after(0, nil)
 	return d
 }
 
-// run plays events until so many have been played.
-func (d *drive) run(events int) {
+// run passes the given number of events to the router.
+func (d *driver) run(events int) {
 	for n := range events {
-		next := heap.Pop(&d.pending).(scheduled)
+		next := heap.Pop(&d.pending).(scheduledEvent)
 		d.now = max(d.now, next.at)
 		if next.event == nil {
 			d.request()
@@ -168,7 +168,7 @@
 			d.step(next.event)
 		}
 		if d.random.IntN(25) == 0 {
-			d.disturb()
+			d.disrupt()
 		}
 		if n%100 == 99 {
 			d.recordLoad()
@@ -179,21 +179,21 @@
 	d.step(routing.TimerFired{Timer: 1})
 }
 
-func (d *drive) after(wait clock.Time, event routing.Event) {
+func (d *driver) after(wait clock.Time, event routing.Event) {
 	d.scheduled++
-	heap.Push(&d.pending, scheduled{d.now + wait, d.scheduled, event})
+	heap.Push(&d.pending, scheduledEvent{d.now + wait, d.scheduled, event})
 }
 
-func (d *drive) step(event routing.Event) {
+func (d *driver) step(event routing.Event) {
 	d.carryOut(slices.Clone(d.router.Step(d.now, event)))
 }
 
-// carryOut records the decisions and schedules what they lead to.
-func (d *drive) carryOut(decided []routing.Decision) {
-	for _, x := range decided {
+// carryOut records the decisions and schedules the events that follow from them.
+func (d *driver) carryOut(decisions []routing.Decision) {
+	for _, x := range decisions {
 		d.decisions++
 		d.record(uint64(d.now), uint64(x.Action), uint64(x.Server), uint64(x.Attempt), uint64(x.After), uint64(x.StartBy), uint64(x.Timer))
-		d.sum.Write([]byte(x.Request))
+		d.digest.Write([]byte(x.Request))
 		switch x.Action {
 		case routing.Send:
 			d.attempt(x)
@@ -210,8 +210,8 @@
 }
 
 // attempt schedules the outcome of one attempt.
-func (d *drive) attempt(x routing.Decision) {
-	i := slices.IndexFunc(d.servers, func(s *goldenServer) bool { return s.entry.Server == x.Server })
+func (d *driver) attempt(x routing.Decision) {
+	i := slices.IndexFunc(d.servers, func(s *simulatedServer) bool { return s.endpoint.Server == x.Server })
 	server := d.servers[i]
 	attempt := d.sent[x.Request]
 	d.sent[x.Request]++
@@ -223,11 +223,11 @@
 		if d.random.IntN(4) == 0 {
 			status, took = routing.ConnectError, min(x.After, 200e3)
 		}
-	case d.random.Float64() < server.faults:
+	case d.random.Float64() < server.faultProbability:
 		status = []routing.AttemptStatus{routing.Failed, routing.Reset, routing.QueueFull, routing.ConnectError, routing.NotSent,
 			routing.Canceled}[d.random.IntN(6)]
 		took /= 4
-	case d.random.Float64() < server.missing:
+	case d.random.Float64() < server.missProbability:
 		status = routing.Miss
 	}
 	if took > x.After {
@@ -249,8 +249,8 @@
 		Answered: over, Report: report})
 }
 
-// request is one request of a client, and the next one is scheduled.
-func (d *drive) request() {
+// request sends one client request and schedules the next one.
+func (d *driver) request() {
 	d.requests++
 	id := routing.RequestID(fmt.Sprint("r", d.requests))
 	method := d.random.IntN(len(d.settings.Methods))
@@ -276,8 +276,8 @@
 	d.after(clock.Time(d.random.ExpFloat64()*1e6/d.rate), nil)
 }
 
-// disturb changes what the servers do, or sends an event other than requests and outcomes.
-func (d *drive) disturb() {
+// disrupt changes the behaviour of servers, or sends an event other than requests and outcomes.
+func (d *driver) disrupt() {
 	server := d.servers[d.random.IntN(len(d.servers))]
 	switch d.random.IntN(22) {
 	case 0:
@@ -285,41 +285,41 @@
 	case 1, 2:
 		server.slowness = 1
 	case 3:
-		server.faults = d.random.Float64()
+		server.faultProbability = d.random.Float64()
 	case 4, 5:
 		for _, s := range d.servers {
-			s.faults, s.silent, s.slowness = 0.02*d.random.Float64(), false, 1
+			s.faultProbability, s.silent, s.slowness = 0.02*d.random.Float64(), false, 1
 		}
 	case 6:
 		server.silent = !server.silent
 	case 7:
 		for _, s := range d.servers {
-			s.silent = s.silent || s.entry.Zone == server.entry.Zone && s.entry.Kind == "cache"
+			s.silent = s.silent || s.endpoint.Zone == server.endpoint.Zone && s.endpoint.Kind == "cache"
 		}
 	case 8:
-		server.entry.StartedAt = d.now
-		server.missing = 0.6
-		d.after(0, routing.EndpointsUpdated{Kind: routing.IncrementalUpdate, Endpoints: []routing.Endpoint{server.entry}})
+		server.endpoint.StartedAt = d.now
+		server.missProbability = 0.6
+		d.after(0, routing.EndpointsUpdated{Kind: routing.IncrementalUpdate, Endpoints: []routing.Endpoint{server.endpoint}})
 	case 9:
-		server.missing = 0.05
+		server.missProbability = 0.05
 	case 10:
 		server.listed = !server.listed
 		d.after(0, routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 	case 11:
-		server.entry.State = []routing.EndpointState{routing.Ready, routing.Ready, routing.Draining, routing.Removed}[d.random.IntN(4)]
-		server.entry.Weight = float64(d.random.IntN(5))
-		d.after(0, routing.EndpointsUpdated{Kind: routing.IncrementalUpdate, Endpoints: []routing.Endpoint{server.entry}})
+		server.endpoint.State = []routing.EndpointState{routing.Ready, routing.Ready, routing.Draining, routing.Removed}[d.random.IntN(4)]
+		server.endpoint.Weight = float64(d.random.IntN(5))
+		d.after(0, routing.EndpointsUpdated{Kind: routing.IncrementalUpdate, Endpoints: []routing.Endpoint{server.endpoint}})
 	case 12:
 		d.after(0, routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: d.random.IntN(2) == 0})
 	case 13:
-		id := server.entry.Server
+		id := server.endpoint.Server
 		d.step(routing.BanChanged{Server: id, Banned: true})
 		d.after(clock.Time(d.random.Float64()*2e6), routing.BanChanged{Server: id, Since: d.now})
 	case 14:
 		d.step(routing.FleetShareChanged{Share: []float64{0, 0.05, 1 / float64(d.settings.Routers), 1}[d.random.IntN(4)]})
 		d.after(1e6, routing.FleetShareChanged{Share: 1 / float64(d.settings.Routers)})
 	case 15, 16:
-		d.plan()
+		d.orderFailover()
 	case 17:
 		changed := d.settings
 		changed.MaxAttempts, changed.MaxRetryAfter = 1+d.random.IntN(4), clock.Time(d.random.IntN(3))*500e3
@@ -328,13 +328,13 @@
 		changed.Tenants[0].Share = d.random.Float64()
 		d.step(routing.SettingsChanged{Settings: changed})
 	case 18:
-		d.now += clock.Time(d.random.ExpFloat64() * 500e3) // the process stood still
+		d.now += clock.Time(d.random.ExpFloat64() * 500e3) // the process was stalled
 	case 19:
 		before := d.now
-		d.now -= 3e6 // an instant before the last one
+		d.now -= 3e6 // an instant before the previous one
 		d.step(routing.TimerFired{Timer: 1})
 		d.now = before
-		d.step(routing.HealthChecked{Server: server.entry.Server, Status: routing.OK, Took: 1e3})
+		d.step(routing.HealthChecked{Server: server.endpoint.Server, Status: routing.OK, Took: 1e3})
 	case 20:
 		d.rate = 20 + 400*d.random.Float64()*d.random.Float64()
 	case 21:
@@ -344,8 +344,8 @@
 	}
 }
 
-// plan is an order of the fleet for a lost site; it ends after a while.
-func (d *drive) plan() {
+// orderFailover sends the fleet's orders for a lost site, and their end after a while.
+func (d *driver) orderFailover() {
 	p := routing.FailoverOrders{MinimumRank: routing.Rank(d.random.IntN(1e6)), MinimumRankShare: d.random.Float64(),
 		RetryAfter: clock.Time(d.random.IntN(3e6))}
 	switch d.random.IntN(4) {
@@ -362,31 +362,31 @@
 	d.after(clock.Time(d.random.Float64()*3e6), routing.FailoverOrders{})
 }
 
-// restart begins a new process with the knowledge of the one before.
-func (d *drive) restart() {
+// restart replaces the router by a new process with the knowledge of the old one.
+func (d *driver) restart() {
 	knowledge := sortedKnowledge(d.router, d.now)
 	d.seed += 1000
-	router, decided := routing.New(d.now, d.settings, d.seed)
+	router, decisions := routing.New(d.now, d.settings, d.seed)
 	d.router = router
-	d.pending = slices.DeleteFunc(d.pending, func(s scheduled) bool {
-		_, elapsed := s.event.(routing.TimerFired)
-		return elapsed
+	d.pending = slices.DeleteFunc(d.pending, func(s scheduledEvent) bool {
+		_, isTimer := s.event.(routing.TimerFired)
+		return isTimer
 	})
 	heap.Init(&d.pending)
-	d.carryOut(decided)
+	d.carryOut(decisions)
 	d.step(routing.KnowledgeRestored{Knowledge: knowledge})
 	d.step(routing.ServersRestored{Servers: knowledge.Servers})
 	d.step(routing.EndpointsUpdated{Kind: routing.FullUpdate, Endpoints: d.list()})
 }
 
-func (d *drive) list() []routing.Endpoint {
-	var entries []routing.Endpoint
+func (d *driver) list() []routing.Endpoint {
+	var endpoints []routing.Endpoint
 	for _, s := range d.servers {
 		if s.listed {
-			entries = append(entries, s.entry)
+			endpoints = append(endpoints, s.endpoint)
 		}
 	}
-	return entries
+	return endpoints
 }
 
 func sortedKnowledge(router *routing.Router, now clock.Time) routing.Knowledge {
@@ -395,21 +395,21 @@
 	return k
 }
 
-func (d *drive) record(values ...uint64) {
+func (d *driver) record(values ...uint64) {
 	var b [8]byte
 	for _, value := range values {
 		binary.LittleEndian.PutUint64(b[:], value)
-		d.sum.Write(b[:])
+		d.digest.Write(b[:])
 	}
 }
 
-func (d *drive) recordFloats(values ...float64) {
+func (d *driver) recordFloats(values ...float64) {
 	for _, value := range values {
 		d.record(math.Float64bits(value))
 	}
 }
 
-func (d *drive) recordLoad() {
+func (d *driver) recordLoad() {
 	load := d.router.Load(d.now)
 	d.recordFloats(load.EndedRate, load.UnansweredRate, load.EndedWeight, load.UnansweredWeight, load.OriginLatencyRatio)
 	for _, x := range load.Offered {
@@ -417,7 +417,7 @@
 		d.recordFloats(x.Rate)
 	}
 	for _, z := range load.Zones {
-		d.sum.Write([]byte(z.Zone))
+		d.digest.Write([]byte(z.Zone))
 		d.record(uint64(z.Listed), uint64(z.Unreachable))
 		d.recordFloats(z.AnswerRate)
 	}
@@ -425,7 +425,7 @@
 	d.record(uint64(listed), uint64(avoided))
 }
 
-func (d *drive) recordKnowledge() {
+func (d *driver) recordKnowledge() {
 	k := sortedKnowledge(d.router, d.now)
 	times := func(x routing.LatencySummary) {
 		d.record(uint64(x.Recent), uint64(x.Mean), uint64(x.Fastest), uint64(x.Samples))
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -2,7 +2,7 @@
 
 import "spurtrestle/core/clock"
 
-// scheduleHedge notes when the first attempt of a read at a cache may be joined by a hedged one at the origin.
+// scheduleHedge schedules the hedged request at the origin that may follow the first attempt of a read at a cache.
 func (r *Router) scheduleHedge(request *request, server *server) {
 	isFirst := request.attemptCount == 1
 	hedgeable := !request.write && request.method.idempotency == Idempotent && !server.isOrigin
@@ -14,8 +14,8 @@
 	r.setTimer(request.hedgeAt)
 }
 
-// checkHedges applies the rules to the requests whose hedge is due. The delay changes slowly, so that they stand nearly in
-// the order of their times.
+// checkHedges applies the rules to the requests whose hedged request is due. The hedge delay changes slowly, so that the list is
+// nearly in the order of hedgeAt, and only its head is checked.
 func (r *Router) checkHedges() {
 	for len(r.requests.hedgeable) > 0 {
 		request := r.requests.hedgeable[0]
@@ -30,9 +30,9 @@
 	}
 }
 
-// hedgeIsDue reports whether the only attempt of a read is in flight for longer than its cache should need while the origin
-// has free capacity. The cache may be overloaded or silent, which one of many routers detects late. The hedged request goes
-// to the origin: another cache would miss, and evict entries that it still serves.
+// hedgeIsDue reports whether the only attempt of a read has been in flight for longer than its cache should need while the
+// origin has free capacity. The cache may be overloaded or silent, which one of many routers detects late. The hedged request
+// goes to the origin: another cache would miss, and evict entries that it still serves.
 func (r *Router) hedgeIsDue(request *request) bool {
 	if request.hedgeAt == 0 || r.now < request.hedgeAt || r.now >= request.deadline {
 		return false
--- a/core/routing/hotkeys.go
+++ b/core/routing/hotkeys.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// hotKeyThreshold is the load of a key, as a multiple of a mean cache's reads, above which its reads are spread. A
-	// key just under a load of one would be most of what its cache can serve.
+	// hotKeyThreshold is the load of a key, as a multiple of the reads of an average cache, above which its reads are spread. A
+	// key with a load just under one would take most of the capacity of its cache.
 	hotKeyThreshold = 0.35
-	// hotKeyCapacity is how many keys are counted: several times those that can be over the threshold.
+	// hotKeyCapacity is the number of keys that are counted: several times the number that can be over the threshold.
 	hotKeyCapacity = 1024
-	// minimumReads is the least count that makes a key hot; a single read is chance.
+	// minimumReads is the least count of a hot key: a single read may be chance.
 	minimumReads = 2
-	// priorReads is how many reads of other keys count as seen at the start, so that no key is hot after a few reads.
+	// priorReads is added to the count of all reads, so that no key is hot after the first few reads.
 	priorReads = 40
-	// readsPerCache is how many reads for each cache are counted before the counts are halved. A router that sees few
-	// requests needs the window in reads, not in seconds.
+	// readsPerCache is the number of reads per cache after which the counts are halved. The window is one of reads, not of
+	// seconds, for routers that get few requests.
 	readsPerCache = 10
-	// replicaLoad is the load that one replica of a very hot key brings to a cache, in a fleet of one cache; it falls
-	// with the square root of the number of caches, since in a large fleet more hot keys meet by chance.
+	// replicaLoad is the load that one replica of a very hot key may add to a cache, for a single cache. It falls with the
+	// square root of the number of caches: in a large fleet more hot keys share a cache by chance.
 	replicaLoad = 0.6
-	// sharesInterval is how often the shares of the replicas are computed (the interval of the design).
+	// sharesInterval is the interval at which the input of the shares is updated (the interval of the design).
 	sharesInterval = 2 * clock.Second
 	// sampleAge is the age after which a reported service time is dropped.
 	sampleAge = 10 * clock.Second
 )
 
-// hotKeyState finds the hot keys and paces the computation of shares.
+// hotKeyState holds the counts that detect hot keys, and the time of the next update of the shares' input.
 type hotKeyState struct {
 	counts       keyCounts // of reads
 	nextSharesAt clock.Time
 }
 
-// intervalLoad is what the shares are computed from: the service time, and the requests of the last interval.
+// intervalLoad is the input from which shares are computed: the service time of a cache, and its requests in the last interval.
 type intervalLoad struct {
 	serviceTime clock.Duration
 	writes      float64
 	reads       float64
 }
 
-// keyLoad is the load of a request's key, as a multiple of a mean cache's reads, and the fraction of it that is certain
-// at one standard deviation.
+// keyLoad returns the load of a request's key, as a multiple of the reads of an average cache, and the fraction of it that is
+// certain at one standard deviation. Both are 0 for writes and for keys with too few reads.
 func (r *Router) keyLoad(request *request) (load, confidence float64) {
 	count := r.hotKeys.counts.byKey[hashKey(request.key)]
 	if count < minimumReads || request.write || request.key == "" {
@@ -53,8 +53,8 @@
 	return load, 1 - 1/math.Sqrt(count)
 }
 
-// drawReplica draws the cache that gets a read of a hot key. A key hotter than its group can serve is spread over several
-// groups, its own first; over fewer while the origin is busy, since each replica costs it a miss.
+// drawReplica draws the cache that gets a read of a hot key. A key with more reads than its group can serve is spread over
+// several groups, of which its own is the first. While the origin is busy these are fewer, since each replica costs it a miss.
 func (r *Router) drawReplica(request *request, load, confidence float64) {
 	loadPerReplica := replicaLoad / math.Sqrt(float64(len(r.endpoints.caches)))
 	origin := r.origin.server
@@ -70,8 +70,8 @@
 	request.replica = r.random.index(r.sharesOf(r.groupOf(request.hash)))
 }
 
-// recomputeShares fixes, once an interval, what the shares are computed from until the next one.
-func (r *Router) recomputeShares() {
+// updateShareInputs updates, once per interval, the values that shares are computed from until the next update.
+func (r *Router) updateShareInputs() {
 	if r.now < r.hotKeys.nextSharesAt {
 		return
 	}
@@ -95,13 +95,13 @@
 		return
 	}
 	for _, cache := range r.endpoints.caches {
-		if cache.lastInterval.serviceTime == 0 { // not measured yet: the mean of the others
+		if cache.lastInterval.serviceTime == 0 { // not measured: use the mean of the others
 			cache.lastInterval.serviceTime = sum / measured
 		}
 	}
 }
 
-// sharesOf is the design's distribution of reads over one group.
+// sharesOf returns the shares by which the reads of a hot key are distributed over one group.
 func (r *Router) sharesOf(group []*server) []float64 {
 	writes := make([]float64, len(group))
 	times := make([]float64, len(group))
@@ -116,8 +116,8 @@
 	return shiftBySpeed(shareByWrites(writes, reads), times)
 }
 
-// shareByWrites is Algorithm 1 of the design: reads are shared so that reads and writes together are level. With nothing
-// counted the shares are equal.
+// shareByWrites returns shares of reads that level the sum of reads and writes of the caches (Algorithm 1 of the design).
+// Without reads or writes the shares are equal.
 func shareByWrites(writes []float64, reads float64) []float64 {
 	n := float64(len(writes))
 	allWrites := sumOf(writes)
@@ -132,7 +132,7 @@
 	return normalizeShares(shares)
 }
 
-// shiftBySpeed is Algorithm 2 of the design: it moves shares from slow caches to fast ones. It changes shares in place.
+// shiftBySpeed moves shares from slow caches to fast ones (Algorithm 2 of the design). It changes shares in place.
 func shiftBySpeed(shares, times []float64) []float64 {
 	n := float64(len(times))
 	allTimes := sumOf(times)
@@ -144,8 +144,8 @@
 	return normalizeShares(shares)
 }
 
-// normalizeShares sets negative shares to zero, subtracts their deficit from the others in equal parts, and scales the
-// sum to one. It changes shares in place.
+// normalizeShares sets negative shares to zero, subtracts their deficit from the others in equal parts, and scales the shares to
+// a sum of one. It changes shares in place.
 func normalizeShares(shares []float64) []float64 {
 	deficit := 0.0
 	for i, share := range shares {
@@ -180,8 +180,8 @@
 // keyCounts counts the most frequent keys in bounded space (after Misra and Gries).
 type keyCounts struct {
 	byKey    map[KeyHash]float64
-	keys     []KeyHash // in the order of their arrival: decisions must not depend on the map's order
-	total    float64   // of all keys, counted or not
+	keys     []KeyHash // in the order in which they were added: decisions must not depend on the order of the map
+	total    float64   // reads of all keys, whether counted or not
 	capacity int
 }
 
@@ -211,7 +211,7 @@
 	})
 }
 
-// halve ages all counts.
+// halve halves all counts, so that older reads weigh less.
 func (k *keyCounts) halve() {
 	k.total /= 2
 	for _, key := range k.keys {
--- a/core/routing/knowledge.go
+++ b/core/routing/knowledge.go
@@ -2,40 +2,40 @@
 
 import "spurtrestle/core/clock"
 
-// LatencySummary is a latency estimate.
+// LatencySummary is the state of a latency estimate.
 type LatencySummary struct {
 	Recent  clock.Duration
 	Mean    clock.Duration
 	Fastest clock.Duration
-	Samples int // up to 32
+	Samples int // at most 32
 }
 
-// ServerKnowledge is what a router knows of one process of a server.
+// ServerKnowledge is what a router has learned about one process of a server.
 type ServerKnowledge struct {
 	Server              ServerID
-	StartedAt           clock.Time // by the list; another start is another process
-	ObservedAt          clock.Time // of the last attempt; that of the earlier process until an attempt ends
+	StartedAt           clock.Time // from the endpoint list; a different start is a different process
+	ObservedAt          clock.Time // end of the last attempt; if restored, of the earlier process until an attempt ends
 	Latency             LatencySummary
 	AnswerRate          float64        // per second
-	AttemptRate         float64        // per second, over a longer window
-	ReportedServiceTime clock.Duration // mean of those that the server reported; 0: none
-	FailurePoints       int            // for consecutive failures
+	AttemptRate         float64        // per second, over a longer window than AnswerRate
+	ReportedServiceTime clock.Duration // mean of the recent reports; 0: none
+	FailurePoints       int            // of consecutive failures
 	Ejected             bool
-	ConnectFailed       bool // it may come back as a new process
+	ConnectFailed       bool // the next answer may come from a new process
 }
 
-// KeyKnowledge is the count of one key among the reads.
+// KeyKnowledge is the count of the reads of one key.
 type KeyKnowledge struct {
 	Key   KeyHash
 	Count float64
 }
 
-// Knowledge is what a router has learned and a later process may use. How much of it counts after a restart is decided by
-// package staleness. Requests, attempts and connections are no part of it, nor the budgets of warming caches, which follow
-// from the starts in the endpoint list.
+// Knowledge is what a router has learned and a later process may use. Package staleness decides how much of it counts after a
+// restart. It does not include requests, attempts and connections, nor the budgets of warming caches, which are derived from
+// the starts in the endpoint list.
 type Knowledge struct {
 	CapturedAt      clock.Time
-	ObservedFor     clock.Duration // for how long the rates have been observed
+	ObservedFor     clock.Duration // how long the rates have been observed
 	CacheLatency    LatencySummary // over all caches
 	RequestRate     float64
 	HitRate         float64
@@ -44,13 +44,13 @@
 	AttemptRate     float64
 	FailureRate     float64
 	RetryBudget     float64
-	KeyReads        float64 // of all keys, of which Keys are a part
+	KeyReads        float64 // reads of all keys, of which Keys are a part
 	MethodLatencies []clock.Duration
 	Servers         []ServerKnowledge // in no order
 	Keys            []KeyKnowledge
 }
 
-// Knowledge returns what the router knows at an instant. It changes nothing but the decay of rates.
+// Knowledge returns what the router has learned up to an instant. It changes no state except the decay of rates.
 func (r *Router) Knowledge(now clock.Time) Knowledge {
 	r.now = max(now, r.now)
 	knowledge := Knowledge{
@@ -98,7 +98,7 @@
 	return LatencySummary{Recent: l.recent, Mean: l.mean, Fastest: l.fastest, Samples: int(l.samples)}
 }
 
-// knowledge returns the counts of the keys that were read more than once.
+// knowledge returns the counts of the keys that may be hot.
 func (k *keyCounts) knowledge() []KeyKnowledge {
 	keys := make([]KeyKnowledge, 0, len(k.keys))
 	for _, key := range k.keys {
--- a/core/routing/load.go
+++ b/core/routing/load.go
@@ -8,8 +8,8 @@
 	"spurtrestle/core/clock"
 )
 
-// loadWindow is the window of the rates in RouterLoad: it smooths what one router sees of a rank by chance, and shows a loss
-// within a second.
+// loadWindow is the window of the rates in RouterLoad. It smooths random variation of one router's requests of a rank, and shows
+// a loss within a second.
 const loadWindow = 1 * clock.Second
 
 // RankRate is the rate of the requests of one rank.
@@ -18,26 +18,26 @@
 	Rate float64 // requests per second
 }
 
-// ZoneLoad is what a router sees of the caches of a zone.
+// ZoneLoad is the state of the caches of a zone, as one router observes it.
 type ZoneLoad struct {
 	Zone        Zone
 	Listed      int
-	Unreachable int     // of the listed: silent; or ejected or behind a path in backoff, until a trial has succeeded
+	Unreachable int     // listed caches that are silent, or, until a trial has succeeded, ejected or behind a path in backoff
 	AnswerRate  float64 // per second
 }
 
-// RouterLoad is a router's load over about the last second, as it reports it to the fleet.
+// RouterLoad is the load of a router over about the last second, for its report to the fleet.
 type RouterLoad struct {
-	Offered            []RankRate // that arrived, the highest rank first
-	EndedRate          float64    // requests per second that were not shed by the fleet's orders and ended
-	UnansweredRate     float64    // those of them that were rejected or failed
-	EndedWeight        float64    // EndedRate by weight
-	UnansweredWeight   float64    // UnansweredRate by weight
-	Zones              []ZoneLoad // by name
+	Offered            []RankRate // requests that arrived, the highest rank first
+	EndedRate          float64    // requests per second that ended, without those shed by the fleet's orders
+	UnansweredRate     float64    // requests per second of EndedRate that were rejected or failed
+	EndedWeight        float64    // EndedRate, each request counted by its weight
+	UnansweredWeight   float64    // UnansweredRate, each request counted by its weight
+	Zones              []ZoneLoad // sorted by name
 	OriginLatencyRatio float64    // the origin's latency over its goal; 0: not known
 }
 
-// loadCounters count requests and how they ended. Nothing is decided by them here.
+// loadCounters count requests and how they ended, for RouterLoad. No decision depends on them.
 type loadCounters struct {
 	offered          map[Rank]*decayingRate
 	ended            decayingRate
@@ -59,7 +59,7 @@
 	rate.add(now, loadWindow)
 }
 
-// countEnd counts a request that ends, once, and whether the last decision left it unanswered.
+// countEnd counts a request that ends, once, as unanswered if the last decision rejected or failed it.
 func (r *Router) countEnd(request *request) {
 	if request.finished || request.shed {
 		return
@@ -80,7 +80,7 @@
 	return last.Request == request.id && (last.Action == Reject || last.Action == Fail)
 }
 
-// Load returns the router's load at an instant. It changes nothing but the decay of rates.
+// Load returns the router's load at an instant. It changes no state except the decay of rates.
 func (r *Router) Load(now clock.Time) RouterLoad {
 	r.now = max(now, r.now)
 	counters := &r.load
@@ -103,7 +103,7 @@
 	return load
 }
 
-// zoneLoads are the loads of the zones, by name.
+// zoneLoads returns the loads of the zones, sorted by name.
 func (r *Router) zoneLoads() []ZoneLoad {
 	byZone := map[Zone]*ZoneLoad{}
 	for _, server := range r.endpoints.all {
--- a/core/routing/random.go
+++ b/core/routing/random.go
@@ -5,13 +5,13 @@
 	"hash/crc32"
 )
 
-// random draws pseudo-random numbers from a seed and a counter.
+// random is a pseudo-random number generator that hashes a seed and a counter.
 type random struct {
 	seed  uint32
 	draws uint32
 }
 
-// float draws from [0, 1).
+// float draws a number from [0, 1).
 func (r *random) float() float64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint32(b[:], r.seed)
@@ -20,7 +20,7 @@
 	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
 }
 
-// index draws an index by shares that add up to one. If rounding leaves them below one, the rest belongs to the first.
+// index draws an index with the probabilities of the shares, which add up to one. A rest due to rounding belongs to index 0.
 func (r *random) index(shares []float64) int {
 	x := r.float()
 	for i, share := range shares {
@@ -32,10 +32,10 @@
 	return 0
 }
 
-// hashKey is the hash of a key that routers exchange.
+// hashKey returns the hash of a key that routers exchange.
 func hashKey(key Key) KeyHash { return KeyHash(hashText(string(key))) }
 
-// hashText is FNV-1a with mixed bits. It is the same in every process, which hash/maphash is not.
+// hashText returns an FNV-1a hash with mixed bits. Unlike hash/maphash it is the same in every process.
 func hashText(text string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
@@ -45,7 +45,7 @@
 	return mixBits(hash)
 }
 
-// mixBits spreads the bits of a hash (the finalizer of MurmurHash3).
+// mixBits mixes the bits of a hash with the finalizer of MurmurHash3.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/core/routing/rate.go
+++ b/core/routing/rate.go
@@ -9,7 +9,7 @@
 // microsecondsPerSecond converts between rates per second and durations.
 const microsecondsPerSecond = float64(clock.Second)
 
-// decayingRate is a rate per second, averaged over a window with exponential decay. All calls on one rate use the same
+// decayingRate is a rate per second, averaged over a window with exponential decay. All calls on one rate must use the same
 // window.
 type decayingRate struct {
 	perSecond float64
@@ -25,26 +25,26 @@
 	return d.perSecond
 }
 
-// add counts one event.
+// add counts one event at an instant.
 func (d *decayingRate) add(now clock.Time, window clock.Duration) { d.addWeighted(1, now, window) }
 
-// addWeighted counts an event of a weight.
+// addWeighted counts an event with a weight.
 func (d *decayingRate) addWeighted(weight float64, now clock.Time, window clock.Duration) {
 	d.perSecond = d.at(now, window) + weight*microsecondsPerSecond/float64(window)
 }
 
-// windowCovered is the fraction of a decaying window for which the router has been running: rates start at zero and reach
-// their true value with it.
+// windowCovered returns the fraction of a decaying window that the router's running time covers. Rates start at zero and reach
+// their true value as it reaches one.
 func (r *Router) windowCovered(window clock.Duration) float64 {
-	return coveredFraction(r.now+1-r.startedAt, window) // never zero: rates are divided by it
+	return coveredFraction(r.now+1-r.startedAt, window) // never zero, since rates are divided by it
 }
 
-// coveredFraction is the fraction of a decaying window that an observation of a duration covers.
+// coveredFraction returns the fraction of a decaying window that an observation of a duration covers.
 func coveredFraction(observedFor, window clock.Duration) float64 {
 	return 1 - math.Exp(-float64(observedFor)/float64(window))
 }
 
-// correctedRate is a rate without the bias of a router that has just started.
+// correctedRate returns a rate corrected for the part of its window before the router started.
 func (r *Router) correctedRate(rate *decayingRate, window clock.Duration) float64 {
 	return rate.at(r.now, window) / r.windowCovered(window)
 }
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// initialRetries is the retry budget at the start: enough for the first seconds.
+	// initialRetries is the retry budget at the start. It is enough for the first seconds.
 	initialRetries = 10
-	// maxRetries bounds the budget that is saved up for a burst.
+	// maxRetries bounds the retry budget that can be saved up for a burst.
 	maxRetries = 20
-	// retriesPerRequest is by how much each request raises the budget.
+	// retriesPerRequest is added to the retry budget by each request.
 	retriesPerRequest = 0.1
 	// ranksPerWeight is the scale of ranks: millionths of the highest weight.
 	ranksPerWeight = 1e6
-	// clientRetryDivisor divides the rank of a request that a client repeats; the quotient is subtracted, so that a repeat yields to
-	// a new request of the same weight.
+	// clientRetryDivisor is the divisor of the rank by which a request that a client repeats is ranked lower, so that it yields
+	// to a new request of the same weight.
 	clientRetryDivisor = 100
-	// overShareTolerance is the multiple of a tenant's share that counts as chance.
+	// overShareTolerance is the multiple of its share up to which a tenant is not over it: variation within it is random.
 	overShareTolerance = 1.2
-	// retryAfterObjectives is how many latency objectives a rejected client is sent away for besides the wait: as long
-	// as a crest of load. Clients that return sooner fill the queues again.
+	// retryAfterObjectives is the part of a retry-after that is added to the expected wait, in latency objectives. It is as
+	// long as a peak of load: clients that return sooner fill the queues again.
 	retryAfterObjectives = 4
 )
 
-// requestTable is the requests that are not finished.
+// requestTable holds the requests that are not finished.
 type requestTable struct {
 	byID        map[RequestID]*request
-	queued      []*request       // writes first, then by weight, then by arrival
-	hedgeable   []*request       // with one attempt, in the order of hedgeAt
-	originReads map[Key]*request // the read of each key that goes to the origin; other reads of the key wait for it
-	arrived     int
+	queued      []*request       // in the order of compareQueued
+	hedgeable   []*request       // reads that may be hedged, nearly in the order of hedgeAt
+	originReads map[Key]*request // the read at the origin of each key; other reads of the key wait for it
+	arrived     int              // number of requests since the start
 }
 
-// budgets bound what would amplify an overload.
+// budgets bound the traffic that would amplify an overload.
 type budgets struct {
 	retries       float64
-	originReads   float64    // that may go to the origin now, where the fleet limits them
-	originReadsAt clock.Time // when it was last refilled
+	originReads   float64    // reads that may go to the origin now, if the fleet limits them
+	originReadsAt clock.Time // when originReads was last refilled
 }
 
 // attempt is one attempt of a request.
@@ -55,32 +55,32 @@
 	id        RequestID
 	method    *method
 	key       Key
-	hash      uint64 // of the key, or of the id where it has none; for a very hot key that of the group drawn
+	hash      uint64 // of the key, or of the id if there is no key; for a very hot key, of the group drawn
 	write     bool
-	weight    float64 // priority weight: that of its method, lower where its tenant is over its share
+	weight    float64 // priority weight: that of its method, lowered if its tenant is over its share
 	rank      Rank
 	arrival   int        // order of arrival
-	objective clock.Time // an answer until then has its full value
-	deadline  clock.Time // an answer after it has none
+	objective clock.Time // an answer by then has its full value
+	deadline  clock.Time // an answer after it has no value
 
 	// Attempts.
-	attempts      []*attempt // in flight: at most two, the second a hedged one
+	attempts      []*attempt // in flight: at most two, of which the second is a hedged request
 	attemptCount  Attempt
 	maxAttempts   Attempt
 	failedServers []*server
-	hedgeAt       clock.Time // when it may be hedged; 0: never
+	hedgeAt       clock.Time // when it may be hedged; 0: not
 	backoffUntil  clock.Time
 	retryPending  bool       // its next attempt is charged to the retry budget
 	mayHaveRunAt  clock.Time // when the first attempt that may have run was sent; 0: none
 	mayHaveRunOn  *server
 
 	// Selection.
-	missed   bool    // a cache missed: the origin is next
+	missed   bool    // a cache missed: the origin is to be read next
 	toOrigin bool    // only the origin can answer
-	replica  int     // place in its group drawn for a hot key; -1: none yet
+	replica  int     // index in its group, drawn for a hot key; -1: not drawn
 	target   *server // the cache to send to or to wait for; set by selectCache
 
-	// Flags. Each is set once, but for queued and decided.
+	// Flags. Each is set at most once, except queued and decided.
 	nearDeadline     bool // arrived with less than half of its latency objective left, or its client left early
 	shed             bool // the fleet rejects its rank; set on arrival
 	admissionChecked bool // set by shedsUnanswered
@@ -90,8 +90,8 @@
 	finished         bool // set by finish
 }
 
-// usefulUntil is the instant after which waiting for an answer is of no use. A late answer may have a value, but delays
-// one in time: an idempotent request waits no longer than its latency objective.
+// usefulUntil returns the instant until which a request may wait for an answer. A late answer may still have a value, but it
+// delays another request's answer that would be in time: an idempotent request waits no longer than its latency objective.
 func usefulUntil(request *request) clock.Time {
 	if request.method.idempotency == Idempotent {
 		return min(request.objective, request.deadline)
@@ -99,7 +99,7 @@
 	return request.deadline
 }
 
-// requestArrived handles a client's request: it is ranked, counted, and the rules are applied.
+// requestArrived ranks and counts a client's request and applies the rules to it.
 func (r *Router) requestArrived(event RequestArrived) {
 	request := r.newRequest(event)
 	r.traffic.requests.add(r.now, trafficWindow)
@@ -133,7 +133,7 @@
 		maxAttempts: r.config.maxAttempts,
 		replica:     -1,
 	}
-	// In the last tick before the deadline an answer is due.
+	// An answer is due before the last tick ends, so the deadline is one tick earlier.
 	request.deadline = min(event.ValidUntil, r.shutdownAt) - r.config.clockGranularity
 	if !m.lateAnswerCounts {
 		request.deadline = min(request.deadline, request.objective)
@@ -148,8 +148,8 @@
 	return request
 }
 
-// lowerWeightOverShare lowers the weight of a request whose tenant is over its share of this router's traffic, by more than
-// a tolerance and two standard deviations: at a few requests per second a tenant is often over by chance.
+// lowerWeightOverShare lowers the weight of a request whose tenant exceeds its share of this router's traffic by more than a
+// tolerance and two standard deviations: at a few requests per second a tenant often exceeds its share by chance.
 func (r *Router) lowerWeightOverShare(request *request, name Tenant) {
 	tenant := r.admission.tenants[name]
 	if tenant == nil {
@@ -163,22 +163,22 @@
 	}
 }
 
-// clientDisconnected ends a request whose client is gone.
+// clientDisconnected cancels and ends a request whose client has disconnected.
 func (r *Router) clientDisconnected(event ClientDisconnected) {
 	request := r.requests.byID[event.Request]
 	if request == nil || request.finished {
 		return
 	}
 	r.cancelAttempts(request)
-	// A client that leaves before a usual answer is due is no evidence against the caches.
+	// A client that disconnects before a usual answer is due is not evidence of overloaded caches.
 	leftEarly := len(request.attempts) == 0 || r.now-request.attempts[0].sentAt < 2*r.cacheLatency.mean
 	request.nearDeadline = request.nearDeadline || leftEarly
 	r.finish(request)
 }
 
-// finish ends a request. It may be called again when an attempt ends after its request.
+// finish ends a request. It is called again when an attempt ends after its request.
 func (r *Router) finish(request *request) {
-	// Requests that arrived late, or for which no attempt was sent, are no evidence about the caches.
+	// Requests that arrived late, or for which no attempt was sent, tell nothing about the caches.
 	countsForCaches := request.admissionChecked && !request.nearDeadline && request.attemptCount > 0
 	if !request.finished && countsForCaches {
 		r.admission.ended.add(r.now, trafficWindow)
@@ -194,7 +194,7 @@
 	}
 }
 
-// rejectOrFail answers a request at once: with a rejection if the client may safely repeat it, else with a failure.
+// rejectOrFail ends a request without an answer: with a rejection if the client may safely repeat it, else with a failure.
 func (r *Router) rejectOrFail(request *request) {
 	decision := Decision{Action: Fail, Request: request.id}
 	if request.mayHaveRunAt == 0 || request.method.idempotency == Idempotent {
@@ -205,9 +205,9 @@
 	r.finish(request)
 }
 
-// retryAfter is when a rejected client should come back.
+// retryAfter returns the time after which a rejected client should retry.
 func (r *Router) retryAfter(request *request) clock.Duration {
-	if request.shed { // at random, so that the clients do not return in one wave
+	if request.shed { // random, so that the clients do not return all at once
 		longest := min(r.failover.RetryAfter, r.config.maxRetryAfter)
 		return clock.Duration(float64(longest) * (1 + r.random.float()) / 2)
 	}
@@ -219,7 +219,7 @@
 	return after
 }
 
-// waitsFor is the server that a request waits for; nil for none.
+// waitsFor returns the server that a request waits for, nil for none.
 func (r *Router) waitsFor(request *request) *server {
 	if request.toOrigin {
 		return r.origin.server
@@ -227,7 +227,7 @@
 	return request.target
 }
 
-// enqueue has a request wait: it is looked at again after every event that is no request, and at intervals.
+// enqueue queues a request. The rules are applied to it again after every event other than an arrival, and at intervals.
 func (r *Router) enqueue(request *request) {
 	request.decided = true
 	if request.queued {
@@ -242,7 +242,7 @@
 	}
 }
 
-// compareQueued orders queued requests: writes first, then by weight, then by arrival.
+// compareQueued orders queued requests: writes first, then higher weights, then earlier arrivals.
 func compareQueued(a, b *request) int {
 	if a.write == b.write && a.weight == b.weight {
 		return a.arrival - b.arrival
@@ -253,8 +253,8 @@
 	return 1
 }
 
-// checkQueue applies the rules to the queued requests, in order. Those that stay count as ahead of those behind them for
-// the same server.
+// checkQueue applies the rules to the queued requests, in order. A request that stays queued counts in queuedAhead of its server
+// for the requests behind it.
 func (r *Router) checkQueue() {
 	for _, request := range r.requests.queued {
 		waitsFor := r.waitsFor(request)
@@ -275,5 +275,5 @@
 	})
 }
 
-// isWaiting reports whether a request has neither ended nor an attempt in flight.
+// isWaiting reports whether a request is unfinished and has no attempt in flight.
 func isWaiting(request *request) bool { return !request.finished && len(request.attempts) == 0 }
--- a/core/routing/restore.go
+++ b/core/routing/restore.go
@@ -2,12 +2,12 @@
 
 import "spurtrestle/core/clock"
 
-// MaxRestoredSamples is as how many samples a restored latency counts at most: a quarter of a full estimate, so that new
-// samples soon outweigh it.
+// MaxRestoredSamples is the highest number of samples as which a restored latency counts: a quarter of a full estimate, so that
+// new samples soon outweigh it.
 const MaxRestoredSamples = 8
 
-// restoreKnowledge adopts the knowledge of an earlier process. Rates count as observed for as long as that process observed
-// them. A restart does not renew the retry budget.
+// restoreKnowledge restores the knowledge of an earlier process. Rates count as observed for as long as that process observed
+// them. The retry budget is not raised, so that a restart does not renew it.
 func (r *Router) restoreKnowledge(knowledge Knowledge) {
 	r.startedAt = min(r.startedAt, r.now-knowledge.ObservedFor)
 	r.cacheLatency.restore(knowledge.CacheLatency)
@@ -28,7 +28,7 @@
 	r.traffic.failures = restored(knowledge.FailureRate, attemptWindow)
 }
 
-// restore adopts a latency. The fastest one stays known while new samples come in.
+// restore restores an estimate. The fastest latency is kept while the estimate has few new samples.
 func (l *latencyEstimate) restore(summary LatencySummary) {
 	*l = latencyEstimate{
 		recent:          summary.Recent,
@@ -39,7 +39,7 @@
 	}
 }
 
-// restore adopts counts of keys, as far as there is space, and the reads that they are a part of.
+// restore restores counts of keys, as far as there is space, and adds the total of reads that they are a part of.
 func (k *keyCounts) restore(keys []KeyKnowledge, total float64) {
 	free := k.capacity - len(k.keys)
 	for _, key := range keys[:min(len(keys), free)] {
@@ -52,15 +52,15 @@
 	k.total += total
 }
 
-// storeRestoredServers stores the knowledge about servers until a list names them.
+// storeRestoredServers keeps the knowledge about servers until the endpoint list names them.
 func (r *Router) storeRestoredServers(event ServersRestored) {
 	for _, knowledge := range event.Servers {
 		r.restored[knowledge.Server] = knowledge
 	}
 }
 
-// restoreServer adopts the knowledge of an earlier process about a server that the list names, unless the server has
-// restarted since or has answered already. A server that was ejected gets a trial at once: it may have recovered.
+// restoreServer restores the knowledge of an earlier process about a server that the endpoint list names, unless the server has
+// restarted since or has already answered. A server that was ejected gets a trial at once, since it may have recovered.
 func (r *Router) restoreServer(server *server) {
 	knowledge, known := r.restored[server.Server]
 	delete(r.restored, server.Server)
@@ -72,7 +72,7 @@
 	server.lastAttemptEnd = knowledge.ObservedAt
 	server.connectFailed = knowledge.ConnectFailed
 	server.answerRate = decayingRate{knowledge.AnswerRate, r.now}
-	// Without its rate of attempts a server would count as used seldom, and be ejected after one failure.
+	// Without its rate of attempts the server would count as seldom used, and be ejected by its first failure.
 	covered := coveredFraction(r.now-r.startedAt, attemptWindow)
 	server.attemptRate = decayingRate{knowledge.AttemptRate * covered, r.now}
 	if knowledge.ReportedServiceTime > 0 {
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// queueCheckInterval is how often queued requests are looked at again while nothing else happens.
+	// queueCheckInterval is the interval at which queued requests are checked while no other events arrive.
 	queueCheckInterval = 5 * clock.Millisecond
-	// trafficWindow is the window of the rates of requests and answers: longer than a burst.
+	// trafficWindow is the window of the rates of requests and answers. It is longer than a burst.
 	trafficWindow = 5 * clock.Second
-	// attemptWindow is the window of the rates of attempts and failures. In a fleet of hundreds a router sends a mean
+	// attemptWindow is the window of the rates of attempts and failures. In a fleet of hundreds, each router sends an average
 	// cache a few attempts within it.
 	attemptWindow = 20 * clock.Second
-	// answerWindow is the window of a server's rate of answers: a dozen answers of one cache to one router, and short
-	// against a fault.
+	// answerWindow is the window of a server's rate of answers. It covers about a dozen answers of one cache to one router,
+	// and is short compared to a fault.
 	answerWindow = 1 * clock.Second
 )
 
-// onlyTimer is the one timer of a router.
+// onlyTimer identifies the single timer of a router.
 const onlyTimer TimerID = 1
 
-// Router makes the decisions of one router. It is owned by one goroutine.
+// Router makes the decisions of one router process. It is owned by one goroutine, which makes all calls.
 type Router struct {
 	config     config
 	fleetShare float64 // this router's share of the load that all routers may send together
@@ -31,8 +31,8 @@
 
 	startedAt  clock.Time
 	now        clock.Time
-	shutdownAt clock.Time // no answer has a value after it
-	timerAt    clock.Time // when the timer fires; in the past: it is not set
+	shutdownAt clock.Time // answers after it have no value
+	timerAt    clock.Time // when the timer fires; not set if in the past
 	decisions  []Decision // of the current Step
 
 	requests     requestTable
@@ -54,10 +54,10 @@
 	requests decayingRate // that arrived
 	hits     decayingRate // answers of caches without misses
 	attempts decayingRate
-	failures decayingRate // attempts that failed, but for those that failed under load; the background failure rate
+	failures decayingRate // attempts that failed for reasons other than load: the background failure rate
 }
 
-// New returns a Router that starts now, and its first decisions.
+// New returns a Router that starts at the given instant, and its first decisions. The seed determines its random draws.
 func New(now clock.Time, settings Settings, seed uint64) (*Router, []Decision) {
 	r := &Router{
 		config:     newConfig(settings),
@@ -86,12 +86,12 @@
 	return r, r.decisions
 }
 
-// Step handles one event and returns the decisions that follow, in order. The next call reuses the slice. Time does not go
-// back: an instant before that of an earlier call counts as that one.
+// Step handles one event and returns the resulting decisions, in order. The next call reuses the slice. An instant before that
+// of an earlier call is replaced by that one, so that time does not go back.
 func (r *Router) Step(now clock.Time, event Event) []Decision {
 	r.now = max(now, r.now)
 	r.decisions = r.decisions[:0]
-	r.recomputeShares()
+	r.updateShareInputs()
 	r.handle(event)
 	_, isRequest := event.(RequestArrived)
 	if !isRequest {
@@ -106,7 +106,7 @@
 	return r.decisions
 }
 
-// handle updates the state by an event. An event of another type is ignored.
+// handle passes an event to its handler. Events of unknown types are ignored.
 func (r *Router) handle(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
@@ -157,7 +157,7 @@
 	r.checkHedges()
 }
 
-// setTimer has the timer fire at an instant at the latest.
+// setTimer makes the timer fire at the given instant or earlier.
 func (r *Router) setTimer(at clock.Time) {
 	if r.timerAt <= r.now || at < r.timerAt {
 		r.timerAt = max(at, r.now+1)
--- a/core/routing/rules.go
+++ b/core/routing/rules.go
@@ -1,14 +1,14 @@
 package routing
 
-// rule is a condition on a request and the action that follows. Three conditions also change the request, each once: hedgeIsDue
-// ends its hedging, shedsUnanswered draws whether it is admitted, and selectCache sets its target, which the rules after it read.
+// rule is a condition on a request and the action to take if it holds. Three conditions also change the request: hedgeIsDue ends
+// its hedging, shedsUnanswered draws once whether it is admitted, and selectCache sets its target, which later rules read.
 type rule struct {
 	applies func(*Router, *request) bool
 	act     func(*Router, *request)
 }
 
-// requestRules are the rules for one request. Their order is the specification: the first that applies acts. After every event
-// the rules are applied to each request that the event touched, until the request is decided for the moment. The last one
+// requestRules returns the rules for one request. Their order is significant: the first rule that applies acts. After every event
+// the rules are applied to each request that the event affects, until the request is decided for the moment. The last rule
 // always applies.
 func requestRules() []rule {
 	return []rule{
@@ -16,7 +16,7 @@
 		{applies: (*Router).hedgeIsDue, act: (*Router).sendToOrigin},
 		{applies: attemptInFlight, act: awaitOutcome},
 
-		// Nothing may be sent any more.
+		// No attempt may be sent any more.
 		{applies: (*Router).deadlinePassed, act: (*Router).rejectOrFail},
 		{applies: (*Router).mustNotRunAgain, act: (*Router).rejectOrFail},
 		{applies: attemptsExhausted, act: (*Router).rejectOrFail},
@@ -24,11 +24,11 @@
 		{applies: isShed, act: (*Router).rejectOrFail},
 		{applies: (*Router).retryBudgetExhausted, act: (*Router).rejectOrFail},
 
-		// Not now.
+		// The request has to wait.
 		{applies: (*Router).inBackoff, act: (*Router).enqueue},
 		{applies: (*Router).originReadInFlight, act: (*Router).enqueue},
 
-		// To the origin, or not at all.
+		// Only the origin can answer.
 		{applies: (*Router).belongsToOrigin, act: (*Router).turnToOrigin},
 		{applies: (*Router).tooLateForAnswer, act: (*Router).rejectOrFail},
 		{applies: (*Router).originUnusable, act: (*Router).rejectOrFail},
@@ -36,7 +36,7 @@
 		{applies: (*Router).originTooSlow, act: (*Router).rejectOrFail},
 		{applies: needsOrigin, act: (*Router).enqueue},
 
-		// To a cache, or not at all.
+		// A cache of the group of the key can answer.
 		{applies: (*Router).shedsUnanswered, act: (*Router).rejectOrFail},
 		{applies: (*Router).selectCache, act: (*Router).sendToTarget},
 		{applies: hasNoCache, act: (*Router).turnToOrigin},
@@ -62,18 +62,18 @@
 	}
 }
 
-// attemptInFlight reports whether the outcome of an attempt is due.
+// attemptInFlight reports whether an attempt of the request is in flight.
 func attemptInFlight(_ *Router, request *request) bool { return len(request.attempts) > 0 }
 
-// deadlinePassed reports whether an answer would have no value any more.
+// deadlinePassed reports whether the deadline has passed, so that an answer has no value.
 func (r *Router) deadlinePassed(request *request) bool { return r.now >= request.deadline }
 
-// attemptsExhausted reports whether the request has had all its attempts.
+// attemptsExhausted reports whether the request has used all of its attempts.
 func attemptsExhausted(_ *Router, request *request) bool {
 	return request.attemptCount >= request.maxAttempts
 }
 
-// hasNoFleetShare reports whether this router has no share in what the fleet may send, and the request is not started yet.
+// hasNoFleetShare reports whether this router has no share of the fleet's load and the request had no attempt.
 func (r *Router) hasNoFleetShare(request *request) bool {
 	return r.fleetShare == 0 && request.attemptCount == 0
 }
@@ -81,16 +81,16 @@
 // isShed reports whether the fleet's orders reject the request's rank.
 func isShed(_ *Router, request *request) bool { return request.shed }
 
-// retryBudgetExhausted reports whether the next attempt is a retry and the budget is spent. It guards against a retry storm.
+// retryBudgetExhausted reports whether the next attempt is a retry and the retry budget is spent. It prevents a retry storm.
 func (r *Router) retryBudgetExhausted(request *request) bool {
 	return request.retryPending && r.budgets.retries < 1
 }
 
-// inBackoff reports whether the request waits before its next attempt.
+// inBackoff reports whether the request must wait before its next attempt.
 func (r *Router) inBackoff(request *request) bool { return r.now < request.backoffUntil }
 
-// belongsToOrigin reports whether a request has to be turned to the origin: after a miss, as a write in cache-aside mode, or
-// as a read that no cache can answer in time.
+// belongsToOrigin reports whether a request must be turned to the origin: after a miss, for a write in cache-aside mode, or for
+// a read that no cache can answer in time.
 func (r *Router) belongsToOrigin(request *request) bool {
 	if request.toOrigin {
 		return false
@@ -98,7 +98,7 @@
 	return request.missed || r.config.cacheAside && request.write || r.isUrgent(request)
 }
 
-// originUnusable reports whether only the origin can answer, but there is none, or it would not recognize a repeat.
+// originUnusable reports whether only the origin can answer, but there is none or it would not recognize a repeat.
 func (r *Router) originUnusable(request *request) bool {
 	return request.toOrigin && !recognizesRepeat(request, r.origin.server)
 }
@@ -116,17 +116,17 @@
 // needsOrigin reports whether only the origin can answer.
 func needsOrigin(_ *Router, request *request) bool { return request.toOrigin }
 
-// hasNoCache reports whether no cache of the key's group can be used.
+// hasNoCache reports whether no cache in the key's group can be used.
 func hasNoCache(_ *Router, request *request) bool { return request.target == nil }
 
-// targetTooSlow reports whether the cache that was selected cannot answer in time.
+// targetTooSlow reports whether the selected cache cannot answer in time.
 func (r *Router) targetTooSlow(request *request) bool {
 	return r.now+r.expectedLatency(request.target) > usefulUntil(request)
 }
 
 func always(*Router, *request) bool { return true }
 
-// awaitOutcome leaves a request until its attempt ends.
+// awaitOutcome leaves a request as it is until its attempt ends.
 func awaitOutcome(_ *Router, request *request) { request.decided = true }
 
 func (r *Router) sendToOrigin(request *request) { r.send(request, r.origin.server) }
--- a/core/routing/settings.go
+++ b/core/routing/settings.go
@@ -2,7 +2,7 @@
 
 import "spurtrestle/core/clock"
 
-// The identifiers are distinct types, so that one cannot stand for another.
+// Each identifier has a type of its own, so that the compiler rejects one in the place of another.
 type (
 	// ServerID is the number of a server, the same at every router.
 	ServerID uint32
@@ -20,7 +20,7 @@
 	Kind string
 	// Cell is the number of a deployment cell within a zone.
 	Cell int64
-	// TimerID is returned with the event of a timer.
+	// TimerID identifies a timer: a SetTimer decision sets it, the event TimerFired returns it.
 	TimerID int64
 	// Method is an index into Settings.Methods.
 	Method int
@@ -31,10 +31,10 @@
 	Rank int
 )
 
-// Idempotency is the condition under which a request that may have run may be sent again.
+// Idempotency tells when a request that may have run may be sent again.
 type Idempotency int
 
-// The kinds of methods by what a second execution does.
+// The classes of idempotency.
 const (
 	Idempotent    Idempotency = iota // may run again at any time
 	Deduplicated                     // the servers of its scope drop repeats within the window
@@ -51,7 +51,7 @@
 	ScopeCell                           // the servers of its zone and cell
 )
 
-// MethodSettings describes one method.
+// MethodSettings are the settings of one method of requests.
 type MethodSettings struct {
 	Name                string
 	Idempotency         Idempotency
@@ -71,8 +71,8 @@
 	Quota float64 // requests per second over all routers
 }
 
-// Settings configures a Router. Their names in the settings file stand in internal/settings. Some fields are used by
-// internal/router or not at all: no decision depends on OriginOverloadMultiple, OriginOverloadWindow, ResponseSlack,
+// Settings configures a Router. Package internal/settings reads them from the settings file. Some fields are used only by
+// internal/router, or not at all: no decision depends on OriginOverloadMultiple, OriginOverloadWindow, ResponseSlack,
 // PollInterval, DrainTimeout, HealthChecksAllowed, ServerIdleTimeout, ReportsOnHealthChecks, MethodSettings.Deadline,
 // MethodSettings.Stream or TenantSettings.Quota.
 type Settings struct {
@@ -83,15 +83,15 @@
 	OriginKind             Kind // empty: the endpoint list has no origin
 	OriginOverloadMultiple float64
 	OriginOverloadWindow   clock.Duration
-	ReportFields           []Figure // the order of the figures in a Report
-	PollEndpoints          bool     // the endpoint list comes on request only
+	ReportFields           []Figure // the figures of a Report, in order
+	PollEndpoints          bool     // the endpoint list must be polled
 	WeightsAreCapacity     bool     // weights of endpoints are relative capacities
 	ClockGranularity       clock.Duration
 	ResponseSlack          clock.Duration
 	PollInterval           clock.Duration
 	WarmUpShare            float64 // fraction of its capacity that a cache has at its start
 	WarmUpDuration         clock.Duration
-	OverloadWindow         clock.Duration // window over which a warming cache's load counts
+	OverloadWindow         clock.Duration // window over which the load of a warming cache is measured
 	OverloadMultiple       float64        // multiple of its capacity at which a warming cache fails
 	DrainTimeout           clock.Duration
 	CancelAllowed          bool
@@ -102,11 +102,11 @@
 	OverShareWeight        float64        // factor on the weight of requests of tenants over their share
 	WorstMethodWeight      float64        // weight of the worst-served method in the service's objective
 	ConnectTimeout         clock.Duration
-	ServerIdleTimeout      clock.Duration // when a server closes an idle connection at the latest
+	ServerIdleTimeout      clock.Duration // the longest time for which a server keeps an idle connection open
 	ConnectionCost         float64        // of a hundred open connections to each server
 	HandshakeCost          float64        // of opening a connection for every request
 	WastedWorkCost         float64        // of work whose result is not used, as a fraction of all work
-	CrossZoneCost          float64        // of a request that crosses locations once
+	CrossZoneCost          float64        // of a request that crosses zones once
 	ReportsOnHealthChecks  bool
 }
 
--- a/core/routing/warmup.go
+++ b/core/routing/warmup.go
@@ -3,27 +3,27 @@
 import "spurtrestle/core/clock"
 
 const (
-	// minimumWarmUpLimit is the least limit of a budget, in attempts: two may arrive together by chance.
+	// minimumWarmUpLimit is the least limit of a budget, in attempts, since two requests may arrive together by chance.
 	minimumWarmUpLimit = 2
-	// warmUpLimitDivisor divides the overload window: a budget may be saved up for one such part of it.
+	// warmUpLimitDivisor divides the overload window: a budget can hold the attempts of one such part of it.
 	warmUpLimitDivisor = 4
-	// warmUpLossFactor is how much the share of lost requests lowers the initial budget. From a quarter lost on no
-	// router starts with an attempt.
+	// warmUpLossFactor is the factor by which the fraction of lost requests lowers the initial budget. If a quarter or more are
+	// lost, no router starts with an attempt.
 	warmUpLossFactor = 4
 )
 
 // warmUpBudget is the budget of attempts for a cache that has just started.
 type warmUpBudget struct {
-	returnedAt clock.Time // when the server was seen to come back, or its ban ended; 0: neither
-	startedAt  clock.Time // the start for which the budget is
-	attempts   float64    // that it may get now
+	returnedAt clock.Time // when the server was observed to be back, or its ban ended; 0: neither
+	startedAt  clock.Time // the start of the server to which the budget belongs
+	attempts   float64    // attempts that the server may get now
 	updatedAt  clock.Time
 }
 
-// startOf is when a server started, as far as known; 0: long ago.
+// startOf returns the known start of a server; 0: unknown or long ago.
 func startOf(server *server) clock.Time { return max(server.StartedAt, server.warmUp.returnedAt) }
 
-// warmUpAge is the time since a server's start, at least the warm-up's duration for the origin and where no start is known.
+// warmUpAge returns the time since a server's start. For the origin, and if no start is known, it is the warm-up's duration.
 func (r *Router) warmUpAge(server *server) clock.Duration {
 	startedAt := startOf(server)
 	if startedAt == 0 || server.isOrigin {
@@ -32,13 +32,13 @@
 	return max(0, r.now-startedAt)
 }
 
-// slowStartAllows reports whether a cache may get a request as far as its warm-up goes: a warming cache gets a growing
+// slowStartAllows reports whether the share of the cache's zone and its warm-up allow a request: a warming cache gets a growing
 // fraction of its keys, the same ones from every router, within a budget.
 func (r *Router) slowStartAllows(request *request, server *server, isOwner bool) bool {
 	age := r.warmUpAge(server)
 	keyPosition := float64(request.hash>>32&0xffff) / 0x10000 // in [0, 1), the same at every router
 	zoneShare := r.zoneShare(server.Zone)
-	if keyPosition >= zoneShare { // by the fleet's orders
+	if keyPosition >= zoneShare { // the fleet's orders exclude the key
 		return false
 	}
 	if age >= r.config.warmUpDuration {
@@ -53,14 +53,14 @@
 	if server.warmUp.attempts >= 1 {
 		return true
 	}
-	// The owner of a key may overdraw its budget by one. A router that has just started may not: it does not
-	// know the hot keys yet, and one read of them from each new router is too much.
+	// The owner of a key may overdraw its budget by one attempt. A router that has just started may not: it does not know the
+	// hot keys yet, and one read of a hot key from each new router is too much.
 	overdraft := (1 - r.windowCovered(trafficWindow)) * (1 - r.fleetShare)
 	return isOwner && server.warmUp.attempts > overdraft
 }
 
-// refillWarmUpBudget brings the budget of a warming cache up to date. This router's part of its work is that of a mean
-// cache's hits, since misses cost little; until hits are counted, half of the requests that arrived stand for them.
+// refillWarmUpBudget refills the budget of a warming cache by the time elapsed. The rate is this router's rate of hits at an
+// average cache, since misses cost little. Until hits are counted, half of the requests that arrived are used instead.
 func (r *Router) refillWarmUpBudget(server *server, share float64) {
 	hits := r.traffic.hits.at(r.now, trafficWindow)
 	requests := r.traffic.requests.at(r.now, trafficWindow)
@@ -76,9 +76,9 @@
 	budget.updatedAt = r.now
 }
 
-// beginWarmUp starts a budget at a random part of one attempt: one attempt from each of hundreds of routers is more than a
-// cache can do at its start, and many of them earn less than one in all of the warm-up. Where requests are lost, the
-// caches are overloaded, and fewer routers start with an attempt.
+// beginWarmUp starts a budget with a random fraction of one attempt: one attempt from each of hundreds of routers is more than a
+// cache can serve at its start, and the budgets of many routers grow by less than one during the whole warm-up. If requests are
+// lost, the caches are overloaded, and fewer routers start with an attempt.
 func (r *Router) beginWarmUp(server *server) {
 	answered := r.admission.answered.at(r.now, trafficWindow)
 	ended := r.admission.ended.at(r.now, trafficWindow)
--- a/core/routing/zonepath.go
+++ b/core/routing/zonepath.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// zoneBackoff is how long nothing is sent to an unreachable zone before a trial: some usual answers. Up to half as
-	// much again is added at random. Each trial costs a request.
+	// zoneBackoff is the time for which nothing is sent to an unreachable zone before a trial. It is as long as some usual
+	// answers, since each trial costs a request. Up to half as much again is added at random.
 	zoneBackoff = 300 * clock.Millisecond
-	// unreachableAfter is how many caches of a zone must be silent one after the other.
+	// unreachableAfter is the number of caches of a zone that must be silent in a row for the zone to be unreachable.
 	unreachableAfter = 2
 )
 
-// zonePath is the record of the path to the caches of one zone.
+// zonePath is the state of the network path to the caches of one zone.
 type zonePath struct {
-	silentCaches int        // without a response, one after the other; repeats of one cache count once
+	silentCaches int        // caches without a response in a row; repeats of the same cache count once
 	lastSilent   *server    // the last of these caches
-	backoffUntil clock.Time // nothing is sent there until then; 0: in use
+	backoffUntil clock.Time // no attempts are sent there until then; 0: no backoff
 }
 
-// recordPathOutcome updates the record of the path to the server's zone. If caches of a zone are silent one after the other,
-// with no response from any, the zone is unreachable; detecting that for each cache would cost a request each. A rejected
-// connection is a response: the machine was reached. A time-out without points is no evidence.
+// recordPathOutcome updates the state of the path to the server's zone. If caches of a zone are silent in a row, with no response
+// from any of them, the zone is unreachable; detecting that for each cache would cost a request each. A rejected connection is
+// a response, since the machine was reached. A time-out without points is no evidence.
 func (r *Router) recordPathOutcome(server *server, status AttemptStatus, points int, took clock.Duration) {
 	path := r.zonePaths[server.Zone]
 	noEvidence := status == TimedOut && points == 0 || status == NotSent || status == Canceled
@@ -40,7 +40,7 @@
 	}
 }
 
-// backOffZone stores the path of a zone, with a backoff where enough of its caches were silent and there are other zones.
+// backOffZone stores the path of a zone, with a backoff if enough of its caches were silent and there are other zones.
 func (r *Router) backOffZone(zone Zone, path zonePath) {
 	isOtherZone := func(cache *server) bool { return cache.Zone != zone }
 	if path.silentCaches >= unreachableAfter && slices.ContainsFunc(r.endpoints.caches, isOtherZone) {
@@ -49,7 +49,7 @@
 	r.zonePaths[zone] = path
 }
 
-// extendZoneTrial renews the backoff of an unreachable zone when an attempt goes there: it is the only one until then.
+// extendZoneTrial renews the backoff of an unreachable zone when an attempt is sent there, so that it is the only trial.
 func (r *Router) extendZoneTrial(server *server) {
 	path := r.zonePaths[server.Zone]
 	if path.backoffUntil > 0 && !server.isOrigin {
