--- a/core/routing/attempt_test.go
+++ b/core/routing/attempt_test.go
@@ -6,7 +6,7 @@
 	"spurtrestle/core/clock"
 )
 
-// A repeat goes only where it is recognized: the scope is relative to the server that may have run the request.
+// A repeat goes only to servers that recognize it. The scope is relative to the server that may have run the request.
 func TestRecognizesRepeat(t *testing.T) {
 	first := &server{Endpoint: Endpoint{Server: 1, Zone: "a", Cell: 1}}
 	sameCell := &server{Endpoint: Endpoint{Server: 2, Zone: "a", Cell: 1}}
@@ -42,7 +42,8 @@
 	}
 }
 
-// A request that may have run is not repeated once the repeat could arrive after the window.
+// A deduplicated request that may have run is not repeated if the repeat could arrive after the window, a non-idempotent one
+// never.
 func TestRouter_MustNotRunAgain(t *testing.T) {
 	const window = 600 * clock.Millisecond
 	tests := []struct {
--- a/core/routing/hotkeys_test.go
+++ b/core/routing/hotkeys_test.go
@@ -23,21 +23,21 @@
 
 func Example_shiftBySpeed() {
 	even := func() []float64 { return []float64{1. / 3, 1. / 3, 1. / 3} }
-	fmt.Printf("%.3f nothing heard\n", shiftBySpeed(even(), []float64{0, 0, 0}))
-	fmt.Printf("%.3f a slow partner\n", shiftBySpeed(even(), []float64{10, 10, 20}))
-	fmt.Printf("%.3f a very slow partner\n", shiftBySpeed(even(), []float64{1, 1, 18}))
+	fmt.Printf("%.3f no times measured\n", shiftBySpeed(even(), []float64{0, 0, 0}))
+	fmt.Printf("%.3f a slow cache\n", shiftBySpeed(even(), []float64{10, 10, 20}))
+	fmt.Printf("%.3f a very slow cache\n", shiftBySpeed(even(), []float64{1, 1, 18}))
 	fmt.Printf("%.3f two caches\n", shiftBySpeed([]float64{0.5, 0.5}, []float64{10, 30}))
 	fmt.Printf("%.3f one cache\n", shiftBySpeed([]float64{1}, []float64{10}))
 	// Output:
-	// [0.333 0.333 0.333] nothing heard
-	// [0.417 0.417 0.167] a slow partner
-	// [0.500 0.500 0.000] a very slow partner
+	// [0.333 0.333 0.333] no times measured
+	// [0.417 0.417 0.167] a slow cache
+	// [0.500 0.500 0.000] a very slow cache
 	// [0.750 0.250] two caches
 	// [1.000] one cache
 }
 
-// playReads plays reads, each answered at once, of which one in so many is of the hot key, and counts the servers to which
-// that one went.
+// playReads sends reads, each answered at once, of which one in oneHotIn is of the hot key. It returns how many reads of the hot
+// key each server got.
 func playReads(r *Router, reads, oneHotIn int) map[ServerID]int {
 	servers := map[ServerID]int{}
 	for i := range reads {
--- a/core/routing/latency_test.go
+++ b/core/routing/latency_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// An estimate that lacks samples is completed by the other one, in proportion.
+// An estimate with few samples is mixed with another one, in proportion to the samples that it lacks.
 func TestLatencyEstimate_BlendInProportionToSamples(t *testing.T) {
 	own := latencyEstimate{recent: 40, mean: 40, fastest: 40, samples: fullSamples / 4}
 	other := latencyEstimate{recent: 80, mean: 80, fastest: 80, samples: fullSamples}
--- a/core/routing/request_test.go
+++ b/core/routing/request_test.go
@@ -7,7 +7,7 @@
 	"spurtrestle/core/clock"
 )
 
-// Where all attempts fail, retries are bounded by the initial budget and then by one in ten requests.
+// If all attempts fail, retries are bounded by the initial budget and then by one per ten requests.
 func Example_retryBudget() {
 	r, _ := New(0, baseSettings(), 1)
 	r.Step(0, EndpointsUpdated{Endpoints: []Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}})
@@ -27,8 +27,8 @@
 	// Output: 12 retries for 100 requests
 }
 
-// A client that leaves while an attempt is in flight ends its request twice, by leaving and by the outcome. Counted twice it
-// would look like an overload.
+// A request whose client disconnects while an attempt is in flight ends twice, by the disconnection and by the outcome. If it
+// counted twice, it would look like an overload.
 func TestRouter_CountsDisconnectedRequestOnce(t *testing.T) {
 	r, _ := New(0, baseSettings(), 1)
 	r.Step(0, EndpointsUpdated{Endpoints: []Endpoint{{Server: 1}}})
@@ -37,6 +37,6 @@
 	r.Step(0, AttemptEnded{Request: "a", Server: 1, Status: Canceled, Answered: true})
 	ended := r.admission.ended.at(0, trafficWindow) * float64(trafficWindow) / microsecondsPerSecond
 	if ended != 1 {
-		t.Errorf("one request counts as %v", ended)
+		t.Errorf("got a count of %v ended requests, want 1", ended)
 	}
 }
--- a/core/routing/selection_test.go
+++ b/core/routing/selection_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// routerWithCaches has caches of the capacities given, numbered from 1.
+// routerWithCaches returns a router with caches of the given capacities, numbered from 1.
 func routerWithCaches(capacities ...float64) *Router {
 	r := &Router{endpoints: endpointTable{groups: map[uint32][groupSize]uint32{}}}
 	for i, capacity := range capacities {
@@ -16,7 +16,7 @@
 	return r
 }
 
-// When a cache leaves, its slots move to the next of their groups and no other slot moves. Each cache owns slots in
+// When a cache leaves, its slots move to the next cache of their groups and no other slot moves. Each cache owns slots in
 // proportion to its capacity.
 func TestGroupOf_MovesOnlySlotsOfRemovedCache(t *testing.T) {
 	all := routerWithCaches(2, 1, 1, 1, 1, 1, 1, 2, 1, 1)
@@ -60,6 +60,6 @@
 		return owners
 	}
 	if !slices.Equal(owners(1, 2, 3, 4, 5), owners(5, 3, 1, 4, 2, 2)) {
-		t.Error("another order of the list gives another table")
+		t.Error("got other owners for a list in another order and with a duplicate, want the same")
 	}
 }
--- a/core/routing/trace_test.go
+++ b/core/routing/trace_test.go
@@ -11,8 +11,8 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// TestTraces plays the scripts of testdata: events with their times, and below each the decisions that follow. Lines without
-// a time are settings or comments.
+// TestTraces runs the scripts in testdata: events with their times, and below each event, indented, the expected decisions. Lines
+// without a time are settings or comments.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		got := playScript(script)
@@ -23,7 +23,8 @@
 	})
 }
 
-// baseSettings is a site in cache-aside mode; scripts change it with lines such as "set routers=3 through".
+// baseSettings returns the settings of a site in cache-aside mode. Scripts change them with lines such as
+// "set routers=3 write-through".
 func baseSettings() Settings {
 	return Settings{
 		Routers:          1,
@@ -69,7 +70,7 @@
 	}
 }
 
-// playScript returns the script with the decisions that its events lead to.
+// playScript runs a script and returns it with the decisions that follow from its events.
 func playScript(script string) string {
 	var out strings.Builder
 	s := baseSettings()
@@ -101,7 +102,7 @@
 	return out.String()
 }
 
-// applySetting applies the words of a line "set".
+// applySetting changes the settings by the words of a "set" line.
 func applySetting(s *Settings, words []string) {
 	for _, w := range words {
 		name, value, _ := strings.Cut(w, "=")
@@ -141,8 +142,8 @@
 	}
 }
 
-// parseEvent reads an event by its name: "endpoints full 1 2:draining 9", "request a read key 1.2",
-// "ended a 1 0 timeout 0.3 [answered]", and the others.
+// parseEvent parses an event from its name and its words, for example "endpoints full 1 2:draining 9",
+// "request a read key 1.2" or "ended a 1 0 timeout 0.3 [answered]".
 func parseEvent(s Settings, name string, words []string) Event {
 	switch name {
 	case "endpoints":
@@ -174,7 +175,7 @@
 	panic("unknown event " + name)
 }
 
-// parseEndpoints reads the kind of the update and its endpoints: "1:draining@10.5/a" is server 1, draining, started at 10.5,
+// parseEndpoints parses the kind of the update and its endpoints: "1:draining@10.5/a" is server 1, draining, started at 10.5,
 // in zone a. Server 9 is the origin.
 func parseEndpoints(words []string) EndpointsUpdated {
 	update := EndpointsUpdated{Kind: EndpointUpdateKind(indexOf(words[0], "full", "incremental", "cached", "failed"))}
@@ -192,7 +193,7 @@
 	return update
 }
 
-// parseFailover reads "a=0 b=0.5 *c=0.1 minimum-rank=600001 minimum-rank-share=0.3 retry-after=2 origin-reads=4": shares of
+// parseFailover parses "a=0 b=0.5 *c=0.1 minimum-rank=600001 minimum-rank-share=0.3 retry-after=2 origin-reads=4": shares of
 // zones, failover weights of zones after an asterisk, and the other orders.
 func parseFailover(words []string) FailoverOrders {
 	orders := FailoverOrders{MinimumRankShare: 1}
@@ -218,7 +219,7 @@
 	return orders
 }
 
-// parseRequest reads the id, the method, the key or "-", the end of validity, and the tenant or "single-attempt".
+// parseRequest parses the id, the method, the key or "-", the end of validity, and optionally the tenant or "single-attempt".
 func parseRequest(s Settings, words []string) RequestArrived {
 	method := slices.IndexFunc(s.Methods, func(m MethodSettings) bool { return m.Name == words[1] })
 	request := RequestArrived{
@@ -237,8 +238,8 @@
 	return request
 }
 
-// parseAttemptEnded reads the request, the server, the attempt, the status, the duration, and "answered" or the service time
-// that the server reports, in milliseconds.
+// parseAttemptEnded parses the request, the server, the attempt, the status, the duration, and optionally "answered" or the
+// service time that the server reports, in milliseconds.
 func parseAttemptEnded(words []string) AttemptEnded {
 	status := AttemptStatus(indexOf(words[3], "ok", "failed", "queue-full", "timeout", "connect-error", "reset", "canceled",
 		"not-sent", "miss"))
@@ -257,7 +258,7 @@
 	return ended
 }
 
-// parseRestored reads the latency over all caches.
+// parseRestored parses the latency over all caches.
 func parseRestored(words []string) KnowledgeRestored {
 	latency := parseSeconds(words[0])
 	return KnowledgeRestored{Knowledge{
@@ -272,7 +273,7 @@
 	}}
 }
 
-// parseRestoredServer reads the server, its latency, "ejected" and its start after "@".
+// parseRestoredServer parses the server, its latency, and optionally "ejected" or, after "@", its start.
 func parseRestoredServer(words []string) ServersRestored {
 	latency := parseSeconds(words[1])
 	knowledge := ServerKnowledge{
@@ -293,7 +294,7 @@
 	return ServersRestored{[]ServerKnowledge{knowledge}}
 }
 
-// indexOf returns the place of a word among those allowed.
+// indexOf returns the index of a word among the allowed ones.
 func indexOf(word string, allowed ...string) int {
 	index := slices.Index(allowed, word)
 	if index < 0 {
@@ -316,7 +317,7 @@
 	return clock.Time(parseNumber(text) * microsecondsPerSecond)
 }
 
-// formatDecision writes a decision as the scripts have it.
+// formatDecision formats a decision as in the scripts.
 func formatDecision(d Decision) string {
 	after := fmt.Sprintf("%.3f", float64(d.After)/1e6)
 	switch d.Action {
--- a/core/routing/warmup_test.go
+++ b/core/routing/warmup_test.go
@@ -10,74 +10,74 @@
 	"spurtrestle/core/clock"
 )
 
-// fleet is many routers in simulated time that share only the cache servers and the endpoint list.
+// fleet simulates many routers that share only the cache servers and the endpoint list.
 type fleet struct {
-	scene
-	rand      *rand.Rand
-	routers   []*Router
-	noticedAt []clock.Time // when each router gets the list with the start
-	now       clock.Time
-	due       schedule
-	weights   []float64 // of keys, added up
-	cached    map[ServerID]map[Key]bool
-	warming   ServerID
-	started   clock.Time
-	sends     []clock.Time // to the warming server, of routers that have the list with its start
-	arrived   int
-	hotKey    Key
-	open      map[RequestID]Key
+	scenario
+	rand              *rand.Rand
+	routers           []*Router
+	listedAt          []clock.Time // when each router gets the endpoint list with the start
+	now               clock.Time
+	pending           callQueue
+	cumulativeWeights []float64 // cumulative sums of the weights of the keys
+	cached            map[ServerID]map[Key]bool
+	warming           ServerID
+	started           clock.Time
+	attempts          []clock.Time // times of attempts at the warming server by routers that have the list with its start
+	arrived           int
+	hotKey            Key
+	keyOf             map[RequestID]Key
 }
 
-// scene is one deployment and its course of events.
-type scene struct {
-	name       string
-	routers    int
-	caches     int
-	capacity   float64 // requests a second of a warm cache server
-	load       float64 // fraction of that which is requested of all of them
-	burst      float64 // factor on the load from the start on
-	skew       float64 // exponent of Zipf's law over the keys; 0: all alike
-	settings   Settings
-	hot        float64 // reads of one key that the warming server owns, as a multiple of a mean cache's
-	herd       bool    // seven in ten routers restart a second before
-	restart    bool    // the warming server was listed before
-	uneven     bool    // some routers see several times the mean
-	noticeLags clock.Time
+// scenario is a deployment and what happens to it.
+type scenario struct {
+	name           string
+	routers        int
+	caches         int
+	capacity       float64 // requests per second of a warm cache server
+	load           float64 // fraction of the capacity of all cache servers that clients request
+	burst          float64 // factor on the load from the start of the warming server on
+	skew           float64 // exponent of the Zipf distribution of keys; 0: uniform
+	settings       Settings
+	hotKeyLoad     float64 // reads of one key that the warming server owns, as a multiple of those of an average cache
+	routersRestart bool    // seven in ten routers restart a second before the start
+	serverRestarts bool    // the warming server was listed before its start
+	unevenTraffic  bool    // some routers get several times the mean traffic
+	maxListDelay   clock.Time
 }
 
-// scheduledCall is a call at an instant.
+// scheduledCall is a function that is called at an instant.
 type scheduledCall struct {
 	at  clock.Time
 	run func()
 }
 
-type schedule []scheduledCall
+type callQueue []scheduledCall
 
-func (a schedule) Len() int           { return len(a) }
-func (a schedule) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a schedule) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *schedule) Push(x any)        { *a = append(*a, x.(scheduledCall)) }
-func (a *schedule) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q callQueue) Len() int           { return len(q) }
+func (q callQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q callQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)        { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func (f *fleet) after(d clock.Time, run func()) { heap.Push(&f.due, scheduledCall{f.now + d, run}) }
+func (f *fleet) after(d clock.Time, run func()) { heap.Push(&f.pending, scheduledCall{f.now + d, run}) }
 
 const (
-	fleetKeys   = 5000
-	fleetOrigin = ServerID(1000)
-	warmUp      = 20e6 // of the routers, before the start
+	keyCount    = 5000
+	originID    = ServerID(1000)
+	serverStart = 20e6 // when the warming server starts: the routers run for this long before
 )
 
-// list is the endpoint list.
+// list returns the endpoint list, with or without the start of the warming server.
 func (f *fleet) list(withStart bool) EndpointsUpdated {
-	l := EndpointsUpdated{Endpoints: []Endpoint{{Server: fleetOrigin, Kind: "origin"}}}
+	l := EndpointsUpdated{Endpoints: []Endpoint{{Server: originID, Kind: "origin"}}}
 	for i := range f.caches {
 		e := Endpoint{Server: ServerID(i + 1)}
 		if e.Server == f.warming {
-			if !withStart && !f.restart {
+			if !withStart && !f.serverRestarts {
 				continue
 			}
 			if withStart {
@@ -89,28 +89,28 @@
 	return l
 }
 
-func newFleet(s scene, seed uint64) *fleet {
-	f := &fleet{scene: s, rand: rand.New(rand.NewPCG(seed, 7)), cached: map[ServerID]map[Key]bool{}, open: map[RequestID]Key{},
-		started: warmUp, routers: make([]*Router, s.routers), noticedAt: make([]clock.Time, s.routers)}
+func newFleet(s scenario, seed uint64) *fleet {
+	f := &fleet{scenario: s, rand: rand.New(rand.NewPCG(seed, 7)), cached: map[ServerID]map[Key]bool{}, keyOf: map[RequestID]Key{},
+		started: serverStart, routers: make([]*Router, s.routers), listedAt: make([]clock.Time, s.routers)}
 	f.warming = ServerID(1 + f.rand.IntN(s.caches))
 	sum := 0.0
-	for i := range fleetKeys {
+	for i := range keyCount {
 		sum += math.Pow(float64(i+1), -s.skew)
-		f.weights = append(f.weights, sum)
+		f.cumulativeWeights = append(f.cumulativeWeights, sum)
 	}
 	f.hotKey = f.keyOfWarmingServer()
 	for i := range f.routers {
-		f.noticedAt[i] = f.started + clock.Time(f.rand.Float64()*float64(s.noticeLags))
+		f.listedAt[i] = f.started + clock.Time(f.rand.Float64()*float64(s.maxListDelay))
 		f.startRouter(i)
-		f.after(f.noticedAt[i], func() { f.step(i, f.list(true)) })
-		if s.herd && f.rand.Float64() < 0.7 {
+		f.after(f.listedAt[i], func() { f.step(i, f.list(true)) })
+		if s.routersRestart && f.rand.Float64() < 0.7 {
 			f.after(f.started-1e6, func() { f.startRouter(i) })
 		}
 	}
 	return f
 }
 
-// keyOfWarmingServer is a key that the warming server owns, and may get from its start on.
+// keyOfWarmingServer returns a key that the warming server owns and may get from its start on.
 func (f *fleet) keyOfWarmingServer() Key {
 	r, _ := New(0, f.settings, 1)
 	r.Step(0, f.list(true))
@@ -123,10 +123,10 @@
 	}
 }
 
-// startRouter starts a router's process.
+// startRouter starts a new process of a router.
 func (f *fleet) startRouter(i int) {
 	f.routers[i], _ = New(f.now, f.settings, f.rand.Uint64())
-	f.step(i, f.list(f.now >= f.noticedAt[i] && f.now > 0))
+	f.step(i, f.list(f.now >= f.listedAt[i] && f.now > 0))
 }
 
 func (f *fleet) step(i int, ev Event) {
@@ -145,16 +145,16 @@
 	}
 }
 
-// attempt has a server answer. It caches what it missed.
+// attempt simulates the answer of a server to an attempt. The warming server caches the keys that it missed.
 func (f *fleet) attempt(i int, r *Router, d Decision) {
 	took, status := clock.Time(15e3*(0.5+f.rand.ExpFloat64())), OK
-	key := f.open[d.Request]
-	if d.Server == fleetOrigin {
+	key := f.keyOf[d.Request]
+	if d.Server == originID {
 		took *= 4
 	}
 	if d.Server == f.warming && f.now >= f.started {
-		if f.now >= f.noticedAt[i] {
-			f.sends = append(f.sends, f.now)
+		if f.now >= f.listedAt[i] {
+			f.attempts = append(f.attempts, f.now)
 		}
 		took *= 2
 		if f.cached[d.Server] == nil {
@@ -165,38 +165,38 @@
 			f.cached[d.Server][key] = true
 		}
 	}
-	nth := Attempt(0)
-	if q := r.requests.byID[d.Request]; q != nil {
-		nth = q.attemptCount - 1
+	number := Attempt(0)
+	if request := r.requests.byID[d.Request]; request != nil {
+		number = request.attemptCount - 1
 	}
 	f.after(took, func() {
 		if f.routers[i] == r {
-			f.step(i, AttemptEnded{Request: d.Request, Server: d.Server, Attempt: nth, Status: status, Took: took, Answered: status == OK})
+			f.step(i, AttemptEnded{Request: d.Request, Server: d.Server, Attempt: number, Status: status, Took: took, Answered: status == OK})
 		}
 	})
 }
 
-// request has a client send a request to a router.
+// request sends a client request to a router and schedules the next one.
 func (f *fleet) request() {
-	x := f.rand.Float64() * f.weights[fleetKeys-1]
+	x := f.rand.Float64() * f.cumulativeWeights[keyCount-1]
 	at := 0
-	for n := fleetKeys; n > 0; { // the first whose weight is not less
-		if half := n / 2; f.weights[at+half] < x {
+	for n := keyCount; n > 0; { // binary search for the first key whose cumulative weight is not less than x
+		if half := n / 2; f.cumulativeWeights[at+half] < x {
 			at, n = at+half+1, n-half-1
 		} else {
 			n = half
 		}
 	}
 	i := f.rand.IntN(len(f.routers))
-	if f.uneven && f.rand.IntN(2) == 0 {
+	if f.unevenTraffic && f.rand.IntN(2) == 0 {
 		i %= max(1, len(f.routers)/6)
 	}
 	f.arrived++
 	id := RequestID(fmt.Sprint(f.arrived))
-	if f.open[id] = Key(fmt.Sprint("k", at)); f.rand.Float64() < f.hot/float64(f.caches) {
-		f.open[id] = f.hotKey
+	if f.keyOf[id] = Key(fmt.Sprint("k", at)); f.rand.Float64() < f.hotKeyLoad/float64(f.caches) {
+		f.keyOf[id] = f.hotKey
 	}
-	f.step(i, RequestArrived{Request: id, Key: f.open[id], ValidUntil: f.now + 1200e3})
+	f.step(i, RequestArrived{Request: id, Key: f.keyOf[id], ValidUntil: f.now + 1200e3})
 	rate := f.load * f.capacity * float64(f.caches)
 	if f.now >= f.started {
 		rate *= f.burst
@@ -204,17 +204,18 @@
 	f.after(clock.Time(f.rand.ExpFloat64()*1e6/rate), f.request)
 }
 
-// run returns the highest load of the warming server over the overload window, as a fraction of the bound.
+// run returns the highest load of the warming server in an overload window, as a fraction of the bound, and for that window the
+// number of attempts and the bound.
 func (f *fleet) run() (worst float64, n int, allowed float64) {
 	f.request()
 	for end := f.started + f.settings.WarmUpDuration; f.now < end; {
-		next := heap.Pop(&f.due).(scheduledCall)
+		next := heap.Pop(&f.pending).(scheduledCall)
 		f.now = max(f.now, next.at)
 		next.run()
 	}
 	first := 0
-	for i, at := range f.sends {
-		for at-f.sends[first] > f.settings.OverloadWindow {
+	for i, at := range f.attempts {
+		for at-f.attempts[first] > f.settings.OverloadWindow {
 			first++
 		}
 		age := float64(at-f.started) / float64(f.settings.WarmUpDuration)
@@ -228,34 +229,34 @@
 	return worst, n, allowed
 }
 
-// deployments are the rules on warming servers of some deployments, each with its lowest initial share and slowest warm-up.
+// deployments returns the settings for warming servers of some deployments, each with its lowest initial share and slowest
+// warm-up.
 func deployments() map[string]Settings {
-	rules := func(multiple, share float64, span, duration clock.Time) Settings {
+	warmUpSettings := func(multiple, share float64, window, duration clock.Time) Settings {
 		s := baseSettings()
-		s.OverloadMultiple, s.WarmUpShare, s.OverloadWindow, s.WarmUpDuration = multiple, share, span, duration
+		s.OverloadMultiple, s.WarmUpShare, s.OverloadWindow, s.WarmUpDuration = multiple, share, window, duration
 		return s
 	}
 	return map[string]Settings{
-		"3 times in 3 s":     rules(3, 0.31, 3e6, 8.8e6),
-		"3 times in 1 s":     rules(3, 0.12, 1e6, 24e6),
-		"2.5 times in 1.5 s": rules(2.5, 0.2, 1500e3, 14e6),
+		"3 times in 3 s":     warmUpSettings(3, 0.31, 3e6, 8.8e6),
+		"3 times in 1 s":     warmUpSettings(3, 0.12, 1e6, 24e6),
+		"2.5 times in 1.5 s": warmUpSettings(2.5, 0.2, 1500e3, 14e6),
 	}
 }
 
-// A server that has just started gets no more than its present capacity from all routers of a fleet together, though they
-// share nothing: N by the settings, and 2 times the root of N and 2 more as chance. With twenty and thirty routers, under a
-// burst, for uniform keys or a few hot ones; where it is new, or has restarted, or most routers have just restarted, or learn
-// of it late.
+// A server that has just started gets no more requests than its present capacity, N by the settings, from all routers of a fleet
+// together, though they share no state. 2 times the root of N and 2 more are allowed for chance. The fleets have twenty and thirty routers, a
+// burst, and uniform or skewed keys; the server is new or has restarted, most routers have just restarted, or learn of it late.
 func TestWarmUp_FleetStaysWithinCapacity(t *testing.T) {
-	scenes := []scene{{name: "new"}, {name: "back", restart: true}, {name: "after a herd", herd: true, restart: true},
-		{name: "unevenly", uneven: true, restart: true}, {name: "noticed late", restart: true, noticeLags: 1500e3},
-		{name: "a hot key", hot: 1.5, restart: true}, {name: "a hot key after a herd", hot: 1.5, herd: true, restart: true}}
+	scenarios := []scenario{{name: "new"}, {name: "back", serverRestarts: true}, {name: "after a herd", routersRestart: true, serverRestarts: true},
+		{name: "unevenly", unevenTraffic: true, serverRestarts: true}, {name: "noticed late", serverRestarts: true, maxListDelay: 1500e3},
+		{name: "a hot key", hotKeyLoad: 1.5, serverRestarts: true}, {name: "a hot key after a herd", hotKeyLoad: 1.5, routersRestart: true, serverRestarts: true}}
 	for name, settings := range deployments() {
 		for _, size := range []struct{ routers, caches int }{{20, 4}, {30, 4}, {30, 9}} {
 			t.Run(fmt.Sprintf("%s, %d routers, %d caches", name, size.routers, size.caches), func(t *testing.T) {
 				t.Parallel()
 				for _, skew := range []float64{0, 0.8, 1.1} {
-					for _, s := range scenes {
+					for _, s := range scenarios {
 						s.routers, s.caches, s.capacity, s.skew = size.routers, size.caches, 10, skew
 						for seed := range uint64(4) {
 							s.check(t, settings, seed)
@@ -267,12 +268,12 @@
 	}
 }
 
-// The same for a fleet of hundreds, of which each router has a few requests per second, and less than one for each cache.
+// The same bound for a fleet of hundreds of routers, each with a few requests per second, and less than one per cache.
 func TestWarmUp_HundredsOfRoutersStayWithinCapacity(t *testing.T) {
 	for name, settings := range deployments() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for _, s := range []scene{{name: "back", restart: true}, {name: "a hot key after a herd", hot: 0.75, herd: true, restart: true}} {
+			for _, s := range []scenario{{name: "back", serverRestarts: true}, {name: "a hot key after a herd", hotKeyLoad: 0.75, routersRestart: true, serverRestarts: true}} {
 				s.routers, s.caches, s.capacity = 300, 150, 25
 				s.check(t, settings, 1)
 			}
@@ -280,11 +281,11 @@
 	}
 }
 
-// The same for such a fleet where a key has half as many reads again as a mean cache, which routers that have run for a short
-// time cannot know as hot, under a burst: one first read from each of them is too much.
+// The same bound for such a fleet under a burst, where one key has one and a half times the reads of an average cache. Routers
+// that have run for a short time cannot know that the key is hot: one first read from each of them is too much.
 func TestWarmUp_FirstReadsOfAHotKeyStayWithinCapacity(t *testing.T) {
 	for name, settings := range deployments() {
-		for _, s := range []scene{{name: "a hot key", hot: 1.5, restart: true}, {name: "a hot key after a herd", hot: 1.5, herd: true, restart: true}} {
+		for _, s := range []scenario{{name: "a hot key", hotKeyLoad: 1.5, serverRestarts: true}, {name: "a hot key after a herd", hotKeyLoad: 1.5, routersRestart: true, serverRestarts: true}} {
 			s.routers, s.caches, s.capacity = 300, 150, 25
 			for seed := range uint64(6) {
 				t.Run(fmt.Sprintf("%s, %s, seed %d", name, s.name, seed), func(t *testing.T) {
@@ -296,8 +297,8 @@
 	}
 }
 
-// check runs the scene at seven tenths of the servers' capacity, and half as much again from the start on.
-func (s scene) check(t *testing.T, settings Settings, seed uint64) {
+// check runs the scenario at seven tenths of the servers' capacity, and at half as much again from the start on.
+func (s scenario) check(t *testing.T, settings Settings, seed uint64) {
 	t.Helper()
 	s.load, s.burst, s.settings = 0.7, 1.5, settings
 	s.settings.Routers = s.routers
