--- a/core/routing/event.go
+++ b/core/routing/event.go
@@ -46,7 +46,7 @@
 	ConnectError               // no connection; the request did not run
 	Reset                      // the connection broke after the request was sent; it may have run
 	Canceled
-	NotSent // its time-out passed, or its server drained, before it was sent; the request did not run
+	NotSent // its time-out or StartBy passed, or its server drained, before it was sent; the request did not run
 	Miss    // the cache does not have the key
 )
 
@@ -93,7 +93,7 @@
 	Attempt Attempt
 }
 
-// ClientDisconnected is the event that the client of a request is gone.
+// ClientDisconnected is the event that the client of a request has disconnected.
 type ClientDisconnected struct {
 	Request RequestID
 }
--- a/core/routing/load.go
+++ b/core/routing/load.go
@@ -21,7 +21,7 @@
 // ZoneLoad is the state of the caches of a zone, as one router observes it.
 type ZoneLoad struct {
 	Zone        Zone
-	Listed      int
+	Listed      int     // caches in the endpoint list that are not banned
 	Unreachable int     // listed caches that are silent, or, until a trial has succeeded, ejected or behind a path in backoff
 	AnswerRate  float64 // per second
 }
--- a/core/routing/restore.go
+++ b/core/routing/restore.go
@@ -2,8 +2,8 @@
 
 import "spurtrestle/core/clock"
 
-// MaxRestoredSamples is the highest number of samples as which a restored latency counts: a quarter of a full estimate, so that
-// new samples soon outweigh it.
+// MaxRestoredSamples bounds the samples that a restored latency counts as. It is a quarter of a full estimate, so that new
+// samples soon outweigh the restored ones.
 const MaxRestoredSamples = 8
 
 // restoreKnowledge restores the knowledge of an earlier process. Rates count as observed for as long as that process observed
