--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -34,8 +34,8 @@
 
 // Router is the side of the loop.
 type Router interface {
-	Offer(*router.Offer) bool
-	Withdraw(*router.Offer)
+	Submit(*router.ExternalRequest) bool
+	Withdraw(*router.ExternalRequest)
 	OnServing(func(bool))
 }
 
@@ -125,7 +125,7 @@
 // ended is how a call ended, on its way from the loop.
 type ended struct {
 	wire.Answer
-	refused router.Refusal
+	refused router.RefusalReason
 }
 
 // ask offers a request and waits for its one answer.
@@ -134,17 +134,17 @@
 		return nil, invalid(field, what)
 	}
 	done := make(chan ended, 1)
-	o := &router.Offer{Request: wire.Request{ID: routing.RequestID(at.GetId()), Key: key, Value: value, Write: write}, Method: at.GetMethod(),
-		Tenant: routing.Tenant(at.GetTenant()), Resent: at.GetResent(),
+	o := &router.ExternalRequest{Request: wire.Request{ID: routing.RequestID(at.GetId()), Key: key, Value: value, Write: write}, Method: at.GetMethod(),
+		Tenant: routing.Tenant(at.GetTenant()), ClientRetry: at.GetResent(),
 		Answer: func(a wire.Answer) {
 			a.Value = bytes.Clone(a.Value)
 			done <- ended{Answer: a}
 		},
-		Refuse: func(why router.Refusal) { done <- ended{refused: why} },
-		Gone:   func() bool { return ctx.Err() != nil },
-		Unread: func() bool { return s.hasUnread(ctx) }}
+		Refuse:         func(why router.RefusalReason) { done <- ended{refused: why} },
+		ClientGone:     func() bool { return ctx.Err() != nil },
+		HasUnreadInput: func() bool { return s.hasUnread(ctx) }}
 	if due, told := ctx.Deadline(); told {
-		if o.Waits = clock.Time(time.Until(due) / time.Microsecond); o.Waits <= 0 {
+		if o.Timeout = clock.Time(time.Until(due) / time.Microsecond); o.Timeout <= 0 {
 			return nil, status.Error(codes.DeadlineExceeded, "the deadline had passed when the call came")
 		}
 	}
@@ -152,7 +152,7 @@
 		return nil, status.FromContextError(err).Err()
 	}
 	o.Props = wire.NewProps(props(o, at))
-	if !s.r.Offer(o) {
+	if !s.r.Submit(o) {
 		return nil, status.Error(codes.ResourceExhausted, "too many calls wait to be taken")
 	}
 	select {
@@ -204,7 +204,7 @@
 }
 
 // props are the names and values that cache servers and the origin are sent; the time is put in with each attempt.
-func props(o *router.Offer, at *cachev1.Attributes) []byte {
+func props(o *router.ExternalRequest, at *cachev1.Attributes) []byte {
 	p := "c=" + o.Method
 	if o.Tenant != "" {
 		p += ",t=" + string(o.Tenant)
@@ -216,12 +216,12 @@
 	return []byte(p)
 }
 
-var refusals = map[router.Refusal]error{
-	router.Full:     status.Error(codes.ResourceExhausted, "the router holds all that it may"),
-	router.NoMethod: invalid("attributes.method", "is none of the service"),
-	router.SameID:   status.Error(codes.AlreadyExists, "another open req has this id"),
-	router.Late:     status.Error(codes.DeadlineExceeded, "the deadline had passed when the call was taken"),
-	router.Ending:   status.Error(codes.Unavailable, "the router is ending"),
+var refusals = map[router.RefusalReason]error{
+	router.RefusedOverloaded:    status.Error(codes.ResourceExhausted, "the router holds all that it may"),
+	router.RefusedUnknownMethod: invalid("attributes.method", "is none of the service"),
+	router.RefusedDuplicateID:   status.Error(codes.AlreadyExists, "another open req has this id"),
+	router.RefusedExpired:       status.Error(codes.DeadlineExceeded, "the deadline had passed when the call was taken"),
+	router.RefusedShuttingDown:  status.Error(codes.Unavailable, "the router is ending"),
 }
 
 // result is the one table from answers to statuses.
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -96,7 +96,7 @@
 	var learned *snapshot.State
 	p.snapshots, learned = snapshot.OpenWriter(dir, p.log)
 	interval := clock.Duration(p.file.State.Interval() / time.Microsecond)
-	p.router.Remember(learned, interval, p.snapshots.Submit)
+	p.router.ConfigureSnapshots(learned, interval, p.snapshots.Submit)
 }
 
 // openAdmin listens for operators, connects to a predecessor, and reads the operator state. The endpoint answers once
@@ -109,12 +109,12 @@
 	if p.admin, err = net.Listen("tcp", p.config.Admin); err != nil {
 		return &configerror.Error{Field: "admin", Problem: err.Error(), Remedy: "give the operators' door a free address", Cause: err}
 	}
-	if err := p.router.Join(os.TempDir()); err != nil {
+	if err := p.router.ConnectPredecessor(os.TempDir()); err != nil {
 		p.admin.Close()
 		return err
 	}
 	methods := settings.MethodNames(p.config.Settings)
-	p.router.Operate(operatorstate.Open(os.TempDir(), p.config.Listen, methods))
+	p.router.UseOperatorStore(operatorstate.Open(os.TempDir(), p.config.Listen, methods))
 	return nil
 }
 
@@ -132,7 +132,7 @@
 		return nil
 	}
 	minimumShare := sharelease.MinimumShare(p.fleet.FleetSize)
-	p.fleet.HasPredecessor, p.fleet.NoSharesGranted = p.router.Place(minimumShare)
+	p.fleet.HasPredecessor, p.fleet.NoSharesGranted = p.router.EnableFleetShare(minimumShare)
 	node, err := p.parts.Fleet(p.fleet, p.router, p.log)
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 	withFleet := fleetRouter{p.router, node}
 	if p.file.Policy.WhenIsolated == "" {
 		p.serveAdmin(withFleet)
-		p.stopFleet = func() { node.Close(p.router.Handed()) }
+		p.stopFleet = func() { node.Close(p.router.HandedOver()) }
 		return nil
 	}
 	policy, err := p.parts.Policy(p.file.Policy, p.fleet, p.config.Settings, p.router, node, p.log)
@@ -149,8 +149,8 @@
 	}
 	p.serveAdmin(policyRouter{withFleet, policy})
 	p.stopFleet = func() {
-		policy.Close(p.router.Handed())
-		node.Close(p.router.Handed())
+		policy.Close(p.router.HandedOver())
+		node.Close(p.router.HandedOver())
 	}
 	return nil
 }
--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -50,7 +50,7 @@
 // handleCounters prints the counters.
 func (p *process) handleCounters(signals <-chan os.Signal) {
 	for range signals {
-		p.router.Print()
+		p.router.LogCounters()
 	}
 }
 
@@ -67,7 +67,7 @@
 		}
 		if err != nil {
 			p.log.WithError(err).WithField("formerly", formerReloadRejected).Error("config: reload rejected, the previous configuration stays in force")
-			p.router.NotLoaded()
+			p.router.CountRejectedReload()
 			continue
 		}
 		p.router.Reload(cfg.Discovery)
--- a/internal/router/behind.go
+++ b/internal/router/behind.go
@@ -26,8 +26,8 @@
 	switch from := q.from.(type) {
 	case *client:
 		return from.conn != nil && hungUp(from.conn.Fd())
-	case *Offer:
-		return from.withdrawn.Load() || from.Gone != nil && from.Gone()
+	case *ExternalRequest:
+		return from.withdrawn.Load() || from.ClientGone != nil && from.ClientGone()
 	}
 	return false
 }
@@ -37,8 +37,8 @@
 
 // mayHaveGone reports, while the loop is late, whether the end of a request's client may lie where its front has not read it yet.
 func (r *Router) mayHaveGone(q *request) bool {
-	offer, isOffer := q.from.(*Offer)
-	return isOffer && !q.over && r.now < r.behindUntil && offer.Unread != nil && offer.Unread()
+	offer, isOffer := q.from.(*ExternalRequest)
+	return isOffer && !q.over && r.now < r.behindUntil && offer.HasUnreadInput != nil && offer.HasUnreadInput()
 }
 
 // connectAfterFront gives an attempt a connection once its request's front has had a moment to read.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -141,9 +141,9 @@
 	l.r.lim.ExternalRequests = 10
 	close(l.r.ready)
 	answered := func(wire.Answer) {}
-	offer := &Offer{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Waits: 1900e3,
-		Answer: answered, Refuse: func(why Refusal) { t.Errorf("refused: %d", why) }}
-	if !l.r.Offer(offer) {
+	offer := &ExternalRequest{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Timeout: 1900e3,
+		Answer: answered, Refuse: func(why RefusalReason) { t.Errorf("refused: %d", why) }}
+	if !l.r.Submit(offer) {
 		t.Fatal("the offer is not taken")
 	}
 	l.rounds()
--- a/internal/router/gone_test.go
+++ b/internal/router/gone_test.go
@@ -19,7 +19,7 @@
 	dials   []heldDial
 	conns   []*notedConn // to servers, in the order in which they came up
 	clients map[string]*notedConn
-	offers  map[string]*Offer // of gRPC clients
+	offers  map[string]*ExternalRequest // of gRPC clients
 	byGRPC  bool
 }
 
@@ -43,7 +43,7 @@
 		passed += time.Microsecond
 		return passed
 	}
-	d := &departure{t: t, l: l, clients: map[string]*notedConn{}, offers: map[string]*Offer{}, byGRPC: byGRPC}
+	d := &departure{t: t, l: l, clients: map[string]*notedConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
 	close(l.r.ready)
 	l.r.lim.ExternalRequests = 100
 	for i := range l.r.cfg.Settings.Methods {
@@ -57,10 +57,10 @@
 func (d *departure) asks(id, key, method string, write bool) {
 	props := fmt.Sprintf("c=%s,d=1900", method)
 	if d.byGRPC {
-		o := &Offer{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Waits: 1900e3,
-			Answer: func(wire.Answer) {}, Refuse: func(why Refusal) { d.t.Errorf("%s is refused: %d", id, why) }}
+		o := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
+			Answer: func(wire.Answer) {}, Refuse: func(why RefusalReason) { d.t.Errorf("%s is refused: %d", id, why) }}
 		d.offers[id] = o
-		d.l.r.Offer(o)
+		d.l.r.Submit(o)
 		d.l.rounds()
 		return
 	}
@@ -314,8 +314,8 @@
 	for _, cancelled := range []bool{true, false} {
 		d := lateDeparture(t, "call")
 		unread, gone := true, false
-		d.offers["call"].Unread = func() bool { return unread }
-		d.offers["call"].Gone = func() bool { return gone }
+		d.offers["call"].HasUnreadInput = func() bool { return unread }
+		d.offers["call"].ClientGone = func() bool { return gone }
 		d.comesUp(cacheAddr)
 		d.l.pass(5e3)
 		d.begins("call", 0)
--- a/internal/router/handover_order_test.go
+++ b/internal/router/handover_order_test.go
@@ -32,7 +32,7 @@
 	r.cfg.Limits.MemoryBytes = 1 << 30
 	r.lim.AdminCallTimeout = 10 * clock.Second
 	dir := t.TempDir()
-	r.Operate(operatorstate.Open(dir, "r", nil))
+	r.UseOperatorStore(operatorstate.Open(dir, "r", nil))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -22,7 +22,7 @@
 
 // Remember has the router begin with what an earlier process had learned (nil: nothing), and hand over what it knows
 // itself about every so often. keep is called on the loop and must not wait. Call it before Run.
-func (r *Router) Remember(learned *snapshot.State, every clock.Time, keep func(snapshot.State)) {
+func (r *Router) ConfigureSnapshots(learned *snapshot.State, every clock.Time, keep func(snapshot.State)) {
 	r.memory = &memory{learned: learned, every: every, keep: keep, waiting: map[discovery.UID]routing.ServerKnowledge{},
 		rand: rand.New(rand.NewPCG(r.cfg.Seed, 1))}
 }
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -16,7 +16,7 @@
 	l, _, _ := newNoted(t)
 	var said strings.Builder
 	l.r.log.SetOutput(&said)
-	l.r.Remember(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
+	l.r.ConfigureSnapshots(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
 		Servers: []snapshot.Server{{UID: "o"}}}, 1e6, func(snapshot.State) {})
 	l.r.now = l.r.clock()
 	l.r.remind()
@@ -37,7 +37,7 @@
 			Latency: routing.LatencySummary{Recent: clock.Time(1000 * (i + 1)), Mean: 1, Fastest: 1, Samples: 32}}})
 	}
 	r := l.r
-	r.Remember(&old, 1e6, func(snapshot.State) {})
+	r.ConfigureSnapshots(&old, 1e6, func(snapshot.State) {})
 	r.now = r.clock()
 	r.remind()
 	list := func(uids ...string) {
@@ -80,7 +80,7 @@
 	l, _, _ := newNoted(t)
 	r := l.r
 	n := 0
-	r.Remember(nil, 20e3, func(s snapshot.State) { n++ })
+	r.ConfigureSnapshots(nil, 20e3, func(s snapshot.State) { n++ })
 	r.remind()
 	for until := time.Now().Add(2 * time.Second); n < 3 && time.Now().Before(until); time.Sleep(time.Millisecond) {
 		r.fire(r.clock())
--- a/internal/router/offers.go
+++ b/internal/router/offers.go
@@ -10,32 +10,32 @@
 )
 
 // Refusal is why a request that a front offers is not taken.
-type Refusal uint8
+type RefusalReason uint8
 
 const (
-	Full     Refusal = iota + 1 // the router holds all that it may
-	NoMethod                    // the settings do not name its method
-	SameID                      // another open request has its id
-	Late                        // its time was over when it came
-	Ending                      // the router takes nothing new
+	RefusedOverloaded    RefusalReason = iota + 1 // the router holds all that it may
+	RefusedUnknownMethod                          // the settings do not name its method
+	RefusedDuplicateID                            // another open request has its id
+	RefusedExpired                                // its time was over when it came
+	RefusedShuttingDown                           // the router takes nothing new
 )
 
 // Offer is a request of a front off the loop: a protocol whose library has goroutines of its own. Its fields are not changed
 // once it is offered.
-type Offer struct {
+type ExternalRequest struct {
 	wire.Request
-	Method string
-	Tenant routing.Tenant
-	Waits  clock.Time // how long its client waits; 0: as long as the method allows
-	Resent bool
+	Method      string
+	Tenant      routing.Tenant
+	Timeout     clock.Time // how long its client waits; 0: as long as the method allows
+	ClientRetry bool
 	// Exactly one of the two is called, on the loop, once: it must not wait. An answer's value is good only within it.
 	Answer func(wire.Answer)
-	Refuse func(Refusal)
+	Refuse func(RefusalReason)
 	// Gone reports whether the client has cancelled or left, by what the front has read; nil: never before Withdraw. Both this
 	// and Unread are called on the loop, where it is late.
-	Gone func() bool
+	ClientGone func() bool
 	// Unread reports whether there is something of the client's connection that the front has not read; nil: never.
-	Unread func() bool
+	HasUnreadInput func() bool
 
 	withdrawn atomic.Bool // ahead of the loop
 	q         *request    // belongs to the loop; nil: not taken
@@ -49,16 +49,16 @@
 }
 
 type news struct {
-	o    *Offer
+	o    *ExternalRequest
 	gone bool
 }
 
 // Offer hands over a request from any goroutine; false: too many wait already, or the loop does not run yet, and nothing will be called.
-func (r *Router) Offer(o *Offer) bool { return r.news(news{o: o}, r.lim.ExternalRequests) }
+func (r *Router) Submit(o *ExternalRequest) bool { return r.news(news{o: o}, r.lim.ExternalRequests) }
 
 // Withdraw tells that the client of an offer is gone: its attempts are called off, and neither function is called any
 // more once the loop has come to it.
-func (r *Router) Withdraw(o *Offer) {
+func (r *Router) Withdraw(o *ExternalRequest) {
 	o.withdrawn.Store(true)
 	r.news(news{o, true}, 1<<62)
 }
@@ -104,33 +104,33 @@
 	}
 }
 
-func (r *Router) takeOffer(o *Offer) Refusal {
+func (r *Router) takeOffer(o *ExternalRequest) RefusalReason {
 	method, known := r.methods[o.Method]
 	size := len(o.Key) + o.Props.Len() + len(o.Value)
 	switch {
 	case r.closing || r.ops.wanted.Drain || r.place.out != "":
-		return Ending
+		return RefusedShuttingDown
 	case !known:
-		return NoMethod
+		return RefusedUnknownMethod
 	case r.requests[o.ID] != nil:
-		return SameID
-	case o.Waits < 0:
-		return Late
+		return RefusedDuplicateID
+	case o.Timeout < 0:
+		return RefusedExpired
 	case r.held+size > r.lim.RequestBytes:
-		return Full
+		return RefusedOverloaded
 	}
 	waits := r.cfg.Settings.Methods[method].Deadline // a longer wait does not lengthen it
-	if o.Waits > 0 {
-		waits = min(waits, o.Waits)
+	if o.Timeout > 0 {
+		waits = min(waits, o.Timeout)
 	}
 	o.q = &request{Request: o.Request, size: size, from: o}
 	r.offers.open++
-	r.take(o.q, routing.RequestArrived{Request: o.ID, Key: routing.Key(o.Key), Write: o.Write, Method: method, Tenant: o.Tenant, ClientRetry: o.Resent}, waits, r.clock())
+	r.take(o.q, routing.RequestArrived{Request: o.ID, Key: routing.Key(o.Key), Write: o.Write, Method: method, Tenant: o.Tenant, ClientRetry: o.ClientRetry}, waits, r.clock())
 	return 0
 }
 
 // answer makes an Offer an asker.
-func (o *Offer) answer(_ *request, a wire.Answer) {
+func (o *ExternalRequest) answer(_ *request, a wire.Answer) {
 	o.Answer(a)
 }
 
--- a/internal/router/ops.go
+++ b/internal/router/ops.go
@@ -53,7 +53,7 @@
 )
 
 // Operate has the router keep to what is asked of it by operators, now and by the file. Call it before Run.
-func (r *Router) Operate(store *operatorstate.Store) {
+func (r *Router) UseOperatorStore(store *operatorstate.Store) {
 	r.ops.store = store
 	i, err := store.Load()
 	if err != nil {
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -36,7 +36,7 @@
 // Place says that something outside the loop keeps this router's place among the others: it begins with a part that is
 // certainly its own, unless it follows a process that has lent nothing. It tells whether that is so. Call it after Join
 // and before Run.
-func (r *Router) Place(least float64) (follows, whole bool) {
+func (r *Router) EnableFleetShare(least float64) (follows, whole bool) {
 	follows = r.takeover.old != nil
 	whole = follows && r.takeover.asked != nil && r.takeover.asked.Whole
 	if r.place.whole = whole; !whole {
@@ -46,7 +46,7 @@
 }
 
 // Handed tells, after Run, whether another process has taken over.
-func (r *Router) Handed() bool { return r.takeover.handing }
+func (r *Router) HandedOver() bool { return r.takeover.handing }
 
 // FleetStatus returns the router's state as its node announces it to the fleet.
 func (r *Router) FleetStatus() fleet.RouterStatus {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -84,7 +84,7 @@
 	}
 	q.over = true
 	r.count(q.method, a.Kind)
-	if _, off := q.from.(*Offer); off {
+	if _, off := q.from.(*ExternalRequest); off {
 		r.offers.open--
 	}
 	if q.body != nil {
@@ -142,7 +142,7 @@
 		return
 	}
 	q.over, q.leaving = true, true
-	if _, off := q.from.(*Offer); off {
+	if _, off := q.from.(*ExternalRequest); off {
 		r.offers.open--
 	}
 	r.counts.Left++
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -264,13 +264,13 @@
 }
 
 // NotLoaded counts a new configuration that was refused.
-func (r *Router) NotLoaded() {
+func (r *Router) CountRejectedReload() {
 	<-r.ready
 	r.execute(func() { r.counts.NotLoaded++ })
 }
 
 // Print logs the counters.
-func (r *Router) Print() {
+func (r *Router) LogCounters() {
 	<-r.ready
 	r.execute(func() { r.log.Info(r.Counters()) })
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -482,7 +482,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Offer(&Offer{}) {
+	if r.Submit(&ExternalRequest{}) {
 		t.Error("it is taken, and the loop will never come to it")
 	}
 }
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -57,7 +57,7 @@
 
 // Join finds the process that this one replaces, if there is one, and takes its listener and what it knows. Call it
 // before Run. An error: the process that serves there is another service's, and neither its clients nor its address is ours.
-func (r *Router) Join(dir string) error {
+func (r *Router) ConnectPredecessor(dir string) error {
 	const patience = time.Second
 	t := &r.takeover
 	t.dir, t.name = dir, "spurtrestle-"+r.cfg.Listen+".sock"
