--- a/internal/router/arrivals.go
+++ b/internal/router/arrival_times.go
@@ -5,39 +5,39 @@
 // arrivalTimes dates the bytes of a client that wait unread while there is no room for its commands. A request's time
 // counts from its last byte, not from when the router came to read it.
 type arrivalTimes struct {
-	read  int64 // bytes read so far
-	marks []arrivalMark
+	consumed int64 // bytes read so far
+	marks    []arrivalMark
 }
 
 // arrivalMark tells that all bytes before end had come at a time.
 type arrivalMark struct {
-	end int64
-	at  clock.Time
+	end        int64
+	receivedAt clock.Time
 }
 
 const maxArrivalMarks = 64 // beyond it bytes are dated too early, never too late
 
 // waiting notes that n bytes are unread.
-func (a *arrivalTimes) waiting(n int, now clock.Time) {
-	end, last := a.read+int64(n), len(a.marks)-1
+func (a *arrivalTimes) noteUnread(n int, now clock.Time) {
+	end, last := a.consumed+int64(n), len(a.marks)-1
 	switch {
 	case last >= 0 && a.marks[last].end >= end:
 	case last+1 == maxArrivalMarks:
 		a.marks[last].end = end
 	default:
-		a.marks = append(a.marks, arrivalMark{end: end, at: now})
+		a.marks = append(a.marks, arrivalMark{end: end, receivedAt: now})
 	}
 }
 
 // take reads n bytes and returns when the last of them came.
-func (a *arrivalTimes) take(n int, now clock.Time) clock.Time {
-	a.read += int64(n)
-	for len(a.marks) > 0 && a.marks[0].end < a.read {
+func (a *arrivalTimes) consume(n int, now clock.Time) clock.Time {
+	a.consumed += int64(n)
+	for len(a.marks) > 0 && a.marks[0].end < a.consumed {
 		a.marks = a.marks[1:]
 	}
 	if len(a.marks) == 0 {
 		a.marks = nil
 		return now
 	}
-	return a.marks[0].at
+	return a.marks[0].receivedAt
 }
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -8,94 +8,94 @@
 )
 
 // input gathers one input; the first of a round queues the batch.
-func (r *Router) input(ev routing.Event) {
-	r.inputs = append(r.inputs, ev)
-	r.queue()
+func (r *Router) addEvent(ev routing.Event) {
+	r.pendingEvents = append(r.pendingEvents, ev)
+	r.queueBatch()
 }
 
-func (r *Router) queue() {
-	if !r.queued {
-		r.queued = true
-		r.execute(r.batch)
+func (r *Router) queueBatch() {
+	if !r.batchQueued {
+		r.batchQueued = true
+		r.runAsync(r.runBatch)
 	}
 }
 
 // batch takes the clock once, hands over what was gathered and what is due, and carries out what came back. What that
 // brings in goes into the next batch.
-func (r *Router) batch() {
-	r.queued = true // what is due goes into this batch
-	was := r.now
-	if r.now = r.clock(); r.now-was > r.lim.StallThreshold {
-		r.log.WithField("for", span(r.now-was)).Warn("the loop stood still; what waited in the sockets counts as come when it began to")
-		r.stoodFrom, r.stoodUntil = was, r.now+r.lim.QuietClientAge
+func (r *Router) runBatch() {
+	r.batchQueued = true // what is due goes into this batch
+	previous := r.batchTime
+	if r.batchTime = r.clock(); r.batchTime-previous > r.limits.StallThreshold {
+		r.log.WithField("for", toDuration(r.batchTime-previous)).Warn("the loop stood still; what waited in the sockets counts as come when it began to")
+		r.stallStart, r.stallGraceEnd = previous, r.batchTime+r.limits.QuietClientAge
 	}
-	r.noteLag(was)
+	r.updateLag(previous)
 	r.counts.Batches++
-	r.fire(r.now)
-	inputs := r.inputs
-	r.inputs, r.queued = nil, false
-	r.decided = r.decided[:0]
-	r.lapse()
-	for _, ev := range inputs {
-		if q, ok := ev.(*arrival); ok {
-			ev = q.event(r.cameAt())
+	r.fireTimers(r.batchTime)
+	events := r.pendingEvents
+	r.pendingEvents, r.batchQueued = nil, false
+	r.decisions = r.decisions[:0]
+	r.expireFleetLimits()
+	for _, ev := range events {
+		if q, ok := ev.(*requestArrival); ok {
+			ev = q.atTime(r.arrivalTime())
 		}
-		r.decided = append(r.decided, r.core.Step(r.now, ev)...)
+		r.decisions = append(r.decisions, r.core.Step(r.batchTime, ev)...)
 	}
-	r.carryOut(r.decided)
-	for _, ev := range inputs {
-		if l, ok := ev.(routing.ClientDisconnected); ok && r.requests[l.Request] != nil {
-			r.requests[l.Request].leaving = false
-			r.settle(r.requests[l.Request])
+	r.applyDecisions(r.decisions)
+	for _, ev := range events {
+		if left, ok := ev.(routing.ClientDisconnected); ok && r.requests[left.Request] != nil {
+			r.requests[left.Request].departurePending = false
+			r.releaseRequest(r.requests[left.Request])
 		}
 	}
-	r.resume()
-	r.feed()
-	if r.now-r.ops.toldAt >= r.lim.MetricsInterval {
-		r.publish()
+	r.resumeStalledClients()
+	r.dialForWaiting()
+	if r.batchTime-r.operator.statsAt >= r.limits.MetricsInterval {
+		r.publishStats()
 	}
 	r.setAlarm()
-	if r.takeover.handing {
-		r.passClients()
+	if r.takeover.handingOver {
+		r.handOverClients()
 	}
-	if r.closing || r.ops.emptied || r.place.out != "" {
+	if r.closingClients || r.operator.closingClients || r.fleet.outOfService != "" {
 		r.closeIdleClients()
 	}
 }
 
 // cameAt is when a request that has just been read may have come. A process that was stopped for longer than its clients wait
 // found their requests in its sockets, took them for new, and sent them on after their deadline.
-func (r *Router) cameAt() clock.Time {
-	if r.now < r.stoodUntil {
-		return r.stoodFrom
+func (r *Router) arrivalTime() clock.Time {
+	if r.batchTime < r.stallGraceEnd {
+		return r.stallStart
 	}
-	return r.now
+	return r.batchTime
 }
 
-func (r *Router) carryOut(decided []routing.Decision) {
-	for _, d := range decided {
-		switch d.Action {
+func (r *Router) applyDecisions(decided []routing.Decision) {
+	for _, decision := range decided {
+		switch decision.Action {
 		case routing.Send:
-			r.beginAttempt(d)
+			r.beginAttempt(decision)
 		case routing.Reject:
-			r.reject(d.Request, d.After)
+			r.rejectRequest(decision.Request, decision.After)
 		case routing.Fail:
-			r.fail(d.Request)
+			r.failRequest(decision.Request)
 		case routing.Cancel:
-			r.recall(d.Request, d.Attempt)
+			r.cancelAttempt(decision.Request, decision.Attempt)
 		case routing.SetTimer:
-			ref := d.Timer
-			r.after(d.After, func() { r.input(routing.TimerFired{Timer: ref}) })
+			ref := decision.Timer
+			r.after(decision.After, func() { r.addEvent(routing.TimerFired{Timer: ref}) })
 		case routing.Subscribe:
 			if r.watch != nil {
-				r.watch.call()
+				r.watch.startCall()
 			}
 		case routing.CloseIdle:
-			if s := r.servers[d.Server]; s != nil {
-				r.closeIdle(s)
+			if s := r.servers[decision.Server]; s != nil {
+				r.closeIdleConnections(s)
 			}
 		default:
-			r.log.Error(fmt.Sprintf("a decision that the router cannot carry out: %+v", d))
+			r.log.Error(fmt.Sprintf("a decision that the router cannot carry out: %+v", decision))
 		}
 	}
 }
--- a/internal/router/gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -25,7 +25,7 @@
 
 type heldDial struct {
 	addr string
-	to   peer
+	to   connHandler
 }
 
 const (
@@ -45,11 +45,11 @@
 	}
 	d := &departure{t: t, l: l, clients: map[string]*notedConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
 	close(l.r.ready)
-	l.r.lim.ExternalRequests = 100
+	l.r.limits.ExternalRequests = 100
 	for i := range l.r.cfg.Settings.Methods {
 		l.r.cfg.Settings.Methods[i].Deadline = getBudget
 	}
-	l.r.dialer = func(addr string, p peer, _ func(error)) { d.dials = append(d.dials, heldDial{addr, p}) }
+	l.r.dialFunc = func(addr string, p connHandler, _ func(error)) { d.dials = append(d.dials, heldDial{addr, p}) }
 	return d
 }
 
@@ -57,10 +57,10 @@
 func (d *departure) asks(id, key, method string, write bool) {
 	props := fmt.Sprintf("c=%s,d=1900", method)
 	if d.byGRPC {
-		o := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
+		request := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
 			Answer: func(wire.Answer) {}, Refuse: func(why RefusalReason) { d.t.Errorf("%s is refused: %d", id, why) }}
-		d.offers[id] = o
-		d.l.r.Submit(o)
+		d.offers[id] = request
+		d.l.r.Submit(request)
 		d.l.rounds()
 		return
 	}
@@ -191,7 +191,7 @@
 
 func retryWaits(d *departure) {
 	d.asks("gone", "k", "get", false)
-	d.l.ends(d.comesUp(cacheAddr), errNoAnswer)
+	d.l.ends(d.comesUp(cacheAddr), errIncompleteResponse)
 	d.l.rounds()
 	d.begins("gone", 1)
 	if len(d.dials) == 0 {
@@ -221,7 +221,7 @@
 		}
 		for _, c := range d.conns {
 			up, is := c.ctx.(*upstream)
-			if c.closed || !is || up.carries == nil || up.carries.q.ID == "gone" && up.carries.nth < routing.Attempt(began) {
+			if c.closed || !is || up.attempt == nil || up.attempt.request.ID == "gone" && up.attempt.number < routing.Attempt(began) {
 				continue
 			}
 			text := hit
@@ -239,7 +239,7 @@
 func TestNoAttemptForAnEndThatLiesUnread(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		d := newDeparture(t, false, nil)
-		d.l.r.lim.LoopLagThreshold = 80e3
+		d.l.r.limits.LoopLagThreshold = 80e3
 		for range 30 { // it has been in time for long
 			d.l.pass(50e3)
 		}
@@ -288,7 +288,7 @@
 func lateDeparture(t *testing.T, id string) *departure {
 	t.Helper()
 	d := newDeparture(t, true, nil)
-	d.l.r.lim.LoopLagThreshold = 80e3
+	d.l.r.limits.LoopLagThreshold = 80e3
 	for range 30 { // it has been in time for long
 		d.l.pass(50e3)
 	}
@@ -304,8 +304,8 @@
 	d.l.r.Withdraw(d.offers["gone"])
 	d.comesUp(cacheAddr)
 	d.begins("gone", 0)
-	if d.l.r.offers.open != 0 || len(d.l.r.requests) != 0 {
-		t.Errorf("%d calls are open, %d requests are left", d.l.r.offers.open, len(d.l.r.requests))
+	if d.l.r.external.openRequests != 0 || len(d.l.r.requests) != 0 {
+		t.Errorf("%d calls are open, %d requests are left", d.l.r.external.openRequests, len(d.l.r.requests))
 	}
 }
 
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -46,7 +46,7 @@
 func TestDeadlineOfABigWriteWhoseConnectionComesUpLate(t *testing.T) {
 	l, up := held(t, nil)
 	l.r.loop = enrollsNobody{l}
-	l.r.lim.RESP.Long, l.r.lim.LargeValueWindow, l.r.lim.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
+	l.r.limits.RESP.Long, l.r.limits.LargeValueWindow, l.r.limits.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
 	client := l.open(nil)
 	client.fd, _ = sockets(t)
 	const size = 1 << 17
@@ -138,7 +138,7 @@
 			s.Methods[i].Deadline = 3e6
 		}
 	})
-	l.r.lim.ExternalRequests = 10
+	l.r.limits.ExternalRequests = 10
 	close(l.r.ready)
 	answered := func(wire.Answer) {}
 	offer := &ExternalRequest{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Timeout: 1900e3,
@@ -160,13 +160,13 @@
 	client := l.open(nil)
 	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	cache := up()
-	attempt := cache.ctx.(*upstream).carries
-	attempt.within, attempt.q.due = 500e3, attempt.sent+1900e3
-	if left := attempt.remaining(attempt.sent); left != 500e3 {
+	attempt := cache.ctx.(*upstream).attempt
+	attempt.timeout, attempt.request.clientDeadline = 500e3, attempt.startedAt+1900e3
+	if left := attempt.remaining(attempt.startedAt); left != 500e3 {
 		t.Errorf("of a wait of 500 ms there are %d us left", left)
 	}
-	attempt.within, attempt.q.due = 1900e3, attempt.sent+500e3
-	if left := attempt.remaining(attempt.sent + 100e3); left != 400e3 {
+	attempt.timeout, attempt.request.clientDeadline = 1900e3, attempt.startedAt+500e3
+	if left := attempt.remaining(attempt.startedAt + 100e3); left != 400e3 {
 		t.Errorf("of a client's 400 ms there are %d us left", left)
 	}
 }
@@ -174,7 +174,7 @@
 // A command that waited unread, since its client had as many in hand as it may have, is dated by when it came.
 func TestDeadlineOfACommandThatWaitedUnread(t *testing.T) {
 	l, up := held(t, nil)
-	l.r.lim.PipelinedCommands = 1
+	l.r.limits.PipelinedCommands = 1
 	client := l.open(nil)
 	for i := range 2 { // the second waits unread
 		l.comes(client, command("CACHE.GET", "k", fmt.Sprint("r", i), "c=get,d=1900"))
--- a/internal/router/crowd_test.go
+++ b/internal/router/descriptor_limit_test.go
@@ -12,9 +12,9 @@
 func TestAttemptGetsItsDescriptorsInACrowd(t *testing.T) {
 	l, _ := held(t, nil)
 	r := l.r
-	r.lim.Descriptors, r.lim.MaxDescriptors, r.lim.ServerConnections, r.lim.ClientConnections = 16, 26, 8, 16
+	r.limits.Descriptors, r.limits.MaxDescriptors, r.limits.ServerConnections, r.limits.ClientConnections = 16, 26, 8, 16
 	dials := 0
-	r.dialer = func(string, peer, func(error)) { dials++ }
+	r.dialFunc = func(string, connHandler, func(error)) { dials++ }
 	const step = clock.Time(5e3)
 	crowd := func(during clock.Time) {
 		for ; during > 0 && dials == 0; during -= step {
@@ -25,7 +25,7 @@
 		}
 	}
 	crowd(500e3)
-	if used := r.used(); used < r.lim.MaxDescriptors {
+	if used := r.descriptorsInUse(); used < r.limits.MaxDescriptors {
 		t.Fatalf("the crowd holds %d descriptors only", used)
 	}
 	asks := l.open(nil)
@@ -34,16 +34,16 @@
 		asks = l.open(nil)
 	}
 	l.comes(asks, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	crowd(2 * r.lim.QuietClientAge)
+	crowd(2 * r.limits.QuietClientAge)
 	if dials != 1 || asks.closed {
-		t.Errorf("%d dials within %d ms, and the client closed: %v", dials, 2*r.lim.QuietClientAge/1e3, asks.closed)
+		t.Errorf("%d dials within %d ms, and the client closed: %v", dials, 2*r.limits.QuietClientAge/1e3, asks.closed)
 	}
 
 	l, _ = held(t, nil)
 	r = l.r
-	r.lim.ServerConnections = 8
+	r.limits.ServerConnections = 8
 	first := l.open(nil)
-	r.lim.Descriptors, r.lim.MaxDescriptors = r.used(), r.used()+3
+	r.limits.Descriptors, r.limits.MaxDescriptors = r.descriptorsInUse(), r.descriptorsInUse()+3
 	l.comes(first, command("CACHE.GET", "k", "r1", "c=get,d=1900")) // no descriptor for its attempt
 	if second := l.open(nil); second.closed {
 		t.Error("a client is refused though none is there that could be closed in its place")
@@ -56,11 +56,11 @@
 	for what, others := range map[string]int{"alone": 0, "replaced": 3} {
 		l, _ := held(t, nil)
 		r := l.r
-		r.lim.ServerConnections = 8
+		r.limits.ServerConnections = 8
 		asks := l.open(nil)
 		l.open(nil) // quiet, and too young to be closed
-		r.takeover.others[0] = others
-		r.lim.Descriptors, r.lim.MaxDescriptors = r.used(), r.used()+5
+		r.takeover.peerDescriptors[0] = others
+		r.limits.Descriptors, r.limits.MaxDescriptors = r.descriptorsInUse(), r.descriptorsInUse()+5
 		l.comes(asks, command("CACHE.GET", "k", "r1", "c=get,d=1900")) // no descriptor for its attempt
 		if newcomer := l.open(nil); newcomer.closed != (others == 0) {
 			t.Errorf("%s: the client that came is closed: %v", what, newcomer.closed)
--- a/internal/router/told_test.go
+++ b/internal/router/discovery_outage_test.go
@@ -28,18 +28,18 @@
 	callHalfTold = "an answer breaks off"
 )
 
-func (o *outage) dial(_ string, p peer, failed func(error)) {
+func (o *outage) dial(_ string, p connHandler, failed func(error)) {
 	fail := func() {
-		o.l.r.dials--
-		failed(errNoAnswer)
+		o.l.r.pendingDials--
+		failed(errIncompleteResponse)
 	}
 	switch {
 	case !o.ended && o.fails == dialRefused:
-		o.l.r.execute(fail)
+		o.l.r.runAsync(fail)
 	case !o.ended && o.fails == dialHangs:
-		o.l.r.after(o.l.r.lim.WatchGrace, fail)
+		o.l.r.after(o.l.r.limits.WatchGrace, fail)
 	default:
-		o.l.r.execute(func() { o.conns = append(o.conns, o.l.open(p)) })
+		o.l.r.runAsync(func() { o.conns = append(o.conns, o.l.open(p)) })
 	}
 }
 
@@ -113,8 +113,8 @@
 	if asked == "on_request" {
 		o.turn = 2e6 - step // an answer in the very last moment crosses its call's end
 	}
-	l.r.dialer = o.dial
-	l.r.rewatch(l.r.cfg.Discovery)
+	l.r.dialFunc = o.dial
+	l.r.restartWatch(l.r.cfg.Discovery)
 	l.rounds()
 	advance := func() {
 		o.step()
@@ -148,15 +148,15 @@
 	const lasts, step, most = clock.Time(40e6), clock.Time(50e3), 20 // with 1.5 s at most between two there were over 30
 	l, _ := loaded(t, "on_request")
 	o := &outage{l: l, fails: callRefused, due: map[*notedConn]clock.Time{}}
-	l.r.dialer = o.dial
-	l.r.rewatch(l.r.cfg.Discovery)
+	l.r.dialFunc = o.dial
+	l.r.restartWatch(l.r.cfg.Discovery)
 	l.rounds()
 	for passed := clock.Time(0); passed < lasts; passed += step {
 		o.step()
 		l.pass(step)
 	}
 	if n := l.r.counts.ListsFailed; n > most {
-		t.Errorf("%d calls in %v", n, span(lasts))
+		t.Errorf("%d calls in %v", n, toDuration(lasts))
 	}
 	t.Logf("%d calls", l.r.counts.ListsFailed)
 }
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -12,31 +12,31 @@
 // is in hand, and stops when all are closed.
 func (r *Router) Drain() {
 	<-r.ready
-	r.execute(func() {
+	r.runAsync(func() {
 		if r.draining {
 			return
 		}
 		r.draining = true
 		r.log.Info("draining")
-		r.publish()
-		r.tellServing(false)
-		r.endBy = r.clock() + r.lim.ShutdownTimeout
-		r.input(routing.ShutdownScheduled{Deadline: r.endBy})
-		r.after(r.lim.ShutdownTimeout, r.endAttempts)
-		r.after(r.lim.DrainAcceptPeriod, func() {
-			r.closing = true
-			r.queue()
+		r.publishStats()
+		r.notifyServing(false)
+		r.shutdownDeadline = r.clock() + r.limits.ShutdownTimeout
+		r.addEvent(routing.ShutdownScheduled{Deadline: r.shutdownDeadline})
+		r.after(r.limits.ShutdownTimeout, r.endAllAttempts)
+		r.after(r.limits.DrainAcceptPeriod, func() {
+			r.closingClients = true
+			r.queueBatch()
 		})
 	})
 }
 
 // endAttempts: nobody waits for the process any longer. What is still out is given up, so that its request gets its answer; a
 // server that hung had a request of the longest deadline until after SIGKILL.
-func (r *Router) endAttempts() {
-	for _, q := range r.requests {
-		for _, w := range slices.Clone(q.attempts) {
-			if w.up == nil || !w.up.away {
-				r.timedOut(w)
+func (r *Router) endAllAttempts() {
+	for _, request := range r.requests {
+		for _, attempt := range slices.Clone(request.attempts) {
+			if attempt.conn == nil || !attempt.conn.detached {
+				r.timeOutAttempt(attempt)
 			}
 		}
 	}
@@ -47,47 +47,47 @@
 
 // someoneComes: a client's connection is accepted, or may be, and the loop does not have it yet. It came while new ones were
 // taken, and may carry a request.
-func (r *Router) someoneComes() bool {
+func (r *Router) hasPendingConnection() bool {
 	t := &r.takeover
-	if t.coming.Load() > 0 {
+	if t.enrolling.Load() > 0 {
 		return true
 	}
-	if t.handing || t.ln == nil {
+	if t.handingOver || t.listener == nil {
 		return false
 	}
-	fd, err := dupOf(t.ln)
+	fd, err := duplicateDescriptor(t.listener)
 	if err != nil {
 		return false
 	}
 	defer unix.Close(fd)
-	n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-	return err == nil && n > 0
+	ready, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
+	return err == nil && ready > 0
 }
 
 // closeIdleClients closes the clients that wait for nothing. One that has just come in is spared for a while, but not behind the
 // last moment of a shutdown: its first request is on its way. A command that has come in part gets a sweep's time for the rest.
 func (r *Router) closeIdleClients() {
 	now := r.clock()
-	isLastMoment := r.closing && now >= r.endBy
-	for c := range r.clients {
-		if r.takeover.handing && !c.over {
+	isLastMoment := r.closingClients && now >= r.shutdownDeadline
+	for client := range r.clients {
+		if r.takeover.handingOver && !client.closeAfterReplies {
 			continue // it is passed on
 		}
-		quiet := now - c.idle
-		mayHaveNoRequest := c.used || quiet >= r.lim.QuietClientAge || isLastMoment
-		if c.ended() && mayHaveNoRequest && (c.waiting() == 0 || quiet > r.lim.IdleSweepInterval) && !c.unheard() {
-			r.close(c.conn)
+		quiet := now - client.lastActivity
+		mayHaveNoRequest := client.hasReceived || quiet >= r.limits.QuietClientAge || isLastMoment
+		if client.mayClose() && mayHaveNoRequest && (client.unreadBytes() == 0 || quiet > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
+			r.close(client.conn)
 		}
 	}
-	if r.closing && r.takeover.unsent == 0 && len(r.clients) == 0 && r.away == 0 && r.offers.open == 0 && !r.stopped {
-		if r.someoneComes() && r.clock() < r.endBy {
-			r.after(r.lim.LargeValueRetryInterval, r.queue)
+	if r.closingClients && r.takeover.unsentFrames == 0 && len(r.clients) == 0 && r.detachedClients == 0 && r.external.openRequests == 0 && !r.stopped {
+		if r.hasPendingConnection() && r.clock() < r.shutdownDeadline {
+			r.after(r.limits.LargeValueRetryInterval, r.queueBatch)
 			return
 		}
 		r.stopped = true
-		if r.takeover.unix != nil {
-			r.takeover.unix.Close()
+		if r.takeover.socket != nil {
+			r.takeover.socket.Close()
 		}
-		close(r.ended)
+		close(r.done)
 	}
 }
--- a/internal/router/endings_test.go
+++ b/internal/router/event_order_test.go
@@ -36,8 +36,8 @@
 		change(&cfg.Settings)
 	}
 	l = newLoop(t, cfg)
-	var dials []peer
-	l.r.dialer = func(_ string, p peer, _ func(error)) { dials = append(dials, p) }
+	var dials []connHandler
+	l.r.dialFunc = func(_ string, p connHandler, _ func(error)) { dials = append(dials, p) }
 	return l, func() *notedConn {
 		if len(dials) == 0 {
 			t.Fatal("nobody dials")
@@ -68,9 +68,9 @@
 
 // pass sets the clock on.
 func (l *notedLoop) pass(by clock.Time) {
-	l.r.began += by
-	l.r.lim.StallThreshold = 1 << 60
-	l.r.batch()
+	l.r.startWallClock += by
+	l.r.limits.StallThreshold = 1 << 60
+	l.r.runBatch()
 	l.rounds()
 }
 
@@ -109,9 +109,9 @@
 // its sockets. The client is not closed under it, by none of those who close clients that say nothing.
 func TestClientIsNotClosedUnderItsReq(t *testing.T) {
 	for name, closes := range map[string]func(*Router){
-		"sweep": (*Router).sweep,
+		"sweep": (*Router).sweepConnections,
 		"shed":  func(r *Router) { r.shedClient(false) },
-		"drain": func(r *Router) { r.closing = true; r.closeIdleClients() },
+		"drain": func(r *Router) { r.closingClients = true; r.closeIdleClients() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, _ := held(t, nil)
@@ -124,8 +124,8 @@
 			if _, err := unix.Write(other, []byte(command("CACHE.GET", "k", "r1", "c=get,d=1900"))); err != nil {
 				t.Fatal(err)
 			}
-			l.r.began += 3e6
-			l.r.now = l.r.clock()
+			l.r.startWallClock += 3e6
+			l.r.batchTime = l.r.clock()
 			closes(l.r)
 			if name == "shed" {
 				l.r.shedClient(false)
@@ -148,24 +148,24 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	l.r.takeover.ln = ln.(*net.TCPListener)
+	l.r.takeover.listener = ln.(*net.TCPListener)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	l.r.closing, l.r.endBy = true, l.r.clock()+1e6
+	l.r.closingClients, l.r.shutdownDeadline = true, l.r.clock()+1e6
 	if l.r.closeIdleClients(); l.r.stopped {
 		t.Fatal("it ended under a connection that was to be accepted")
 	}
-	l.r.takeover.coming.Add(1) // accepted, and on its way to the loop
+	l.r.takeover.enrolling.Add(1) // accepted, and on its way to the loop
 	if a, err := ln.Accept(); err == nil {
 		defer a.Close()
 	}
 	if l.r.closeIdleClients(); l.r.stopped {
 		t.Fatal("it ended under a connection that was accepted")
 	}
-	client := l.open(&client{r: l.r, coming: true})
+	client := l.open(&client{r: l.r, enrolling: true})
 	if l.r.closeIdleClients(); l.r.stopped {
 		t.Fatal("it ended under a client")
 	}
@@ -192,10 +192,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.r.takeover.ln = ln.(*net.TCPListener)
+	l.r.takeover.listener = ln.(*net.TCPListener)
 	ended := make(chan struct{})
 	go func() {
-		l.r.accept()
+		l.r.acceptClients()
 		close(ended)
 	}()
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -204,7 +204,7 @@
 	}
 	defer c.Close()
 	_, _ = c.Read(make([]byte, 1)) // returns once it is closed there
-	for until := time.Now().Add(patience); l.r.takeover.coming.Load() != 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(patience); l.r.takeover.enrolling.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("somebody comes who was refused")
 		}
@@ -221,12 +221,12 @@
 	l, up := held(t, nil)
 	client := l.open(nil)
 	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	list, err := l.r.book.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
+	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:9","model":"m","state":"active"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.r.listCame(list)
+	l.r.applyEndpoints(list)
 	l.rounds()
 	if old := up(); old.wrote != "" || !old.closed {
 		t.Errorf("where it was there came %q, closed: %v", old.wrote, old.closed)
@@ -240,7 +240,7 @@
 func TestAllIsAnsweredByTheEnd(t *testing.T) {
 	l, up := held(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
 	close(l.r.ready)
-	l.r.lim.ShutdownTimeout, l.r.lim.DrainAcceptPeriod = 3e6, 500e3
+	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod = 3e6, 500e3
 	client := l.open(nil)
 	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer comes
 	up()
@@ -260,7 +260,7 @@
 func TestDrain_EndsBesideClientsThatComeAgain(t *testing.T) {
 	l, _ := held(t, nil)
 	close(l.r.ready)
-	l.r.lim.ShutdownTimeout, l.r.lim.DrainAcceptPeriod, l.r.lim.QuietClientAge = 3e6, 500e3, 50e3
+	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod, l.r.limits.QuietClientAge = 3e6, 500e3, 50e3
 	l.r.Drain()
 	l.rounds()
 	const step = 20e3 // less than the age from which a client may be closed
@@ -281,7 +281,7 @@
 // not used again before a second answer would have come: the next client got it for its own.
 func TestSecondAnswerMeetsNobody(t *testing.T) {
 	l, up := held(t, nil)
-	l.r.lim.ReuseDelay, l.r.lim.DuplicateMemory = 50e3, 30e6
+	l.r.limits.ReuseDelay, l.r.limits.DuplicateMemory = 50e3, 30e6
 	client := l.open(nil)
 	ask := func(id string) { l.comes(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
 	ask("r1")
@@ -346,7 +346,7 @@
 	l, up := held(t, nil)
 	client := l.open(nil)
 	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	l.r.began += 3e6
+	l.r.startWallClock += 3e6
 	if late := up(); late.wrote != "" {
 		t.Errorf("1.1 s after the deadline there went out %q", late.wrote)
 	}
@@ -357,7 +357,7 @@
 	l.pass(100e3)
 	_ = l.Close(first) // it may have run
 	l.rounds()
-	l.r.began += 350e3
+	l.r.startWallClock += 350e3
 	if second := up(); second.wrote != "" {
 		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.wrote)
 	}
@@ -377,9 +377,9 @@
 		t.Fatal(err)
 	}
 	l = newLoop(t, cfg)
-	var dials []peer
-	l.r.dialer = func(_ string, p peer, _ func(error)) { dials = append(dials, p) }
-	l.r.rewatch(cfg.Discovery)
+	var dials []connHandler
+	l.r.dialFunc = func(_ string, p connHandler, _ func(error)) { dials = append(dials, p) }
+	l.r.restartWatch(cfg.Discovery)
 	return l, func() *notedConn {
 		if len(dials) == 0 {
 			return nil
@@ -444,10 +444,10 @@
 		defer c.Close()
 	}
 	l, _ := loaded(t, "pushed")
-	l.r.lim.ConnectTimeout, l.r.lim.WatchGrace = 60e6, 50e3
+	l.r.limits.ConnectTimeout, l.r.limits.WatchGrace = 60e6, 50e3
 	failed := make(chan error, 1)
-	l.r.dials++
-	l.r.dialOff(addr, l.r.watch, func(err error) { failed <- err })
+	l.r.pendingDials++
+	l.r.dialAsync(addr, l.r.watch, func(err error) { failed <- err })
 	for until := time.Now().Add(5 * time.Second); len(failed) == 0; l.rounds() {
 		if time.Now().After(until) {
 			t.Fatal("the dial hangs on")
--- a/internal/router/offers.go
+++ b/internal/router/external_requests.go
@@ -37,108 +37,110 @@
 	// Unread reports whether there is something of the client's connection that the front has not read; nil: never.
 	HasUnreadInput func() bool
 
-	withdrawn atomic.Bool // ahead of the loop
-	q         *request    // belongs to the loop; nil: not taken
+	withdrawn atomic.Bool     // ahead of the loop
+	request   *pendingRequest // belongs to the loop; nil: not taken
 }
 
 // offers is the way from fronts to the loop. Its lock is held for an append, never across the loop's work.
-type offers struct {
-	mu   sync.Mutex
-	news []news
-	open int // taken and not over; belongs to the loop
+type externalQueue struct {
+	mu           sync.Mutex
+	events       []externalEvent
+	openRequests int // taken and not over; belongs to the loop
 }
 
-type news struct {
-	o    *ExternalRequest
-	gone bool
+type externalEvent struct {
+	request   *ExternalRequest
+	withdrawn bool
 }
 
 // Offer hands over a request from any goroutine; false: too many wait already, or the loop does not run yet, and nothing will be called.
-func (r *Router) Submit(o *ExternalRequest) bool { return r.news(news{o: o}, r.lim.ExternalRequests) }
+func (r *Router) Submit(request *ExternalRequest) bool {
+	return r.enqueueExternal(externalEvent{request: request}, r.limits.ExternalRequests)
+}
 
 // Withdraw tells that the client of an offer is gone: its attempts are called off, and neither function is called any
 // more once the loop has come to it.
-func (r *Router) Withdraw(o *ExternalRequest) {
-	o.withdrawn.Store(true)
-	r.news(news{o, true}, 1<<62)
+func (r *Router) Withdraw(request *ExternalRequest) {
+	request.withdrawn.Store(true)
+	r.enqueueExternal(externalEvent{request, true}, 1<<62)
 }
 
-func (r *Router) news(n news, most int) bool {
+func (r *Router) enqueueExternal(event externalEvent, limit int) bool {
 	select {
 	case <-r.ready:
 	default:
 		return false // a front that listens before the loop runs: a call in that moment ended the process
 	}
-	f := &r.offers
-	f.mu.Lock()
-	if len(f.news) >= most {
-		f.mu.Unlock()
+	queue := &r.external
+	queue.mu.Lock()
+	if len(queue.events) >= limit {
+		queue.mu.Unlock()
 		return false
 	}
-	f.news = append(f.news, n)
-	first := len(f.news) == 1
-	f.mu.Unlock()
+	queue.events = append(queue.events, event)
+	first := len(queue.events) == 1
+	queue.mu.Unlock()
 	if first {
-		r.execute(r.takeOffers)
+		r.runAsync(r.admitExternalRequests)
 	}
 	return true
 }
 
 // takeOffers takes all that has come since the last time, into one batch.
-func (r *Router) takeOffers() {
-	f := &r.offers
-	f.mu.Lock()
-	all := f.news
-	f.news = nil
-	f.mu.Unlock()
-	for _, n := range all {
-		if n.gone {
-			if q := n.o.q; q != nil {
-				r.left(q)
+func (r *Router) admitExternalRequests() {
+	queue := &r.external
+	queue.mu.Lock()
+	events := queue.events
+	queue.events = nil
+	queue.mu.Unlock()
+	for _, event := range events {
+		if event.withdrawn {
+			if request := event.request.request; request != nil {
+				r.clientLeft(request)
 			}
 			continue
 		}
-		if why := r.takeOffer(n.o); why != 0 {
-			n.o.Refuse(why)
+		if why := r.admitExternal(event.request); why != 0 {
+			event.request.Refuse(why)
 		}
 	}
 }
 
-func (r *Router) takeOffer(o *ExternalRequest) RefusalReason {
-	method, known := r.methods[o.Method]
-	size := len(o.Key) + o.Props.Len() + len(o.Value)
+func (r *Router) admitExternal(request *ExternalRequest) RefusalReason {
+	method, known := r.methods[request.Method]
+	size := len(request.Key) + request.Props.Len() + len(request.Value)
 	switch {
-	case r.closing || r.ops.wanted.Drain || r.place.out != "":
+	case r.closingClients || r.operator.state.Drain || r.fleet.outOfService != "":
 		return RefusedShuttingDown
 	case !known:
 		return RefusedUnknownMethod
-	case r.requests[o.ID] != nil:
+	case r.requests[request.ID] != nil:
 		return RefusedDuplicateID
-	case o.Timeout < 0:
+	case request.Timeout < 0:
 		return RefusedExpired
-	case r.held+size > r.lim.RequestBytes:
+	case r.requestBytes+size > r.limits.RequestBytes:
 		return RefusedOverloaded
 	}
-	waits := r.cfg.Settings.Methods[method].Deadline // a longer wait does not lengthen it
-	if o.Timeout > 0 {
-		waits = min(waits, o.Timeout)
+	timeout := r.cfg.Settings.Methods[method].Deadline // a longer wait does not lengthen it
+	if request.Timeout > 0 {
+		timeout = min(timeout, request.Timeout)
 	}
-	o.q = &request{Request: o.Request, size: size, from: o}
-	r.offers.open++
-	r.take(o.q, routing.RequestArrived{Request: o.ID, Key: routing.Key(o.Key), Write: o.Write, Method: method, Tenant: o.Tenant, ClientRetry: o.ClientRetry}, waits, r.clock())
+	request.request = &pendingRequest{Request: request.Request, size: size, responder: request}
+	r.external.openRequests++
+	r.admitRequest(request.request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: request.Write, Method: method, Tenant: request.Tenant, ClientRetry: request.ClientRetry}, timeout, r.clock())
 	return 0
 }
 
 // answer makes an Offer an asker.
-func (o *ExternalRequest) answer(_ *request, a wire.Answer) {
-	o.Answer(a)
+func (e *ExternalRequest) deliver(_ *pendingRequest, a wire.Answer) {
+	e.Answer(a)
 }
 
 // OnServing has a function called on the loop when the router begins to serve (true) and when it ends (false). Call it
 // before Run.
 func (r *Router) OnServing(f func(bool)) { r.onServing = f }
 
-func (r *Router) tellServing(on bool) {
+func (r *Router) notifyServing(on bool) {
 	if r.onServing != nil {
 		r.onServing(on)
 	}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -48,23 +48,23 @@
 func TestRandomOrdersFindPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*notedLoop){
 		"an answer is lost": func(l *notedLoop) {
-			for _, q := range l.r.requests {
-				q.over = true
+			for _, request := range l.r.requests {
+				request.finished = true
 				return
 			}
 		},
 		"an answer comes twice": func(l *notedLoop) {
-			for c := range l.r.clients {
-				c.write([]byte("-BUSY\r\n"))
+			for client := range l.r.clients {
+				client.write([]byte("-BUSY\r\n"))
 				return
 			}
 		},
-		"a connection is not counted": func(l *notedLoop) { l.r.upstreams++ },
+		"a connection is not counted": func(l *notedLoop) { l.r.serverConnCount++ },
 		"what may have run is told as never run": func(l *notedLoop) {
-			for _, q := range l.r.requests {
-				for _, w := range slices.Clone(q.attempts) {
-					if w.whole && q.Write {
-						l.r.giveUp(w, routing.NotSent)
+			for _, request := range l.r.requests {
+				for _, attempt := range slices.Clone(request.attempts) {
+					if attempt.fullySent && request.Write {
+						l.r.abortAttempt(attempt, routing.NotSent)
 						return
 					}
 				}
@@ -72,10 +72,10 @@
 		},
 		"a write-out to a server that goes": func(l *notedLoop) {
 			for _, s := range l.r.servers {
-				for _, q := range l.r.requests {
-					if !s.ready && !q.over && len(q.attempts) == 0 {
+				for _, request := range l.r.requests {
+					if !s.ready && !request.finished && len(request.attempts) == 0 {
 						s.ready = true
-						l.r.beginAttempt(routing.Decision{Request: q.ID, Server: s.id, After: 1e6})
+						l.r.beginAttempt(routing.Decision{Request: request.ID, Server: s.id, After: 1e6})
 						s.ready = false
 						return
 					}
@@ -83,18 +83,18 @@
 			}
 		},
 		"a write-out for a req that is over": func(l *notedLoop) {
-			for _, q := range l.r.requests {
-				if q.over && len(q.attempts) == 0 {
+			for _, request := range l.r.requests {
+				if request.finished && len(request.attempts) == 0 {
 					for id := range l.r.servers {
-						q.over = false
-						l.r.beginAttempt(routing.Decision{Request: q.ID, Server: id, After: 1e6})
-						q.over = true
+						request.finished = false
+						l.r.beginAttempt(routing.Decision{Request: request.ID, Server: id, After: 1e6})
+						request.finished = true
 						return
 					}
 				}
 			}
 		},
-		"a drain leaves one in hand": func(l *notedLoop) { l.r.lim.ShutdownTimeout = 1e12 },
+		"a drain leaves one in hand": func(l *notedLoop) { l.r.limits.ShutdownTimeout = 1e12 },
 	} {
 		found := 0
 		for seed := range byte(10) {
@@ -150,24 +150,24 @@
 	l := newLoop(t, cfg)
 	r := l.r
 	type dial struct {
-		p      peer
+		p      connHandler
 		failed func(error)
 	}
 	var dials []dial
-	r.dialer = func(_ string, p peer, failed func(error)) { dials = append(dials, dial{p, failed}) }
+	r.dialFunc = func(_ string, p connHandler, failed func(error)) { dials = append(dials, dial{p, failed}) }
 	clients, servers := []*notedConn{l.open(nil)}, []*notedConn(nil)
 	asked, out := map[*notedConn]int{}, map[string]clock.Time{}
 	close(r.ready)
-	r.lim.ShutdownTimeout, r.lim.DrainAcceptPeriod, r.lim.LargeValueRetryInterval = 3e6, 500e3, 5e3
+	r.limits.ShutdownTimeout, r.limits.DrainAcceptPeriod, r.limits.LargeValueRetryInterval = 3e6, 500e3, 5e3
 	endBy := clock.Time(0)    // by when all is answered, after SIGTERM
 	gone := map[string]bool{} // that drain, or are no more, by the last list
 	type sent struct {
-		on *notedConn
-		w  *attempt
+		on      *notedConn
+		attempt *activeAttempt
 	}
 	outs := map[sent]bool{}               // that were there after the last step; true: the last byte had left
 	ran := map[routing.RequestID]string{} // that may have run, and where
-	never := (*attempt)(nil)              // answered in this step as never run
+	never := (*activeAttempt)(nil)        // answered in this step as never run
 	traffic := func(c *notedConn) {
 		if r.OnTraffic(c) == gnet.Close {
 			_ = l.Close(c)
@@ -183,7 +183,7 @@
 			servers = append(servers, l.open(d.p))
 			return
 		}
-		r.dials--
+		r.pendingDials--
 		d.failed(errors.New("refused"))
 	}
 	open := func(of []*notedConn) []*notedConn {
@@ -225,14 +225,14 @@
 			}
 		case 5:
 			if c := pick(servers, n); c != nil {
-				if _, http := c.ctx.(*upstream).server.speaks.(http1.Back); !http {
+				if _, http := c.ctx.(*upstream).server.protocol.(http1.Back); !http {
 					c.in = append(c.in, []string{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-BUSY\r\n",
 						"-ERR failed\r\n", "*1\r", "nonsense\r\n"}[int(n)%6]...)
 					traffic(c)
 					break
 				}
 				if len(c.in) == 0 && n%6 == 2 {
-					never = c.ctx.(*upstream).carries
+					never = c.ctx.(*upstream).attempt
 				}
 				c.in = append(c.in, []string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 5",
 					"HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
@@ -253,17 +253,17 @@
 		case 8:
 			state := []string{"active", "leaving", "left", "active", "active", "active", "active", "active"}[n%8]
 			uid, kind := []string{"o", "s", "u"}[n/8%3], []string{"origin", "m", "m"}[n/8%3]
-			if list, err := r.book.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
+			if list, err := r.endpoints.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
 				`"127.0.0.1:%d","model":%q,"state":%q}]}`, i+2, n%64 == 0, uid, 1+n/128%2, kind, state)); err == nil {
-				r.listCame(list)
+				r.applyEndpoints(list)
 				if n%64 == 0 {
 					gone = map[string]bool{"o": true, "s": true, "u": true}
 				}
 				gone[uid] = state != "active"
 			}
 		case 9:
-			r.began += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
-			r.batch()
+			r.startWallClock += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
+			r.runBatch()
 		case 10:
 			if c := pick(servers, n); c != nil {
 				c.left = int(n) % 8 / 7
@@ -271,7 +271,7 @@
 		case 11:
 			l.rounds()
 		case 12: // operators take out and give back, drain and undo it
-			asked, uid := r.ops.wanted, []string{"s", "u"}[n%2]
+			asked, uid := r.operator.state, []string{"s", "u"}[n%2]
 			asked.UnbannedAt = map[string]int64{}
 			switch n / 2 % 4 {
 			case 0:
@@ -284,7 +284,7 @@
 			default:
 				asked.Drain = n/2%4 == 2
 			}
-			r.obey(asked)
+			r.applyOperatorState(asked)
 		case 13:
 			if n < 4 && !r.draining {
 				endBy = r.clock() + 3e6
@@ -296,45 +296,45 @@
 			also(l)
 		}
 		inHand := 0
-		for _, q := range r.requests {
-			if !q.over {
+		for _, request := range r.requests {
+			if !request.finished {
 				inHand++
 			}
 		}
-		if r.publish(); r.ops.told.Load().open != inHand {
-			t.Fatalf("%d reqs are open, and %d said to be", inHand, r.ops.told.Load().open)
+		if r.publishStats(); r.operator.stats.Load().openRequests != inHand {
+			t.Fatalf("%d reqs are open, and %d said to be", inHand, r.operator.stats.Load().openRequests)
 		}
 		for s, whole := range outs {
 			up, on := s.on.ctx.(*upstream)
-			if whole && s.w != never && r.cfg.Settings.Methods[s.w.q.method].Idempotency == routing.NonIdempotent && !(on && up.carries == s.w) {
-				ran[s.w.q.ID] = string(r.book.UID(s.w.server.id))
+			if whole && s.attempt != never && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
+				ran[s.attempt.request.ID] = string(r.endpoints.UID(s.attempt.server.id))
 			}
 		}
 		never = nil
 		was := outs
 		outs = map[sent]bool{}
-		carried := map[*request]int{}
+		carried := map[*pendingRequest]int{}
 		for _, c := range servers {
-			if up, ok := c.ctx.(*upstream); ok && up.carries != nil {
-				w := up.carries
-				outs[sent{c, w}] = c.left == 0
-				if _, old := was[sent{c, w}]; !old {
-					if at, may := ran[w.q.ID]; may {
-						t.Fatalf("%s is sent again, and may have run at %s", w.q.ID, at)
+			if up, ok := c.ctx.(*upstream); ok && up.attempt != nil {
+				attempt := up.attempt
+				outs[sent{c, attempt}] = c.left == 0
+				if _, old := was[sent{c, attempt}]; !old {
+					if at, may := ran[attempt.request.ID]; may {
+						t.Fatalf("%s is sent again, and may have run at %s", attempt.request.ID, at)
 					}
-					if w.q.over || gone[string(r.book.UID(w.server.id))] {
-						t.Fatalf("%s is sent to %v, over: %v, gone: %v", w.q.ID, w.server.id, w.q.over, gone)
+					if attempt.request.finished || gone[string(r.endpoints.UID(attempt.server.id))] {
+						t.Fatalf("%s is sent to %v, over: %v, gone: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, gone)
 					}
 				}
-				if uid := string(r.book.UID(up.server.id)); uid != "" && up.server.out && up.carries.sent > out[uid] {
+				if uid := string(r.endpoints.UID(up.server.id)); uid != "" && up.server.banned && up.attempt.startedAt > out[uid] {
 					t.Fatalf("a write-out to %s, which is out", uid)
 				}
 				most := 1
 				if cfg.Settings.HedgingAllowed {
 					most = 2
 				}
-				if carried[up.carries.q]++; carried[up.carries.q] > most {
-					t.Fatalf("%d write-outs of one req are out", carried[up.carries.q])
+				if carried[up.attempt.request]++; carried[up.attempt.request] > most {
+					t.Fatalf("%d write-outs of one req are out", carried[up.attempt.request])
 				}
 			}
 		}
@@ -344,25 +344,25 @@
 		r.Drain()
 		l.rounds()
 	}
-	r.began += max(0, endBy+50e3-r.clock())
-	r.batch()
+	r.startWallClock += max(0, endBy+50e3-r.clock())
+	r.runBatch()
 	l.rounds()
-	for _, q := range r.requests {
-		if !q.over {
-			t.Fatalf("%s is in hand after the end of the drain", q.ID)
+	for _, request := range r.requests {
+		if !request.finished {
+			t.Fatalf("%s is in hand after the end of the drain", request.ID)
 		}
 	}
 	for range 400 + len(steps)/2 { // all deadlines pass, and what is out comes to its end, also of a thousand pipelined commands
 		l.rounds()
 		dialled(false)
-		r.began += 1e6
-		r.batch()
+		r.startWallClock += 1e6
+		r.runBatch()
 	}
 	l.rounds()
 	for _, c := range clients {
 		answers := 0
 		for rest := []byte(c.wrote); len(rest) > 0; answers++ {
-			a, used, err := resp.ReadReply(rest, r.lim.RESP)
+			a, used, err := resp.ReadReply(rest, r.limits.RESP)
 			if err != nil || used == 0 || bytes.Contains(a.Text, []byte("half")) && !bytes.HasSuffix(a.Text, []byte("whole")) {
 				t.Fatalf("a client got %q", c.wrote)
 			}
@@ -382,15 +382,15 @@
 	if ended != [3]int{n.Served, n.Rejected, n.Failed} {
 		t.Errorf("%v by method, %v in all", ended, n)
 	}
-	if n.Taken != n.Served+n.Rejected+n.Failed+n.Left || len(r.requests) != 0 || r.held != 0 {
-		t.Errorf("%v, %d reqs, %d bytes", n, len(r.requests), r.held)
+	if n.Taken != n.Served+n.Rejected+n.Failed+n.Left || len(r.requests) != 0 || r.requestBytes != 0 {
+		t.Errorf("%v, %d reqs, %d bytes", n, len(r.requests), r.requestBytes)
 	}
 	if n.Attempts != n.OK+n.Miss+n.NeverRan+n.MayHave+n.GivenUp {
 		t.Errorf("write-outs without an outcome: %v", n)
 	}
 	up := len(open(servers))
-	if in := len(open(clients)) > 0; up != r.upstreams || in != (len(r.clients) > 0) ||
-		r.conns != r.upstreams+len(r.clients) || r.dials != len(dials) {
-		t.Errorf("%d of %d to servers are open, %d in all, %d dials of %d", r.upstreams, up, r.conns, r.dials, len(dials))
+	if in := len(open(clients)) > 0; up != r.serverConnCount || in != (len(r.clients) > 0) ||
+		r.connCount != r.serverConnCount+len(r.clients) || r.pendingDials != len(dials) {
+		t.Errorf("%d of %d to servers are open, %d in all, %d dials of %d", r.serverConnCount, up, r.connCount, r.pendingDials, len(dials))
 	}
 }
--- a/internal/router/handover_golden_test.go
+++ b/internal/router/handover_golden_test.go
@@ -18,9 +18,9 @@
 	}
 	got := ""
 	for _, body := range []any{
-		asked{State: state, Unkept: true, Whole: true},
-		moved{Server: "cache-a", Method: "get", Pending: []byte("p"), Left: 5, Last: true, Ended: true, Has: []byte("h"),
-			Answers: []byte("a"), Rest: []byte("r")},
+		operatorFrame{State: state, NotPersisted: true, NoSharesGranted: true},
+		largeReadFrame{Server: "cache-a", Method: "get", Pending: []byte("p"), Remaining: 5, CloseAfter: true, Terminated: true, Trailing: []byte("h"),
+			Answers: []byte("a"), Unread: []byte("r")},
 	} {
 		text, err := json.Marshal(body)
 		if err != nil {
--- a/internal/router/handover_order_test.go
+++ b/internal/router/handover_test.go
@@ -30,14 +30,14 @@
 	l, _, _ := newNoted(t)
 	r := l.r
 	r.cfg.Limits.MemoryBytes = 1 << 30
-	r.lim.AdminCallTimeout = 10 * clock.Second
+	r.limits.AdminCallTimeout = 10 * clock.Second
 	dir := t.TempDir()
 	r.UseOperatorStore(operatorstate.Open(dir, "r", nil))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.takeover.ln = ln.(*net.TCPListener)
+	r.takeover.listener = ln.(*net.TCPListener)
 	successor, predecessor := connectHandover(t, dir)
 	close(r.ready)
 	h := &handoverTest{r: r, store: operatorstate.Open(dir, "r", nil), successor: successor}
@@ -55,7 +55,7 @@
 	}()
 	go func() {
 		defer close(served)
-		r.serveHeir(predecessor)
+		r.serveSuccessor(predecessor)
 	}()
 	t.Cleanup(func() {
 		successor.Close()
@@ -92,7 +92,7 @@
 }
 
 // receiveUntil reads frames until one of a kind, and calls onState with each operator state on the way.
-func (h *handoverTest) receiveUntil(t *testing.T, last handover.Kind, onState func(asked)) {
+func (h *handoverTest) receiveUntil(t *testing.T, last handover.Kind, onState func(operatorFrame)) {
 	t.Helper()
 	for {
 		frame, err := h.successor.Receive(10 * time.Second)
@@ -101,7 +101,7 @@
 		}
 		frame.CloseDescriptors()
 		if frame.Kind == handover.OperatorState {
-			var state asked
+			var state operatorFrame
 			if err := json.Unmarshal(frame.Body, &state); err != nil {
 				t.Fatal(err)
 			}
@@ -113,7 +113,7 @@
 	}
 }
 
-func ignoreState(asked) {}
+func ignoreState(operatorFrame) {}
 
 // A successor never receives an older operator state after a newer one, and ends with the last.
 func TestHandover_OperatorStatesArriveInOrder(t *testing.T) {
@@ -123,7 +123,7 @@
 	const changes = 200
 	err := h.r.runOnLoop(func() {
 		for n := range changes {
-			h.r.ops.wanted = operatorstate.State{Banned: []string{fmt.Sprintf("change-%05d", n+1)}}
+			h.r.operator.state = operatorstate.State{Banned: []string{fmt.Sprintf("change-%05d", n+1)}}
 			h.r.publishOperatorState()
 		}
 	})
@@ -133,7 +133,7 @@
 	time.Sleep(50 * time.Millisecond) // what is on its way is sent
 	h.r.OfferTransfer(func() []byte { return nil })
 	received := ""
-	h.receiveUntil(t, handover.LeaseTransfer, func(state asked) {
+	h.receiveUntil(t, handover.LeaseTransfer, func(state operatorFrame) {
 		if state.Banned[0] < received {
 			t.Errorf("the successor received %s after %s", state.Banned[0], received)
 		}
@@ -174,8 +174,8 @@
 	}
 	time.Sleep(20 * time.Millisecond) // what is on its way is sent
 	close(proceed)
-	var state asked
-	keep := func(received asked) { state = received }
+	var state operatorFrame
+	keep := func(received operatorFrame) { state = received }
 	h.receiveUntil(t, handover.Snapshot, keep)
 	h.r.OfferTransfer(func() []byte { return nil })
 	h.receiveUntil(t, handover.LeaseTransfer, keep)
@@ -214,7 +214,7 @@
 	if err := h.r.SetDraining(true); err != nil { // reads their ban from the file
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(asked{State: theirs})
+	text, err := json.Marshal(operatorFrame{State: theirs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	}
 	h.awaitDescriptorCount(t, 77)
 	var state operatorstate.State
-	if err := h.r.runOnLoop(func() { state = h.r.ops.wanted }); err != nil {
+	if err := h.r.runOnLoop(func() { state = h.r.operator.state }); err != nil {
 		t.Fatal(err)
 	}
 	if !state.Drain || !state.IsBanned("x") {
@@ -237,7 +237,7 @@
 	if err := h.successor.Send(handover.Frame{Kind: handover.DescriptorCount, Body: strconv.AppendInt(nil, int64(count), 10)}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.others[1] == count })
+	h.awaitOnLoop(t, func() bool { return h.r.takeover.peerDescriptors[1] == count })
 }
 
 // awaitOnLoop returns once something has happened, by the loop's state.
@@ -263,14 +263,14 @@
 	if err := h.successor.Send(handover.Frame{Kind: handover.Ready}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.handing })
-	next, err := handover.Listen(h.r.takeover.dir, name)
+	h.awaitOnLoop(t, func() bool { return h.r.takeover.handingOver })
+	next, err := handover.Listen(h.r.takeover.socketDir, name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { next.Close() })
 	h.successor.Close()
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.heir == nil })
+	h.awaitOnLoop(t, func() bool { return h.r.takeover.successor == nil })
 	return next
 }
 
@@ -281,8 +281,8 @@
 		h := newHandoverTest(t)
 		const name = "r.sock"
 		h.onLoop(t, func() {
-			h.r.takeover.dir, h.r.takeover.name = t.TempDir(), name
-			h.r.serving, h.r.draining = true, isTold
+			h.r.takeover.socketDir, h.r.takeover.socketName = t.TempDir(), name
+			h.r.hasUsableServer, h.r.draining = true, isTold
 		})
 		next := h.handOnAndLoseSuccessor(t, name)
 		found := make(chan error, 1)
@@ -299,7 +299,7 @@
 			found <- err
 		}()
 		time.Sleep(300 * time.Millisecond) // the router does what it does about its name
-		conn, err := handover.Dial(h.r.takeover.dir, name, time.Second)
+		conn, err := handover.Dial(h.r.takeover.socketDir, name, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/router/large_read.go
@@ -0,0 +1,434 @@
+package router
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"os"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+
+	"spurtrestle/core/routing"
+	"spurtrestle/internal/discovery"
+	"spurtrestle/internal/handover"
+	"spurtrestle/internal/wire"
+)
+
+// long is a big value on its way from a server to a client. gnet cannot pause reading, and a value may not be held whole:
+// both connections leave the loop, and a goroutine passes it on in pieces. A write that waits is the back-pressure.
+type largeRead struct {
+	r                *Router
+	upstream         *upstream
+	client           *client
+	serverDescriptor int // descriptor of the server's connection
+	received         []byte
+	size             int
+	method           routing.Method
+	closeAfter       bool // the server's connection carries nothing behind it
+
+	clientConn, serverConn net.Conn    // of the goroutine
+	pending                []byte      // for the client
+	remaining              int         // bytes of the value to come
+	terminated             bool        // the line end behind it is pending, or out
+	stopped                atomic.Bool // the goroutine is to end, and the value to go on elsewhere
+}
+
+// long takes an answer that is too big to be held: its attempt ends here, at the first bytes of its value. false: it is
+// no such answer. Its connection is to be closed on the loop then; what is left of it is the descriptor.
+func (up *upstream) startLargeRead(buf []byte) bool {
+	attempt := up.attempt
+	outcome, valueStart, size, ok := up.server.protocol.Long(buf)
+	if !ok || up.conn.OutboundBuffered() > 0 {
+		return false
+	}
+	client, plain := attempt.request.responder.(*client)
+	if !plain { // other protocols hand values over whole
+		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, Long: true})
+		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
+		return true
+	}
+	if attempt.request.finished {
+		return false
+	}
+	fd, err := up.conn.Dup()
+	if err != nil {
+		up.r.log.WithError(err).Warn("a big value cannot be passed on")
+		return false
+	}
+	read := &largeRead{r: up.r, upstream: up, client: client, serverDescriptor: fd, received: append([]byte(nil), buf[valueStart:]...), size: size, method: attempt.request.method, closeAfter: outcome.Close}
+	up.detachFromLoop()
+	attempt.request.finished = true // it is counted when the value ends
+	up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
+	attempt.request.slot.request = nil
+	attempt.request.slot.largeRead = read
+	if !client.detached {
+		client.flushReplies()
+	}
+	return true
+}
+
+// off takes a connection to a server off the loop; it counts on.
+func (up *upstream) detachFromLoop() {
+	up.detached = true
+	up.r.connCount++
+	up.conn.SetContext(nil)
+}
+
+// drop gives up a value that nobody waits for.
+func (l *largeRead) discard() {
+	_ = os.NewFile(uintptr(l.serverDescriptor), "").Close()
+	l.upstream.detachedConnClosed()
+}
+
+// ended: a connection that had left the loop is no more.
+func (up *upstream) detachedConnClosed() {
+	up.r.connCount--
+	up.r.serverConnCount--
+	up.detached = false
+	up.r.dialForWaiting()
+}
+
+// leave takes the client off the loop for the big value that is first in its order.
+func (c *client) detach() {
+	c.detachPending = false
+	if c.conn == nil || c.detached || len(c.slots) == 0 || c.slots[0].largeRead == nil {
+		return
+	}
+	if c.conn.OutboundBuffered() > 0 { // answers before it have not left
+		c.detachPending = true
+		c.r.after(c.r.limits.LargeValueRetryInterval, c.detach)
+		return
+	}
+	l := c.slots[0].largeRead
+	fd, err := c.conn.Dup()
+	if err != nil {
+		c.r.log.WithError(err).Warn("a big value cannot be passed on")
+		c.r.close(c.conn)
+		return
+	}
+	c.slots = c.slots[1:]
+	c.detachedInput = append([]byte(nil), c.unreadInput()...)
+	conn := c.conn
+	c.detachFromLoop()
+	c.r.close(conn)
+	go l.start(fd)
+}
+
+// offLoop takes the client's connection off the loop, where a duplicate of its descriptor goes on; it counts on. It is
+// to be closed here before gnet reads of it again.
+func (c *client) detachFromLoop() {
+	c.conn.SetContext(nil)
+	c.detached, c.conn = true, nil
+	c.r.detachedClients++
+	c.r.connCount++
+	delete(c.r.clients, c)
+}
+
+// back takes the client onto the loop again, with what was answered meanwhile.
+func (c *client) reattach(conn gnet.Conn) {
+	r := c.r
+	c.arrivalTimes = arrivalTimes{}
+	c.arrivalTimes.noteUnread(len(c.detachedInput), c.lastActivity) // they came before the connection left the loop
+	c.conn, c.detached, c.carriedLargeRead, c.lastActivity = conn, false, true, r.clock()
+	r.detachedClients--
+	r.connCount-- // it was counted all the time
+	r.clients[c] = struct{}{}
+	c.flushReplies()
+	if c.conn != nil && !c.closeAfterReplies && len(c.detachedInput) > 0 {
+		r.runAsync(c.resumeReading)
+	}
+	if r.closingClients || r.operator.closingClients || r.fleet.outOfService != "" || r.takeover.handingOver {
+		r.queueBatch()
+	}
+}
+
+// lost: the client ended, or had to, while it was off the loop.
+func (c *client) detachedConnLost() {
+	c.r.detachedClients--
+	c.r.connCount--
+	c.detached = false
+	delete(c.r.clients, c)
+	c.onClose(false)
+}
+
+var chunkPool = sync.Pool{New: func() any { return new([]byte) }}
+
+// asConn makes a descriptor a connection, and is done with the descriptor.
+func connFromDescriptor(fd int) (net.Conn, error) {
+	f := os.NewFile(uintptr(fd), "")
+	defer f.Close()
+	return net.FileConn(f)
+}
+
+// dupOf duplicates a descriptor. (File of the standard library would make the connection a blocking one.)
+func duplicateDescriptor(c syscall.Conn) (fd int, err error) {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return -1, err
+	}
+	e := raw.Control(func(of uintptr) { fd, err = unix.FcntlInt(of, unix.F_DUPFD_CLOEXEC, 0) })
+	return fd, errors.Join(e, err)
+}
+
+// pass runs off the loop. The client's side ends unless the value has passed whole.
+func (l *largeRead) start(clientDescriptor int) {
+	client, err := connFromDescriptor(clientDescriptor)
+	server, serverErr := connFromDescriptor(l.serverDescriptor)
+	if err = errors.Join(err, serverErr); err != nil {
+		l.r.log.WithError(err).Warn("a big value cannot be passed on")
+	}
+	n := min(len(l.received), l.size)
+	head := strconv.AppendInt([]byte{'$'}, int64(l.size), 10)
+	l.pending, l.remaining, l.received = append(append(head, "\r\n"...), l.received[:n]...), l.size-n, l.received[n:]
+	l.clientConn, l.serverConn = client, server
+	if err != nil {
+		l.abort(err)
+		return
+	}
+	l.r.runAsync(func() {
+		l.r.largeReads[l] = struct{}{}
+		l.pollClientGone()
+	})
+	l.forward()
+}
+
+// watchClient looks, while the client has requests open behind the value, whether it has closed its connection: the goroutine
+// finds out only once there is something to write, and until then their attempts went on.
+func (l *largeRead) pollClientGone() {
+	hasOpenRequests := slices.ContainsFunc(l.client.slots, func(s *slot) bool { return s.request != nil && !s.request.finished })
+	if !l.client.detached || !hasOpenRequests {
+		return
+	}
+	gone := false // nor is it where it is closed here: it is on its way back to the loop
+	if raw, err := l.clientConn.(syscall.Conn).SyscallConn(); err == nil {
+		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
+	}
+	if gone {
+		for _, s := range l.client.slots {
+			if s.request != nil {
+				l.r.clientLeft(s.request)
+			}
+		}
+		return
+	}
+	l.r.after(l.r.limits.ClientGoneCheckInterval, l.pollClientGone)
+}
+
+var errHandoverStop = errors.New("stopped for another process")
+
+// run passes on what is left.
+func (l *largeRead) forward() {
+	r := l.r
+	err := l.copyValue()
+	if err == errHandoverStop {
+		r.runAsync(l.handOver)
+		return
+	}
+	if err != nil {
+		l.abort(err)
+		return
+	}
+	r.runAsync(func() {
+		delete(r.largeReads, l)
+		r.countOutcome(l.method, wire.Served)
+	})
+	r.enroll(l.clientConn, l.client, l.client.detachedConnLost)
+	if !l.closeAfter && l.readTrailer(l.serverConn) {
+		r.enroll(l.serverConn, l.upstream, l.upstream.detachedConnClosed)
+		return
+	}
+	l.serverConn.Close()
+	r.runAsync(l.upstream.detachedConnClosed)
+}
+
+// end: the value cannot be finished. Its length was told, so that nobody takes it for whole.
+func (l *largeRead) abort(why error) {
+	l.r.log.WithError(why).Debug("a big value ends early")
+	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
+		if c != nil {
+			c.Close()
+		}
+	}
+	l.r.runAsync(func() {
+		delete(l.r.largeReads, l)
+		l.r.countOutcome(l.method, wire.Failed)
+		l.upstream.detachedConnClosed()
+		l.client.detachedConnLost()
+	})
+}
+
+// copy passes the value on.
+func (l *largeRead) copyValue() error {
+	r := l.r
+	chunk := chunkPool.Get().(*[]byte)
+	defer chunkPool.Put(chunk)
+	if len(*chunk) != r.limits.LargeValueWindow {
+		*chunk = make([]byte, r.limits.LargeValueWindow)
+	}
+	for {
+		for len(l.pending) > 0 {
+			_ = l.clientConn.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueUnreadTimeout)))
+			if l.stopped.Load() { // behind the deadline, which stop sets as well
+				l.pending = append([]byte(nil), l.pending...)
+				return errHandoverStop
+			}
+			n, err := l.clientConn.Write(l.pending)
+			if l.pending = l.pending[n:]; err != nil && !l.stopped.Load() {
+				return err
+			}
+		}
+		switch {
+		case l.terminated:
+			return nil
+		case l.remaining == 0:
+			l.terminated, l.pending = true, []byte("\r\n")
+			continue
+		}
+		_ = l.serverConn.SetReadDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
+		if l.stopped.Load() {
+			return errHandoverStop
+		}
+		n, err := l.serverConn.Read((*chunk)[:min(l.remaining, r.limits.LargeValueWindow)])
+		if l.pending, l.remaining = (*chunk)[:n], l.remaining-n; err != nil && n == 0 && !l.stopped.Load() {
+			return err
+		}
+	}
+}
+
+// stop has the goroutine end between two pieces, once all that waits behind the value is answered: what is in hand for
+// its client is this process's to answer.
+func (l *largeRead) requestStop() {
+	if !l.stopped.Load() && l.client.allAnswered() {
+		l.stopped.Store(true)
+		_ = l.clientConn.SetDeadline(time.Unix(1, 0))
+		_ = l.serverConn.SetDeadline(time.Unix(1, 0))
+	}
+}
+
+func (c *client) allAnswered() bool {
+	return !slices.ContainsFunc(c.slots, func(s *slot) bool { return s.reply == nil })
+}
+
+// moved is a big value as one process tells it to the next.
+type largeReadFrame struct {
+	Server     string // its name in discovery
+	Method     string
+	Pending    []byte // for the client
+	Remaining  int    `json:"Left"` // bytes to come from the server
+	CloseAfter bool   `json:"Last"`
+	Terminated bool   `json:"Ended"` // the line end is pending, or out
+	Trailing   []byte `json:"Has"`   // read of what stands behind the value
+	Answers    []byte // for the client, behind the value
+	Unread     []byte `json:"Rest"` // of the client, not read yet
+}
+
+// move passes the value on to the next process, or goes on where there is none.
+func (l *largeRead) handOver() {
+	r, t := l.r, &l.r.takeover
+	if !t.handingOver {
+		l.stopped.Store(false)
+		go l.forward()
+		return
+	}
+	message := largeReadFrame{Server: string(r.endpoints.UID(l.upstream.server.id)), Method: r.cfg.Settings.Methods[l.method].Name, Pending: l.pending, Remaining: l.remaining,
+		CloseAfter: l.closeAfter, Terminated: l.terminated, Trailing: l.received, Unread: l.client.detachedInput}
+	for _, s := range l.client.slots {
+		message.Answers = append(message.Answers, s.reply...)
+	}
+	text, err := json.Marshal(message)
+	var fds []int
+	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
+		fd, e := duplicateDescriptor(c.(*net.TCPConn))
+		if err = errors.Join(err, e); e == nil {
+			fds = append(fds, fd)
+		}
+	}
+	if err != nil {
+		for _, fd := range fds {
+			unix.Close(fd)
+		}
+		go l.abort(err)
+		return
+	}
+	l.clientConn.Close()
+	l.serverConn.Close()
+	delete(r.largeReads, l)
+	r.counts.Taken-- // the next process counts it
+	r.detachedClients--
+	r.serverConnCount--
+	if l.client.hasSentRequest {
+		r.requestingClients--
+	}
+	t.unsentFrames++
+	t.outgoing <- outgoingFrame{handover.Frame{Kind: handover.LargeValue, Body: text, FDs: fds}}
+}
+
+// takeValue goes on with a big value that another process began.
+func (r *Router) adoptLargeRead(f handover.Frame) {
+	var message largeReadFrame
+	err := json.Unmarshal(f.Body, &message)
+	clientConn, err1 := connFromDescriptor(f.FDs[0])
+	serverConn, err2 := connFromDescriptor(f.FDs[1])
+	if err = errors.Join(err, err1, err2); err != nil {
+		r.log.WithError(err).Warn("a big value cannot be taken over")
+		return // what is left of it ends with the process
+	}
+	r.runAsync(func() {
+		method := r.methods[message.Method]
+		s := &server{protocol: r.cache}
+		if id, known := r.endpoints.ID(discovery.UID(message.Server)); known && r.servers[id] != nil {
+			s = r.servers[id]
+		}
+		client := &client{r: r, detached: true, hasSentCommand: true, hasReceived: true, detachedInput: message.Unread}
+		if len(message.Answers) > 0 {
+			client.slots = []*slot{{reply: message.Answers}}
+		}
+		read := &largeRead{r: r, client: client, upstream: &upstream{r: r, server: s, addr: s.addr, detached: true}, method: method, clientConn: clientConn, serverConn: serverConn,
+			pending: message.Pending, remaining: message.Remaining, closeAfter: message.CloseAfter, terminated: message.Terminated, received: message.Trailing}
+		r.counts.Taken++
+		r.detachedClients++
+		r.serverConnCount++
+		r.connCount += 2
+		r.largeReads[read] = struct{}{}
+		go read.forward()
+	})
+}
+
+// rest reads what stands behind the value and tells whether the connection can carry another attempt.
+func (l *largeRead) readTrailer(server net.Conn) bool {
+	_ = server.SetDeadline(time.Now().Add(toDuration(l.r.limits.LargeValueStallTimeout)))
+	for {
+		complete, keep, err := l.upstream.server.protocol.Behind(l.received)
+		if err != nil || complete {
+			_ = server.SetDeadline(time.Time{})
+			return err == nil && keep
+		}
+		buffer := make([]byte, 4096)
+		n, err := server.Read(buffer)
+		if l.received = append(l.received, buffer[:n]...); err != nil {
+			return false
+		}
+	}
+}
+
+// enroll puts a connection onto the loop for p; failed runs there.
+func (r *Router) enroll(c net.Conn, p connHandler, failed func()) {
+	_ = c.SetDeadline(time.Time{})
+	enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), p), c)
+	if err != nil {
+		c.Close()
+	} else {
+		err = (<-enrolled).Err
+	}
+	if err != nil {
+		r.runAsync(failed)
+	}
+}
--- a/internal/router/memory_test.go
+++ b/internal/router/learned_state_test.go
@@ -18,10 +18,10 @@
 	l.r.log.SetOutput(&said)
 	l.r.ConfigureSnapshots(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
 		Servers: []snapshot.Server{{UID: "o"}}}, 1e6, func(snapshot.State) {})
-	l.r.now = l.r.clock()
-	l.r.remind()
-	if len(l.r.memory.waiting) > 0 || !strings.Contains(said.String(), "methods tile, and this router serves one with pay") {
-		t.Errorf("%d servers of it are known; %s", len(l.r.memory.waiting), said.String())
+	l.r.batchTime = l.r.clock()
+	l.r.restoreLearned()
+	if len(l.r.learned.unlistedServers) > 0 || !strings.Contains(said.String(), "methods tile, and this router serves one with pay") {
+		t.Errorf("%d servers of it are known; %s", len(l.r.learned.unlistedServers), said.String())
 	}
 }
 
@@ -38,8 +38,8 @@
 	}
 	r := l.r
 	r.ConfigureSnapshots(&old, 1e6, func(snapshot.State) {})
-	r.now = r.clock()
-	r.remind()
+	r.batchTime = r.clock()
+	r.restoreLearned()
 	list := func(uids ...string) {
 		body := `{"rev":9,"all":true,"targets":[`
 		for i, uid := range uids {
@@ -48,11 +48,11 @@
 			}
 			body += fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","model":"cache","state":"active"}`, uid)
 		}
-		got, err := r.book.Apply([]byte(body + "]}"))
+		got, err := r.endpoints.Apply([]byte(body + "]}"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.listCame(got)
+		r.applyEndpoints(got)
 		l.rounds()
 	}
 	known := func() map[string]clock.Time {
@@ -81,9 +81,9 @@
 	r := l.r
 	n := 0
 	r.ConfigureSnapshots(nil, 20e3, func(s snapshot.State) { n++ })
-	r.remind()
+	r.restoreLearned()
 	for until := time.Now().Add(2 * time.Second); n < 3 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-		r.fire(r.clock())
+		r.fireTimers(r.clock())
 	}
 	if n < 3 {
 		t.Errorf("%d states were handed over", n)
@@ -102,7 +102,7 @@
 		}
 		body += fmt.Sprintf(`{"uid":"server-%d","endpoint":"127.0.0.1:1","model":"cache","state":"active"}`, i)
 	}
-	got, err := r.book.Apply([]byte(body + "]}"))
+	got, err := r.endpoints.Apply([]byte(body + "]}"))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/router/loopcall.go
+++ b/internal/router/loop_call.go
@@ -8,18 +8,18 @@
 // runOnLoop runs f on the loop and waits for it, but not longer than a caller of the admin endpoint does. After an error f has
 // not run and never will: a call that is late is withdrawn, so that it cannot undo what a later call has put into force.
 func (r *Router) runOnLoop(f func()) error {
-	timeout := time.NewTimer(span(r.lim.AdminCallTimeout))
+	timeout := time.NewTimer(toDuration(r.limits.AdminCallTimeout))
 	defer timeout.Stop()
 	select {
 	case <-r.ready:
-	case <-r.ended:
-		return errEnding
+	case <-r.done:
+		return errStopping
 	case <-timeout.C:
 		return errBusy
 	}
 	var claimed atomic.Bool // by the loop, which runs f, or by the caller, which withdraws it
 	done := make(chan struct{})
-	r.execute(func() {
+	r.runAsync(func() {
 		if !claimed.CompareAndSwap(false, true) {
 			return
 		}
@@ -30,8 +30,8 @@
 	select {
 	case <-done:
 		return nil
-	case <-r.ended:
-		err = errEnding
+	case <-r.done:
+		err = errStopping
 	case <-timeout.C:
 	}
 	if claimed.CompareAndSwap(false, true) {
--- a/internal/router/loopcall_test.go
+++ b/internal/router/loop_call_test.go
@@ -14,7 +14,7 @@
 func newBusyLoop(t *testing.T) *notedLoop {
 	t.Helper()
 	l, _, _ := newNoted(t)
-	l.r.lim.AdminCallTimeout = clock.Millisecond
+	l.r.limits.AdminCallTimeout = clock.Millisecond
 	close(l.r.ready)
 	return l
 }
@@ -27,7 +27,7 @@
 		t.Fatalf("with a busy loop: got %v, want %v", err, errBusy)
 	}
 	l.rounds()
-	if l.r.place.gone["o"] {
+	if l.r.fleet.policyBans["o"] {
 		t.Error("the policy came into force after its error")
 	}
 }
@@ -43,15 +43,15 @@
 		t.Fatalf("SetShare with a busy loop: got %v, want %v", err, errBusy)
 	}
 	l.rounds()
-	if l.r.place.plan.MinimumRank != 0 || l.r.place.have != 0 {
-		t.Errorf("came into force after their errors: orders %+v, share %v", l.r.place.plan, l.r.place.have)
+	if l.r.fleet.siteOrders.MinimumRank != 0 || l.r.fleet.share != 0 {
+		t.Errorf("came into force after their errors: orders %+v, share %v", l.r.fleet.siteOrders, l.r.fleet.share)
 	}
 }
 
 // A call that comes before the loop runs ends by its time limit; its caller has to end with the process.
 func TestSetPolicy_ReturnsWhereTheLoopNeverRuns(t *testing.T) {
 	l, _, _ := newNoted(t)
-	l.r.lim.AdminCallTimeout = clock.Millisecond
+	l.r.limits.AdminCallTimeout = clock.Millisecond
 	returned := make(chan error, 1)
 	go func() { returned <- l.r.SetPolicy(l.r.cfg.Settings, nil) }()
 	select {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -119,12 +119,12 @@
 		t.Fatal(err)
 	}
 	l := &notedLoop{r: r}
-	r.watch = &watch{r: r, calling: true}
+	r.watch = &watch{r: r, callPending: true}
 	r.loop = l
 	r.takeover.accepting = true
 	r.timers.init(r)
 	r.core, _ = routing.New(r.clock(), cfg.Settings, 1)
-	r.listCame(r.known)
+	r.applyEndpoints(r.initialEndpoints)
 	l.rounds()
 	return l
 }
@@ -146,7 +146,7 @@
 	l = newLoop(t, notedConfig())
 	for _, s := range l.r.servers {
 		s.dialing++
-		l.r.dials++
+		l.r.pendingDials++
 		origin = l.open(&upstream{r: l.r, server: s, addr: s.addr})
 	}
 	return l, l.open(nil), origin
@@ -172,7 +172,7 @@
 			_ = l.Close(origin)
 		}
 		l.rounds()
-		fmt.Printf("%s: %q, then %d requests and %d bytes held\n", c.name, client.wrote, len(l.r.requests), l.r.held)
+		fmt.Printf("%s: %q, then %d requests and %d bytes held\n", c.name, client.wrote, len(l.r.requests), l.r.requestBytes)
 	}
 	// Output:
 	// all had left: "-ERR failed\r\n", then 0 requests and 0 bytes held
@@ -205,13 +205,13 @@
 	s.dialing = 1 // one dial is out, and does not end
 	client.asks(r, "r")
 	l.rounds()
-	if len(s.waiting) != 1 {
-		t.Fatal(len(s.waiting), "write-outs wait")
+	if len(s.waitingAttempts) != 1 {
+		t.Fatal(len(s.waitingAttempts), "write-outs wait")
 	}
-	r.timedOut(s.waiting[0])
+	r.timeOutAttempt(s.waitingAttempts[0])
 	l.rounds()
-	if client.wrote != "-BUSY\r\n" || len(s.waiting) != 0 || r.counts.NeverRan != 1 {
-		t.Errorf("%q, %d wait, %+v", client.wrote, len(s.waiting), r.counts)
+	if client.wrote != "-BUSY\r\n" || len(s.waitingAttempts) != 0 || r.counts.NeverRan != 1 {
+		t.Errorf("%q, %d wait, %+v", client.wrote, len(s.waitingAttempts), r.counts)
 	}
 }
 
@@ -219,19 +219,19 @@
 func TestAnswersLeaveBeforeAClose(t *testing.T) {
 	l, client, _ := newNoted(t)
 	r := l.r
-	r.lim.ClientWriteTimeout = 100e3
+	r.limits.ClientWriteTimeout = 100e3
 	client.in = resp.AppendCommand(nil, []byte("QUIT"))
 	client.left = 5
 	if action := r.OnTraffic(client); action != gnet.None || r.shedClient(false) {
 		t.Error("closed with an answer that has not left", action)
 	}
 	r.closeIdleClients()
-	r.sweep()
+	r.sweepConnections()
 	if client.closed {
 		t.Error("closed with an answer that has not left")
 	}
 	time.Sleep(150 * time.Millisecond)
-	if r.sweep(); !client.closed {
+	if r.sweepConnections(); !client.closed {
 		t.Error("a client that takes no answers stays")
 	}
 }
@@ -244,11 +244,11 @@
 	s.dialing = 1 // one dial is out, and does not end
 	client.asks(l.r, "r")
 	l.rounds()
-	list, err := l.r.book.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","model":"origin","state":"leaving"}]}`))
+	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","model":"origin","state":"leaving"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.r.listCame(list)
+	l.r.applyEndpoints(list)
 	l.rounds()
 	late := l.open(&upstream{r: l.r, server: s})
 	if client.wrote != "-BUSY\r\n" || late.wrote != "" || !late.closed {
@@ -259,12 +259,12 @@
 // A decision and the news that its server is gone, or that its client is, may meet in one batch. The program crashed.
 func TestDecisionsThatTheNewsOvertakes(t *testing.T) {
 	l, client, origin := newNoted(t)
-	list, err := l.r.book.Apply([]byte(`{"rev":2,"all":true,"targets":[]}`))
+	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	client.asks(l.r, "r1")
-	l.r.listCame(list)
+	l.r.applyEndpoints(list)
 	l.rounds()
 	if client.wrote != "-BUSY\r\n" || strings.Contains(origin.wrote, "r1") || len(l.r.requests) != 0 {
 		t.Errorf("the client got %q, the server %q, and %d reqs are left", client.wrote, origin.wrote, len(l.r.requests))
@@ -291,7 +291,7 @@
 	r.after(9e6, say("too early"))
 	r.cancel(gone)
 	r.cancel(gone)
-	r.fire(r.clock() + 4e6)
+	r.fireTimers(r.clock() + 4e6)
 	// Output:
 	// first
 	// second
@@ -302,9 +302,9 @@
 func TestClientsThatHoldTooMuchAreClosed(t *testing.T) {
 	l, client, _ := newNoted(t)
 	other := l.open(nil)
-	l.r.lim.ClientBufferBytes = 1000
+	l.r.limits.ClientBufferBytes = 1000
 	client.left, other.left = 300, 800
-	l.r.buffer(1001)
+	l.r.noteClientBuffer(1001)
 	if client.closed || !other.closed {
 		t.Errorf("closed: %v and %v", client.closed, other.closed)
 	}
@@ -320,17 +320,17 @@
 // Without a descriptor to spare an attempt waits for a connection that gets free, and none is dialled.
 func TestWriteOutsWaitForDescriptors(t *testing.T) {
 	l, client, origin := newNoted(t)
-	l.r.lim.ServerConnections = 1
+	l.r.limits.ServerConnections = 1
 	client.asks(l.r, "r1", "r2")
 	l.rounds()
-	if strings.Count(origin.wrote, "PUT /k") != 1 || l.r.dials != 0 || l.r.counts.Attempts != 2 {
-		t.Errorf("%q, %d dials, %+v", origin.wrote, l.r.dials, l.r.counts)
+	if strings.Count(origin.wrote, "PUT /k") != 1 || l.r.pendingDials != 0 || l.r.counts.Attempts != 2 {
+		t.Errorf("%q, %d dials, %+v", origin.wrote, l.r.pendingDials, l.r.counts)
 	}
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	l.r.OnTraffic(origin)
 	l.rounds()
-	if !strings.Contains(origin.wrote, "r2") || client.wrote != "$2\r\nok\r\n" || l.r.dials != 0 {
-		t.Errorf("%q, %q, %d dials", origin.wrote, client.wrote, l.r.dials)
+	if !strings.Contains(origin.wrote, "r2") || client.wrote != "$2\r\nok\r\n" || l.r.pendingDials != 0 {
+		t.Errorf("%q, %q, %d dials", origin.wrote, client.wrote, l.r.pendingDials)
 	}
 }
 
@@ -341,7 +341,7 @@
 	r := l.r
 	client.asks(r, "r1")
 	l.rounds()
-	r.lim.Descriptors, r.lim.MaxDescriptors, r.lim.QuietClientAge = r.used(), r.used()+1, 1e6
+	r.limits.Descriptors, r.limits.MaxDescriptors, r.limits.QuietClientAge = r.descriptorsInUse(), r.descriptorsInUse()+1, 1e6
 	if fresh := l.open(nil); fresh.closed || client.closed || origin.closed {
 		t.Error("a client that came in had another closed, or itself, though there was a descriptor")
 	}
@@ -349,7 +349,7 @@
 		t.Error("the last descriptor was given away")
 	}
 	time.Sleep(20 * time.Millisecond)
-	r.lim.QuietClientAge = 10e3
+	r.limits.QuietClientAge = 10e3
 	newest := l.open(nil)
 	if client.closed || origin.closed || newest.closed || r.counts.Shed != 1 {
 		t.Error("one that waits for an answer was closed, or the newest")
@@ -357,7 +357,7 @@
 	if r.closeIdleClients(); newest.closed {
 		t.Error("one that has just come in was closed at the end")
 	}
-	r.began += 20e3
+	r.startWallClock += 20e3
 	if r.closeIdleClients(); !newest.closed || client.closed {
 		t.Error("at the end the quiet one stays, or one that waits for an answer was closed")
 	}
@@ -373,9 +373,9 @@
 	}
 	defer unix.Close(pair[0])
 	defer unix.Close(pair[1])
-	c := peerOf(client)
-	l.r.lim.ClientWriteTimeout = 1e6
-	client.fd, c.carried, c.used = pair[0], true, true
+	inner := peerOf(client)
+	l.r.limits.ClientWriteTimeout = 1e6
+	client.fd, inner.carriedLargeRead, inner.hasReceived = pair[0], true, true
 	if _, err := unix.Write(pair[0], []byte("the value's end")); err != nil {
 		t.Fatal(err)
 	}
@@ -397,14 +397,14 @@
 	client.in = []byte("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$11\r\nc=pay,d=900\r\n$60000\r\n" + strings.Repeat("v", 2000))
 	for range 5 {
 		r.OnTraffic(client)
-		r.began += 1500e3
-		if r.sweep(); client.closed {
+		r.startWallClock += 1500e3
+		if r.sweepConnections(); client.closed {
 			t.Fatal("cut while it flows")
 		}
 		client.in = append(client.in, strings.Repeat("v", 2000)...)
 	}
-	r.began += r.lim.PartialCommandTimeout
-	if r.sweep(); !client.closed {
+	r.startWallClock += r.limits.PartialCommandTimeout
+	if r.sweepConnections(); !client.closed {
 		t.Error("it waits for ever")
 	}
 }
@@ -421,12 +421,12 @@
 	never := l.open(nil) // what only pings is no better than one that is silent
 	never.in = resp.AppendCommand(nil, []byte("PING"))
 	r.OnTraffic(never)
-	r.lim.ClientConnections, r.lim.Descriptors, r.lim.MaxDescriptors = 1, r.used(), r.used()+1
+	r.limits.ClientConnections, r.limits.Descriptors, r.limits.MaxDescriptors = 1, r.descriptorsInUse(), r.descriptorsInUse()+1
 	time.Sleep(time.Millisecond) // the newest must be newer by the clock
 	if newest := l.open(nil); !never.closed || client.closed || origin.closed || newest.closed {
 		t.Error("the one that never asked should have gone:", never.closed, client.closed, origin.closed, newest.closed)
 	}
-	r.lim.ClientConnections = 10
+	r.limits.ClientConnections = 10
 	if l.open(nil); client.closed || !origin.closed {
 		t.Error("within their part no client goes while a server's connection is idle:", client.closed, origin.closed)
 	}
@@ -444,12 +444,12 @@
 	part.in = []byte("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\n")
 	r.OnTraffic(part)
 	l.rounds()
-	r.began += 1900e3
-	if r.sweep(); silent.closed || part.closed || once.closed {
+	r.startWallClock += 1900e3
+	if r.sweepConnections(); silent.closed || part.closed || once.closed {
 		t.Error("closed too early")
 	}
-	r.began += 200e3
-	r.sweep()
+	r.startWallClock += 200e3
+	r.sweepConnections()
 	if !silent.closed || !part.closed || !once.closed || asked.closed || !strings.HasSuffix(part.wrote, "-ERR nothing whole has come\r\n") {
 		t.Errorf("closed: %v, %v and %v; told %q", silent.closed, part.closed, asked.closed, part.wrote)
 	}
@@ -459,7 +459,7 @@
 func TestClientsThatKeepTheirConnections(t *testing.T) {
 	l, first, origin := newNoted(t)
 	r := l.r
-	r.lim.ActiveClients = 2
+	r.limits.ActiveClients = 2
 	first.asks(r, "r0")
 	l.rounds()
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -471,8 +471,8 @@
 		t.Error("closed within the bound")
 	}
 	third.asks(r, "r2")
-	if !first.closed || pings.closed || second.closed || third.closed || r.askers != 2 {
-		t.Error(first.closed, pings.closed, second.closed, third.closed, r.askers)
+	if !first.closed || pings.closed || second.closed || third.closed || r.requestingClients != 2 {
+		t.Error(first.closed, pings.closed, second.closed, third.closed, r.requestingClients)
 	}
 }
 
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -27,66 +27,66 @@
 // takeover is how this process follows another as the router, and is followed by the next. The fields belong to the
 // loop, but for those noted.
 type takeover struct {
-	dir, name string // of the socket by which the processes find each other; before Run
-	ln        *net.TCPListener
-	unix      *net.UnixListener
-	asked     *asked         // of the old process, as it last knew; nil: not told
-	old, heir *handover.Conn // the processes before and behind this one, while they live
-	accepting bool           // clients come to this process
-	coming    atomic.Int32   // accepted, and not with the loop yet
-	findable  bool           // the next process can find it, or was to
-	handing   bool           // its clients are passed on to the heir
-	handedOn  bool           // they were once, also if the heir has ended since
-	out       chan passed    // to the heir; room for all clients
-	unsent    int            // passed, and not with the heir yet
-	others    [2]int         // descriptors that the old one and the heir hold
-	inherit   func([]byte)   // takes what the old one leaves; before Run
+	socketDir, socketName  string // of the socket by which the processes find each other; before Run
+	listener               *net.TCPListener
+	socket                 *net.UnixListener
+	operatorFrame          *operatorFrame     // of the old process, as it last knew; nil: not told
+	predecessor, successor *handover.Conn     // the processes before and behind this one, while they live
+	accepting              bool               // clients come to this process
+	enrolling              atomic.Int32       // accepted, and not with the loop yet
+	discoverable           bool               // the next process can find it, or was to
+	handingOver            bool               // its clients are passed on to the heir
+	hasHandedOver          bool               // they were once, also if the heir has ended since
+	outgoing               chan outgoingFrame // to the heir; room for all clients
+	unsentFrames           int                // passed, and not with the heir yet
+	peerDescriptors        [2]int             // descriptors that the old one and the heir hold
+	onTransfer             func([]byte)       // takes what the old one leaves; before Run
 }
 
 // asked is what operators want, as one process tells it to another while both live: a file may be full, or spoilt.
-type asked struct {
+type operatorFrame struct {
 	operatorstate.State
-	Unkept bool // the file does not have it
-	Whole  bool // nothing of the part of what all routers may send is lent
+	NotPersisted    bool `json:"Unkept"` // the file does not have it
+	NoSharesGranted bool `json:"Whole"`  // nothing of the part of what all routers may send is lent
 }
 
 // passed is a client's connection on its way to the heir.
-type passed struct {
+type outgoingFrame struct {
 	handover.Frame
 }
 
 // Join finds the process that this one replaces, if there is one, and takes its listener and what it knows. Call it
 // before Run. An error: the process that serves there is another service's, and neither its clients nor its address is ours.
 func (r *Router) ConnectPredecessor(dir string) error {
-	const patience = time.Second
+	const frameTimeout = time.Second
 	t := &r.takeover
-	t.dir, t.name = dir, "spurtrestle-"+r.cfg.Listen+".sock"
-	old, err := handover.Dial(t.dir, t.name, patience)
+	t.socketDir, t.socketName = dir, "spurtrestle-"+r.cfg.Listen+".sock"
+	predecessor, err := handover.Dial(t.socketDir, t.socketName, frameTimeout)
 	if err != nil {
 		return nil // nobody: the usual start
 	}
 	var state *snapshot.State
-	var another error
-	if err = old.Send(handover.Frame{Kind: handover.Hello}); err == nil {
+	var serviceErr error
+	if err = predecessor.Send(handover.Frame{Kind: handover.Hello}); err == nil {
 		for err == nil && state == nil {
 			var f handover.Frame
-			if f, err = old.Receive(patience); err != nil {
+			if f, err = predecessor.Receive(frameTimeout); err != nil {
 				break
 			}
 			switch f.Kind {
 			case handover.Listener:
 				var ln net.Listener
-				if ln, err = listenerOf(f); err == nil {
-					t.ln, _ = ln.(*net.TCPListener)
+				if ln, err = listenerFromFrame(f); err == nil {
+					t.listener, _ = ln.(*net.TCPListener)
 				}
 			case handover.OperatorState:
-				t.asked = new(asked)
-				err = json.Unmarshal(f.Body, t.asked)
+				t.operatorFrame = new(operatorFrame)
+				err = json.Unmarshal(f.Body, t.operatorFrame)
 			case handover.Snapshot:
 				var s snapshot.State
 				if s, err = snapshot.Decode(f.Body); err == nil {
-					another = sameService(s, r.cfg.Settings)
-					err = another
+					serviceErr = checkSameService(s, r.cfg.Settings)
+					err = serviceErr
 				}
 				if err == nil {
 					state = &s
@@ -94,31 +94,31 @@
 			}
 		}
 	}
-	if err == nil && (t.ln == nil || t.ln.Addr().String() != r.cfg.Listen) {
+	if err == nil && (t.listener == nil || t.listener.Addr().String() != r.cfg.Listen) {
 		err = errors.New("its listener is another one")
 	}
 	if err != nil {
-		if t.ln != nil {
-			t.ln.Close()
-			t.ln = nil
+		if t.listener != nil {
+			t.listener.Close()
+			t.listener = nil
 		}
-		old.Close()
-		if another != nil {
-			return &configerror.Error{Field: "listen", Problem: fmt.Sprintf("a process serves at %s, but %v", r.cfg.Listen, another),
-				Remedy: "give this one an address or a TMPDIR of its own", Cause: another}
+		predecessor.Close()
+		if serviceErr != nil {
+			return &configerror.Error{Field: "listen", Problem: fmt.Sprintf("a process serves at %s, but %v", r.cfg.Listen, serviceErr),
+				Remedy: "give this one an address or a TMPDIR of its own", Cause: serviceErr}
 		}
 		r.log.WithError(err).Warn("a process that this one replaces does not hand over; both listen")
 		return nil
 	}
-	t.old = old
-	if r.memory == nil {
-		r.memory = &memory{learned: state, waiting: map[discovery.UID]routing.ServerKnowledge{}}
+	t.predecessor = predecessor
+	if r.learned == nil {
+		r.learned = &learnedState{restored: state, unlistedServers: map[discovery.UID]routing.ServerKnowledge{}}
 	}
 	r.log.Info("replacing a process that serves")
 	return nil
 }
 
-func listenerOf(f handover.Frame) (net.Listener, error) {
+func listenerFromFrame(f handover.Frame) (net.Listener, error) {
 	if len(f.FDs) != 1 {
 		f.CloseDescriptors()
 		return nil, errors.New("no listener came")
@@ -131,14 +131,14 @@
 // listen takes the clients' address, unless the old process has given it.
 func (r *Router) listen() error {
 	t := &r.takeover
-	if t.ln != nil {
+	if t.listener != nil {
 		return nil
 	}
 	ln, err := Listen(r.cfg.Listen)
 	if err != nil {
 		return &configerror.Error{Field: "listen", Problem: err.Error(), Cause: err}
 	}
-	t.ln = ln.(*net.TCPListener)
+	t.listener = ln.(*net.TCPListener)
 	return nil
 }
 
@@ -152,48 +152,48 @@
 }
 
 // takeClients begins to take clients; an old process passes on those that it has from now on.
-func (r *Router) takeClients() {
+func (r *Router) startAccepting() {
 	t := &r.takeover
-	if t.accepting || t.handing || r.closing {
+	if t.accepting || t.handingOver || r.closingClients {
 		return
 	}
-	if t.old != nil && !r.mayTake() {
+	if t.predecessor != nil && !r.mayAdmit() {
 		return // clients are better off where they are, until the old one has left what it holds of the policy
 	}
 	t.accepting = true
-	_ = t.ln.SetDeadline(time.Time{})
-	go r.accept()
-	r.showUp()
-	if t.old != nil {
+	_ = t.listener.SetDeadline(time.Time{})
+	go r.acceptClients()
+	r.becomeDiscoverable()
+	if t.predecessor != nil {
 		r.log.Info("taking over")
-		t.old.Enqueue(handover.Frame{Kind: handover.Ready}) // where it has ended nothing is to take
+		t.predecessor.Enqueue(handover.Frame{Kind: handover.Ready}) // where it has ended nothing is to take
 	}
-	r.publish()
+	r.publishStats()
 }
 
 // listKnown: with an old process at work there is time to wait for discovery's own list.
-func (r *Router) listKnown(l routing.EndpointsUpdated) {
-	if r.serving && (r.takeover.old == nil || l.Kind != routing.CachedUpdate) {
-		r.takeClients()
+func (r *Router) afterEndpointsUpdate(update routing.EndpointsUpdated) {
+	if r.hasUsableServer && (r.takeover.predecessor == nil || update.Kind != routing.CachedUpdate) {
+		r.startAccepting()
 	}
-	r.showUp()
+	r.becomeDiscoverable()
 }
 
 // showUp lets the next process find this one, once it serves: until it says yes it holds no socket but those of TCP and
 // UDP, since there may be no others, and a refusal must not come before. A process that is told to end is not to be found.
-func (r *Router) showUp() {
-	if t := &r.takeover; t.name != "" && t.accepting && r.serving && !t.findable && !r.draining {
-		t.findable = true
-		go r.awaitHeir(t.handedOn)
+func (r *Router) becomeDiscoverable() {
+	if t := &r.takeover; t.socketName != "" && t.accepting && r.hasUsableServer && !t.discoverable && !r.draining {
+		t.discoverable = true
+		go r.awaitSuccessors(t.hasHandedOver)
 	}
 }
 
 // accept runs off the loop, until the listener is closed or clients are the heir's.
-func (r *Router) accept() {
+func (r *Router) acceptClients() {
 	const pause = 5 * time.Millisecond // where there are no descriptors
 	var under []<-chan struct{}
 	for {
-		c, err := r.takeover.ln.Accept()
+		c, err := r.takeover.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return
@@ -201,233 +201,233 @@
 			time.Sleep(pause)
 			continue
 		}
-		r.takeover.coming.Add(1)
-		enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), &client{r: r, coming: true}), c)
+		r.takeover.enrolling.Add(1)
+		enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), &client{r: r, enrolling: true}), c)
 		if err != nil {
-			r.takeover.coming.Add(-1)
+			r.takeover.enrolling.Add(-1)
 			c.Close()
 			return
 		}
 		done := make(chan struct{})
 		go func() { // one that is not enrolled, for want of a descriptor, does not come any more: a drain would wait for it
 			if (<-enrolled).Err != nil {
-				r.takeover.coming.Add(-1)
+				r.takeover.enrolling.Add(-1)
 			}
 			close(done)
 		}()
-		if under = append(under, done); len(under) >= acceptsAtOnce {
+		if under = append(under, done); len(under) >= maxPendingEnrolls {
 			<-under[0]
 			under = under[1:]
 		}
 	}
 }
 
-const acceptsAtOnce = 4 // each holds two descriptors until the loop has it
+const maxPendingEnrolls = 4 // each holds two descriptors until the loop has it
 
 // awaitHeir waits off the loop for processes that are to replace this one, one after the other. One that has handed on and has its
 // clients back, since its successor has ended, leaves the name to a process that answers there: it has replaced the successor.
-func (r *Router) awaitHeir(handedOn bool) {
+func (r *Router) awaitSuccessors(handedOn bool) {
 	t := &r.takeover
-	if handedOn && handover.Answers(t.dir, t.name) {
+	if handedOn && handover.Answers(t.socketDir, t.socketName) {
 		r.log.Warn("handover: another process has replaced the successor, and is the one that the next process finds")
 		return
 	}
-	ln, err := handover.Listen(t.dir, t.name)
+	listener, err := handover.Listen(t.socketDir, t.socketName)
 	if err != nil {
 		r.log.WithError(err).Warn("the next process will not find this one; see that TMPDIR is a folder with room")
 		return
 	}
-	r.execute(func() {
-		if t.unix = ln; r.stopped {
-			ln.Close()
+	r.runAsync(func() {
+		if t.socket = listener; r.stopped {
+			listener.Close()
 		}
 	})
 	for {
-		p, err := handover.Accept(ln)
+		conn, err := handover.Accept(listener)
 		if err != nil {
 			return
 		}
-		r.serveHeir(p)
-		p.Close()
+		r.serveSuccessor(conn)
+		conn.Close()
 	}
 }
 
 // serveHeir speaks to one heir until it ends.
-func (r *Router) serveHeir(p *handover.Conn) {
+func (r *Router) serveSuccessor(conn *handover.Conn) {
 	t := &r.takeover
-	if f, err := p.Receive(time.Second); err != nil || f.Kind != handover.Hello {
+	if frame, err := conn.Receive(time.Second); err != nil || frame.Kind != handover.Hello {
 		return
 	}
-	fd, err := dupOf(t.ln)
+	fd, err := duplicateDescriptor(t.listener)
 	if err != nil {
 		return
 	}
 	err = r.runOnLoop(func() { // queued at once, so that what changes from now on is sent behind it
-		t.heir = p
-		r.shareMemory()
-		p.Enqueue(handover.Frame{Kind: handover.Listener, FDs: []int{fd}})
-		r.sendOperatorState(p)
-		p.Enqueue(handover.Frame{Kind: handover.Snapshot, Body: snapshot.Encode(r.State())})
+		t.successor = conn
+		r.adjustMemoryLimits()
+		conn.Enqueue(handover.Frame{Kind: handover.Listener, FDs: []int{fd}})
+		r.sendOperatorState(conn)
+		conn.Enqueue(handover.Frame{Kind: handover.Snapshot, Body: snapshot.Encode(r.State())})
 	})
 	if err != nil {
 		unix.Close(fd)
 		return
 	}
 	r.log.Info("another process is to replace this one")
-	defer r.execute(func() { // it is gone: clients are this process's again
+	defer r.runAsync(func() { // it is gone: clients are this process's again
 		r.log.Warn("the process that was to replace this one has ended")
-		if t.heir, t.others[1], t.handing = nil, 0, false; t.out != nil {
-			close(t.out)
-			t.out = nil
+		if t.successor, t.peerDescriptors[1], t.handingOver = nil, 0, false; t.outgoing != nil {
+			close(t.outgoing)
+			t.outgoing = nil
 		}
-		r.shareMemory()
+		r.adjustMemoryLimits()
 		if !t.accepting {
-			r.takeClients()
+			r.startAccepting()
 		}
 	})
 	for {
-		f, err := p.Receive(0)
+		frame, err := conn.Receive(0)
 		if err != nil {
 			return
 		}
-		switch f.Kind {
+		switch frame.Kind {
 		case handover.OperatorState:
-			r.receiveOperatorState(f)
+			r.receiveOperatorState(frame)
 		case handover.DescriptorCount:
-			r.heard(1, f)
+			r.setPeerDescriptors(1, frame)
 		case handover.Ready:
-			out := make(chan passed, r.lim.MaxDescriptors)
-			go r.passOn(p, out)
-			r.execute(func() { r.handOn(out) })
+			frames := make(chan outgoingFrame, r.limits.MaxDescriptors)
+			go r.sendFrames(conn, frames)
+			r.runAsync(func() { r.startHandover(frames) })
 		}
 	}
 }
 
 // handOn begins to pass on the clients.
-func (r *Router) handOn(out chan passed) {
+func (r *Router) startHandover(frames chan outgoingFrame) {
 	t := &r.takeover
 	r.log.Info("clients are another process's from now on")
-	t.handing, t.handedOn, t.accepting, t.findable, t.out = true, true, false, false, out
-	_ = t.ln.SetDeadline(time.Unix(1, 0)) // what waits to be accepted waits for the heir
-	if t.unix != nil {
-		t.unix.Close() // the next process is the heir's; the name is too
-	}
-	r.tellServing(false)
-	r.publish()
-	r.handingOn()
+	t.handingOver, t.hasHandedOver, t.accepting, t.discoverable, t.outgoing = true, true, false, false, frames
+	_ = t.listener.SetDeadline(time.Unix(1, 0)) // what waits to be accepted waits for the heir
+	if t.socket != nil {
+		t.socket.Close() // the next process is the heir's; the name is too
+	}
+	r.notifyServing(false)
+	r.publishStats()
+	r.continueHandover()
 }
 
-func (r *Router) handingOn() {
-	if !r.takeover.handing {
+func (r *Router) continueHandover() {
+	if !r.takeover.handingOver {
 		return
 	}
-	r.passClients()
-	for l := range r.passing {
-		l.stop()
+	r.handOverClients()
+	for l := range r.largeReads {
+		l.requestStop()
 	}
 	for _, s := range r.servers {
-		r.closeIdle(s)
+		r.closeIdleConnections(s)
 	}
-	r.after(r.lim.MetricsInterval/2, r.handingOn)
+	r.after(r.limits.MetricsInterval/2, r.continueHandover)
 }
 
 // passClients passes on each client of which nothing is in hand, with what of it is not read yet.
-func (r *Router) passClients() {
+func (r *Router) handOverClients() {
 	t := &r.takeover
-	for c := range r.clients {
-		if c.over || c.leaving || !c.settled() {
+	for client := range r.clients {
+		if client.closeAfterReplies || client.detachPending || !client.hasNoPendingReplies() {
 			continue
 		}
-		fd, err := c.conn.Dup()
+		fd, err := client.conn.Dup()
 		if err != nil {
 			r.log.WithError(err).Warn("a client cannot be passed on")
 			return
 		}
-		c.rest = append([]byte(nil), c.unread()...)
-		delete(r.clients, c)
-		if c.asked {
-			r.askers--
+		client.detachedInput = append([]byte(nil), client.unreadInput()...)
+		delete(r.clients, client)
+		if client.hasSentRequest {
+			r.requestingClients--
 		}
-		c.conn.SetContext(nil)
-		r.close(c.conn)
-		c.conn = nil
-		r.conns++
-		t.unsent++
-		t.out <- passed{Frame: handover.Frame{Kind: handover.Client, Body: c.rest, FDs: []int{fd}}}
+		client.conn.SetContext(nil)
+		r.close(client.conn)
+		client.conn = nil
+		r.connCount++
+		t.unsentFrames++
+		t.outgoing <- outgoingFrame{Frame: handover.Frame{Kind: handover.Client, Body: client.detachedInput, FDs: []int{fd}}}
 	}
 }
 
 // passOn sends off the loop. What cannot be sent comes back.
-func (r *Router) passOn(p *handover.Conn, out chan passed) {
-	for x := range out {
-		err := p.Send(x.Frame)
+func (r *Router) sendFrames(conn *handover.Conn, frames chan outgoingFrame) {
+	for frame := range frames {
+		err := conn.Send(frame.Frame)
 		if err == nil {
-			r.execute(func() {
-				r.takeover.unsent--
-				r.conns -= len(x.FDs)
-				x.CloseDescriptors()
-				r.queue()
+			r.runAsync(func() {
+				r.takeover.unsentFrames--
+				r.connCount -= len(frame.FDs)
+				frame.CloseDescriptors()
+				r.queueBatch()
 			})
 			continue
 		}
-		r.execute(func() {
-			r.takeover.unsent--
-			r.conns -= len(x.FDs)
+		r.runAsync(func() {
+			r.takeover.unsentFrames--
+			r.connCount -= len(frame.FDs)
 		})
-		p.Close() // a frame may have gone in part: nothing more is told on it, and clients are this process's again
-		r.takeOver(x.Frame)
+		conn.Close() // a frame may have gone in part: nothing more is told on it, and clients are this process's again
+		r.adoptConnection(frame.Frame)
 	}
 }
 
 // takeOver takes a client that another process had, or was to have, with the big value that is on its way to it.
-func (r *Router) takeOver(f handover.Frame) {
+func (r *Router) adoptConnection(f handover.Frame) {
 	if f.Kind == handover.LargeValue && len(f.FDs) == 2 {
-		r.takeValue(f)
+		r.adoptLargeRead(f)
 		return
 	}
 	if f.Kind != handover.Client || len(f.FDs) != 1 {
 		f.CloseDescriptors()
 		return
 	}
-	c, err := asConn(f.FDs[0])
+	c, err := connFromDescriptor(f.FDs[0])
 	if err != nil {
 		r.log.WithError(err).Warn("a client's connection cannot be taken")
 		return
 	}
-	r.enroll(c, &client{r: r, rest: f.Body, spoke: true}, func() {})
+	r.enroll(c, &client{r: r, detachedInput: f.Body, hasSentCommand: true}, func() {})
 }
 
 // followOld speaks to the old process until it ends.
-func (r *Router) followOld(p *handover.Conn) {
+func (r *Router) followPredecessor(conn *handover.Conn) {
 	for {
-		f, err := p.Receive(0)
+		frame, err := conn.Receive(0)
 		if err != nil {
 			break
 		}
-		switch f.Kind {
+		switch frame.Kind {
 		case handover.OperatorState:
-			r.receiveOperatorState(f)
+			r.receiveOperatorState(frame)
 		case handover.DescriptorCount:
-			r.heard(0, f)
+			r.setPeerDescriptors(0, frame)
 		case handover.LeaseTransfer:
-			if r.takeover.inherit != nil {
-				r.takeover.inherit(f.Body)
+			if r.takeover.onTransfer != nil {
+				r.takeover.onTransfer(frame.Body)
 			}
 		default:
-			r.takeOver(f)
+			r.adoptConnection(frame)
 		}
 	}
-	p.Close()
-	r.execute(func() {
+	conn.Close()
+	r.runAsync(func() {
 		r.log.Info("the process before this one has ended")
-		r.takeover.old, r.takeover.others[0] = nil, 0
-		r.shareMemory()
-		r.takeClients()
+		r.takeover.predecessor, r.takeover.peerDescriptors[0] = nil, 0
+		r.adjustMemoryLimits()
+		r.startAccepting()
 	})
 }
 
 // OnTransfer registers the function that receives the transfers of the process that this one replaces. Call it before Run.
-func (r *Router) OnTransfer(f func([]byte)) { r.takeover.inherit = f }
+func (r *Router) OnTransfer(f func([]byte)) { r.takeover.onTransfer = f }
 
 // OfferTransfer leaves something to the process that is to replace this one, if there is one; it is made only then.
 func (r *Router) OfferTransfer(what func() []byte) {
@@ -436,44 +436,44 @@
 	default:
 		return
 	}
-	r.execute(func() {
-		if heir := r.takeover.heir; heir != nil {
+	r.runAsync(func() {
+		if heir := r.takeover.successor; heir != nil {
 			heir.Publish(handover.LeaseTransfer, what)
 		}
 	})
 }
 
 // heard: another process tells how many descriptors it holds.
-func (r *Router) heard(which int, f handover.Frame) {
+func (r *Router) setPeerDescriptors(which int, f handover.Frame) {
 	if n, err := strconv.Atoi(string(f.Body)); err == nil {
-		r.execute(func() {
-			if r.takeover.others[which] = n; which == 1 && r.takeover.heir == nil {
-				r.takeover.others[which] = 0
+		r.runAsync(func() {
+			if r.takeover.peerDescriptors[which] = n; which == 1 && r.takeover.successor == nil {
+				r.takeover.peerDescriptors[which] = 0
 			}
 		})
 	}
 }
 
 // tellHolds tells the others how many descriptors this process holds.
-func (r *Router) tellHolds() {
+func (r *Router) publishDescriptorCount() {
 	t := &r.takeover
-	if t.old == nil && t.heir == nil {
+	if t.predecessor == nil && t.successor == nil {
 		return
 	}
-	count := strconv.AppendInt(nil, int64(r.conns+descriptorsOfDial*r.dials+r.lim.ReservedDescriptors), 10)
-	for _, p := range []*handover.Conn{t.old, t.heir} {
-		if p != nil {
-			p.Publish(handover.DescriptorCount, func() []byte { return count })
+	count := strconv.AppendInt(nil, int64(r.connCount+descriptorsPerDial*r.pendingDials+r.limits.ReservedDescriptors), 10)
+	for _, conn := range []*handover.Conn{t.predecessor, t.successor} {
+		if conn != nil {
+			conn.Publish(handover.DescriptorCount, func() []byte { return count })
 		}
 	}
 }
 
 // shareMemory halves what this process may hold while another lives.
-func (r *Router) shareMemory() {
-	part := 1
-	if r.takeover.old != nil || r.takeover.heir != nil {
-		part = 2
+func (r *Router) adjustMemoryLimits() {
+	processes := 1
+	if r.takeover.predecessor != nil || r.takeover.successor != nil {
+		processes = 2
 	}
-	r.lim.RequestBytes, r.lim.ClientBufferBytes = r.cfg.Limits.RequestBytes/part, r.cfg.Limits.ClientBufferBytes/part
-	debug.SetMemoryLimit(r.cfg.Limits.MemoryBytes / int64(part))
+	r.limits.RequestBytes, r.limits.ClientBufferBytes = r.cfg.Limits.RequestBytes/processes, r.cfg.Limits.ClientBufferBytes/processes
+	debug.SetMemoryLimit(r.cfg.Limits.MemoryBytes / int64(processes))
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -9,47 +9,47 @@
 
 // timer is one thing to do at a time.
 type timer struct {
-	at   clock.Time
-	seq  uint64
-	do   func()
-	slot int // place in the heap; -1: not in it
+	dueAt     clock.Time
+	sequence  uint64
+	callback  func()
+	heapIndex int // place in the heap; -1: not in it
 }
 
 // timers is one heap with one wake-up.
 type timers struct {
-	due   []*timer
-	seq   uint64
-	alarm *time.Timer
-	set   clock.Time // when the alarm goes off; 0: it does not
+	pending      []*timer
+	lastSequence uint64
+	alarm        *time.Timer
+	alarmAt      clock.Time // when the alarm goes off; 0: it does not
 }
 
-func (t *timers) Len() int { return len(t.due) }
+func (t *timers) Len() int { return len(t.pending) }
 func (t *timers) Less(i, j int) bool {
-	if t.due[i].at != t.due[j].at {
-		return t.due[i].at < t.due[j].at
+	if t.pending[i].dueAt != t.pending[j].dueAt {
+		return t.pending[i].dueAt < t.pending[j].dueAt
 	}
-	return t.due[i].seq < t.due[j].seq
+	return t.pending[i].sequence < t.pending[j].sequence
 }
 func (t *timers) Swap(i, j int) {
-	t.due[i], t.due[j] = t.due[j], t.due[i]
-	t.due[i].slot, t.due[j].slot = i, j
+	t.pending[i], t.pending[j] = t.pending[j], t.pending[i]
+	t.pending[i].heapIndex, t.pending[j].heapIndex = i, j
 }
 func (t *timers) Push(x any) {
-	x.(*timer).slot = len(t.due)
-	t.due = append(t.due, x.(*timer))
+	x.(*timer).heapIndex = len(t.pending)
+	t.pending = append(t.pending, x.(*timer))
 }
 func (t *timers) Pop() any {
-	last := t.due[len(t.due)-1]
-	t.due[len(t.due)-1] = nil
-	t.due, last.slot = t.due[:len(t.due)-1], -1
+	last := t.pending[len(t.pending)-1]
+	t.pending[len(t.pending)-1] = nil
+	t.pending, last.heapIndex = t.pending[:len(t.pending)-1], -1
 	return last
 }
 
 func (t *timers) init(r *Router) {
 	t.alarm = time.AfterFunc(time.Hour, func() {
-		r.execute(func() {
-			t.set = 0
-			r.batch()
+		r.runAsync(func() {
+			t.alarmAt = 0
+			r.runBatch()
 		})
 	})
 	t.alarm.Stop()
@@ -57,42 +57,42 @@
 
 // after sets a timer from now on.
 func (r *Router) after(d clock.Time, do func()) *timer {
-	r.timers.seq++
-	t := &timer{at: r.clock() + d, seq: r.timers.seq, do: do}
+	r.timers.lastSequence++
+	t := &timer{dueAt: r.clock() + d, sequence: r.timers.lastSequence, callback: do}
 	heap.Push(&r.timers, t)
 	r.setAlarm()
 	return t
 }
 
 func (r *Router) cancel(t *timer) {
-	if t != nil && t.slot >= 0 {
-		heap.Remove(&r.timers, t.slot)
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(&r.timers, t.heapIndex)
 	}
 }
 
 // tell leaves figures also while nothing happens.
-func (r *Router) tell() {
-	r.publish()
-	r.tellHolds()
-	r.after(2*r.lim.MetricsInterval, r.tell)
+func (r *Router) publishPeriodically() {
+	r.publishStats()
+	r.publishDescriptorCount()
+	r.after(2*r.limits.MetricsInterval, r.publishPeriodically)
 }
 
 // fire does what is due.
-func (r *Router) fire(now clock.Time) {
-	for len(r.timers.due) > 0 && r.timers.due[0].at <= now {
-		heap.Pop(&r.timers).(*timer).do()
+func (r *Router) fireTimers(now clock.Time) {
+	for len(r.timers.pending) > 0 && r.timers.pending[0].dueAt <= now {
+		heap.Pop(&r.timers).(*timer).callback()
 	}
 }
 
 // setAlarm wakes the loop for the first timer. An alarm that is too early is left: it finds nothing due.
 func (r *Router) setAlarm() {
 	t := &r.timers
-	if len(t.due) == 0 {
+	if len(t.pending) == 0 {
 		return
 	}
 	now := r.clock()
-	if first := t.due[0].at; t.set <= now || first < t.set {
-		t.set = max(first, now+1)
-		t.alarm.Reset(span(t.set - now))
+	if first := t.pending[0].dueAt; t.alarmAt <= now || first < t.alarmAt {
+		t.alarmAt = max(first, now+1)
+		t.alarm.Reset(toDuration(t.alarmAt - now))
 	}
 }
