--- a/internal/router/client_gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -13,29 +13,29 @@
 )
 
 // departure is a router of which each dial is held, with clients of one protocol that leave.
-type departure struct {
-	t       *testing.T
-	l       *notedLoop
-	dials   []heldDial
-	conns   []*notedConn // to servers, in the order in which they came up
-	clients map[string]*notedConn
-	offers  map[string]*ExternalRequest // of gRPC clients
-	byGRPC  bool
+type departureTest struct {
+	t            *testing.T
+	l            *fakeLoop
+	pendingDials []pendingDial
+	conns        []*fakeConn // to servers, in the order in which they came up
+	clients      map[string]*fakeConn
+	offers       map[string]*ExternalRequest // of gRPC clients
+	byGRPC       bool
 }
 
-type heldDial struct {
-	addr string
-	to   connHandler
+type pendingDial struct {
+	addr    string
+	handler connHandler
 }
 
 const (
-	originAddr = "127.0.0.1:1"
-	cacheAddr  = "127.0.0.1:2"
-	getBudget  = 2e6 // as held has it
+	originAddr       = "127.0.0.1:1"
+	cacheAddr        = "127.0.0.1:2"
+	getLatencyBudget = 2e6 // as held has it
 )
 
-func newDeparture(t *testing.T, byGRPC bool, change func(*routing.Settings)) *departure {
-	l, _ := held(t, change)
+func newDepartureTest(t *testing.T, byGRPC bool, change func(*routing.Settings)) *departureTest {
+	l, _ := newHeldDials(t, change)
 	// From here on time passes by a microsecond a reading, and else where the test has it pass: how long the machine takes must not
 	// decide which server a request goes to, or whether the loop counts as late.
 	passed := l.r.sinceStart()
@@ -43,25 +43,27 @@
 		passed += time.Microsecond
 		return passed
 	}
-	d := &departure{t: t, l: l, clients: map[string]*notedConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
+	test := &departureTest{t: t, l: l, clients: map[string]*fakeConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
 	close(l.r.ready)
 	l.r.limits.ExternalRequests = 100
 	for i := range l.r.cfg.Settings.Methods {
-		l.r.cfg.Settings.Methods[i].Deadline = getBudget
+		l.r.cfg.Settings.Methods[i].Deadline = getLatencyBudget
 	}
-	l.r.dialFunc = func(addr string, p connHandler, _ func(error)) { d.dials = append(d.dials, heldDial{addr, p}) }
-	return d
+	l.r.dialFunc = func(addr string, p connHandler, _ func(error)) {
+		test.pendingDials = append(test.pendingDials, pendingDial{addr, p})
+	}
+	return test
 }
 
 // asks has a client of its own ask.
-func (d *departure) asks(id, key, method string, write bool) {
+func (d *departureTest) sendRequest(id, key, method string, write bool) {
 	props := fmt.Sprintf("c=%s,d=1900", method)
 	if d.byGRPC {
 		request := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
 			Answer: func(wire.Answer) {}, Refuse: func(why RefusalReason) { d.t.Errorf("%s is refused: %d", id, why) }}
 		d.offers[id] = request
 		d.l.r.Submit(request)
-		d.l.rounds()
+		d.l.runQueued()
 		return
 	}
 	d.clients[id] = d.l.open(nil)
@@ -70,28 +72,28 @@
 		words = append(words, "v")
 		words[0] = "CACHE.SET"
 	}
-	d.l.comes(d.clients[id], command(words...))
+	d.l.receive(d.clients[id], command(words...))
 }
 
 // leaves has a client close its connection, or cancel its call.
-func (d *departure) leaves(id string) {
+func (d *departureTest) disconnect(id string) {
 	if d.byGRPC {
 		d.l.r.Withdraw(d.offers[id])
 	} else {
 		_ = d.l.Close(d.clients[id])
 	}
-	d.l.rounds()
+	d.l.runQueued()
 }
 
 // comesUp lets the first held dial to a server through.
-func (d *departure) comesUp(addr string) *notedConn {
+func (d *departureTest) completeDial(addr string) *fakeConn {
 	d.t.Helper()
-	for i, held := range d.dials {
+	for i, held := range d.pendingDials {
 		if held.addr == addr {
-			d.dials = append(d.dials[:i:i], d.dials[i+1:]...)
-			c := d.l.open(held.to)
+			d.pendingDials = append(d.pendingDials[:i:i], d.pendingDials[i+1:]...)
+			c := d.l.open(held.handler)
 			d.conns = append(d.conns, c)
-			d.l.rounds()
+			d.l.runQueued()
 			return c
 		}
 	}
@@ -100,15 +102,15 @@
 }
 
 // attempts counts those of a request that were begun.
-func (d *departure) attempts(id string) (n int) {
+func (d *departureTest) attempts(id string) (n int) {
 	for _, c := range d.conns {
-		n += strings.Count(c.wrote, id)
+		n += strings.Count(c.written, id)
 	}
 	return n
 }
 
 // begins fails the test unless so many attempts of a request have begun.
-func (d *departure) begins(id string, n int) {
+func (d *departureTest) wantAttempts(id string, n int) {
 	d.t.Helper()
 	if got := d.attempts(id); got != n {
 		d.t.Fatalf("%d attempts of %s have begun, not %d", got, id, n)
@@ -117,214 +119,214 @@
 
 // A client that closes its connection or cancels its call is gone: whatever its request was waiting for just then, no attempt
 // of it begins more than 0.1 s later, the first, a retry or a hedge.
-func TestNoAttemptForAClientThatIsGone(t *testing.T) {
-	never := func(s *routing.Settings) { s.CancelAllowed = false }
+func TestNoAttemptAfterClientLeft(t *testing.T) {
+	noCancel := func(s *routing.Settings) { s.CancelAllowed = false }
 	hedges := func(s *routing.Settings) { s.HedgingAllowed = true }
-	tell := map[string]struct {
+	cases := map[string]struct {
 		change func(*routing.Settings)
-		before func(d *departure) // what leads to it, of the request "gone"
+		before func(test *departureTest) // what leads to it, of the request "gone"
 	}{
-		"the first attempt waits for a connection":       {nil, firstWaits},
-		"the same, and attempts are not called off":      {never, firstWaits},
-		"a write waits for a connection to the origin":   {never, func(d *departure) { d.asks("gone", "k", "pay", true) }},
+		"the first attempt waits for a connection":       {nil, firstAttemptWaits},
+		"the same, and attempts are not called off":      {noCancel, firstAttemptWaits},
+		"a write waits for a connection to the origin":   {noCancel, func(test *departureTest) { test.sendRequest("gone", "k", "pay", true) }},
 		"a retry waits for a connection":                 {nil, retryWaits},
-		"a retry waits, and attempts are not called off": {never, retryWaits},
-		"a retry at the origin is scheduled": {nil, func(d *departure) {
-			d.asks("gone", "k", "get", true)
-			_ = d.l.Close(d.comesUp(originAddr))
-			d.l.rounds()
-			d.begins("gone", 1)
+		"a retry waits, and attempts are not called off": {noCancel, retryWaits},
+		"a retry at the origin is scheduled": {nil, func(test *departureTest) {
+			test.sendRequest("gone", "k", "get", true)
+			_ = test.l.Close(test.completeDial(originAddr))
+			test.l.runQueued()
+			test.wantAttempts("gone", 1)
 		}},
-		"it waits for room at its cache": {never, func(d *departure) {
+		"it waits for room at its cache": {noCancel, func(test *departureTest) {
 			for i := range 8 {
-				d.asks(fmt.Sprint("other", i), "k", "get", false)
-				d.comesUp(cacheAddr)
+				test.sendRequest(fmt.Sprint("other", i), "k", "get", false)
+				test.completeDial(cacheAddr)
 			}
-			d.asks("gone", "k", "get", false)
+			test.sendRequest("gone", "k", "get", false)
 		}},
-		"it waits for another's fetch of its key": {never, func(d *departure) {
-			d.asks("other", "k", "get", false)
-			d.l.comes(d.comesUp(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
-			d.comesUp(originAddr)
-			d.asks("gone", "k", "get", false)
+		"it waits for another's fetch of its key": {noCancel, func(test *departureTest) {
+			test.sendRequest("other", "k", "get", false)
+			test.l.receive(test.completeDial(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+			test.completeDial(originAddr)
+			test.sendRequest("gone", "k", "get", false)
 		}},
-		"a miss waits for a connection to the origin": {never, func(d *departure) {
-			d.asks("gone", "k", "get", false)
-			d.l.comes(d.comesUp(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
-			d.begins("gone", 1)
+		"a miss waits for a connection to the origin": {noCancel, func(test *departureTest) {
+			test.sendRequest("gone", "k", "get", false)
+			test.l.receive(test.completeDial(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+			test.wantAttempts("gone", 1)
 		}},
-		"a hedge is due later": {hedges, hedgeIsDue},
-		"a hedge waits for a connection": {hedges, func(d *departure) {
-			hedgeIsDue(d)
-			d.l.pass(500e3)
-			if len(d.dials) != 1 || d.dials[0].addr != originAddr {
-				d.t.Fatal("no hedge waits")
+		"a hedge is due later": {hedges, hedgeScheduled},
+		"a hedge waits for a connection": {hedges, func(test *departureTest) {
+			hedgeScheduled(test)
+			test.l.advance(500e3)
+			if len(test.pendingDials) != 1 || test.pendingDials[0].addr != originAddr {
+				test.t.Fatal("no hedge waits")
 			}
 		}},
 	}
-	for name, c := range tell {
+	for name, c := range cases {
 		for _, byGRPC := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, gRPC %v", name, byGRPC), func(t *testing.T) {
-				stays := newDeparture(t, byGRPC, c.change)
+				stays := newDepartureTest(t, byGRPC, c.change)
 				c.before(stays)
 				began := stays.attempts("gone")
-				stays.answerAllElse(began)
+				stays.answerOthers(began)
 				if stays.attempts("gone") == began {
 					t.Fatal("nor does one begin for a client that stays")
 				}
-				d := newDeparture(t, byGRPC, c.change)
-				c.before(d)
-				d.leaves("gone")
-				d.answerAllElse(began)
-				if n := d.attempts("gone"); n != began {
+				test := newDepartureTest(t, byGRPC, c.change)
+				c.before(test)
+				test.disconnect("gone")
+				test.answerOthers(began)
+				if n := test.attempts("gone"); n != began {
 					t.Errorf("%d attempts began after the client had gone", n-began)
 				}
-				if len(d.l.r.requests) != 0 {
-					t.Errorf("%d requests are left", len(d.l.r.requests))
+				if len(test.l.r.requests) != 0 {
+					t.Errorf("%d requests are left", len(test.l.r.requests))
 				}
 			})
 		}
 	}
 }
 
-func firstWaits(d *departure) { d.asks("gone", "k", "get", false) }
+func firstAttemptWaits(test *departureTest) { test.sendRequest("gone", "k", "get", false) }
 
-func retryWaits(d *departure) {
-	d.asks("gone", "k", "get", false)
-	d.l.ends(d.comesUp(cacheAddr), errIncompleteResponse)
-	d.l.rounds()
-	d.begins("gone", 1)
-	if len(d.dials) == 0 {
-		d.t.Fatal("no retry waits")
+func retryWaits(test *departureTest) {
+	test.sendRequest("gone", "k", "get", false)
+	test.l.closeWith(test.completeDial(cacheAddr), errIncompleteResponse)
+	test.l.runQueued()
+	test.wantAttempts("gone", 1)
+	if len(test.pendingDials) == 0 {
+		test.t.Fatal("no retry waits")
 	}
 }
 
-func hedgeIsDue(d *departure) {
-	d.asks("other", "k", "get", false)
-	c := d.comesUp(cacheAddr)
-	d.l.pass(100e3)
-	d.l.comes(c, hit)
-	d.asks("gone", "k", "get", false)
-	d.begins("gone", 1)
-	if len(d.dials) > 0 {
-		d.t.Fatal("a hedge waits already")
+func hedgeScheduled(test *departureTest) {
+	test.sendRequest("other", "k", "get", false)
+	c := test.completeDial(cacheAddr)
+	test.l.advance(100e3)
+	test.l.receive(c, hitReply)
+	test.sendRequest("gone", "k", "get", false)
+	test.wantAttempts("gone", 1)
+	if len(test.pendingDials) > 0 {
+		test.t.Fatal("a hedge waits already")
 	}
 }
 
 // answerAllElse lets time pass from a tenth of a second on: each dial comes up, and servers answer what is asked, but the first
 // attempts of the request that is gone.
-func (d *departure) answerAllElse(began int) {
-	d.l.pass(100e3)
+func (d *departureTest) answerOthers(began int) {
+	d.l.advance(100e3)
 	for range 60 {
-		for len(d.dials) > 0 {
-			d.comesUp(d.dials[0].addr)
+		for len(d.pendingDials) > 0 {
+			d.completeDial(d.pendingDials[0].addr)
 		}
 		for _, c := range d.conns {
 			up, is := c.ctx.(*upstream)
 			if c.closed || !is || up.attempt == nil || up.attempt.request.ID == "gone" && up.attempt.number < routing.Attempt(began) {
 				continue
 			}
-			text := hit
+			text := hitReply
 			if up.server.isOrigin {
 				text = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"
 			}
-			d.l.comes(c, text)
+			d.l.receive(c, text)
 		}
-		d.l.pass(50e3)
+		d.l.advance(50e3)
 	}
 }
 
 // The process stood still, and the loop has read a request, but not yet that its client has closed: no attempt of it begins, neither
 // on a connection that is open nor on one that comes up then.
-func TestNoAttemptForAnEndThatLiesUnread(t *testing.T) {
+func TestNoAttemptForAnUnreadDisconnect(t *testing.T) {
 	for _, late := range []bool{true, false} {
-		d := newDeparture(t, false, nil)
-		d.l.r.limits.LoopLagThreshold = 80e3
+		test := newDepartureTest(t, false, nil)
+		test.l.r.limits.LoopLagThreshold = 80e3
 		for range 30 { // it has been in time for long
-			d.l.pass(50e3)
+			test.l.advance(50e3)
 		}
-		d.asks("before", "k", "get", false)
-		server := d.comesUp(cacheAddr)
-		d.l.comes(server, hit)
-		open := func() (client *notedConn, closes func()) {
-			client = d.l.open(nil)
+		test.sendRequest("before", "k", "get", false)
+		server := test.completeDial(cacheAddr)
+		test.l.receive(server, hitReply)
+		open := func() (client *fakeConn, closeWaiting func()) {
+			client = test.l.open(nil)
 			var other int
-			client.fd, other = sockets(t)
+			client.fd, other = socketPair(t)
 			return client, func() {
 				if err := unix.Shutdown(other, unix.SHUT_RDWR); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		waits, closes := open()
-		gone, closesToo := open()
-		d.asks("other", "k", "get", false) // on the open connection
-		d.l.comes(waits, command("CACHE.GET", "k", "waits", "c=get,d=1900"))
-		closes()
-		closesToo()
+		waits, closeWaiting := open()
+		idle, closeIdle := open()
+		test.sendRequest("other", "k", "get", false) // on the open connection
+		test.l.receive(waits, command("CACHE.GET", "k", "waits", "c=get,d=1900"))
+		closeWaiting()
+		closeIdle()
 		if late {
-			d.l.pass(100e3)
+			test.l.advance(100e3)
 		}
-		up := d.comesUp(cacheAddr)
-		if got := strings.Contains(up.wrote, "waits"); got == late {
+		up := test.completeDial(cacheAddr)
+		if got := strings.Contains(up.written, "waits"); got == late {
 			t.Errorf("late: %v; begun on a connection that came up: %v", late, got)
 		}
-		d.l.comes(server, hit)
-		d.l.comes(gone, command("CACHE.GET", "k", "gone", "c=get,d=1900"))
-		if got := d.attempts("gone") > 0; got == late {
+		test.l.receive(server, hitReply)
+		test.l.receive(idle, command("CACHE.GET", "k", "gone", "c=get,d=1900"))
+		if got := test.attempts("gone") > 0; got == late {
 			t.Errorf("late: %v; begun on an open connection: %v", late, got)
 		}
-		for _, c := range []*notedConn{waits, gone} {
-			_ = d.l.Close(c)
+		for _, c := range []*fakeConn{waits, idle} {
+			_ = test.l.Close(c)
 		}
-		d.l.rounds()
-		if len(d.l.r.requests) != 0 {
-			t.Errorf("%d requests are left", len(d.l.r.requests))
+		test.l.runQueued()
+		if len(test.l.r.requests) != 0 {
+			t.Errorf("%d requests are left", len(test.l.r.requests))
 		}
 	}
 }
 
 // lateDeparture is a departure by gRPC of a request that waits for a connection, in a loop that is late.
-func lateDeparture(t *testing.T, id string) *departure {
+func newLateDeparture(t *testing.T, id string) *departureTest {
 	t.Helper()
-	d := newDeparture(t, true, nil)
-	d.l.r.limits.LoopLagThreshold = 80e3
+	test := newDepartureTest(t, true, nil)
+	test.l.r.limits.LoopLagThreshold = 80e3
 	for range 30 { // it has been in time for long
-		d.l.pass(50e3)
+		test.l.advance(50e3)
 	}
-	d.asks(id, "k", "get", false)
-	d.l.pass(100e3)
-	return d
+	test.sendRequest(id, "k", "get", false)
+	test.l.advance(100e3)
+	return test
 }
 
 // The process stood still, and the front has a call's cancel, which the loop has not come to: no attempt of it begins on a
 // connection that comes up then.
-func TestNoAttemptForACallThatWasWithdrawnAheadOfTheLoop(t *testing.T) {
-	d := lateDeparture(t, "gone")
-	d.l.r.Withdraw(d.offers["gone"])
-	d.comesUp(cacheAddr)
-	d.begins("gone", 0)
-	if d.l.r.external.openRequests != 0 || len(d.l.r.requests) != 0 {
-		t.Errorf("%d calls are open, %d requests are left", d.l.r.external.openRequests, len(d.l.r.requests))
+func TestNoAttemptForACallWithdrawnBeforeTheLoopReadsIt(t *testing.T) {
+	test := newLateDeparture(t, "gone")
+	test.l.r.Withdraw(test.offers["gone"])
+	test.completeDial(cacheAddr)
+	test.wantAttempts("gone", 0)
+	if test.l.r.external.openRequests != 0 || len(test.l.r.requests) != 0 {
+		t.Errorf("%d calls are open, %d requests are left", test.l.r.external.openRequests, len(test.l.r.requests))
 	}
 }
 
 // The same where the front has not read the cancel yet: the attempt waits for it. A call that goes on has its attempt then.
-func TestNoAttemptForACallWhoseEndLiesUnread(t *testing.T) {
+func TestNoAttemptForAnUnreadCancel(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
-		d := lateDeparture(t, "call")
+		test := newLateDeparture(t, "call")
 		unread, gone := true, false
-		d.offers["call"].HasUnreadInput = func() bool { return unread }
-		d.offers["call"].ClientGone = func() bool { return gone }
-		d.comesUp(cacheAddr)
-		d.l.pass(5e3)
-		d.begins("call", 0)
+		test.offers["call"].HasUnreadInput = func() bool { return unread }
+		test.offers["call"].ClientGone = func() bool { return gone }
+		test.completeDial(cacheAddr)
+		test.l.advance(5e3)
+		test.wantAttempts("call", 0)
 		unread, gone = false, cancelled
-		d.l.pass(5e3)
+		test.l.advance(5e3)
 		want := 1
 		if cancelled {
 			want = 0
 		}
-		d.begins("call", want)
+		test.wantAttempts("call", want)
 	}
 }
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -20,11 +20,11 @@
 var sentDeadline = regexp.MustCompile(`[ ,\n]d=([0-9]+)`)
 
 // deadlineIn returns the deadline, in milliseconds, of the last attempt that was written to a server's connection.
-func deadlineIn(t *testing.T, server *notedConn) int {
+func deadlineIn(t *testing.T, server *fakeConn) int {
 	t.Helper()
-	found := sentDeadline.FindAllStringSubmatch(server.wrote, -1)
+	found := sentDeadline.FindAllStringSubmatch(server.written, -1)
 	if len(found) == 0 {
-		t.Fatalf("no deadline in %q", server.wrote)
+		t.Fatalf("no deadline in %q", server.written)
 	}
 	ms, err := strconv.Atoi(found[len(found)-1][1])
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 // wantDeadline holds a deadline sent to what is left of a client's time, and not much less: a server is not to give up early.
-func wantDeadline(t *testing.T, server *notedConn, left int) {
+func wantDeadline(t *testing.T, server *fakeConn, left int) {
 	t.Helper()
 	const tolerance = 200 // for the real time that the test itself takes, in milliseconds
 	if sent := deadlineIn(t, server); sent > left || sent < left-tolerance {
@@ -43,20 +43,20 @@
 }
 
 // A big write is sent on as it comes, once there is a connection for it: its head carries what is left then.
-func TestDeadlineOfABigWriteWhoseConnectionComesUpLate(t *testing.T) {
-	l, up := held(t, nil)
-	l.r.loop = enrollsNobody{l}
+func TestDeadlineOfALargeWriteWithALateConnection(t *testing.T) {
+	l, up := newHeldDials(t, nil)
+	l.r.loop = failingEnrollLoop{l}
 	l.r.limits.RESP.Long, l.r.limits.LargeValueWindow, l.r.limits.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
 	client := l.open(nil)
-	client.fd, _ = sockets(t)
+	client.fd, _ = socketPair(t)
 	const size = 1 << 17
 	head := fmt.Sprintf("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$2\r\nr1\r\n$12\r\nc=get,d=1900\r\n$%d\r\nv", size)
-	l.comes(client, head)
-	l.pass(700e3)
+	l.receive(client, head)
+	l.advance(700e3)
 	var other int
-	l.fd, other = sockets(t)
+	l.fd, other = socketPair(t)
 	up()
-	server, err := net.FileConn(os.NewFile(uintptr(dup(t, other)), ""))
+	server, err := net.FileConn(os.NewFile(uintptr(duplicate(t, other)), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,10 +67,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantDeadline(t, &notedConn{wrote: string(read[:n])}, 1200)
+	wantDeadline(t, &fakeConn{written: string(read[:n])}, 1200)
 }
 
-func dup(t *testing.T, fd int) int {
+func duplicate(t *testing.T, fd int) int {
 	t.Helper()
 	other, err := unix.Dup(fd)
 	if err != nil {
@@ -80,60 +80,60 @@
 }
 
 const (
-	missed = "*3\r\n$-1\r\n$-1\r\n$-1\r\n"
-	erred  = "-ERR failed\r\n"
+	missReply  = "*3\r\n$-1\r\n$-1\r\n$-1\r\n"
+	errorReply = "-ERR failed\r\n"
 )
 
 func TestDeadlineOfAnAttemptAfterALateMiss(t *testing.T) {
-	l, up := held(t, nil)
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	cache := up()
 	wantDeadline(t, cache, 1900)
-	l.pass(600e3)
-	l.comes(cache, missed)
+	l.advance(600e3)
+	l.receive(cache, missReply)
 	wantDeadline(t, up(), 1300)
 }
 
 func TestDeadlineOfARetry(t *testing.T) {
-	l, up := held(t, nil)
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	cache := up()
-	l.pass(600e3)
-	l.comes(cache, erred)
-	l.pass(0)
+	l.advance(600e3)
+	l.receive(cache, errorReply)
+	l.advance(0)
 	retried := cache // on the same connection, or on a new one
-	if len(sentDeadline.FindAllString(cache.wrote, -1)) < 2 {
+	if len(sentDeadline.FindAllString(cache.written, -1)) < 2 {
 		retried = up()
 	}
 	wantDeadline(t, retried, 1300)
 }
 
 func TestDeadlineWhenTheConnectionComesUpLate(t *testing.T) {
-	l, up := held(t, nil)
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	l.pass(400e3)
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
+	l.advance(400e3)
 	cache := up()
 	wantDeadline(t, cache, 1500)
-	l.pass(300e3)
-	l.comes(cache, missed)
-	l.pass(500e3)
+	l.advance(300e3)
+	l.receive(cache, missReply)
+	l.advance(500e3)
 	wantDeadline(t, up(), 700)
 }
 
 func TestDeadlineOfAWrite(t *testing.T) {
-	l, up := held(t, nil)
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.SET", "k", "r1", "c=pay,d=1900", "v"))
-	l.pass(700e3)
+	l.receive(client, command("CACHE.SET", "k", "r1", "c=pay,d=1900", "v"))
+	l.advance(700e3)
 	wantDeadline(t, up(), 1200)
 }
 
 // A front off the loop gives the client's time in the call; its properties hold a placeholder.
-func TestDeadlineOfAnOffer(t *testing.T) {
-	l, up := held(t, func(s *routing.Settings) {
+func TestDeadlineOfAnExternalRequest(t *testing.T) {
+	l, up := newHeldDials(t, func(s *routing.Settings) {
 		for i := range s.Methods {
 			s.Methods[i].Deadline = 3e6
 		}
@@ -146,19 +146,19 @@
 	if !l.r.Submit(offer) {
 		t.Fatal("the offer is not taken")
 	}
-	l.rounds()
+	l.runQueued()
 	cache := up()
 	wantDeadline(t, cache, 1900)
-	l.pass(600e3)
-	l.comes(cache, missed)
+	l.advance(600e3)
+	l.receive(cache, missReply)
 	wantDeadline(t, up(), 1300)
 }
 
 // A router waits less for a cache than its client waits for it; the cache is sent the lesser.
-func TestDeadlineIsTheRoutersWhereThatIsLess(t *testing.T) {
-	l, up := held(t, nil)
+func TestDeadlineIsTheLesserOfRouterAndClient(t *testing.T) {
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	cache := up()
 	attempt := cache.ctx.(*upstream).attempt
 	attempt.timeout, attempt.request.clientDeadline = 500e3, attempt.startedAt+1900e3
@@ -173,22 +173,22 @@
 
 // A command that waited unread, since its client had as many in hand as it may have, is dated by when it came.
 func TestDeadlineOfACommandThatWaitedUnread(t *testing.T) {
-	l, up := held(t, nil)
+	l, up := newHeldDials(t, nil)
 	l.r.limits.PipelinedCommands = 1
 	client := l.open(nil)
 	for i := range 2 { // the second waits unread
-		l.comes(client, command("CACHE.GET", "k", fmt.Sprint("r", i), "c=get,d=1900"))
+		l.receive(client, command("CACHE.GET", "k", fmt.Sprint("r", i), "c=get,d=1900"))
 	}
 	cache := up()
-	l.pass(500e3)
-	l.comes(client, command("CACHE.GET", "k", "later", "c=get,d=1900"))
-	l.pass(100e3)
+	l.advance(500e3)
+	l.receive(client, command("CACHE.GET", "k", "later", "c=get,d=1900"))
+	l.advance(100e3)
 	const value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
-	l.comes(cache, value)
+	l.receive(cache, value)
 	wantDeadline(t, cache, 1300)
-	l.comes(cache, value)
+	l.receive(cache, value)
 	wantDeadline(t, cache, 1800)
-	if len(sentDeadline.FindAllString(cache.wrote, -1)) != 3 {
-		t.Errorf("the cache got %q", cache.wrote)
+	if len(sentDeadline.FindAllString(cache.written, -1)) != 3 {
+		t.Errorf("the cache got %q", cache.written)
 	}
 }
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -24,8 +24,8 @@
 // which the loop has not read, a dial that is held, a clock that is set on.
 
 // held returns a router whose dials wait to be let through, with two servers and the origin.
-func held(t *testing.T, change func(*routing.Settings)) (l *notedLoop, up func() *notedConn) {
-	cfg := notedConfig()
+func newHeldDials(t *testing.T, change func(*routing.Settings)) (l *fakeLoop, up func() *fakeConn) {
+	cfg := originOnlyConfig()
 	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.QuietClientAge = 60e6, 250e3, 50e3
 	cfg.Settings.MaxAttempts, cfg.Settings.CancelAllowed = 3, true
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 2e6, Criticality: 1},
@@ -35,27 +35,27 @@
 	if change != nil {
 		change(&cfg.Settings)
 	}
-	l = newLoop(t, cfg)
+	l = newFakeLoop(t, cfg)
 	var dials []connHandler
 	l.r.dialFunc = func(_ string, p connHandler, _ func(error)) { dials = append(dials, p) }
-	return l, func() *notedConn {
+	return l, func() *fakeConn {
 		if len(dials) == 0 {
 			t.Fatal("nobody dials")
 		}
 		p := dials[0]
 		dials = dials[1:]
 		c := l.open(p)
-		l.rounds()
+		l.runQueued()
 		return c
 	}
 }
 
-func (l *notedLoop) comes(c *notedConn, text string) {
+func (l *fakeLoop) receive(c *fakeConn, text string) {
 	c.in = append(c.in, text...)
 	if l.r.OnTraffic(c) != 0 {
 		_ = l.Close(c)
 	}
-	l.rounds()
+	l.runQueued()
 }
 
 func command(words ...string) string {
@@ -67,33 +67,33 @@
 }
 
 // pass sets the clock on.
-func (l *notedLoop) pass(by clock.Time) {
+func (l *fakeLoop) advance(by clock.Time) {
 	l.r.startWallClock += by
 	l.r.limits.StallThreshold = 1 << 60
 	l.r.runBatch()
-	l.rounds()
+	l.runQueued()
 }
 
 // A repeat that waits for a connection until its group may have forgotten the first is not sent any more.
-func TestRepeatOutOfItsWindow(t *testing.T) {
-	l, up := held(t, nil)
+func TestRetryOutsideDeduplicationWindowIsNotSent(t *testing.T) {
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
 	first := up()
-	l.pass(100e3)
+	l.advance(100e3)
 	_ = l.Close(first) // it may have run; the repeat waits for a new connection
-	l.rounds()
-	l.pass(350e3)
-	if second := up(); second.wrote != "" {
-		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.wrote)
+	l.runQueued()
+	l.advance(350e3)
+	if second := up(); second.written != "" {
+		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.written)
 	}
-	if client.wrote != "-ERR failed\r\n" {
-		t.Errorf("the client got %q", client.wrote)
+	if client.written != "-ERR failed\r\n" {
+		t.Errorf("the client got %q", client.written)
 	}
 }
 
 // sockets returns a real connection's two ends.
-func sockets(t *testing.T) (mine, others int) {
+func socketPair(t *testing.T) (mine, others int) {
 	two, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -107,20 +107,20 @@
 
 // A request lies in a client's socket when the loop comes to close the client: after a pause of the process its timers go before
 // its sockets. The client is not closed under it, by none of those who close clients that say nothing.
-func TestClientIsNotClosedUnderItsReq(t *testing.T) {
+func TestClientWithUnreadRequestIsNotClosed(t *testing.T) {
 	for name, closes := range map[string]func(*Router){
 		"sweep": (*Router).sweepConnections,
 		"shed":  func(r *Router) { r.shedClient(false) },
 		"drain": func(r *Router) { r.closingClients = true; r.closeIdleClients() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, _ := held(t, nil)
+			l, _ := newHeldDials(t, nil)
 			client, empty := l.open(nil), l.open(nil)
 			var other int
-			client.fd, other = sockets(t)
-			empty.fd, _ = sockets(t)
-			l.comes(client, command("PING"))
-			l.comes(empty, command("PING"))
+			client.fd, other = socketPair(t)
+			empty.fd, _ = socketPair(t)
+			l.receive(client, command("PING"))
+			l.receive(empty, command("PING"))
 			if _, err := unix.Write(other, []byte(command("CACHE.GET", "k", "r1", "c=get,d=1900"))); err != nil {
 				t.Fatal(err)
 			}
@@ -141,8 +141,8 @@
 }
 
 // A connection waits to be accepted when the last client is closed in a drain: the router does not end before it has it.
-func TestDrainWaitsForWhoComes(t *testing.T) {
-	l, _ := held(t, nil)
+func TestDrainWaitsForPendingConnections(t *testing.T) {
+	l, _ := newHeldDials(t, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -176,18 +176,18 @@
 }
 
 // enrollsNobody is a loop for which there is no descriptor left.
-type enrollsNobody struct{ *notedLoop }
+type failingEnrollLoop struct{ *fakeLoop }
 
-func (enrollsNobody) Enroll(_ context.Context, c net.Conn) (<-chan gnet.RegisteredResult, error) {
+func (failingEnrollLoop) Enroll(_ context.Context, c net.Conn) (<-chan gnet.RegisteredResult, error) {
 	out := make(chan gnet.RegisteredResult, 1)
 	out <- gnet.RegisteredResult{Err: unix.EMFILE}
 	return out, c.Close()
 }
 
 // A connection that is accepted, and for which there is no descriptor on the way to the loop, is not waited for in a drain.
-func TestDrainWaitsForNobody(t *testing.T) {
-	l, _ := held(t, nil)
-	l.r.loop = enrollsNobody{l}
+func TestDrainIgnoresFailedEnrolls(t *testing.T) {
+	l, _ := newHeldDials(t, nil)
+	l.r.loop = failingEnrollLoop{l}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 	}
 	defer c.Close()
 	_, _ = c.Read(make([]byte, 1)) // returns once it is closed there
-	for until := time.Now().Add(patience); l.r.takeover.enrolling.Load() != 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(eventTimeout); l.r.takeover.enrolling.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("somebody comes who was refused")
 		}
@@ -213,162 +213,162 @@
 	<-ended
 }
 
-const patience = 3 * time.Second
+const eventTimeout = 3 * time.Second
 
 // A list moves a server while a dial to its old address is out: what waits goes to the new one, and the old connection is
 // not used.
-func TestDialToWhereAServerWas(t *testing.T) {
-	l, up := held(t, nil)
+func TestDialToOutdatedAddressIsNotUsed(t *testing.T) {
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:9","model":"m","state":"active"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.r.applyEndpoints(list)
-	l.rounds()
-	if old := up(); old.wrote != "" || !old.closed {
-		t.Errorf("where it was there came %q, closed: %v", old.wrote, old.closed)
+	l.runQueued()
+	if old := up(); old.written != "" || !old.closed {
+		t.Errorf("where it was there came %q, closed: %v", old.written, old.closed)
 	}
-	if moved := up(); !strings.Contains(moved.wrote, "r1") || moved.ctx.(*upstream).addr != "127.0.0.1:9" {
-		t.Errorf("where it is there came %q", moved.wrote)
+	if moved := up(); !strings.Contains(moved.written, "r1") || moved.ctx.(*upstream).addr != "127.0.0.1:9" {
+		t.Errorf("where it is there came %q", moved.written)
 	}
 }
 
 // All that is in hand is answered by the end of the process, whatever its deadline, and what comes late as well.
-func TestAllIsAnsweredByTheEnd(t *testing.T) {
-	l, up := held(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
+func TestAllRequestsAreAnsweredByShutdownDeadline(t *testing.T) {
+	l, up := newHeldDials(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
 	close(l.r.ready)
 	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod = 3e6, 500e3
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer comes
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer comes
 	up()
-	l.comes(client, command("CACHE.GET", "k2", "r2", "c=get,d=6000")) // waits for a connection that does not come up
+	l.receive(client, command("CACHE.GET", "k2", "r2", "c=get,d=6000")) // waits for a connection that does not come up
 	l.r.Drain()
-	l.rounds()
-	l.pass(2.9e6)
+	l.runQueued()
+	l.advance(2.9e6)
 	late := command("CACHE.GET", "k3", "r3", "c=get,d=6000")
-	l.comes(client, late)
-	l.pass(200e3)
-	if n := strings.Count(client.wrote, "-BUSY"); n != 3 {
-		t.Error(fmt.Sprint(n, " of three reqs were answered by the end: ", client.wrote))
+	l.receive(client, late)
+	l.advance(200e3)
+	if n := strings.Count(client.written, "-BUSY"); n != 3 {
+		t.Error(fmt.Sprint(n, " of three reqs were answered by the end: ", client.written))
 	}
 }
 
 // A process that was told to end does so in its time also where idle clients come again as soon as they are closed.
-func TestDrain_EndsBesideClientsThatComeAgain(t *testing.T) {
-	l, _ := held(t, nil)
+func TestDrainEndsWhileClientsReconnect(t *testing.T) {
+	l, _ := newHeldDials(t, nil)
 	close(l.r.ready)
 	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod, l.r.limits.QuietClientAge = 3e6, 500e3, 50e3
 	l.r.Drain()
-	l.rounds()
+	l.runQueued()
 	const step = 20e3 // less than the age from which a client may be closed
 	for passed := clock.Time(0); passed <= 3200e3 && !l.r.stopped; passed += step {
 		for range 5 {
 			l.open(nil)
 		}
-		l.pass(step)
+		l.advance(step)
 	}
 	if !l.r.stopped {
 		t.Errorf("0.2 s behind its last moment it goes on, with %d clients", len(l.r.clients))
 	}
 }
 
-const hit = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+const hitReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
 // A server answers twice, the second time some milliseconds late. Once that was seen, a connection that has just been used is
 // not used again before a second answer would have come: the next client got it for its own.
-func TestSecondAnswerMeetsNobody(t *testing.T) {
-	l, up := held(t, nil)
+func TestDuplicateAnswerIsDropped(t *testing.T) {
+	l, up := newHeldDials(t, nil)
 	l.r.limits.ReuseDelay, l.r.limits.DuplicateMemory = 50e3, 30e6
 	client := l.open(nil)
-	ask := func(id string) { l.comes(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
+	ask := func(id string) { l.receive(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
 	ask("r1")
 	first := up()
-	l.comes(first, hit)
-	l.comes(first, hit) // seen: nobody had asked
+	l.receive(first, hitReply)
+	l.receive(first, hitReply) // seen: nobody had asked
 	if !first.closed {
 		t.Fatal("a connection with an answer too many is kept")
 	}
 	ask("r2")
 	second := up()
-	l.comes(second, hit)
+	l.receive(second, hitReply)
 	ask("r3")
 	third := up() // a connection of its own
-	l.comes(second, "*3\r\n$5\r\nagain\r\n$-1\r\n$-1\r\n")
-	if !second.closed || strings.Contains(client.wrote, "again") {
-		t.Errorf("the second answer is used: %q", client.wrote)
+	l.receive(second, "*3\r\n$5\r\nagain\r\n$-1\r\n$-1\r\n")
+	if !second.closed || strings.Contains(client.written, "again") {
+		t.Errorf("the second answer is used: %q", client.written)
 	}
-	l.comes(third, hit)
-	l.pass(60e3)
+	l.receive(third, hitReply)
+	l.advance(60e3)
 	ask("r4") // it has rested
-	if l.comes(third, hit); client.wrote != strings.Repeat("$1\r\nv\r\n", 4) {
-		t.Errorf("the client got %q", client.wrote)
+	if l.receive(third, hitReply); client.written != strings.Repeat("$1\r\nv\r\n", 4) {
+		t.Errorf("the client got %q", client.written)
 	}
 	ask("r5") // one that waits does not get one that was used just now
 	ask("r6")
-	l.comes(third, hit)
-	if strings.Contains(third.wrote, "r6") {
+	l.receive(third, hitReply)
+	if strings.Contains(third.written, "r6") {
 		t.Error("a connection goes on without a rest")
 	}
 }
 
 // A server has ended an idle connection, and the loop has not come to it: a request that must not run twice is not written to it,
 // where it would end as one that may have run.
-func TestEndedConnectionIsNotUsed(t *testing.T) {
-	l, up := held(t, nil)
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=pay,d=900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=pay,d=900"))
 	first := up()
-	l.comes(first, hit)
+	l.receive(first, hitReply)
 	var other int
-	first.fd, other = sockets(t)
-	l.comes(client, command("CACHE.GET", "k", "r2", "c=pay,d=900")) // open, and used
-	if l.comes(first, hit); !strings.Contains(first.wrote, "r2") {
+	first.fd, other = socketPair(t)
+	l.receive(client, command("CACHE.GET", "k", "r2", "c=pay,d=900")) // open, and used
+	if l.receive(first, hitReply); !strings.Contains(first.written, "r2") {
 		t.Error("an open connection is not used")
 	}
 	if err := unix.Shutdown(other, unix.SHUT_WR); err != nil {
 		t.Fatal(err)
 	}
-	l.comes(client, command("CACHE.GET", "k", "r3", "c=pay,d=900"))
-	if strings.Contains(first.wrote, "r3") {
+	l.receive(client, command("CACHE.GET", "k", "r3", "c=pay,d=900"))
+	if strings.Contains(first.written, "r3") {
 		t.Error("written to a connection that was ended")
 	}
-	if second := up(); !strings.Contains(second.wrote, "r3") {
+	if second := up(); !strings.Contains(second.written, "r3") {
 		t.Error("not written to a new one")
 	}
 }
 
 // After a pause of the process a connection comes up before the loop comes to its timers: what has waited for it past its
 // deadline, or past the window in which a repeat is known, is not sent.
-func TestConnectionComesBehindTheTime(t *testing.T) {
-	l, up := held(t, nil)
+func TestExpiredAttemptIsNotSentOnALateConnection(t *testing.T) {
+	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	l.r.startWallClock += 3e6
-	if late := up(); late.wrote != "" {
-		t.Errorf("1.1 s after the deadline there went out %q", late.wrote)
+	if late := up(); late.written != "" {
+		t.Errorf("1.1 s after the deadline there went out %q", late.written)
 	}
-	l, up = held(t, nil)
+	l, up = newHeldDials(t, nil)
 	client = l.open(nil)
-	l.comes(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
 	first := up()
-	l.pass(100e3)
+	l.advance(100e3)
 	_ = l.Close(first) // it may have run
-	l.rounds()
+	l.runQueued()
 	l.r.startWallClock += 350e3
-	if second := up(); second.wrote != "" {
-		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.wrote)
+	if second := up(); second.written != "" {
+		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.written)
 	}
 }
 
 // loaded is a router with the limits that a configuration leads to, and a dial to discovery that has been let through.
-func loaded(t *testing.T, asked string) (l *notedLoop, up func() *notedConn) {
+func newConfiguredRouter(t *testing.T, mode string) (l *fakeLoop, nextDial func() *fakeConn) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","limits":{"memory_mb":64,"sockets":256},`+
 		`"settings":{"balancers":1,"discovery":%q,"domain":{"mode":"aside","origin-kind":0},"flavors":["origin"],"policy-limits":{"send-cap":1},`+
-		`"rules":{},"resolution-s":0.001,"request-classes":[{"name":"get","effect":"free","slo-s":1,"deadline-s":1}]}}`, asked)
+		`"rules":{},"resolution-s":0.001,"request-classes":[{"name":"get","effect":"free","slo-s":1,"deadline-s":1}]}}`, mode)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -376,53 +376,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = newLoop(t, cfg)
+	l = newFakeLoop(t, cfg)
 	var dials []connHandler
 	l.r.dialFunc = func(_ string, p connHandler, _ func(error)) { dials = append(dials, p) }
 	l.r.restartWatch(cfg.Discovery)
-	return l, func() *notedConn {
+	return l, func() *fakeConn {
 		if len(dials) == 0 {
 			return nil
 		}
 		c := l.open(dials[0])
 		dials = dials[1:]
-		l.rounds()
+		l.runQueued()
 		return c
 	}
 }
 
 // Where lists are asked for a watch may wait for 20 s; one that has fallen silent is given up a second later, a second before
 // what it misses counts as told, and the whole list is asked for.
-func TestSilentWatchOnRequest(t *testing.T) {
+func TestSilentWatchIsReplaced(t *testing.T) {
 	const list = `{"rev":5,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`
-	l, up := loaded(t, "on_request")
+	l, up := newConfiguredRouter(t, "on_request")
 	first := up()
-	l.comes(first, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
-	if !strings.Contains(first.wrote, "index=5&wait=20000") {
-		t.Fatalf("it watches with %q", first.wrote)
+	l.receive(first, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
+	if !strings.Contains(first.written, "index=5&wait=20000") {
+		t.Fatalf("it watches with %q", first.written)
 	}
-	l.pass(20.9e6)
+	l.advance(20.9e6)
 	if first.closed {
 		t.Fatal("given up while an answer is due")
 	}
-	l.pass(0.2e6)
+	l.advance(0.2e6)
 	if !first.closed {
 		t.Fatal("21.1 s silent, and not given up")
 	}
 	for range 9 { // the decisions say when: within the second
 		if second := up(); second != nil {
-			if second.wrote != "GET /registry/instances HTTP/1.1\r\nHost: 127.0.0.1:2\r\n\r\n" {
-				t.Errorf("it goes on with %q", second.wrote)
+			if second.written != "GET /registry/instances HTTP/1.1\r\nHost: 127.0.0.1:2\r\n\r\n" {
+				t.Errorf("it goes on with %q", second.written)
 			}
 			return
 		}
-		l.pass(0.1e6)
+		l.advance(0.1e6)
 	}
 	t.Error("nobody asks for the list")
 }
 
 // A dial to discovery that hangs ends with an answer's slack, whatever servers may take to come up: a call waits behind it.
-func TestDialToDiscoveryHangs(t *testing.T) {
+func TestHangingDialToDiscoveryTimesOut(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -443,12 +443,12 @@
 		}
 		defer c.Close()
 	}
-	l, _ := loaded(t, "pushed")
+	l, _ := newConfiguredRouter(t, "pushed")
 	l.r.limits.ConnectTimeout, l.r.limits.WatchGrace = 60e6, 50e3
 	failed := make(chan error, 1)
 	l.r.pendingDials++
 	l.r.dialAsync(addr, l.r.watch, func(err error) { failed <- err })
-	for until := time.Now().Add(5 * time.Second); len(failed) == 0; l.rounds() {
+	for until := time.Now().Add(5 * time.Second); len(failed) == 0; l.runQueued() {
 		if time.Now().After(until) {
 			t.Fatal("the dial hangs on")
 		}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -28,13 +28,13 @@
 	f.Add([]byte{0, 1, 2, 4, 1, 2, 3, 5, 0, 7, 2, 5, 0})
 	f.Add([]byte{0, 1, 1, 4, 12, 0, 2, 3, 9, 9, 0, 2, 12, 2, 0, 7, 12, 4, 9, 99, 12, 6})
 	f.Add([]byte("commands, answers, breaks, lists and time-outs in some order, over and over; 0123456789"))
-	f.Fuzz(func(t *testing.T, steps []byte) { inThisOrder(t, steps, nil) })
+	f.Fuzz(func(t *testing.T, steps []byte) { runSteps(t, steps, nil) })
 }
 
 // TestRandomOrders plays some thousand random steps a hundred times; FuzzRouter looks for worse ones.
 func TestRandomOrders(t *testing.T) {
 	for seed := range byte(100) {
-		inThisOrder(t, randomSteps(seed), nil)
+		runSteps(t, randomSteps(seed), nil)
 	}
 }
 
@@ -45,22 +45,22 @@
 }
 
 // What the referee of random orders is for is found, wherever it comes in.
-func TestRandomOrdersFindPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*notedLoop){
-		"an answer is lost": func(l *notedLoop) {
+func TestRandomOrdersDetectInjectedFaults(t *testing.T) {
+	for name, inject := range map[string]func(*fakeLoop){
+		"an answer is lost": func(l *fakeLoop) {
 			for _, request := range l.r.requests {
 				request.finished = true
 				return
 			}
 		},
-		"an answer comes twice": func(l *notedLoop) {
+		"an answer comes twice": func(l *fakeLoop) {
 			for client := range l.r.clients {
 				client.write([]byte("-BUSY\r\n"))
 				return
 			}
 		},
-		"a connection is not counted": func(l *notedLoop) { l.r.serverConnCount++ },
-		"what may have run is told as never run": func(l *notedLoop) {
+		"a connection is not counted": func(l *fakeLoop) { l.r.serverConnCount++ },
+		"what may have run is told as never run": func(l *fakeLoop) {
 			for _, request := range l.r.requests {
 				for _, attempt := range slices.Clone(request.attempts) {
 					if attempt.fullySent && request.Write {
@@ -70,7 +70,7 @@
 				}
 			}
 		},
-		"a write-out to a server that goes": func(l *notedLoop) {
+		"a write-out to a server that goes": func(l *fakeLoop) {
 			for _, s := range l.r.servers {
 				for _, request := range l.r.requests {
 					if !s.ready && !request.finished && len(request.attempts) == 0 {
@@ -82,7 +82,7 @@
 				}
 			}
 		},
-		"a write-out for a req that is over": func(l *notedLoop) {
+		"a write-out for a req that is over": func(l *fakeLoop) {
 			for _, request := range l.r.requests {
 				if request.finished && len(request.attempts) == 0 {
 					for id := range l.r.servers {
@@ -94,23 +94,23 @@
 				}
 			}
 		},
-		"a drain leaves one in hand": func(l *notedLoop) { l.r.limits.ShutdownTimeout = 1e12 },
+		"a drain leaves one in hand": func(l *fakeLoop) { l.r.limits.ShutdownTimeout = 1e12 },
 	} {
 		found := 0
 		for seed := range byte(10) {
-			left := 200 // steps until it strikes
-			told := &judged{TB: t}
+			stepsLeft := 200 // steps until it strikes
+			recorder := &failureRecorder{TB: t}
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				defer func() { told.said = told.said || recover() != nil }()
-				inThisOrder(told, randomSteps(seed), func(l *notedLoop) {
-					if left--; left <= 0 && left%3 == 0 {
-						plant(l)
+				defer func() { recorder.failed = recorder.failed || recover() != nil }()
+				runSteps(recorder, randomSteps(seed), func(l *fakeLoop) {
+					if stepsLeft--; stepsLeft <= 0 && stepsLeft%3 == 0 {
+						inject(l)
 					}
 				})
 			}()
-			if <-done; told.said {
+			if <-done; recorder.failed {
 				found++
 			}
 		}
@@ -121,23 +121,23 @@
 }
 
 // judged notes that a test would fail.
-type judged struct {
+type failureRecorder struct {
 	testing.TB
-	said bool
+	failed bool
 }
 
-func (j *judged) Errorf(string, ...any) { j.said = true }
-func (j *judged) Fatalf(string, ...any) {
-	j.said = true
+func (f *failureRecorder) Errorf(string, ...any) { f.failed = true }
+func (f *failureRecorder) Fatalf(string, ...any) {
+	f.failed = true
 	runtime.Goexit()
 }
 
 // kinds of steps, each as often as keeps requests coming, going out and being answered: with all alike hardly one got so far.
-var kinds = []byte{0, 0, 0, 0, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 7, 7, 7, 7, 7, 8, 9, 9, 10, 11, 11, 11, 11, 11, 11, 12, 13}
+var stepKinds = []byte{0, 0, 0, 0, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 7, 7, 7, 7, 7, 8, 9, 9, 10, 11, 11, 11, 11, 11, 11, 12, 13}
 
 // inThisOrder plays steps; after each, also does something else, if there is something.
-func inThisOrder(t testing.TB, steps []byte, also func(*notedLoop)) {
-	cfg := notedConfig()
+func runSteps(t testing.TB, steps []byte, afterStep func(*fakeLoop)) {
+	cfg := originOnlyConfig()
 	// Little room, so that clients stall, dials wait and connections are shed.
 	cfg.Limits.Descriptors, cfg.Limits.MaxDescriptors, cfg.Limits.ServerConnections = 12, 14, 6
 	cfg.Limits.PipelinedCommands, cfg.Limits.RequestBytes, cfg.Limits.QuietClientAge, cfg.Limits.ClientWriteTimeout = 3, 100, 10e3, 1e6
@@ -147,7 +147,7 @@
 	cfg.SavedEndpoints = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:2","model":"m","state":"active"},` +
 		`{"uid":"u","endpoint":"127.0.0.1:3","model":"m","state":"active"}]}`)
-	l := newLoop(t, cfg)
+	l := newFakeLoop(t, cfg)
 	r := l.r
 	type dial struct {
 		p      connHandler
@@ -155,20 +155,20 @@
 	}
 	var dials []dial
 	r.dialFunc = func(_ string, p connHandler, failed func(error)) { dials = append(dials, dial{p, failed}) }
-	clients, servers := []*notedConn{l.open(nil)}, []*notedConn(nil)
-	asked, out := map[*notedConn]int{}, map[string]clock.Time{}
+	clients, servers := []*fakeConn{l.open(nil)}, []*fakeConn(nil)
+	commandsSent, bannedAt := map[*fakeConn]int{}, map[string]clock.Time{}
 	close(r.ready)
 	r.limits.ShutdownTimeout, r.limits.DrainAcceptPeriod, r.limits.LargeValueRetryInterval = 3e6, 500e3, 5e3
-	endBy := clock.Time(0)    // by when all is answered, after SIGTERM
-	gone := map[string]bool{} // that drain, or are no more, by the last list
+	endBy := clock.Time(0)           // by when all is answered, after SIGTERM
+	unavailable := map[string]bool{} // that drain, or are no more, by the last list
 	type sent struct {
-		on      *notedConn
+		on      *fakeConn
 		attempt *activeAttempt
 	}
-	outs := map[sent]bool{}               // that were there after the last step; true: the last byte had left
-	ran := map[routing.RequestID]string{} // that may have run, and where
-	never := (*activeAttempt)(nil)        // answered in this step as never run
-	traffic := func(c *notedConn) {
+	outstanding := map[sent]bool{}               // that were there after the last step; true: the last byte had left
+	mayHaveRun := map[routing.RequestID]string{} // that may have run, and where
+	neverRan := (*activeAttempt)(nil)            // answered in this step as never run
+	traffic := func(c *fakeConn) {
 		if r.OnTraffic(c) == gnet.Close {
 			_ = l.Close(c)
 		}
@@ -186,10 +186,10 @@
 		r.pendingDials--
 		d.failed(errors.New("refused"))
 	}
-	open := func(of []*notedConn) []*notedConn {
-		return slices.DeleteFunc(slices.Clone(of), func(c *notedConn) bool { return c.closed })
+	open := func(of []*fakeConn) []*fakeConn {
+		return slices.DeleteFunc(slices.Clone(of), func(c *fakeConn) bool { return c.closed })
 	}
-	pick := func(from []*notedConn, n byte) *notedConn { // one that is open; nil: there is none
+	pick := func(from []*fakeConn, n byte) *fakeConn { // one that is open; nil: there is none
 		if from = open(from); len(from) > 0 {
 			return from[int(n)%len(from)]
 		}
@@ -200,10 +200,10 @@
 			break
 		}
 		n := steps[i+1]
-		switch kind := kinds[int(steps[i])%len(kinds)]; kind {
+		switch kind := stepKinds[int(steps[i])%len(stepKinds)]; kind {
 		case 0, 1, 2:
 			if c := pick(clients, n); c != nil {
-				asked[c]++
+				commandsSent[c]++
 				if kind == 2 {
 					c.in = append(c.in, "*2\r\n$4\r\nPING\r\n$1\r\nx\r\n"...)
 					traffic(c)
@@ -232,7 +232,7 @@
 					break
 				}
 				if len(c.in) == 0 && n%6 == 2 {
-					never = c.ctx.(*upstream).attempt
+					neverRan = c.ctx.(*upstream).attempt
 				}
 				c.in = append(c.in, []string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 5",
 					"HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
@@ -241,12 +241,12 @@
 			}
 		case 6:
 			if c := pick(servers, n); c != nil && n/16%2 == 0 {
-				l.ends(c, os.NewSyscallError("read", unix.ECONNRESET))
+				l.closeWith(c, os.NewSyscallError("read", unix.ECONNRESET))
 			} else if c != nil {
 				if bytes.Contains(c.in, []byte("half")) {
 					c.in = append(c.in, ", whole"...)
 				}
-				l.ends(c, os.NewSyscallError("read", io.EOF))
+				l.closeWith(c, os.NewSyscallError("read", io.EOF))
 			}
 		case 7:
 			dialled(n%4 > 0)
@@ -257,43 +257,43 @@
 				`"127.0.0.1:%d","model":%q,"state":%q}]}`, i+2, n%64 == 0, uid, 1+n/128%2, kind, state)); err == nil {
 				r.applyEndpoints(list)
 				if n%64 == 0 {
-					gone = map[string]bool{"o": true, "s": true, "u": true}
+					unavailable = map[string]bool{"o": true, "s": true, "u": true}
 				}
-				gone[uid] = state != "active"
+				unavailable[uid] = state != "active"
 			}
 		case 9:
 			r.startWallClock += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
 			r.runBatch()
 		case 10:
 			if c := pick(servers, n); c != nil {
-				c.left = int(n) % 8 / 7
+				c.outboundBytes = int(n) % 8 / 7
 			}
 		case 11:
-			l.rounds()
+			l.runQueued()
 		case 12: // operators take out and give back, drain and undo it
-			asked, uid := r.operator.state, []string{"s", "u"}[n%2]
-			asked.UnbannedAt = map[string]int64{}
+			commandsSent, uid := r.operator.state, []string{"s", "u"}[n%2]
+			commandsSent.UnbannedAt = map[string]int64{}
 			switch n / 2 % 4 {
 			case 0:
-				if !asked.IsBanned(uid) {
-					out[uid] = r.clock()
+				if !commandsSent.IsBanned(uid) {
+					bannedAt[uid] = r.clock()
 				}
-				_ = asked.Ban(uid)
+				_ = commandsSent.Ban(uid)
 			case 1:
-				asked.Unban(uid, time.UnixMicro(int64(r.clock())))
+				commandsSent.Unban(uid, time.UnixMicro(int64(r.clock())))
 			default:
-				asked.Drain = n/2%4 == 2
+				commandsSent.Drain = n/2%4 == 2
 			}
-			r.applyOperatorState(asked)
+			r.applyOperatorState(commandsSent)
 		case 13:
 			if n < 4 && !r.draining {
 				endBy = r.clock() + 3e6
 				r.Drain()
-				l.rounds()
+				l.runQueued()
 			}
 		}
-		if also != nil {
-			also(l)
+		if afterStep != nil {
+			afterStep(l)
 		}
 		inHand := 0
 		for _, request := range r.requests {
@@ -304,29 +304,29 @@
 		if r.publishStats(); r.operator.stats.Load().openRequests != inHand {
 			t.Fatalf("%d reqs are open, and %d said to be", inHand, r.operator.stats.Load().openRequests)
 		}
-		for s, whole := range outs {
+		for s, whole := range outstanding {
 			up, on := s.on.ctx.(*upstream)
-			if whole && s.attempt != never && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
-				ran[s.attempt.request.ID] = string(r.endpoints.UID(s.attempt.server.id))
+			if whole && s.attempt != neverRan && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
+				mayHaveRun[s.attempt.request.ID] = string(r.endpoints.UID(s.attempt.server.id))
 			}
 		}
-		never = nil
-		was := outs
-		outs = map[sent]bool{}
+		neverRan = nil
+		previous := outstanding
+		outstanding = map[sent]bool{}
 		carried := map[*pendingRequest]int{}
 		for _, c := range servers {
 			if up, ok := c.ctx.(*upstream); ok && up.attempt != nil {
 				attempt := up.attempt
-				outs[sent{c, attempt}] = c.left == 0
-				if _, old := was[sent{c, attempt}]; !old {
-					if at, may := ran[attempt.request.ID]; may {
+				outstanding[sent{c, attempt}] = c.outboundBytes == 0
+				if _, old := previous[sent{c, attempt}]; !old {
+					if at, may := mayHaveRun[attempt.request.ID]; may {
 						t.Fatalf("%s is sent again, and may have run at %s", attempt.request.ID, at)
 					}
-					if attempt.request.finished || gone[string(r.endpoints.UID(attempt.server.id))] {
-						t.Fatalf("%s is sent to %v, over: %v, gone: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, gone)
+					if attempt.request.finished || unavailable[string(r.endpoints.UID(attempt.server.id))] {
+						t.Fatalf("%s is sent to %v, over: %v, gone: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, unavailable)
 					}
 				}
-				if uid := string(r.endpoints.UID(up.server.id)); uid != "" && up.server.banned && up.attempt.startedAt > out[uid] {
+				if uid := string(r.endpoints.UID(up.server.id)); uid != "" && up.server.banned && up.attempt.startedAt > bannedAt[uid] {
 					t.Fatalf("a write-out to %s, which is out", uid)
 				}
 				most := 1
@@ -342,34 +342,34 @@
 	if !r.draining {
 		endBy = r.clock() + 3e6
 		r.Drain()
-		l.rounds()
+		l.runQueued()
 	}
 	r.startWallClock += max(0, endBy+50e3-r.clock())
 	r.runBatch()
-	l.rounds()
+	l.runQueued()
 	for _, request := range r.requests {
 		if !request.finished {
 			t.Fatalf("%s is in hand after the end of the drain", request.ID)
 		}
 	}
 	for range 400 + len(steps)/2 { // all deadlines pass, and what is out comes to its end, also of a thousand pipelined commands
-		l.rounds()
+		l.runQueued()
 		dialled(false)
 		r.startWallClock += 1e6
 		r.runBatch()
 	}
-	l.rounds()
+	l.runQueued()
 	for _, c := range clients {
 		answers := 0
-		for rest := []byte(c.wrote); len(rest) > 0; answers++ {
+		for rest := []byte(c.written); len(rest) > 0; answers++ {
 			a, used, err := resp.ReadReply(rest, r.limits.RESP)
 			if err != nil || used == 0 || bytes.Contains(a.Text, []byte("half")) && !bytes.HasSuffix(a.Text, []byte("whole")) {
-				t.Fatalf("a client got %q", c.wrote)
+				t.Fatalf("a client got %q", c.written)
 			}
 			rest = rest[used:]
 		}
-		if !c.closed && answers != asked[c] || answers > asked[c] {
-			t.Errorf("%d commands got %d answers: %q", asked[c], answers, c.wrote)
+		if !c.closed && answers != commandsSent[c] || answers > commandsSent[c] {
+			t.Errorf("%d commands got %d answers: %q", commandsSent[c], answers, c.written)
 		}
 	}
 	n := r.counts
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -19,7 +19,7 @@
 
 // handoverTest is a router that serves, and the connection of a successor to it.
 type handoverTest struct {
-	r         *Router
+	router    *Router
 	store     *operatorstate.Store // the successor's, of the same file
 	successor *handover.Conn
 }
@@ -27,7 +27,7 @@
 // newHandoverTest returns the two before the successor has said Hello. The router's loop runs until the test ends.
 func newHandoverTest(t *testing.T) *handoverTest {
 	t.Helper()
-	l, _, _ := newNoted(t)
+	l, _, _ := newConnectedOrigin(t)
 	r := l.r
 	r.cfg.Limits.MemoryBytes = 1 << 30
 	r.limits.AdminCallTimeout = 10 * clock.Second
@@ -40,12 +40,12 @@
 	r.takeover.listener = ln.(*net.TCPListener)
 	successor, predecessor := connectHandover(t, dir)
 	close(r.ready)
-	h := &handoverTest{r: r, store: operatorstate.Open(dir, "r", nil), successor: successor}
+	h := &handoverTest{router: r, store: operatorstate.Open(dir, "r", nil), successor: successor}
 	stop, stopped, served := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
 		for {
-			l.rounds()
+			l.runQueued()
 			select {
 			case <-stop:
 				return
@@ -121,17 +121,17 @@
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
 	const changes = 200
-	err := h.r.runOnLoop(func() {
+	err := h.router.runOnLoop(func() {
 		for n := range changes {
-			h.r.operator.state = operatorstate.State{Banned: []string{fmt.Sprintf("change-%05d", n+1)}}
-			h.r.publishOperatorState()
+			h.router.operator.state = operatorstate.State{Banned: []string{fmt.Sprintf("change-%05d", n+1)}}
+			h.router.publishOperatorState()
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // what is on its way is sent
-	h.r.OfferTransfer(func() []byte { return nil })
+	h.router.OfferTransfer(func() []byte { return nil })
 	received := ""
 	h.receiveUntil(t, handover.LeaseTransfer, func(state operatorFrame) {
 		if state.Banned[0] < received {
@@ -163,13 +163,13 @@
 func TestHandover_AChangeDuringTheFirstFramesArrivesLast(t *testing.T) {
 	h := newHandoverTest(t)
 	greeted, proceed := make(chan struct{}), make(chan struct{})
-	h.r.log.AddHook(hookOnMessage{"another process is to replace this one", func() {
+	h.router.log.AddHook(hookOnMessage{"another process is to replace this one", func() {
 		close(greeted)
 		<-proceed
 	}})
 	h.sendHello(t)
 	<-greeted // the state has been encoded
-	if err := h.r.SetDraining(true); err != nil {
+	if err := h.router.SetDraining(true); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(20 * time.Millisecond) // what is on its way is sent
@@ -177,7 +177,7 @@
 	var state operatorFrame
 	keep := func(received operatorFrame) { state = received }
 	h.receiveUntil(t, handover.Snapshot, keep)
-	h.r.OfferTransfer(func() []byte { return nil })
+	h.router.OfferTransfer(func() []byte { return nil })
 	h.receiveUntil(t, handover.LeaseTransfer, keep)
 	if !state.Drain {
 		t.Error("the successor received the drain before the state without it")
@@ -185,7 +185,7 @@
 }
 
 // A successor that does not read costs one waiting transfer, however many are offered.
-func TestHandover_TransfersDoNotPileUp(t *testing.T) {
+func TestHandover_TransfersDoNotAccumulate(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
@@ -193,7 +193,7 @@
 	before := runtime.NumGoroutine()
 	const offers = 100
 	for range offers {
-		h.r.OfferTransfer(func() []byte { return large })
+		h.router.OfferTransfer(func() []byte { return large })
 	}
 	time.Sleep(200 * time.Millisecond)
 	if after := runtime.NumGoroutine(); after > before+10 {
@@ -203,7 +203,7 @@
 
 // Two processes are asked for a change each at the same time: the later of the file holds in both, though the earlier's frame
 // comes after it.
-func TestHandover_ChangesThatCrossEndWithTheFile(t *testing.T) {
+func TestHandover_ConcurrentChangesConvergeOnTheFile(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.r.SetDraining(true); err != nil { // reads their ban from the file
+	if err := h.router.SetDraining(true); err != nil { // reads their ban from the file
 		t.Fatal(err)
 	}
 	text, err := json.Marshal(operatorFrame{State: theirs})
@@ -223,7 +223,7 @@
 	}
 	h.awaitDescriptorCount(t, 77)
 	var state operatorstate.State
-	if err := h.r.runOnLoop(func() { state = h.r.operator.state }); err != nil {
+	if err := h.router.runOnLoop(func() { state = h.router.operator.state }); err != nil {
 		t.Fatal(err)
 	}
 	if !state.Drain || !state.IsBanned("x") {
@@ -237,7 +237,7 @@
 	if err := h.successor.Send(handover.Frame{Kind: handover.DescriptorCount, Body: strconv.AppendInt(nil, int64(count), 10)}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.peerDescriptors[1] == count })
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.peerDescriptors[1] == count })
 }
 
 // awaitOnLoop returns once something has happened, by the loop's state.
@@ -245,7 +245,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		var done bool
-		if err := h.r.runOnLoop(func() { done = happened() }); err != nil {
+		if err := h.router.runOnLoop(func() { done = happened() }); err != nil {
 			t.Fatal(err)
 		}
 		if done {
@@ -256,35 +256,35 @@
 }
 
 // handOnAndLoseSuccessor has the router hand its clients on to the successor, which another process replaces, and the successor end.
-func (h *handoverTest) handOnAndLoseSuccessor(t *testing.T, name string) (next *net.UnixListener) {
+func (h *handoverTest) handOverAndLoseSuccessor(t *testing.T, name string) (next *net.UnixListener) {
 	t.Helper()
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
 	if err := h.successor.Send(handover.Frame{Kind: handover.Ready}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.handingOver })
-	next, err := handover.Listen(h.r.takeover.socketDir, name)
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.handingOver })
+	next, err := handover.Listen(h.router.takeover.socketDir, name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { next.Close() })
 	h.successor.Close()
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.successor == nil })
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.successor == nil })
 	return next
 }
 
 // The name stays with the process that has replaced a successor, whatever becomes of the successor: the next process finds it. That
 // holds for a router that is told to end as for one that goes on.
-func TestHandover_TheNameStaysWithTheLastSuccessor(t *testing.T) {
-	for _, isTold := range []bool{false, true} {
+func TestHandover_SocketNameStaysWithTheLastSuccessor(t *testing.T) {
+	for _, draining := range []bool{false, true} {
 		h := newHandoverTest(t)
 		const name = "r.sock"
 		h.onLoop(t, func() {
-			h.r.takeover.socketDir, h.r.takeover.socketName = t.TempDir(), name
-			h.r.hasUsableServer, h.r.draining = true, isTold
+			h.router.takeover.socketDir, h.router.takeover.socketName = t.TempDir(), name
+			h.router.hasUsableServer, h.router.draining = true, draining
 		})
-		next := h.handOnAndLoseSuccessor(t, name)
+		next := h.handOverAndLoseSuccessor(t, name)
 		found := make(chan error, 1)
 		go func() {
 			conn, err := handover.Accept(next)
@@ -299,7 +299,7 @@
 			found <- err
 		}()
 		time.Sleep(300 * time.Millisecond) // the router does what it does about its name
-		conn, err := handover.Dial(h.r.takeover.socketDir, name, time.Second)
+		conn, err := handover.Dial(h.router.takeover.socketDir, name, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,7 +313,7 @@
 				t.Error(err)
 			}
 		case <-time.After(3 * time.Second):
-			t.Errorf("told to end: %v; the next process finds another one than the last successor", isTold)
+			t.Errorf("told to end: %v; the next process finds another one than the last successor", draining)
 		}
 	}
 }
@@ -321,7 +321,7 @@
 // onLoop runs a function on the loop.
 func (h *handoverTest) onLoop(t *testing.T, f func()) {
 	t.Helper()
-	if err := h.r.runOnLoop(f); err != nil {
+	if err := h.router.runOnLoop(f); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/router/learned_state_test.go
+++ b/internal/router/learned_state_test.go
@@ -12,24 +12,24 @@
 )
 
 // What another service's router has learned is left alone, and a line names both.
-func TestLearnedByAnotherService(t *testing.T) {
-	l, _, _ := newNoted(t)
-	var said strings.Builder
-	l.r.log.SetOutput(&said)
+func TestStateOfAnotherServiceIsIgnored(t *testing.T) {
+	l, _, _ := newConnectedOrigin(t)
+	var logged strings.Builder
+	l.r.log.SetOutput(&logged)
 	l.r.ConfigureSnapshots(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
 		Servers: []snapshot.Server{{UID: "o"}}}, 1e6, func(snapshot.State) {})
 	l.r.batchTime = l.r.clock()
 	l.r.restoreLearned()
-	if len(l.r.learned.unlistedServers) > 0 || !strings.Contains(said.String(), "methods tile, and this router serves one with pay") {
-		t.Errorf("%d servers of it are known; %s", len(l.r.learned.unlistedServers), said.String())
+	if len(l.r.learned.unlistedServers) > 0 || !strings.Contains(logged.String(), "methods tile, and this router serves one with pay") {
+		t.Errorf("%d servers of it are known; %s", len(l.r.learned.unlistedServers), logged.String())
 	}
 }
 
 // What one router knew the next begins with, for the servers that its lists name and by their names.
-func TestRemembers(t *testing.T) {
-	l, client, _ := newNoted(t)
-	client.asks(l.r, "r1")
-	l.rounds()
+func TestLearnedStateIsRestored(t *testing.T) {
+	l, client, _ := newConnectedOrigin(t)
+	client.sendWrites(l.r, "r1")
+	l.runQueued()
 	old := snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: l.r.cfg.Settings.Methods[0].Name, Latency: 7000}},
 		Knowledge: routing.Knowledge{CapturedAt: l.r.clock(), ObservedFor: 60e6, CacheLatency: routing.LatencySummary{Recent: 3000, Mean: 3000, Fastest: 2000, Samples: 32}}}
 	for i := range 3 {
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		r.applyEndpoints(got)
-		l.rounds()
+		l.runQueued()
 	}
 	known := func() map[string]clock.Time {
 		out := map[string]clock.Time{}
@@ -76,8 +76,8 @@
 }
 
 // States are handed over again and again, and not at the same moments by all routers.
-func TestHandsOver(t *testing.T) {
-	l, _, _ := newNoted(t)
+func TestSnapshotsAreSubmittedPeriodically(t *testing.T) {
+	l, _, _ := newConnectedOrigin(t)
 	r := l.r
 	n := 0
 	r.ConfigureSnapshots(nil, 20e3, func(s snapshot.State) { n++ })
@@ -92,7 +92,7 @@
 
 // BenchmarkState is what the loop pays for handing over what it knows of 150 servers: at most 100 us are granted.
 func BenchmarkState(b *testing.B) {
-	l, _, _ := newNoted(b)
+	l, _, _ := newConnectedOrigin(b)
 	r := l.r
 	body := `{"rev":9,"all":true,"targets":[`
 	var known []routing.ServerKnowledge
--- a/internal/router/loop_call_test.go
+++ b/internal/router/loop_call_test.go
@@ -11,9 +11,9 @@
 )
 
 // newBusyLoop returns a router that serves and whose loop runs only by rounds, so that each call to it comes too late.
-func newBusyLoop(t *testing.T) *notedLoop {
+func newIdleLoop(t *testing.T) *fakeLoop {
 	t.Helper()
-	l, _, _ := newNoted(t)
+	l, _, _ := newConnectedOrigin(t)
 	l.r.limits.AdminCallTimeout = clock.Millisecond
 	close(l.r.ready)
 	return l
@@ -21,12 +21,12 @@
 
 // A policy that was reported as not in force does not come into force later, over what has been set since.
 func TestSetPolicy_HasNoEffectAfterAnError(t *testing.T) {
-	l := newBusyLoop(t)
+	l := newIdleLoop(t)
 	err := l.r.SetPolicy(l.r.cfg.Settings, []string{"o"})
 	if !errors.Is(err, errBusy) {
 		t.Fatalf("with a busy loop: got %v, want %v", err, errBusy)
 	}
-	l.rounds()
+	l.runQueued()
 	if l.r.fleet.policyBans["o"] {
 		t.Error("the policy came into force after its error")
 	}
@@ -34,7 +34,7 @@
 
 // Neither do orders on sites and shares of the fleet's limits.
 func TestSetSiteOrdersAndSetShare_HaveNoEffectAfterAnError(t *testing.T) {
-	l := newBusyLoop(t)
+	l := newIdleLoop(t)
 	orders := routing.FailoverOrders{MinimumRank: 2}
 	if _, err := l.r.SetSiteOrders(orders, time.Now().Add(time.Hour)); !errors.Is(err, errBusy) {
 		t.Fatalf("SetSiteOrders with a busy loop: got %v, want %v", err, errBusy)
@@ -42,7 +42,7 @@
 	if err := l.r.SetShare(fleet.Share{Current: 0.5, AfterExpiry: 0.5}); !errors.Is(err, errBusy) {
 		t.Fatalf("SetShare with a busy loop: got %v, want %v", err, errBusy)
 	}
-	l.rounds()
+	l.runQueued()
 	if l.r.fleet.siteOrders.MinimumRank != 0 || l.r.fleet.share != 0 {
 		t.Errorf("came into force after their errors: orders %+v, share %v", l.r.fleet.siteOrders, l.r.fleet.share)
 	}
@@ -50,7 +50,7 @@
 
 // A call that comes before the loop runs ends by its time limit; its caller has to end with the process.
 func TestSetPolicy_ReturnsWhereTheLoopNeverRuns(t *testing.T) {
-	l, _, _ := newNoted(t)
+	l, _, _ := newConnectedOrigin(t)
 	l.r.limits.AdminCallTimeout = clock.Millisecond
 	returned := make(chan error, 1)
 	go func() { returned <- l.r.SetPolicy(l.r.cfg.Settings, nil) }()
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -22,74 +22,74 @@
 
 // What a kernel does not do on demand is tested with a connection and a loop that only note what they are asked for.
 
-type notedConn struct {
+type fakeConn struct {
 	gnet.Conn
-	ctx     any
-	in      []byte
-	wrote   string
-	left    int   // bytes that the kernel would not take
-	fails   error // of a write
-	fd      int
-	closing func(gnet.Conn)
-	closed  bool
+	ctx            any
+	in             []byte
+	written        string
+	outboundBytes  int   // bytes that the kernel would not take
+	writeErr       error // of a write
+	fd             int
+	onWriteFailure func(gnet.Conn)
+	closed         bool
 }
 
-func (c *notedConn) Context() any               { return c.ctx }
-func (c *notedConn) SetContext(x any)           { c.ctx = x }
-func (c *notedConn) Peek(int) ([]byte, error)   { return c.in, nil }
-func (c *notedConn) Discard(n int) (int, error) { c.in = c.in[n:]; return n, nil }
-func (c *notedConn) InboundBuffered() int       { return len(c.in) }
-func (c *notedConn) OutboundBuffered() int      { return c.left }
-func (c *notedConn) Fd() int {
+func (c *fakeConn) Context() any               { return c.ctx }
+func (c *fakeConn) SetContext(x any)           { c.ctx = x }
+func (c *fakeConn) Peek(int) ([]byte, error)   { return c.in, nil }
+func (c *fakeConn) Discard(n int) (int, error) { c.in = c.in[n:]; return n, nil }
+func (c *fakeConn) InboundBuffered() int       { return len(c.in) }
+func (c *fakeConn) OutboundBuffered() int      { return c.outboundBytes }
+func (c *fakeConn) Fd() int {
 	if c.fd == 0 {
 		return -1 // not the test's own input
 	}
 	return c.fd
 }
-func (c *notedConn) Dup() (int, error)         { return unix.Dup(c.fd) }
-func (c *notedConn) EventLoop() gnet.EventLoop { return nil }
-func (c *notedConn) Write(p []byte) (int, error) {
-	if c.fails != nil { // gnet closes the connection within the write
-		c.closing(c)
-		return 0, c.fails
-	}
-	c.wrote += string(p)
+func (c *fakeConn) Dup() (int, error)         { return unix.Dup(c.fd) }
+func (c *fakeConn) EventLoop() gnet.EventLoop { return nil }
+func (c *fakeConn) Write(p []byte) (int, error) {
+	if c.writeErr != nil { // gnet closes the connection within the write
+		c.onWriteFailure(c)
+		return 0, c.writeErr
+	}
+	c.written += string(p)
 	return len(p), nil
 }
 
-type notedLoop struct {
+type fakeLoop struct {
 	gnet.EventLoop
-	r    *Router
-	mu   sync.Mutex // the alarm of the timers comes from elsewhere
-	work []gnet.Runnable
-	fd   int // of connections that are opened from now on; 0: they have none
+	r     *Router
+	mu    sync.Mutex // the alarm of the timers comes from elsewhere
+	queue []gnet.Runnable
+	fd    int // of connections that are opened from now on; 0: they have none
 }
 
-func (l *notedLoop) Execute(_ context.Context, f gnet.Runnable) error {
+func (l *fakeLoop) Execute(_ context.Context, f gnet.Runnable) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.work = append(l.work, f)
+	l.queue = append(l.queue, f)
 	return nil
 }
 
-func (l *notedLoop) Close(c gnet.Conn) error {
-	l.ends(c, nil)
+func (l *fakeLoop) Close(c gnet.Conn) error {
+	l.closeWith(c, nil)
 	return nil
 }
 
 // ends: a connection is no more, for a reason as gnet tells it.
-func (l *notedLoop) ends(c gnet.Conn, why error) {
-	if n := c.(*notedConn); !n.closed {
+func (l *fakeLoop) closeWith(c gnet.Conn, why error) {
+	if n := c.(*fakeConn); !n.closed {
 		n.closed = true
 		l.r.OnClose(c, why)
 	}
 }
 
-func (l *notedLoop) rounds() {
+func (l *fakeLoop) runQueued() {
 	for {
 		l.mu.Lock()
-		work := l.work
-		l.work = nil
+		work := l.queue
+		l.queue = nil
 		l.mu.Unlock()
 		if len(work) == 0 {
 			return
@@ -101,7 +101,7 @@
 }
 
 // notedConfig is one of a method that must not run twice, with the origin alone.
-func notedConfig() config.Config {
+func originOnlyConfig() config.Config {
 	cfg := config.Config{Listen: "-", Limits: config.Limits{RESP: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
 		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, SilentClientTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
 	cfg.Limits.Origin = httpwire.Bounds{Head: 1 << 10, Body: 1 << 16}
@@ -111,39 +111,39 @@
 	return cfg
 }
 
-func newLoop(t testing.TB, cfg config.Config) *notedLoop {
+func newFakeLoop(t testing.TB, cfg config.Config) *fakeLoop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r, err := New(cfg, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &notedLoop{r: r}
+	l := &fakeLoop{r: r}
 	r.watch = &watch{r: r, callPending: true}
 	r.loop = l
 	r.takeover.accepting = true
 	r.timers.init(r)
 	r.core, _ = routing.New(r.clock(), cfg.Settings, 1)
 	r.applyEndpoints(r.initialEndpoints)
-	l.rounds()
+	l.runQueued()
 	return l
 }
 
 // peerOf is the client behind a connection.
-func peerOf(c *notedConn) *client { return c.ctx.(*client) }
+func clientOf(c *fakeConn) *client { return c.ctx.(*client) }
 
-func (l *notedLoop) open(ctx any) *notedConn {
+func (l *fakeLoop) open(ctx any) *fakeConn {
 	if ctx == nil {
 		ctx = &client{r: l.r}
 	}
-	c := &notedConn{ctx: ctx, fd: l.fd, closing: func(c gnet.Conn) { _ = l.Close(c) }}
+	c := &fakeConn{ctx: ctx, fd: l.fd, onWriteFailure: func(c gnet.Conn) { _ = l.Close(c) }}
 	l.r.OnOpen(c)
 	return c
 }
 
 // newNoted returns a router with one client and one idle connection to the origin, to which all writes go.
-func newNoted(t testing.TB) (l *notedLoop, client, origin *notedConn) {
-	l = newLoop(t, notedConfig())
+func newConnectedOrigin(t testing.TB) (l *fakeLoop, client, origin *fakeConn) {
+	l = newFakeLoop(t, originOnlyConfig())
 	for _, s := range l.r.servers {
 		s.dialing++
 		l.r.pendingDials++
@@ -164,15 +164,15 @@
 		{"some was still in our buffer", 10, nil},
 		{"the write itself failed", 0, errors.New("broken pipe")},
 	} {
-		l, client, origin := newNoted(new(testing.T))
-		origin.left, origin.fails = c.left, c.fails
-		client.asks(l.r, "r")
-		l.rounds()
+		l, client, origin := newConnectedOrigin(new(testing.T))
+		origin.outboundBytes, origin.writeErr = c.left, c.fails
+		client.sendWrites(l.r, "r")
+		l.runQueued()
 		if !origin.closed {
 			_ = l.Close(origin)
 		}
-		l.rounds()
-		fmt.Printf("%s: %q, then %d requests and %d bytes held\n", c.name, client.wrote, len(l.r.requests), l.r.requestBytes)
+		l.runQueued()
+		fmt.Printf("%s: %q, then %d requests and %d bytes held\n", c.name, client.written, len(l.r.requests), l.r.requestBytes)
 	}
 	// Output:
 	// all had left: "-ERR failed\r\n", then 0 requests and 0 bytes held
@@ -181,15 +181,15 @@
 }
 
 // gnet writes out what is buffered after OnClose. What was told as never run must not run all the same.
-func TestNothingLeavesAfterAClose(t *testing.T) {
-	l, _, origin := newNoted(t)
+func TestNoWritesAfterClose(t *testing.T) {
+	l, _, origin := newConnectedOrigin(t)
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unix.Close(pair[0])
 	defer unix.Close(pair[1])
-	origin.fd, origin.left = pair[0], 10
+	origin.fd, origin.outboundBytes = pair[0], 10
 	_ = l.Close(origin)
 	if _, err := unix.Write(pair[0], []byte("the rest")); err != unix.EPIPE {
 		t.Errorf("the rest could be written: %v", err)
@@ -197,31 +197,31 @@
 }
 
 // An attempt whose time is over while it waits for a connection was never sent: no blame, and it may be rejected.
-func TestTimeOutBeforeTheConnection(t *testing.T) {
-	l, client, origin := newNoted(t)
+func TestAttemptTimesOutBeforeConnecting(t *testing.T) {
+	l, client, origin := newConnectedOrigin(t)
 	r := l.r
 	s := origin.ctx.(*upstream).server
 	_ = l.Close(origin)
 	s.dialing = 1 // one dial is out, and does not end
-	client.asks(r, "r")
-	l.rounds()
+	client.sendWrites(r, "r")
+	l.runQueued()
 	if len(s.waitingAttempts) != 1 {
 		t.Fatal(len(s.waitingAttempts), "write-outs wait")
 	}
 	r.timeOutAttempt(s.waitingAttempts[0])
-	l.rounds()
-	if client.wrote != "-BUSY\r\n" || len(s.waitingAttempts) != 0 || r.counts.NeverRan != 1 {
-		t.Errorf("%q, %d wait, %+v", client.wrote, len(s.waitingAttempts), r.counts)
+	l.runQueued()
+	if client.written != "-BUSY\r\n" || len(s.waitingAttempts) != 0 || r.counts.NeverRan != 1 {
+		t.Errorf("%q, %d wait, %+v", client.written, len(s.waitingAttempts), r.counts)
 	}
 }
 
 // A client whose answers have not all left is neither closed at the end nor to make room, until it has long taken none.
-func TestAnswersLeaveBeforeAClose(t *testing.T) {
-	l, client, _ := newNoted(t)
+func TestRepliesAreFlushedBeforeClose(t *testing.T) {
+	l, client, _ := newConnectedOrigin(t)
 	r := l.r
 	r.limits.ClientWriteTimeout = 100e3
 	client.in = resp.AppendCommand(nil, []byte("QUIT"))
-	client.left = 5
+	client.outboundBytes = 5
 	if action := r.OnTraffic(client); action != gnet.None || r.shedClient(false) {
 		t.Error("closed with an answer that has not left", action)
 	}
@@ -237,51 +237,51 @@
 }
 
 // An attempt that waits for a connection is not sent once its server drains.
-func TestNothingWaitsForADrainingServer(t *testing.T) {
-	l, client, origin := newNoted(t)
+func TestWaitingAttemptIsNotSentToADrainingServer(t *testing.T) {
+	l, client, origin := newConnectedOrigin(t)
 	s := origin.ctx.(*upstream).server
 	_ = l.Close(origin)
 	s.dialing = 1 // one dial is out, and does not end
-	client.asks(l.r, "r")
-	l.rounds()
+	client.sendWrites(l.r, "r")
+	l.runQueued()
 	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","model":"origin","state":"leaving"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.r.applyEndpoints(list)
-	l.rounds()
+	l.runQueued()
 	late := l.open(&upstream{r: l.r, server: s})
-	if client.wrote != "-BUSY\r\n" || late.wrote != "" || !late.closed {
-		t.Errorf("the client got %q, the server %q", client.wrote, late.wrote)
+	if client.written != "-BUSY\r\n" || late.written != "" || !late.closed {
+		t.Errorf("the client got %q, the server %q", client.written, late.written)
 	}
 }
 
 // A decision and the news that its server is gone, or that its client is, may meet in one batch. The program crashed.
-func TestDecisionsThatTheNewsOvertakes(t *testing.T) {
-	l, client, origin := newNoted(t)
+func TestDecisionsOvertakenByEvents(t *testing.T) {
+	l, client, origin := newConnectedOrigin(t)
 	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	client.asks(l.r, "r1")
+	client.sendWrites(l.r, "r1")
 	l.r.applyEndpoints(list)
-	l.rounds()
-	if client.wrote != "-BUSY\r\n" || strings.Contains(origin.wrote, "r1") || len(l.r.requests) != 0 {
-		t.Errorf("the client got %q, the server %q, and %d reqs are left", client.wrote, origin.wrote, len(l.r.requests))
+	l.runQueued()
+	if client.written != "-BUSY\r\n" || strings.Contains(origin.written, "r1") || len(l.r.requests) != 0 {
+		t.Errorf("the client got %q, the server %q, and %d reqs are left", client.written, origin.written, len(l.r.requests))
 	}
 
-	l, client, origin = newNoted(t)
-	client.asks(l.r, "r1")
+	l, client, origin = newConnectedOrigin(t)
+	client.sendWrites(l.r, "r1")
 	_ = l.Close(client)
-	l.rounds()
-	if origin.wrote != "" || len(l.r.requests) != 0 || l.r.counts.Left != 1 {
-		t.Errorf("the server got %q, and %d reqs are left", origin.wrote, len(l.r.requests))
+	l.runQueued()
+	if origin.written != "" || len(l.r.requests) != 0 || l.r.counts.Left != 1 {
+		t.Errorf("the server got %q, and %d reqs are left", origin.written, len(l.r.requests))
 	}
 }
 
 // Timers fire in the order of their times, those of one time in the order they were set, and not once cancelled.
 func Example_timers() {
-	l, _, _ := newNoted(new(testing.T))
+	l, _, _ := newConnectedOrigin(new(testing.T))
 	r := l.r
 	say := func(text string) func() { return func() { fmt.Println(text) } }
 	r.after(3e6, say("third"))
@@ -299,18 +299,18 @@
 }
 
 // What all clients hold together is bounded: the one that holds most is closed.
-func TestClientsThatHoldTooMuchAreClosed(t *testing.T) {
-	l, client, _ := newNoted(t)
+func TestLargestBufferHolderIsClosed(t *testing.T) {
+	l, client, _ := newConnectedOrigin(t)
 	other := l.open(nil)
 	l.r.limits.ClientBufferBytes = 1000
-	client.left, other.left = 300, 800
+	client.outboundBytes, other.outboundBytes = 300, 800
 	l.r.noteClientBuffer(1001)
 	if client.closed || !other.closed {
 		t.Errorf("closed: %v and %v", client.closed, other.closed)
 	}
 }
 
-func (c *notedConn) asks(r *Router, ids ...string) {
+func (c *fakeConn) sendWrites(r *Router, ids ...string) {
 	for _, id := range ids {
 		c.in = resp.AppendCommand(c.in, []byte("CACHE.SET"), []byte("k"), []byte(id), []byte("c=pay,d=900"), []byte("v"))
 	}
@@ -318,29 +318,29 @@
 }
 
 // Without a descriptor to spare an attempt waits for a connection that gets free, and none is dialled.
-func TestWriteOutsWaitForDescriptors(t *testing.T) {
-	l, client, origin := newNoted(t)
+func TestAttemptsWaitForDescriptors(t *testing.T) {
+	l, client, origin := newConnectedOrigin(t)
 	l.r.limits.ServerConnections = 1
-	client.asks(l.r, "r1", "r2")
-	l.rounds()
-	if strings.Count(origin.wrote, "PUT /k") != 1 || l.r.pendingDials != 0 || l.r.counts.Attempts != 2 {
-		t.Errorf("%q, %d dials, %+v", origin.wrote, l.r.pendingDials, l.r.counts)
+	client.sendWrites(l.r, "r1", "r2")
+	l.runQueued()
+	if strings.Count(origin.written, "PUT /k") != 1 || l.r.pendingDials != 0 || l.r.counts.Attempts != 2 {
+		t.Errorf("%q, %d dials, %+v", origin.written, l.r.pendingDials, l.r.counts)
 	}
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	l.r.OnTraffic(origin)
-	l.rounds()
-	if !strings.Contains(origin.wrote, "r2") || client.wrote != "$2\r\nok\r\n" || l.r.pendingDials != 0 {
-		t.Errorf("%q, %q, %d dials", origin.wrote, client.wrote, l.r.pendingDials)
+	l.runQueued()
+	if !strings.Contains(origin.written, "r2") || client.written != "$2\r\nok\r\n" || l.r.pendingDials != 0 {
+		t.Errorf("%q, %q, %d dials", origin.written, client.written, l.r.pendingDials)
 	}
 }
 
 // A client that has just come in was closed to make room while its first request was on its way, and lost it. Those quiet
 // for long go first, and none goes while it waits for an answer.
-func TestWhoIsClosedToMakeRoom(t *testing.T) {
-	l, client, origin := newNoted(t)
+func TestClientsClosedToMakeRoom(t *testing.T) {
+	l, client, origin := newConnectedOrigin(t)
 	r := l.r
-	client.asks(r, "r1")
-	l.rounds()
+	client.sendWrites(r, "r1")
+	l.runQueued()
 	r.limits.Descriptors, r.limits.MaxDescriptors, r.limits.QuietClientAge = r.descriptorsInUse(), r.descriptorsInUse()+1, 1e6
 	if fresh := l.open(nil); fresh.closed || client.closed || origin.closed {
 		t.Error("a client that came in had another closed, or itself, though there was a descriptor")
@@ -365,15 +365,15 @@
 
 // A connection that carried a big value is not closed while the kernel has some of it: a close that crosses what its
 // client sends would drop that.
-func TestBigValuesLeaveBeforeAClose(t *testing.T) {
-	l, client, _ := newNoted(t)
+func TestLargeValuesAreFlushedBeforeClose(t *testing.T) {
+	l, client, _ := newConnectedOrigin(t)
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unix.Close(pair[0])
 	defer unix.Close(pair[1])
-	inner := peerOf(client)
+	inner := clientOf(client)
 	l.r.limits.ClientWriteTimeout = 1e6
 	client.fd, inner.carriedLargeRead, inner.hasReceived = pair[0], true, true
 	if _, err := unix.Write(pair[0], []byte("the value's end")); err != nil {
@@ -391,8 +391,8 @@
 }
 
 // A value that comes slowly is waited for while it flows; one that stops is not.
-func TestSlowValuesAreNotCut(t *testing.T) {
-	l, client, _ := newNoted(t)
+func TestSlowValuesAreNotCutOff(t *testing.T) {
+	l, client, _ := newConnectedOrigin(t)
 	r := l.r
 	client.in = []byte("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$11\r\nc=pay,d=900\r\n$60000\r\n" + strings.Repeat("v", 2000))
 	for range 5 {
@@ -410,14 +410,14 @@
 }
 
 // Hundreds that asked once and stayed, or never asked, took the descriptors: each attempt then paid for a connection.
-func TestClientsAboveTheirPartGoBeforeServers(t *testing.T) {
-	l, client, origin := newNoted(t)
+func TestExcessClientsAreClosedBeforeServerConnections(t *testing.T) {
+	l, client, origin := newConnectedOrigin(t)
 	r := l.r
-	client.asks(r, "r1")
-	l.rounds()
+	client.sendWrites(r, "r1")
+	l.runQueued()
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	r.OnTraffic(origin)
-	l.rounds()
+	l.runQueued()
 	never := l.open(nil) // what only pings is no better than one that is silent
 	never.in = resp.AppendCommand(nil, []byte("PING"))
 	r.OnTraffic(never)
@@ -434,50 +434,50 @@
 
 // A client that says nothing whole for long is told so and closed, at its first command and in the middle of one.
 func TestSilentClientsAreClosed(t *testing.T) {
-	l, silent, _ := newNoted(t)
+	l, silent, _ := newConnectedOrigin(t)
 	r := l.r
 	asked, part := l.open(nil), l.open(nil)
-	asked.asks(r, "r1")
+	asked.sendWrites(r, "r1")
 	once := l.open(nil) // it has had its answer, and stays
 	once.in = resp.AppendCommand(nil, []byte("PING"))
 	r.OnTraffic(once)
 	part.in = []byte("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\n")
 	r.OnTraffic(part)
-	l.rounds()
+	l.runQueued()
 	r.startWallClock += 1900e3
 	if r.sweepConnections(); silent.closed || part.closed || once.closed {
 		t.Error("closed too early")
 	}
 	r.startWallClock += 200e3
 	r.sweepConnections()
-	if !silent.closed || !part.closed || !once.closed || asked.closed || !strings.HasSuffix(part.wrote, "-ERR nothing whole has come\r\n") {
-		t.Errorf("closed: %v, %v and %v; told %q", silent.closed, part.closed, asked.closed, part.wrote)
+	if !silent.closed || !part.closed || !once.closed || asked.closed || !strings.HasSuffix(part.written, "-ERR nothing whole has come\r\n") {
+		t.Errorf("closed: %v, %v and %v; told %q", silent.closed, part.closed, asked.closed, part.written)
 	}
 }
 
 // Clients that ask once and keep the connection had none left to ask on: the one quiet longest goes, none that waits.
-func TestClientsThatKeepTheirConnections(t *testing.T) {
-	l, first, origin := newNoted(t)
+func TestIdleRequestersAreShed(t *testing.T) {
+	l, first, origin := newConnectedOrigin(t)
 	r := l.r
 	r.limits.ActiveClients = 2
-	first.asks(r, "r0")
-	l.rounds()
+	first.sendWrites(r, "r0")
+	l.runQueued()
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	r.OnTraffic(origin)
-	l.rounds()
+	l.runQueued()
 	pings, second, third := l.open(nil), l.open(nil), l.open(nil)
-	second.asks(r, "r1")
+	second.sendWrites(r, "r1")
 	if first.closed {
 		t.Error("closed within the bound")
 	}
-	third.asks(r, "r2")
+	third.sendWrites(r, "r2")
 	if !first.closed || pings.closed || second.closed || third.closed || r.requestingClients != 2 {
 		t.Error(first.closed, pings.closed, second.closed, third.closed, r.requestingClients)
 	}
 }
 
 // A front may listen before the loop runs: what it offers then is refused.
-func TestOfferBeforeTheLoopRuns(t *testing.T) {
+func TestSubmitBeforeTheLoopRuns(t *testing.T) {
 	r, err := New(config.Config{}, logrus.New())
 	if err != nil {
 		t.Fatal(err)
