--- a/internal/router/arrival_times.go
+++ b/internal/router/arrival_times.go
@@ -2,22 +2,22 @@
 
 import "spurtrestle/core/clock"
 
-// arrivalTimes dates the bytes of a client that wait unread while there is no room for its commands. A request's time
-// counts from its last byte, not from when the router came to read it.
+// arrivalTimes records when a client's bytes arrived that stay unread for lack of room. A request's time counts
+// from its last byte, not from when the router reads it.
 type arrivalTimes struct {
 	consumed int64 // bytes read so far
 	marks    []arrivalMark
 }
 
-// arrivalMark tells that all bytes before end had come at a time.
+// arrivalMark records that all bytes before end had arrived by receivedAt.
 type arrivalMark struct {
 	end        int64
 	receivedAt clock.Time
 }
 
-const maxArrivalMarks = 64 // beyond it bytes are dated too early, never too late
+const maxArrivalMarks = 64 // beyond this, bytes are dated too early, never too late
 
-// waiting notes that n bytes are unread.
+// noteUnread records that n bytes are unread.
 func (a *arrivalTimes) noteUnread(n int, now clock.Time) {
 	end, last := a.consumed+int64(n), len(a.marks)-1
 	switch {
@@ -29,7 +29,7 @@
 	}
 }
 
-// take reads n bytes and returns when the last of them came.
+// consume marks n bytes as read and returns when the last of them arrived.
 func (a *arrivalTimes) consume(n int, now clock.Time) clock.Time {
 	a.consumed += int64(n)
 	for len(a.marks) > 0 && a.marks[0].end < a.consumed {
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -7,7 +7,7 @@
 	"spurtrestle/core/routing"
 )
 
-// input gathers one input; the first of a round queues the batch.
+// addEvent adds an event to the next batch, and schedules that batch if it is the first one.
 func (r *Router) addEvent(ev routing.Event) {
 	r.pendingEvents = append(r.pendingEvents, ev)
 	r.queueBatch()
@@ -20,10 +20,10 @@
 	}
 }
 
-// batch takes the clock once, hands over what was gathered and what is due, and carries out what came back. What that
-// brings in goes into the next batch.
+// runBatch reads the clock once, passes the collected events and those of due timers to package routing, and
+// carries out its decisions. Events that this causes go into the next batch.
 func (r *Router) runBatch() {
-	r.batchQueued = true // what is due goes into this batch
+	r.batchQueued = true // events of due timers go into this batch
 	previous := r.batchTime
 	if r.batchTime = r.clock(); r.batchTime-previous > r.limits.StallThreshold {
 		r.log.WithField("for", toDuration(r.batchTime-previous)).Warn("the loop stood still; what waited in the sockets counts as come when it began to")
@@ -63,8 +63,9 @@
 	}
 }
 
-// cameAt is when a request that has just been read may have come. A process that was stopped for longer than its clients wait
-// found their requests in its sockets, took them for new, and sent them on after their deadline.
+// arrivalTime returns the earliest time at which a request that has just been read may have arrived. After a pause
+// longer than its clients wait, the process found their requests in its sockets, treated them as new, and sent
+// them on after their deadline.
 func (r *Router) arrivalTime() clock.Time {
 	if r.batchTime < r.stallGraceEnd {
 		return r.stallStart
@@ -95,7 +96,7 @@
 				r.closeIdleConnections(s)
 			}
 		default:
-			r.log.Error(fmt.Sprintf("a decision that the router cannot carry out: %+v", decision))
+			r.log.Error(fmt.Sprintf("unknown decision of package routing: %+v", decision))
 		}
 	}
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -13,36 +13,36 @@
 	"spurtrestle/internal/wire/resp2"
 )
 
-// client is a connection that was accepted.
+// client is an accepted client connection.
 type client struct {
 	r                 *Router
 	conn              gnet.Conn
-	slots             []*slot    // commands in order, until their answers are written
-	lastActivity      clock.Time // since when it has been quiet
-	lastCommandAt     clock.Time // when the last whole command came, or the connection
-	partialSince      clock.Time // when the first byte came of a command that is not whole yet; 0: there is none
-	enrolling         bool       // accepted, and not with the loop yet
-	hasReceived       bool       // something has come on it
-	hasSentCommand    bool       // a whole command has come on it
-	hasSentRequest    bool       // a request has come on it
-	stalled           bool       // its next commands wait until there is room; it is on the router's list of those
-	closeAfterReplies bool       // to be closed once the answers are out
-	largeWriteNext    bool       // a big write is next, and waits until all before it is answered
-	detachPending     bool       // soon off the loop
-	carriedLargeRead  bool       // a big value has passed on it, of which the kernel may hold a part
-	detached          bool       // off the loop: a big value passes on it
-	detachedInput     []byte     // what came before it left the loop, and is not read yet
+	slots             []*slot    // commands in order, until their replies are written
+	lastActivity      clock.Time // when it last sent or received something
+	lastCommandAt     clock.Time // when the last complete command arrived, or the connection was opened
+	partialSince      clock.Time // when the first byte of an incomplete command arrived; 0: there is none
+	enrolling         bool       // accepted, but not yet enrolled in the loop
+	hasReceived       bool       // has sent something
+	hasSentCommand    bool       // has sent a complete command
+	hasSentRequest    bool       // has sent a request
+	stalled           bool       // further commands wait for room; it is in the router's stalledClients
+	closeAfterReplies bool       // to be closed once the replies are written
+	largeWriteNext    bool       // a large write is next, and waits until everything before it is answered
+	detachPending     bool       // about to leave the loop
+	carriedLargeRead  bool       // has carried a large read, part of which the kernel may still hold
+	detached          bool       // off the loop while a large value is streamed
+	detachedInput     []byte     // input from before it left the loop, not read yet
 	words             [][]byte
 
-	arrivalTimes arrivalTimes // of what is not read yet
-	receivedAt   clock.Time   // when the last byte of the command came that is being read
+	arrivalTimes arrivalTimes // of the unread input
+	receivedAt   clock.Time   // when the last byte of the current command arrived
 }
 
-// slot is the place of one command among the answers of its connection.
+// slot is the place of one command in the reply order of its connection.
 type slot struct {
 	request   *pendingRequest
 	reply     []byte     // nil: not answered yet
-	largeRead *largeRead // a big value is its answer
+	largeRead *largeRead // set if the reply is a large value
 }
 
 func (c *client) onOpen(conn gnet.Conn) {
@@ -65,7 +65,7 @@
 		c.r.close(conn)
 		return
 	}
-	if len(c.detachedInput) > 0 { // another process read that
+	if len(c.detachedInput) > 0 { // input that another process has read
 		c.r.runAsync(c.resumeReading)
 	}
 }
@@ -86,18 +86,18 @@
 	}
 	c.slots, c.closeAfterReplies, c.conn = nil, true, nil
 	if c.r.closingClients || c.r.operator.closingClients || c.r.fleet.outOfService != "" {
-		c.r.queueBatch() // it may have been the last
+		c.r.queueBatch() // it may have been the last one
 	}
 }
 
-// traffic reads whole commands, as many as there is room for.
+// onTraffic reads complete commands, as many as there is room for.
 func (c *client) onTraffic() gnet.Action {
 	c.lastActivity, c.hasReceived = c.r.clock(), true
-	if c.closeAfterReplies { // what comes behind a broken command is not read
+	if c.closeAfterReplies { // input after a malformed command is ignored
 		_, _ = c.conn.Discard(-1)
 		return gnet.None
 	}
-	if c.r.takeover.handingOver { // what comes now is the next process's
+	if c.r.takeover.handingOver { // input that arrives now is for the next process
 		c.r.queueBatch()
 		return gnet.None
 	}
@@ -114,7 +114,7 @@
 		c.words = words
 		if err != nil {
 			if ok, away := c.startLargeWrite(buf); away {
-				return gnet.Close // a duplicate goes on
+				return gnet.Close // a duplicate of the descriptor takes over
 			} else if ok {
 				c.r.noteClientBuffer(c.unreadBytes())
 				return gnet.None
@@ -139,7 +139,8 @@
 	}
 	if !c.closeAfterReplies {
 		if n := c.unreadBytes(); n > c.r.limits.ClientInput && !c.largeWriteNext {
-			// gnet reads on whatever the loop leaves, so a client that sends on is cut off here.
+			// gnet reads on even if input is left in its buffer, so a client that keeps sending is disconnected
+			// here.
 			c.closeWithError("too much is waiting")
 		} else {
 			if n > 0 && !c.stalled && c.partialSince == 0 {
@@ -157,10 +158,10 @@
 	return gnet.None
 }
 
-// silent: nothing whole has come since it connected, or the head of a command is long in coming, or the rest has stopped.
-// A value may flow slowly, but not for ever.
+// isSilent reports whether the client has sent no complete command since it connected, or takes too long for the
+// head of a command, or has stopped in the middle of one. A value may arrive slowly, but not for ever.
 func (c *client) isSilent(now clock.Time) bool {
-	const values = 10 // times as long as a head
+	const values = 10 // time limit of a value, in time limits of a head
 	slow := c.r.limits.PartialCommandTimeout
 	switch {
 	case c.partialSince == 0:
@@ -171,14 +172,14 @@
 	return now-c.lastActivity >= slow || now-c.partialSince >= values*slow
 }
 
-// readOn reads what came before the connection was on this loop.
+// resumeReading reads input that arrived before the connection was on this loop, or while the client was stalled.
 func (c *client) resumeReading() {
 	if conn := c.conn; conn != nil && !c.closeAfterReplies && c.onTraffic() == gnet.Close {
 		c.r.close(conn)
 	}
 }
 
-// firstNow reads on at a big write once all before it is answered and has left.
+// resumeLargeWrite continues with a large write once everything before it has been answered and written.
 func (c *client) resumeLargeWrite() {
 	if c.conn == nil || !c.largeWriteNext {
 		return
@@ -191,14 +192,14 @@
 	c.resumeReading()
 }
 
-// unread is what has come and is not read yet: the rest from before it left the loop goes first.
+// unreadInput returns all input that has not been read, with the input from before the client left the loop first.
 func (c *client) unreadInput() []byte {
 	buf, err := c.conn.Peek(-1)
 	if err != nil || len(c.detachedInput) == 0 {
 		return buf
 	}
 	c.detachedInput = append(c.detachedInput, buf...)
-	_, _ = c.conn.Discard(-1) // bytes that Peek has just shown, here and below
+	_, _ = c.conn.Discard(-1) // these bytes were returned by Peek, so Discard cannot fail; the same holds below
 	return c.detachedInput
 }
 
@@ -219,27 +220,27 @@
 	}
 }
 
-// broken answers a command that cannot be read, behind the answers that are due, and closes.
+// closeWithError replies to a malformed command, after the replies that are due, and closes the connection.
 func (c *client) closeWithError(why string) {
 	c.r.counts.Broken++
 	c.replyNow(resp.AppendLine(nil, '-', "ERR "+why))
 	c.closeAfterReplies = true
 }
 
-// now answers a command that needs no server.
+// replyNow queues the reply of a command that needs no server.
 func (c *client) replyNow(text []byte) {
 	s := &slot{}
 	c.slots = append(c.slots, s)
 	c.fillSlot(s, text)
 }
 
-// answer gives a request of this client its final answer, in its turn.
+// deliver replies to a request of this client, in command order.
 func (c *client) deliver(request *pendingRequest, a wire.Answer) {
 	c.r.writeBuffer = resp2.AppendAnswer(c.r.writeBuffer[:0], a)
 	c.fillSlot(&request.slot, c.r.writeBuffer)
 }
 
-// fill fills a slot and writes out what is in order.
+// fillSlot sets the reply of a slot and writes all replies that are next in order.
 func (c *client) fillSlot(s *slot, text []byte) {
 	if c.detached {
 		s.reply = bytes.Clone(text)
@@ -257,7 +258,8 @@
 	c.flushReplies()
 }
 
-// flush writes out what is in order, as far as the next big value, which passes off the loop.
+// flushReplies writes the replies that are next in order, up to the next large value, which is streamed off the
+// loop.
 func (c *client) flushReplies() {
 	for len(c.slots) > 0 && c.slots[0].reply != nil {
 		text := c.slots[0].reply
@@ -269,7 +271,7 @@
 	}
 	if c.conn != nil && len(c.slots) > 0 && c.slots[0].largeRead != nil && !c.detachPending {
 		c.detachPending = true
-		c.r.runAsync(c.detach) // not within a call of this connection
+		c.r.runAsync(c.detach) // not within a callback of this connection
 	}
 	if c.conn != nil && c.closeAfterReplies && c.mayClose() {
 		c.r.close(c.conn)
@@ -281,10 +283,10 @@
 		return
 	}
 	c.lastActivity = c.r.clock()
-	if _, err := c.conn.Write(text); err != nil { // gnet has closed it
+	if _, err := c.conn.Write(text); err != nil { // gnet has closed the connection
 		return
 	}
-	if n := c.conn.OutboundBuffered(); n > c.r.limits.ClientOutput { // it does not take its answers
+	if n := c.conn.OutboundBuffered(); n > c.r.limits.ClientOutput { // the client does not read its replies
 		c.r.counts.Broken++
 		c.r.close(c.conn)
 	} else {
@@ -292,8 +294,9 @@
 	}
 }
 
-// buffer notes bytes that a client's connection holds. Where all together may hold too much they are counted, and
-// those that hold most are closed.
+// noteClientBuffer adds to the estimate of the bytes buffered by client connections. If the estimate exceeds the
+// limit, the exact sum is taken, and the clients with the largest buffers are closed until half of the limit is
+// free.
 func (r *Router) noteClientBuffer(added int) {
 	if r.clientBufferBytes += added; r.clientBufferBytes <= r.limits.ClientBufferBytes {
 		return
@@ -316,13 +319,14 @@
 	}
 }
 
-// settled: no request of it is in hand and all answers are with the kernel. A command that has come in part is not taken yet.
+// hasNoPendingReplies reports whether no command of the client is being processed and all replies have been handed
+// to the kernel. An incomplete command does not count.
 func (c *client) hasNoPendingReplies() bool {
 	return len(c.slots) == 0 && c.conn.OutboundBuffered() == 0
 }
 
-// quiet: it is settled, and could be closed. A close that crosses what the client sends drops all that the kernel still
-// has for it, and of a big value that may be megabytes.
+// isQuiet reports whether the client has no pending replies and can be closed. Closing while the client sends
+// would drop what the kernel still holds for it, which may be megabytes of a large value.
 func (c *client) isQuiet() bool {
 	if c.hasNoPendingReplies() && c.carriedLargeRead {
 		n, err := unix.IoctlGetInt(c.conn.Fd(), unix.SIOCOUTQ)
@@ -331,14 +335,16 @@
 	return c.hasNoPendingReplies() && !c.carriedLargeRead
 }
 
-// unheard: it has sent something that the loop has not read. Closing it then resets the connection under a request that was taken;
-// after a pause of the process, or under load, the loop comes to its timers before its sockets.
+// hasUnreadInput reports whether the client has sent something that the loop has not read. Closing it then would
+// reset the connection of an accepted request; after a pause of the process, or under load, the loop runs its
+// timers before it reads its sockets.
 func (c *client) hasUnreadInput() bool {
 	n, err := unix.IoctlGetInt(c.conn.Fd(), unix.TIOCINQ)
 	return err == nil && n > 0
 }
 
-// ended: it is quiet, or it does not take its answers. gnet writes what it can at a close, and no more.
+// mayClose reports whether the client is quiet or has not read its replies for too long. gnet writes what it can
+// on close, and no more.
 func (c *client) mayClose() bool {
 	return c.conn == nil || c.isQuiet() || len(c.slots) == 0 && c.r.clock()-c.lastActivity > c.r.limits.ClientWriteTimeout
 }
@@ -374,7 +380,7 @@
 	}
 }
 
-// take makes a command a request.
+// handleRequest admits the request of a command with the expected number of words.
 func (c *client) handleRequest(words [][]byte, wordCount int, write bool) {
 	r := c.r
 	if len(words) != wordCount {
@@ -394,7 +400,7 @@
 
 var refusedRequestReply = []byte("-ERR a req needs a new id, c, and d\r\n")
 
-// request makes the words of a command a request; ok is false where they are refused, which is counted.
+// parseRequest builds a request from the words of a command; ok is false if it is refused, which is counted.
 func (c *client) parseRequest(words [][]byte, write bool) (request *pendingRequest, event routing.RequestArrived, timeout clock.Time, ok bool) {
 	r := c.r
 	size := 0
@@ -423,20 +429,20 @@
 		ClientRetry: props.Resent}, props.Waits, true
 }
 
-// hasAsked counts who has asked, once.
+// countRequester counts the client at its first request.
 func (c *client) countRequester() {
 	if r := c.r; !c.hasSentRequest {
 		c.hasSentRequest = true
 		r.requestingClients++
-		// Clients hold only so many connections. Where they keep those that they have done with, they have none left to
-		// ask on, long before the descriptors are short here.
+		// Clients can hold a limited number of connections. Those that keep idle connections open would run out of
+		// them for requests long before this process runs out of descriptors.
 		if r.requestingClients > r.limits.ActiveClients {
 			r.shedClient(true)
 		}
 	}
 }
 
-// resume reads on where clients were stalled.
+// resumeStalledClients reads on for clients that were waiting for room.
 func (r *Router) resumeStalledClients() {
 	stalled := r.stalledClients
 	r.stalledClients = nil
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -8,8 +8,8 @@
 	"spurtrestle/core/routing"
 )
 
-// Drain ends the router in order: it takes new connections for a while, then closes each client's once nothing of it
-// is in hand, and stops when all are closed.
+// Drain shuts the router down in order: it accepts new connections for a while, then closes each client's
+// connection once nothing of it is pending, and ends when all are closed.
 func (r *Router) Drain() {
 	<-r.ready
 	r.runAsync(func() {
@@ -30,8 +30,8 @@
 	})
 }
 
-// endAttempts: nobody waits for the process any longer. What is still out is given up, so that its request gets its answer; a
-// server that hung had a request of the longest deadline until after SIGKILL.
+// endAllAttempts aborts outstanding attempts at the shutdown deadline, so that their requests are answered before
+// the process is killed. A hanging server used to hold a request with the longest deadline until after SIGKILL.
 func (r *Router) endAllAttempts() {
 	for _, request := range r.requests {
 		for _, attempt := range slices.Clone(request.attempts) {
@@ -42,11 +42,11 @@
 	}
 }
 
-// Drained tells, after Run, whether the router ended because it was told to.
+// Drained reports, after Run has returned, whether the router ended because of Drain.
 func (r *Router) Drained() bool { return r.draining }
 
-// someoneComes: a client's connection is accepted, or may be, and the loop does not have it yet. It came while new ones were
-// taken, and may carry a request.
+// hasPendingConnection reports whether a client connection is accepted, or may be waiting to be, that is not on
+// the loop yet. It arrived while the router accepted clients, and may carry a request.
 func (r *Router) hasPendingConnection() bool {
 	t := &r.takeover
 	if t.enrolling.Load() > 0 {
@@ -64,14 +64,15 @@
 	return err == nil && ready > 0
 }
 
-// closeIdleClients closes the clients that wait for nothing. One that has just come in is spared for a while, but not behind the
-// last moment of a shutdown: its first request is on its way. A command that has come in part gets a sweep's time for the rest.
+// closeIdleClients closes the clients without pending commands. One that has just connected is spared for a while,
+// since its first request is on its way, but not after the shutdown deadline. An incomplete command gets one sweep
+// interval for its rest.
 func (r *Router) closeIdleClients() {
 	now := r.clock()
 	isLastMoment := r.closingClients && now >= r.shutdownDeadline
 	for client := range r.clients {
 		if r.takeover.handingOver && !client.closeAfterReplies {
-			continue // it is passed on
+			continue // it is handed over instead
 		}
 		quiet := now - client.lastActivity
 		mayHaveNoRequest := client.hasReceived || quiet >= r.limits.QuietClientAge || isLastMoment
--- a/internal/router/external_requests.go
+++ b/internal/router/external_requests.go
@@ -9,43 +9,46 @@
 	"spurtrestle/internal/wire"
 )
 
-// Refusal is why a request that a front offers is not taken.
+// RefusalReason is why a front end's request is not admitted.
 type RefusalReason uint8
 
 const (
-	RefusedOverloaded    RefusalReason = iota + 1 // the router holds all that it may
-	RefusedUnknownMethod                          // the settings do not name its method
+	RefusedOverloaded    RefusalReason = iota + 1 // the router holds as many requests as it may
+	RefusedUnknownMethod                          // the settings do not contain its method
 	RefusedDuplicateID                            // another open request has its id
-	RefusedExpired                                // its time was over when it came
-	RefusedShuttingDown                           // the router takes nothing new
+	RefusedExpired                                // its deadline had passed when it arrived
+	RefusedShuttingDown                           // the router admits no new requests
 )
 
-// Offer is a request of a front off the loop: a protocol whose library has goroutines of its own. Its fields are not changed
-// once it is offered.
+// ExternalRequest is a request of a front end off the loop: a protocol whose library has goroutines of its own.
+// Its fields must not be changed after Submit.
 type ExternalRequest struct {
 	wire.Request
 	Method      string
 	Tenant      routing.Tenant
 	Timeout     clock.Time // how long its client waits; 0: as long as the method allows
 	ClientRetry bool
-	// Exactly one of the two is called, on the loop, once: it must not wait. An answer's value is good only within it.
+	// Exactly one of Answer and Refuse is called, on the loop, once; it must not block. An answer's value is valid
+	// only during the call.
 	Answer func(wire.Answer)
 	Refuse func(RefusalReason)
-	// Gone reports whether the client has cancelled or left, by what the front has read; nil: never before Withdraw. Both this
-	// and Unread are called on the loop, where it is late.
+	// ClientGone reports whether the client has canceled or disconnected, as far as the front end has read; nil:
+	// never before Withdraw. It and HasUnreadInput are called on the loop when the loop is late.
 	ClientGone func() bool
-	// Unread reports whether there is something of the client's connection that the front has not read; nil: never.
+	// HasUnreadInput reports whether the front end has yet to read something from the client's connection; nil:
+	// never.
 	HasUnreadInput func() bool
 
-	withdrawn atomic.Bool     // ahead of the loop
-	request   *pendingRequest // belongs to the loop; nil: not taken
+	withdrawn atomic.Bool     // set before the loop processes the withdrawal
+	request   *pendingRequest // belongs to the loop; nil: not admitted
 }
 
-// offers is the way from fronts to the loop. Its lock is held for an append, never across the loop's work.
+// externalQueue passes requests from front ends to the loop. Its lock is held for an append only, never while the
+// loop works.
 type externalQueue struct {
 	mu           sync.Mutex
 	events       []externalEvent
-	openRequests int // taken and not over; belongs to the loop
+	openRequests int // admitted and not finished; belongs to the loop
 }
 
 type externalEvent struct {
@@ -53,13 +56,14 @@
 	withdrawn bool
 }
 
-// Offer hands over a request from any goroutine; false: too many wait already, or the loop does not run yet, and nothing will be called.
+// Submit queues a request, from any goroutine. It returns false if too many are queued or the loop does not run
+// yet; nothing is called then.
 func (r *Router) Submit(request *ExternalRequest) bool {
 	return r.enqueueExternal(externalEvent{request: request}, r.limits.ExternalRequests)
 }
 
-// Withdraw tells that the client of an offer is gone: its attempts are called off, and neither function is called any
-// more once the loop has come to it.
+// Withdraw reports that the client of a request is gone. Its attempts are canceled, and once the loop has
+// processed the withdrawal, neither Answer nor Refuse is called.
 func (r *Router) Withdraw(request *ExternalRequest) {
 	request.withdrawn.Store(true)
 	r.enqueueExternal(externalEvent{request, true}, 1<<62)
@@ -69,7 +73,7 @@
 	select {
 	case <-r.ready:
 	default:
-		return false // a front that listens before the loop runs: a call in that moment ended the process
+		return false // a front end may listen before the loop runs; a call at that moment used to crash the process
 	}
 	queue := &r.external
 	queue.mu.Lock()
@@ -86,7 +90,7 @@
 	return true
 }
 
-// takeOffers takes all that has come since the last time, into one batch.
+// admitExternalRequests admits everything queued since the last call, in one batch.
 func (r *Router) admitExternalRequests() {
 	queue := &r.external
 	queue.mu.Lock()
@@ -121,7 +125,7 @@
 	case r.requestBytes+size > r.limits.RequestBytes:
 		return RefusedOverloaded
 	}
-	timeout := r.cfg.Settings.Methods[method].Deadline // a longer wait does not lengthen it
+	timeout := r.cfg.Settings.Methods[method].Deadline // a client that waits longer does not extend it
 	if request.Timeout > 0 {
 		timeout = min(timeout, request.Timeout)
 	}
@@ -131,13 +135,13 @@
 	return 0
 }
 
-// answer makes an Offer an asker.
+// deliver implements responder.
 func (e *ExternalRequest) deliver(_ *pendingRequest, a wire.Answer) {
 	e.Answer(a)
 }
 
-// OnServing has a function called on the loop when the router begins to serve (true) and when it ends (false). Call it
-// before Run.
+// OnServing registers a function that is called on the loop when the router starts to serve (true) and when it
+// stops (false). Call it before Run.
 func (r *Router) OnServing(f func(bool)) { r.onServing = f }
 
 func (r *Router) notifyServing(on bool) {
--- a/internal/router/fleet_limits.go
+++ b/internal/router/fleet_limits.go
@@ -11,41 +11,40 @@
 	"spurtrestle/internal/fleet"
 )
 
-// place is the router's among the others, as far as something outside the loop keeps it. The fields are the loop's, but
-// that which is noted.
+// fleetLimits holds what the fleet lets this router do. Its fields belong to the loop, except where noted.
 type fleetLimits struct {
-	share            float64    // the part; 0: it was not told yet, and the decisions have their own
-	shareExpiresAt   clock.Time // until then the part holds that was told; 0: for ever
+	share            float64    // share of the fleet's limits; 0: none was set, and package routing uses its default
+	shareExpiresAt   clock.Time // share holds until then; 0: without end
 	shareAfterExpiry float64
-	noSharesGranted  bool   // nothing of the own part is lent, or may be
-	outOfService     string // why it takes no clients
+	noSharesGranted  bool   // no part of this router's own share is lent, or may be
+	outOfService     string // why no clients are accepted; empty: they are
 
-	extraShare          float64 // beside the part: of routers that are lost
+	extraShare          float64 // added to share: what lost routers leave unused
 	extraShareExpiresAt clock.Time
 
-	admissionDeadline atomic.Int64 // new requests may be taken until then, as clock.Time; 0: for ever. From any goroutine.
-	admissionClosed   bool         // they may not
+	admissionDeadline atomic.Int64 // requests may be admitted until then, as clock.Time; 0: without end. Accessed from any goroutine.
+	admissionClosed   bool         // admissionDeadline has passed
 
-	siteOrders         routing.FailoverOrders // that the fleet keeps to
-	siteOrdersExpireAt clock.Time             // and so long; 0: there is none
-	policyBans         map[string]bool        // cache servers that the fleet's policy leaves alone
+	siteOrders         routing.FailoverOrders // failover orders in force
+	siteOrdersExpireAt clock.Time             // 0: there are none
+	policyBans         map[string]bool        // cache servers that the fleet's policy takes out of use
 }
 
 var errShareNotWhole = errors.New("another process is taking over, which begins with the whole part")
 
-// Place says that something outside the loop keeps this router's place among the others: it begins with a part that is
-// certainly its own, unless it follows a process that has lent nothing. It tells whether that is so. Call it after Join
-// and before Run.
+// EnableFleetShare makes the router's share of the fleet's limits depend on SetShare. The router starts with a
+// share of least, which is certainly its own, unless its predecessor has lent nothing. It reports whether there is
+// a predecessor, and whether that has lent nothing. Call it after ConnectPredecessor and before Run.
 func (r *Router) EnableFleetShare(least float64) (follows, whole bool) {
 	follows = r.takeover.predecessor != nil
 	whole = follows && r.takeover.operatorFrame != nil && r.takeover.operatorFrame.NoSharesGranted
 	if r.fleet.noSharesGranted = whole; !whole {
-		r.fleet.share, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = least, least, 1 // from the first batch on
+		r.fleet.share, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = least, least, 1 // expires with the first batch
 	}
 	return follows, whole
 }
 
-// Handed tells, after Run, whether another process has taken over.
+// HandedOver reports, after Run has returned, whether another process has taken over.
 func (r *Router) HandedOver() bool { return r.takeover.handingOver }
 
 // FleetStatus returns the router's state as its node announces it to the fleet.
@@ -57,14 +56,14 @@
 	return fleet.RouterStatus{Accepting: f.notReady == nil, Draining: f.draining, Idle: f.idle}
 }
 
-// SetShare has the router use no more than a share of the fleet's limits. It is in force once SetShare returns nil; after an
-// error it is not, and never will be by this call.
+// SetShare limits the router to a share of the fleet's limits. The share is in force once SetShare returns nil;
+// after an error it is not, and never will be by this call.
 func (r *Router) SetShare(share fleet.Share) (err error) {
-	least := 1 / float64(max(1, r.cfg.Settings.Routers)) // of a router that has lent nothing
+	least := 1 / float64(max(1, r.cfg.Settings.Routers)) // share of a router that has lent nothing
 	busy := r.runOnLoop(func() {
 		whole := share.AfterExpiry > least*0.999
 		if r.takeover.successor != nil && !whole && r.fleet.noSharesGranted {
-			err = errShareNotWhole // which was told otherwise
+			err = errShareNotWhole // the successor was started on the assumption that nothing is lent
 			return
 		}
 		r.fleet.noSharesGranted, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = whole, share.AfterExpiry, 0
@@ -74,7 +73,7 @@
 		if r.fleet.share = share.Current; !r.fleet.admissionClosed {
 			r.addEvent(routing.FleetShareChanged{Share: share.Current + r.fleet.extraShare})
 		}
-		r.runBatch() // in force before the yes
+		r.runBatch() // in force before the call returns
 	})
 	if busy != nil {
 		return busy
@@ -82,7 +81,7 @@
 	return err
 }
 
-// SetOutOfService has the router take no clients; an empty reason: it may again.
+// SetOutOfService stops accepting clients for a reason; an empty reason accepts them again.
 func (r *Router) SetOutOfService(why string) {
 	<-r.ready
 	r.runAsync(func() {
@@ -90,9 +89,9 @@
 			return
 		}
 		if r.fleet.outOfService = why; why != "" {
-			r.log.Error("taking no clients: " + why)
+			r.log.Error("accepting no clients: " + why)
 		} else {
-			r.log.Info("taking clients again: the name is this router's")
+			r.log.Info("accepting clients again: no other router uses this name")
 		}
 		r.notifyServing(r.hasUsableServer && !r.refusesClients())
 		r.runBatch()
@@ -100,13 +99,14 @@
 	})
 }
 
-// refusing tells whether clients' connections are being ended.
+// refusesClients reports whether client connections are being closed.
 func (r *Router) refusesClients() bool {
 	return r.draining || r.operator.state.Drain || r.fleet.outOfService != "" || r.fleet.admissionClosed
 }
 
-// lapse ends what was held until now, the part and the leave to take requests: also in a process that stood still over its end.
-// A batch begins with it.
+// expireFleetLimits ends the limits whose time is over: the share, the extra share, the site orders and the
+// permission to admit requests. Every batch begins with it, so that they expire even in a process that was paused
+// past their end.
 func (r *Router) expireFleetLimits() {
 	limits := &r.fleet
 	changed := limits.shareExpiresAt != 0 && r.batchTime >= limits.shareExpiresAt
@@ -115,7 +115,7 @@
 	}
 	if r.mayAdmit() == limits.admissionClosed {
 		limits.admissionClosed, changed = !limits.admissionClosed, true
-		r.log.WithField("may", !limits.admissionClosed).Debug("taking new requests")
+		r.log.WithField("may", !limits.admissionClosed).Debug("permission to admit new requests changed")
 		r.notifyServing(r.hasUsableServer && !r.refusesClients())
 		if r.takeover.predecessor != nil && r.hasUsableServer {
 			r.startAccepting()
@@ -143,8 +143,8 @@
 	r.decisions = append(r.decisions, r.core.Step(r.batchTime, routing.FleetShareChanged{Share: share})...)
 }
 
-// SetSiteOrders has the router keep to what the fleet does about a lost site, until a time, and returns its recent load. The
-// orders are in force once the error is nil; with one they are not, and never will be by this call.
+// SetSiteOrders applies the fleet's failover orders until a time, and returns the router's recent load. The orders
+// are in force once the error is nil; after an error they are not, and never will be by this call.
 func (r *Router) SetSiteOrders(orders routing.FailoverOrders, until time.Time) (routing.RouterLoad, error) {
 	var load routing.RouterLoad
 	busy := r.runOnLoop(func() {
@@ -155,7 +155,7 @@
 		if !reflect.DeepEqual(orders, r.fleet.siteOrders) {
 			r.fleet.siteOrders = orders
 			r.addEvent(orders)
-			r.runBatch() // in force before the yes
+			r.runBatch() // in force before the call returns
 		}
 		load = r.core.Load(r.clock())
 	})
@@ -165,7 +165,7 @@
 	return load, nil
 }
 
-// SetExtraShare adds to the router's part, until a time; it does not wait.
+// SetExtraShare adds to the router's share until a time; it does not wait.
 func (r *Router) SetExtraShare(share float64, until time.Time) {
 	select {
 	case <-r.ready:
@@ -191,8 +191,9 @@
 	return may == 0 || r.batchTime < may
 }
 
-// SetAdmissionDeadline has the router take new requests until a time: zero for ever, one that is past not at all. What it does not take
-// is rejected at once, and it is not ready meanwhile.
+// SetAdmissionDeadline lets the router admit new requests until a time. The zero time means without end; after a
+// past time none are admitted. Requests that are not admitted are rejected at once, and the router is not ready
+// meanwhile.
 func (r *Router) SetAdmissionDeadline(until time.Time) {
 	at := clock.Time(0)
 	if !until.IsZero() {
@@ -201,8 +202,8 @@
 	r.fleet.admissionDeadline.Store(int64(at))
 }
 
-// SetPolicy has the router decide by other settings, with these cache servers left alone. They are in force once it returns
-// nil; after an error they are not, and never will be by this call.
+// SetPolicy replaces the settings by which the router decides, and the cache servers that are out of use. They are
+// in force once it returns nil; after an error they are not, and never will be by this call.
 func (r *Router) SetPolicy(settings routing.Settings, bannedServers []string) error {
 	return r.runOnLoop(func() {
 		previous := r.fleet.policyBans
@@ -214,14 +215,15 @@
 		for _, s := range r.servers {
 			uid := string(r.endpoints.UID(s.id))
 			if banned := r.fleet.policyBans[uid]; banned != previous[uid] && !r.operator.state.IsBanned(uid) {
-				r.setBanned(s, banned, r.clock()) // given back it counts as just started
+				r.setBanned(s, banned, r.clock()) // a server in use again counts as just started
 			}
 		}
-		r.runBatch() // in force before the yes
+		r.runBatch() // in force before the call returns
 	})
 }
 
-// isOut tells whether a cache server is left alone, by an operator's word to this router or by the fleet's policy.
+// isBanned reports whether a cache server is out of use, by an operator's request to this router or by the fleet's
+// policy.
 func (r *Router) isBanned(uid string) bool {
 	return r.operator.state.IsBanned(uid) || r.fleet.policyBans[uid]
 }
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -163,7 +163,7 @@
 func TestHandover_AChangeDuringTheFirstFramesArrivesLast(t *testing.T) {
 	h := newHandoverTest(t)
 	greeted, proceed := make(chan struct{}), make(chan struct{})
-	h.router.log.AddHook(hookOnMessage{"another process is to replace this one", func() {
+	h.router.log.AddHook(hookOnMessage{"a process that is to replace this one has connected", func() {
 		close(greeted)
 		<-proceed
 	}})
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -22,27 +22,29 @@
 	"spurtrestle/internal/wire"
 )
 
-// long is a big value on its way from a server to a client. gnet cannot pause reading, and a value may not be held whole:
-// both connections leave the loop, and a goroutine passes it on in pieces. A write that waits is the back-pressure.
+// largeRead is a large value on its way from a server to a client. gnet cannot pause reading, and a large value
+// must not be held in memory as a whole. So both connections leave the loop, and a goroutine copies the value in
+// chunks; its blocking writes provide back-pressure.
 type largeRead struct {
 	r                *Router
 	upstream         *upstream
 	client           *client
-	serverDescriptor int // descriptor of the server's connection
+	serverDescriptor int // of the server's connection
 	received         []byte
 	size             int
 	method           routing.Method
-	closeAfter       bool // the server's connection carries nothing behind it
+	closeAfter       bool // the server's connection carries nothing after the value
 
-	clientConn, serverConn net.Conn    // of the goroutine
-	pending                []byte      // for the client
-	remaining              int         // bytes of the value to come
-	terminated             bool        // the line end behind it is pending, or out
-	stopped                atomic.Bool // the goroutine is to end, and the value to go on elsewhere
+	clientConn, serverConn net.Conn    // owned by the goroutine
+	pending                []byte      // bytes to be written to the client
+	remaining              int         // bytes of the value still to be read
+	terminated             bool        // the line end after the value is in pending, or written
+	stopped                atomic.Bool // the goroutine is to stop, so that another process continues
 }
 
-// long takes an answer that is too big to be held: its attempt ends here, at the first bytes of its value. false: it is
-// no such answer. Its connection is to be closed on the loop then; what is left of it is the descriptor.
+// startLargeRead handles an answer that is too large to be held: its attempt ends with the first bytes of the
+// value. It returns false if this is no such answer. Otherwise the caller closes the connection on the loop; a
+// duplicate of its descriptor remains.
 func (up *upstream) startLargeRead(buf []byte) bool {
 	attempt := up.attempt
 	outcome, valueStart, size, ok := up.server.protocol.Long(buf)
@@ -50,7 +52,7 @@
 		return false
 	}
 	client, plain := attempt.request.responder.(*client)
-	if !plain { // other protocols hand values over whole
+	if !plain { // front ends of other protocols pass on whole values only
 		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, Long: true})
 		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
 		return true
@@ -60,7 +62,7 @@
 	}
 	fd, err := up.conn.Dup()
 	if err != nil {
-		up.r.log.WithError(err).Warn("a big value cannot be passed on")
+		up.r.log.WithError(err).Warn("large value cannot be forwarded")
 		return false
 	}
 	read := &largeRead{r: up.r, upstream: up, client: client, serverDescriptor: fd, received: append([]byte(nil), buf[valueStart:]...), size: size, method: attempt.request.method, closeAfter: outcome.Close}
@@ -75,20 +77,20 @@
 	return true
 }
 
-// off takes a connection to a server off the loop; it counts on.
+// detachFromLoop takes a server connection off the loop; it stays counted.
 func (up *upstream) detachFromLoop() {
 	up.detached = true
 	up.r.connCount++
 	up.conn.SetContext(nil)
 }
 
-// drop gives up a value that nobody waits for.
+// discard drops a value whose client is gone.
 func (l *largeRead) discard() {
 	_ = os.NewFile(uintptr(l.serverDescriptor), "").Close()
 	l.upstream.detachedConnClosed()
 }
 
-// ended: a connection that had left the loop is no more.
+// detachedConnClosed updates the counts when a connection off the loop has been closed.
 func (up *upstream) detachedConnClosed() {
 	up.r.connCount--
 	up.r.serverConnCount--
@@ -96,13 +98,13 @@
 	up.r.dialForWaiting()
 }
 
-// leave takes the client off the loop for the big value that is first in its order.
+// detach takes the client off the loop for the large value that is next in its reply order.
 func (c *client) detach() {
 	c.detachPending = false
 	if c.conn == nil || c.detached || len(c.slots) == 0 || c.slots[0].largeRead == nil {
 		return
 	}
-	if c.conn.OutboundBuffered() > 0 { // answers before it have not left
+	if c.conn.OutboundBuffered() > 0 { // earlier replies have not been written yet
 		c.detachPending = true
 		c.r.after(c.r.limits.LargeValueRetryInterval, c.detach)
 		return
@@ -110,7 +112,7 @@
 	l := c.slots[0].largeRead
 	fd, err := c.conn.Dup()
 	if err != nil {
-		c.r.log.WithError(err).Warn("a big value cannot be passed on")
+		c.r.log.WithError(err).Warn("large value cannot be forwarded")
 		c.r.close(c.conn)
 		return
 	}
@@ -122,8 +124,8 @@
 	go l.start(fd)
 }
 
-// offLoop takes the client's connection off the loop, where a duplicate of its descriptor goes on; it counts on. It is
-// to be closed here before gnet reads of it again.
+// detachFromLoop takes the client's connection off the loop, where a duplicate of its descriptor continues; it
+// stays counted. The caller closes the connection before gnet reads from it again.
 func (c *client) detachFromLoop() {
 	c.conn.SetContext(nil)
 	c.detached, c.conn = true, nil
@@ -132,14 +134,14 @@
 	delete(c.r.clients, c)
 }
 
-// back takes the client onto the loop again, with what was answered meanwhile.
+// reattach returns the client to the loop and writes the replies that are ready.
 func (c *client) reattach(conn gnet.Conn) {
 	r := c.r
 	c.arrivalTimes = arrivalTimes{}
-	c.arrivalTimes.noteUnread(len(c.detachedInput), c.lastActivity) // they came before the connection left the loop
+	c.arrivalTimes.noteUnread(len(c.detachedInput), c.lastActivity) // this input arrived before the connection left the loop
 	c.conn, c.detached, c.carriedLargeRead, c.lastActivity = conn, false, true, r.clock()
 	r.detachedClients--
-	r.connCount-- // it was counted all the time
+	r.connCount-- // it stayed counted while it was off the loop
 	r.clients[c] = struct{}{}
 	c.flushReplies()
 	if c.conn != nil && !c.closeAfterReplies && len(c.detachedInput) > 0 {
@@ -150,7 +152,7 @@
 	}
 }
 
-// lost: the client ended, or had to, while it was off the loop.
+// detachedConnLost finishes a client whose connection ended while it was off the loop.
 func (c *client) detachedConnLost() {
 	c.r.detachedClients--
 	c.r.connCount--
@@ -161,14 +163,15 @@
 
 var chunkPool = sync.Pool{New: func() any { return new([]byte) }}
 
-// asConn makes a descriptor a connection, and is done with the descriptor.
+// connFromDescriptor returns a connection for a descriptor, which it closes.
 func connFromDescriptor(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "")
 	defer f.Close()
 	return net.FileConn(f)
 }
 
-// dupOf duplicates a descriptor. (File of the standard library would make the connection a blocking one.)
+// duplicateDescriptor duplicates a descriptor. (The standard library's File method would make the connection
+// blocking.)
 func duplicateDescriptor(c syscall.Conn) (fd int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -178,12 +181,13 @@
 	return fd, errors.Join(e, err)
 }
 
-// pass runs off the loop. The client's side ends unless the value has passed whole.
+// start runs off the loop and copies the value. The client's connection is closed unless the whole value has been
+// written.
 func (l *largeRead) start(clientDescriptor int) {
 	client, err := connFromDescriptor(clientDescriptor)
 	server, serverErr := connFromDescriptor(l.serverDescriptor)
 	if err = errors.Join(err, serverErr); err != nil {
-		l.r.log.WithError(err).Warn("a big value cannot be passed on")
+		l.r.log.WithError(err).Warn("large value cannot be forwarded")
 	}
 	n := min(len(l.received), l.size)
 	head := strconv.AppendInt([]byte{'$'}, int64(l.size), 10)
@@ -200,14 +204,15 @@
 	l.forward()
 }
 
-// watchClient looks, while the client has requests open behind the value, whether it has closed its connection: the goroutine
-// finds out only once there is something to write, and until then their attempts went on.
+// pollClientGone checks, while the client has open requests behind the value, whether it has closed its
+// connection. The goroutine notices only at its next write, and until then attempts for those requests used to go
+// on.
 func (l *largeRead) pollClientGone() {
 	hasOpenRequests := slices.ContainsFunc(l.client.slots, func(s *slot) bool { return s.request != nil && !s.request.finished })
 	if !l.client.detached || !hasOpenRequests {
 		return
 	}
-	gone := false // nor is it where it is closed here: it is on its way back to the loop
+	gone := false // an error means that this process has closed the connection: it is on its way back to the loop
 	if raw, err := l.clientConn.(syscall.Conn).SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
 	}
@@ -222,9 +227,9 @@
 	l.r.after(l.r.limits.ClientGoneCheckInterval, l.pollClientGone)
 }
 
-var errHandoverStop = errors.New("stopped for another process")
+var errHandoverStop = errors.New("stopped for the handover to another process")
 
-// run passes on what is left.
+// forward copies the rest of the value and returns both connections to the loop.
 func (l *largeRead) forward() {
 	r := l.r
 	err := l.copyValue()
@@ -249,9 +254,9 @@
 	r.runAsync(l.upstream.detachedConnClosed)
 }
 
-// end: the value cannot be finished. Its length was told, so that nobody takes it for whole.
+// abort ends a value that cannot be completed. Its length has been sent, so no client takes it for complete.
 func (l *largeRead) abort(why error) {
-	l.r.log.WithError(why).Debug("a big value ends early")
+	l.r.log.WithError(why).Debug("large value aborted")
 	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
 		if c != nil {
 			c.Close()
@@ -265,7 +270,7 @@
 	})
 }
 
-// copy passes the value on.
+// copyValue copies the rest of the value.
 func (l *largeRead) copyValue() error {
 	r := l.r
 	chunk := chunkPool.Get().(*[]byte)
@@ -276,7 +281,7 @@
 	for {
 		for len(l.pending) > 0 {
 			_ = l.clientConn.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueUnreadTimeout)))
-			if l.stopped.Load() { // behind the deadline, which stop sets as well
+			if l.stopped.Load() { // checked after setting the deadline, since requestStop sets a deadline, too
 				l.pending = append([]byte(nil), l.pending...)
 				return errHandoverStop
 			}
@@ -303,8 +308,8 @@
 	}
 }
 
-// stop has the goroutine end between two pieces, once all that waits behind the value is answered: what is in hand for
-// its client is this process's to answer.
+// requestStop stops the goroutine between two chunks, once all requests behind the value are answered: this
+// process has to answer the client's pending requests.
 func (l *largeRead) requestStop() {
 	if !l.stopped.Load() && l.client.allAnswered() {
 		l.stopped.Store(true)
@@ -317,20 +322,20 @@
 	return !slices.ContainsFunc(c.slots, func(s *slot) bool { return s.reply == nil })
 }
 
-// moved is a big value as one process tells it to the next.
+// largeReadFrame describes a large value to the process that continues it. The field names are part of the format.
 type largeReadFrame struct {
-	Server     string // its name in discovery
+	Server     string // id in discovery
 	Method     string
-	Pending    []byte // for the client
-	Remaining  int    `json:"Left"` // bytes to come from the server
+	Pending    []byte // bytes to be written to the client
+	Remaining  int    `json:"Left"` // bytes still to be read from the server
 	CloseAfter bool   `json:"Last"`
-	Terminated bool   `json:"Ended"` // the line end is pending, or out
-	Trailing   []byte `json:"Has"`   // read of what stands behind the value
-	Answers    []byte // for the client, behind the value
-	Unread     []byte `json:"Rest"` // of the client, not read yet
+	Terminated bool   `json:"Ended"` // the line end is in Pending, or written
+	Trailing   []byte `json:"Has"`   // bytes read after the value
+	Answers    []byte // replies to write after the value
+	Unread     []byte `json:"Rest"` // input of the client that has not been read
 }
 
-// move passes the value on to the next process, or goes on where there is none.
+// handOver passes the value on to the successor, or continues here if there is none.
 func (l *largeRead) handOver() {
 	r, t := l.r, &l.r.takeover
 	if !t.handingOver {
@@ -361,7 +366,7 @@
 	l.clientConn.Close()
 	l.serverConn.Close()
 	delete(r.largeReads, l)
-	r.counts.Taken-- // the next process counts it
+	r.counts.Taken-- // the successor counts it
 	r.detachedClients--
 	r.serverConnCount--
 	if l.client.hasSentRequest {
@@ -371,15 +376,15 @@
 	t.outgoing <- outgoingFrame{handover.Frame{Kind: handover.LargeValue, Body: text, FDs: fds}}
 }
 
-// takeValue goes on with a big value that another process began.
+// adoptLargeRead continues a large value that another process began.
 func (r *Router) adoptLargeRead(f handover.Frame) {
 	var message largeReadFrame
 	err := json.Unmarshal(f.Body, &message)
 	clientConn, err1 := connFromDescriptor(f.FDs[0])
 	serverConn, err2 := connFromDescriptor(f.FDs[1])
 	if err = errors.Join(err, err1, err2); err != nil {
-		r.log.WithError(err).Warn("a big value cannot be taken over")
-		return // what is left of it ends with the process
+		r.log.WithError(err).Warn("large value of the previous process cannot be adopted")
+		return // what remains of it ends with the process
 	}
 	r.runAsync(func() {
 		method := r.methods[message.Method]
@@ -402,7 +407,7 @@
 	})
 }
 
-// rest reads what stands behind the value and tells whether the connection can carry another attempt.
+// readTrailer reads what follows the value and reports whether the connection can carry another attempt.
 func (l *largeRead) readTrailer(server net.Conn) bool {
 	_ = server.SetDeadline(time.Now().Add(toDuration(l.r.limits.LargeValueStallTimeout)))
 	for {
@@ -419,7 +424,7 @@
 	}
 }
 
-// enroll puts a connection onto the loop for p; failed runs there.
+// enroll adds a connection to the loop with handler p; failed runs on the loop.
 func (r *Router) enroll(c net.Conn, p connHandler, failed func()) {
 	_ = c.SetDeadline(time.Time{})
 	enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), p), c)
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -17,23 +17,25 @@
 	"spurtrestle/internal/wire/resp2"
 )
 
-// body is the value of a big write on its way from a client to a server. As with long, both connections leave the loop:
-// the client's at the head, so that nothing more is read of it than can be passed on.
+// largeWrite is the value of a large write on its way from a client to a server. As with largeRead, both
+// connections leave the loop; the client's does so at the head of the command, so that no more is read than can be
+// passed on.
 type largeWrite struct {
 	r                *Router
 	client           *client
 	request          *pendingRequest // nil: refused at its head
 	clientDescriptor int
-	received         []byte // of the value, read already
+	received         []byte // bytes of the value read so far
 	size             int
 
-	started bool // a goroutine passes it on
+	started bool // a goroutine reads the value
 	mu      sync.Mutex
-	conns   []net.Conn // of the goroutine, to be cut from the loop
+	conns   []net.Conn // owned by the goroutine; the loop may interrupt them
 }
 
-// longWrite takes the head of a write whose value is over the bound for such as are held whole. ok is false where it is
-// none; where the client is away its connection is to be closed.
+// startLargeWrite handles the head of a write whose value exceeds the limit for values held in memory. ok is false
+// if this is no such head; if away is true, the caller closes the client's connection, which continues off the
+// loop.
 func (c *client) startLargeWrite(buf []byte) (ok, away bool) {
 	r := c.r
 	words, at, size, ok := resp.LongCommand(buf, c.words, r.limits.RESP)
@@ -42,11 +44,11 @@
 	}
 	c.partialSince = 0
 	if c.largeWriteNext = !c.hasNoPendingReplies(); c.largeWriteNext {
-		return true, false // what is asked before it must not wait for it
+		return true, false // requests before it must not wait for it
 	}
 	fd, err := c.conn.Dup()
 	if err != nil {
-		r.log.WithError(err).Warn("a big value cannot be taken")
+		r.log.WithError(err).Warn("large value cannot be read")
 		return false, false
 	}
 	b := &largeWrite{r: r, client: c, clientDescriptor: fd, size: size, received: append([]byte(nil), buf[at:]...)}
@@ -56,7 +58,7 @@
 	c.detachFromLoop()
 	c.detachedInput = nil
 	if !valid {
-		slot.reply = refusedRequestReply // it goes out behind the body
+		slot.reply = refusedRequestReply // it is written after the value has been read
 		b.startGoroutine(b.discardValue)
 		return true, true
 	}
@@ -67,7 +69,8 @@
 	return true, true
 }
 
-// answered: a write that was given up before its body could go is answered behind it.
+// finishEarly answers a write that ended before its value was sent: the reply is written after the value has been
+// read.
 func (b *largeWrite) finishEarly(a wire.Answer) {
 	b.client.fillSlot(&b.request.slot, resp2.AppendAnswer(nil, a))
 	if !b.started {
@@ -93,14 +96,14 @@
 	}()
 }
 
-// hold keeps a connection where the loop can cut it.
+// registerConn records a connection so that the loop can interrupt it.
 func (b *largeWrite) registerConn(c net.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.conns = append(b.conns, c)
 }
 
-// cut ends what the goroutine does: nobody waits for it any more.
+// interrupt makes the goroutine's reads and writes fail, since nobody waits for their result.
 func (b *largeWrite) interrupt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,13 +112,14 @@
 	}
 }
 
-// discard reads the body to its end; false: the client ended first, or what came is no command.
+// discardValue reads the value to its end; it returns false if the client ended before that, or the command is
+// malformed.
 func (b *largeWrite) discardValue(client net.Conn) bool { return b.readValue(client, func([]byte) {}) }
 
-// each hands on the body and the line end behind it in pieces.
+// readValue passes the value to write in chunks, and reads the line end after it.
 func (b *largeWrite) readValue(client net.Conn, write func([]byte)) bool {
 	remaining := b.size + 2
-	var heldBack []byte // the value's last byte is held back until the line end behind it has come: a broken command must not run
+	var heldBack []byte // the last byte of the value is held back until the line end has arrived: a malformed command must not run
 	consume := func(data []byte) {
 		n := min(len(data), max(0, remaining-3))
 		write(data[:n])
@@ -124,7 +128,7 @@
 	}
 	n := min(len(b.received), remaining)
 	consume(b.received[:n])
-	b.client.detachedInput = b.received[n:] // the client is off the loop: nothing else touches it
+	b.client.detachedInput = b.received[n:] // the client is off the loop: nothing else accesses it
 	chunk := chunkPool.Get().(*[]byte)
 	defer chunkPool.Put(chunk)
 	if len(*chunk) != b.r.limits.LargeValueWindow {
@@ -143,7 +147,7 @@
 	if string(heldBack[1:]) != "\r\n" {
 		return false
 	}
-	if raw, err := client.(syscall.Conn).SyscallConn(); err == nil { // its end stands behind a big body, unseen until now
+	if raw, err := client.(syscall.Conn).SyscallConn(); err == nil { // the client's disconnect lies behind the value in its socket, unseen until now
 		gone := false
 		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
 		if gone {
@@ -154,27 +158,28 @@
 	return true
 }
 
-// soon begins to send in the next round, when no call of the server's connection is under way.
+// scheduleSend starts to send on the loop's next round, outside of any callback of the server's connection.
 func (b *largeWrite) scheduleSend(attempt *activeAttempt) {
 	up := attempt.conn
 	b.r.runAsync(func() {
-		if attempt.conn == up { // else it ended meanwhile
+		if attempt.conn == up { // otherwise it has ended meanwhile
 			b.forward(attempt)
 		}
 	})
 }
 
-// hungUp tells of a descriptor whose other end sends no more; bytes that came before that may still wait.
+// peerHungUp reports whether the other end of a descriptor sends no more; input that arrived earlier may still be
+// unread.
 func peerHungUp(fd int) bool {
 	is := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(is, 0)
 	return err == nil && n > 0
 }
 
-// send passes the body on to the server that was decided on, and then brings its answer.
+// forward sends the value to the chosen server and handles its response.
 func (b *largeWrite) forward(attempt *activeAttempt) {
 	r, up := b.r, attempt.conn
-	if peerHungUp(b.clientDescriptor) { // off the loop nobody has seen that the client went while it waited
+	if peerHungUp(b.clientDescriptor) { // off the loop, nothing has noticed that the client left while the write waited
 		r.clientLeft(b.request)
 		r.abortAttempt(attempt, routing.NotSent)
 		b.startGoroutine(b.discardValue)
@@ -182,15 +187,15 @@
 	}
 	fd, err := up.conn.Dup()
 	if err != nil {
-		r.log.WithError(err).Warn("a big value cannot be passed on")
+		r.log.WithError(err).Warn("large value cannot be forwarded")
 		r.abortAttempt(attempt, routing.ConnectError)
 		return
 	}
-	r.cancel(attempt.timer) // its time begins when the body has gone
+	r.cancel(attempt.timer) // its time limit starts when the value has been sent
 	conn := up.conn
 	up.detachFromLoop()
 	r.close(conn)
-	// The router waits its whole time once the value has gone, but no longer than the client does.
+	// The router waits its full time limit once the value has been sent, but no longer than the client does.
 	attempt.startedAt = r.clock()
 	head, tail := up.server.protocol.AppendLong(nil, wire.NewAttempt(&b.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), b.size)
 	b.startGoroutine(func(client net.Conn) bool {
@@ -214,7 +219,7 @@
 		if whole {
 			put([]byte(tail))
 		}
-		if whole = whole && err == nil; !whole { // its last byte never left, so that it never ran
+		if whole = whole && err == nil; !whole { // the last byte was not sent, so the write has never run
 			server.Close()
 			done := make(chan struct{})
 			r.runAsync(func() {
@@ -223,7 +228,7 @@
 				close(done)
 			})
 			<-done
-			return err != nil // else it was the client
+			return err != nil // otherwise the client's connection failed
 		}
 		sent := time.Now()
 		outcome, keep := b.readResponse(server, up.server.protocol, sent.Add(toDuration(attempt.timeout)))
@@ -231,13 +236,13 @@
 		r.runAsync(func() {
 			defer close(done)
 			r.counts.Forwards++
-			attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time counts from there
+			attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time limit counts from there
 			r.handleOutcome(attempt, outcome)
 			if !keep {
 				up.detachedConnClosed()
 			}
 		})
-		<-done // what was read is used
+		<-done // the bytes that were read are no longer needed
 		if keep {
 			r.enroll(server, up, up.detachedConnClosed)
 		} else {
@@ -247,7 +252,7 @@
 	})
 }
 
-// await reads the server's answer.
+// readResponse reads the server's response.
 func (b *largeWrite) readResponse(server net.Conn, protocol wire.Back, deadline time.Time) (outcome wire.Outcome, keep bool) {
 	_ = server.SetReadDeadline(deadline)
 	var received []byte
@@ -255,7 +260,7 @@
 	for {
 		n, err := server.Read(buffer)
 		received = append(received, buffer[:n]...)
-		outcome, used, keep, broken := protocol.Read(received, err == io.EOF) // a reset is no end of an answer without a length
+		outcome, used, keep, broken := protocol.Read(received, err == io.EOF) // a reset does not end an answer without a length
 		switch {
 		case broken != nil:
 			return wire.Outcome{Status: routing.Failed}, false
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -11,23 +11,23 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// memory is what the router has from an earlier process, and where it leaves what it knows.
+// learnedState holds what an earlier process has learned, and how this process saves what it learns.
 type learnedState struct {
 	restored        *snapshot.State
-	unlistedServers map[discovery.UID]routing.ServerKnowledge // of servers that no list has named yet
+	unlistedServers map[discovery.UID]routing.ServerKnowledge // of servers that no endpoint list has contained yet
 	interval        clock.Time
 	submit          func(snapshot.State)
 	random          *rand.Rand
 }
 
-// Remember has the router begin with what an earlier process had learned (nil: nothing), and hand over what it knows
-// itself about every so often. keep is called on the loop and must not wait. Call it before Run.
+// ConfigureSnapshots makes the router start with the learned state of an earlier process (nil: none), and pass its
+// own to keep at intervals of about every. keep is called on the loop and must not block. Call it before Run.
 func (r *Router) ConfigureSnapshots(learned *snapshot.State, every clock.Time, keep func(snapshot.State)) {
 	r.learned = &learnedState{restored: learned, interval: every, submit: keep, unlistedServers: map[discovery.UID]routing.ServerKnowledge{},
 		random: rand.New(rand.NewPCG(r.cfg.Seed, 1))}
 }
 
-// remind gives the decisions what was learned before, as far as it still counts.
+// restoreLearned passes the learned state to package routing, as far as it is still valid.
 func (r *Router) restoreLearned() {
 	learned := r.learned
 	if learned == nil {
@@ -41,12 +41,12 @@
 	}
 	restored := *learned.restored
 	if err := checkSameService(restored, r.cfg.Settings); err != nil {
-		r.log.WithError(err).Warn("what was learned before is left alone; give each service a folder of its own")
+		r.log.WithError(err).Warn("learned state ignored; give each service a folder of its own")
 		learned.restored = nil
 		return
 	}
 	knowledge := restored.Knowledge
-	for _, method := range r.cfg.Settings.Methods { // by name: their order may have changed
+	for _, method := range r.cfg.Settings.Methods { // matched by name, since their order may have changed
 		time := clock.Time(0)
 		for _, entry := range restored.Methods {
 			if entry.Name == method.Name {
@@ -56,7 +56,7 @@
 		knowledge.MethodLatencies = append(knowledge.MethodLatencies, time)
 	}
 	for i, entry := range restored.Servers {
-		entry.Server = routing.ServerID(i) // only to find it again: numbers are given by the list
+		entry.Server = routing.ServerID(i) // an index into s.Servers; the endpoint list assigns the ids
 		knowledge.Servers = append(knowledge.Servers, entry.ServerKnowledge)
 	}
 	knowledge = staleness.Decay(knowledge, r.batchTime)
@@ -68,7 +68,7 @@
 	learned.restored = nil
 }
 
-// sameService: what another service's router has learned, of methods that are not ours, is not ours.
+// checkSameService returns an error if the state was learned by a router of another service, with other methods.
 func checkSameService(s snapshot.State, ours routing.Settings) error {
 	var theirs []string
 	for _, m := range s.Methods {
@@ -77,7 +77,7 @@
 	return settings.CheckSameService(theirs, settings.MethodNames(ours))
 }
 
-// name gives the decisions what is known of servers that a list names, ahead of the list.
+// restoreListedServers passes what is known of the servers in an update to package routing, ahead of the update.
 func (r *Router) restoreListedServers(update routing.EndpointsUpdated) {
 	if r.learned == nil || len(r.learned.unlistedServers) == 0 {
 		return
@@ -96,7 +96,8 @@
 	}
 }
 
-// later keeps what is known after a while; not all routers of a fleet at once.
+// scheduleSnapshot submits a snapshot after a random interval, so that the routers of a fleet do not do so at the
+// same time.
 func (r *Router) scheduleSnapshot() {
 	learned := r.learned
 	r.after(clock.Time(float64(learned.interval)*(0.75+learned.random.Float64()/2)), func() {
@@ -105,7 +106,8 @@
 	})
 }
 
-// State is what the router knows, by names that outlive it. It belongs to the loop until Run is over.
+// State returns the router's learned state, with names that stay valid across restarts. It must be called on the
+// loop until Run has returned.
 func (r *Router) State() snapshot.State {
 	knowledge := r.core.Knowledge(r.clock())
 	state := snapshot.State{Version: snapshot.Version, Router: r.cfg.Name, Knowledge: knowledge}
--- a/internal/router/loop_call.go
+++ b/internal/router/loop_call.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// runOnLoop runs f on the loop and waits for it, but not longer than a caller of the admin endpoint does. After an error f has
-// not run and never will: a call that is late is withdrawn, so that it cannot undo what a later call has put into force.
+// runOnLoop runs f on the loop and waits for it, but no longer than the admin call timeout. After an error f has
+// not run and never will: a late call is withdrawn, so that it cannot undo what a later call has put into force.
 func (r *Router) runOnLoop(f func()) error {
 	timeout := time.NewTimer(toDuration(r.limits.AdminCallTimeout))
 	defer timeout.Stop()
@@ -17,7 +17,7 @@
 	case <-timeout.C:
 		return errBusy
 	}
-	var claimed atomic.Bool // by the loop, which runs f, or by the caller, which withdraws it
+	var claimed atomic.Bool // set by the loop, which runs f, or by the caller, which withdraws it
 	done := make(chan struct{})
 	r.runAsync(func() {
 		if !claimed.CompareAndSwap(false, true) {
@@ -35,9 +35,9 @@
 	case <-timeout.C:
 	}
 	if claimed.CompareAndSwap(false, true) {
-		r.log.WithError(err).Debug("router: call withdrawn before the loop came to it")
+		r.log.WithError(err).Debug("router: call withdrawn, the loop did not run it in time")
 		return err
 	}
-	<-done // the loop runs it at this moment
+	<-done // the loop is running f
 	return nil
 }
--- a/internal/router/loop_lag.go
+++ b/internal/router/loop_lag.go
@@ -6,19 +6,22 @@
 	"spurtrestle/core/clock"
 )
 
-// catchUp is how long a loop that was late once may still find old news in its sockets: hundreds of requests take some of it.
+// lagGracePeriod is how long a loop that was late may still find outdated input in its sockets: working off
+// hundreds of requests takes a good part of it.
 const lagGracePeriod = clock.Time(1e6)
 
-// noteLag notes that the loop comes late to what waits in its sockets, as after a pause of the process or with too little of a core.
+// updateLag records that the loop is late in reading its sockets, as after a pause of the process or when it gets
+// too little CPU.
 func (r *Router) updateLag(since clock.Time) {
 	if r.batchTime-since > r.limits.LoopLagThreshold {
 		r.laggingUntil = r.batchTime + lagGracePeriod
 	}
 }
 
-// hasGone tells, while the loop is late, whether the client of a request has closed its connection or cancelled, and that is not read
-// yet. Of some hundred sockets that wait for the loop it reads requests before it comes to the ends behind others, and began attempts
-// for clients that had gone long before. Otherwise ends are read in time, and the call is spared.
+// clientGone reports, while the loop is late, whether a request's client has disconnected or canceled without the
+// loop having read that. With some hundred sockets ready, the loop reads requests before it gets to disconnects on
+// other sockets, and used to begin attempts for clients long gone. When the loop is not late, disconnects are read
+// in time, and the system call is saved.
 func (r *Router) clientGone(request *pendingRequest) bool {
 	if request.finished || r.batchTime >= r.laggingUntil {
 		return false
@@ -32,16 +35,17 @@
 	return false
 }
 
-// unreadRecheck is how long an attempt waits for a front that has something to read.
+// clientRecheckDelay is how long an attempt waits for a front end that has unread input.
 const clientRecheckDelay = clock.Millisecond
 
-// mayHaveGone reports, while the loop is late, whether the end of a request's client may lie where its front has not read it yet.
+// clientMayBeGone reports, while the loop is late, whether the end of a request's client may be in input that its
+// front end has not read yet.
 func (r *Router) clientMayBeGone(request *pendingRequest) bool {
 	offer, isOffer := request.responder.(*ExternalRequest)
 	return isOffer && !request.finished && r.batchTime < r.laggingUntil && offer.HasUnreadInput != nil && offer.HasUnreadInput()
 }
 
-// connectAfterFront gives an attempt a connection once its request's front has had a moment to read.
+// recheckClientThenConnect connects an attempt after its request's front end has had time to read.
 func (r *Router) recheckClientThenConnect(attempt *activeAttempt) {
 	r.after(clientRecheckDelay, func() {
 		if slices.Contains(attempt.request.attempts, attempt) && attempt.conn == nil {
--- a/internal/router/operator_control.go
+++ b/internal/router/operator_control.go
@@ -18,29 +18,30 @@
 	"spurtrestle/internal/operatorstate"
 )
 
-// ops is what operators see and ask for. The admin endpoint's goroutines come by the exported methods below.
+// operatorControl holds what operators have requested, and the statistics they read. The admin endpoint's
+// goroutines use the exported methods below.
 type operatorControl struct {
-	announcedBans  map[routing.ServerID]bool // what the decisions were told last, of those that they were told of
-	mu             sync.Mutex                // one change at a time; never held by the loop
+	announcedBans  map[routing.ServerID]bool // what package routing was last notified of, by server
+	mu             sync.Mutex                // serializes changes; never held by the loop
 	store          *operatorstate.Store
 	latestState    operatorstate.State   // what operators have requested; guarded by mu
-	issuedVersion  uint64                // number of latest, for the loop; guarded by mu
-	appliedVersion uint64                // number of the state that the loop has taken over; the loop's
-	state          operatorstate.State   // the loop's own
-	stats          atomic.Pointer[stats] // what the loop last left for the admin endpoint
+	issuedVersion  uint64                // version of latestState, for the loop; guarded by mu
+	appliedVersion uint64                // version of the state that the loop has applied; belongs to the loop
+	state          operatorstate.State   // the state in force; belongs to the loop
+	stats          atomic.Pointer[stats] // latest copy for the admin endpoint
 	statsAt        clock.Time
-	notPersisted   atomic.Bool // the file does not have what is wanted
-	closingClients bool        // clients' connections are being ended since an operator asked for it
+	notPersisted   atomic.Bool // the file does not contain the latest state
+	closingClients bool        // client connections are being closed because an operator requested a drain
 }
 
-// figures are a copy that the loop leaves, so that nobody waits for it.
+// stats is a copy of the loop's figures, so that readers need not wait for the loop.
 type stats struct {
 	outcomes                    [][3]int // by method: succeeded, declined, aborted
 	forwards, openRequests      int
 	listedCaches, avoidedCaches int
 	reloads, rejectedReloads    int
-	notReady                    error // that it takes no clients; nil: it does
-	draining, idle              bool  // operators drain it or it ends; nothing of any client is in hand
+	notReady                    error // why the router accepts no clients; nil: it does
+	draining, idle              bool  // draining: an operator drains it or it shuts down; idle: no client has anything pending
 }
 
 var (
@@ -52,23 +53,23 @@
 	errBusy        = errors.New("the router did not come to it in time; ask again")
 )
 
-// Operate has the router keep to what is asked of it by operators, now and by the file. Call it before Run.
+// UseOperatorStore applies the operator state in store, now and whenever it changes. Call it before Run.
 func (r *Router) UseOperatorStore(store *operatorstate.Store) {
 	r.operator.store = store
 	state, err := store.Load()
 	if err != nil {
 		r.log.WithError(err).Warn("going on without it")
 	}
-	if a := r.takeover.operatorFrame; a != nil && (err != nil || a.NotPersisted || store.Stale()) { // the process before this one knows
+	if a := r.takeover.operatorFrame; a != nil && (err != nil || a.NotPersisted || store.Stale()) { // the predecessor's state is newer than the file
 		state = a.State
 		store.MarkStale()
 		r.operator.notPersisted.Store(true)
 	}
-	state.Drain = state.Drain && r.takeover.predecessor != nil // else of a process that is gone
+	state.Drain = state.Drain && r.takeover.predecessor != nil // without a predecessor, the drain was meant for a process that is gone
 	r.operator.latestState, r.operator.state = state, state
 }
 
-// follow takes over what another process of this router has been asked.
+// followOperatorState applies changes that operators have made through another process of this router.
 func (r *Router) followOperatorState() {
 	const every = 50 * time.Millisecond
 	for {
@@ -80,7 +81,7 @@
 		r.operator.mu.Lock()
 		if r.operator.store.Changed() {
 			if state, err := r.operator.store.Load(); err != nil {
-				r.log.WithError(err).Warn("what operators asked is kept as it was")
+				r.log.WithError(err).Warn("operator state cannot be read; keeping the last one")
 			} else {
 				r.runAsync(r.issueOperatorState(state))
 			}
@@ -89,8 +90,8 @@
 	}
 }
 
-// awaitOnLoop runs f on the loop and waits for it as runOnLoop does. After errBusy it still runs, late: for what is persisted by
-// then, and so has to come into force.
+// awaitOnLoop runs f on the loop and waits for it as runOnLoop does. After errBusy, f still runs, late: it applies
+// what has been persisted by then and therefore has to come into force.
 func (r *Router) awaitOnLoop(f func()) error {
 	done := make(chan struct{})
 	r.runAsync(func() {
@@ -107,8 +108,9 @@
 	}
 }
 
-// newState makes a state the latest and returns what the loop has to do for it: nothing once it has obeyed a later one, since
-// the loop's queue does not keep the order of its entries when it is long. r.ops.mu must be held.
+// issueOperatorState makes a state the latest and returns the function by which the loop applies it. That does
+// nothing if the loop has applied a later state, since the loop's queue does not keep the order of its entries
+// when it is long. r.operator.mu must be held.
 func (r *Router) issueOperatorState(state operatorstate.State) func() {
 	r.operator.latestState = state
 	r.operator.issuedVersion++
@@ -121,7 +123,7 @@
 	}
 }
 
-// change is what an operator asks: kept first, then in force, then the yes.
+// changeOperatorState applies an operator's change: it is persisted, then put into force, then confirmed.
 func (r *Router) changeOperatorState(f func(*operatorstate.State) error) error {
 	<-r.ready
 	r.operator.mu.Lock()
@@ -141,7 +143,7 @@
 	})
 }
 
-// publishOperatorState sends what is wanted to the other processes of this router.
+// publishOperatorState sends the state in force to the other processes of this router.
 func (r *Router) publishOperatorState() {
 	for _, conn := range []*handover.Conn{r.takeover.predecessor, r.takeover.successor} {
 		if conn != nil {
@@ -151,12 +153,13 @@
 }
 
 func (r *Router) sendOperatorState(conn *handover.Conn) {
-	text, _ := json.Marshal(operatorFrame{r.operator.state, r.operator.notPersisted.Load(), r.fleet.noSharesGranted}) // plain fields: it cannot fail
+	text, _ := json.Marshal(operatorFrame{r.operator.state, r.operator.notPersisted.Load(), r.fleet.noSharesGranted}) // the fields are plain: Marshal cannot fail
 	conn.Publish(handover.OperatorState, func() []byte { return text })
 }
 
-// receiveOperatorState takes over what another process has published. Where that is in the file, the file is read: it has the
-// changes of both processes in their order, and the other's frame may have crossed a change of this one.
+// receiveOperatorState applies a state that another process has published. If that state is in the file, the file
+// is read instead: it has the changes of both processes in order, while the frame may have crossed a change made
+// here.
 func (r *Router) receiveOperatorState(f handover.Frame) {
 	var a operatorFrame
 	if json.Unmarshal(f.Body, &a) != nil {
@@ -174,7 +177,7 @@
 	r.runAsync(r.issueOperatorState(state))
 }
 
-// BanServer sends nothing new to a cache server until it is given back.
+// BanServer stops sending requests to a cache server until it is unbanned.
 func (r *Router) BanServer(uid string) error {
 	return r.changeOperatorState(func(i *operatorstate.State) error {
 		if !i.IsBanned(uid) && !r.knowsCacheServer(uid) {
@@ -195,7 +198,7 @@
 	})
 }
 
-// SetDraining ends the clients' connections, each once nothing of it is in hand, or takes clients again.
+// SetDraining closes the clients' connections, each once it has nothing pending, or accepts clients again.
 func (r *Router) SetDraining(on bool) error {
 	return r.changeOperatorState(func(i *operatorstate.State) error {
 		i.Drain = on
@@ -203,7 +206,7 @@
 	})
 }
 
-// has tells whether a cache server of this name is known.
+// knowsCacheServer reports whether there is a cache server of this name.
 func (r *Router) knowsCacheServer(uid string) (known bool) {
 	err := r.runOnLoop(func() {
 		id, named := r.endpoints.ID(discovery.UID(uid))
@@ -213,36 +216,36 @@
 	return known && err == nil
 }
 
-// obey takes over what is wanted.
+// applyOperatorState puts a state into force.
 func (r *Router) applyOperatorState(state operatorstate.State) {
 	previous := r.operator.state
 	r.operator.state = state
 	for _, s := range r.servers {
 		uid := string(r.endpoints.UID(s.id))
 		if out := state.IsBanned(uid); out != previous.IsBanned(uid) && !r.fleet.policyBans[uid] {
-			r.log.WithFields(map[string]any{"server": uid, "out": out}).Info("as operators asked")
+			r.log.WithFields(map[string]any{"server": uid, "out": out}).Info("operator change applied")
 			r.setBanned(s, out, clock.Time(state.UnbannedAt[uid]))
 		}
 	}
 	if state.Drain != previous.Drain {
-		r.log.WithField("draining", state.Drain).Info("as operators asked")
+		r.log.WithField("draining", state.Drain).Info("operator change applied")
 		r.operator.closingClients = false
 		r.notifyServing(!state.Drain && r.hasUsableServer && !r.draining)
 		if state.Drain {
 			r.after(r.limits.DrainAcceptPeriod, func() { r.operator.closingClients = r.operator.state.Drain })
 		}
 	}
-	r.runBatch() // in force, and in the figures, before the yes
+	r.runBatch() // in force, and in the statistics, before the change is confirmed
 	r.publishStats()
 }
 
-// bar tells the decisions that a server is out, or back since then.
+// setBanned notifies package routing that a server is banned, or in use again since a time.
 func (r *Router) setBanned(s *server, banned bool, since clock.Time) {
 	if banned {
 		since = 0
 	}
 	if s.banned = banned; !banned && since == 0 && !r.operator.announcedBans[s.id] {
-		return // as nearly all that a list names: the decisions know nothing else
+		return // the usual case, a server that was never banned: package routing assumes that
 	}
 	r.operator.announcedBans[s.id] = banned
 	r.addEvent(routing.BanChanged{Server: s.id, Banned: banned, Since: since})
@@ -251,7 +254,7 @@
 	}
 }
 
-// publish leaves the figures for the admin endpoint.
+// publishStats updates the statistics for the admin endpoint.
 func (r *Router) publishStats() {
 	counts := &r.counts
 	snapshot := &stats{outcomes: append([][3]int(nil), counts.Ended...), forwards: counts.Forwards, reloads: counts.Reloaded, rejectedReloads: counts.NotLoaded,
@@ -272,7 +275,7 @@
 		return errors.New("not ready: " + r.fleet.outOfService)
 	case r.fleet.admissionClosed:
 		return errStalePolicy
-	case r.operator.state.Drain && r.takeover.predecessor == nil: // while the old process lives yes means that it may be ended
+	case r.operator.state.Drain && r.takeover.predecessor == nil: // while the predecessor is alive, being ready means that it may be ended
 		return errDraining
 	case r.takeover.handingOver:
 		return errHandedOver
@@ -282,7 +285,7 @@
 	return nil
 }
 
-// Ready tells why the router takes no clients; nil: it does.
+// Ready returns why the router accepts no clients, or nil if it does.
 func (r *Router) Ready() error {
 	if f := r.operator.stats.Load(); f != nil {
 		return f.notReady
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -12,63 +12,67 @@
 	"spurtrestle/internal/wire"
 )
 
-// asker is whoever a request came from, by whatever protocol.
+// responder delivers answers to the sender of a request, whatever its protocol.
 type responder interface {
-	// answer passes on the one final answer of a request. It must not wait.
+	// deliver sends the one final answer of a request. It must not block.
 	deliver(*pendingRequest, wire.Answer)
 }
 
-// request is one request from its last byte on, until its answer is given and no attempt of it is out.
+// pendingRequest is a request that has been read completely. It is kept until it is answered and none of its
+// attempts is outstanding.
 type pendingRequest struct {
 	wire.Request
-	size             int // bytes that it holds
+	size             int // bytes of memory held by the request
 	method           routing.Method
-	clientDeadline   clock.Time // its client gives up then
+	clientDeadline   clock.Time // when its client stops waiting
 	responder        responder
-	slot             slot             // of a RESP2 client
-	attempts         []*activeAttempt // two at most
-	attemptCount     routing.Attempt  // so far
-	finished         bool             // answered, or the client is gone
-	departurePending bool             // the client is gone, and the decisions are still to be told: they may name it until then
-	largeWrite       *largeWrite      // of a big write, which is passed on as it comes
+	slot             slot             // place in the reply order of a RESP2 client
+	attempts         []*activeAttempt // at most two
+	attemptCount     routing.Attempt  // attempts begun so far
+	finished         bool             // answered, or its client is gone
+	departurePending bool             // its client is gone and package routing has yet to process that; until then decisions may refer to the request
+	largeWrite       *largeWrite      // set for a large write, which is streamed as it arrives
 }
 
-// arrival is a request on its way into a batch; its deadline counts from there.
+// requestArrival is an event for a request whose deadline starts with the batch that processes it.
 type requestArrival struct {
 	request    *pendingRequest
 	event      routing.RequestArrived
 	timeout    clock.Time
-	receivedAt clock.Time // its last byte came then
+	receivedAt clock.Time // when its last byte arrived
 }
 
-// event dates a request. The decisions count its time from when the router came to read it, since the protocol does not
-// count the time for which a command waits for those before it; servers are sent what is left since its last byte came.
+// atTime returns the event with its deadline set. Package routing counts a request's time from when the router
+// read it, since the protocol excludes the time a command waits behind earlier ones on its connection; servers are
+// sent the time left since the last byte arrived.
 func (a *requestArrival) atTime(at clock.Time) routing.Event {
 	a.request.clientDeadline = min(at, a.receivedAt) + a.timeout
 	a.event.ValidUntil = at + a.timeout
 	return a.event
 }
 
-// attempt is one attempt from its decision to its outcome.
+// activeAttempt is one attempt, from the decision to send it to its outcome.
 type activeAttempt struct {
 	request       *pendingRequest
 	number        routing.Attempt
 	server        *server
 	startedAt     clock.Time
-	timeout       clock.Time // its time-out
+	timeout       clock.Time // time limit for the outcome, from startedAt
 	timer         *timer
-	startTimer    *timer     // at until; nil: that is its time-out
-	startDeadline clock.Time // not begun by then, it is not begun any more
+	startTimer    *timer     // fires at startDeadline; nil: timer covers it
+	startDeadline clock.Time // an attempt that has not been sent by then is dropped
 	conn          *upstream  // nil: it waits for a connection
-	fullySent     bool       // its last byte has left us
+	fullySent     bool       // its last byte has been handed to the kernel
 }
 
-// remaining is how long an answer can still be of use: until the router stops waiting for it, or the client does.
+// remaining returns how long an answer is still of use: until the router's time limit or the client's deadline,
+// whichever comes first.
 func (a *activeAttempt) remaining(now clock.Time) clock.Time {
 	return min(a.startedAt+a.timeout, a.request.clientDeadline) - now
 }
 
-// take makes a request of this router's what a front has read whole; its client waits so long from when its last byte came, since.
+// admitRequest registers a request that was read completely and queues its arrival. The client's timeout counts
+// from receivedAt, when the last byte arrived.
 func (r *Router) admitRequest(request *pendingRequest, event routing.RequestArrived, timeout, receivedAt clock.Time) {
 	r.requests[request.ID] = request
 	r.requestBytes += request.size
@@ -77,7 +81,7 @@
 	r.addEvent(&requestArrival{request: request, event: event, timeout: max(timeout-r.limits.ClientNetworkMargin, 1), receivedAt: receivedAt})
 }
 
-// answer gives a request its only answer.
+// answerRequest sends a request its only answer. It reports false if the request is finished already.
 func (r *Router) answerRequest(request *pendingRequest, a wire.Answer) bool {
 	if request.finished {
 		return false
@@ -96,7 +100,8 @@
 	return true
 }
 
-// count is the one place where a request's end is counted, but for those whose clients left.
+// countOutcome counts the end of a request. All ends are counted here, except those of requests whose clients
+// left.
 func (r *Router) countOutcome(m routing.Method, k wire.Kind) {
 	switch k {
 	case wire.Served:
@@ -109,13 +114,13 @@
 	r.counts.Ended[m][k]++
 }
 
-// refused counts a request that ended before the decisions saw it.
+// countRefused counts a request that ended before package routing processed it.
 func (r *Router) countRefused(m routing.Method, k wire.Kind) {
 	r.counts.Taken++
 	r.countOutcome(m, k)
 }
 
-// settle forgets a request once nothing of it is left.
+// releaseRequest forgets a request once it is finished and has no outstanding attempts.
 func (r *Router) releaseRequest(request *pendingRequest) {
 	if request.finished && !request.departurePending && len(request.attempts) == 0 && r.requests[request.ID] == request {
 		delete(r.requests, request.ID)
@@ -135,8 +140,9 @@
 	}
 }
 
-// left: the client of a request is gone. What of it has not left us whole does not: where the settings allow no recall it went
-// out once it had a connection, long after.
+// clientLeft finishes a request whose client is gone, and drops attempts that have not been sent completely: where
+// the settings allow no cancellation, such an attempt used to be sent when it got a connection, long after the
+// client had left.
 func (r *Router) clientLeft(request *pendingRequest) {
 	if request.finished {
 		return
@@ -155,22 +161,22 @@
 	}
 }
 
-// unsent: its last byte has not left us, so that it has not run.
+// notFullySent reports whether part of the attempt is still in this process, so that it cannot have run.
 func (a *activeAttempt) notFullySent() bool {
 	return a.conn == nil || !a.conn.detached && a.conn.conn.OutboundBuffered() > 0
 }
 
-// beginAttempt begins an attempt.
+// beginAttempt starts the attempt of a Send decision.
 func (r *Router) beginAttempt(decision routing.Decision) {
 	request, s := r.requests[decision.Request], r.servers[decision.Server]
 	if request == nil {
-		r.log.Error("an attempt of a request that is over")
+		r.log.Error("attempt for an unknown request")
 		return
 	}
 	nth := request.attemptCount
 	request.attemptCount++
-	// The request may have lost its client, and the server its place in the list, since this was decided: the news is in the
-	// batch behind the decision, or in the next. Nothing is sent then.
+	// Since the decision was made, the request may have lost its client, or the server may have left the endpoint
+	// list; the event for that is later in this batch or in the next one. Nothing is sent then.
 	if request.finished || s == nil || !s.ready {
 		r.addEvent(routing.AttemptEnded{Request: decision.Request, Server: decision.Server, Attempt: nth, Status: routing.NotSent, Answered: request.finished})
 		return
@@ -190,7 +196,7 @@
 	r.connectAttempt(attempt)
 }
 
-// returned ends an attempt and hands its outcome over.
+// endAttempt removes an attempt and queues its outcome for package routing.
 func (r *Router) endAttempt(attempt *activeAttempt, status routing.AttemptStatus, report routing.Report) {
 	request := attempt.request
 	n := slices.Index(request.attempts, attempt)
@@ -223,7 +229,8 @@
 	r.releaseRequest(request)
 }
 
-// giveUp ends an attempt that is still out by closing its connection, so that no late byte reaches another request.
+// abortAttempt ends an outstanding attempt by closing its connection, so that a late answer cannot reach another
+// request.
 func (r *Router) abortAttempt(attempt *activeAttempt, status routing.AttemptStatus) {
 	up := attempt.conn
 	r.endAttempt(attempt, status, nil)
@@ -234,7 +241,8 @@
 	}
 }
 
-// timedOut: what has not left us whole by its time has never run, and that is not held against the server.
+// timeOutAttempt ends an attempt whose time is over. One that has not been sent completely has never run, and does
+// not count against the server.
 func (r *Router) timeOutAttempt(attempt *activeAttempt) {
 	switch {
 	case !slices.Contains(attempt.request.attempts, attempt):
@@ -253,7 +261,7 @@
 	}
 }
 
-// spoke: a server has answered. A value goes to who asked as soon as it has come whole.
+// handleOutcome handles a server's answer. A value is passed to the client as soon as it is complete.
 func (r *Router) handleOutcome(attempt *activeAttempt, outcome wire.Outcome) {
 	if outcome.Status == routing.OK {
 		r.answerRequest(attempt.request, wire.Answer{Kind: wire.Served, Value: outcome.Value})
@@ -261,7 +269,8 @@
 	r.endAttempt(attempt, outcome.Status, r.parseReport(outcome.Report))
 }
 
-// report reads "name=value,..." into the order of the settings; nil where nothing is told.
+// parseReport parses a load report "name=value,..." into the order of the settings; it returns nil if there is
+// none.
 func (r *Router) parseReport(text []byte) routing.Report {
 	if bytes.IndexByte(text, '=') < 0 {
 		return nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,9 +1,16 @@
-// Package router is the router on sockets: one gnet loop that owns all state. It gathers what came in, hands it to
-// package routing in one go, and carries out what came back. It decides nothing about requests itself.
+// Package router runs the router on sockets: one gnet event loop owns all of its state. The loop collects events
+// (requests, answers, timers, endpoint lists), passes them in batches to package routing, and carries out the
+// decisions that come back. It makes no routing decisions itself.
 //
-// The files: this one the loop's callbacks; batch.go the hand-over to the decisions; requests.go the requests and their
-// attempts, whatever protocol they came by; clients.go, servers.go (pools and dials) and watch.go the kinds of
-// connections; timers.go the timers; memory.go what outlives the process; drain.go the end.
+// Package program creates the router; protocol front ends such as grpcfront submit requests to it from their own
+// goroutines, and the admin endpoint and the fleet's packages call its exported methods.
+//
+// Files: router.go holds the loop's callbacks; batch.go passes events to package routing; requests.go tracks
+// requests and their attempts, independent of the protocol; clients.go, servers.go (connection pools and dials)
+// and watch.go (discovery) hold the kinds of connections; large_read.go and large_write.go stream large values off
+// the loop; external_requests.go accepts requests of front ends; takeover.go hands over to the next process;
+// operator_control.go and fleet_limits.go apply what operators and the fleet set; timers.go holds the timers;
+// learned_state.go the state that survives a restart; drain.go the shutdown.
 package router
 
 import (
@@ -30,7 +37,8 @@
 	"spurtrestle/internal/wire/resp2"
 )
 
-// Router is one router. All its state belongs to the loop; only Drain, Reload and Print may be called from elsewhere.
+// Router is one router. All its state belongs to the loop's goroutine; an exported method that other goroutines
+// may call passes its work to the loop.
 type Router struct {
 	gnet.BuiltinEventEngine
 	cfg    config.Config
@@ -39,63 +47,64 @@
 	counts counters.Counters
 
 	startTime      time.Time
-	startWallClock clock.Time // the wall clock at the start; the time is that and what has passed by the monotonic clock
-	// sinceStart reads the monotonic clock. Tests of the loop without sockets put a counter in its place.
+	startWallClock clock.Time // wall clock at startTime; the current time is this plus the monotonic time elapsed since
+	// sinceStart reads the monotonic clock; tests that run the loop without sockets replace it.
 	sinceStart func() time.Duration
 	loop       gnet.EventLoop
 	ready      chan struct{} // closed once loop is set
 
 	core      *routing.Router
 	methods   map[string]routing.Method
-	batchTime clock.Time // of the batch at hand
-	// After the loop stood still since stoodFrom, until stoodUntil, what is read may have come at any time since then.
+	batchTime clock.Time // time of the current batch
+	// If the loop stalled from stallStart on, input that is read before stallGraceEnd may have arrived at any time
+	// since stallStart.
 	stallStart, stallGraceEnd clock.Time
-	laggingUntil              clock.Time // until then the ends of clients may lie unread
+	laggingUntil              clock.Time // until then client disconnects may still be unread in the sockets
 	pendingEvents             []routing.Event
 	decisions                 []routing.Decision
-	batchQueued               bool // a batch is on its way
+	batchQueued               bool // a batch is scheduled on the loop
 
 	timers timers
 
 	requests            map[routing.RequestID]*pendingRequest
-	requestBytes        int                     // bytes of all requests
-	clientBufferBytes   int                     // bytes that the clients' connections hold, or more
-	clients             map[*client]struct{}    // all that are open
-	largeReads          map[*largeRead]struct{} // big values under way to clients
-	detachedClients     int                     // more that are off the loop
-	requestingClients   int                     // those of them that have sent a request
+	requestBytes        int                     // memory held by all requests
+	clientBufferBytes   int                     // upper bound of the bytes buffered by client connections
+	clients             map[*client]struct{}    // all open clients on the loop
+	largeReads          map[*largeRead]struct{} // large values being streamed to clients
+	detachedClients     int                     // open clients that are off the loop
+	requestingClients   int                     // clients that have sent a request
 	stalledClients      []*client               // clients whose commands wait for room
 	servers             map[routing.ServerID]*server
-	cache               wire.Back // how cache servers are spoken to, and the origin
+	cache               wire.Back // protocol spoken to cache servers; origin is that for the origin
 	origin              wire.Back
-	dialFunc            func(addr string, p connHandler, failed func(error)) // dialOff, but in tests
+	dialFunc            func(addr string, p connHandler, failed func(error)) // dialAsync, except in tests
 	pendingDials        int
 	serverConnCount     int // open connections to servers
 	duplicateGuardUntil clock.Time
-	dialQueue           []*server // with attempts that wait for a dial
+	dialQueue           []*server // servers with attempts that wait for a dial
 	connCount           int       // open connections of all kinds
 	endpoints           *discovery.EndpointList
 	watch               *watch
-	initialEndpoints    routing.EndpointsUpdated // the list to start with
-	hasUsableServer     bool                     // a list with a server to use has come
-	learned             *learnedState            // nil: nothing is kept over a restart
-	external            externalQueue            // from fronts off the loop
-	operator            operatorControl          // of operators
-	takeover            takeover                 // from the process before, and by the next
+	initialEndpoints    routing.EndpointsUpdated // the endpoint list to start with
+	hasUsableServer     bool                     // an endpoint list with at least one usable server has arrived
+	learned             *learnedState            // nil: nothing is kept across restarts
+	external            externalQueue            // requests of front ends off the loop
+	operator            operatorControl          // what operators have requested
+	takeover            takeover                 // handover from the previous process and to the next
 	fleet               fleetLimits
 	onServing           func(bool)
 
-	done                              chan struct{} // the loop is to end, or has
+	done                              chan struct{} // closed when the loop is about to end or has ended
 	draining, closingClients, stopped bool
-	shutdownDeadline                  clock.Time // all that is taken is answered by then; 0: no end is in sight
+	shutdownDeadline                  clock.Time // every admitted request is answered by then; 0: no shutdown is in progress
 	writeBuffer                       []byte
 }
 
-// peer is one connection's side of the loop: gnet's context of it.
+// connHandler handles the loop's callbacks for one connection; it is stored as the connection's gnet context.
 type connHandler interface {
 	onOpen(gnet.Conn)
 	onTraffic() gnet.Action
-	onClose(ended bool) // ended: by the other side, in order, and all that it sent has been read
+	onClose(ended bool) // endOfStream: the peer ended the stream in order and everything it sent has been read
 }
 
 // New returns a router that is not running yet.
@@ -121,11 +130,12 @@
 	return r, nil
 }
 
-// Run serves until it is drained or cannot go on. It listens once it has all else that it needs.
+// Run serves until the router has drained or cannot continue. It starts to listen last, after everything else is
+// set up.
 func (r *Router) Run() error {
-	// A client engine has a loop and no listener: gnet's own listeners cannot be stopped before their loop is.
+	// A gnet client has a loop but no listener; gnet's own listeners cannot be closed before their loop ends.
 	loop, err := gnet.NewClient(r, gnet.WithLogger(r.log), gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithReadBufferCap(r.limits.ReadChunk), gnet.WithWriteBufferCap(r.limits.ClientOutput)) // up to there gnet keeps to one ring buffer
+		gnet.WithReadBufferCap(r.limits.ReadChunk), gnet.WithWriteBufferCap(r.limits.ClientOutput)) // up to this size gnet uses a single ring buffer
 	if err != nil {
 		return err
 	}
@@ -134,7 +144,7 @@
 	}
 	nobody, err := net.Dial("udp", discardAddr)
 	if err != nil {
-		return errors.Join(fmt.Errorf("a UDP socket to %s, for the loop: %w; see that the loopback device is up", discardAddr, err), loop.Stop())
+		return errors.Join(fmt.Errorf("opening a UDP socket to %s for the event loop: %w; check that the loopback device is up", discardAddr, err), loop.Stop())
 	}
 	if err = r.listen(); err != nil {
 		nobody.Close()
@@ -148,12 +158,12 @@
 	return loop.Stop()
 }
 
-// noPeer is whom the loop's first connection is to: the port that discards, and nothing is sent there. gnet gives its loop
-// with a connection only. A UDP socket, since there may be no others than TCP and UDP over IPv4: a Unix pair ended every
-// router at its start where that was so. Connected, it takes nobody else's datagrams.
+// discardAddr is the address of the loop's first connection, which carries no data: gnet starts its loop only with
+// a connection. Some environments allow no sockets but TCP and UDP over IPv4; a Unix socket pair made every router
+// fail at start there. The UDP socket is connected, so it accepts no datagrams from other senders.
 const discardAddr = "127.0.0.1:9"
 
-// heart is the connection to nobody; it ends with the loop.
+// loopAnchor handles the connection to discardAddr, which stays open as long as the loop.
 type loopAnchor struct{ r *Router }
 
 func (h *loopAnchor) onOpen(c gnet.Conn)     { h.r.startLoop(c.EventLoop()) }
@@ -165,7 +175,7 @@
 	}
 }
 
-// clock is the time in microseconds since 1970. It never goes back.
+// clock returns the time in microseconds since 1970. It never goes back.
 func (r *Router) clock() clock.Time {
 	return r.startWallClock + clock.Time(r.sinceStart()/time.Microsecond)
 }
@@ -179,7 +189,7 @@
 	var decided []routing.Decision
 	r.core, decided = routing.New(r.batchTime, r.cfg.Settings, r.cfg.Seed)
 	r.applyDecisions(decided)
-	r.expireFleetLimits() // a router that has to be told first what it may take begins with nothing
+	r.expireFleetLimits() // a router that needs permission to admit requests starts without it
 	r.applyDecisions(r.decisions)
 	r.restoreLearned()
 	if len(r.cfg.SavedEndpoints) > 0 {
@@ -187,7 +197,7 @@
 	}
 	r.restartWatch(r.cfg.Discovery)
 	r.after(r.limits.IdleSweepInterval, r.sweepConnections)
-	r.operator.closingClients = r.operator.state.Drain // as asked of the process before
+	r.operator.closingClients = r.operator.state.Drain // a drain carried over from the previous process
 	r.publishPeriodically()
 	if r.operator.store != nil {
 		go r.followOperatorState()
@@ -195,7 +205,7 @@
 	if t := &r.takeover; t.predecessor != nil {
 		r.adjustMemoryLimits()
 		go r.followPredecessor(t.predecessor)
-		r.after(r.limits.TakeoverListTimeout, r.startAccepting) // discovery may be down
+		r.after(r.limits.TakeoverListTimeout, r.startAccepting) // discovery may be unreachable
 	} else {
 		r.startAccepting()
 	}
@@ -203,7 +213,7 @@
 	r.log.WithFields(logrus.Fields{"name": r.cfg.Name, "listen": r.cfg.Listen}).Info("serving")
 }
 
-// OnOpen takes a connection that was accepted or enrolled.
+// OnOpen handles a connection that was accepted or enrolled.
 func (r *Router) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	r.connCount++
 	if p, ok := c.Context().(connHandler); ok {
@@ -212,7 +222,7 @@
 	return nil, gnet.None
 }
 
-// OnTraffic passes on that bytes came.
+// OnTraffic passes readable input to the connection's handler.
 func (r *Router) OnTraffic(c gnet.Conn) gnet.Action {
 	if p, ok := c.Context().(connHandler); ok {
 		return p.onTraffic()
@@ -220,8 +230,9 @@
 	return gnet.Close
 }
 
-// OnClose passes on that a connection is no more. Only an end that was read is one in order: gnet tells a reset as the error of
-// a read or a write, a hang-up as io.EOF of its own, and what is closed here as no error.
+// OnClose passes a closed connection to its handler. gnet reports a reset as an error of a read or write, an end
+// of stream that was read as io.EOF within an os.SyscallError, a hang-up as a bare io.EOF, and a close from this
+// side as no error; only the end of stream that was read counts as an orderly end.
 func (r *Router) OnClose(c gnet.Conn, err error) gnet.Action {
 	r.connCount--
 	if p, ok := c.Context().(connHandler); ok {
@@ -234,26 +245,26 @@
 
 func (r *Router) close(c gnet.Conn) {
 	if err := r.loop.Close(c); err != nil {
-		r.log.WithError(err).Warn("closing a connection")
+		r.log.WithError(err).Warn("closing a connection failed")
 	}
 }
 
-// execute runs f on the loop, from any goroutine.
+// runAsync schedules f on the loop, from any goroutine, and returns without waiting.
 func (r *Router) runAsync(f func()) {
 	err := r.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		f()
 		return nil
 	}))
 	select {
-	case <-r.done: // a timer, or a call to discovery, may still come in
+	case <-r.done: // a timer or a discovery response may still arrive
 	default:
 		if err != nil {
-			r.log.WithError(err).Warn("the loop takes no more work")
+			r.log.WithError(err).Warn("the event loop accepts no more work")
 		}
 	}
 }
 
-// Reload takes over what may change in service: where discovery is.
+// Reload applies the settings that may change while serving: the address of discovery.
 func (r *Router) Reload(discovery string) {
 	<-r.ready
 	r.runAsync(func() {
@@ -263,19 +274,19 @@
 	})
 }
 
-// NotLoaded counts a new configuration that was refused.
+// CountRejectedReload counts a new configuration that was rejected.
 func (r *Router) CountRejectedReload() {
 	<-r.ready
 	r.runAsync(func() { r.counts.NotLoaded++ })
 }
 
-// Print logs the counters.
+// LogCounters logs the counters.
 func (r *Router) LogCounters() {
 	<-r.ready
 	r.runAsync(func() { r.log.Info(r.Counters()) })
 }
 
-// Counters is a line of all counts. It belongs to the loop until Run is over.
+// Counters returns all counters on one line. It must be called on the loop until Run has returned.
 func (r *Router) Counters() string {
 	allocated := []metrics.Sample{{Name: "/gc/heap/allocs:objects"}, {Name: "/gc/heap/allocs:bytes"}}
 	metrics.Read(allocated)
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -13,20 +13,21 @@
 	"spurtrestle/internal/wire"
 )
 
-// server is a cache server or the origin: what is connected to it.
+// server is a cache server or the origin, with the connections to it.
 //
-// A connection carries one attempt at a time. The settings allow more, but answers come in order, and an attempt is
-// given up by closing its connection: a slow one would hold up those behind it, and one given up would reset them.
+// A connection carries one attempt at a time. The settings allow pipelining, but answers come in order and an
+// attempt is canceled by closing its connection: a slow attempt would delay those behind it, and a canceled one
+// would reset them.
 type server struct {
 	id              routing.ServerID
 	addr            string
 	protocol        wire.Back
-	ready           bool // listed and not out: idle connections are of use
-	listed          bool // in the list, and not draining
-	banned          bool // an operator has taken it out
+	ready           bool // listed and not banned: idle connections are worth keeping
+	listed          bool // in the endpoint list, and not draining
+	banned          bool // taken out of use by an operator or the fleet's policy
 	isOrigin        bool
-	idleConns       []*upstream      // the last used at the end
-	waitingAttempts []*activeAttempt // for a connection
+	idleConns       []*upstream      // the most recently used is last
+	waitingAttempts []*activeAttempt // attempts that wait for a connection
 	dialing         int
 }
 
@@ -34,20 +35,20 @@
 type upstream struct {
 	r          *Router
 	server     *server
-	addr       string // where it leads; the server may have another by now
+	addr       string // address it was dialed to; the server's may have changed since
 	conn       gnet.Conn
 	attempt    *activeAttempt // nil: idle
-	idleSince  clock.Time     // idle since
-	writing    bool           // gnet may close it within a write
-	detached   bool           // off the loop: a big value comes on it
-	hasCarried bool           // it has carried an attempt
+	idleSince  clock.Time     // when it became idle
+	writing    bool           // gnet may close the connection within a write
+	detached   bool           // off the loop while a large value is streamed
+	hasCarried bool           // has carried an attempt
 }
 
 func (s *server) removeWaiting(attempt *activeAttempt) {
 	s.waitingAttempts = slices.DeleteFunc(s.waitingAttempts, func(other *activeAttempt) bool { return other == attempt })
 }
 
-// connect gives an attempt a connection: an idle one, else the first that gets free.
+// connectAttempt assigns an idle connection to an attempt, or queues it for the next one that is free.
 func (r *Router) connectAttempt(attempt *activeAttempt) {
 	if r.clientGone(attempt.request) {
 		r.clientLeft(attempt.request)
@@ -70,9 +71,10 @@
 	r.dialForWaiting()
 }
 
-const descriptorsPerDial = 2 // gnet takes a copy, and then the first is closed
+const descriptorsPerDial = 2 // gnet duplicates the descriptor and then closes the first one
 
-// feed dials for attempts that wait, as far as there are descriptors; else they wait on, for one that gets free.
+// dialForWaiting dials for waiting attempts as long as there are descriptors; the others wait for a connection
+// that becomes free.
 func (r *Router) dialForWaiting() {
 	for len(r.dialQueue) > 0 {
 		s := r.dialQueue[0]
@@ -87,7 +89,7 @@
 	}
 }
 
-// dial opens a connection off the loop, since gnet's own Register knows no time limit.
+// dialServer opens a connection off the loop, since gnet's Register has no time limit.
 func (r *Router) dialServer(s *server) {
 	s.dialing++
 	r.pendingDials++
@@ -96,7 +98,7 @@
 	r.dialFunc(addr, &upstream{r: r, server: s, addr: addr}, func(error) {
 		r.counts.DialsFailed++
 		s.dialing--
-		if addr != s.addr { // nothing is known of the new one
+		if addr != s.addr { // nothing is known of the new address
 			r.dialQueue = append(r.dialQueue, s)
 		} else if len(s.waitingAttempts) > s.dialing {
 			r.endAttempt(s.waitingAttempts[0], routing.ConnectError, nil)
@@ -105,10 +107,10 @@
 	})
 }
 
-// dialOff connects to an address and enrolls the connection for p; failed runs on the loop.
+// dialAsync connects to an address and enrolls the connection with handler p; failed runs on the loop.
 func (r *Router) dialAsync(addr string, p connHandler, failed func(error)) {
 	within := r.limits.ConnectTimeout
-	if _, is := p.(*watch); is { // servers may be long in coming up, the agent may not: a call waits behind it
+	if _, is := p.(*watch); is { // a server may take long to accept; discovery may not, since the next call waits for this dial
 		within = min(within, r.limits.WatchGrace)
 	}
 	go func() {
@@ -134,7 +136,7 @@
 	up.conn = conn
 	if up.detached {
 		up.detached = false
-		up.r.connCount-- // it was counted all the time
+		up.r.connCount-- // it stayed counted while it was off the loop
 		up.release()
 		return
 	}
@@ -144,8 +146,9 @@
 	up.release()
 }
 
-// free gives the connection to the first that waits, or keeps it. One that leads where the server no longer is, busy or on
-// its way when the list told so, brought requests to whoever is there now.
+// release assigns the connection to the first waiting attempt, or keeps it idle. A connection to an address the
+// server has left is closed: if it was busy or still being dialed during the address change, it used to carry
+// requests to whichever server is there now.
 func (up *upstream) release() {
 	s := up.server
 	if up.addr != s.addr {
@@ -173,8 +176,8 @@
 	}
 }
 
-// dropLate drops from the head of those that wait what is not to be sent any more, or not yet. After a pause of the process its
-// connections come up before its timers go off.
+// dropExpired removes attempts from the head of the queue that must not be sent any more, or not yet. After a
+// pause of the process, connections come up before its timers fire.
 func (s *server) dropExpired(r *Router, now clock.Time) {
 	for len(s.waitingAttempts) > 0 {
 		attempt := s.waitingAttempts[0]
@@ -192,16 +195,17 @@
 	}
 }
 
-// rested: what answers twice does so some milliseconds late, and no answer says whose it is. Where that was seen lately a
-// connection that has carried an attempt is left alone for as long, so that the second answer meets nobody.
+// mayReuse reports whether the connection can carry another attempt now. A server that answers twice does so some
+// milliseconds late, and answers carry no request id. If that happened recently, a used connection rests for that
+// long, so that a duplicate answer cannot be taken for that of the next request.
 func (up *upstream) mayReuse() bool {
 	now := up.r.clock()
 	return now >= up.r.duplicateGuardUntil || !up.hasCarried || now-up.idleSince >= up.r.limits.ReuseDelay
 }
 
-// open: the server has not ended it, nor sent anything on it that the loop is still to read. What is written to an ended
-// connection may have run for all that is known, so it is looked at where that forbids another try. The rest is told by the
-// loop in time, or tried again.
+// isOpen reports whether the server has neither closed the connection nor sent anything that the loop has yet to
+// read. An attempt written to a closed connection may have run for all the router knows, so this is checked where
+// that would forbid a retry; in the other cases the loop notices in time, or the attempt is retried.
 func (up *upstream) isOpen(attempt *activeAttempt) bool {
 	if up.r.cfg.Settings.Methods[attempt.request.method].Idempotency == routing.Idempotent || !up.hasCarried {
 		return true
@@ -211,7 +215,7 @@
 	return err != nil && err != unix.ECONNRESET
 }
 
-// unasked: a server has sent what nobody asked for.
+// noteUnsolicited records that a server has sent data that belongs to no attempt.
 func (r *Router) noteUnsolicited() { r.duplicateGuardUntil = r.clock() + r.limits.DuplicateMemory }
 
 func (up *upstream) send(attempt *activeAttempt) {
@@ -225,13 +229,13 @@
 	up.writing = true
 	_, err := up.conn.Write(up.r.writeBuffer)
 	up.writing = false
-	if err != nil { // gnet has closed it and called closed
+	if err != nil { // gnet has closed the connection and called onClose
 		return
 	}
 	up.noteSent()
 }
 
-// left counts an attempt once its last byte is with the kernel.
+// noteSent counts an attempt once its last byte has been handed to the kernel.
 func (up *upstream) noteSent() {
 	if attempt := up.attempt; attempt != nil && !attempt.fullySent && !up.writing && up.conn.OutboundBuffered() == 0 {
 		attempt.fullySent = true
@@ -239,7 +243,7 @@
 	}
 }
 
-// traffic reads an answer. What comes while nothing is asked, or behind an answer, belongs to nobody.
+// onTraffic reads an answer. Data that arrives without an attempt, or after the answer, belongs to no request.
 func (up *upstream) onTraffic() gnet.Action {
 	attempt := up.attempt
 	if attempt == nil {
@@ -256,7 +260,8 @@
 		return gnet.Close
 	}
 	if err != nil {
-		// It answered, so that it is no lost connection, but what it said is spoilt: its request may have run.
+		// The server responded, so the connection did not fail, but its answer is malformed: the request may have
+		// run.
 		up.r.counts.Broken++
 		up.r.endAttempt(attempt, routing.Failed, nil)
 		return gnet.Close
@@ -271,21 +276,22 @@
 	if used < len(buf) || !keep {
 		return gnet.Close
 	}
-	_, _ = up.conn.Discard(used) // bytes that Peek has just shown
+	_, _ = up.conn.Discard(used) // bytes that Peek has just returned
 	up.release()
 	return gnet.None
 }
 
-// closed: before its last byte has left us an attempt has never run; after that it may have. gnet still writes out
-// what is buffered after this; what was given up must not reach the server then, so the sending side is shut first.
+// onClose ends the attempt on a closed connection. An attempt whose last byte has not been sent has never run; any
+// other may have run. gnet still writes out its buffer after this callback; so that an aborted attempt cannot
+// reach the server that way, the socket is shut down first.
 //
-// An answer without a length lasts until the connection ends. A reset is no such end: the rest of the value was on its way,
-// and the client got half of one for the whole.
+// An answer without a length lasts until the end of the stream. A reset is no such end: the rest of the value is
+// missing, and the client would get half a value as a whole one.
 func (up *upstream) onClose(endOfStream bool) {
 	s := up.server
 	up.r.serverConnCount--
 	if up.conn.OutboundBuffered() > 0 {
-		_ = unix.Shutdown(up.conn.Fd(), unix.SHUT_RDWR) // fails where the peer has ended it already
+		_ = unix.Shutdown(up.conn.Fd(), unix.SHUT_RDWR) // fails if the peer has already closed it
 	}
 	s.idleConns = slices.DeleteFunc(s.idleConns, func(x *upstream) bool { return x == up })
 	attempt := up.attempt
@@ -293,7 +299,7 @@
 		return
 	}
 	status := routing.Reset
-	if up.writing || up.conn.OutboundBuffered() > 0 || attempt.request.largeWrite != nil { // a body has not begun to go
+	if up.writing || up.conn.OutboundBuffered() > 0 || attempt.request.largeWrite != nil { // the body of a large write has not started
 		status = routing.ConnectError
 	} else if buf, _ := up.conn.Peek(-1); endOfStream && len(buf) > 0 {
 		if outcome, used, _, err := up.server.protocol.Read(buf, true); err == nil && used > 0 {
@@ -310,8 +316,9 @@
 	}
 }
 
-// sweep closes what has been idle for nearly as long as its server would let it, clients that were to be closed once
-// they had taken their answers, and those that hold a descriptor and say nothing, or nothing more.
+// sweepConnections closes server connections that have been idle for almost as long as their server allows,
+// clients that were to be closed after their replies, and clients that hold a descriptor without sending anything,
+// or anything complete.
 func (r *Router) sweepConnections() {
 	now := r.clock()
 	for client := range r.clients {
@@ -323,7 +330,8 @@
 			if client.mayClose() && client.conn != nil {
 				r.close(client.conn)
 			}
-		// Some ask once and keep the connection for good. Clients may hold only so many, and had none left for requests.
+		// Some clients send one request and keep the connection. Clients can hold a limited number of connections,
+		// and would have none left for requests.
 		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.SilentClientTimeout && client.isQuiet() && client.unreadBytes() == 0 && !client.hasUnreadInput():
 			r.close(client.conn)
 		}
@@ -336,13 +344,14 @@
 	}
 }
 
-// used is what connections and dials hold, and what one more dial would.
+// descriptorsInUse returns the number of descriptors held by connections, pending dials and the other processes of
+// this router.
 func (r *Router) descriptorsInUse() int {
 	return r.connCount + descriptorsPerDial*r.pendingDials + r.takeover.peerDescriptors[0] + r.takeover.peerDescriptors[1]
 }
 
-// roomToDial closes idle connections until there are descriptors for a dial. Servers get a part of them only, so that
-// clients can always come in.
+// makeRoomToDial closes idle connections until there are descriptors for a dial. Servers get only part of the
+// descriptors, so that clients can always connect.
 func (r *Router) makeRoomToDial() bool {
 	for {
 		withinServerLimit := r.serverConnCount+descriptorsPerDial*(r.pendingDials+1) <= r.limits.ServerConnections
@@ -355,7 +364,7 @@
 	}
 }
 
-// roomForClient does the same for a client that has come in; false where it can't be kept.
+// makeRoomForClient does the same for a new client; it reports false if the client cannot be kept.
 func (r *Router) makeRoomForClient(client *client) bool {
 	for r.descriptorsInUse() > r.limits.Descriptors {
 		if !r.shedConnection() {
@@ -368,18 +377,18 @@
 	return r.descriptorsInUse() <= r.limits.MaxDescriptors
 }
 
-// handsOver: another process of this router lives, and clients go from one to the other with requests that were taken. What both
-// hold counts against the descriptors then, so that dials may wait though nobody crowds in.
+// sharesDescriptors reports whether another process of this router is alive. Clients with admitted requests move
+// between the processes, and the descriptors of both count, so that dials may wait without an excess of clients.
 func (r *Router) sharesDescriptors() bool { return r.takeover.peerDescriptors != [2]int{} }
 
-// dialsWait: attempts wait for a connection, not because servers have their part of the descriptors, but because there are none.
-// Those that clients leave must then not go to the next client: of a crowd that came again at once it was each time younger than
-// may be closed, and no attempt ever got one.
+// dialsBlocked reports whether attempts wait for a connection for lack of descriptors, and not because servers
+// have used up their part. Descriptors freed by clients must not go to new clients then: when many clients
+// reconnected at once, each was too young to be closed, and no attempt ever got a connection.
 func (r *Router) dialsBlocked() bool {
 	return len(r.dialQueue) > 0 && r.serverConnCount+descriptorsPerDial*(r.pendingDials+1) <= r.limits.ServerConnections
 }
 
-// anotherIsQuiet: a client can be closed, now or as soon as it has been quiet for long enough.
+// hasOtherQuietClient reports whether another client can be closed, now or once it has been quiet for long enough.
 func (r *Router) hasOtherQuietClient(than *client) bool {
 	for client := range r.clients {
 		if client != than && client.isQuiet() {
@@ -389,14 +398,14 @@
 	return false
 }
 
-// shed closes a client while they hold more than they need for requests, else an idle connection to a server. Hundreds that
-// asked once and stayed, or never asked, took the descriptors of the servers' connections, and each attempt paid for
-// a new one.
+// shedConnection closes a client if they hold more connections than they need for requests, and otherwise an idle
+// server connection. Hundreds of clients that sent one request or none used to take the descriptors of server
+// connections, so that each attempt had to open a new one.
 func (r *Router) shedConnection() bool {
 	return len(r.clients) > r.limits.ClientConnections && r.shedClient(false) || r.shedServerConnection() || r.shedClient(false)
 }
 
-// shedServer closes the connection to a server that has been idle longest.
+// shedServerConnection closes the server connection that has been idle longest.
 func (r *Router) shedServerConnection() bool {
 	var oldest *upstream
 	for _, s := range r.servers {
@@ -412,8 +421,8 @@
 	return true
 }
 
-// shedClient closes the client that has been quiet longest, first of those that never asked. One that has just come in
-// is spared: its first request is on its way, and closing the connection would lose it. askers: of those that have asked.
+// shedClient closes the client that has been quiet longest, preferring those that never sent a request;
+// requestersOnly leaves these out. A new client is spared: its first request is on its way and would be lost.
 func (r *Router) shedClient(requestersOnly bool) bool {
 	now := r.clock()
 	var candidate *client
@@ -435,7 +444,7 @@
 	return true
 }
 
-// listCame takes a list: who is named, and where.
+// applyEndpoints applies an endpoint list or an update of it: which servers there are, and at which addresses.
 func (r *Router) applyEndpoints(update routing.EndpointsUpdated) {
 	r.counts.Lists++
 	r.restoreListedServers(update)
@@ -448,7 +457,7 @@
 			s = &server{id: e.Server}
 			r.servers[e.Server] = s
 			uid := string(r.endpoints.UID(e.Server))
-			r.setBanned(s, r.isBanned(uid), clock.Time(r.operator.state.UnbannedAt[uid])) // before anything is sent there
+			r.setBanned(s, r.isBanned(uid), clock.Time(r.operator.state.UnbannedAt[uid])) // before anything is sent to it
 		}
 		s.isOrigin = r.cfg.Settings.OriginKind != "" && e.Kind == r.cfg.Settings.OriginKind
 		if s.protocol = r.cache; s.isOrigin {
@@ -477,7 +486,8 @@
 	}
 }
 
-// dismiss: a server wants nothing new. What waits for a connection to it has not been sent, and is decided anew.
+// stopUsing closes the idle connections to a server and ends the attempts that wait for one. They have not been
+// sent, so package routing decides on them again.
 func (r *Router) stopUsing(s *server) {
 	r.closeIdleConnections(s)
 	for len(s.waitingAttempts) > 0 {
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -24,46 +24,48 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// takeover is how this process follows another as the router, and is followed by the next. The fields belong to the
-// loop, but for those noted.
+// takeover holds how this process replaces another process of the router, and is replaced by the next. The fields
+// belong to the loop, except where noted.
 type takeover struct {
-	socketDir, socketName  string // of the socket by which the processes find each other; before Run
+	socketDir, socketName  string // of the socket by which the processes find each other; set before Run
 	listener               *net.TCPListener
 	socket                 *net.UnixListener
-	operatorFrame          *operatorFrame     // of the old process, as it last knew; nil: not told
-	predecessor, successor *handover.Conn     // the processes before and behind this one, while they live
-	accepting              bool               // clients come to this process
-	enrolling              atomic.Int32       // accepted, and not with the loop yet
-	discoverable           bool               // the next process can find it, or was to
-	handingOver            bool               // its clients are passed on to the heir
-	hasHandedOver          bool               // they were once, also if the heir has ended since
-	outgoing               chan outgoingFrame // to the heir; room for all clients
-	unsentFrames           int                // passed, and not with the heir yet
-	peerDescriptors        [2]int             // descriptors that the old one and the heir hold
-	onTransfer             func([]byte)       // takes what the old one leaves; before Run
+	operatorFrame          *operatorFrame     // the predecessor's latest; nil: none was received
+	predecessor, successor *handover.Conn     // the processes before and after this one, while they are alive
+	accepting              bool               // clients are accepted by this process
+	enrolling              atomic.Int32       // accepted connections that are not enrolled in the loop yet
+	discoverable           bool               // awaitSuccessors has been started, so that the next process can find this one
+	handingOver            bool               // clients are being handed over to the successor
+	hasHandedOver          bool               // handingOver was set once, even if that successor has ended since
+	outgoing               chan outgoingFrame // frames to the successor; has room for all clients
+	unsentFrames           int                // frames queued but not yet sent to the successor
+	peerDescriptors        [2]int             // descriptors held by the predecessor and by the successor
+	onTransfer             func([]byte)       // receives the predecessor's transfers; set before Run
 }
 
-// asked is what operators want, as one process tells it to another while both live: a file may be full, or spoilt.
+// operatorFrame carries what operators have requested from one process to another while both are alive, since the
+// file that holds it may be damaged or not writable.
 type operatorFrame struct {
 	operatorstate.State
-	NotPersisted    bool `json:"Unkept"` // the file does not have it
-	NoSharesGranted bool `json:"Whole"`  // nothing of the part of what all routers may send is lent
+	NotPersisted    bool `json:"Unkept"` // the file does not contain it
+	NoSharesGranted bool `json:"Whole"`  // no part of this router's share of the fleet's limits is lent
 }
 
-// passed is a client's connection on its way to the heir.
+// outgoingFrame carries a client's connection to the successor.
 type outgoingFrame struct {
 	handover.Frame
 }
 
-// Join finds the process that this one replaces, if there is one, and takes its listener and what it knows. Call it
-// before Run. An error: the process that serves there is another service's, and neither its clients nor its address is ours.
+// ConnectPredecessor finds the process that this one replaces, if there is one, and takes over its listener and
+// its learned state. Call it before Run. It returns an error if the process that serves there belongs to another
+// service: neither its clients nor its address are this router's.
 func (r *Router) ConnectPredecessor(dir string) error {
 	const frameTimeout = time.Second
 	t := &r.takeover
 	t.socketDir, t.socketName = dir, "spurtrestle-"+r.cfg.Listen+".sock"
 	predecessor, err := handover.Dial(t.socketDir, t.socketName, frameTimeout)
 	if err != nil {
-		return nil // nobody: the usual start
+		return nil // no predecessor: the usual start
 	}
 	var state *snapshot.State
 	var serviceErr error
@@ -95,7 +97,7 @@
 		}
 	}
 	if err == nil && (t.listener == nil || t.listener.Addr().String() != r.cfg.Listen) {
-		err = errors.New("its listener is another one")
+		err = errors.New("its listener has another address")
 	}
 	if err != nil {
 		if t.listener != nil {
@@ -121,14 +123,14 @@
 func listenerFromFrame(f handover.Frame) (net.Listener, error) {
 	if len(f.FDs) != 1 {
 		f.CloseDescriptors()
-		return nil, errors.New("no listener came")
+		return nil, errors.New("the frame contains no listener")
 	}
 	file := os.NewFile(uintptr(f.FDs[0]), "")
 	defer file.Close()
 	return net.FileListener(file)
 }
 
-// listen takes the clients' address, unless the old process has given it.
+// listen opens the listener, unless the predecessor has passed it on.
 func (r *Router) listen() error {
 	t := &r.takeover
 	if t.listener != nil {
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// Listen takes an address that two processes of a router may share.
+// Listen opens a listener on an address that two processes of a router may share.
 func Listen(addr string) (net.Listener, error) {
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
@@ -151,14 +153,14 @@
 	return shared.Listen(context.Background(), "tcp", addr)
 }
 
-// takeClients begins to take clients; an old process passes on those that it has from now on.
+// startAccepting starts to accept clients; the predecessor hands its clients over from then on.
 func (r *Router) startAccepting() {
 	t := &r.takeover
 	if t.accepting || t.handingOver || r.closingClients {
 		return
 	}
 	if t.predecessor != nil && !r.mayAdmit() {
-		return // clients are better off where they are, until the old one has left what it holds of the policy
+		return // clients stay with the predecessor until it has transferred its leases
 	}
 	t.accepting = true
 	_ = t.listener.SetDeadline(time.Time{})
@@ -166,12 +168,13 @@
 	r.becomeDiscoverable()
 	if t.predecessor != nil {
 		r.log.Info("taking over")
-		t.predecessor.Enqueue(handover.Frame{Kind: handover.Ready}) // where it has ended nothing is to take
+		t.predecessor.Enqueue(handover.Frame{Kind: handover.Ready}) // cannot fail usefully: if the predecessor has ended, there is nothing to take over
 	}
 	r.publishStats()
 }
 
-// listKnown: with an old process at work there is time to wait for discovery's own list.
+// afterEndpointsUpdate starts to accept clients once there is a usable server. While the predecessor serves, there
+// is time to wait for discovery's own list instead of a saved one.
 func (r *Router) afterEndpointsUpdate(update routing.EndpointsUpdated) {
 	if r.hasUsableServer && (r.takeover.predecessor == nil || update.Kind != routing.CachedUpdate) {
 		r.startAccepting()
@@ -179,8 +182,9 @@
 	r.becomeDiscoverable()
 }
 
-// showUp lets the next process find this one, once it serves: until it says yes it holds no socket but those of TCP and
-// UDP, since there may be no others, and a refusal must not come before. A process that is told to end is not to be found.
+// becomeDiscoverable lets the next process find this one once it serves. Until it is ready, the process holds no
+// sockets but TCP and UDP, since an environment may forbid others, and a failure must not occur before. A process
+// that is draining is not discoverable.
 func (r *Router) becomeDiscoverable() {
 	if t := &r.takeover; t.socketName != "" && t.accepting && r.hasUsableServer && !t.discoverable && !r.draining {
 		t.discoverable = true
@@ -188,9 +192,9 @@
 	}
 }
 
-// accept runs off the loop, until the listener is closed or clients are the heir's.
+// acceptClients runs off the loop until the listener is closed or clients are handed over.
 func (r *Router) acceptClients() {
-	const pause = 5 * time.Millisecond // where there are no descriptors
+	const pause = 5 * time.Millisecond // while no descriptors are available
 	var under []<-chan struct{}
 	for {
 		c, err := r.takeover.listener.Accept()
@@ -209,7 +213,7 @@
 			return
 		}
 		done := make(chan struct{})
-		go func() { // one that is not enrolled, for want of a descriptor, does not come any more: a drain would wait for it
+		go func() { // a connection that is not enrolled, for lack of a descriptor, never arrives; a drain would wait for it
 			if (<-enrolled).Err != nil {
 				r.takeover.enrolling.Add(-1)
 			}
@@ -222,10 +226,11 @@
 	}
 }
 
-const maxPendingEnrolls = 4 // each holds two descriptors until the loop has it
+const maxPendingEnrolls = 4 // each holds two descriptors until it is enrolled
 
-// awaitHeir waits off the loop for processes that are to replace this one, one after the other. One that has handed on and has its
-// clients back, since its successor has ended, leaves the name to a process that answers there: it has replaced the successor.
+// awaitSuccessors waits, off the loop, for processes that are to replace this one, one after another. If this
+// process has its clients back because its successor has ended, and another process answers under the name, that
+// one has replaced the successor and keeps the name.
 func (r *Router) awaitSuccessors(handedOn bool) {
 	t := &r.takeover
 	if handedOn && handover.Answers(t.socketDir, t.socketName) {
@@ -252,7 +257,7 @@
 	}
 }
 
-// serveHeir speaks to one heir until it ends.
+// serveSuccessor handles the connection of one successor until it ends.
 func (r *Router) serveSuccessor(conn *handover.Conn) {
 	t := &r.takeover
 	if frame, err := conn.Receive(time.Second); err != nil || frame.Kind != handover.Hello {
@@ -262,7 +267,7 @@
 	if err != nil {
 		return
 	}
-	err = r.runOnLoop(func() { // queued at once, so that what changes from now on is sent behind it
+	err = r.runOnLoop(func() { // queued on the loop at once, so that later changes are sent after it
 		t.successor = conn
 		r.adjustMemoryLimits()
 		conn.Enqueue(handover.Frame{Kind: handover.Listener, FDs: []int{fd}})
@@ -273,8 +278,8 @@
 		unix.Close(fd)
 		return
 	}
-	r.log.Info("another process is to replace this one")
-	defer r.runAsync(func() { // it is gone: clients are this process's again
+	r.log.Info("a process that is to replace this one has connected")
+	defer r.runAsync(func() { // the successor is gone: this process serves the clients again
 		r.log.Warn("the process that was to replace this one has ended")
 		if t.successor, t.peerDescriptors[1], t.handingOver = nil, 0, false; t.outgoing != nil {
 			close(t.outgoing)
@@ -303,14 +308,14 @@
 	}
 }
 
-// handOn begins to pass on the clients.
+// startHandover starts to hand over the clients.
 func (r *Router) startHandover(frames chan outgoingFrame) {
 	t := &r.takeover
-	r.log.Info("clients are another process's from now on")
+	r.log.Info("handing clients over to the next process")
 	t.handingOver, t.hasHandedOver, t.accepting, t.discoverable, t.outgoing = true, true, false, false, frames
-	_ = t.listener.SetDeadline(time.Unix(1, 0)) // what waits to be accepted waits for the heir
+	_ = t.listener.SetDeadline(time.Unix(1, 0)) // connections waiting to be accepted are left to the successor
 	if t.socket != nil {
-		t.socket.Close() // the next process is the heir's; the name is too
+		t.socket.Close() // the next process is to find the successor, which also takes the name
 	}
 	r.notifyServing(false)
 	r.publishStats()
@@ -331,7 +336,7 @@
 	r.after(r.limits.MetricsInterval/2, r.continueHandover)
 }
 
-// passClients passes on each client of which nothing is in hand, with what of it is not read yet.
+// handOverClients hands over each client without pending commands, with its unread input.
 func (r *Router) handOverClients() {
 	t := &r.takeover
 	for client := range r.clients {
@@ -340,7 +345,7 @@
 		}
 		fd, err := client.conn.Dup()
 		if err != nil {
-			r.log.WithError(err).Warn("a client cannot be passed on")
+			r.log.WithError(err).Warn("client cannot be handed over")
 			return
 		}
 		client.detachedInput = append([]byte(nil), client.unreadInput()...)
@@ -357,7 +362,7 @@
 	}
 }
 
-// passOn sends off the loop. What cannot be sent comes back.
+// sendFrames sends frames off the loop. Clients that cannot be sent return to this process.
 func (r *Router) sendFrames(conn *handover.Conn, frames chan outgoingFrame) {
 	for frame := range frames {
 		err := conn.Send(frame.Frame)
@@ -374,12 +379,13 @@
 			r.takeover.unsentFrames--
 			r.connCount -= len(frame.FDs)
 		})
-		conn.Close() // a frame may have gone in part: nothing more is told on it, and clients are this process's again
+		conn.Close() // a frame may have been sent in part, so the connection is unusable, and this process serves the clients again
 		r.adoptConnection(frame.Frame)
 	}
 }
 
-// takeOver takes a client that another process had, or was to have, with the big value that is on its way to it.
+// adoptConnection adopts a client of another process, or one that could not be handed over, together with a large
+// value that is being streamed to it.
 func (r *Router) adoptConnection(f handover.Frame) {
 	if f.Kind == handover.LargeValue && len(f.FDs) == 2 {
 		r.adoptLargeRead(f)
@@ -391,13 +397,13 @@
 	}
 	c, err := connFromDescriptor(f.FDs[0])
 	if err != nil {
-		r.log.WithError(err).Warn("a client's connection cannot be taken")
+		r.log.WithError(err).Warn("client connection cannot be adopted")
 		return
 	}
 	r.enroll(c, &client{r: r, detachedInput: f.Body, hasSentCommand: true}, func() {})
 }
 
-// followOld speaks to the old process until it ends.
+// followPredecessor handles the predecessor's frames until it ends.
 func (r *Router) followPredecessor(conn *handover.Conn) {
 	for {
 		frame, err := conn.Receive(0)
@@ -426,10 +432,10 @@
 	})
 }
 
-// OnTransfer registers the function that receives the transfers of the process that this one replaces. Call it before Run.
+// OnTransfer registers the function that receives the predecessor's transfers. Call it before Run.
 func (r *Router) OnTransfer(f func([]byte)) { r.takeover.onTransfer = f }
 
-// OfferTransfer leaves something to the process that is to replace this one, if there is one; it is made only then.
+// OfferTransfer sends a transfer to the successor, if there is one; what is called only then.
 func (r *Router) OfferTransfer(what func() []byte) {
 	select {
 	case <-r.ready:
@@ -443,7 +449,7 @@
 	})
 }
 
-// heard: another process tells how many descriptors it holds.
+// setPeerDescriptors records how many descriptors another process holds.
 func (r *Router) setPeerDescriptors(which int, f handover.Frame) {
 	if n, err := strconv.Atoi(string(f.Body)); err == nil {
 		r.runAsync(func() {
@@ -454,7 +460,7 @@
 	}
 }
 
-// tellHolds tells the others how many descriptors this process holds.
+// publishDescriptorCount sends the other processes the number of descriptors that this one holds.
 func (r *Router) publishDescriptorCount() {
 	t := &r.takeover
 	if t.predecessor == nil && t.successor == nil {
@@ -468,7 +474,7 @@
 	}
 }
 
-// shareMemory halves what this process may hold while another lives.
+// adjustMemoryLimits halves this process's memory limits while another process of the router is alive.
 func (r *Router) adjustMemoryLimits() {
 	processes := 1
 	if r.takeover.predecessor != nil || r.takeover.successor != nil {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -7,20 +7,20 @@
 	"spurtrestle/core/clock"
 )
 
-// timer is one thing to do at a time.
+// timer is a callback that is due at a time.
 type timer struct {
 	dueAt     clock.Time
 	sequence  uint64
 	callback  func()
-	heapIndex int // place in the heap; -1: not in it
+	heapIndex int // index in the heap; -1: not in it
 }
 
-// timers is one heap with one wake-up.
+// timers is a heap of timers with a single alarm.
 type timers struct {
 	pending      []*timer
 	lastSequence uint64
 	alarm        *time.Timer
-	alarmAt      clock.Time // when the alarm goes off; 0: it does not
+	alarmAt      clock.Time // when the alarm fires; 0: it is not set
 }
 
 func (t *timers) Len() int { return len(t.pending) }
@@ -55,7 +55,7 @@
 	t.alarm.Stop()
 }
 
-// after sets a timer from now on.
+// after schedules a callback on the loop after a delay.
 func (r *Router) after(d clock.Time, do func()) *timer {
 	r.timers.lastSequence++
 	t := &timer{dueAt: r.clock() + d, sequence: r.timers.lastSequence, callback: do}
@@ -70,21 +70,21 @@
 	}
 }
 
-// tell leaves figures also while nothing happens.
+// publishPeriodically keeps the statistics current even while no batches run.
 func (r *Router) publishPeriodically() {
 	r.publishStats()
 	r.publishDescriptorCount()
 	r.after(2*r.limits.MetricsInterval, r.publishPeriodically)
 }
 
-// fire does what is due.
+// fireTimers calls the callbacks that are due.
 func (r *Router) fireTimers(now clock.Time) {
 	for len(r.timers.pending) > 0 && r.timers.pending[0].dueAt <= now {
 		heap.Pop(&r.timers).(*timer).callback()
 	}
 }
 
-// setAlarm wakes the loop for the first timer. An alarm that is too early is left: it finds nothing due.
+// setAlarm sets the alarm for the first timer. An alarm that is too early is left: it finds nothing due.
 func (r *Router) setAlarm() {
 	t := &r.timers
 	if len(t.pending) == 0 {
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -13,23 +13,23 @@
 	"spurtrestle/internal/httpwire"
 )
 
-var errIncompleteResponse = errors.New("the connection ended, or the answer was late")
+var errIncompleteResponse = errors.New("the connection ended, or the response timed out")
 
-// watch is the connection to discovery: one call after the other, each but the first waiting for news.
+// watch is the connection to discovery. It makes one call after another; each but the first waits for a change.
 type watch struct {
 	r            *Router
 	addr         string
 	conn         gnet.Conn
-	superseded   bool // another watch has taken its place
+	superseded   bool // another watch has replaced it
 	dialing      bool
 	callPending  bool
 	failing      bool
-	retryTimer   *timer // the next call after a failed one
+	retryTimer   *timer // starts the next call after a failed one
 	timeoutTimer *timer
 }
 
-// rewatch begins anew at an address, from the whole list on: versions there need not go on from the ones here. What
-// the old watch still brings is not read any more, and until the new one answers the last list holds.
+// restartWatch starts over at an address with the whole list, since versions there need not continue those seen so
+// far. Responses to the old watch are ignored, and the last list stays valid until the new one answers.
 func (r *Router) restartWatch(addr string) {
 	if old := r.watch; old != nil {
 		old.superseded = true
@@ -44,7 +44,7 @@
 	r.watch.startCall()
 }
 
-// call asks at once, unless a call is out.
+// startCall starts a call, unless one is pending.
 func (w *watch) startCall() {
 	if w.superseded || w.dialing || w.callPending {
 		return
@@ -67,7 +67,7 @@
 		slack = r.limits.ListTimeout
 	}
 	w.timeoutTimer = r.after(wait+slack, func() { r.close(w.conn) })
-	_, _ = w.conn.Write(httpwire.AppendRequest(nil, "GET", path, w.addr, nil, nil)) // an error: closed
+	_, _ = w.conn.Write(httpwire.AppendRequest(nil, "GET", path, w.addr, nil, nil)) // after an error, gnet has closed the connection
 }
 
 func (w *watch) onOpen(conn gnet.Conn) {
@@ -80,8 +80,8 @@
 	w.startCall()
 }
 
-// closed: a list that came without a length is read however the connection ended, since JSON tells by itself whether it is
-// whole.
+// onClose handles a list that came without a length, whichever way the connection ended: JSON shows by itself
+// whether it is complete.
 func (w *watch) onClose(bool) {
 	buf, _ := w.conn.Peek(-1)
 	w.conn = nil
@@ -94,7 +94,7 @@
 			return
 		}
 	}
-	if w.callPending && !w.r.stopped { // at the end all connections are closed
+	if w.callPending && !w.r.stopped { // at shutdown all connections are closed
 		w.handleFailure(errIncompleteResponse)
 	}
 }
@@ -111,7 +111,7 @@
 	if err != nil || !w.callPending {
 		return gnet.Close
 	}
-	if used == 0 { // one without a length is a list as soon as it is whole: who ends the connection late has told it all the same
+	if used == 0 { // a list without a length is used as soon as it is complete, even if the server closes the connection late
 		if answer, used, err = httpwire.Read(buf, true, w.r.limits.Discovery); err != nil || used == 0 || !json.Valid(answer.Body) {
 			return gnet.None
 		}
@@ -119,17 +119,17 @@
 	end := answer.Close || used < len(buf)
 	if end {
 		answer.Body = bytes.Clone(answer.Body) // the buffer ends with the connection
-		w.callPending = false                  // closed must not read it again
+		w.callPending = false                  // onClose must not read the response again
 		w.r.close(w.conn)
 	}
 	w.handleResponse(answer)
 	if !end {
-		_, _ = w.conn.Discard(used) // bytes that Peek has just shown
+		_, _ = w.conn.Discard(used) // bytes that Peek has just returned
 	}
 	return gnet.None
 }
 
-// took: an odd answer leaves the last list as it is.
+// handleResponse applies a list. An invalid response leaves the last list in force.
 func (w *watch) handleResponse(answer httpwire.Response) {
 	w.callPending = false
 	w.r.cancel(w.timeoutTimer)
@@ -149,14 +149,15 @@
 	w.startCall()
 }
 
-// refusedError is a call that discovery answered without a list, as one that has more calls than it can take does.
+// refusedError is a response of discovery without a list, as when it has more calls than it can handle.
 type refusedError struct{ status int }
 
-// Error tells the status.
+// Error returns the status.
 func (e *refusedError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
-// failed: the old list holds. Where the decisions ask for lists they also say when to ask again. The next call is for the
-// whole list: whoever answers then may count its versions anew, and what was on its way is lost.
+// handleFailure keeps the last list in force. If package routing requests the lists, it also decides when to try
+// again. The next call requests the whole list: the server that answers then may number its versions anew, and a
+// response on its way has been lost.
 func (w *watch) handleFailure(err error) {
 	if w.superseded {
 		return
@@ -165,7 +166,7 @@
 	w.r.endpoints.Invalidate()
 	w.r.cancel(w.timeoutTimer)
 	w.r.counts.ListsFailed++
-	if !w.failing { // once for a row of them
+	if !w.failing { // logged once per series of failures
 		w.failing = true
 		w.r.log.WithError(err).Warn("a call to discovery failed; going on with the last list")
 	}
