--- a/internal/router/client_gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -12,14 +12,14 @@
 	"spurtrestle/internal/wire"
 )
 
-// departure is a router of which each dial is held, with clients of one protocol that leave.
+// departureTest is a router whose dials are completed by the test, with clients of one protocol that disconnect.
 type departureTest struct {
 	t            *testing.T
-	l            *fakeLoop
+	loop         *fakeLoop
 	pendingDials []pendingDial
-	conns        []*fakeConn // to servers, in the order in which they came up
+	serverConns  []*fakeConn // to servers, in the order in which they were opened
 	clients      map[string]*fakeConn
-	offers       map[string]*ExternalRequest // of gRPC clients
+	offers       map[string]*ExternalRequest // requests of gRPC clients
 	byGRPC       bool
 }
 
@@ -31,19 +31,19 @@
 const (
 	originAddr       = "127.0.0.1:1"
 	cacheAddr        = "127.0.0.1:2"
-	getLatencyBudget = 2e6 // as held has it
+	getLatencyBudget = 2e6 // as newHeldDials sets it
 )
 
 func newDepartureTest(t *testing.T, byGRPC bool, change func(*routing.Settings)) *departureTest {
 	l, _ := newHeldDials(t, change)
-	// From here on time passes by a microsecond a reading, and else where the test has it pass: how long the machine takes must not
-	// decide which server a request goes to, or whether the loop counts as late.
+	// From here on, reading the clock advances it by a microsecond, and otherwise only the test does: the speed of
+	// the machine must not decide which server a request is sent to, or whether the loop counts as late.
 	passed := l.r.sinceStart()
 	l.r.sinceStart = func() time.Duration {
 		passed += time.Microsecond
 		return passed
 	}
-	test := &departureTest{t: t, l: l, clients: map[string]*fakeConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
+	test := &departureTest{t: t, loop: l, clients: map[string]*fakeConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
 	close(l.r.ready)
 	l.r.limits.ExternalRequests = 100
 	for i := range l.r.cfg.Settings.Methods {
@@ -55,112 +55,112 @@
 	return test
 }
 
-// asks has a client of its own ask.
+// sendRequest sends a request of a new client.
 func (d *departureTest) sendRequest(id, key, method string, write bool) {
 	props := fmt.Sprintf("c=%s,d=1900", method)
 	if d.byGRPC {
 		request := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
 			Answer: func(wire.Answer) {}, Refuse: func(why RefusalReason) { d.t.Errorf("%s is refused: %d", id, why) }}
 		d.offers[id] = request
-		d.l.r.Submit(request)
-		d.l.runQueued()
+		d.loop.r.Submit(request)
+		d.loop.runQueued()
 		return
 	}
-	d.clients[id] = d.l.open(nil)
+	d.clients[id] = d.loop.open(nil)
 	words := []string{"CACHE.GET", key, id, props}
 	if write {
 		words = append(words, "v")
 		words[0] = "CACHE.SET"
 	}
-	d.l.receive(d.clients[id], command(words...))
+	d.loop.receive(d.clients[id], command(words...))
 }
 
-// leaves has a client close its connection, or cancel its call.
+// disconnect makes a client close its connection, or cancel its call.
 func (d *departureTest) disconnect(id string) {
 	if d.byGRPC {
-		d.l.r.Withdraw(d.offers[id])
+		d.loop.r.Withdraw(d.offers[id])
 	} else {
-		_ = d.l.Close(d.clients[id])
+		_ = d.loop.Close(d.clients[id])
 	}
-	d.l.runQueued()
+	d.loop.runQueued()
 }
 
-// comesUp lets the first held dial to a server through.
+// completeDial completes the first pending dial to a server.
 func (d *departureTest) completeDial(addr string) *fakeConn {
 	d.t.Helper()
 	for i, held := range d.pendingDials {
 		if held.addr == addr {
 			d.pendingDials = append(d.pendingDials[:i:i], d.pendingDials[i+1:]...)
-			c := d.l.open(held.handler)
-			d.conns = append(d.conns, c)
-			d.l.runQueued()
+			c := d.loop.open(held.handler)
+			d.serverConns = append(d.serverConns, c)
+			d.loop.runQueued()
 			return c
 		}
 	}
-	d.t.Fatalf("nobody dials %s", addr)
+	d.t.Fatalf("no dial to %s is pending", addr)
 	return nil
 }
 
-// attempts counts those of a request that were begun.
+// attempts counts the attempts of a request that have been sent.
 func (d *departureTest) attempts(id string) (n int) {
-	for _, c := range d.conns {
+	for _, c := range d.serverConns {
 		n += strings.Count(c.written, id)
 	}
 	return n
 }
 
-// begins fails the test unless so many attempts of a request have begun.
+// wantAttempts fails the test unless that many attempts of a request have been sent.
 func (d *departureTest) wantAttempts(id string, n int) {
 	d.t.Helper()
 	if got := d.attempts(id); got != n {
-		d.t.Fatalf("%d attempts of %s have begun, not %d", got, id, n)
+		d.t.Fatalf("got %d attempts of %s, want %d", got, id, n)
 	}
 }
 
-// A client that closes its connection or cancels its call is gone: whatever its request was waiting for just then, no attempt
-// of it begins more than 0.1 s later, the first, a retry or a hedge.
+// Once a client has closed its connection or canceled its call, no attempt of its request begins more than 0.1 s
+// later, whatever the request was waiting for: neither the first attempt nor a retry or a hedged request.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	noCancel := func(s *routing.Settings) { s.CancelAllowed = false }
 	hedges := func(s *routing.Settings) { s.HedgingAllowed = true }
 	cases := map[string]struct {
 		change func(*routing.Settings)
-		before func(test *departureTest) // what leads to it, of the request "gone"
+		before func(test *departureTest) // what happens to the request "gone" before its client leaves
 	}{
-		"the first attempt waits for a connection":       {nil, firstAttemptWaits},
-		"the same, and attempts are not called off":      {noCancel, firstAttemptWaits},
-		"a write waits for a connection to the origin":   {noCancel, func(test *departureTest) { test.sendRequest("gone", "k", "pay", true) }},
-		"a retry waits for a connection":                 {nil, retryWaits},
-		"a retry waits, and attempts are not called off": {noCancel, retryWaits},
+		"the first attempt waits for a connection":         {nil, firstAttemptWaits},
+		"the first attempt waits, and cancellation is off": {noCancel, firstAttemptWaits},
+		"a write waits for a connection to the origin":     {noCancel, func(test *departureTest) { test.sendRequest("gone", "k", "pay", true) }},
+		"a retry waits for a connection":                   {nil, retryWaits},
+		"a retry waits, and cancellation is off":           {noCancel, retryWaits},
 		"a retry at the origin is scheduled": {nil, func(test *departureTest) {
 			test.sendRequest("gone", "k", "get", true)
-			_ = test.l.Close(test.completeDial(originAddr))
-			test.l.runQueued()
+			_ = test.loop.Close(test.completeDial(originAddr))
+			test.loop.runQueued()
 			test.wantAttempts("gone", 1)
 		}},
-		"it waits for room at its cache": {noCancel, func(test *departureTest) {
+		"the request waits for capacity of its cache": {noCancel, func(test *departureTest) {
 			for i := range 8 {
 				test.sendRequest(fmt.Sprint("other", i), "k", "get", false)
 				test.completeDial(cacheAddr)
 			}
 			test.sendRequest("gone", "k", "get", false)
 		}},
-		"it waits for another's fetch of its key": {noCancel, func(test *departureTest) {
+		"the request waits for another request's fetch of its key": {noCancel, func(test *departureTest) {
 			test.sendRequest("other", "k", "get", false)
-			test.l.receive(test.completeDial(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+			test.loop.receive(test.completeDial(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 			test.completeDial(originAddr)
 			test.sendRequest("gone", "k", "get", false)
 		}},
 		"a miss waits for a connection to the origin": {noCancel, func(test *departureTest) {
 			test.sendRequest("gone", "k", "get", false)
-			test.l.receive(test.completeDial(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+			test.loop.receive(test.completeDial(cacheAddr), "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 			test.wantAttempts("gone", 1)
 		}},
-		"a hedge is due later": {hedges, hedgeScheduled},
-		"a hedge waits for a connection": {hedges, func(test *departureTest) {
+		"a hedged request is scheduled": {hedges, hedgeScheduled},
+		"a hedged request waits for a connection": {hedges, func(test *departureTest) {
 			hedgeScheduled(test)
-			test.l.advance(500e3)
+			test.loop.advance(500e3)
 			if len(test.pendingDials) != 1 || test.pendingDials[0].addr != originAddr {
-				test.t.Fatal("no hedge waits")
+				test.t.Fatal("no hedged request waits for a connection")
 			}
 		}},
 	}
@@ -172,17 +172,17 @@
 				began := stays.attempts("gone")
 				stays.answerOthers(began)
 				if stays.attempts("gone") == began {
-					t.Fatal("nor does one begin for a client that stays")
+					t.Fatal("no attempt begins for a client that stays, either")
 				}
 				test := newDepartureTest(t, byGRPC, c.change)
 				c.before(test)
 				test.disconnect("gone")
 				test.answerOthers(began)
 				if n := test.attempts("gone"); n != began {
-					t.Errorf("%d attempts began after the client had gone", n-began)
+					t.Errorf("%d attempts began after the client had left", n-began)
 				}
-				if len(test.l.r.requests) != 0 {
-					t.Errorf("%d requests are left", len(test.l.r.requests))
+				if len(test.loop.r.requests) != 0 {
+					t.Errorf("%d requests are left", len(test.loop.r.requests))
 				}
 			})
 		}
@@ -193,35 +193,35 @@
 
 func retryWaits(test *departureTest) {
 	test.sendRequest("gone", "k", "get", false)
-	test.l.closeWith(test.completeDial(cacheAddr), errIncompleteResponse)
-	test.l.runQueued()
+	test.loop.closeWith(test.completeDial(cacheAddr), errIncompleteResponse)
+	test.loop.runQueued()
 	test.wantAttempts("gone", 1)
 	if len(test.pendingDials) == 0 {
-		test.t.Fatal("no retry waits")
+		test.t.Fatal("no retry waits for a connection")
 	}
 }
 
 func hedgeScheduled(test *departureTest) {
 	test.sendRequest("other", "k", "get", false)
 	c := test.completeDial(cacheAddr)
-	test.l.advance(100e3)
-	test.l.receive(c, hitReply)
+	test.loop.advance(100e3)
+	test.loop.receive(c, hitReply)
 	test.sendRequest("gone", "k", "get", false)
 	test.wantAttempts("gone", 1)
 	if len(test.pendingDials) > 0 {
-		test.t.Fatal("a hedge waits already")
+		test.t.Fatal("a hedged request waits already")
 	}
 }
 
-// answerAllElse lets time pass from a tenth of a second on: each dial comes up, and servers answer what is asked, but the first
-// attempts of the request that is gone.
+// answerOthers completes each dial and answers each attempt from 0.1 s on, except the first attempts of the
+// request "gone".
 func (d *departureTest) answerOthers(began int) {
-	d.l.advance(100e3)
+	d.loop.advance(100e3)
 	for range 60 {
 		for len(d.pendingDials) > 0 {
 			d.completeDial(d.pendingDials[0].addr)
 		}
-		for _, c := range d.conns {
+		for _, c := range d.serverConns {
 			up, is := c.ctx.(*upstream)
 			if c.closed || !is || up.attempt == nil || up.attempt.request.ID == "gone" && up.attempt.number < routing.Attempt(began) {
 				continue
@@ -230,26 +230,26 @@
 			if up.server.isOrigin {
 				text = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"
 			}
-			d.l.receive(c, text)
+			d.loop.receive(c, text)
 		}
-		d.l.advance(50e3)
+		d.loop.advance(50e3)
 	}
 }
 
-// The process stood still, and the loop has read a request, but not yet that its client has closed: no attempt of it begins, neither
-// on a connection that is open nor on one that comes up then.
+// After a pause of the process, the loop has read a request but not yet its client's disconnect. No attempt of the
+// request begins, neither on an open connection nor on one that is opened then.
 func TestNoAttemptForAnUnreadDisconnect(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		test := newDepartureTest(t, false, nil)
-		test.l.r.limits.LoopLagThreshold = 80e3
-		for range 30 { // it has been in time for long
-			test.l.advance(50e3)
+		test.loop.r.limits.LoopLagThreshold = 80e3
+		for range 30 { // the loop has been in time for long
+			test.loop.advance(50e3)
 		}
 		test.sendRequest("before", "k", "get", false)
 		server := test.completeDial(cacheAddr)
-		test.l.receive(server, hitReply)
+		test.loop.receive(server, hitReply)
 		open := func() (client *fakeConn, closeWaiting func()) {
-			client = test.l.open(nil)
+			client = test.loop.open(nil)
 			var other int
 			client.fd, other = socketPair(t)
 			return client, func() {
@@ -260,58 +260,60 @@
 		}
 		waits, closeWaiting := open()
 		idle, closeIdle := open()
-		test.sendRequest("other", "k", "get", false) // on the open connection
-		test.l.receive(waits, command("CACHE.GET", "k", "waits", "c=get,d=1900"))
+		test.sendRequest("other", "k", "get", false) // sent on the open connection
+		test.loop.receive(waits, command("CACHE.GET", "k", "waits", "c=get,d=1900"))
 		closeWaiting()
 		closeIdle()
 		if late {
-			test.l.advance(100e3)
+			test.loop.advance(100e3)
 		}
 		up := test.completeDial(cacheAddr)
 		if got := strings.Contains(up.written, "waits"); got == late {
-			t.Errorf("late: %v; begun on a connection that came up: %v", late, got)
+			t.Errorf("loop late: %v; attempt begun on a new connection: %v", late, got)
 		}
-		test.l.receive(server, hitReply)
-		test.l.receive(idle, command("CACHE.GET", "k", "gone", "c=get,d=1900"))
+		test.loop.receive(server, hitReply)
+		test.loop.receive(idle, command("CACHE.GET", "k", "gone", "c=get,d=1900"))
 		if got := test.attempts("gone") > 0; got == late {
-			t.Errorf("late: %v; begun on an open connection: %v", late, got)
+			t.Errorf("loop late: %v; attempt begun on an open connection: %v", late, got)
 		}
 		for _, c := range []*fakeConn{waits, idle} {
-			_ = test.l.Close(c)
+			_ = test.loop.Close(c)
 		}
-		test.l.runQueued()
-		if len(test.l.r.requests) != 0 {
-			t.Errorf("%d requests are left", len(test.l.r.requests))
+		test.loop.runQueued()
+		if len(test.loop.r.requests) != 0 {
+			t.Errorf("%d requests are left", len(test.loop.r.requests))
 		}
 	}
 }
 
-// lateDeparture is a departure by gRPC of a request that waits for a connection, in a loop that is late.
+// newLateDeparture returns a departureTest with a gRPC request that waits for a connection, on a loop that is
+// late.
 func newLateDeparture(t *testing.T, id string) *departureTest {
 	t.Helper()
 	test := newDepartureTest(t, true, nil)
-	test.l.r.limits.LoopLagThreshold = 80e3
-	for range 30 { // it has been in time for long
-		test.l.advance(50e3)
+	test.loop.r.limits.LoopLagThreshold = 80e3
+	for range 30 { // the loop has been in time for long
+		test.loop.advance(50e3)
 	}
 	test.sendRequest(id, "k", "get", false)
-	test.l.advance(100e3)
+	test.loop.advance(100e3)
 	return test
 }
 
-// The process stood still, and the front has a call's cancel, which the loop has not come to: no attempt of it begins on a
-// connection that comes up then.
+// After a pause of the process, the front end has received a call's cancellation, which the loop has not
+// processed. No attempt of the call begins on a connection that is opened then.
 func TestNoAttemptForACallWithdrawnBeforeTheLoopReadsIt(t *testing.T) {
 	test := newLateDeparture(t, "gone")
-	test.l.r.Withdraw(test.offers["gone"])
+	test.loop.r.Withdraw(test.offers["gone"])
 	test.completeDial(cacheAddr)
 	test.wantAttempts("gone", 0)
-	if test.l.r.external.openRequests != 0 || len(test.l.r.requests) != 0 {
-		t.Errorf("%d calls are open, %d requests are left", test.l.r.external.openRequests, len(test.l.r.requests))
+	if test.loop.r.external.openRequests != 0 || len(test.loop.r.requests) != 0 {
+		t.Errorf("%d calls are open, %d requests are left", test.loop.r.external.openRequests, len(test.loop.r.requests))
 	}
 }
 
-// The same where the front has not read the cancel yet: the attempt waits for it. A call that goes on has its attempt then.
+// The front end has not read the cancellation yet: the attempt waits for it to do so. If the call was not
+// canceled, its attempt begins then.
 func TestNoAttemptForAnUnreadCancel(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
 		test := newLateDeparture(t, "call")
@@ -319,10 +321,10 @@
 		test.offers["call"].HasUnreadInput = func() bool { return unread }
 		test.offers["call"].ClientGone = func() bool { return gone }
 		test.completeDial(cacheAddr)
-		test.l.advance(5e3)
+		test.loop.advance(5e3)
 		test.wantAttempts("call", 0)
 		unread, gone = false, cancelled
-		test.l.advance(5e3)
+		test.loop.advance(5e3)
 		want := 1
 		if cancelled {
 			want = 0
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -15,11 +15,12 @@
 	"spurtrestle/internal/wire"
 )
 
-// The deadline that each kind of attempt is sent with, by a clock that is set on: never more than what its client has left.
+// These tests check the deadline that is sent with each kind of attempt, on a clock that the test advances: never
+// more than the time its client has left.
 
 var sentDeadline = regexp.MustCompile(`[ ,\n]d=([0-9]+)`)
 
-// deadlineIn returns the deadline, in milliseconds, of the last attempt that was written to a server's connection.
+// deadlineIn returns the deadline, in milliseconds, of the last attempt written to a server's connection.
 func deadlineIn(t *testing.T, server *fakeConn) int {
 	t.Helper()
 	found := sentDeadline.FindAllStringSubmatch(server.written, -1)
@@ -33,16 +34,17 @@
 	return ms
 }
 
-// wantDeadline holds a deadline sent to what is left of a client's time, and not much less: a server is not to give up early.
+// wantDeadline checks that the deadline sent is at most the client's time left, and not much less, so that the
+// server does not give up early.
 func wantDeadline(t *testing.T, server *fakeConn, left int) {
 	t.Helper()
-	const tolerance = 200 // for the real time that the test itself takes, in milliseconds
+	const tolerance = 200 // milliseconds, for the real time that the test itself takes
 	if sent := deadlineIn(t, server); sent > left || sent < left-tolerance {
-		t.Errorf("with %d ms left the server was sent %d ms", left, sent)
+		t.Errorf("with %d ms left, the deadline sent to the server is %d ms", left, sent)
 	}
 }
 
-// A big write is sent on as it comes, once there is a connection for it: its head carries what is left then.
+// A large write is streamed once there is a connection for it: its head carries the time left at that moment.
 func TestDeadlineOfALargeWriteWithALateConnection(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	l.r.loop = failingEnrollLoop{l}
@@ -131,7 +133,7 @@
 	wantDeadline(t, up(), 1200)
 }
 
-// A front off the loop gives the client's time in the call; its properties hold a placeholder.
+// A front end off the loop passes the client's timeout in the call; the properties hold a placeholder.
 func TestDeadlineOfAnExternalRequest(t *testing.T) {
 	l, up := newHeldDials(t, func(s *routing.Settings) {
 		for i := range s.Methods {
@@ -144,7 +146,7 @@
 	offer := &ExternalRequest{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Timeout: 1900e3,
 		Answer: answered, Refuse: func(why RefusalReason) { t.Errorf("refused: %d", why) }}
 	if !l.r.Submit(offer) {
-		t.Fatal("the offer is not taken")
+		t.Fatal("the request is not accepted")
 	}
 	l.runQueued()
 	cache := up()
@@ -154,7 +156,7 @@
 	wantDeadline(t, up(), 1300)
 }
 
-// A router waits less for a cache than its client waits for it; the cache is sent the lesser.
+// If the router's time limit for a cache is shorter than the client's deadline, the cache is sent the shorter one.
 func TestDeadlineIsTheLesserOfRouterAndClient(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
@@ -163,20 +165,21 @@
 	attempt := cache.ctx.(*upstream).attempt
 	attempt.timeout, attempt.request.clientDeadline = 500e3, attempt.startedAt+1900e3
 	if left := attempt.remaining(attempt.startedAt); left != 500e3 {
-		t.Errorf("of a wait of 500 ms there are %d us left", left)
+		t.Errorf("with a time limit of 500 ms: got %d us left, want 500000", left)
 	}
 	attempt.timeout, attempt.request.clientDeadline = 1900e3, attempt.startedAt+500e3
 	if left := attempt.remaining(attempt.startedAt + 100e3); left != 400e3 {
-		t.Errorf("of a client's 400 ms there are %d us left", left)
+		t.Errorf("with 400 ms until the client's deadline: got %d us left, want 400000", left)
 	}
 }
 
-// A command that waited unread, since its client had as many in hand as it may have, is dated by when it came.
+// A command that stayed unread because its client had reached its limit of pipelined commands counts its time from
+// its arrival.
 func TestDeadlineOfACommandThatWaitedUnread(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	l.r.limits.PipelinedCommands = 1
 	client := l.open(nil)
-	for i := range 2 { // the second waits unread
+	for i := range 2 { // the second stays unread
 		l.receive(client, command("CACHE.GET", "k", fmt.Sprint("r", i), "c=get,d=1900"))
 	}
 	cache := up()
--- a/internal/router/discovery_outage_test.go
+++ b/internal/router/discovery_outage_test.go
@@ -8,15 +8,16 @@
 	"spurtrestle/core/clock"
 )
 
-// outage is a discovery that cannot be reached in one way, and then answers each call after its turn.
+// discoveryOutage is a discovery service that fails in one way until the outage is over, and then answers each
+// call after a delay.
 type discoveryOutage struct {
 	loop        *fakeLoop
 	fault       string
-	answerDelay clock.Time // a call waits so long for its answer
+	answerDelay clock.Time // time from a call to its answer
 	over        bool
 	conns       []*fakeConn
 	answerAt    map[*fakeConn]clock.Time // when the call on a connection is answered
-	list        string                   // the list
+	list        string                   // the endpoint list that is served
 }
 
 const (
@@ -25,7 +26,7 @@
 	callSilent    = "a call is never answered"
 	callRefused   = "a call is answered with 503"
 	callReset     = "a call is reset"
-	callTruncated = "an answer breaks off"
+	callTruncated = "an answer is truncated"
 )
 
 func (o *discoveryOutage) dial(_ string, p connHandler, failed func(error)) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// step has discovery do what is due at this time.
+// step does what is due at this time.
 func (o *discoveryOutage) step() {
 	now := o.loop.r.clock()
 	for _, c := range o.conns {
@@ -64,7 +65,7 @@
 	o.conns = slices.DeleteFunc(o.conns, func(c *fakeConn) bool { return c.closed })
 }
 
-// answersBadly is when the call on c is answered: never.
+// answerFaulty handles the call on c during the outage and returns when to answer it: never, in most cases.
 func (o *discoveryOutage) answerFaulty(c *fakeConn, now clock.Time) clock.Time {
 	const never = 1 << 60
 	switch o.fault {
@@ -81,37 +82,37 @@
 	return never
 }
 
-// However calls to discovery have failed, and for however long, the list is here within 6 s of its being reachable again: from
-// then on what it tells counts as told. Where lists are asked for a call waits its turn for up to two seconds, and so may one
-// that was made just before, in vain.
+// However calls to discovery have failed, and for however long, the list arrives within 6 s of discovery being
+// reachable again; from then on, the router is expected to know what the list says. In mode on_request a call
+// waits up to two seconds for its answer, and so may an unsuccessful one just before it.
 func TestListArrivesWithinSixSecondsOfAnOutage(t *testing.T) {
-	const limit, step = 5.6e6, 50e3 // the rest is for what is already on its way
+	const limit, step = 5.6e6, 50e3 // the rest of the 6 s is for requests already on their way
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, fault := range []string{dialRefused, dialHangs, callSilent, callRefused, callReset, callTruncated} {
 			t.Run(mode+", "+fault, func(t *testing.T) {
 				longest := clock.Time(0)
 				for phase := range clock.Time(40) {
 					longest = max(longest, timeToListAfterOutage(t, mode, fault, 30e6+phase*150e3, step))
-					if mode == "pushed" { // where a wait of 20 s may be out, its end goes before
+					if mode == "pushed" { // a wait of 20 s that is pending at the end of the outage ends first
 						longest = max(longest, timeToListAfterOutage(t, mode, fault, phase*150e3, step))
 					}
 				}
 				if longest > limit {
-					t.Errorf("the list came %.2f s after discovery could be reached", float64(longest)/1e6)
+					t.Errorf("the list arrived %.2f s after discovery was reachable again, want at most %.2f s", float64(longest)/1e6, limit/1e6)
 				}
-				t.Logf("%.2f s", float64(longest)/1e6)
+				t.Logf("the list arrived after %.2f s", float64(longest)/1e6)
 			})
 		}
 	}
 }
 
-// listAfterOutage is the time from the end of an outage until the list is here.
+// timeToListAfterOutage returns the time from the end of an outage until the list arrives.
 func timeToListAfterOutage(t *testing.T, mode, fault string, duration, step clock.Time) clock.Time {
 	loop, _ := newConfiguredRouter(t, mode)
 	o := &discoveryOutage{loop: loop, fault: fault, answerAt: map[*fakeConn]clock.Time{},
 		list: `{"rev":5,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`}
 	if mode == "on_request" {
-		o.answerDelay = 2e6 - step // an answer in the very last moment crosses its call's end
+		o.answerDelay = 2e6 - step // an answer at the last moment crosses the end of its call
 	}
 	loop.r.dialFunc = o.dial
 	loop.r.restartWatch(loop.r.cfg.Discovery)
@@ -120,7 +121,7 @@
 		o.step()
 		loop.advance(step)
 	}
-	if mode == "pushed" { // a watch is out as the outage begins, and is never answered
+	if mode == "pushed" { // a watch is pending when the outage begins, and is never answered
 		o.over = true
 		for loop.r.counts.Lists < 2 {
 			advance()
@@ -131,21 +132,21 @@
 		advance()
 	}
 	before := loop.r.counts.Lists
-	o.over = true // what was asked in the outage stays without an answer
+	o.over = true // calls made during the outage stay unanswered
 	for passed := clock.Time(0); passed < 20e6; passed += step {
 		if loop.r.counts.Lists > before {
 			return passed
 		}
 		advance()
 	}
-	t.Fatal("no list comes any more")
+	t.Fatal("no list arrived within 20 s of the end of the outage")
 	return 0
 }
 
-// Discovery refuses what is beyond the calls that it can take, of all routers together. Routers that asked again too soon
-// kept each other out: some had no list for fourteen seconds.
+// Discovery refuses calls beyond its capacity, which all routers share. Routers that retried too soon kept each
+// other out: some had no list for fourteen seconds.
 func TestRefusedCallsAreSpreadOut(t *testing.T) {
-	const duration, step, limit = clock.Time(40e6), clock.Time(50e3), 20 // with 1.5 s at most between two there were over 30
+	const duration, step, limit = clock.Time(40e6), clock.Time(50e3), 20 // with at most 1.5 s between two calls there were over 30
 	loop, _ := newConfiguredRouter(t, "on_request")
 	o := &discoveryOutage{loop: loop, fault: callRefused, answerAt: map[*fakeConn]clock.Time{}}
 	loop.r.dialFunc = o.dial
@@ -156,7 +157,7 @@
 		loop.advance(step)
 	}
 	if n := loop.r.counts.ListsFailed; n > limit {
-		t.Errorf("%d calls in %v", n, toDuration(duration))
+		t.Errorf("got %d refused calls in %v, want at most %d", n, toDuration(duration), limit)
 	}
-	t.Logf("%d calls", loop.r.counts.ListsFailed)
+	t.Logf("%d refused calls", loop.r.counts.ListsFailed)
 }
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -20,10 +20,11 @@
 	"spurtrestle/internal/resp"
 )
 
-// The orders in which things end that a kernel brings about once in a long while, each forced: by a socket that holds bytes
-// which the loop has not read, a dial that is held, a clock that is set on.
+// These tests force orders of events that a kernel rarely produces: with a socket that holds bytes the loop has
+// not read, a dial that the test completes, or a clock that the test advances.
 
-// held returns a router whose dials wait to be let through, with two servers and the origin.
+// newHeldDials returns a router with a cache server and the origin, and a function that completes the next pending
+// dial.
 func newHeldDials(t *testing.T, change func(*routing.Settings)) (l *fakeLoop, up func() *fakeConn) {
 	cfg := originOnlyConfig()
 	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.QuietClientAge = 60e6, 250e3, 50e3
@@ -40,7 +41,7 @@
 	l.r.dialFunc = func(_ string, p connHandler, _ func(error)) { dials = append(dials, p) }
 	return l, func() *fakeConn {
 		if len(dials) == 0 {
-			t.Fatal("nobody dials")
+			t.Fatal("no dial is pending")
 		}
 		p := dials[0]
 		dials = dials[1:]
@@ -66,7 +67,7 @@
 	return string(resp.AppendCommand(nil, all...))
 }
 
-// pass sets the clock on.
+// advance advances the clock.
 func (l *fakeLoop) advance(by clock.Time) {
 	l.r.startWallClock += by
 	l.r.limits.StallThreshold = 1 << 60
@@ -74,25 +75,26 @@
 	l.runQueued()
 }
 
-// A repeat that waits for a connection until its group may have forgotten the first is not sent any more.
+// A retry that waits for a connection is not sent once the server's deduplication window for the first attempt may
+// be over.
 func TestRetryOutsideDeduplicationWindowIsNotSent(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
 	first := up()
 	l.advance(100e3)
-	_ = l.Close(first) // it may have run; the repeat waits for a new connection
+	_ = l.Close(first) // the attempt may have run; its retry waits for a new connection
 	l.runQueued()
 	l.advance(350e3)
 	if second := up(); second.written != "" {
-		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.written)
+		t.Errorf("450 ms after the first attempt, with a deduplication window of 400 ms, sent %q", second.written)
 	}
 	if client.written != "-ERR failed\r\n" {
 		t.Errorf("the client got %q", client.written)
 	}
 }
 
-// sockets returns a real connection's two ends.
+// socketPair returns the two ends of a real connection.
 func socketPair(t *testing.T) (mine, others int) {
 	two, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -105,8 +107,8 @@
 	return two[0], two[1]
 }
 
-// A request lies in a client's socket when the loop comes to close the client: after a pause of the process its timers go before
-// its sockets. The client is not closed under it, by none of those who close clients that say nothing.
+// A request lies unread in a client's socket when the loop is about to close the client: after a pause of the
+// process, timers run before sockets are read. No code that closes silent clients closes this one.
 func TestClientWithUnreadRequestIsNotClosed(t *testing.T) {
 	for name, closes := range map[string]func(*Router){
 		"sweep": (*Router).sweepConnections,
@@ -131,16 +133,17 @@
 				l.r.shedClient(false)
 			}
 			if client.closed {
-				t.Error("closed under a req that was taken")
+				t.Error("a client with an unread request was closed")
 			}
 			if !empty.closed {
-				t.Error("one with nothing on its way was kept")
+				t.Error("a client without unread input was kept")
 			}
 		})
 	}
 }
 
-// A connection waits to be accepted when the last client is closed in a drain: the router does not end before it has it.
+// A connection waits to be accepted when a drain closes the last client: the router does not end before it has
+// handled it.
 func TestDrainWaitsForPendingConnections(t *testing.T) {
 	l, _ := newHeldDials(t, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -156,26 +159,26 @@
 	defer c.Close()
 	l.r.closingClients, l.r.shutdownDeadline = true, l.r.clock()+1e6
 	if l.r.closeIdleClients(); l.r.stopped {
-		t.Fatal("it ended under a connection that was to be accepted")
+		t.Fatal("the router ended while a connection waited to be accepted")
 	}
-	l.r.takeover.enrolling.Add(1) // accepted, and on its way to the loop
+	l.r.takeover.enrolling.Add(1) // accepted, but not enrolled in the loop yet
 	if a, err := ln.Accept(); err == nil {
 		defer a.Close()
 	}
 	if l.r.closeIdleClients(); l.r.stopped {
-		t.Fatal("it ended under a connection that was accepted")
+		t.Fatal("the router ended while an accepted connection was being enrolled")
 	}
 	client := l.open(&client{r: l.r, enrolling: true})
 	if l.r.closeIdleClients(); l.r.stopped {
-		t.Fatal("it ended under a client")
+		t.Fatal("the router ended while a client was connected")
 	}
 	_ = l.Close(client)
 	if l.r.closeIdleClients(); !l.r.stopped {
-		t.Error("it goes on with nobody there")
+		t.Error("the router does not end without clients")
 	}
 }
 
-// enrollsNobody is a loop for which there is no descriptor left.
+// failingEnrollLoop is a loop without descriptors for further connections.
 type failingEnrollLoop struct{ *fakeLoop }
 
 func (failingEnrollLoop) Enroll(_ context.Context, c net.Conn) (<-chan gnet.RegisteredResult, error) {
@@ -184,7 +187,7 @@
 	return out, c.Close()
 }
 
-// A connection that is accepted, and for which there is no descriptor on the way to the loop, is not waited for in a drain.
+// A drain does not wait for an accepted connection that could not be enrolled for lack of a descriptor.
 func TestDrainIgnoresFailedEnrolls(t *testing.T) {
 	l, _ := newHeldDials(t, nil)
 	l.r.loop = failingEnrollLoop{l}
@@ -203,10 +206,10 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_, _ = c.Read(make([]byte, 1)) // returns once it is closed there
+	_, _ = c.Read(make([]byte, 1)) // returns once the router has closed the connection
 	for until := time.Now().Add(eventTimeout); l.r.takeover.enrolling.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("somebody comes who was refused")
+			t.Fatal("a connection that was not enrolled still counts as pending")
 		}
 	}
 	ln.Close()
@@ -215,8 +218,8 @@
 
 const eventTimeout = 3 * time.Second
 
-// A list moves a server while a dial to its old address is out: what waits goes to the new one, and the old connection is
-// not used.
+// An endpoint list moves a server while a dial to its old address is pending: the waiting attempt goes to the new
+// address, and the old connection is not used.
 func TestDialToOutdatedAddressIsNotUsed(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
@@ -229,22 +232,23 @@
 	l.r.applyEndpoints(list)
 	l.runQueued()
 	if old := up(); old.written != "" || !old.closed {
-		t.Errorf("where it was there came %q, closed: %v", old.written, old.closed)
+		t.Errorf("the old address received %q, closed: %v", old.written, old.closed)
 	}
 	if moved := up(); !strings.Contains(moved.written, "r1") || moved.ctx.(*upstream).addr != "127.0.0.1:9" {
-		t.Errorf("where it is there came %q", moved.written)
+		t.Errorf("the new address received %q", moved.written)
 	}
 }
 
-// All that is in hand is answered by the end of the process, whatever its deadline, and what comes late as well.
+// All pending requests are answered by the shutdown deadline, whatever their own deadline, including requests that
+// arrive late.
 func TestAllRequestsAreAnsweredByShutdownDeadline(t *testing.T) {
 	l, up := newHeldDials(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
 	close(l.r.ready)
 	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod = 3e6, 500e3
 	client := l.open(nil)
-	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer comes
+	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer arrives
 	up()
-	l.receive(client, command("CACHE.GET", "k2", "r2", "c=get,d=6000")) // waits for a connection that does not come up
+	l.receive(client, command("CACHE.GET", "k2", "r2", "c=get,d=6000")) // waits for a connection that is never opened
 	l.r.Drain()
 	l.runQueued()
 	l.advance(2.9e6)
@@ -252,11 +256,11 @@
 	l.receive(client, late)
 	l.advance(200e3)
 	if n := strings.Count(client.written, "-BUSY"); n != 3 {
-		t.Error(fmt.Sprint(n, " of three reqs were answered by the end: ", client.written))
+		t.Error(fmt.Sprint(n, " of three requests were answered by the shutdown deadline: ", client.written))
 	}
 }
 
-// A process that was told to end does so in its time also where idle clients come again as soon as they are closed.
+// A draining process ends in time even if idle clients reconnect as soon as they are closed.
 func TestDrainEndsWhileClientsReconnect(t *testing.T) {
 	l, _ := newHeldDials(t, nil)
 	close(l.r.ready)
@@ -271,14 +275,14 @@
 		l.advance(step)
 	}
 	if !l.r.stopped {
-		t.Errorf("0.2 s behind its last moment it goes on, with %d clients", len(l.r.clients))
+		t.Errorf("still running 0.2 s after the shutdown deadline, with %d clients", len(l.r.clients))
 	}
 }
 
 const hitReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
-// A server answers twice, the second time some milliseconds late. Once that was seen, a connection that has just been used is
-// not used again before a second answer would have come: the next client got it for its own.
+// A server answers twice, the second time some milliseconds late. After that was seen once, a connection is not
+// reused before a duplicate answer would have arrived; the next client used to get it as its own.
 func TestDuplicateAnswerIsDropped(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	l.r.limits.ReuseDelay, l.r.limits.DuplicateMemory = 50e3, 30e6
@@ -287,9 +291,9 @@
 	ask("r1")
 	first := up()
 	l.receive(first, hitReply)
-	l.receive(first, hitReply) // seen: nobody had asked
+	l.receive(first, hitReply) // detected: no attempt was pending
 	if !first.closed {
-		t.Fatal("a connection with an answer too many is kept")
+		t.Fatal("a connection with a duplicate answer was kept")
 	}
 	ask("r2")
 	second := up()
@@ -298,24 +302,24 @@
 	third := up() // a connection of its own
 	l.receive(second, "*3\r\n$5\r\nagain\r\n$-1\r\n$-1\r\n")
 	if !second.closed || strings.Contains(client.written, "again") {
-		t.Errorf("the second answer is used: %q", client.written)
+		t.Errorf("the duplicate answer was used: %q", client.written)
 	}
 	l.receive(third, hitReply)
 	l.advance(60e3)
-	ask("r4") // it has rested
+	ask("r4") // the connection has rested
 	if l.receive(third, hitReply); client.written != strings.Repeat("$1\r\nv\r\n", 4) {
 		t.Errorf("the client got %q", client.written)
 	}
-	ask("r5") // one that waits does not get one that was used just now
+	ask("r5") // a waiting attempt does not get a connection that was used just now
 	ask("r6")
 	l.receive(third, hitReply)
 	if strings.Contains(third.written, "r6") {
-		t.Error("a connection goes on without a rest")
+		t.Error("a connection was reused without a rest")
 	}
 }
 
-// A server has ended an idle connection, and the loop has not come to it: a request that must not run twice is not written to it,
-// where it would end as one that may have run.
+// A server has closed an idle connection, and the loop has not noticed. A request that must not run twice is not
+// written to it, since it would then count as one that may have run.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
@@ -326,44 +330,45 @@
 	first.fd, other = socketPair(t)
 	l.receive(client, command("CACHE.GET", "k", "r2", "c=pay,d=900")) // open, and used
 	if l.receive(first, hitReply); !strings.Contains(first.written, "r2") {
-		t.Error("an open connection is not used")
+		t.Error("an open connection was not used")
 	}
 	if err := unix.Shutdown(other, unix.SHUT_WR); err != nil {
 		t.Fatal(err)
 	}
 	l.receive(client, command("CACHE.GET", "k", "r3", "c=pay,d=900"))
 	if strings.Contains(first.written, "r3") {
-		t.Error("written to a connection that was ended")
+		t.Error("the request was written to a closed connection")
 	}
 	if second := up(); !strings.Contains(second.written, "r3") {
-		t.Error("not written to a new one")
+		t.Error("the request was not written to a new connection")
 	}
 }
 
-// After a pause of the process a connection comes up before the loop comes to its timers: what has waited for it past its
-// deadline, or past the window in which a repeat is known, is not sent.
+// After a pause of the process, a connection is opened before the loop runs its timers. An attempt that waited for
+// it past its deadline, or past the deduplication window, is not sent.
 func TestExpiredAttemptIsNotSentOnALateConnection(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	l.r.startWallClock += 3e6
 	if late := up(); late.written != "" {
-		t.Errorf("1.1 s after the deadline there went out %q", late.written)
+		t.Errorf("1.1 s after the deadline, sent %q", late.written)
 	}
 	l, up = newHeldDials(t, nil)
 	client = l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
 	first := up()
 	l.advance(100e3)
-	_ = l.Close(first) // it may have run
+	_ = l.Close(first) // the attempt may have run
 	l.runQueued()
 	l.r.startWallClock += 350e3
 	if second := up(); second.written != "" {
-		t.Errorf("450 ms after the first, of which repeats are known for 400, there went out %q", second.written)
+		t.Errorf("450 ms after the first attempt, with a deduplication window of 400 ms, sent %q", second.written)
 	}
 }
 
-// loaded is a router with the limits that a configuration leads to, and a dial to discovery that has been let through.
+// newConfiguredRouter returns a router with the limits of a configuration file, a discovery mode, and a function
+// that completes the next pending dial, or returns nil if there is none.
 func newConfiguredRouter(t *testing.T, mode string) (l *fakeLoop, nextDial func() *fakeConn) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","limits":{"memory_mb":64,"sockets":256},`+
@@ -391,37 +396,38 @@
 	}
 }
 
-// Where lists are asked for a watch may wait for 20 s; one that has fallen silent is given up a second later, a second before
-// what it misses counts as told, and the whole list is asked for.
+// In mode on_request a watch may wait for 20 s. A silent one is abandoned a second later, which is a second before
+// a missed update counts against the router, and the whole list is requested.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	const list = `{"rev":5,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`
 	l, up := newConfiguredRouter(t, "on_request")
 	first := up()
 	l.receive(first, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 	if !strings.Contains(first.written, "index=5&wait=20000") {
-		t.Fatalf("it watches with %q", first.written)
+		t.Fatalf("the watch requested %q", first.written)
 	}
 	l.advance(20.9e6)
 	if first.closed {
-		t.Fatal("given up while an answer is due")
+		t.Fatal("the watch was abandoned before its answer was due")
 	}
 	l.advance(0.2e6)
 	if !first.closed {
-		t.Fatal("21.1 s silent, and not given up")
+		t.Fatal("the watch was not abandoned after 21.1 s of silence")
 	}
-	for range 9 { // the decisions say when: within the second
+	for range 9 { // package routing decides when: within the second
 		if second := up(); second != nil {
 			if second.written != "GET /registry/instances HTTP/1.1\r\nHost: 127.0.0.1:2\r\n\r\n" {
-				t.Errorf("it goes on with %q", second.written)
+				t.Errorf("the next call is %q", second.written)
 			}
 			return
 		}
 		l.advance(0.1e6)
 	}
-	t.Error("nobody asks for the list")
+	t.Error("no call requested the list")
 }
 
-// A dial to discovery that hangs ends with an answer's slack, whatever servers may take to come up: a call waits behind it.
+// A hanging dial to discovery ends after the grace time of a watch, however long dials to servers may take, since
+// the next call waits for it.
 func TestHangingDialToDiscoveryTimesOut(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -436,7 +442,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
-	for range 2 { // nobody accepts: the backlog takes one, and the next never comes up
+	for range 2 { // nobody accepts: the backlog takes one connection, and the next stays pending
 		c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err != nil {
 			break
@@ -450,7 +456,7 @@
 	l.r.dialAsync(addr, l.r.watch, func(err error) { failed <- err })
 	for until := time.Now().Add(5 * time.Second); len(failed) == 0; l.runQueued() {
 		if time.Now().After(until) {
-			t.Fatal("the dial hangs on")
+			t.Fatal("the dial did not time out")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -21,9 +21,9 @@
 	"spurtrestle/internal/wire/http1"
 )
 
-// FuzzRouter lets clients, servers, discovery, dials and the clock do what the input says, in its order. Whatever
-// that is, each request that was taken gets one answer or loses its client, nothing is left of it, and what is counted as
-// open is what is open.
+// FuzzRouter makes clients, servers, discovery, dials and the clock act as the input says, in its order. In any
+// order, each admitted request gets one answer or loses its client, nothing of it is left behind, and the counts
+// match what is open.
 func FuzzRouter(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 4, 1, 2, 3, 5, 0, 7, 2, 5, 0})
 	f.Add([]byte{0, 1, 1, 4, 12, 0, 2, 3, 9, 9, 0, 2, 12, 2, 0, 7, 12, 4, 9, 99, 12, 6})
@@ -31,7 +31,7 @@
 	f.Fuzz(func(t *testing.T, steps []byte) { runSteps(t, steps, nil) })
 }
 
-// TestRandomOrders plays some thousand random steps a hundred times; FuzzRouter looks for worse ones.
+// TestRandomOrders runs a hundred sequences of some thousand random steps; FuzzRouter searches for worse ones.
 func TestRandomOrders(t *testing.T) {
 	for seed := range byte(100) {
 		runSteps(t, randomSteps(seed), nil)
@@ -44,7 +44,7 @@
 	return steps
 }
 
-// What the referee of random orders is for is found, wherever it comes in.
+// The checks in runSteps detect each of these injected faults.
 func TestRandomOrdersDetectInjectedFaults(t *testing.T) {
 	for name, inject := range map[string]func(*fakeLoop){
 		"an answer is lost": func(l *fakeLoop) {
@@ -60,7 +60,7 @@
 			}
 		},
 		"a connection is not counted": func(l *fakeLoop) { l.r.serverConnCount++ },
-		"what may have run is told as never run": func(l *fakeLoop) {
+		"what may have run is reported as never run": func(l *fakeLoop) {
 			for _, request := range l.r.requests {
 				for _, attempt := range slices.Clone(request.attempts) {
 					if attempt.fullySent && request.Write {
@@ -70,7 +70,7 @@
 				}
 			}
 		},
-		"a write-out to a server that goes": func(l *fakeLoop) {
+		"an attempt at a server that is draining": func(l *fakeLoop) {
 			for _, s := range l.r.servers {
 				for _, request := range l.r.requests {
 					if !s.ready && !request.finished && len(request.attempts) == 0 {
@@ -82,7 +82,7 @@
 				}
 			}
 		},
-		"a write-out for a req that is over": func(l *fakeLoop) {
+		"an attempt of a finished request": func(l *fakeLoop) {
 			for _, request := range l.r.requests {
 				if request.finished && len(request.attempts) == 0 {
 					for id := range l.r.servers {
@@ -94,11 +94,11 @@
 				}
 			}
 		},
-		"a drain leaves one in hand": func(l *fakeLoop) { l.r.limits.ShutdownTimeout = 1e12 },
+		"a drain leaves a request unanswered": func(l *fakeLoop) { l.r.limits.ShutdownTimeout = 1e12 },
 	} {
 		found := 0
 		for seed := range byte(10) {
-			stepsLeft := 200 // steps until it strikes
+			stepsLeft := 200 // steps until the fault is injected
 			recorder := &failureRecorder{TB: t}
 			done := make(chan struct{})
 			go func() {
@@ -114,13 +114,13 @@
 				found++
 			}
 		}
-		if found < 3 { // some strike only where a rare thing is at hand
-			t.Errorf("%s: found in %d of 10 plays", name, found)
+		if found < 3 { // some faults need a rare situation
+			t.Errorf("%s: detected in %d of 10 runs", name, found)
 		}
 	}
 }
 
-// judged notes that a test would fail.
+// failureRecorder records that a test would fail.
 type failureRecorder struct {
 	testing.TB
 	failed bool
@@ -132,13 +132,14 @@
 	runtime.Goexit()
 }
 
-// kinds of steps, each as often as keeps requests coming, going out and being answered: with all alike hardly one got so far.
+// stepKinds contains each kind of step as often as it takes for requests to be sent and answered; with equal
+// frequencies hardly one got that far.
 var stepKinds = []byte{0, 0, 0, 0, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 7, 7, 7, 7, 7, 8, 9, 9, 10, 11, 11, 11, 11, 11, 11, 12, 13}
 
-// inThisOrder plays steps; after each, also does something else, if there is something.
+// runSteps executes steps and checks the router after each; afterStep, if not nil, is called in between.
 func runSteps(t testing.TB, steps []byte, afterStep func(*fakeLoop)) {
 	cfg := originOnlyConfig()
-	// Little room, so that clients stall, dials wait and connections are shed.
+	// The limits are low, so that clients stall, dials wait and connections are shed.
 	cfg.Limits.Descriptors, cfg.Limits.MaxDescriptors, cfg.Limits.ServerConnections = 12, 14, 6
 	cfg.Limits.PipelinedCommands, cfg.Limits.RequestBytes, cfg.Limits.QuietClientAge, cfg.Limits.ClientWriteTimeout = 3, 100, 10e3, 1e6
 	cfg.Limits.ServerIdleTimeout = 2e6
@@ -159,14 +160,14 @@
 	commandsSent, bannedAt := map[*fakeConn]int{}, map[string]clock.Time{}
 	close(r.ready)
 	r.limits.ShutdownTimeout, r.limits.DrainAcceptPeriod, r.limits.LargeValueRetryInterval = 3e6, 500e3, 5e3
-	endBy := clock.Time(0)           // by when all is answered, after SIGTERM
-	unavailable := map[string]bool{} // that drain, or are no more, by the last list
+	endBy := clock.Time(0)           // deadline for all answers, after SIGTERM
+	unavailable := map[string]bool{} // servers that drain or are gone, by the last list
 	type sent struct {
 		on      *fakeConn
 		attempt *activeAttempt
 	}
-	outstanding := map[sent]bool{}               // that were there after the last step; true: the last byte had left
-	mayHaveRun := map[routing.RequestID]string{} // that may have run, and where
+	outstanding := map[sent]bool{}               // attempts outstanding after the last step; true: sent completely
+	mayHaveRun := map[routing.RequestID]string{} // requests that may have run, and at which server
 	neverRan := (*activeAttempt)(nil)            // answered in this step as never run
 	traffic := func(c *fakeConn) {
 		if r.OnTraffic(c) == gnet.Close {
@@ -189,7 +190,7 @@
 	open := func(of []*fakeConn) []*fakeConn {
 		return slices.DeleteFunc(slices.Clone(of), func(c *fakeConn) bool { return c.closed })
 	}
-	pick := func(from []*fakeConn, n byte) *fakeConn { // one that is open; nil: there is none
+	pick := func(from []*fakeConn, n byte) *fakeConn { // an open connection; nil: there is none
 		if from = open(from); len(from) > 0 {
 			return from[int(n)%len(from)]
 		}
@@ -270,7 +271,7 @@
 			}
 		case 11:
 			l.runQueued()
-		case 12: // operators take out and give back, drain and undo it
+		case 12: // operators ban and unban servers, and start and undo a drain
 			commandsSent, uid := r.operator.state, []string{"s", "u"}[n%2]
 			commandsSent.UnbannedAt = map[string]int64{}
 			switch n / 2 % 4 {
@@ -302,7 +303,7 @@
 			}
 		}
 		if r.publishStats(); r.operator.stats.Load().openRequests != inHand {
-			t.Fatalf("%d reqs are open, and %d said to be", inHand, r.operator.stats.Load().openRequests)
+			t.Fatalf("%d requests are open, the statistics say %d", inHand, r.operator.stats.Load().openRequests)
 		}
 		for s, whole := range outstanding {
 			up, on := s.on.ctx.(*upstream)
@@ -323,18 +324,18 @@
 						t.Fatalf("%s is sent again, and may have run at %s", attempt.request.ID, at)
 					}
 					if attempt.request.finished || unavailable[string(r.endpoints.UID(attempt.server.id))] {
-						t.Fatalf("%s is sent to %v, over: %v, gone: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, unavailable)
+						t.Fatalf("%s is sent to %v; finished: %v, unavailable servers: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, unavailable)
 					}
 				}
 				if uid := string(r.endpoints.UID(up.server.id)); uid != "" && up.server.banned && up.attempt.startedAt > bannedAt[uid] {
-					t.Fatalf("a write-out to %s, which is out", uid)
+					t.Fatalf("an attempt was sent to %s, which is banned", uid)
 				}
 				most := 1
 				if cfg.Settings.HedgingAllowed {
 					most = 2
 				}
 				if carried[up.attempt.request]++; carried[up.attempt.request] > most {
-					t.Fatalf("%d write-outs of one req are out", carried[up.attempt.request])
+					t.Fatalf("%d attempts of one request are outstanding", carried[up.attempt.request])
 				}
 			}
 		}
@@ -349,10 +350,10 @@
 	l.runQueued()
 	for _, request := range r.requests {
 		if !request.finished {
-			t.Fatalf("%s is in hand after the end of the drain", request.ID)
+			t.Fatalf("%s is unanswered after the shutdown deadline", request.ID)
 		}
 	}
-	for range 400 + len(steps)/2 { // all deadlines pass, and what is out comes to its end, also of a thousand pipelined commands
+	for range 400 + len(steps)/2 { // all deadlines pass and everything outstanding ends, even a thousand pipelined commands
 		l.runQueued()
 		dialled(false)
 		r.startWallClock += 1e6
@@ -380,17 +381,17 @@
 		}
 	}
 	if ended != [3]int{n.Served, n.Rejected, n.Failed} {
-		t.Errorf("%v by method, %v in all", ended, n)
+		t.Errorf("outcomes: %v by method, %v in all", ended, n)
 	}
 	if n.Taken != n.Served+n.Rejected+n.Failed+n.Left || len(r.requests) != 0 || r.requestBytes != 0 {
-		t.Errorf("%v, %d reqs, %d bytes", n, len(r.requests), r.requestBytes)
+		t.Errorf("counters %v; %d requests and %d bytes are left", n, len(r.requests), r.requestBytes)
 	}
 	if n.Attempts != n.OK+n.Miss+n.NeverRan+n.MayHave+n.GivenUp {
-		t.Errorf("write-outs without an outcome: %v", n)
+		t.Errorf("attempts without an outcome: %v", n)
 	}
 	up := len(open(servers))
 	if in := len(open(clients)) > 0; up != r.serverConnCount || in != (len(r.clients) > 0) ||
 		r.connCount != r.serverConnCount+len(r.clients) || r.pendingDials != len(dials) {
-		t.Errorf("%d of %d to servers are open, %d in all, %d dials of %d", r.serverConnCount, up, r.connCount, r.pendingDials, len(dials))
+		t.Errorf("server connections: counted %d, open %d; all connections: counted %d; dials: counted %d, pending %d", r.serverConnCount, up, r.connCount, r.pendingDials, len(dials))
 	}
 }
--- a/internal/router/handover_bounds_test.go
+++ b/internal/router/handover_bounds_test.go
@@ -14,7 +14,7 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// largestSnapshot is a state at all bounds of the snapshot's format.
+// largestSnapshot returns a state at all bounds of the snapshot format.
 func largestSnapshot() snapshot.State {
 	const (
 		longestName  = 256
@@ -50,7 +50,8 @@
 	return state
 }
 
-// A successor receives and decodes whatever a predecessor may have learned: the bounds of frames and files agree.
+// A successor receives and decodes whatever its predecessor may have learned: the bounds of frames and files
+// agree.
 func TestHandover_CarriesTheLargestSnapshot(t *testing.T) {
 	successor, predecessor := connectHandover(t, t.TempDir())
 	defer successor.Close()
@@ -74,7 +75,7 @@
 	}
 }
 
-// What a receiver would reject is not sent, so that the frames behind it can be read.
+// A frame that the receiver would reject is not sent, so that the frames after it can be read.
 func TestHandover_RejectsALongFrameBeforeItIsSent(t *testing.T) {
 	successor, predecessor := connectHandover(t, t.TempDir())
 	defer successor.Close()
--- a/internal/router/handover_golden_test.go
+++ b/internal/router/handover_golden_test.go
@@ -8,8 +8,9 @@
 	"spurtrestle/internal/operatorstate"
 )
 
-// TestGolden_HandoverBodies holds the JSON bodies of handover frames to those of build bfb4b5c, which a predecessor or
-// successor of that build sends and reads: their names are the names of Go fields. That build wrote the golden file.
+// TestGolden_HandoverBodies compares the JSON bodies of handover frames with those of build bfb4b5c, which wrote
+// the golden file: a predecessor or successor of that build sends and reads them. Their field names are the Go
+// field names of that build.
 func TestGolden_HandoverBodies(t *testing.T) {
 	const golden = "testdata/handover.golden"
 	var state operatorstate.State
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -17,14 +17,15 @@
 	"spurtrestle/internal/operatorstate"
 )
 
-// handoverTest is a router that serves, and the connection of a successor to it.
+// handoverTest is a serving router and the connection of a successor to it.
 type handoverTest struct {
 	router    *Router
-	store     *operatorstate.Store // the successor's, of the same file
+	store     *operatorstate.Store // the successor's store of the same file
 	successor *handover.Conn
 }
 
-// newHandoverTest returns the two before the successor has said Hello. The router's loop runs until the test ends.
+// newHandoverTest returns the router and its successor before the successor has sent Hello. The router's loop runs
+// until the test ends.
 func newHandoverTest(t *testing.T) *handoverTest {
 	t.Helper()
 	l, _, _ := newConnectedOrigin(t)
@@ -91,7 +92,7 @@
 	}
 }
 
-// receiveUntil reads frames until one of a kind, and calls onState with each operator state on the way.
+// receiveUntil reads frames up to the first of a kind, and calls onState with each operator state on the way.
 func (h *handoverTest) receiveUntil(t *testing.T, last handover.Kind, onState func(operatorFrame)) {
 	t.Helper()
 	for {
@@ -115,7 +116,7 @@
 
 func ignoreState(operatorFrame) {}
 
-// A successor never receives an older operator state after a newer one, and ends with the last.
+// A successor never receives an older operator state after a newer one, and ends with the latest.
 func TestHandover_OperatorStatesArriveInOrder(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
@@ -130,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // what is on its way is sent
+	time.Sleep(50 * time.Millisecond) // until everything queued has been sent
 	h.router.OfferTransfer(func() []byte { return nil })
 	received := ""
 	h.receiveUntil(t, handover.LeaseTransfer, func(state operatorFrame) {
@@ -144,7 +145,7 @@
 	}
 }
 
-// hookOnMessage is called before a message is logged.
+// hookOnMessage calls a function before a message is logged.
 type hookOnMessage struct {
 	message string
 	call    func()
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// What operators change while a successor is being sent the state reaches it in place of that state or behind it.
+// An operator's change while a successor is being sent the state reaches it instead of that state or after it.
 func TestHandover_AChangeDuringTheFirstFramesArrivesLast(t *testing.T) {
 	h := newHandoverTest(t)
 	greeted, proceed := make(chan struct{}), make(chan struct{})
@@ -172,7 +173,7 @@
 	if err := h.router.SetDraining(true); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(20 * time.Millisecond) // what is on its way is sent
+	time.Sleep(20 * time.Millisecond) // until everything queued has been sent
 	close(proceed)
 	var state operatorFrame
 	keep := func(received operatorFrame) { state = received }
@@ -184,12 +185,12 @@
 	}
 }
 
-// A successor that does not read costs one waiting transfer, however many are offered.
+// A successor that does not read holds up one transfer, however many are offered.
 func TestHandover_TransfersDoNotAccumulate(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
-	large := make([]byte, 1<<20) // more than a socket takes
+	large := make([]byte, 1<<20) // more than a socket buffers
 	before := runtime.NumGoroutine()
 	const offers = 100
 	for range offers {
@@ -201,8 +202,8 @@
 	}
 }
 
-// Two processes are asked for a change each at the same time: the later of the file holds in both, though the earlier's frame
-// comes after it.
+// Two processes change the state at the same time: both end with the later state of the file, although the frame
+// with the earlier one arrives after it.
 func TestHandover_ConcurrentChangesConvergeOnTheFile(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
@@ -211,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.router.SetDraining(true); err != nil { // reads their ban from the file
+	if err := h.router.SetDraining(true); err != nil { // reads the successor's ban from the file
 		t.Fatal(err)
 	}
 	text, err := json.Marshal(operatorFrame{State: theirs})
@@ -227,11 +228,11 @@
 		t.Fatal(err)
 	}
 	if !state.Drain || !state.IsBanned("x") {
-		t.Errorf("after the crossing: got %+v, want the drain and the ban of x", state)
+		t.Errorf("after concurrent changes: got %+v, want the drain and the ban of x", state)
 	}
 }
 
-// awaitDescriptorCount returns once the router has acted on all frames that were sent before.
+// awaitDescriptorCount returns once the router has handled all frames sent before.
 func (h *handoverTest) awaitDescriptorCount(t *testing.T, count int) {
 	t.Helper()
 	if err := h.successor.Send(handover.Frame{Kind: handover.DescriptorCount, Body: strconv.AppendInt(nil, int64(count), 10)}); err != nil {
@@ -240,7 +241,7 @@
 	h.awaitOnLoop(t, func() bool { return h.router.takeover.peerDescriptors[1] == count })
 }
 
-// awaitOnLoop returns once something has happened, by the loop's state.
+// awaitOnLoop returns once a condition on the loop's state holds.
 func (h *handoverTest) awaitOnLoop(t *testing.T, happened func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -252,10 +253,11 @@
 			return
 		}
 	}
-	t.Fatal("did not happen in ten seconds")
+	t.Fatal("the condition did not hold within ten seconds")
 }
 
-// handOnAndLoseSuccessor has the router hand its clients on to the successor, which another process replaces, and the successor end.
+// handOverAndLoseSuccessor makes the router hand its clients over, another process replace the successor, and the
+// successor end.
 func (h *handoverTest) handOverAndLoseSuccessor(t *testing.T, name string) (next *net.UnixListener) {
 	t.Helper()
 	h.sendHello(t)
@@ -274,8 +276,8 @@
 	return next
 }
 
-// The name stays with the process that has replaced a successor, whatever becomes of the successor: the next process finds it. That
-// holds for a router that is told to end as for one that goes on.
+// The socket's name stays with the process that has replaced a successor, whatever becomes of that successor, so
+// that the next process finds it. This holds for a draining router as well as for one that goes on.
 func TestHandover_SocketNameStaysWithTheLastSuccessor(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		h := newHandoverTest(t)
@@ -291,14 +293,14 @@
 			if err == nil {
 				_, err = conn.Receive(time.Second)
 			}
-			for err != nil && !errors.Is(err, net.ErrClosed) { // a look whether somebody answers says nothing
+			for err != nil && !errors.Is(err, net.ErrClosed) { // a probe connects to check for a listener, and sends nothing
 				if conn, err = handover.Accept(next); err == nil {
 					_, err = conn.Receive(time.Second)
 				}
 			}
 			found <- err
 		}()
-		time.Sleep(300 * time.Millisecond) // the router does what it does about its name
+		time.Sleep(300 * time.Millisecond) // time for the router to try to take the name back
 		conn, err := handover.Dial(h.router.takeover.socketDir, name, time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -313,7 +315,7 @@
 				t.Error(err)
 			}
 		case <-time.After(3 * time.Second):
-			t.Errorf("told to end: %v; the next process finds another one than the last successor", draining)
+			t.Errorf("draining: %v; the next process does not find the last successor", draining)
 		}
 	}
 }
--- a/internal/router/learned_state_test.go
+++ b/internal/router/learned_state_test.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// What another service's router has learned is left alone, and a line names both.
+// The learned state of another service's router is ignored, and a log line names both.
 func TestStateOfAnotherServiceIsIgnored(t *testing.T) {
 	l, _, _ := newConnectedOrigin(t)
 	var logged strings.Builder
@@ -21,11 +21,11 @@
 	l.r.batchTime = l.r.clock()
 	l.r.restoreLearned()
 	if len(l.r.learned.unlistedServers) > 0 || !strings.Contains(logged.String(), "methods tile, and this router serves one with pay") {
-		t.Errorf("%d servers of it are known; %s", len(l.r.learned.unlistedServers), logged.String())
+		t.Errorf("restored %d servers of another service; logged %s", len(l.r.learned.unlistedServers), logged.String())
 	}
 }
 
-// What one router knew the next begins with, for the servers that its lists name and by their names.
+// A router starts with what an earlier process learned, for the servers in its endpoint lists, matched by id.
 func TestLearnedStateIsRestored(t *testing.T) {
 	l, client, _ := newConnectedOrigin(t)
 	client.sendWrites(l.r, "r1")
@@ -66,16 +66,16 @@
 	if got := known(); got["uid-0"] != 1000 || len(got) != 1 {
 		t.Errorf("with its first list the router knows %v", got)
 	}
-	list("uid-0", "uid-2", "other") // named later: what is known of it has waited
+	list("uid-0", "uid-2", "other") // listed later: its knowledge was kept until then
 	if got := known(); got["uid-2"] != 3000 || len(got) != 2 {
 		t.Errorf("with its next list the router knows %v", got)
 	}
 	if m := r.State().Methods[0].Latency; m < 6900 || m > 7000 {
-		t.Errorf("the method's time is %v", m)
+		t.Errorf("got method latency %v, want 6900 to 7000", m)
 	}
 }
 
-// States are handed over again and again, and not at the same moments by all routers.
+// Snapshots are submitted repeatedly.
 func TestSnapshotsAreSubmittedPeriodically(t *testing.T) {
 	l, _, _ := newConnectedOrigin(t)
 	r := l.r
@@ -86,11 +86,11 @@
 		r.fireTimers(r.clock())
 	}
 	if n < 3 {
-		t.Errorf("%d states were handed over", n)
+		t.Errorf("got %d snapshots, want at least 3", n)
 	}
 }
 
-// BenchmarkState is what the loop pays for handing over what it knows of 150 servers: at most 100 us are granted.
+// BenchmarkState measures how long the loop is occupied by a snapshot for 150 servers; the budget is 100 us.
 func BenchmarkState(b *testing.B) {
 	l, _, _ := newConnectedOrigin(b)
 	r := l.r
--- a/internal/router/loop_call_test.go
+++ b/internal/router/loop_call_test.go
@@ -10,8 +10,9 @@
 	"spurtrestle/internal/fleet"
 )
 
-// newBusyLoop returns a router that serves and whose loop runs only by rounds, so that each call to it comes too late.
-func newIdleLoop(t *testing.T) *fakeLoop {
+// newStalledLoop returns a serving router whose loop runs only when the test calls runQueued, so that each call to it
+// comes too late.
+func newStalledLoop(t *testing.T) *fakeLoop {
 	t.Helper()
 	l, _, _ := newConnectedOrigin(t)
 	l.r.limits.AdminCallTimeout = clock.Millisecond
@@ -21,10 +22,10 @@
 
 // A policy that was reported as not in force does not come into force later, over what has been set since.
 func TestSetPolicy_HasNoEffectAfterAnError(t *testing.T) {
-	l := newIdleLoop(t)
+	l := newStalledLoop(t)
 	err := l.r.SetPolicy(l.r.cfg.Settings, []string{"o"})
 	if !errors.Is(err, errBusy) {
-		t.Fatalf("with a busy loop: got %v, want %v", err, errBusy)
+		t.Fatalf("with a stalled loop: got %v, want %v", err, errBusy)
 	}
 	l.runQueued()
 	if l.r.fleet.policyBans["o"] {
@@ -32,15 +33,15 @@
 	}
 }
 
-// Neither do orders on sites and shares of the fleet's limits.
+// The same holds for site orders and shares of the fleet's limits.
 func TestSetSiteOrdersAndSetShare_HaveNoEffectAfterAnError(t *testing.T) {
-	l := newIdleLoop(t)
+	l := newStalledLoop(t)
 	orders := routing.FailoverOrders{MinimumRank: 2}
 	if _, err := l.r.SetSiteOrders(orders, time.Now().Add(time.Hour)); !errors.Is(err, errBusy) {
-		t.Fatalf("SetSiteOrders with a busy loop: got %v, want %v", err, errBusy)
+		t.Fatalf("SetSiteOrders with a stalled loop: got %v, want %v", err, errBusy)
 	}
 	if err := l.r.SetShare(fleet.Share{Current: 0.5, AfterExpiry: 0.5}); !errors.Is(err, errBusy) {
-		t.Fatalf("SetShare with a busy loop: got %v, want %v", err, errBusy)
+		t.Fatalf("SetShare with a stalled loop: got %v, want %v", err, errBusy)
 	}
 	l.runQueued()
 	if l.r.fleet.siteOrders.MinimumRank != 0 || l.r.fleet.share != 0 {
@@ -48,7 +49,7 @@
 	}
 }
 
-// A call that comes before the loop runs ends by its time limit; its caller has to end with the process.
+// A call made before the loop runs ends at its time limit, so that its caller can end with the process.
 func TestSetPolicy_ReturnsWhereTheLoopNeverRuns(t *testing.T) {
 	l, _, _ := newConnectedOrigin(t)
 	l.r.limits.AdminCallTimeout = clock.Millisecond
@@ -60,6 +61,6 @@
 			t.Errorf("got %v, want %v", err, errBusy)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("SetPolicy waits for a loop that never runs")
+		t.Error("SetPolicy did not return although the loop never runs")
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -20,15 +20,16 @@
 	"spurtrestle/internal/resp"
 )
 
-// What a kernel does not do on demand is tested with a connection and a loop that only note what they are asked for.
+// Behaviour that a kernel does not produce on demand is tested with a connection and a loop that only record
+// calls.
 
 type fakeConn struct {
 	gnet.Conn
 	ctx            any
 	in             []byte
 	written        string
-	outboundBytes  int   // bytes that the kernel would not take
-	writeErr       error // of a write
+	outboundBytes  int   // bytes that the kernel has not accepted
+	writeErr       error // returned by Write
 	fd             int
 	onWriteFailure func(gnet.Conn)
 	closed         bool
@@ -42,7 +43,7 @@
 func (c *fakeConn) OutboundBuffered() int      { return c.outboundBytes }
 func (c *fakeConn) Fd() int {
 	if c.fd == 0 {
-		return -1 // not the test's own input
+		return -1 // not the test's own standard input
 	}
 	return c.fd
 }
@@ -60,9 +61,9 @@
 type fakeLoop struct {
 	gnet.EventLoop
 	r     *Router
-	mu    sync.Mutex // the alarm of the timers comes from elsewhere
+	mu    sync.Mutex // the timers' alarm fires on another goroutine
 	queue []gnet.Runnable
-	fd    int // of connections that are opened from now on; 0: they have none
+	fd    int // given to connections opened from now on; 0: none
 }
 
 func (l *fakeLoop) Execute(_ context.Context, f gnet.Runnable) error {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// ends: a connection is no more, for a reason as gnet tells it.
+// closeWith closes a connection with the error that gnet would report.
 func (l *fakeLoop) closeWith(c gnet.Conn, why error) {
 	if n := c.(*fakeConn); !n.closed {
 		n.closed = true
@@ -100,7 +101,7 @@
 	}
 }
 
-// notedConfig is one of a method that must not run twice, with the origin alone.
+// originOnlyConfig has one method that must not run twice, and no server but the origin.
 func originOnlyConfig() config.Config {
 	cfg := config.Config{Listen: "-", Limits: config.Limits{RESP: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
 		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, SilentClientTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
@@ -129,7 +130,7 @@
 	return l
 }
 
-// peerOf is the client behind a connection.
+// clientOf returns the client that handles a connection.
 func clientOf(c *fakeConn) *client { return c.ctx.(*client) }
 
 func (l *fakeLoop) open(ctx any) *fakeConn {
@@ -141,7 +142,8 @@
 	return c
 }
 
-// newNoted returns a router with one client and one idle connection to the origin, to which all writes go.
+// newConnectedOrigin returns a router with one client and one idle connection to the origin, which receives all
+// writes.
 func newConnectedOrigin(t testing.TB) (l *fakeLoop, client, origin *fakeConn) {
 	l = newFakeLoop(t, originOnlyConfig())
 	for _, s := range l.r.servers {
@@ -152,8 +154,8 @@
 	return l, l.open(nil), origin
 }
 
-// A break before the last byte has left us means that the request never ran, so that it may be rejected; after that it may
-// have run, and only a failure may be told.
+// If the connection breaks before the last byte of a request was sent, the request has never run and may be
+// rejected. After that it may have run, and must fail.
 func Example_breaks() {
 	for _, c := range []struct {
 		name  string
@@ -180,7 +182,7 @@
 	// the write itself failed: "-BUSY\r\n", then 0 requests and 0 bytes held
 }
 
-// gnet writes out what is buffered after OnClose. What was told as never run must not run all the same.
+// gnet writes out its buffer after OnClose. An attempt reported as never run must not reach the server that way.
 func TestNoWritesAfterClose(t *testing.T) {
 	l, _, origin := newConnectedOrigin(t)
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
@@ -192,30 +194,32 @@
 	origin.fd, origin.outboundBytes = pair[0], 10
 	_ = l.Close(origin)
 	if _, err := unix.Write(pair[0], []byte("the rest")); err != unix.EPIPE {
-		t.Errorf("the rest could be written: %v", err)
+		t.Errorf("writing after the close: got %v, want EPIPE", err)
 	}
 }
 
-// An attempt whose time is over while it waits for a connection was never sent: no blame, and it may be rejected.
+// An attempt that times out while it waits for a connection was never sent: it does not count against the server,
+// and its request may be rejected.
 func TestAttemptTimesOutBeforeConnecting(t *testing.T) {
 	l, client, origin := newConnectedOrigin(t)
 	r := l.r
 	s := origin.ctx.(*upstream).server
 	_ = l.Close(origin)
-	s.dialing = 1 // one dial is out, and does not end
+	s.dialing = 1 // a dial is pending and does not end
 	client.sendWrites(r, "r")
 	l.runQueued()
 	if len(s.waitingAttempts) != 1 {
-		t.Fatal(len(s.waitingAttempts), "write-outs wait")
+		t.Fatal(len(s.waitingAttempts), "attempts wait, want 1")
 	}
 	r.timeOutAttempt(s.waitingAttempts[0])
 	l.runQueued()
 	if client.written != "-BUSY\r\n" || len(s.waitingAttempts) != 0 || r.counts.NeverRan != 1 {
-		t.Errorf("%q, %d wait, %+v", client.written, len(s.waitingAttempts), r.counts)
+		t.Errorf("client got %q, %d attempts wait, counters %+v", client.written, len(s.waitingAttempts), r.counts)
 	}
 }
 
-// A client whose answers have not all left is neither closed at the end nor to make room, until it has long taken none.
+// A client whose replies have not all been written is closed neither in a drain nor to make room, until it has not
+// read them for long.
 func TestRepliesAreFlushedBeforeClose(t *testing.T) {
 	l, client, _ := newConnectedOrigin(t)
 	r := l.r
@@ -223,16 +227,16 @@
 	client.in = resp.AppendCommand(nil, []byte("QUIT"))
 	client.outboundBytes = 5
 	if action := r.OnTraffic(client); action != gnet.None || r.shedClient(false) {
-		t.Error("closed with an answer that has not left", action)
+		t.Error("closed with a reply that has not been written", action)
 	}
 	r.closeIdleClients()
 	r.sweepConnections()
 	if client.closed {
-		t.Error("closed with an answer that has not left")
+		t.Error("closed with a reply that has not been written")
 	}
 	time.Sleep(150 * time.Millisecond)
 	if r.sweepConnections(); !client.closed {
-		t.Error("a client that takes no answers stays")
+		t.Error("a client that does not read its replies was kept")
 	}
 }
 
@@ -241,7 +245,7 @@
 	l, client, origin := newConnectedOrigin(t)
 	s := origin.ctx.(*upstream).server
 	_ = l.Close(origin)
-	s.dialing = 1 // one dial is out, and does not end
+	s.dialing = 1 // a dial is pending and does not end
 	client.sendWrites(l.r, "r")
 	l.runQueued()
 	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","model":"origin","state":"leaving"}]}`))
@@ -256,7 +260,8 @@
 	}
 }
 
-// A decision and the news that its server is gone, or that its client is, may meet in one batch. The program crashed.
+// A decision and the event that its server or its client is gone may be in one batch. This used to crash the
+// process.
 func TestDecisionsOvertakenByEvents(t *testing.T) {
 	l, client, origin := newConnectedOrigin(t)
 	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[]}`))
@@ -267,7 +272,7 @@
 	l.r.applyEndpoints(list)
 	l.runQueued()
 	if client.written != "-BUSY\r\n" || strings.Contains(origin.written, "r1") || len(l.r.requests) != 0 {
-		t.Errorf("the client got %q, the server %q, and %d reqs are left", client.written, origin.written, len(l.r.requests))
+		t.Errorf("the client got %q, the server %q, and %d requests are left", client.written, origin.written, len(l.r.requests))
 	}
 
 	l, client, origin = newConnectedOrigin(t)
@@ -275,11 +280,11 @@
 	_ = l.Close(client)
 	l.runQueued()
 	if origin.written != "" || len(l.r.requests) != 0 || l.r.counts.Left != 1 {
-		t.Errorf("the server got %q, and %d reqs are left", origin.written, len(l.r.requests))
+		t.Errorf("the server got %q, and %d requests are left", origin.written, len(l.r.requests))
 	}
 }
 
-// Timers fire in the order of their times, those of one time in the order they were set, and not once cancelled.
+// Timers fire in order of their times, those of the same time in the order they were set, and not once canceled.
 func Example_timers() {
 	l, _, _ := newConnectedOrigin(new(testing.T))
 	r := l.r
@@ -298,7 +303,7 @@
 	// third
 }
 
-// What all clients hold together is bounded: the one that holds most is closed.
+// The memory that all clients hold together is bounded: the client that holds most is closed.
 func TestLargestBufferHolderIsClosed(t *testing.T) {
 	l, client, _ := newConnectedOrigin(t)
 	other := l.open(nil)
@@ -306,7 +311,7 @@
 	client.outboundBytes, other.outboundBytes = 300, 800
 	l.r.noteClientBuffer(1001)
 	if client.closed || !other.closed {
-		t.Errorf("closed: %v and %v", client.closed, other.closed)
+		t.Errorf("closed: smaller buffer %v, larger buffer %v", client.closed, other.closed)
 	}
 }
 
@@ -317,25 +322,25 @@
 	r.OnTraffic(c)
 }
 
-// Without a descriptor to spare an attempt waits for a connection that gets free, and none is dialled.
+// Without a free descriptor, an attempt waits for a connection to become free, and no dial is started.
 func TestAttemptsWaitForDescriptors(t *testing.T) {
 	l, client, origin := newConnectedOrigin(t)
 	l.r.limits.ServerConnections = 1
 	client.sendWrites(l.r, "r1", "r2")
 	l.runQueued()
 	if strings.Count(origin.written, "PUT /k") != 1 || l.r.pendingDials != 0 || l.r.counts.Attempts != 2 {
-		t.Errorf("%q, %d dials, %+v", origin.written, l.r.pendingDials, l.r.counts)
+		t.Errorf("origin got %q, %d dials, counters %+v", origin.written, l.r.pendingDials, l.r.counts)
 	}
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	l.r.OnTraffic(origin)
 	l.runQueued()
 	if !strings.Contains(origin.written, "r2") || client.written != "$2\r\nok\r\n" || l.r.pendingDials != 0 {
-		t.Errorf("%q, %q, %d dials", origin.written, client.written, l.r.pendingDials)
+		t.Errorf("origin got %q, client got %q, %d dials", origin.written, client.written, l.r.pendingDials)
 	}
 }
 
-// A client that has just come in was closed to make room while its first request was on its way, and lost it. Those quiet
-// for long go first, and none goes while it waits for an answer.
+// A client that had just connected used to be closed to make room, and lost the request on its way. Clients that
+// have been quiet for long are closed first, and none that waits for an answer.
 func TestClientsClosedToMakeRoom(t *testing.T) {
 	l, client, origin := newConnectedOrigin(t)
 	r := l.r
@@ -343,7 +348,7 @@
 	l.runQueued()
 	r.limits.Descriptors, r.limits.MaxDescriptors, r.limits.QuietClientAge = r.descriptorsInUse(), r.descriptorsInUse()+1, 1e6
 	if fresh := l.open(nil); fresh.closed || client.closed || origin.closed {
-		t.Error("a client that came in had another closed, or itself, though there was a descriptor")
+		t.Error("a connection was closed for a new client although a descriptor was free")
 	}
 	if last := l.open(nil); !last.closed {
 		t.Error("the last descriptor was given away")
@@ -352,19 +357,19 @@
 	r.limits.QuietClientAge = 10e3
 	newest := l.open(nil)
 	if client.closed || origin.closed || newest.closed || r.counts.Shed != 1 {
-		t.Error("one that waits for an answer was closed, or the newest")
+		t.Error("closed a client or server connection in use, or the newest client, or not exactly one connection")
 	}
 	if r.closeIdleClients(); newest.closed {
-		t.Error("one that has just come in was closed at the end")
+		t.Error("a client that has just connected was closed in the drain")
 	}
 	r.startWallClock += 20e3
 	if r.closeIdleClients(); !newest.closed || client.closed {
-		t.Error("at the end the quiet one stays, or one that waits for an answer was closed")
+		t.Error("in the drain a quiet client was kept, or one that waits for an answer was closed")
 	}
 }
 
-// A connection that carried a big value is not closed while the kernel has some of it: a close that crosses what its
-// client sends would drop that.
+// A connection that carried a large value is not closed while the kernel holds part of it: closing while the
+// client sends would drop that part.
 func TestLargeValuesAreFlushedBeforeClose(t *testing.T) {
 	l, client, _ := newConnectedOrigin(t)
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
@@ -380,17 +385,17 @@
 		t.Fatal(err)
 	}
 	if l.r.closeIdleClients(); client.closed {
-		t.Error("closed, and the rest of the value is lost")
+		t.Error("closed while the kernel held the rest of the value")
 	}
 	if _, err := unix.Read(pair[1], make([]byte, 100)); err != nil {
 		t.Fatal(err)
 	}
 	if l.r.closeIdleClients(); !client.closed {
-		t.Error("it stays")
+		t.Error("a client with nothing left to send it was kept")
 	}
 }
 
-// A value that comes slowly is waited for while it flows; one that stops is not.
+// A value that arrives slowly is read as long as it makes progress; one that stops is not.
 func TestSlowValuesAreNotCutOff(t *testing.T) {
 	l, client, _ := newConnectedOrigin(t)
 	r := l.r
@@ -399,17 +404,18 @@
 		r.OnTraffic(client)
 		r.startWallClock += 1500e3
 		if r.sweepConnections(); client.closed {
-			t.Fatal("cut while it flows")
+			t.Fatal("closed while the value makes progress")
 		}
 		client.in = append(client.in, strings.Repeat("v", 2000)...)
 	}
 	r.startWallClock += r.limits.PartialCommandTimeout
 	if r.sweepConnections(); !client.closed {
-		t.Error("it waits for ever")
+		t.Error("a stopped value was not cut off")
 	}
 }
 
-// Hundreds that asked once and stayed, or never asked, took the descriptors: each attempt then paid for a connection.
+// Hundreds of clients that sent one request or none used to hold the descriptors, so that each attempt had to open
+// a connection.
 func TestExcessClientsAreClosedBeforeServerConnections(t *testing.T) {
 	l, client, origin := newConnectedOrigin(t)
 	r := l.r
@@ -418,27 +424,28 @@
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	r.OnTraffic(origin)
 	l.runQueued()
-	never := l.open(nil) // what only pings is no better than one that is silent
+	never := l.open(nil) // pings do not count as requests
 	never.in = resp.AppendCommand(nil, []byte("PING"))
 	r.OnTraffic(never)
 	r.limits.ClientConnections, r.limits.Descriptors, r.limits.MaxDescriptors = 1, r.descriptorsInUse(), r.descriptorsInUse()+1
-	time.Sleep(time.Millisecond) // the newest must be newer by the clock
+	time.Sleep(time.Millisecond) // the newest client must be newer by the clock
 	if newest := l.open(nil); !never.closed || client.closed || origin.closed || newest.closed {
-		t.Error("the one that never asked should have gone:", never.closed, client.closed, origin.closed, newest.closed)
+		t.Error("want only the client without a request closed:", never.closed, client.closed, origin.closed, newest.closed)
 	}
 	r.limits.ClientConnections = 10
 	if l.open(nil); client.closed || !origin.closed {
-		t.Error("within their part no client goes while a server's connection is idle:", client.closed, origin.closed)
+		t.Error("want the idle server connection closed, not a client within the limit:", client.closed, origin.closed)
 	}
 }
 
-// A client that says nothing whole for long is told so and closed, at its first command and in the middle of one.
+// A client that sends no complete command for long gets an error and is closed, at its first command as well as in
+// the middle of one.
 func TestSilentClientsAreClosed(t *testing.T) {
 	l, silent, _ := newConnectedOrigin(t)
 	r := l.r
 	asked, part := l.open(nil), l.open(nil)
 	asked.sendWrites(r, "r1")
-	once := l.open(nil) // it has had its answer, and stays
+	once := l.open(nil) // has had its answer, and stays connected
 	once.in = resp.AppendCommand(nil, []byte("PING"))
 	r.OnTraffic(once)
 	part.in = []byte("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\n")
@@ -451,11 +458,12 @@
 	r.startWallClock += 200e3
 	r.sweepConnections()
 	if !silent.closed || !part.closed || !once.closed || asked.closed || !strings.HasSuffix(part.written, "-ERR nothing whole has come\r\n") {
-		t.Errorf("closed: %v, %v and %v; told %q", silent.closed, part.closed, asked.closed, part.written)
+		t.Errorf("closed: silent %v, incomplete command %v, waiting for an answer %v; reply %q", silent.closed, part.closed, asked.closed, part.written)
 	}
 }
 
-// Clients that ask once and keep the connection had none left to ask on: the one quiet longest goes, none that waits.
+// Clients that kept a connection after each request had none left for further ones: the one quiet longest is
+// closed, and none that waits for an answer.
 func TestIdleRequestersAreShed(t *testing.T) {
 	l, first, origin := newConnectedOrigin(t)
 	r := l.r
@@ -468,7 +476,7 @@
 	pings, second, third := l.open(nil), l.open(nil), l.open(nil)
 	second.sendWrites(r, "r1")
 	if first.closed {
-		t.Error("closed within the bound")
+		t.Error("closed within the limit of requesting clients")
 	}
 	third.sendWrites(r, "r2")
 	if !first.closed || pings.closed || second.closed || third.closed || r.requestingClients != 2 {
@@ -476,13 +484,13 @@
 	}
 }
 
-// A front may listen before the loop runs: what it offers then is refused.
+// A front end may listen before the loop runs: its requests are refused until then.
 func TestSubmitBeforeTheLoopRuns(t *testing.T) {
 	r, err := New(config.Config{}, logrus.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.Submit(&ExternalRequest{}) {
-		t.Error("it is taken, and the loop will never come to it")
+		t.Error("a request was accepted before the loop runs")
 	}
 }
