--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -101,6 +101,21 @@
 		c.r.queueBatch()
 		return gnet.None
 	}
+	if action, isDone := c.readCommands(); isDone {
+		return action
+	}
+	if !c.closeAfterReplies {
+		c.accountUnreadInput()
+	}
+	if c.closeAfterReplies && c.mayClose() {
+		return gnet.Close
+	}
+	return gnet.None
+}
+
+// readCommands reads complete commands until there is no more input or no more room. If isDone, onTraffic returns
+// the action; otherwise it accounts for the input that is left.
+func (c *client) readCommands() (action gnet.Action, isDone bool) {
 	for !c.closeAfterReplies {
 		if len(c.slots) >= c.r.limits.PipelinedCommands || c.r.requestBytes >= c.r.limits.RequestBytes {
 			c.waitForRoom()
@@ -108,16 +123,16 @@
 		}
 		buf := c.unreadInput()
 		if len(buf) == 0 {
-			return gnet.None
+			return gnet.None, true
 		}
 		words, used, err := resp.Command(buf, c.words, c.r.limits.RESP)
 		c.words = words
 		if err != nil {
 			if ok, away := c.startLargeWrite(buf); away {
-				return gnet.Close // a duplicate of the descriptor takes over
+				return gnet.Close, true // a duplicate of the descriptor takes over
 			} else if ok {
 				c.r.noteClientBuffer(c.unreadBytes())
-				return gnet.None
+				return gnet.None, true
 			}
 		}
 		if err != nil {
@@ -137,39 +152,37 @@
 		}
 		c.discardInput(used)
 	}
-	if !c.closeAfterReplies {
-		if n := c.unreadBytes(); n > c.r.limits.ClientInput && !c.largeWriteNext {
-			// gnet reads on even if input is left in its buffer, so a client that keeps sending is disconnected
-			// here.
-			c.closeWithError("too much is waiting")
-		} else {
-			if n > 0 && !c.stalled && c.partialSince == 0 {
-				c.partialSince = c.lastActivity
-			}
-			if c.stalled {
-				c.arrivalTimes.noteUnread(n, c.lastActivity)
-			}
-			c.r.noteClientBuffer(n)
+	return gnet.None, false
+}
+
+// accountUnreadInput dates the input that is left, and closes the client if it is too much.
+func (c *client) accountUnreadInput() {
+	if n := c.unreadBytes(); n > c.r.limits.ClientInput && !c.largeWriteNext {
+		// gnet reads on even if input is left in its buffer, so a client that keeps sending is disconnected here.
+		c.closeWithError("too much is waiting")
+	} else {
+		if n > 0 && !c.stalled && c.partialSince == 0 {
+			c.partialSince = c.lastActivity
 		}
+		if c.stalled {
+			c.arrivalTimes.noteUnread(n, c.lastActivity)
+		}
+		c.r.noteClientBuffer(n)
 	}
-	if c.closeAfterReplies && c.mayClose() {
-		return gnet.Close
-	}
-	return gnet.None
 }
 
 // isSilent reports whether the client has sent no complete command since it connected, or takes too long for the
 // head of a command, or has stopped in the middle of one. A value may arrive slowly, but not for ever.
 func (c *client) isSilent(now clock.Time) bool {
-	const values = 10 // time limit of a value, in time limits of a head
-	slow := c.r.limits.PartialCommandTimeout
+	const valueTimeoutFactor = 10 // time limit of a value, in time limits of a head
+	headTimeout := c.r.limits.PartialCommandTimeout
 	switch {
 	case c.partialSince == 0:
 		return !c.hasSentCommand && now-c.lastCommandAt >= c.r.limits.SilentClientTimeout
 	case c.unreadBytes() <= c.r.limits.RESP.Line:
-		return now-c.partialSince >= slow
+		return now-c.partialSince >= headTimeout
 	}
-	return now-c.lastActivity >= slow || now-c.partialSince >= values*slow
+	return now-c.lastActivity >= headTimeout || now-c.partialSince >= valueTimeoutFactor*headTimeout
 }
 
 // resumeReading reads input that arrived before the connection was on this loop, or while the client was stalled.
--- a/internal/router/discovery_outage_test.go
+++ b/internal/router/discovery_outage_test.go
@@ -54,7 +54,7 @@
 		if o.answerAt[c] == 0 {
 			o.answerAt[c] = now + o.answerDelay
 			if !o.over {
-				o.answerAt[c] = o.answerFaulty(c, now)
+				o.answerAt[c] = o.answerFaulty(c)
 			}
 		}
 		if now >= o.answerAt[c] {
@@ -66,7 +66,7 @@
 }
 
 // answerFaulty handles the call on c during the outage and returns when to answer it: never, in most cases.
-func (o *discoveryOutage) answerFaulty(c *fakeConn, now clock.Time) clock.Time {
+func (o *discoveryOutage) answerFaulty(c *fakeConn) clock.Time {
 	const never = 1 << 60
 	switch o.fault {
 	case callRefused:
--- a/internal/router/external_requests.go
+++ b/internal/router/external_requests.go
@@ -12,6 +12,7 @@
 // RefusalReason is why a front end's request is not admitted.
 type RefusalReason uint8
 
+// The reasons for which a request is refused.
 const (
 	RefusedOverloaded    RefusalReason = iota + 1 // the router holds as many requests as it may
 	RefusedUnknownMethod                          // the settings do not contain its method
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -198,62 +198,73 @@
 	// The router waits its full time limit once the value has been sent, but no longer than the client does.
 	attempt.startedAt = r.clock()
 	head, tail := up.server.protocol.AppendLong(nil, wire.NewAttempt(&b.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), b.size)
-	b.startGoroutine(func(client net.Conn) bool {
-		server, err := connFromDescriptor(fd)
-		if err != nil {
-			r.runAsync(func() {
-				r.endAttempt(attempt, routing.ConnectError, nil)
-				up.detachedConnClosed()
-			})
-			return b.discardValue(client)
-		}
-		b.registerConn(server)
-		put := func(p []byte) {
-			if err == nil {
-				_ = server.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
-				_, err = server.Write(p)
-			}
-		}
-		put(head)
-		whole := b.readValue(client, put) && err == nil
-		if whole {
-			put([]byte(tail))
-		}
-		if whole = whole && err == nil; !whole { // the last byte was not sent, so the write has never run
-			server.Close()
-			done := make(chan struct{})
-			r.runAsync(func() {
-				r.endAttempt(attempt, routing.ConnectError, nil)
-				up.detachedConnClosed()
-				close(done)
-			})
-			<-done
-			return err != nil // otherwise the client's connection failed
+	b.startGoroutine(func(client net.Conn) bool { return b.sendToServer(client, attempt, up, fd, head, tail) })
+}
+
+// sendToServer runs on the write's goroutine. It sends head, the value and tail to the server, and handles the
+// response. It returns false if the client's connection is of no more use.
+func (b *largeWrite) sendToServer(client net.Conn, attempt *activeAttempt, up *upstream, serverDescriptor int, head []byte, tail string) bool {
+	r := b.r
+	server, err := connFromDescriptor(serverDescriptor)
+	if err != nil {
+		r.runAsync(func() {
+			r.endAttempt(attempt, routing.ConnectError, nil)
+			up.detachedConnClosed()
+		})
+		return b.discardValue(client)
+	}
+	b.registerConn(server)
+	put := func(p []byte) {
+		if err == nil {
+			_ = server.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
+			_, err = server.Write(p)
 		}
-		sent := time.Now()
-		outcome, keep := b.readResponse(server, up.server.protocol, sent.Add(toDuration(attempt.timeout)))
+	}
+	put(head)
+	whole := b.readValue(client, put) && err == nil
+	if whole {
+		put([]byte(tail))
+	}
+	if whole = whole && err == nil; !whole { // the last byte was not sent, so the write has never run
+		server.Close()
 		done := make(chan struct{})
 		r.runAsync(func() {
-			defer close(done)
-			r.counts.Forwards++
-			attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time limit counts from there
-			r.handleOutcome(attempt, outcome)
-			if !keep {
-				up.detachedConnClosed()
-			}
+			r.endAttempt(attempt, routing.ConnectError, nil)
+			up.detachedConnClosed()
+			close(done)
 		})
-		<-done // the bytes that were read are no longer needed
-		if keep {
-			r.enroll(server, up, up.detachedConnClosed)
-		} else {
-			server.Close()
+		<-done
+		return err != nil // otherwise the client's connection failed
+	}
+	b.finishSent(server, attempt, up)
+	return true
+}
+
+// finishSent waits for the response to a write that was sent completely, and returns the connection to the loop.
+func (b *largeWrite) finishSent(server net.Conn, attempt *activeAttempt, up *upstream) {
+	r := b.r
+	sent := time.Now()
+	outcome, keep := b.readResponse(server, up.server.protocol, sent.Add(toDuration(attempt.timeout)))
+	done := make(chan struct{})
+	r.runAsync(func() {
+		defer close(done)
+		r.counts.Forwards++
+		attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time limit counts from there
+		r.handleOutcome(attempt, outcome)
+		if !keep {
+			up.detachedConnClosed()
 		}
-		return true
 	})
+	<-done // the bytes that were read are no longer needed
+	if keep {
+		r.enroll(server, up, up.detachedConnClosed)
+	} else {
+		server.Close()
+	}
 }
 
 // readResponse reads the server's response.
-func (b *largeWrite) readResponse(server net.Conn, protocol wire.Back, deadline time.Time) (outcome wire.Outcome, keep bool) {
+func (*largeWrite) readResponse(server net.Conn, protocol wire.Back, deadline time.Time) (outcome wire.Outcome, keep bool) {
 	_ = server.SetReadDeadline(deadline)
 	var received []byte
 	buffer := make([]byte, 4096)
--- a/internal/router/learned_state_test.go
+++ b/internal/router/learned_state_test.go
@@ -80,7 +80,7 @@
 	l, _, _ := newConnectedOrigin(t)
 	r := l.r
 	n := 0
-	r.ConfigureSnapshots(nil, 20e3, func(s snapshot.State) { n++ })
+	r.ConfigureSnapshots(nil, 20e3, func(snapshot.State) { n++ })
 	r.restoreLearned()
 	for until := time.Now().Add(2 * time.Second); n < 3 && time.Now().Before(until); time.Sleep(time.Millisecond) {
 		r.fireTimers(r.clock())
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -166,8 +166,8 @@
 // loopAnchor handles the connection to discardAddr, which stays open as long as the loop.
 type loopAnchor struct{ r *Router }
 
-func (h *loopAnchor) onOpen(c gnet.Conn)     { h.r.startLoop(c.EventLoop()) }
-func (h *loopAnchor) onTraffic() gnet.Action { return gnet.None }
+func (h *loopAnchor) onOpen(c gnet.Conn)   { h.r.startLoop(c.EventLoop()) }
+func (*loopAnchor) onTraffic() gnet.Action { return gnet.None }
 func (h *loopAnchor) onClose(bool) {
 	if !h.r.stopped {
 		h.r.stopped = true
@@ -223,7 +223,7 @@
 }
 
 // OnTraffic passes readable input to the connection's handler.
-func (r *Router) OnTraffic(c gnet.Conn) gnet.Action {
+func (*Router) OnTraffic(c gnet.Conn) gnet.Action {
 	if p, ok := c.Context().(connHandler); ok {
 		return p.onTraffic()
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -47,8 +47,8 @@
 	}
 	return c.fd
 }
-func (c *fakeConn) Dup() (int, error)         { return unix.Dup(c.fd) }
-func (c *fakeConn) EventLoop() gnet.EventLoop { return nil }
+func (c *fakeConn) Dup() (int, error)       { return unix.Dup(c.fd) }
+func (*fakeConn) EventLoop() gnet.EventLoop { return nil }
 func (c *fakeConn) Write(p []byte) (int, error) {
 	if c.writeErr != nil { // gnet closes the connection within the write
 		c.onWriteFailure(c)
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -67,35 +67,7 @@
 	if err != nil {
 		return nil // no predecessor: the usual start
 	}
-	var state *snapshot.State
-	var serviceErr error
-	if err = predecessor.Send(handover.Frame{Kind: handover.Hello}); err == nil {
-		for err == nil && state == nil {
-			var f handover.Frame
-			if f, err = predecessor.Receive(frameTimeout); err != nil {
-				break
-			}
-			switch f.Kind {
-			case handover.Listener:
-				var ln net.Listener
-				if ln, err = listenerFromFrame(f); err == nil {
-					t.listener, _ = ln.(*net.TCPListener)
-				}
-			case handover.OperatorState:
-				t.operatorFrame = new(operatorFrame)
-				err = json.Unmarshal(f.Body, t.operatorFrame)
-			case handover.Snapshot:
-				var s snapshot.State
-				if s, err = snapshot.Decode(f.Body); err == nil {
-					serviceErr = checkSameService(s, r.cfg.Settings)
-					err = serviceErr
-				}
-				if err == nil {
-					state = &s
-				}
-			}
-		}
-	}
+	state, serviceErr, err := r.receiveFromPredecessor(predecessor, frameTimeout)
 	if err == nil && (t.listener == nil || t.listener.Addr().String() != r.cfg.Listen) {
 		err = errors.New("its listener has another address")
 	}
@@ -120,6 +92,47 @@
 	return nil
 }
 
+// receiveFromPredecessor greets the predecessor and applies its frames up to its learned state. serviceErr is not
+// nil if that state is another service's.
+func (r *Router) receiveFromPredecessor(predecessor *handover.Conn, frameTimeout time.Duration) (state *snapshot.State, serviceErr, err error) {
+	if err = predecessor.Send(handover.Frame{Kind: handover.Hello}); err == nil {
+		for err == nil && state == nil {
+			var f handover.Frame
+			if f, err = predecessor.Receive(frameTimeout); err != nil {
+				break
+			}
+			state, serviceErr, err = r.applyPredecessorFrame(f)
+		}
+	}
+	return state, serviceErr, err
+}
+
+// applyPredecessorFrame applies one of the frames that precede the handover; state is not nil for the learned state.
+func (r *Router) applyPredecessorFrame(f handover.Frame) (state *snapshot.State, serviceErr, err error) {
+	t := &r.takeover
+	switch f.Kind {
+	case handover.Listener:
+		var ln net.Listener
+		if ln, err = listenerFromFrame(f); err == nil {
+			t.listener, _ = ln.(*net.TCPListener)
+		}
+	case handover.OperatorState:
+		t.operatorFrame = new(operatorFrame)
+		err = json.Unmarshal(f.Body, t.operatorFrame)
+	case handover.Snapshot:
+		var s snapshot.State
+		if s, err = snapshot.Decode(f.Body); err == nil {
+			serviceErr = checkSameService(s, r.cfg.Settings)
+			err = serviceErr
+		}
+		if err == nil {
+			state = &s
+		}
+	}
+	return state, serviceErr, err
+}
+
+// listenerFromFrame returns the listener whose descriptor a frame carries.
 func listenerFromFrame(f handover.Frame) (net.Listener, error) {
 	if len(f.FDs) != 1 {
 		f.CloseDescriptors()
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -34,10 +34,14 @@
 	t.pending[i], t.pending[j] = t.pending[j], t.pending[i]
 	t.pending[i].heapIndex, t.pending[j].heapIndex = i, j
 }
+
+// Push implements heap.Interface.
 func (t *timers) Push(x any) {
 	x.(*timer).heapIndex = len(t.pending)
 	t.pending = append(t.pending, x.(*timer))
 }
+
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	last := t.pending[len(t.pending)-1]
 	t.pending[len(t.pending)-1] = nil
