--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -8,8 +8,8 @@
 )
 
 // addEvent adds an event to the next batch, and schedules that batch if it is the first one.
-func (r *Router) addEvent(ev routing.Event) {
-	r.pendingEvents = append(r.pendingEvents, ev)
+func (r *Router) addEvent(event routing.Event) {
+	r.pendingEvents = append(r.pendingEvents, event)
 	r.queueBatch()
 }
 
@@ -36,15 +36,15 @@
 	r.pendingEvents, r.batchQueued = nil, false
 	r.decisions = r.decisions[:0]
 	r.expireFleetLimits()
-	for _, ev := range events {
-		if q, ok := ev.(*requestArrival); ok {
-			ev = q.atTime(r.arrivalTime())
+	for _, event := range events {
+		if arrival, ok := event.(*requestArrival); ok {
+			event = arrival.atTime(r.arrivalTime())
 		}
-		r.decisions = append(r.decisions, r.core.Step(r.batchTime, ev)...)
+		r.decisions = append(r.decisions, r.core.Step(r.batchTime, event)...)
 	}
 	r.applyDecisions(r.decisions)
-	for _, ev := range events {
-		if left, ok := ev.(routing.ClientDisconnected); ok && r.requests[left.Request] != nil {
+	for _, event := range events {
+		if left, ok := event.(routing.ClientDisconnected); ok && r.requests[left.Request] != nil {
 			r.requests[left.Request].departurePending = false
 			r.releaseRequest(r.requests[left.Request])
 		}
@@ -73,8 +73,8 @@
 	return r.batchTime
 }
 
-func (r *Router) applyDecisions(decided []routing.Decision) {
-	for _, decision := range decided {
+func (r *Router) applyDecisions(decisions []routing.Decision) {
+	for _, decision := range decisions {
 		switch decision.Action {
 		case routing.Send:
 			r.beginAttempt(decision)
--- a/internal/router/client_gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -258,10 +258,10 @@
 				}
 			}
 		}
-		waits, closeWaiting := open()
+		waiting, closeWaiting := open()
 		idle, closeIdle := open()
 		test.sendRequest("other", "k", "get", false) // sent on the open connection
-		test.loop.receive(waits, command("CACHE.GET", "k", "waits", "c=get,d=1900"))
+		test.loop.receive(waiting, command("CACHE.GET", "k", "waits", "c=get,d=1900"))
 		closeWaiting()
 		closeIdle()
 		if late {
@@ -276,7 +276,7 @@
 		if got := test.attempts("gone") > 0; got == late {
 			t.Errorf("loop late: %v; attempt begun on an open connection: %v", late, got)
 		}
-		for _, c := range []*fakeConn{waits, idle} {
+		for _, c := range []*fakeConn{waiting, idle} {
 			_ = test.loop.Close(c)
 		}
 		test.loop.runQueued()
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -234,9 +234,9 @@
 }
 
 // closeWithError replies to a malformed command, after the replies that are due, and closes the connection.
-func (c *client) closeWithError(why string) {
+func (c *client) closeWithError(reason string) {
 	c.r.counts.Broken++
-	c.replyNow(resp.AppendLine(nil, '-', "ERR "+why))
+	c.replyNow(resp.AppendLine(nil, '-', "ERR "+reason))
 	c.closeAfterReplies = true
 }
 
@@ -342,8 +342,8 @@
 // would drop what the kernel still holds for it, which may be megabytes of a large value.
 func (c *client) isQuiet() bool {
 	if c.hasNoPendingReplies() && c.carriedLargeRead {
-		n, err := unix.IoctlGetInt(c.conn.Fd(), unix.SIOCOUTQ)
-		c.carriedLargeRead = err == nil && n > 0
+		unsent, err := unix.IoctlGetInt(c.conn.Fd(), unix.SIOCOUTQ)
+		c.carriedLargeRead = err == nil && unsent > 0
 	}
 	return c.hasNoPendingReplies() && !c.carriedLargeRead
 }
@@ -422,11 +422,12 @@
 	}
 	storage := make([]byte, 0, size)
 	copyBytes := func(word []byte) []byte {
-		from := len(storage)
+		start := len(storage)
 		storage = append(storage, word...)
-		return storage[from:len(storage):len(storage)]
+		return storage[start:len(storage):len(storage)]
 	}
-	request = &pendingRequest{Request: wire.Request{Verb: copyBytes(words[0]), Key: copyBytes(words[1]), ID: routing.RequestID(words[2]), Props: wire.NewProps(copyBytes(words[3])), Write: write}, size: size, responder: c}
+	request = &pendingRequest{Request: wire.Request{Verb: copyBytes(words[0]), Key: copyBytes(words[1]), ID: routing.RequestID(words[2]),
+		Props: wire.NewProps(copyBytes(words[3])), Write: write}, size: size, responder: c}
 	if write && len(words) > 4 {
 		request.Value = copyBytes(words[4])
 	}
@@ -438,8 +439,8 @@
 		}
 		return request, event, 0, false
 	}
-	return request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: write, Method: method, Tenant: routing.Tenant(props.Tenant),
-		ClientRetry: props.Resent}, props.Waits, true
+	return request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: write, Method: method,
+		Tenant: routing.Tenant(props.Tenant), ClientRetry: props.Resent}, props.Waits, true
 }
 
 // countRequester counts the client at its first request.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -143,9 +143,9 @@
 	l.r.limits.ExternalRequests = 10
 	close(l.r.ready)
 	answered := func(wire.Answer) {}
-	offer := &ExternalRequest{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Timeout: 1900e3,
+	request := &ExternalRequest{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Timeout: 1900e3,
 		Answer: answered, Refuse: func(why RefusalReason) { t.Errorf("refused: %d", why) }}
-	if !l.r.Submit(offer) {
+	if !l.r.Submit(request) {
 		t.Fatal("the request is not accepted")
 	}
 	l.runQueued()
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -69,14 +69,14 @@
 // interval for its rest.
 func (r *Router) closeIdleClients() {
 	now := r.clock()
-	isLastMoment := r.closingClients && now >= r.shutdownDeadline
+	isPastDeadline := r.closingClients && now >= r.shutdownDeadline
 	for client := range r.clients {
 		if r.takeover.handingOver && !client.closeAfterReplies {
 			continue // it is handed over instead
 		}
-		quiet := now - client.lastActivity
-		mayHaveNoRequest := client.hasReceived || quiet >= r.limits.QuietClientAge || isLastMoment
-		if client.mayClose() && mayHaveNoRequest && (client.unreadBytes() == 0 || quiet > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
+		quietFor := now - client.lastActivity
+		mayHaveNoRequest := client.hasReceived || quietFor >= r.limits.QuietClientAge || isPastDeadline
+		if client.mayClose() && mayHaveNoRequest && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
 			r.close(client.conn)
 		}
 	}
--- a/internal/router/external_requests.go
+++ b/internal/router/external_requests.go
@@ -83,9 +83,9 @@
 		return false
 	}
 	queue.events = append(queue.events, event)
-	first := len(queue.events) == 1
+	isFirst := len(queue.events) == 1
 	queue.mu.Unlock()
-	if first {
+	if isFirst {
 		r.runAsync(r.admitExternalRequests)
 	}
 	return true
@@ -105,8 +105,8 @@
 			}
 			continue
 		}
-		if why := r.admitExternal(event.request); why != 0 {
-			event.request.Refuse(why)
+		if reason := r.admitExternal(event.request); reason != 0 {
+			event.request.Refuse(reason)
 		}
 	}
 }
@@ -132,7 +132,8 @@
 	}
 	request.request = &pendingRequest{Request: request.Request, size: size, responder: request}
 	r.external.openRequests++
-	r.admitRequest(request.request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: request.Write, Method: method, Tenant: request.Tenant, ClientRetry: request.ClientRetry}, timeout, r.clock())
+	r.admitRequest(request.request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: request.Write,
+		Method: method, Tenant: request.Tenant, ClientRetry: request.ClientRetry}, timeout, r.clock())
 	return 0
 }
 
--- a/internal/router/fleet_limits.go
+++ b/internal/router/fleet_limits.go
@@ -22,7 +22,7 @@
 	extraShare          float64 // added to share: what lost routers leave unused
 	extraShareExpiresAt clock.Time
 
-	admissionDeadline atomic.Int64 // requests may be admitted until then, as clock.Time; 0: without end. Accessed from any goroutine.
+	admissionDeadline atomic.Int64 // requests may be admitted until then, as clock.Time; 0: without end; used by any goroutine
 	admissionClosed   bool         // admissionDeadline has passed
 
 	siteOrders         routing.FailoverOrders // failover orders in force
@@ -33,15 +33,16 @@
 var errShareNotWhole = errors.New("another process is taking over, which begins with the whole part")
 
 // EnableFleetShare makes the router's share of the fleet's limits depend on SetShare. The router starts with a
-// share of least, which is certainly its own, unless its predecessor has lent nothing. It reports whether there is
+// share of minimum, which is certainly its own, unless its predecessor has lent nothing. It reports whether there is
 // a predecessor, and whether that has lent nothing. Call it after ConnectPredecessor and before Run.
-func (r *Router) EnableFleetShare(least float64) (follows, whole bool) {
-	follows = r.takeover.predecessor != nil
-	whole = follows && r.takeover.operatorFrame != nil && r.takeover.operatorFrame.NoSharesGranted
-	if r.fleet.noSharesGranted = whole; !whole {
-		r.fleet.share, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = least, least, 1 // expires with the first batch
+func (r *Router) EnableFleetShare(minimum float64) (hasPredecessor, noSharesGranted bool) {
+	hasPredecessor = r.takeover.predecessor != nil
+	noSharesGranted = hasPredecessor && r.takeover.operatorFrame != nil && r.takeover.operatorFrame.NoSharesGranted
+	if r.fleet.noSharesGranted = noSharesGranted; !noSharesGranted {
+		// An expiry in the past puts the share into force with the first batch.
+		r.fleet.share, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = minimum, minimum, 1
 	}
-	return follows, whole
+	return hasPredecessor, noSharesGranted
 }
 
 // HandedOver reports, after Run has returned, whether another process has taken over.
@@ -49,24 +50,24 @@
 
 // FleetStatus returns the router's state as its node announces it to the fleet.
 func (r *Router) FleetStatus() fleet.RouterStatus {
-	f := r.operator.stats.Load()
-	if f == nil {
+	snapshot := r.operator.stats.Load()
+	if snapshot == nil {
 		return fleet.RouterStatus{}
 	}
-	return fleet.RouterStatus{Accepting: f.notReady == nil, Draining: f.draining, Idle: f.idle}
+	return fleet.RouterStatus{Accepting: snapshot.notReady == nil, Draining: snapshot.draining, Idle: snapshot.idle}
 }
 
 // SetShare limits the router to a share of the fleet's limits. The share is in force once SetShare returns nil;
 // after an error it is not, and never will be by this call.
 func (r *Router) SetShare(share fleet.Share) (err error) {
-	least := 1 / float64(max(1, r.cfg.Settings.Routers)) // share of a router that has lent nothing
-	busy := r.runOnLoop(func() {
-		whole := share.AfterExpiry > least*0.999
-		if r.takeover.successor != nil && !whole && r.fleet.noSharesGranted {
+	ownShare := 1 / float64(max(1, r.cfg.Settings.Routers)) // share of a router that has lent nothing
+	callErr := r.runOnLoop(func() {
+		noSharesGranted := share.AfterExpiry > ownShare*0.999
+		if r.takeover.successor != nil && !noSharesGranted && r.fleet.noSharesGranted {
 			err = errShareNotWhole // the successor was started on the assumption that nothing is lent
 			return
 		}
-		r.fleet.noSharesGranted, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = whole, share.AfterExpiry, 0
+		r.fleet.noSharesGranted, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = noSharesGranted, share.AfterExpiry, 0
 		if !share.ExpiresAt.IsZero() {
 			r.fleet.shareExpiresAt = r.startWallClock + clock.Time(share.ExpiresAt.Sub(r.startTime)/time.Microsecond)
 		}
@@ -75,21 +76,21 @@
 		}
 		r.runBatch() // in force before the call returns
 	})
-	if busy != nil {
-		return busy
+	if callErr != nil {
+		return callErr
 	}
 	return err
 }
 
 // SetOutOfService stops accepting clients for a reason; an empty reason accepts them again.
-func (r *Router) SetOutOfService(why string) {
+func (r *Router) SetOutOfService(reason string) {
 	<-r.ready
 	r.runAsync(func() {
-		if r.fleet.outOfService == why {
+		if r.fleet.outOfService == reason {
 			return
 		}
-		if r.fleet.outOfService = why; why != "" {
-			r.log.Error("accepting no clients: " + why)
+		if r.fleet.outOfService = reason; reason != "" {
+			r.log.Error("accepting no clients: " + reason)
 		} else {
 			r.log.Info("accepting clients again: no other router uses this name")
 		}
@@ -147,7 +148,7 @@
 // are in force once the error is nil; after an error they are not, and never will be by this call.
 func (r *Router) SetSiteOrders(orders routing.FailoverOrders, until time.Time) (routing.RouterLoad, error) {
 	var load routing.RouterLoad
-	busy := r.runOnLoop(func() {
+	callErr := r.runOnLoop(func() {
 		r.fleet.siteOrdersExpireAt = r.startWallClock + clock.Time(until.Sub(r.startTime)/time.Microsecond)
 		if reflect.DeepEqual(orders, routing.FailoverOrders{}) {
 			r.fleet.siteOrdersExpireAt = 0
@@ -159,8 +160,8 @@
 		}
 		load = r.core.Load(r.clock())
 	})
-	if busy != nil {
-		return routing.RouterLoad{}, busy
+	if callErr != nil {
+		return routing.RouterLoad{}, callErr
 	}
 	return load, nil
 }
@@ -187,19 +188,19 @@
 }
 
 func (r *Router) mayAdmit() bool {
-	may := clock.Time(r.fleet.admissionDeadline.Load())
-	return may == 0 || r.batchTime < may
+	deadline := clock.Time(r.fleet.admissionDeadline.Load())
+	return deadline == 0 || r.batchTime < deadline
 }
 
 // SetAdmissionDeadline lets the router admit new requests until a time. The zero time means without end; after a
 // past time none are admitted. Requests that are not admitted are rejected at once, and the router is not ready
 // meanwhile.
 func (r *Router) SetAdmissionDeadline(until time.Time) {
-	at := clock.Time(0)
+	deadline := clock.Time(0)
 	if !until.IsZero() {
-		at = max(1, r.startWallClock+clock.Time(until.Sub(r.startTime)/time.Microsecond))
+		deadline = max(1, r.startWallClock+clock.Time(until.Sub(r.startTime)/time.Microsecond))
 	}
-	r.fleet.admissionDeadline.Store(int64(at))
+	r.fleet.admissionDeadline.Store(int64(deadline))
 }
 
 // SetPolicy replaces the settings by which the router decides, and the cache servers that are out of use. They are
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -305,9 +305,9 @@
 		if r.publishStats(); r.operator.stats.Load().openRequests != inHand {
 			t.Fatalf("%d requests are open, the statistics say %d", inHand, r.operator.stats.Load().openRequests)
 		}
-		for s, whole := range outstanding {
+		for s, fullySent := range outstanding {
 			up, on := s.on.ctx.(*upstream)
-			if whole && s.attempt != neverRan && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
+			if fullySent && s.attempt != neverRan && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
 				mayHaveRun[s.attempt.request.ID] = string(r.endpoints.UID(s.attempt.server.id))
 			}
 		}
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -51,8 +51,8 @@
 	if !ok || up.conn.OutboundBuffered() > 0 {
 		return false
 	}
-	client, plain := attempt.request.responder.(*client)
-	if !plain { // front ends of other protocols pass on whole values only
+	client, isRESP2 := attempt.request.responder.(*client)
+	if !isRESP2 { // front ends of other protocols pass on whole values only
 		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, Long: true})
 		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
 		return true
@@ -65,7 +65,8 @@
 		up.r.log.WithError(err).Warn("large value cannot be forwarded")
 		return false
 	}
-	read := &largeRead{r: up.r, upstream: up, client: client, serverDescriptor: fd, received: append([]byte(nil), buf[valueStart:]...), size: size, method: attempt.request.method, closeAfter: outcome.Close}
+	read := &largeRead{r: up.r, upstream: up, client: client, serverDescriptor: fd,
+		received: append([]byte(nil), buf[valueStart:]...), size: size, method: attempt.request.method, closeAfter: outcome.Close}
 	up.detachFromLoop()
 	attempt.request.finished = true // it is counted when the value ends
 	up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
@@ -255,8 +256,8 @@
 }
 
 // abort ends a value that cannot be completed. Its length has been sent, so no client takes it for complete.
-func (l *largeRead) abort(why error) {
-	l.r.log.WithError(why).Debug("large value aborted")
+func (l *largeRead) abort(cause error) {
+	l.r.log.WithError(cause).Debug("large value aborted")
 	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
 		if c != nil {
 			c.Close()
@@ -343,8 +344,8 @@
 		go l.forward()
 		return
 	}
-	message := largeReadFrame{Server: string(r.endpoints.UID(l.upstream.server.id)), Method: r.cfg.Settings.Methods[l.method].Name, Pending: l.pending, Remaining: l.remaining,
-		CloseAfter: l.closeAfter, Terminated: l.terminated, Trailing: l.received, Unread: l.client.detachedInput}
+	message := largeReadFrame{Server: string(r.endpoints.UID(l.upstream.server.id)), Method: r.cfg.Settings.Methods[l.method].Name,
+		Pending: l.pending, Remaining: l.remaining, CloseAfter: l.closeAfter, Terminated: l.terminated, Trailing: l.received, Unread: l.client.detachedInput}
 	for _, s := range l.client.slots {
 		message.Answers = append(message.Answers, s.reply...)
 	}
@@ -396,7 +397,8 @@
 		if len(message.Answers) > 0 {
 			client.slots = []*slot{{reply: message.Answers}}
 		}
-		read := &largeRead{r: r, client: client, upstream: &upstream{r: r, server: s, addr: s.addr, detached: true}, method: method, clientConn: clientConn, serverConn: serverConn,
+		read := &largeRead{r: r, client: client, upstream: &upstream{r: r, server: s, addr: s.addr, detached: true},
+			method: method, clientConn: clientConn, serverConn: serverConn,
 			pending: message.Pending, remaining: message.Remaining, closeAfter: message.CloseAfter, terminated: message.Terminated, received: message.Trailing}
 		r.counts.Taken++
 		r.detachedClients++
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -119,7 +119,8 @@
 // readValue passes the value to write in chunks, and reads the line end after it.
 func (b *largeWrite) readValue(client net.Conn, write func([]byte)) bool {
 	remaining := b.size + 2
-	var heldBack []byte // the last byte of the value is held back until the line end has arrived: a malformed command must not run
+	// The last byte of the value is held back until the line end has arrived: a malformed command must not run.
+	var heldBack []byte
 	consume := func(data []byte) {
 		n := min(len(data), max(0, remaining-3))
 		write(data[:n])
@@ -147,7 +148,8 @@
 	if string(heldBack[1:]) != "\r\n" {
 		return false
 	}
-	if raw, err := client.(syscall.Conn).SyscallConn(); err == nil { // the client's disconnect lies behind the value in its socket, unseen until now
+	// The client's disconnect may lie behind the value in its socket, unseen until now.
+	if raw, err := client.(syscall.Conn).SyscallConn(); err == nil {
 		gone := false
 		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
 		if gone {
@@ -171,9 +173,9 @@
 // peerHungUp reports whether the other end of a descriptor sends no more; input that arrived earlier may still be
 // unread.
 func peerHungUp(fd int) bool {
-	is := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(is, 0)
-	return err == nil && n > 0
+	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	ready, err := unix.Poll(pollFDs, 0)
+	return err == nil && ready > 0
 }
 
 // forward sends the value to the chosen server and handles its response.
@@ -214,18 +216,18 @@
 		return b.discardValue(client)
 	}
 	b.registerConn(server)
-	put := func(p []byte) {
+	write := func(data []byte) {
 		if err == nil {
 			_ = server.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
-			_, err = server.Write(p)
+			_, err = server.Write(data)
 		}
 	}
-	put(head)
-	whole := b.readValue(client, put) && err == nil
-	if whole {
-		put([]byte(tail))
+	write(head)
+	complete := b.readValue(client, write) && err == nil
+	if complete {
+		write([]byte(tail))
 	}
-	if whole = whole && err == nil; !whole { // the last byte was not sent, so the write has never run
+	if complete = complete && err == nil; !complete { // the last byte was not sent, so the write has never run
 		server.Close()
 		done := make(chan struct{})
 		r.runAsync(func() {
@@ -249,7 +251,7 @@
 	r.runAsync(func() {
 		defer close(done)
 		r.counts.Forwards++
-		attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // its time limit counts from there
+		attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // when it was sent
 		r.handleOutcome(attempt, outcome)
 		if !keep {
 			up.detachedConnClosed()
@@ -286,6 +288,6 @@
 }
 
 func isTimeout(err error) bool {
-	late, ok := err.(net.Error)
-	return ok && late.Timeout()
+	netErr, isNetErr := err.(net.Error)
+	return isNetErr && netErr.Timeout()
 }
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -21,9 +21,9 @@
 }
 
 // ConfigureSnapshots makes the router start with the learned state of an earlier process (nil: none), and pass its
-// own to keep at intervals of about every. keep is called on the loop and must not block. Call it before Run.
-func (r *Router) ConfigureSnapshots(learned *snapshot.State, every clock.Time, keep func(snapshot.State)) {
-	r.learned = &learnedState{restored: learned, interval: every, submit: keep, unlistedServers: map[discovery.UID]routing.ServerKnowledge{},
+// own to submit about once per interval. submit is called on the loop and must not block. Call it before Run.
+func (r *Router) ConfigureSnapshots(learned *snapshot.State, interval clock.Time, submit func(snapshot.State)) {
+	r.learned = &learnedState{restored: learned, interval: interval, submit: submit, unlistedServers: map[discovery.UID]routing.ServerKnowledge{},
 		random: rand.New(rand.NewPCG(r.cfg.Seed, 1))}
 }
 
@@ -47,16 +47,16 @@
 	}
 	knowledge := restored.Knowledge
 	for _, method := range r.cfg.Settings.Methods { // matched by name, since their order may have changed
-		time := clock.Time(0)
+		latency := clock.Time(0)
 		for _, entry := range restored.Methods {
 			if entry.Name == method.Name {
-				time = entry.Latency
+				latency = entry.Latency
 			}
 		}
-		knowledge.MethodLatencies = append(knowledge.MethodLatencies, time)
+		knowledge.MethodLatencies = append(knowledge.MethodLatencies, latency)
 	}
 	for i, entry := range restored.Servers {
-		entry.Server = routing.ServerID(i) // an index into s.Servers; the endpoint list assigns the ids
+		entry.Server = routing.ServerID(i) // an index into restored.Servers; the endpoint list assigns the ids
 		knowledge.Servers = append(knowledge.Servers, entry.ServerKnowledge)
 	}
 	knowledge = staleness.Decay(knowledge, r.batchTime)
@@ -69,12 +69,12 @@
 }
 
 // checkSameService returns an error if the state was learned by a router of another service, with other methods.
-func checkSameService(s snapshot.State, ours routing.Settings) error {
-	var theirs []string
+func checkSameService(s snapshot.State, own routing.Settings) error {
+	var learned []string
 	for _, m := range s.Methods {
-		theirs = append(theirs, m.Name)
+		learned = append(learned, m.Name)
 	}
-	return settings.CheckSameService(theirs, settings.MethodNames(ours))
+	return settings.CheckSameService(learned, settings.MethodNames(own))
 }
 
 // restoreListedServers passes what is known of the servers in an update to package routing, ahead of the update.
--- a/internal/router/loop_lag.go
+++ b/internal/router/loop_lag.go
@@ -26,11 +26,11 @@
 	if request.finished || r.batchTime >= r.laggingUntil {
 		return false
 	}
-	switch from := request.responder.(type) {
+	switch responder := request.responder.(type) {
 	case *client:
-		return from.conn != nil && peerHungUp(from.conn.Fd())
+		return responder.conn != nil && peerHungUp(responder.conn.Fd())
 	case *ExternalRequest:
-		return from.withdrawn.Load() || from.ClientGone != nil && from.ClientGone()
+		return responder.withdrawn.Load() || responder.ClientGone != nil && responder.ClientGone()
 	}
 	return false
 }
--- a/internal/router/operator_control.go
+++ b/internal/router/operator_control.go
@@ -60,12 +60,14 @@
 	if err != nil {
 		r.log.WithError(err).Warn("going on without it")
 	}
-	if a := r.takeover.operatorFrame; a != nil && (err != nil || a.NotPersisted || store.Stale()) { // the predecessor's state is newer than the file
-		state = a.State
+	// The predecessor may know a newer state than the file.
+	if frame := r.takeover.operatorFrame; frame != nil && (err != nil || frame.NotPersisted || store.Stale()) {
+		state = frame.State
 		store.MarkStale()
 		r.operator.notPersisted.Store(true)
 	}
-	state.Drain = state.Drain && r.takeover.predecessor != nil // without a predecessor, the drain was meant for a process that is gone
+	// Without a predecessor, the drain was meant for a process that is gone.
+	state.Drain = state.Drain && r.takeover.predecessor != nil
 	r.operator.latestState, r.operator.state = state, state
 }
 
@@ -114,31 +116,31 @@
 func (r *Router) issueOperatorState(state operatorstate.State) func() {
 	r.operator.latestState = state
 	r.operator.issuedVersion++
-	number := r.operator.issuedVersion
+	version := r.operator.issuedVersion
 	return func() {
-		if number > r.operator.appliedVersion {
-			r.operator.appliedVersion = number
+		if version > r.operator.appliedVersion {
+			r.operator.appliedVersion = version
 			r.applyOperatorState(state)
 		}
 	}
 }
 
 // changeOperatorState applies an operator's change: it is persisted, then put into force, then confirmed.
-func (r *Router) changeOperatorState(f func(*operatorstate.State) error) error {
+func (r *Router) changeOperatorState(change func(*operatorstate.State) error) error {
 	<-r.ready
 	r.operator.mu.Lock()
 	defer r.operator.mu.Unlock()
-	state, err := r.operator.store.Update(r.operator.latestState, f)
-	var unkept *operatorstate.PersistError
-	if errors.As(err, &unkept) {
+	state, err := r.operator.store.Update(r.operator.latestState, change)
+	var persistErr *operatorstate.PersistError
+	if errors.As(err, &persistErr) {
 		r.log.WithError(err).Warn("what an operator asked holds in this process alone")
 	} else if err != nil {
 		return err
 	}
-	r.operator.notPersisted.Store(unkept != nil)
-	obey := r.issueOperatorState(state)
+	r.operator.notPersisted.Store(persistErr != nil)
+	apply := r.issueOperatorState(state)
 	return r.awaitOnLoop(func() {
-		obey()
+		apply()
 		r.publishOperatorState()
 	})
 }
@@ -153,7 +155,8 @@
 }
 
 func (r *Router) sendOperatorState(conn *handover.Conn) {
-	text, _ := json.Marshal(operatorFrame{r.operator.state, r.operator.notPersisted.Load(), r.fleet.noSharesGranted}) // the fields are plain: Marshal cannot fail
+	// The fields are plain: Marshal cannot fail.
+	text, _ := json.Marshal(operatorFrame{r.operator.state, r.operator.notPersisted.Load(), r.fleet.noSharesGranted})
 	conn.Publish(handover.OperatorState, func() []byte { return text })
 }
 
@@ -161,47 +164,47 @@
 // is read instead: it has the changes of both processes in order, while the frame may have crossed a change made
 // here.
 func (r *Router) receiveOperatorState(f handover.Frame) {
-	var a operatorFrame
-	if json.Unmarshal(f.Body, &a) != nil {
+	var received operatorFrame
+	if json.Unmarshal(f.Body, &received) != nil {
 		return
 	}
 	r.operator.mu.Lock()
 	defer r.operator.mu.Unlock()
-	state := a.State
-	if a.NotPersisted {
+	state := received.State
+	if received.NotPersisted {
 		r.operator.store.MarkStale()
 	} else if stored, err := r.operator.store.Load(); err == nil && !r.operator.store.Stale() {
 		state = stored
 	}
-	r.operator.notPersisted.Store(a.NotPersisted)
+	r.operator.notPersisted.Store(received.NotPersisted)
 	r.runAsync(r.issueOperatorState(state))
 }
 
 // BanServer stops sending requests to a cache server until it is unbanned.
 func (r *Router) BanServer(uid string) error {
-	return r.changeOperatorState(func(i *operatorstate.State) error {
-		if !i.IsBanned(uid) && !r.knowsCacheServer(uid) {
+	return r.changeOperatorState(func(state *operatorstate.State) error {
+		if !state.IsBanned(uid) && !r.knowsCacheServer(uid) {
 			return admin.ErrUnknownServer
 		}
-		return i.Ban(uid)
+		return state.Ban(uid)
 	})
 }
 
 // UnbanServer uses a cache server again.
 func (r *Router) UnbanServer(uid string) error {
-	return r.changeOperatorState(func(i *operatorstate.State) error {
-		if !i.IsBanned(uid) && !r.knowsCacheServer(uid) {
+	return r.changeOperatorState(func(state *operatorstate.State) error {
+		if !state.IsBanned(uid) && !r.knowsCacheServer(uid) {
 			return admin.ErrUnknownServer
 		}
-		i.Unban(uid, time.UnixMicro(int64(r.clock())))
+		state.Unban(uid, time.UnixMicro(int64(r.clock())))
 		return nil
 	})
 }
 
 // SetDraining closes the clients' connections, each once it has nothing pending, or accepts clients again.
 func (r *Router) SetDraining(on bool) error {
-	return r.changeOperatorState(func(i *operatorstate.State) error {
-		i.Drain = on
+	return r.changeOperatorState(func(state *operatorstate.State) error {
+		state.Drain = on
 		return nil
 	})
 }
@@ -222,9 +225,9 @@
 	r.operator.state = state
 	for _, s := range r.servers {
 		uid := string(r.endpoints.UID(s.id))
-		if out := state.IsBanned(uid); out != previous.IsBanned(uid) && !r.fleet.policyBans[uid] {
-			r.log.WithFields(map[string]any{"server": uid, "out": out}).Info("operator change applied")
-			r.setBanned(s, out, clock.Time(state.UnbannedAt[uid]))
+		if banned := state.IsBanned(uid); banned != previous.IsBanned(uid) && !r.fleet.policyBans[uid] {
+			r.log.WithFields(map[string]any{"server": uid, "out": banned}).Info("operator change applied")
+			r.setBanned(s, banned, clock.Time(state.UnbannedAt[uid]))
 		}
 	}
 	if state.Drain != previous.Drain {
@@ -257,9 +260,12 @@
 // publishStats updates the statistics for the admin endpoint.
 func (r *Router) publishStats() {
 	counts := &r.counts
-	snapshot := &stats{outcomes: append([][3]int(nil), counts.Ended...), forwards: counts.Forwards, reloads: counts.Reloaded, rejectedReloads: counts.NotLoaded,
-		openRequests: counts.Taken - counts.Served - counts.Rejected - counts.Failed - counts.Left, notReady: r.readinessError(), draining: r.draining || r.operator.state.Drain}
-	snapshot.idle = (r.operator.closingClients || r.closingClients) && len(r.clients) == 0 && len(r.requests) == 0 && r.detachedClients == 0 && r.external.openRequests == 0
+	snapshot := &stats{outcomes: append([][3]int(nil), counts.Ended...), forwards: counts.Forwards,
+		reloads: counts.Reloaded, rejectedReloads: counts.NotLoaded,
+		openRequests: counts.Taken - counts.Served - counts.Rejected - counts.Failed - counts.Left,
+		notReady:     r.readinessError(), draining: r.draining || r.operator.state.Drain}
+	snapshot.idle = (r.operator.closingClients || r.closingClients) && len(r.clients) == 0 && len(r.requests) == 0 &&
+		r.detachedClients == 0 && r.external.openRequests == 0
 	if r.core != nil {
 		snapshot.listedCaches, snapshot.avoidedCaches = r.core.CountCaches()
 	}
@@ -287,17 +293,17 @@
 
 // Ready returns why the router accepts no clients, or nil if it does.
 func (r *Router) Ready() error {
-	if f := r.operator.stats.Load(); f != nil {
-		return f.notReady
+	if snapshot := r.operator.stats.Load(); snapshot != nil {
+		return snapshot.notReady
 	}
 	return errNoEndpoints
 }
 
 // Metrics returns the metrics as statsd lines.
 func (r *Router) Metrics() string {
-	f := r.operator.stats.Load()
-	if f == nil {
-		f = &stats{outcomes: make([][3]int, len(r.cfg.Settings.Methods))}
+	snapshot := r.operator.stats.Load()
+	if snapshot == nil {
+		snapshot = &stats{outcomes: make([][3]int, len(r.cfg.Settings.Methods))}
 	}
 	var out strings.Builder
 	line := func(name string, value int, kind string) {
@@ -305,14 +311,14 @@
 	}
 	for i, m := range r.cfg.Settings.Methods {
 		for outcome, name := range [3]string{"succeeded", "declined", "aborted"} {
-			line(fmt.Sprintf("%s.%s", name, m.Name), f.outcomes[i][outcome], "c")
+			line(fmt.Sprintf("%s.%s", name, m.Name), snapshot.outcomes[i][outcome], "c")
 		}
 	}
-	line("forwards", f.forwards, "c")
-	line("outstanding", f.openRequests, "g")
-	line("discovered", f.listedCaches, "g")
-	line("ejected", f.avoidedCaches, "g")
-	line("sighup_applied", f.reloads, "c")
-	line("sighup_rejected", f.rejectedReloads, "c")
+	line("forwards", snapshot.forwards, "c")
+	line("outstanding", snapshot.openRequests, "g")
+	line("discovered", snapshot.listedCaches, "g")
+	line("ejected", snapshot.avoidedCaches, "g")
+	line("sighup_applied", snapshot.reloads, "c")
+	line("sighup_rejected", snapshot.rejectedReloads, "c")
 	return out.String()
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -30,7 +30,7 @@
 	attempts         []*activeAttempt // at most two
 	attemptCount     routing.Attempt  // attempts begun so far
 	finished         bool             // answered, or its client is gone
-	departurePending bool             // its client is gone and package routing has yet to process that; until then decisions may refer to the request
+	departurePending bool             // its client is gone; decisions may refer to it until package routing knows
 	largeWrite       *largeWrite      // set for a large write, which is streamed as it arrives
 }
 
@@ -88,7 +88,7 @@
 	}
 	request.finished = true
 	r.countOutcome(request.method, a.Kind)
-	if _, off := request.responder.(*ExternalRequest); off {
+	if _, isExternal := request.responder.(*ExternalRequest); isExternal {
 		r.external.openRequests--
 	}
 	if request.largeWrite != nil {
@@ -148,7 +148,7 @@
 		return
 	}
 	request.finished, request.departurePending = true, true
-	if _, off := request.responder.(*ExternalRequest); off {
+	if _, isExternal := request.responder.(*ExternalRequest); isExternal {
 		r.external.openRequests--
 	}
 	r.counts.Left++
@@ -173,15 +173,17 @@
 		r.log.Error("attempt for an unknown request")
 		return
 	}
-	nth := request.attemptCount
+	number := request.attemptCount
 	request.attemptCount++
 	// Since the decision was made, the request may have lost its client, or the server may have left the endpoint
 	// list; the event for that is later in this batch or in the next one. Nothing is sent then.
 	if request.finished || s == nil || !s.ready {
-		r.addEvent(routing.AttemptEnded{Request: decision.Request, Server: decision.Server, Attempt: nth, Status: routing.NotSent, Answered: request.finished})
+		r.addEvent(routing.AttemptEnded{Request: decision.Request, Server: decision.Server, Attempt: number,
+			Status: routing.NotSent, Answered: request.finished})
 		return
 	}
-	attempt := &activeAttempt{request: request, number: nth, server: s, startedAt: r.batchTime, timeout: decision.After, startDeadline: r.batchTime + decision.After}
+	attempt := &activeAttempt{request: request, number: number, server: s, startedAt: r.batchTime,
+		timeout: decision.After, startDeadline: r.batchTime + decision.After}
 	request.attempts = append(request.attempts, attempt)
 	r.counts.Attempts++
 	attempt.timer = r.after(decision.After, func() { r.timeOutAttempt(attempt) })
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -104,13 +104,14 @@
 type connHandler interface {
 	onOpen(gnet.Conn)
 	onTraffic() gnet.Action
-	onClose(ended bool) // endOfStream: the peer ended the stream in order and everything it sent has been read
+	onClose(endOfStream bool) // endOfStream: the peer ended the stream in order and everything it sent has been read
 }
 
 // New returns a router that is not running yet.
 func New(cfg config.Config, log *logrus.Logger) (*Router, error) {
 	r := &Router{cfg: cfg, limits: cfg.Limits, log: log, startTime: time.Now(), ready: make(chan struct{}), done: make(chan struct{}),
-		methods: map[string]routing.Method{}, requests: map[routing.RequestID]*pendingRequest{}, clients: map[*client]struct{}{}, largeReads: map[*largeRead]struct{}{},
+		methods: map[string]routing.Method{}, requests: map[routing.RequestID]*pendingRequest{},
+		clients: map[*client]struct{}{}, largeReads: map[*largeRead]struct{}{},
 		servers: map[routing.ServerID]*server{}, endpoints: discovery.New(), cache: resp2.Back{Bounds: cfg.Limits.RESP},
 		origin: http1.Back{Bounds: cfg.Limits.Origin}}
 	r.operator.announcedBans = map[routing.ServerID]bool{}
@@ -142,16 +143,17 @@
 	if err = loop.Start(); err != nil {
 		return err
 	}
-	nobody, err := net.Dial("udp", discardAddr)
+	anchor, err := net.Dial("udp", discardAddr)
 	if err != nil {
-		return errors.Join(fmt.Errorf("opening a UDP socket to %s for the event loop: %w; check that the loopback device is up", discardAddr, err), loop.Stop())
+		return errors.Join(fmt.Errorf("opening a UDP socket to %s for the event loop: %w; check that the loopback device is up",
+			discardAddr, err), loop.Stop())
 	}
 	if err = r.listen(); err != nil {
-		nobody.Close()
+		anchor.Close()
 		return errors.Join(err, loop.Stop())
 	}
 	defer r.takeover.listener.Close()
-	if _, err = loop.EnrollContext(nobody, &loopAnchor{r}); err != nil {
+	if _, err = loop.EnrollContext(anchor, &loopAnchor{r}); err != nil {
 		return errors.Join(err, loop.Stop())
 	}
 	<-r.done
@@ -166,12 +168,12 @@
 // loopAnchor handles the connection to discardAddr, which stays open as long as the loop.
 type loopAnchor struct{ r *Router }
 
-func (h *loopAnchor) onOpen(c gnet.Conn)   { h.r.startLoop(c.EventLoop()) }
+func (a *loopAnchor) onOpen(c gnet.Conn)   { a.r.startLoop(c.EventLoop()) }
 func (*loopAnchor) onTraffic() gnet.Action { return gnet.None }
-func (h *loopAnchor) onClose(bool) {
-	if !h.r.stopped {
-		h.r.stopped = true
-		close(h.r.done)
+func (a *loopAnchor) onClose(bool) {
+	if !a.r.stopped {
+		a.r.stopped = true
+		close(a.r.done)
 	}
 }
 
@@ -186,9 +188,9 @@
 	r.loop = loop
 	r.batchTime = r.clock()
 	r.timers.init(r)
-	var decided []routing.Decision
-	r.core, decided = routing.New(r.batchTime, r.cfg.Settings, r.cfg.Seed)
-	r.applyDecisions(decided)
+	var decisions []routing.Decision
+	r.core, decisions = routing.New(r.batchTime, r.cfg.Settings, r.cfg.Seed)
+	r.applyDecisions(decisions)
 	r.expireFleetLimits() // a router that needs permission to admit requests starts without it
 	r.applyDecisions(r.decisions)
 	r.restoreLearned()
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -424,13 +424,13 @@
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	r.OnTraffic(origin)
 	l.runQueued()
-	never := l.open(nil) // pings do not count as requests
-	never.in = resp.AppendCommand(nil, []byte("PING"))
-	r.OnTraffic(never)
+	pinging := l.open(nil) // pings do not count as requests
+	pinging.in = resp.AppendCommand(nil, []byte("PING"))
+	r.OnTraffic(pinging)
 	r.limits.ClientConnections, r.limits.Descriptors, r.limits.MaxDescriptors = 1, r.descriptorsInUse(), r.descriptorsInUse()+1
 	time.Sleep(time.Millisecond) // the newest client must be newer by the clock
-	if newest := l.open(nil); !never.closed || client.closed || origin.closed || newest.closed {
-		t.Error("want only the client without a request closed:", never.closed, client.closed, origin.closed, newest.closed)
+	if newest := l.open(nil); !pinging.closed || client.closed || origin.closed || newest.closed {
+		t.Error("want only the client without a request closed:", pinging.closed, client.closed, origin.closed, newest.closed)
 	}
 	r.limits.ClientConnections = 10
 	if l.open(nil); client.closed || !origin.closed {
@@ -443,22 +443,22 @@
 func TestSilentClientsAreClosed(t *testing.T) {
 	l, silent, _ := newConnectedOrigin(t)
 	r := l.r
-	asked, part := l.open(nil), l.open(nil)
-	asked.sendWrites(r, "r1")
-	once := l.open(nil) // has had its answer, and stays connected
-	once.in = resp.AppendCommand(nil, []byte("PING"))
-	r.OnTraffic(once)
-	part.in = []byte("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\n")
-	r.OnTraffic(part)
+	waiting, partial := l.open(nil), l.open(nil)
+	waiting.sendWrites(r, "r1")
+	idle := l.open(nil) // has had its answer, and stays connected
+	idle.in = resp.AppendCommand(nil, []byte("PING"))
+	r.OnTraffic(idle)
+	partial.in = []byte("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\n")
+	r.OnTraffic(partial)
 	l.runQueued()
 	r.startWallClock += 1900e3
-	if r.sweepConnections(); silent.closed || part.closed || once.closed {
+	if r.sweepConnections(); silent.closed || partial.closed || idle.closed {
 		t.Error("closed too early")
 	}
 	r.startWallClock += 200e3
 	r.sweepConnections()
-	if !silent.closed || !part.closed || !once.closed || asked.closed || !strings.HasSuffix(part.written, "-ERR nothing whole has come\r\n") {
-		t.Errorf("closed: silent %v, incomplete command %v, waiting for an answer %v; reply %q", silent.closed, part.closed, asked.closed, part.written)
+	if !silent.closed || !partial.closed || !idle.closed || waiting.closed || !strings.HasSuffix(partial.written, "-ERR nothing whole has come\r\n") {
+		t.Errorf("closed: silent %v, incomplete command %v, waiting for an answer %v; reply %q", silent.closed, partial.closed, waiting.closed, partial.written)
 	}
 }
 
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -109,12 +109,13 @@
 
 // dialAsync connects to an address and enrolls the connection with handler p; failed runs on the loop.
 func (r *Router) dialAsync(addr string, p connHandler, failed func(error)) {
-	within := r.limits.ConnectTimeout
-	if _, is := p.(*watch); is { // a server may take long to accept; discovery may not, since the next call waits for this dial
-		within = min(within, r.limits.WatchGrace)
+	timeout := r.limits.ConnectTimeout
+	// A server may take long to accept; discovery may not, since the next call waits for this dial.
+	if _, isWatch := p.(*watch); isWatch {
+		timeout = min(timeout, r.limits.WatchGrace)
 	}
 	go func() {
-		c, err := net.DialTimeout("tcp", addr, toDuration(within))
+		c, err := net.DialTimeout("tcp", addr, toDuration(timeout))
 		if err == nil {
 			var enrolled <-chan gnet.RegisteredResult
 			if enrolled, err = r.loop.Enroll(gnet.NewContext(context.Background(), p), c); err != nil {
@@ -332,7 +333,8 @@
 			}
 		// Some clients send one request and keep the connection. Clients can hold a limited number of connections,
 		// and would have none left for requests.
-		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.SilentClientTimeout && client.isQuiet() && client.unreadBytes() == 0 && !client.hasUnreadInput():
+		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.SilentClientTimeout && client.isQuiet() &&
+			client.unreadBytes() == 0 && !client.hasUnreadInput():
 			r.close(client.conn)
 		}
 	}
@@ -389,9 +391,9 @@
 }
 
 // hasOtherQuietClient reports whether another client can be closed, now or once it has been quiet for long enough.
-func (r *Router) hasOtherQuietClient(than *client) bool {
+func (r *Router) hasOtherQuietClient(other *client) bool {
 	for client := range r.clients {
-		if client != than && client.isQuiet() {
+		if client != other && client.isQuiet() {
 			return true
 		}
 	}
@@ -427,8 +429,9 @@
 	now := r.clock()
 	var candidate *client
 	for client := range r.clients {
-		if client.isQuiet() && (client.hasSentRequest || !requestersOnly) && now-client.lastActivity >= r.limits.QuietClientAge && (candidate == nil || client.hasSentRequest == candidate.hasSentRequest && client.lastActivity < candidate.lastActivity ||
-			!client.hasSentRequest && candidate.hasSentRequest) {
+		if client.isQuiet() && (client.hasSentRequest || !requestersOnly) && now-client.lastActivity >= r.limits.QuietClientAge &&
+			(candidate == nil || client.hasSentRequest == candidate.hasSentRequest && client.lastActivity < candidate.lastActivity ||
+				!client.hasSentRequest && candidate.hasSentRequest) {
 			candidate = client
 		}
 	}
@@ -449,9 +452,9 @@
 	r.counts.Lists++
 	r.restoreListedServers(update)
 	r.addEvent(update)
-	named := map[routing.ServerID]bool{}
+	kept := map[routing.ServerID]bool{}
 	for _, e := range update.Endpoints {
-		named[e.Server] = e.State != routing.Removed
+		kept[e.Server] = e.State != routing.Removed
 		s := r.servers[e.Server]
 		if s == nil {
 			s = &server{id: e.Server}
@@ -478,7 +481,7 @@
 	}
 	r.afterEndpointsUpdate(update)
 	for id, s := range r.servers {
-		if kept, mentioned := named[id]; mentioned && !kept || !mentioned && update.Kind != routing.IncrementalUpdate {
+		if keep, mentioned := kept[id]; mentioned && !keep || !mentioned && update.Kind != routing.IncrementalUpdate {
 			delete(r.servers, id)
 			s.ready, s.listed = false, false
 			r.stopUsing(s)
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -181,7 +181,7 @@
 	r.becomeDiscoverable()
 	if t.predecessor != nil {
 		r.log.Info("taking over")
-		t.predecessor.Enqueue(handover.Frame{Kind: handover.Ready}) // cannot fail usefully: if the predecessor has ended, there is nothing to take over
+		t.predecessor.Enqueue(handover.Frame{Kind: handover.Ready}) // if the predecessor has ended, there is nothing to take over
 	}
 	r.publishStats()
 }
@@ -208,7 +208,7 @@
 // acceptClients runs off the loop until the listener is closed or clients are handed over.
 func (r *Router) acceptClients() {
 	const pause = 5 * time.Millisecond // while no descriptors are available
-	var under []<-chan struct{}
+	var pendingEnrolls []<-chan struct{}
 	for {
 		c, err := r.takeover.listener.Accept()
 		switch {
@@ -226,15 +226,16 @@
 			return
 		}
 		done := make(chan struct{})
-		go func() { // a connection that is not enrolled, for lack of a descriptor, never arrives; a drain would wait for it
+		// A connection that is not enrolled, for lack of a descriptor, never arrives; a drain would wait for it.
+		go func() {
 			if (<-enrolled).Err != nil {
 				r.takeover.enrolling.Add(-1)
 			}
 			close(done)
 		}()
-		if under = append(under, done); len(under) >= maxPendingEnrolls {
-			<-under[0]
-			under = under[1:]
+		if pendingEnrolls = append(pendingEnrolls, done); len(pendingEnrolls) >= maxPendingEnrolls {
+			<-pendingEnrolls[0]
+			pendingEnrolls = pendingEnrolls[1:]
 		}
 	}
 }
@@ -244,9 +245,9 @@
 // awaitSuccessors waits, off the loop, for processes that are to replace this one, one after another. If this
 // process has its clients back because its successor has ended, and another process answers under the name, that
 // one has replaced the successor and keeps the name.
-func (r *Router) awaitSuccessors(handedOn bool) {
+func (r *Router) awaitSuccessors(hasHandedOver bool) {
 	t := &r.takeover
-	if handedOn && handover.Answers(t.socketDir, t.socketName) {
+	if hasHandedOver && handover.Answers(t.socketDir, t.socketName) {
 		r.log.Warn("handover: another process has replaced the successor, and is the one that the next process finds")
 		return
 	}
@@ -392,7 +393,8 @@
 			r.takeover.unsentFrames--
 			r.connCount -= len(frame.FDs)
 		})
-		conn.Close() // a frame may have been sent in part, so the connection is unusable, and this process serves the clients again
+		// A frame may have been sent in part, so the connection is unusable, and this process serves the clients again.
+		conn.Close()
 		r.adoptConnection(frame.Frame)
 	}
 }
@@ -449,25 +451,25 @@
 func (r *Router) OnTransfer(f func([]byte)) { r.takeover.onTransfer = f }
 
 // OfferTransfer sends a transfer to the successor, if there is one; what is called only then.
-func (r *Router) OfferTransfer(what func() []byte) {
+func (r *Router) OfferTransfer(transfer func() []byte) {
 	select {
 	case <-r.ready:
 	default:
 		return
 	}
 	r.runAsync(func() {
-		if heir := r.takeover.successor; heir != nil {
-			heir.Publish(handover.LeaseTransfer, what)
+		if successor := r.takeover.successor; successor != nil {
+			successor.Publish(handover.LeaseTransfer, transfer)
 		}
 	})
 }
 
 // setPeerDescriptors records how many descriptors another process holds.
-func (r *Router) setPeerDescriptors(which int, f handover.Frame) {
-	if n, err := strconv.Atoi(string(f.Body)); err == nil {
+func (r *Router) setPeerDescriptors(peer int, frame handover.Frame) {
+	if count, err := strconv.Atoi(string(frame.Body)); err == nil {
 		r.runAsync(func() {
-			if r.takeover.peerDescriptors[which] = n; which == 1 && r.takeover.successor == nil {
-				r.takeover.peerDescriptors[which] = 0
+			if r.takeover.peerDescriptors[peer] = count; peer == 1 && r.takeover.successor == nil {
+				r.takeover.peerDescriptors[peer] = 0
 			}
 		})
 	}
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -60,9 +60,9 @@
 }
 
 // after schedules a callback on the loop after a delay.
-func (r *Router) after(d clock.Time, do func()) *timer {
+func (r *Router) after(delay clock.Time, callback func()) *timer {
 	r.timers.lastSequence++
-	t := &timer{dueAt: r.clock() + d, sequence: r.timers.lastSequence, callback: do}
+	t := &timer{dueAt: r.clock() + delay, sequence: r.timers.lastSequence, callback: callback}
 	heap.Push(&r.timers, t)
 	r.setAlarm()
 	return t
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -31,12 +31,12 @@
 // restartWatch starts over at an address with the whole list, since versions there need not continue those seen so
 // far. Responses to the old watch are ignored, and the last list stays valid until the new one answers.
 func (r *Router) restartWatch(addr string) {
-	if old := r.watch; old != nil {
-		old.superseded = true
-		r.cancel(old.retryTimer)
-		r.cancel(old.timeoutTimer)
-		if old.conn != nil {
-			r.close(old.conn)
+	if previous := r.watch; previous != nil {
+		previous.superseded = true
+		r.cancel(previous.retryTimer)
+		r.cancel(previous.timeoutTimer)
+		if previous.conn != nil {
+			r.close(previous.conn)
 		}
 		r.endpoints.Invalidate()
 	}
@@ -62,11 +62,11 @@
 	r := w.r
 	w.callPending = true
 	path, wait := r.endpoints.NextRequest(r.limits.WatchTimeout)
-	slack := r.limits.WatchGrace
+	grace := r.limits.WatchGrace
 	if wait == 0 {
-		slack = r.limits.ListTimeout
+		grace = r.limits.ListTimeout
 	}
-	w.timeoutTimer = r.after(wait+slack, func() { r.close(w.conn) })
+	w.timeoutTimer = r.after(wait+grace, func() { r.close(w.conn) })
 	_, _ = w.conn.Write(httpwire.AppendRequest(nil, "GET", path, w.addr, nil, nil)) // after an error, gnet has closed the connection
 }
 
@@ -111,19 +111,20 @@
 	if err != nil || !w.callPending {
 		return gnet.Close
 	}
-	if used == 0 { // a list without a length is used as soon as it is complete, even if the server closes the connection late
+	if used == 0 {
+		// A list without a length is used as soon as it is complete, even if the server closes the connection late.
 		if answer, used, err = httpwire.Read(buf, true, w.r.limits.Discovery); err != nil || used == 0 || !json.Valid(answer.Body) {
 			return gnet.None
 		}
 	}
-	end := answer.Close || used < len(buf)
-	if end {
+	isLast := answer.Close || used < len(buf)
+	if isLast {
 		answer.Body = bytes.Clone(answer.Body) // the buffer ends with the connection
 		w.callPending = false                  // onClose must not read the response again
 		w.r.close(w.conn)
 	}
 	w.handleResponse(answer)
-	if !end {
+	if !isLast {
 		_, _ = w.conn.Discard(used) // bytes that Peek has just returned
 	}
 	return gnet.None
