--- a/internal/router/client_gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -248,7 +248,7 @@
 		test.sendRequest("before", "k", "get", false)
 		server := test.completeDial(cacheAddr)
 		test.loop.receive(server, hitReply)
-		open := func() (client *fakeConn, closeWaiting func()) {
+		open := func() (client *fakeConn, disconnect func()) {
 			client = test.loop.open(nil)
 			var other int
 			client.fd, other = socketPair(t)
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -132,9 +132,37 @@
 	runtime.Goexit()
 }
 
+// stepKind is what a step of runSteps does; the byte after it selects the details.
+type stepKind uint8
+
+const (
+	stepRequest         stepKind = iota // a client sends a read or a write
+	stepPing                            // a client sends PING
+	stepConnect                         // a client connects
+	stepDisconnect                      // a client disconnects
+	stepServerAnswer                    // a server sends an answer, valid or not
+	stepServerClose                     // a server ends or resets a connection
+	stepDialEnd                         // a dial succeeds or fails
+	stepEndpoints                       // an endpoint list arrives
+	stepAdvanceClock                    // time passes
+	stepFillWriteBuffer                 // a server stops or resumes reading
+	stepRunLoop                         // the loop runs what is queued
+	stepOperatorChange                  // operators ban and unban servers, and start and undo a drain
+	stepDrain                           // SIGTERM arrives
+)
+
 // stepKinds contains each kind of step as often as it takes for requests to be sent and answered; with equal
 // frequencies hardly one got that far.
-var stepKinds = []byte{0, 0, 0, 0, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 7, 7, 7, 7, 7, 8, 9, 9, 10, 11, 11, 11, 11, 11, 11, 12, 13}
+var stepKinds = []stepKind{
+	stepRequest, stepRequest, stepRequest, stepRequest,
+	stepRequest, stepRequest, stepPing, stepConnect,
+	stepConnect, stepDisconnect, stepServerAnswer, stepServerAnswer,
+	stepServerAnswer, stepServerAnswer, stepServerClose, stepDialEnd,
+	stepDialEnd, stepDialEnd, stepDialEnd, stepDialEnd,
+	stepEndpoints, stepAdvanceClock, stepAdvanceClock, stepFillWriteBuffer,
+	stepRunLoop, stepRunLoop, stepRunLoop, stepRunLoop,
+	stepRunLoop, stepRunLoop, stepOperatorChange, stepDrain,
+}
 
 // runSteps executes steps and checks the router after each; afterStep, if not nil, is called in between.
 func runSteps(t testing.TB, steps []byte, afterStep func(*fakeLoop)) {
@@ -202,10 +230,10 @@
 		}
 		n := steps[i+1]
 		switch kind := stepKinds[int(steps[i])%len(stepKinds)]; kind {
-		case 0, 1, 2:
+		case stepRequest, stepPing:
 			if c := pick(clients, n); c != nil {
 				commandsSent[c]++
-				if kind == 2 {
+				if kind == stepPing {
 					c.in = append(c.in, "*2\r\n$4\r\nPING\r\n$1\r\nx\r\n"...)
 					traffic(c)
 					break
@@ -218,13 +246,13 @@
 				c.in = resp.AppendCommand(c.in, []byte("CACHE.SET"), []byte("k"), fmt.Append(nil, "r", i), []byte("c=pay,d=900"), []byte("v"))
 				traffic(c)
 			}
-		case 3:
+		case stepConnect:
 			clients = append(clients, l.open(nil))
-		case 4:
+		case stepDisconnect:
 			if c := pick(clients, n); c != nil {
 				_ = l.Close(c)
 			}
-		case 5:
+		case stepServerAnswer:
 			if c := pick(servers, n); c != nil {
 				if _, http := c.ctx.(*upstream).server.protocol.(http1.Back); !http {
 					c.in = append(c.in, []string{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-BUSY\r\n",
@@ -240,7 +268,7 @@
 					"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 200 OK\r\n\r\nhalf"}[int(n)%6]...)
 				traffic(c)
 			}
-		case 6:
+		case stepServerClose:
 			if c := pick(servers, n); c != nil && n/16%2 == 0 {
 				l.closeWith(c, os.NewSyscallError("read", unix.ECONNRESET))
 			} else if c != nil {
@@ -249,9 +277,9 @@
 				}
 				l.closeWith(c, os.NewSyscallError("read", io.EOF))
 			}
-		case 7:
+		case stepDialEnd:
 			dialled(n%4 > 0)
-		case 8:
+		case stepEndpoints:
 			state := []string{"active", "leaving", "left", "active", "active", "active", "active", "active"}[n%8]
 			uid, kind := []string{"o", "s", "u"}[n/8%3], []string{"origin", "m", "m"}[n/8%3]
 			if list, err := r.endpoints.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
@@ -262,31 +290,31 @@
 				}
 				unavailable[uid] = state != "active"
 			}
-		case 9:
+		case stepAdvanceClock:
 			r.startWallClock += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
 			r.runBatch()
-		case 10:
+		case stepFillWriteBuffer:
 			if c := pick(servers, n); c != nil {
 				c.outboundBytes = int(n) % 8 / 7
 			}
-		case 11:
+		case stepRunLoop:
 			l.runQueued()
-		case 12: // operators ban and unban servers, and start and undo a drain
-			commandsSent, uid := r.operator.state, []string{"s", "u"}[n%2]
-			commandsSent.UnbannedAt = map[string]int64{}
+		case stepOperatorChange:
+			state, uid := r.operator.state, []string{"s", "u"}[n%2]
+			state.UnbannedAt = map[string]int64{}
 			switch n / 2 % 4 {
 			case 0:
-				if !commandsSent.IsBanned(uid) {
+				if !state.IsBanned(uid) {
 					bannedAt[uid] = r.clock()
 				}
-				_ = commandsSent.Ban(uid)
+				_ = state.Ban(uid)
 			case 1:
-				commandsSent.Unban(uid, time.UnixMicro(int64(r.clock())))
+				state.Unban(uid, time.UnixMicro(int64(r.clock())))
 			default:
-				commandsSent.Drain = n/2%4 == 2
+				state.Drain = n/2%4 == 2
 			}
-			r.applyOperatorState(commandsSent)
-		case 13:
+			r.applyOperatorState(state)
+		case stepDrain:
 			if n < 4 && !r.draining {
 				endBy = r.clock() + 3e6
 				r.Drain()
