--- /dev/null
+++ b/internal/router/external_requests.go
@@ -0,0 +1,153 @@
+package router
+
+import (
+	"sync"
+	"sync/atomic"
+
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+	"spurtrestle/internal/wire"
+)
+
+// RefusalReason is why a front end's request is not admitted.
+type RefusalReason uint8
+
+// The reasons for which a request is refused.
+const (
+	RefusedOverloaded    RefusalReason = iota + 1 // the router holds as many requests as it may
+	RefusedUnknownMethod                          // the settings do not contain its method
+	RefusedDuplicateID                            // another open request has its id
+	RefusedExpired                                // its deadline had passed when it arrived
+	RefusedShuttingDown                           // the router admits no new requests
+)
+
+// ExternalRequest is a request of a front end off the loop: a protocol whose library has goroutines of its own.
+// Its fields must not be changed after Submit.
+type ExternalRequest struct {
+	wire.Request
+	Method      string
+	Tenant      routing.Tenant
+	Timeout     clock.Time // how long its client waits; 0: as long as the method allows
+	ClientRetry bool
+	// Exactly one of Answer and Refuse is called, on the loop, once; it must not block. An answer's value is valid
+	// only during the call.
+	Answer func(wire.Answer)
+	Refuse func(RefusalReason)
+	// ClientGone reports whether the client has canceled or disconnected, as far as the front end has read; nil:
+	// never before Withdraw. It and HasUnreadInput are called on the loop when the loop is late.
+	ClientGone func() bool
+	// HasUnreadInput reports whether the front end has yet to read something from the client's connection; nil:
+	// never.
+	HasUnreadInput func() bool
+
+	withdrawn atomic.Bool     // set before the loop processes the withdrawal
+	request   *pendingRequest // belongs to the loop; nil: not admitted
+}
+
+// externalQueue passes requests from front ends to the loop. Its lock is held for an append only, never while the
+// loop works.
+type externalQueue struct {
+	mu           sync.Mutex
+	events       []externalEvent
+	openRequests int // admitted and not finished; belongs to the loop
+}
+
+type externalEvent struct {
+	request   *ExternalRequest
+	withdrawn bool
+}
+
+// Submit queues a request, from any goroutine. It returns false if too many are queued or the loop does not run
+// yet; nothing is called then.
+func (r *Router) Submit(request *ExternalRequest) bool {
+	return r.enqueueExternal(externalEvent{request: request}, r.limits.ExternalRequests)
+}
+
+// Withdraw reports that the client of a request is gone. Its attempts are canceled, and once the loop has
+// processed the withdrawal, neither Answer nor Refuse is called.
+func (r *Router) Withdraw(request *ExternalRequest) {
+	request.withdrawn.Store(true)
+	r.enqueueExternal(externalEvent{request, true}, 1<<62)
+}
+
+func (r *Router) enqueueExternal(event externalEvent, limit int) bool {
+	select {
+	case <-r.ready:
+	default:
+		return false // a front end may listen before the loop runs; a call at that moment used to crash the process
+	}
+	queue := &r.external
+	queue.mu.Lock()
+	if len(queue.events) >= limit {
+		queue.mu.Unlock()
+		return false
+	}
+	queue.events = append(queue.events, event)
+	isFirst := len(queue.events) == 1
+	queue.mu.Unlock()
+	if isFirst {
+		r.runAsync(r.admitExternalRequests)
+	}
+	return true
+}
+
+// admitExternalRequests admits everything queued since the last call, in one batch.
+func (r *Router) admitExternalRequests() {
+	queue := &r.external
+	queue.mu.Lock()
+	events := queue.events
+	queue.events = nil
+	queue.mu.Unlock()
+	for _, event := range events {
+		if event.withdrawn {
+			if request := event.request.request; request != nil {
+				r.clientLeft(request)
+			}
+			continue
+		}
+		if reason := r.admitExternal(event.request); reason != 0 {
+			event.request.Refuse(reason)
+		}
+	}
+}
+
+func (r *Router) admitExternal(request *ExternalRequest) RefusalReason {
+	method, known := r.methods[request.Method]
+	size := len(request.Key) + request.Props.Len() + len(request.Value)
+	switch {
+	case r.closingClients || r.operator.state.Drain || r.fleet.outOfService != "":
+		return RefusedShuttingDown
+	case !known:
+		return RefusedUnknownMethod
+	case r.requests[request.ID] != nil:
+		return RefusedDuplicateID
+	case request.Timeout < 0:
+		return RefusedExpired
+	case r.requestBytes+size > r.limits.RequestBytes:
+		return RefusedOverloaded
+	}
+	timeout := r.cfg.Settings.Methods[method].Deadline // a client that waits longer does not extend it
+	if request.Timeout > 0 {
+		timeout = min(timeout, request.Timeout)
+	}
+	request.request = &pendingRequest{Request: request.Request, size: size, responder: request}
+	r.external.openRequests++
+	r.admitRequest(request.request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: request.Write,
+		Method: method, Tenant: request.Tenant, ClientRetry: request.ClientRetry}, timeout, r.clock())
+	return 0
+}
+
+// deliver implements responder.
+func (e *ExternalRequest) deliver(_ *pendingRequest, a wire.Answer) {
+	e.Answer(a)
+}
+
+// OnServing registers a function that is called on the loop when the router starts to serve (true) and when it
+// stops (false). Call it before Run.
+func (r *Router) OnServing(f func(bool)) { r.onServing = f }
+
+func (r *Router) notifyServing(on bool) {
+	if r.onServing != nil {
+		r.onServing(on)
+	}
+}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -21,20 +21,20 @@
 	"spurtrestle/internal/wire/http1"
 )
 
-// FuzzRouter lets clients, servers, discovery, dials and the clock do what the input says, in its order. Whatever
-// that is, each request that was taken gets one answer or loses its client, nothing is left of it, and what is counted as
-// open is what is open.
+// FuzzRouter makes clients, servers, discovery, dials and the clock act as the input says, in its order. In any
+// order, each admitted request gets one answer or loses its client, nothing of it is left behind, and the counts
+// match what is open.
 func FuzzRouter(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 4, 1, 2, 3, 5, 0, 7, 2, 5, 0})
 	f.Add([]byte{0, 1, 1, 4, 12, 0, 2, 3, 9, 9, 0, 2, 12, 2, 0, 7, 12, 4, 9, 99, 12, 6})
 	f.Add([]byte("commands, answers, breaks, lists and time-outs in some order, over and over; 0123456789"))
-	f.Fuzz(func(t *testing.T, steps []byte) { inThisOrder(t, steps, nil) })
+	f.Fuzz(func(t *testing.T, steps []byte) { runSteps(t, steps, nil) })
 }
 
-// TestRandomOrders plays some thousand random steps a hundred times; FuzzRouter looks for worse ones.
+// TestRandomOrders runs a hundred sequences of some thousand random steps; FuzzRouter searches for worse ones.
 func TestRandomOrders(t *testing.T) {
 	for seed := range byte(100) {
-		inThisOrder(t, randomSteps(seed), nil)
+		runSteps(t, randomSteps(seed), nil)
 	}
 }
 
@@ -44,101 +44,130 @@
 	return steps
 }
 
-// What the referee of random orders is for is found, wherever it comes in.
-func TestRandomOrdersFindPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*notedLoop){
-		"an answer is lost": func(l *notedLoop) {
-			for _, q := range l.r.requests {
-				q.over = true
+// The checks in runSteps detect each of these injected faults.
+func TestRandomOrdersDetectInjectedFaults(t *testing.T) {
+	for name, inject := range map[string]func(*fakeLoop){
+		"an answer is lost": func(l *fakeLoop) {
+			for _, request := range l.r.requests {
+				request.finished = true
 				return
 			}
 		},
-		"an answer comes twice": func(l *notedLoop) {
-			for c := range l.r.clients {
-				c.write([]byte("-BUSY\r\n"))
+		"an answer comes twice": func(l *fakeLoop) {
+			for client := range l.r.clients {
+				client.write([]byte("-BUSY\r\n"))
 				return
 			}
 		},
-		"a connection is not counted": func(l *notedLoop) { l.r.upstreams++ },
-		"what may have run is told as never run": func(l *notedLoop) {
-			for _, q := range l.r.requests {
-				for _, w := range slices.Clone(q.attempts) {
-					if w.whole && q.Write {
-						l.r.giveUp(w, routing.NotSent)
+		"a connection is not counted": func(l *fakeLoop) { l.r.serverConnCount++ },
+		"what may have run is reported as never run": func(l *fakeLoop) {
+			for _, request := range l.r.requests {
+				for _, attempt := range slices.Clone(request.attempts) {
+					if attempt.fullySent && request.Write {
+						l.r.abortAttempt(attempt, routing.NotSent)
 						return
 					}
 				}
 			}
 		},
-		"a write-out to a server that goes": func(l *notedLoop) {
+		"an attempt at a server that is draining": func(l *fakeLoop) {
 			for _, s := range l.r.servers {
-				for _, q := range l.r.requests {
-					if !s.ready && !q.over && len(q.attempts) == 0 {
+				for _, request := range l.r.requests {
+					if !s.ready && !request.finished && len(request.attempts) == 0 {
 						s.ready = true
-						l.r.beginAttempt(routing.Decision{Request: q.ID, Server: s.id, After: 1e6})
+						l.r.beginAttempt(routing.Decision{Request: request.ID, Server: s.id, After: 1e6})
 						s.ready = false
 						return
 					}
 				}
 			}
 		},
-		"a write-out for a req that is over": func(l *notedLoop) {
-			for _, q := range l.r.requests {
-				if q.over && len(q.attempts) == 0 {
+		"an attempt of a finished request": func(l *fakeLoop) {
+			for _, request := range l.r.requests {
+				if request.finished && len(request.attempts) == 0 {
 					for id := range l.r.servers {
-						q.over = false
-						l.r.beginAttempt(routing.Decision{Request: q.ID, Server: id, After: 1e6})
-						q.over = true
+						request.finished = false
+						l.r.beginAttempt(routing.Decision{Request: request.ID, Server: id, After: 1e6})
+						request.finished = true
 						return
 					}
 				}
 			}
 		},
-		"a drain leaves one in hand": func(l *notedLoop) { l.r.lim.ShutdownTimeout = 1e12 },
+		"a drain leaves a request unanswered": func(l *fakeLoop) { l.r.limits.ShutdownTimeout = 1e12 },
 	} {
 		found := 0
 		for seed := range byte(10) {
-			left := 200 // steps until it strikes
-			told := &judged{TB: t}
+			stepsLeft := 200 // steps until the fault is injected
+			recorder := &failureRecorder{TB: t}
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				defer func() { told.said = told.said || recover() != nil }()
-				inThisOrder(told, randomSteps(seed), func(l *notedLoop) {
-					if left--; left <= 0 && left%3 == 0 {
-						plant(l)
+				defer func() { recorder.failed = recorder.failed || recover() != nil }()
+				runSteps(recorder, randomSteps(seed), func(l *fakeLoop) {
+					if stepsLeft--; stepsLeft <= 0 && stepsLeft%3 == 0 {
+						inject(l)
 					}
 				})
 			}()
-			if <-done; told.said {
+			if <-done; recorder.failed {
 				found++
 			}
 		}
-		if found < 3 { // some strike only where a rare thing is at hand
-			t.Errorf("%s: found in %d of 10 plays", name, found)
+		if found < 3 { // some faults need a rare situation
+			t.Errorf("%s: detected in %d of 10 runs", name, found)
 		}
 	}
 }
 
-// judged notes that a test would fail.
-type judged struct {
+// failureRecorder records that a test would fail.
+type failureRecorder struct {
 	testing.TB
-	said bool
+	failed bool
 }
 
-func (j *judged) Errorf(string, ...any) { j.said = true }
-func (j *judged) Fatalf(string, ...any) {
-	j.said = true
+func (f *failureRecorder) Errorf(string, ...any) { f.failed = true }
+func (f *failureRecorder) Fatalf(string, ...any) {
+	f.failed = true
 	runtime.Goexit()
 }
 
-// kinds of steps, each as often as keeps requests coming, going out and being answered: with all alike hardly one got so far.
-var kinds = []byte{0, 0, 0, 0, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 7, 7, 7, 7, 7, 8, 9, 9, 10, 11, 11, 11, 11, 11, 11, 12, 13}
+// stepKind is what a step of runSteps does; the byte after it selects the details.
+type stepKind uint8
 
-// inThisOrder plays steps; after each, also does something else, if there is something.
-func inThisOrder(t testing.TB, steps []byte, also func(*notedLoop)) {
-	cfg := notedConfig()
-	// Little room, so that clients stall, dials wait and connections are shed.
+const (
+	stepRequest         stepKind = iota // a client sends a read or a write
+	stepPing                            // a client sends PING
+	stepConnect                         // a client connects
+	stepDisconnect                      // a client disconnects
+	stepServerAnswer                    // a server sends an answer, valid or not
+	stepServerClose                     // a server ends or resets a connection
+	stepDialEnd                         // a dial succeeds or fails
+	stepEndpoints                       // an endpoint list arrives
+	stepAdvanceClock                    // time passes
+	stepFillWriteBuffer                 // a server stops or resumes reading
+	stepRunLoop                         // the loop runs what is queued
+	stepOperatorChange                  // operators ban and unban servers, and start and undo a drain
+	stepDrain                           // SIGTERM arrives
+)
+
+// stepKinds contains each kind of step as often as it takes for requests to be sent and answered; with equal
+// frequencies hardly one got that far.
+var stepKinds = []stepKind{
+	stepRequest, stepRequest, stepRequest, stepRequest,
+	stepRequest, stepRequest, stepPing, stepConnect,
+	stepConnect, stepDisconnect, stepServerAnswer, stepServerAnswer,
+	stepServerAnswer, stepServerAnswer, stepServerClose, stepDialEnd,
+	stepDialEnd, stepDialEnd, stepDialEnd, stepDialEnd,
+	stepEndpoints, stepAdvanceClock, stepAdvanceClock, stepFillWriteBuffer,
+	stepRunLoop, stepRunLoop, stepRunLoop, stepRunLoop,
+	stepRunLoop, stepRunLoop, stepOperatorChange, stepDrain,
+}
+
+// runSteps executes steps and checks the router after each; afterStep, if not nil, is called in between.
+func runSteps(t testing.TB, steps []byte, afterStep func(*fakeLoop)) {
+	cfg := originOnlyConfig()
+	// The limits are low, so that clients stall, dials wait and connections are shed.
 	cfg.Limits.Descriptors, cfg.Limits.MaxDescriptors, cfg.Limits.ServerConnections = 12, 14, 6
 	cfg.Limits.PipelinedCommands, cfg.Limits.RequestBytes, cfg.Limits.QuietClientAge, cfg.Limits.ClientWriteTimeout = 3, 100, 10e3, 1e6
 	cfg.Limits.ServerIdleTimeout = 2e6
@@ -147,28 +176,28 @@
 	cfg.SavedEndpoints = []byte(`{"rev":1,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
 		`{"uid":"s","endpoint":"127.0.0.1:2","model":"m","state":"active"},` +
 		`{"uid":"u","endpoint":"127.0.0.1:3","model":"m","state":"active"}]}`)
-	l := newLoop(t, cfg)
+	l := newFakeLoop(t, cfg)
 	r := l.r
 	type dial struct {
-		p      peer
+		p      connHandler
 		failed func(error)
 	}
 	var dials []dial
-	r.dialer = func(_ string, p peer, failed func(error)) { dials = append(dials, dial{p, failed}) }
-	clients, servers := []*notedConn{l.open(nil)}, []*notedConn(nil)
-	asked, out := map[*notedConn]int{}, map[string]clock.Time{}
+	r.dialFunc = func(_ string, p connHandler, failed func(error)) { dials = append(dials, dial{p, failed}) }
+	clients, servers := []*fakeConn{l.open(nil)}, []*fakeConn(nil)
+	commandsSent, bannedAt := map[*fakeConn]int{}, map[string]clock.Time{}
 	close(r.ready)
-	r.lim.ShutdownTimeout, r.lim.DrainAcceptPeriod, r.lim.LargeValueRetryInterval = 3e6, 500e3, 5e3
-	endBy := clock.Time(0)    // by when all is answered, after SIGTERM
-	gone := map[string]bool{} // that drain, or are no more, by the last list
+	r.limits.ShutdownTimeout, r.limits.DrainAcceptPeriod, r.limits.LargeValueRetryInterval = 3e6, 500e3, 5e3
+	endBy := clock.Time(0)           // deadline for all answers, after SIGTERM
+	unavailable := map[string]bool{} // servers that drain or are gone, by the last list
 	type sent struct {
-		on *notedConn
-		w  *attempt
+		on      *fakeConn
+		attempt *activeAttempt
 	}
-	outs := map[sent]bool{}               // that were there after the last step; true: the last byte had left
-	ran := map[routing.RequestID]string{} // that may have run, and where
-	never := (*attempt)(nil)              // answered in this step as never run
-	traffic := func(c *notedConn) {
+	outstanding := map[sent]bool{}               // attempts outstanding after the last step; true: sent completely
+	mayHaveRun := map[routing.RequestID]string{} // requests that may have run, and at which server
+	neverRan := (*activeAttempt)(nil)            // answered in this step as never run
+	traffic := func(c *fakeConn) {
 		if r.OnTraffic(c) == gnet.Close {
 			_ = l.Close(c)
 		}
@@ -183,13 +212,13 @@
 			servers = append(servers, l.open(d.p))
 			return
 		}
-		r.dials--
+		r.pendingDials--
 		d.failed(errors.New("refused"))
 	}
-	open := func(of []*notedConn) []*notedConn {
-		return slices.DeleteFunc(slices.Clone(of), func(c *notedConn) bool { return c.closed })
+	open := func(of []*fakeConn) []*fakeConn {
+		return slices.DeleteFunc(slices.Clone(of), func(c *fakeConn) bool { return c.closed })
 	}
-	pick := func(from []*notedConn, n byte) *notedConn { // one that is open; nil: there is none
+	pick := func(from []*fakeConn, n byte) *fakeConn { // an open connection; nil: there is none
 		if from = open(from); len(from) > 0 {
 			return from[int(n)%len(from)]
 		}
@@ -200,11 +229,11 @@
 			break
 		}
 		n := steps[i+1]
-		switch kind := kinds[int(steps[i])%len(kinds)]; kind {
-		case 0, 1, 2:
+		switch kind := stepKinds[int(steps[i])%len(stepKinds)]; kind {
+		case stepRequest, stepPing:
 			if c := pick(clients, n); c != nil {
-				asked[c]++
-				if kind == 2 {
+				commandsSent[c]++
+				if kind == stepPing {
 					c.in = append(c.in, "*2\r\n$4\r\nPING\r\n$1\r\nx\r\n"...)
 					traffic(c)
 					break
@@ -217,124 +246,124 @@
 				c.in = resp.AppendCommand(c.in, []byte("CACHE.SET"), []byte("k"), fmt.Append(nil, "r", i), []byte("c=pay,d=900"), []byte("v"))
 				traffic(c)
 			}
-		case 3:
+		case stepConnect:
 			clients = append(clients, l.open(nil))
-		case 4:
+		case stepDisconnect:
 			if c := pick(clients, n); c != nil {
 				_ = l.Close(c)
 			}
-		case 5:
+		case stepServerAnswer:
 			if c := pick(servers, n); c != nil {
-				if _, http := c.ctx.(*upstream).server.speaks.(http1.Back); !http {
+				if _, http := c.ctx.(*upstream).server.protocol.(http1.Back); !http {
 					c.in = append(c.in, []string{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-BUSY\r\n",
 						"-ERR failed\r\n", "*1\r", "nonsense\r\n"}[int(n)%6]...)
 					traffic(c)
 					break
 				}
 				if len(c.in) == 0 && n%6 == 2 {
-					never = c.ctx.(*upstream).carries
+					neverRan = c.ctx.(*upstream).attempt
 				}
 				c.in = append(c.in, []string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 5",
 					"HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
 					"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 200 OK\r\n\r\nhalf"}[int(n)%6]...)
 				traffic(c)
 			}
-		case 6:
+		case stepServerClose:
 			if c := pick(servers, n); c != nil && n/16%2 == 0 {
-				l.ends(c, os.NewSyscallError("read", unix.ECONNRESET))
+				l.closeWith(c, os.NewSyscallError("read", unix.ECONNRESET))
 			} else if c != nil {
 				if bytes.Contains(c.in, []byte("half")) {
 					c.in = append(c.in, ", whole"...)
 				}
-				l.ends(c, os.NewSyscallError("read", io.EOF))
+				l.closeWith(c, os.NewSyscallError("read", io.EOF))
 			}
-		case 7:
+		case stepDialEnd:
 			dialled(n%4 > 0)
-		case 8:
+		case stepEndpoints:
 			state := []string{"active", "leaving", "left", "active", "active", "active", "active", "active"}[n%8]
 			uid, kind := []string{"o", "s", "u"}[n/8%3], []string{"origin", "m", "m"}[n/8%3]
-			if list, err := r.book.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
+			if list, err := r.endpoints.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[{"uid":%q,"endpoint":`+
 				`"127.0.0.1:%d","model":%q,"state":%q}]}`, i+2, n%64 == 0, uid, 1+n/128%2, kind, state)); err == nil {
-				r.listCame(list)
+				r.applyEndpoints(list)
 				if n%64 == 0 {
-					gone = map[string]bool{"o": true, "s": true, "u": true}
+					unavailable = map[string]bool{"o": true, "s": true, "u": true}
 				}
-				gone[uid] = state != "active"
+				unavailable[uid] = state != "active"
 			}
-		case 9:
-			r.began += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
-			r.batch()
-		case 10:
+		case stepAdvanceClock:
+			r.startWallClock += clock.Time(n) * []clock.Time{1e3, 1e3, 1e3, 10e3}[n%4]
+			r.runBatch()
+		case stepFillWriteBuffer:
 			if c := pick(servers, n); c != nil {
-				c.left = int(n) % 8 / 7
+				c.outboundBytes = int(n) % 8 / 7
 			}
-		case 11:
-			l.rounds()
-		case 12: // operators take out and give back, drain and undo it
-			asked, uid := r.ops.wanted, []string{"s", "u"}[n%2]
-			asked.UnbannedAt = map[string]int64{}
+		case stepRunLoop:
+			l.runQueued()
+		case stepOperatorChange:
+			state, uid := r.operator.state, []string{"s", "u"}[n%2]
+			state.UnbannedAt = map[string]int64{}
 			switch n / 2 % 4 {
 			case 0:
-				if !asked.IsBanned(uid) {
-					out[uid] = r.clock()
+				if !state.IsBanned(uid) {
+					bannedAt[uid] = r.clock()
 				}
-				_ = asked.Ban(uid)
+				_ = state.Ban(uid)
 			case 1:
-				asked.Unban(uid, time.UnixMicro(int64(r.clock())))
+				state.Unban(uid, time.UnixMicro(int64(r.clock())))
 			default:
-				asked.Drain = n/2%4 == 2
+				state.Drain = n/2%4 == 2
 			}
-			r.obey(asked)
-		case 13:
+			r.applyOperatorState(state)
+		case stepDrain:
 			if n < 4 && !r.draining {
 				endBy = r.clock() + 3e6
 				r.Drain()
-				l.rounds()
+				l.runQueued()
 			}
 		}
-		if also != nil {
-			also(l)
+		if afterStep != nil {
+			afterStep(l)
 		}
 		inHand := 0
-		for _, q := range r.requests {
-			if !q.over {
+		for _, request := range r.requests {
+			if !request.finished {
 				inHand++
 			}
 		}
-		if r.publish(); r.ops.told.Load().open != inHand {
-			t.Fatalf("%d reqs are open, and %d said to be", inHand, r.ops.told.Load().open)
+		if r.publishStats(); r.operator.stats.Load().openRequests != inHand {
+			t.Fatalf("%d requests are open, the statistics say %d", inHand, r.operator.stats.Load().openRequests)
 		}
-		for s, whole := range outs {
+		for s, fullySent := range outstanding {
 			up, on := s.on.ctx.(*upstream)
-			if whole && s.w != never && r.cfg.Settings.Methods[s.w.q.method].Idempotency == routing.NonIdempotent && !(on && up.carries == s.w) {
-				ran[s.w.q.ID] = string(r.book.UID(s.w.server.id))
+			if fullySent && s.attempt != neverRan && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
+				mayHaveRun[s.attempt.request.ID] = string(r.endpoints.UID(s.attempt.server.id))
 			}
 		}
-		never = nil
-		was := outs
-		outs = map[sent]bool{}
-		carried := map[*request]int{}
+		neverRan = nil
+		previous := outstanding
+		outstanding = map[sent]bool{}
+		carried := map[*pendingRequest]int{}
 		for _, c := range servers {
-			if up, ok := c.ctx.(*upstream); ok && up.carries != nil {
-				w := up.carries
-				outs[sent{c, w}] = c.left == 0
-				if _, old := was[sent{c, w}]; !old {
-					if at, may := ran[w.q.ID]; may {
-						t.Fatalf("%s is sent again, and may have run at %s", w.q.ID, at)
+			if up, ok := c.ctx.(*upstream); ok && up.attempt != nil {
+				attempt := up.attempt
+				outstanding[sent{c, attempt}] = c.outboundBytes == 0
+				if _, old := previous[sent{c, attempt}]; !old {
+					if at, may := mayHaveRun[attempt.request.ID]; may {
+						t.Fatalf("%s is sent again, and may have run at %s", attempt.request.ID, at)
 					}
-					if w.q.over || gone[string(r.book.UID(w.server.id))] {
-						t.Fatalf("%s is sent to %v, over: %v, gone: %v", w.q.ID, w.server.id, w.q.over, gone)
+					if attempt.request.finished || unavailable[string(r.endpoints.UID(attempt.server.id))] {
+						t.Fatalf("%s is sent to %v; finished: %v, unavailable servers: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, unavailable)
 					}
 				}
-				if uid := string(r.book.UID(up.server.id)); uid != "" && up.server.out && up.carries.sent > out[uid] {
-					t.Fatalf("a write-out to %s, which is out", uid)
+				if uid := string(r.endpoints.UID(up.server.id)); uid != "" && up.server.banned && up.attempt.startedAt > bannedAt[uid] {
+					t.Fatalf("an attempt was sent to %s, which is banned", uid)
 				}
 				most := 1
 				if cfg.Settings.HedgingAllowed {
 					most = 2
 				}
-				if carried[up.carries.q]++; carried[up.carries.q] > most {
-					t.Fatalf("%d write-outs of one req are out", carried[up.carries.q])
+				if carried[up.attempt.request]++; carried[up.attempt.request] > most {
+					t.Fatalf("%d attempts of one request are outstanding", carried[up.attempt.request])
 				}
 			}
 		}
@@ -342,34 +371,34 @@
 	if !r.draining {
 		endBy = r.clock() + 3e6
 		r.Drain()
-		l.rounds()
+		l.runQueued()
 	}
-	r.began += max(0, endBy+50e3-r.clock())
-	r.batch()
-	l.rounds()
-	for _, q := range r.requests {
-		if !q.over {
-			t.Fatalf("%s is in hand after the end of the drain", q.ID)
+	r.startWallClock += max(0, endBy+50e3-r.clock())
+	r.runBatch()
+	l.runQueued()
+	for _, request := range r.requests {
+		if !request.finished {
+			t.Fatalf("%s is unanswered after the shutdown deadline", request.ID)
 		}
 	}
-	for range 400 + len(steps)/2 { // all deadlines pass, and what is out comes to its end, also of a thousand pipelined commands
-		l.rounds()
+	for range 400 + len(steps)/2 { // all deadlines pass and everything outstanding ends, even a thousand pipelined commands
+		l.runQueued()
 		dialled(false)
-		r.began += 1e6
-		r.batch()
+		r.startWallClock += 1e6
+		r.runBatch()
 	}
-	l.rounds()
+	l.runQueued()
 	for _, c := range clients {
 		answers := 0
-		for rest := []byte(c.wrote); len(rest) > 0; answers++ {
-			a, used, err := resp.ReadReply(rest, r.lim.RESP)
+		for rest := []byte(c.written); len(rest) > 0; answers++ {
+			a, used, err := resp.ReadReply(rest, r.limits.RESP)
 			if err != nil || used == 0 || bytes.Contains(a.Text, []byte("half")) && !bytes.HasSuffix(a.Text, []byte("whole")) {
-				t.Fatalf("a client got %q", c.wrote)
+				t.Fatalf("a client got %q", c.written)
 			}
 			rest = rest[used:]
 		}
-		if !c.closed && answers != asked[c] || answers > asked[c] {
-			t.Errorf("%d commands got %d answers: %q", asked[c], answers, c.wrote)
+		if !c.closed && answers != commandsSent[c] || answers > commandsSent[c] {
+			t.Errorf("%d commands got %d answers: %q", commandsSent[c], answers, c.written)
 		}
 	}
 	n := r.counts
@@ -380,17 +409,17 @@
 		}
 	}
 	if ended != [3]int{n.Served, n.Rejected, n.Failed} {
-		t.Errorf("%v by method, %v in all", ended, n)
+		t.Errorf("outcomes: %v by method, %v in all", ended, n)
 	}
-	if n.Requests != n.Served+n.Rejected+n.Failed+n.Abandoned || len(r.requests) != 0 || r.held != 0 {
-		t.Errorf("%v, %d reqs, %d bytes", n, len(r.requests), r.held)
+	if n.Requests != n.Served+n.Rejected+n.Failed+n.Abandoned || len(r.requests) != 0 || r.requestBytes != 0 {
+		t.Errorf("counters %v; %d requests and %d bytes are left", n, len(r.requests), r.requestBytes)
 	}
 	if n.Attempts != n.OK+n.Misses+n.NotExecuted+n.MaybeExecuted+n.Canceled {
-		t.Errorf("write-outs without an outcome: %v", n)
+		t.Errorf("attempts without an outcome: %v", n)
 	}
 	up := len(open(servers))
-	if in := len(open(clients)) > 0; up != r.upstreams || in != (len(r.clients) > 0) ||
-		r.conns != r.upstreams+len(r.clients) || r.dials != len(dials) {
-		t.Errorf("%d of %d to servers are open, %d in all, %d dials of %d", r.upstreams, up, r.conns, r.dials, len(dials))
+	if in := len(open(clients)) > 0; up != r.serverConnCount || in != (len(r.clients) > 0) ||
+		r.connCount != r.serverConnCount+len(r.clients) || r.pendingDials != len(dials) {
+		t.Errorf("server connections: counted %d, open %d; all connections: counted %d; dials: counted %d, pending %d", r.serverConnCount, up, r.connCount, r.pendingDials, len(dials))
 	}
 }
--- a/internal/router/handover_order_test.go
+++ b/internal/router/handover_test.go
@@ -17,35 +17,36 @@
 	"spurtrestle/internal/operatorstate"
 )
 
-// handoverTest is a router that serves, and the connection of a successor to it.
+// handoverTest is a serving router and the connection of a successor to it.
 type handoverTest struct {
-	r         *Router
-	store     *operatorstate.Store // the successor's, of the same file
+	router    *Router
+	store     *operatorstate.Store // the successor's store of the same file
 	successor *handover.Conn
 }
 
-// newHandoverTest returns the two before the successor has said Hello. The router's loop runs until the test ends.
+// newHandoverTest returns the router and its successor before the successor has sent Hello. The router's loop runs
+// until the test ends.
 func newHandoverTest(t *testing.T) *handoverTest {
 	t.Helper()
-	l, _, _ := newNoted(t)
+	l, _, _ := newConnectedOrigin(t)
 	r := l.r
 	r.cfg.Limits.MemoryBytes = 1 << 30
-	r.lim.AdminCallTimeout = 10 * clock.Second
+	r.limits.AdminCallTimeout = 10 * clock.Second
 	dir := t.TempDir()
-	r.Operate(operatorstate.Open(dir, "r", nil))
+	r.UseOperatorStore(operatorstate.Open(dir, "r", nil))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.takeover.ln = ln.(*net.TCPListener)
+	r.takeover.listener = ln.(*net.TCPListener)
 	successor, predecessor := connectHandover(t, dir)
 	close(r.ready)
-	h := &handoverTest{r: r, store: operatorstate.Open(dir, "r", nil), successor: successor}
+	h := &handoverTest{router: r, store: operatorstate.Open(dir, "r", nil), successor: successor}
 	stop, stopped, served := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
 		for {
-			l.rounds()
+			l.runQueued()
 			select {
 			case <-stop:
 				return
@@ -55,7 +56,7 @@
 	}()
 	go func() {
 		defer close(served)
-		r.serveHeir(predecessor)
+		r.serveSuccessor(predecessor)
 	}()
 	t.Cleanup(func() {
 		successor.Close()
@@ -91,8 +92,8 @@
 	}
 }
 
-// receiveUntil reads frames until one of a kind, and calls onState with each operator state on the way.
-func (h *handoverTest) receiveUntil(t *testing.T, last handover.Kind, onState func(asked)) {
+// receiveUntil reads frames up to the first of a kind, and calls onState with each operator state on the way.
+func (h *handoverTest) receiveUntil(t *testing.T, last handover.Kind, onState func(operatorFrame)) {
 	t.Helper()
 	for {
 		frame, err := h.successor.Receive(10 * time.Second)
@@ -101,7 +102,7 @@
 		}
 		frame.CloseDescriptors()
 		if frame.Kind == handover.OperatorState {
-			var state asked
+			var state operatorFrame
 			if err := json.Unmarshal(frame.Body, &state); err != nil {
 				t.Fatal(err)
 			}
@@ -113,27 +114,27 @@
 	}
 }
 
-func ignoreState(asked) {}
+func ignoreState(operatorFrame) {}
 
-// A successor never receives an older operator state after a newer one, and ends with the last.
+// A successor never receives an older operator state after a newer one, and ends with the latest.
 func TestHandover_OperatorStatesArriveInOrder(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
 	const changes = 200
-	err := h.r.runOnLoop(func() {
+	err := h.router.runOnLoop(func() {
 		for n := range changes {
-			h.r.ops.wanted = operatorstate.State{Banned: []string{fmt.Sprintf("change-%05d", n+1)}}
-			h.r.publishOperatorState()
+			h.router.operator.state = operatorstate.State{Banned: []string{fmt.Sprintf("change-%05d", n+1)}}
+			h.router.publishOperatorState()
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // what is on its way is sent
-	h.r.OfferTransfer(func() []byte { return nil })
+	time.Sleep(50 * time.Millisecond) // until everything queued has been sent
+	h.router.OfferTransfer(func() []byte { return nil })
 	received := ""
-	h.receiveUntil(t, handover.LeaseTransfer, func(state asked) {
+	h.receiveUntil(t, handover.LeaseTransfer, func(state operatorFrame) {
 		if state.Banned[0] < received {
 			t.Errorf("the successor received %s after %s", state.Banned[0], received)
 		}
@@ -144,7 +145,7 @@
 	}
 }
 
-// hookOnMessage is called before a message is logged.
+// hookOnMessage calls a function before a message is logged.
 type hookOnMessage struct {
 	message string
 	call    func()
@@ -159,41 +160,41 @@
 	return nil
 }
 
-// What operators change while a successor is being sent the state reaches it in place of that state or behind it.
+// An operator's change while a successor is being sent the state reaches it instead of that state or after it.
 func TestHandover_AChangeDuringTheFirstFramesArrivesLast(t *testing.T) {
 	h := newHandoverTest(t)
 	greeted, proceed := make(chan struct{}), make(chan struct{})
-	h.r.log.AddHook(hookOnMessage{"another process is to replace this one", func() {
+	h.router.log.AddHook(hookOnMessage{"a process that is to replace this one has connected", func() {
 		close(greeted)
 		<-proceed
 	}})
 	h.sendHello(t)
 	<-greeted // the state has been encoded
-	if err := h.r.SetDraining(true); err != nil {
+	if err := h.router.SetDraining(true); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(20 * time.Millisecond) // what is on its way is sent
+	time.Sleep(20 * time.Millisecond) // until everything queued has been sent
 	close(proceed)
-	var state asked
-	keep := func(received asked) { state = received }
+	var state operatorFrame
+	keep := func(received operatorFrame) { state = received }
 	h.receiveUntil(t, handover.Snapshot, keep)
-	h.r.OfferTransfer(func() []byte { return nil })
+	h.router.OfferTransfer(func() []byte { return nil })
 	h.receiveUntil(t, handover.LeaseTransfer, keep)
 	if !state.Drain {
 		t.Error("the successor received the drain before the state without it")
 	}
 }
 
-// A successor that does not read costs one waiting transfer, however many are offered.
-func TestHandover_TransfersDoNotPileUp(t *testing.T) {
+// A successor that does not read holds up one transfer, however many are offered.
+func TestHandover_TransfersDoNotAccumulate(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
-	large := make([]byte, 1<<20) // more than a socket takes
+	large := make([]byte, 1<<20) // more than a socket buffers
 	before := runtime.NumGoroutine()
 	const offers = 100
 	for range offers {
-		h.r.OfferTransfer(func() []byte { return large })
+		h.router.OfferTransfer(func() []byte { return large })
 	}
 	time.Sleep(200 * time.Millisecond)
 	if after := runtime.NumGoroutine(); after > before+10 {
@@ -201,9 +202,9 @@
 	}
 }
 
-// Two processes are asked for a change each at the same time: the later of the file holds in both, though the earlier's frame
-// comes after it.
-func TestHandover_ChangesThatCrossEndWithTheFile(t *testing.T) {
+// Two processes change the state at the same time: both end with the later state of the file, although the frame
+// with the earlier one arrives after it.
+func TestHandover_ConcurrentChangesConvergeOnTheFile(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
@@ -211,10 +212,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.r.SetDraining(true); err != nil { // reads their ban from the file
+	if err := h.router.SetDraining(true); err != nil { // reads the successor's ban from the file
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(asked{State: theirs})
+	text, err := json.Marshal(operatorFrame{State: theirs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,83 +224,84 @@
 	}
 	h.awaitDescriptorCount(t, 77)
 	var state operatorstate.State
-	if err := h.r.runOnLoop(func() { state = h.r.ops.wanted }); err != nil {
+	if err := h.router.runOnLoop(func() { state = h.router.operator.state }); err != nil {
 		t.Fatal(err)
 	}
 	if !state.Drain || !state.IsBanned("x") {
-		t.Errorf("after the crossing: got %+v, want the drain and the ban of x", state)
+		t.Errorf("after concurrent changes: got %+v, want the drain and the ban of x", state)
 	}
 }
 
-// awaitDescriptorCount returns once the router has acted on all frames that were sent before.
+// awaitDescriptorCount returns once the router has handled all frames sent before.
 func (h *handoverTest) awaitDescriptorCount(t *testing.T, count int) {
 	t.Helper()
 	if err := h.successor.Send(handover.Frame{Kind: handover.DescriptorCount, Body: strconv.AppendInt(nil, int64(count), 10)}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.others[1] == count })
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.peerDescriptors[1] == count })
 }
 
-// awaitOnLoop returns once something has happened, by the loop's state.
+// awaitOnLoop returns once a condition on the loop's state holds.
 func (h *handoverTest) awaitOnLoop(t *testing.T, happened func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		var done bool
-		if err := h.r.runOnLoop(func() { done = happened() }); err != nil {
+		if err := h.router.runOnLoop(func() { done = happened() }); err != nil {
 			t.Fatal(err)
 		}
 		if done {
 			return
 		}
 	}
-	t.Fatal("did not happen in ten seconds")
+	t.Fatal("the condition did not hold within ten seconds")
 }
 
-// handOnAndLoseSuccessor has the router hand its clients on to the successor, which another process replaces, and the successor end.
-func (h *handoverTest) handOnAndLoseSuccessor(t *testing.T, name string) (next *net.UnixListener) {
+// handOverAndLoseSuccessor makes the router hand its clients over, another process replace the successor, and the
+// successor end.
+func (h *handoverTest) handOverAndLoseSuccessor(t *testing.T, name string) (next *net.UnixListener) {
 	t.Helper()
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
 	if err := h.successor.Send(handover.Frame{Kind: handover.Ready}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.handing })
-	next, err := handover.Listen(h.r.takeover.dir, name)
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.handingOver })
+	next, err := handover.Listen(h.router.takeover.socketDir, name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { next.Close() })
 	h.successor.Close()
-	h.awaitOnLoop(t, func() bool { return h.r.takeover.heir == nil })
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.successor == nil })
 	return next
 }
 
-// The name stays with the process that has replaced a successor, whatever becomes of the successor: the next process finds it. That
-// holds for a router that is told to end as for one that goes on.
-func TestHandover_TheNameStaysWithTheLastSuccessor(t *testing.T) {
-	for _, isTold := range []bool{false, true} {
+// The socket's name stays with the process that has replaced a successor, whatever becomes of that successor, so
+// that the next process finds it. This holds for a draining router as well as for one that goes on.
+func TestHandover_SocketNameStaysWithTheLastSuccessor(t *testing.T) {
+	for _, draining := range []bool{false, true} {
 		h := newHandoverTest(t)
 		const name = "r.sock"
 		h.onLoop(t, func() {
-			h.r.takeover.dir, h.r.takeover.name = t.TempDir(), name
-			h.r.serving, h.r.draining = true, isTold
+			h.router.takeover.socketDir, h.router.takeover.socketName = t.TempDir(), name
+			h.router.hasUsableServer, h.router.draining = true, draining
 		})
-		next := h.handOnAndLoseSuccessor(t, name)
+		next := h.handOverAndLoseSuccessor(t, name)
 		found := make(chan error, 1)
 		go func() {
 			conn, err := handover.Accept(next)
 			if err == nil {
 				_, err = conn.Receive(time.Second)
 			}
-			for err != nil && !errors.Is(err, net.ErrClosed) { // a look whether somebody answers says nothing
+			for err != nil && !errors.Is(err, net.ErrClosed) { // a probe connects to check for a listener, and sends nothing
 				if conn, err = handover.Accept(next); err == nil {
 					_, err = conn.Receive(time.Second)
 				}
 			}
 			found <- err
 		}()
-		time.Sleep(300 * time.Millisecond) // the router does what it does about its name
-		conn, err := handover.Dial(h.r.takeover.dir, name, time.Second)
+		time.Sleep(300 * time.Millisecond) // time for the router to try to take the name back
+		conn, err := handover.Dial(h.router.takeover.socketDir, name, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,7 +315,7 @@
 				t.Error(err)
 			}
 		case <-time.After(3 * time.Second):
-			t.Errorf("told to end: %v; the next process finds another one than the last successor", isTold)
+			t.Errorf("draining: %v; the next process does not find the last successor", draining)
 		}
 	}
 }
@@ -321,7 +323,7 @@
 // onLoop runs a function on the loop.
 func (h *handoverTest) onLoop(t *testing.T, f func()) {
 	t.Helper()
-	if err := h.r.runOnLoop(f); err != nil {
+	if err := h.router.runOnLoop(f); err != nil {
 		t.Fatal(err)
 	}
 }
--- /dev/null
+++ b/internal/router/large_read.go
@@ -0,0 +1,441 @@
+package router
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"os"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+
+	"spurtrestle/core/routing"
+	"spurtrestle/internal/discovery"
+	"spurtrestle/internal/handover"
+	"spurtrestle/internal/wire"
+)
+
+// largeRead is a large value on its way from a server to a client. gnet cannot pause reading, and a large value
+// must not be held in memory as a whole. So both connections leave the loop, and a goroutine copies the value in
+// chunks; its blocking writes provide back-pressure.
+type largeRead struct {
+	r                *Router
+	upstream         *upstream
+	client           *client
+	serverDescriptor int // of the server's connection
+	received         []byte
+	size             int
+	method           routing.Method
+	closeAfter       bool // the server's connection carries nothing after the value
+
+	clientConn, serverConn net.Conn    // owned by the goroutine
+	pending                []byte      // bytes to be written to the client
+	remaining              int         // bytes of the value still to be read
+	terminated             bool        // the line end after the value is in pending, or written
+	stopped                atomic.Bool // the goroutine is to stop, so that another process continues
+}
+
+// startLargeRead handles an answer that is too large to be held: its attempt ends with the first bytes of the
+// value. It returns false if this is no such answer. Otherwise the caller closes the connection on the loop; a
+// duplicate of its descriptor remains.
+func (up *upstream) startLargeRead(buf []byte) bool {
+	attempt := up.attempt
+	outcome, valueStart, size, ok := up.server.protocol.Long(buf)
+	if !ok || up.conn.OutboundBuffered() > 0 {
+		return false
+	}
+	client, isRESP2 := attempt.request.responder.(*client)
+	if !isRESP2 { // front ends of other protocols pass on whole values only
+		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, Long: true})
+		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
+		return true
+	}
+	if attempt.request.finished {
+		return false
+	}
+	fd, err := up.conn.Dup()
+	if err != nil {
+		up.r.log.WithError(err).Warn("large value cannot be forwarded")
+		return false
+	}
+	read := &largeRead{r: up.r, upstream: up, client: client, serverDescriptor: fd,
+		received: append([]byte(nil), buf[valueStart:]...), size: size, method: attempt.request.method, closeAfter: outcome.Close}
+	up.detachFromLoop()
+	attempt.request.finished = true // it is counted when the value ends
+	up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
+	attempt.request.slot.request = nil
+	attempt.request.slot.largeRead = read
+	if !client.detached {
+		client.flushReplies()
+	}
+	return true
+}
+
+// detachFromLoop takes a server connection off the loop; it stays counted.
+func (up *upstream) detachFromLoop() {
+	up.detached = true
+	up.r.connCount++
+	up.conn.SetContext(nil)
+}
+
+// discard drops a value whose client is gone.
+func (l *largeRead) discard() {
+	_ = os.NewFile(uintptr(l.serverDescriptor), "").Close()
+	l.upstream.detachedConnClosed()
+}
+
+// detachedConnClosed updates the counts when a connection off the loop has been closed.
+func (up *upstream) detachedConnClosed() {
+	up.r.connCount--
+	up.r.serverConnCount--
+	up.detached = false
+	up.r.dialForWaiting()
+}
+
+// detach takes the client off the loop for the large value that is next in its reply order.
+func (c *client) detach() {
+	c.detachPending = false
+	if c.conn == nil || c.detached || len(c.slots) == 0 || c.slots[0].largeRead == nil {
+		return
+	}
+	if c.conn.OutboundBuffered() > 0 { // earlier replies have not been written yet
+		c.detachPending = true
+		c.r.after(c.r.limits.LargeValueRetryInterval, c.detach)
+		return
+	}
+	l := c.slots[0].largeRead
+	fd, err := c.conn.Dup()
+	if err != nil {
+		c.r.log.WithError(err).Warn("large value cannot be forwarded")
+		c.r.close(c.conn)
+		return
+	}
+	c.slots = c.slots[1:]
+	c.detachedInput = append([]byte(nil), c.unreadInput()...)
+	conn := c.conn
+	c.detachFromLoop()
+	c.r.close(conn)
+	go l.start(fd)
+}
+
+// detachFromLoop takes the client's connection off the loop, where a duplicate of its descriptor continues; it
+// stays counted. The caller closes the connection before gnet reads from it again.
+func (c *client) detachFromLoop() {
+	c.conn.SetContext(nil)
+	c.detached, c.conn = true, nil
+	c.r.detachedClients++
+	c.r.connCount++
+	delete(c.r.clients, c)
+}
+
+// reattach returns the client to the loop and writes the replies that are ready.
+func (c *client) reattach(conn gnet.Conn) {
+	r := c.r
+	c.arrivalTimes = arrivalTimes{}
+	c.arrivalTimes.noteUnread(len(c.detachedInput), c.lastActivity) // this input arrived before the connection left the loop
+	c.conn, c.detached, c.carriedLargeRead, c.lastActivity = conn, false, true, r.clock()
+	r.detachedClients--
+	r.connCount-- // it stayed counted while it was off the loop
+	r.clients[c] = struct{}{}
+	c.flushReplies()
+	if c.conn != nil && !c.closeAfterReplies && len(c.detachedInput) > 0 {
+		r.runAsync(c.resumeReading)
+	}
+	if r.closingClients || r.operator.closingClients || r.fleet.outOfService != "" || r.takeover.handingOver {
+		r.queueBatch()
+	}
+}
+
+// detachedConnLost finishes a client whose connection ended while it was off the loop.
+func (c *client) detachedConnLost() {
+	c.r.detachedClients--
+	c.r.connCount--
+	c.detached = false
+	delete(c.r.clients, c)
+	c.onClose(false)
+}
+
+var chunkPool = sync.Pool{New: func() any { return new([]byte) }}
+
+// connFromDescriptor returns a connection for a descriptor, which it closes.
+func connFromDescriptor(fd int) (net.Conn, error) {
+	f := os.NewFile(uintptr(fd), "")
+	defer f.Close()
+	return net.FileConn(f)
+}
+
+// duplicateDescriptor duplicates a descriptor. (The standard library's File method would make the connection
+// blocking.)
+func duplicateDescriptor(c syscall.Conn) (fd int, err error) {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return -1, err
+	}
+	e := raw.Control(func(of uintptr) { fd, err = unix.FcntlInt(of, unix.F_DUPFD_CLOEXEC, 0) })
+	return fd, errors.Join(e, err)
+}
+
+// start runs off the loop and copies the value. The client's connection is closed unless the whole value has been
+// written.
+func (l *largeRead) start(clientDescriptor int) {
+	client, err := connFromDescriptor(clientDescriptor)
+	server, serverErr := connFromDescriptor(l.serverDescriptor)
+	if err = errors.Join(err, serverErr); err != nil {
+		l.r.log.WithError(err).Warn("large value cannot be forwarded")
+	}
+	n := min(len(l.received), l.size)
+	head := strconv.AppendInt([]byte{'$'}, int64(l.size), 10)
+	l.pending, l.remaining, l.received = append(append(head, "\r\n"...), l.received[:n]...), l.size-n, l.received[n:]
+	l.clientConn, l.serverConn = client, server
+	if err != nil {
+		l.abort(err)
+		return
+	}
+	l.r.runAsync(func() {
+		l.r.largeReads[l] = struct{}{}
+		l.pollClientGone()
+	})
+	l.forward()
+}
+
+// pollClientGone checks, while the client has open requests behind the value, whether it has closed its
+// connection. The goroutine notices only at its next write, and until then attempts for those requests used to go
+// on.
+func (l *largeRead) pollClientGone() {
+	hasOpenRequests := slices.ContainsFunc(l.client.slots, func(s *slot) bool { return s.request != nil && !s.request.finished })
+	if !l.client.detached || !hasOpenRequests {
+		return
+	}
+	gone := false // an error means that this process has closed the connection: it is on its way back to the loop
+	if raw, err := l.clientConn.(syscall.Conn).SyscallConn(); err == nil {
+		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
+	}
+	if gone {
+		for _, s := range l.client.slots {
+			if s.request != nil {
+				l.r.clientLeft(s.request)
+			}
+		}
+		return
+	}
+	l.r.after(l.r.limits.ClientGoneCheckInterval, l.pollClientGone)
+}
+
+var errHandoverStop = errors.New("stopped for the handover to another process")
+
+// forward copies the rest of the value and returns both connections to the loop.
+func (l *largeRead) forward() {
+	r := l.r
+	err := l.copyValue()
+	if err == errHandoverStop {
+		r.runAsync(l.handOver)
+		return
+	}
+	if err != nil {
+		l.abort(err)
+		return
+	}
+	r.runAsync(func() {
+		delete(r.largeReads, l)
+		r.countOutcome(l.method, wire.Served)
+	})
+	r.enroll(l.clientConn, l.client, l.client.detachedConnLost)
+	if !l.closeAfter && l.readTrailer(l.serverConn) {
+		r.enroll(l.serverConn, l.upstream, l.upstream.detachedConnClosed)
+		return
+	}
+	l.serverConn.Close()
+	r.runAsync(l.upstream.detachedConnClosed)
+}
+
+// abort ends a value that cannot be completed. Its length has been sent, so no client takes it for complete.
+func (l *largeRead) abort(cause error) {
+	l.r.log.WithError(cause).Debug("large value aborted")
+	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
+		if c != nil {
+			c.Close()
+		}
+	}
+	l.r.runAsync(func() {
+		delete(l.r.largeReads, l)
+		l.r.countOutcome(l.method, wire.Failed)
+		l.upstream.detachedConnClosed()
+		l.client.detachedConnLost()
+	})
+}
+
+// copyValue copies the rest of the value.
+func (l *largeRead) copyValue() error {
+	r := l.r
+	chunk := chunkPool.Get().(*[]byte)
+	defer chunkPool.Put(chunk)
+	if len(*chunk) != r.limits.LargeValueWindow {
+		*chunk = make([]byte, r.limits.LargeValueWindow)
+	}
+	for {
+		for len(l.pending) > 0 {
+			_ = l.clientConn.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueUnreadTimeout)))
+			if l.stopped.Load() { // checked after setting the deadline, since requestStop sets a deadline, too
+				l.pending = append([]byte(nil), l.pending...)
+				return errHandoverStop
+			}
+			n, err := l.clientConn.Write(l.pending)
+			if l.pending = l.pending[n:]; err != nil && !l.stopped.Load() {
+				return err
+			}
+		}
+		switch {
+		case l.terminated:
+			return nil
+		case l.remaining == 0:
+			l.terminated, l.pending = true, []byte("\r\n")
+			continue
+		}
+		_ = l.serverConn.SetReadDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
+		if l.stopped.Load() {
+			return errHandoverStop
+		}
+		n, err := l.serverConn.Read((*chunk)[:min(l.remaining, r.limits.LargeValueWindow)])
+		if l.pending, l.remaining = (*chunk)[:n], l.remaining-n; err != nil && n == 0 && !l.stopped.Load() {
+			return err
+		}
+	}
+}
+
+// requestStop stops the goroutine between two chunks, once all requests behind the value are answered: this
+// process has to answer the client's pending requests.
+func (l *largeRead) requestStop() {
+	if !l.stopped.Load() && l.client.allAnswered() {
+		l.stopped.Store(true)
+		_ = l.clientConn.SetDeadline(time.Unix(1, 0))
+		_ = l.serverConn.SetDeadline(time.Unix(1, 0))
+	}
+}
+
+func (c *client) allAnswered() bool {
+	return !slices.ContainsFunc(c.slots, func(s *slot) bool { return s.reply == nil })
+}
+
+// largeReadFrame describes a large value to the process that continues it. The field names are part of the format.
+type largeReadFrame struct {
+	Server     string // id in discovery
+	Method     string
+	Pending    []byte // bytes to be written to the client
+	Remaining  int    `json:"Left"` // bytes still to be read from the server
+	CloseAfter bool   `json:"Last"`
+	Terminated bool   `json:"Ended"` // the line end is in Pending, or written
+	Trailing   []byte `json:"Has"`   // bytes read after the value
+	Answers    []byte // replies to write after the value
+	Unread     []byte `json:"Rest"` // input of the client that has not been read
+}
+
+// handOver passes the value on to the successor, or continues here if there is none.
+func (l *largeRead) handOver() {
+	r, t := l.r, &l.r.takeover
+	if !t.handingOver {
+		l.stopped.Store(false)
+		go l.forward()
+		return
+	}
+	message := largeReadFrame{Server: string(r.endpoints.UID(l.upstream.server.id)), Method: r.cfg.Settings.Methods[l.method].Name,
+		Pending: l.pending, Remaining: l.remaining, CloseAfter: l.closeAfter, Terminated: l.terminated, Trailing: l.received, Unread: l.client.detachedInput}
+	for _, s := range l.client.slots {
+		message.Answers = append(message.Answers, s.reply...)
+	}
+	text, err := json.Marshal(message)
+	var fds []int
+	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
+		fd, e := duplicateDescriptor(c.(*net.TCPConn))
+		if err = errors.Join(err, e); e == nil {
+			fds = append(fds, fd)
+		}
+	}
+	if err != nil {
+		for _, fd := range fds {
+			unix.Close(fd)
+		}
+		go l.abort(err)
+		return
+	}
+	l.clientConn.Close()
+	l.serverConn.Close()
+	delete(r.largeReads, l)
+	r.counts.Requests-- // the successor counts it
+	r.detachedClients--
+	r.serverConnCount--
+	if l.client.hasSentRequest {
+		r.requestingClients--
+	}
+	t.unsentFrames++
+	t.outgoing <- outgoingFrame{handover.Frame{Kind: handover.LargeValue, Body: text, FDs: fds}}
+}
+
+// adoptLargeRead continues a large value that another process began.
+func (r *Router) adoptLargeRead(f handover.Frame) {
+	var message largeReadFrame
+	err := json.Unmarshal(f.Body, &message)
+	clientConn, err1 := connFromDescriptor(f.FDs[0])
+	serverConn, err2 := connFromDescriptor(f.FDs[1])
+	if err = errors.Join(err, err1, err2); err != nil {
+		r.log.WithError(err).Warn("large value of the previous process cannot be adopted")
+		return // what remains of it ends with the process
+	}
+	r.runAsync(func() {
+		method := r.methods[message.Method]
+		s := &server{protocol: r.cache}
+		if id, known := r.endpoints.ID(discovery.UID(message.Server)); known && r.servers[id] != nil {
+			s = r.servers[id]
+		}
+		client := &client{r: r, detached: true, hasSentCommand: true, hasReceived: true, detachedInput: message.Unread}
+		if len(message.Answers) > 0 {
+			client.slots = []*slot{{reply: message.Answers}}
+		}
+		read := &largeRead{r: r, client: client, upstream: &upstream{r: r, server: s, addr: s.addr, detached: true},
+			method: method, clientConn: clientConn, serverConn: serverConn,
+			pending: message.Pending, remaining: message.Remaining, closeAfter: message.CloseAfter, terminated: message.Terminated, received: message.Trailing}
+		r.counts.Requests++
+		r.detachedClients++
+		r.serverConnCount++
+		r.connCount += 2
+		r.largeReads[read] = struct{}{}
+		go read.forward()
+	})
+}
+
+// readTrailer reads what follows the value and reports whether the connection can carry another attempt.
+func (l *largeRead) readTrailer(server net.Conn) bool {
+	_ = server.SetDeadline(time.Now().Add(toDuration(l.r.limits.LargeValueStallTimeout)))
+	for {
+		complete, keep, err := l.upstream.server.protocol.Behind(l.received)
+		if err != nil || complete {
+			_ = server.SetDeadline(time.Time{})
+			return err == nil && keep
+		}
+		buffer := make([]byte, 4096)
+		n, err := server.Read(buffer)
+		if l.received = append(l.received, buffer[:n]...); err != nil {
+			return false
+		}
+	}
+}
+
+// enroll adds a connection to the loop with handler p; failed runs on the loop.
+func (r *Router) enroll(c net.Conn, p connHandler, failed func()) {
+	_ = c.SetDeadline(time.Time{})
+	enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), p), c)
+	if err != nil {
+		c.Close()
+	} else {
+		err = (<-enrolled).Err
+	}
+	if err != nil {
+		r.runAsync(failed)
+	}
+}
--- /dev/null
+++ b/internal/router/large_write.go
@@ -0,0 +1,293 @@
+package router
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"spurtrestle/core/clock"
+	"spurtrestle/core/routing"
+	"spurtrestle/internal/resp"
+	"spurtrestle/internal/wire"
+	"spurtrestle/internal/wire/resp2"
+)
+
+// largeWrite is the value of a large write on its way from a client to a server. As with largeRead, both
+// connections leave the loop; the client's does so at the head of the command, so that no more is read than can be
+// passed on.
+type largeWrite struct {
+	r                *Router
+	client           *client
+	request          *pendingRequest // nil: refused at its head
+	clientDescriptor int
+	received         []byte // bytes of the value read so far
+	size             int
+
+	started bool // a goroutine reads the value
+	mu      sync.Mutex
+	conns   []net.Conn // owned by the goroutine; the loop may interrupt them
+}
+
+// startLargeWrite handles the head of a write whose value exceeds the limit for values held in memory. ok is false
+// if this is no such head; if away is true, the caller closes the client's connection, which continues off the
+// loop.
+func (c *client) startLargeWrite(buf []byte) (ok, away bool) {
+	r := c.r
+	words, at, size, ok := resp.LongCommand(buf, c.words, r.limits.RESP)
+	if !ok || len(words) != 4 || string(bytes.ToUpper(words[0])) != "CACHE.SET" {
+		return false, false
+	}
+	c.partialSince = 0
+	if c.largeWriteNext = !c.hasNoPendingReplies(); c.largeWriteNext {
+		return true, false // requests before it must not wait for it
+	}
+	fd, err := c.conn.Dup()
+	if err != nil {
+		r.log.WithError(err).Warn("large value cannot be read")
+		return false, false
+	}
+	b := &largeWrite{r: r, client: c, clientDescriptor: fd, size: size, received: append([]byte(nil), buf[at:]...)}
+	request, event, timeout, valid := c.parseRequest(words, true)
+	slot := &request.slot
+	c.slots = append(c.slots, slot)
+	c.detachFromLoop()
+	c.detachedInput = nil
+	if !valid {
+		slot.reply = refusedRequestReply // it is written after the value has been read
+		b.startGoroutine(b.discardValue)
+		return true, true
+	}
+	request.largeWrite, b.request, slot.request = b, request, request
+	event.SingleAttempt = true
+	r.admitRequest(request, event, timeout, c.lastActivity)
+	c.countRequester()
+	return true, true
+}
+
+// finishEarly answers a write that ended before its value was sent: the reply is written after the value has been
+// read.
+func (b *largeWrite) finishEarly(a wire.Answer) {
+	b.client.fillSlot(&b.request.slot, resp2.AppendAnswer(nil, a))
+	if !b.started {
+		b.startGoroutine(b.discardValue)
+	}
+}
+
+func (b *largeWrite) startGoroutine(f func(client net.Conn) bool) {
+	b.started = true
+	go func() {
+		client, err := connFromDescriptor(b.clientDescriptor)
+		if err != nil {
+			b.r.runAsync(b.client.detachedConnLost)
+			return
+		}
+		b.registerConn(client)
+		if f(client) {
+			b.r.enroll(client, b.client, b.client.detachedConnLost)
+			return
+		}
+		client.Close()
+		b.r.runAsync(b.client.detachedConnLost)
+	}()
+}
+
+// registerConn records a connection so that the loop can interrupt it.
+func (b *largeWrite) registerConn(c net.Conn) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.conns = append(b.conns, c)
+}
+
+// interrupt makes the goroutine's reads and writes fail, since nobody waits for their result.
+func (b *largeWrite) interrupt() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, c := range b.conns {
+		_ = c.SetDeadline(time.Unix(1, 0))
+	}
+}
+
+// discardValue reads the value to its end; it returns false if the client ended before that, or the command is
+// malformed.
+func (b *largeWrite) discardValue(client net.Conn) bool { return b.readValue(client, func([]byte) {}) }
+
+// readValue passes the value to write in chunks, and reads the line end after it.
+func (b *largeWrite) readValue(client net.Conn, write func([]byte)) bool {
+	remaining := b.size + 2
+	// The last byte of the value is held back until the line end has arrived: a malformed command must not run.
+	var heldBack []byte
+	consume := func(data []byte) {
+		n := min(len(data), max(0, remaining-3))
+		write(data[:n])
+		heldBack = append(heldBack, data[n:]...)
+		remaining -= len(data)
+	}
+	n := min(len(b.received), remaining)
+	consume(b.received[:n])
+	b.client.detachedInput = b.received[n:] // the client is off the loop: nothing else accesses it
+	chunk := chunkPool.Get().(*[]byte)
+	defer chunkPool.Put(chunk)
+	if len(*chunk) != b.r.limits.LargeValueWindow {
+		*chunk = make([]byte, b.r.limits.LargeValueWindow)
+	}
+	for remaining > 0 {
+		_ = client.SetReadDeadline(time.Now().Add(toDuration(b.r.limits.LargeValueStallTimeout)))
+		n, err := client.Read((*chunk)[:min(remaining, b.r.limits.LargeValueWindow)])
+		if n > 0 {
+			consume((*chunk)[:n])
+		}
+		if err != nil && remaining > 0 {
+			return false
+		}
+	}
+	if string(heldBack[1:]) != "\r\n" {
+		return false
+	}
+	// The client's disconnect may lie behind the value in its socket, unseen until now.
+	if raw, err := client.(syscall.Conn).SyscallConn(); err == nil {
+		gone := false
+		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
+		if gone {
+			return false
+		}
+	}
+	write(heldBack[:1])
+	return true
+}
+
+// scheduleSend starts to send on the loop's next round, outside of any callback of the server's connection.
+func (b *largeWrite) scheduleSend(attempt *activeAttempt) {
+	up := attempt.conn
+	b.r.runAsync(func() {
+		if attempt.conn == up { // otherwise it has ended meanwhile
+			b.forward(attempt)
+		}
+	})
+}
+
+// peerHungUp reports whether the other end of a descriptor sends no more; input that arrived earlier may still be
+// unread.
+func peerHungUp(fd int) bool {
+	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	ready, err := unix.Poll(pollFDs, 0)
+	return err == nil && ready > 0
+}
+
+// forward sends the value to the chosen server and handles its response.
+func (b *largeWrite) forward(attempt *activeAttempt) {
+	r, up := b.r, attempt.conn
+	if peerHungUp(b.clientDescriptor) { // off the loop, nothing has noticed that the client left while the write waited
+		r.clientLeft(b.request)
+		r.abortAttempt(attempt, routing.NotSent)
+		b.startGoroutine(b.discardValue)
+		return
+	}
+	fd, err := up.conn.Dup()
+	if err != nil {
+		r.log.WithError(err).Warn("large value cannot be forwarded")
+		r.abortAttempt(attempt, routing.ConnectError)
+		return
+	}
+	r.cancel(attempt.timer) // its time limit starts when the value has been sent
+	conn := up.conn
+	up.detachFromLoop()
+	r.close(conn)
+	// The router waits its full time limit once the value has been sent, but no longer than the client does.
+	attempt.startedAt = r.clock()
+	head, tail := up.server.protocol.AppendLong(nil, wire.NewAttempt(&b.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), b.size)
+	b.startGoroutine(func(client net.Conn) bool { return b.sendToServer(client, attempt, up, fd, head, tail) })
+}
+
+// sendToServer runs on the write's goroutine. It sends head, the value and tail to the server, and handles the
+// response. It returns false if the client's connection is of no more use.
+func (b *largeWrite) sendToServer(client net.Conn, attempt *activeAttempt, up *upstream, serverDescriptor int, head []byte, tail string) bool {
+	r := b.r
+	server, err := connFromDescriptor(serverDescriptor)
+	if err != nil {
+		r.runAsync(func() {
+			r.endAttempt(attempt, routing.ConnectError, nil)
+			up.detachedConnClosed()
+		})
+		return b.discardValue(client)
+	}
+	b.registerConn(server)
+	write := func(data []byte) {
+		if err == nil {
+			_ = server.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
+			_, err = server.Write(data)
+		}
+	}
+	write(head)
+	complete := b.readValue(client, write) && err == nil
+	if complete {
+		write([]byte(tail))
+	}
+	if complete = complete && err == nil; !complete { // the last byte was not sent, so the write has never run
+		server.Close()
+		done := make(chan struct{})
+		r.runAsync(func() {
+			r.endAttempt(attempt, routing.ConnectError, nil)
+			up.detachedConnClosed()
+			close(done)
+		})
+		<-done
+		return err != nil // otherwise the client's connection failed
+	}
+	b.finishSent(server, attempt, up)
+	return true
+}
+
+// finishSent waits for the response to a write that was sent completely, and returns the connection to the loop.
+func (b *largeWrite) finishSent(server net.Conn, attempt *activeAttempt, up *upstream) {
+	r := b.r
+	sent := time.Now()
+	outcome, keep := b.readResponse(server, up.server.protocol, sent.Add(toDuration(attempt.timeout)))
+	done := make(chan struct{})
+	r.runAsync(func() {
+		defer close(done)
+		r.counts.ForwardedAttempts++
+		attempt.fullySent, attempt.startedAt = true, r.clock()-clock.Time(time.Since(sent)/time.Microsecond) // when it was sent
+		r.handleOutcome(attempt, outcome)
+		if !keep {
+			up.detachedConnClosed()
+		}
+	})
+	<-done // the bytes that were read are no longer needed
+	if keep {
+		r.enroll(server, up, up.detachedConnClosed)
+	} else {
+		server.Close()
+	}
+}
+
+// readResponse reads the server's response.
+func (*largeWrite) readResponse(server net.Conn, protocol wire.Back, deadline time.Time) (outcome wire.Outcome, keep bool) {
+	_ = server.SetReadDeadline(deadline)
+	var received []byte
+	buffer := make([]byte, 4096)
+	for {
+		n, err := server.Read(buffer)
+		received = append(received, buffer[:n]...)
+		outcome, used, keep, broken := protocol.Read(received, err == io.EOF) // a reset does not end an answer without a length
+		switch {
+		case broken != nil:
+			return wire.Outcome{Status: routing.Failed}, false
+		case used > 0:
+			return outcome, keep && used == len(received) && err == nil
+		case err != nil && isTimeout(err):
+			return wire.Outcome{Status: routing.TimedOut}, false
+		case err != nil:
+			return wire.Outcome{Status: routing.Reset}, false
+		}
+	}
+}
+
+func isTimeout(err error) bool {
+	netErr, isNetErr := err.(net.Error)
+	return isNetErr && netErr.Timeout()
+}
--- a/internal/router/memory_test.go
+++ b/internal/router/learned_state_test.go
@@ -11,25 +11,25 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// What another service's router has learned is left alone, and a line names both.
-func TestLearnedByAnotherService(t *testing.T) {
-	l, _, _ := newNoted(t)
-	var said strings.Builder
-	l.r.log.SetOutput(&said)
-	l.r.Remember(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
+// The learned state of another service's router is ignored, and a log line names both.
+func TestStateOfAnotherServiceIsIgnored(t *testing.T) {
+	l, _, _ := newConnectedOrigin(t)
+	var logged strings.Builder
+	l.r.log.SetOutput(&logged)
+	l.r.ConfigureSnapshots(&snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: "tile", Latency: 7000}},
 		Servers: []snapshot.Server{{UID: "o"}}}, 1e6, func(snapshot.State) {})
-	l.r.now = l.r.clock()
-	l.r.remind()
-	if len(l.r.memory.waiting) > 0 || !strings.Contains(said.String(), "methods tile, and this router serves one with pay") {
-		t.Errorf("%d servers of it are known; %s", len(l.r.memory.waiting), said.String())
+	l.r.batchTime = l.r.clock()
+	l.r.restoreLearned()
+	if len(l.r.learned.unlistedServers) > 0 || !strings.Contains(logged.String(), "methods tile, and this router serves one with pay") {
+		t.Errorf("restored %d servers of another service; logged %s", len(l.r.learned.unlistedServers), logged.String())
 	}
 }
 
-// What one router knew the next begins with, for the servers that its lists name and by their names.
-func TestRemembers(t *testing.T) {
-	l, client, _ := newNoted(t)
-	client.asks(l.r, "r1")
-	l.rounds()
+// A router starts with what an earlier process learned, for the servers in its endpoint lists, matched by id.
+func TestLearnedStateIsRestored(t *testing.T) {
+	l, client, _ := newConnectedOrigin(t)
+	client.sendWrites(l.r, "r1")
+	l.runQueued()
 	old := snapshot.State{Version: snapshot.Version, Methods: []snapshot.Method{{Name: l.r.cfg.Settings.Methods[0].Name, Latency: 7000}},
 		Knowledge: routing.Knowledge{CapturedAt: l.r.clock(), ObservedFor: 60e6, CacheLatency: routing.LatencySummary{Recent: 3000, Mean: 3000, Fastest: 2000, Samples: 32}}}
 	for i := range 3 {
@@ -37,9 +37,9 @@
 			Latency: routing.LatencySummary{Recent: clock.Time(1000 * (i + 1)), Mean: 1, Fastest: 1, Samples: 32}}})
 	}
 	r := l.r
-	r.Remember(&old, 1e6, func(snapshot.State) {})
-	r.now = r.clock()
-	r.remind()
+	r.ConfigureSnapshots(&old, 1e6, func(snapshot.State) {})
+	r.batchTime = r.clock()
+	r.restoreLearned()
 	list := func(uids ...string) {
 		body := `{"rev":9,"all":true,"targets":[`
 		for i, uid := range uids {
@@ -48,12 +48,12 @@
 			}
 			body += fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","model":"cache","state":"active"}`, uid)
 		}
-		got, err := r.book.Apply([]byte(body + "]}"))
+		got, err := r.endpoints.Apply([]byte(body + "]}"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.listCame(got)
-		l.rounds()
+		r.applyEndpoints(got)
+		l.runQueued()
 	}
 	known := func() map[string]clock.Time {
 		out := map[string]clock.Time{}
@@ -66,33 +66,33 @@
 	if got := known(); got["uid-0"] != 1000 || len(got) != 1 {
 		t.Errorf("with its first list the router knows %v", got)
 	}
-	list("uid-0", "uid-2", "other") // named later: what is known of it has waited
+	list("uid-0", "uid-2", "other") // listed later: its knowledge was kept until then
 	if got := known(); got["uid-2"] != 3000 || len(got) != 2 {
 		t.Errorf("with its next list the router knows %v", got)
 	}
 	if m := r.State().Methods[0].Latency; m < 6900 || m > 7000 {
-		t.Errorf("the method's time is %v", m)
+		t.Errorf("got method latency %v, want 6900 to 7000", m)
 	}
 }
 
-// States are handed over again and again, and not at the same moments by all routers.
-func TestHandsOver(t *testing.T) {
-	l, _, _ := newNoted(t)
+// Snapshots are submitted repeatedly.
+func TestSnapshotsAreSubmittedPeriodically(t *testing.T) {
+	l, _, _ := newConnectedOrigin(t)
 	r := l.r
 	n := 0
-	r.Remember(nil, 20e3, func(s snapshot.State) { n++ })
-	r.remind()
+	r.ConfigureSnapshots(nil, 20e3, func(snapshot.State) { n++ })
+	r.restoreLearned()
 	for until := time.Now().Add(2 * time.Second); n < 3 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-		r.fire(r.clock())
+		r.fireTimers(r.clock())
 	}
 	if n < 3 {
-		t.Errorf("%d states were handed over", n)
+		t.Errorf("got %d snapshots, want at least 3", n)
 	}
 }
 
-// BenchmarkState is what the loop pays for handing over what it knows of 150 servers: at most 100 us are granted.
+// BenchmarkState measures how long the loop is occupied by a snapshot for 150 servers; the budget is 100 us.
 func BenchmarkState(b *testing.B) {
-	l, _, _ := newNoted(b)
+	l, _, _ := newConnectedOrigin(b)
 	r := l.r
 	body := `{"rev":9,"all":true,"targets":[`
 	var known []routing.ServerKnowledge
@@ -102,7 +102,7 @@
 		}
 		body += fmt.Sprintf(`{"uid":"server-%d","endpoint":"127.0.0.1:1","model":"cache","state":"active"}`, i)
 	}
-	got, err := r.book.Apply([]byte(body + "]}"))
+	got, err := r.endpoints.Apply([]byte(body + "]}"))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -24,125 +24,140 @@
 	"spurtrestle/internal/snapshot"
 )
 
-// takeover is how this process follows another as the router, and is followed by the next. The fields belong to the
-// loop, but for those noted.
+// takeover holds how this process replaces another process of the router, and is replaced by the next. The fields
+// belong to the loop, except where noted.
 type takeover struct {
-	dir, name string // of the socket by which the processes find each other; before Run
-	ln        *net.TCPListener
-	unix      *net.UnixListener
-	asked     *asked         // of the old process, as it last knew; nil: not told
-	old, heir *handover.Conn // the processes before and behind this one, while they live
-	accepting bool           // clients come to this process
-	coming    atomic.Int32   // accepted, and not with the loop yet
-	findable  bool           // the next process can find it, or was to
-	handing   bool           // its clients are passed on to the heir
-	handedOn  bool           // they were once, also if the heir has ended since
-	out       chan passed    // to the heir; room for all clients
-	unsent    int            // passed, and not with the heir yet
-	others    [2]int         // descriptors that the old one and the heir hold
-	inherit   func([]byte)   // takes what the old one leaves; before Run
+	socketDir, socketName  string // of the socket by which the processes find each other; set before Run
+	listener               *net.TCPListener
+	socket                 *net.UnixListener
+	operatorFrame          *operatorFrame     // the predecessor's latest; nil: none was received
+	predecessor, successor *handover.Conn     // the processes before and after this one, while they are alive
+	accepting              bool               // clients are accepted by this process
+	enrolling              atomic.Int32       // accepted connections that are not enrolled in the loop yet
+	discoverable           bool               // awaitSuccessors has been started, so that the next process can find this one
+	handingOver            bool               // clients are being handed over to the successor
+	hasHandedOver          bool               // handingOver was set once, even if that successor has ended since
+	outgoing               chan outgoingFrame // frames to the successor; has room for all clients
+	unsentFrames           int                // frames queued but not yet sent to the successor
+	peerDescriptors        [2]int             // descriptors held by the predecessor and by the successor
+	onTransfer             func([]byte)       // receives the predecessor's transfers; set before Run
 }
 
-// asked is what operators want, as one process tells it to another while both live: a file may be full, or spoilt.
-type asked struct {
+// operatorFrame carries what operators have requested from one process to another while both are alive, since the
+// file that holds it may be damaged or not writable.
+type operatorFrame struct {
 	operatorstate.State
-	Unkept bool // the file does not have it
-	Whole  bool // nothing of the part of what all routers may send is lent
+	NotPersisted    bool `json:"Unkept"` // the file does not contain it
+	NoSharesGranted bool `json:"Whole"`  // no part of this router's share of the fleet's limits is lent
 }
 
-// passed is a client's connection on its way to the heir.
-type passed struct {
+// outgoingFrame carries a client's connection to the successor.
+type outgoingFrame struct {
 	handover.Frame
 }
 
-// Join finds the process that this one replaces, if there is one, and takes its listener and what it knows. Call it
-// before Run. An error: the process that serves there is another service's, and neither its clients nor its address is ours.
-func (r *Router) Join(dir string) error {
-	const patience = time.Second
+// ConnectPredecessor finds the process that this one replaces, if there is one, and takes over its listener and
+// its learned state. Call it before Run. It returns an error if the process that serves there belongs to another
+// service: neither its clients nor its address are this router's.
+func (r *Router) ConnectPredecessor(dir string) error {
+	const frameTimeout = time.Second
 	t := &r.takeover
-	t.dir, t.name = dir, "spurtrestle-"+r.cfg.Listen+".sock"
-	old, err := handover.Dial(t.dir, t.name, patience)
+	t.socketDir, t.socketName = dir, "spurtrestle-"+r.cfg.Listen+".sock"
+	predecessor, err := handover.Dial(t.socketDir, t.socketName, frameTimeout)
 	if err != nil {
-		return nil // nobody: the usual start
+		return nil // no predecessor: the usual start
 	}
-	var state *snapshot.State
-	var another error
-	if err = old.Send(handover.Frame{Kind: handover.Hello}); err == nil {
-		for err == nil && state == nil {
-			var f handover.Frame
-			if f, err = old.Receive(patience); err != nil {
-				break
-			}
-			switch f.Kind {
-			case handover.Listener:
-				var ln net.Listener
-				if ln, err = listenerOf(f); err == nil {
-					t.ln, _ = ln.(*net.TCPListener)
-				}
-			case handover.OperatorState:
-				t.asked = new(asked)
-				err = json.Unmarshal(f.Body, t.asked)
-			case handover.Snapshot:
-				var s snapshot.State
-				if s, err = snapshot.Decode(f.Body); err == nil {
-					another = sameService(s, r.cfg.Settings)
-					err = another
-				}
-				if err == nil {
-					state = &s
-				}
-			}
-		}
-	}
-	if err == nil && (t.ln == nil || t.ln.Addr().String() != r.cfg.Listen) {
-		err = errors.New("its listener is another one")
+	state, serviceErr, err := r.receiveFromPredecessor(predecessor, frameTimeout)
+	if err == nil && (t.listener == nil || t.listener.Addr().String() != r.cfg.Listen) {
+		err = errors.New("its listener has another address")
 	}
 	if err != nil {
-		if t.ln != nil {
-			t.ln.Close()
-			t.ln = nil
+		if t.listener != nil {
+			t.listener.Close()
+			t.listener = nil
 		}
-		old.Close()
-		if another != nil {
-			return &configerror.Error{Field: "listen", Problem: fmt.Sprintf("a process serves at %s, but %v", r.cfg.Listen, another),
-				Remedy: "give this one an address or a TMPDIR of its own", Cause: another}
+		predecessor.Close()
+		if serviceErr != nil {
+			return &configerror.Error{Field: "listen", Problem: fmt.Sprintf("a process serves at %s, but %v", r.cfg.Listen, serviceErr),
+				Remedy: "give this one an address or a TMPDIR of its own", Cause: serviceErr}
 		}
 		r.log.WithError(err).Warn("a process that this one replaces does not hand over; both listen")
 		return nil
 	}
-	t.old = old
-	if r.memory == nil {
-		r.memory = &memory{learned: state, waiting: map[discovery.UID]routing.ServerKnowledge{}}
+	t.predecessor = predecessor
+	if r.learned == nil {
+		r.learned = &learnedState{restored: state, unlistedServers: map[discovery.UID]routing.ServerKnowledge{}}
 	}
 	r.log.Info("replacing a process that serves")
 	return nil
 }
 
-func listenerOf(f handover.Frame) (net.Listener, error) {
+// receiveFromPredecessor greets the predecessor and applies its frames up to its learned state. serviceErr is not
+// nil if that state is another service's.
+func (r *Router) receiveFromPredecessor(predecessor *handover.Conn, frameTimeout time.Duration) (state *snapshot.State, serviceErr, err error) {
+	if err = predecessor.Send(handover.Frame{Kind: handover.Hello}); err == nil {
+		for err == nil && state == nil {
+			var f handover.Frame
+			if f, err = predecessor.Receive(frameTimeout); err != nil {
+				break
+			}
+			state, serviceErr, err = r.applyPredecessorFrame(f)
+		}
+	}
+	return state, serviceErr, err
+}
+
+// applyPredecessorFrame applies one of the frames that precede the handover; state is not nil for the learned state.
+func (r *Router) applyPredecessorFrame(f handover.Frame) (state *snapshot.State, serviceErr, err error) {
+	t := &r.takeover
+	switch f.Kind {
+	case handover.Listener:
+		var ln net.Listener
+		if ln, err = listenerFromFrame(f); err == nil {
+			t.listener, _ = ln.(*net.TCPListener)
+		}
+	case handover.OperatorState:
+		t.operatorFrame = new(operatorFrame)
+		err = json.Unmarshal(f.Body, t.operatorFrame)
+	case handover.Snapshot:
+		var s snapshot.State
+		if s, err = snapshot.Decode(f.Body); err == nil {
+			serviceErr = checkSameService(s, r.cfg.Settings)
+			err = serviceErr
+		}
+		if err == nil {
+			state = &s
+		}
+	}
+	return state, serviceErr, err
+}
+
+// listenerFromFrame returns the listener whose descriptor a frame carries.
+func listenerFromFrame(f handover.Frame) (net.Listener, error) {
 	if len(f.FDs) != 1 {
 		f.CloseDescriptors()
-		return nil, errors.New("no listener came")
+		return nil, errors.New("the frame contains no listener")
 	}
 	file := os.NewFile(uintptr(f.FDs[0]), "")
 	defer file.Close()
 	return net.FileListener(file)
 }
 
-// listen takes the clients' address, unless the old process has given it.
+// listen opens the listener, unless the predecessor has passed it on.
 func (r *Router) listen() error {
 	t := &r.takeover
-	if t.ln != nil {
+	if t.listener != nil {
 		return nil
 	}
 	ln, err := Listen(r.cfg.Listen)
 	if err != nil {
 		return &configerror.Error{Field: "listen", Problem: err.Error(), Cause: err}
 	}
-	t.ln = ln.(*net.TCPListener)
+	t.listener = ln.(*net.TCPListener)
 	return nil
 }
 
-// Listen takes an address that two processes of a router may share.
+// Listen opens a listener on an address that two processes of a router may share.
 func Listen(addr string) (net.Listener, error) {
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
@@ -151,49 +166,51 @@
 	return shared.Listen(context.Background(), "tcp", addr)
 }
 
-// takeClients begins to take clients; an old process passes on those that it has from now on.
-func (r *Router) takeClients() {
+// startAccepting starts to accept clients; the predecessor hands its clients over from then on.
+func (r *Router) startAccepting() {
 	t := &r.takeover
-	if t.accepting || t.handing || r.closing {
+	if t.accepting || t.handingOver || r.closingClients {
 		return
 	}
-	if t.old != nil && !r.mayTake() {
-		return // clients are better off where they are, until the old one has left what it holds of the policy
+	if t.predecessor != nil && !r.mayAdmit() {
+		return // clients stay with the predecessor until it has transferred its leases
 	}
 	t.accepting = true
-	_ = t.ln.SetDeadline(time.Time{})
-	go r.accept()
-	r.showUp()
-	if t.old != nil {
+	_ = t.listener.SetDeadline(time.Time{})
+	go r.acceptClients()
+	r.becomeDiscoverable()
+	if t.predecessor != nil {
 		r.log.Info("taking over")
-		t.old.Enqueue(handover.Frame{Kind: handover.Ready}) // where it has ended nothing is to take
+		t.predecessor.Enqueue(handover.Frame{Kind: handover.Ready}) // if the predecessor has ended, there is nothing to take over
 	}
-	r.publish()
+	r.publishStats()
 }
 
-// listKnown: with an old process at work there is time to wait for discovery's own list.
-func (r *Router) listKnown(l routing.EndpointsUpdated) {
-	if r.serving && (r.takeover.old == nil || l.Kind != routing.CachedUpdate) {
-		r.takeClients()
+// afterEndpointsUpdate starts to accept clients once there is a usable server. While the predecessor serves, there
+// is time to wait for discovery's own list instead of a saved one.
+func (r *Router) afterEndpointsUpdate(update routing.EndpointsUpdated) {
+	if r.hasUsableServer && (r.takeover.predecessor == nil || update.Kind != routing.CachedUpdate) {
+		r.startAccepting()
 	}
-	r.showUp()
+	r.becomeDiscoverable()
 }
 
-// showUp lets the next process find this one, once it serves: until it says yes it holds no socket but those of TCP and
-// UDP, since there may be no others, and a refusal must not come before. A process that is told to end is not to be found.
-func (r *Router) showUp() {
-	if t := &r.takeover; t.name != "" && t.accepting && r.serving && !t.findable && !r.draining {
-		t.findable = true
-		go r.awaitHeir(t.handedOn)
+// becomeDiscoverable lets the next process find this one once it serves. Until it is ready, the process holds no
+// sockets but TCP and UDP, since an environment may forbid others, and a failure must not occur before. A process
+// that is draining is not discoverable.
+func (r *Router) becomeDiscoverable() {
+	if t := &r.takeover; t.socketName != "" && t.accepting && r.hasUsableServer && !t.discoverable && !r.draining {
+		t.discoverable = true
+		go r.awaitSuccessors(t.hasHandedOver)
 	}
 }
 
-// accept runs off the loop, until the listener is closed or clients are the heir's.
-func (r *Router) accept() {
-	const pause = 5 * time.Millisecond // where there are no descriptors
-	var under []<-chan struct{}
+// acceptClients runs off the loop until the listener is closed or clients are handed over.
+func (r *Router) acceptClients() {
+	const pause = 5 * time.Millisecond // while no descriptors are available
+	var pendingEnrolls []<-chan struct{}
 	for {
-		c, err := r.takeover.ln.Accept()
+		c, err := r.takeover.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return
@@ -201,279 +218,283 @@
 			time.Sleep(pause)
 			continue
 		}
-		r.takeover.coming.Add(1)
-		enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), &client{r: r, coming: true}), c)
+		r.takeover.enrolling.Add(1)
+		enrolled, err := r.loop.Enroll(gnet.NewContext(context.Background(), &client{r: r, enrolling: true}), c)
 		if err != nil {
-			r.takeover.coming.Add(-1)
+			r.takeover.enrolling.Add(-1)
 			c.Close()
 			return
 		}
 		done := make(chan struct{})
-		go func() { // one that is not enrolled, for want of a descriptor, does not come any more: a drain would wait for it
+		// A connection that is not enrolled, for lack of a descriptor, never arrives; a drain would wait for it.
+		go func() {
 			if (<-enrolled).Err != nil {
-				r.takeover.coming.Add(-1)
+				r.takeover.enrolling.Add(-1)
 			}
 			close(done)
 		}()
-		if under = append(under, done); len(under) >= acceptsAtOnce {
-			<-under[0]
-			under = under[1:]
+		if pendingEnrolls = append(pendingEnrolls, done); len(pendingEnrolls) >= maxPendingEnrolls {
+			<-pendingEnrolls[0]
+			pendingEnrolls = pendingEnrolls[1:]
 		}
 	}
 }
 
-const acceptsAtOnce = 4 // each holds two descriptors until the loop has it
+const maxPendingEnrolls = 4 // each holds two descriptors until it is enrolled
 
-// awaitHeir waits off the loop for processes that are to replace this one, one after the other. One that has handed on and has its
-// clients back, since its successor has ended, leaves the name to a process that answers there: it has replaced the successor.
-func (r *Router) awaitHeir(handedOn bool) {
+// awaitSuccessors waits, off the loop, for processes that are to replace this one, one after another. If this
+// process has its clients back because its successor has ended, and another process answers under the name, that
+// one has replaced the successor and keeps the name.
+func (r *Router) awaitSuccessors(hasHandedOver bool) {
 	t := &r.takeover
-	if handedOn && handover.Answers(t.dir, t.name) {
+	if hasHandedOver && handover.Answers(t.socketDir, t.socketName) {
 		r.log.Warn("handover: another process has replaced the successor, and is the one that the next process finds")
 		return
 	}
-	ln, err := handover.Listen(t.dir, t.name)
+	listener, err := handover.Listen(t.socketDir, t.socketName)
 	if err != nil {
 		r.log.WithError(err).Warn("the next process will not find this one; see that TMPDIR is a folder with room")
 		return
 	}
-	r.execute(func() {
-		if t.unix = ln; r.stopped {
-			ln.Close()
+	r.runAsync(func() {
+		if t.socket = listener; r.stopped {
+			listener.Close()
 		}
 	})
 	for {
-		p, err := handover.Accept(ln)
+		conn, err := handover.Accept(listener)
 		if err != nil {
 			return
 		}
-		r.serveHeir(p)
-		p.Close()
+		r.serveSuccessor(conn)
+		conn.Close()
 	}
 }
 
-// serveHeir speaks to one heir until it ends.
-func (r *Router) serveHeir(p *handover.Conn) {
+// serveSuccessor handles the connection of one successor until it ends.
+func (r *Router) serveSuccessor(conn *handover.Conn) {
 	t := &r.takeover
-	if f, err := p.Receive(time.Second); err != nil || f.Kind != handover.Hello {
+	if frame, err := conn.Receive(time.Second); err != nil || frame.Kind != handover.Hello {
 		return
 	}
-	fd, err := dupOf(t.ln)
+	fd, err := duplicateDescriptor(t.listener)
 	if err != nil {
 		return
 	}
-	err = r.runOnLoop(func() { // queued at once, so that what changes from now on is sent behind it
-		t.heir = p
-		r.shareMemory()
-		p.Enqueue(handover.Frame{Kind: handover.Listener, FDs: []int{fd}})
-		r.sendOperatorState(p)
-		p.Enqueue(handover.Frame{Kind: handover.Snapshot, Body: snapshot.Encode(r.State())})
+	err = r.runOnLoop(func() { // queued on the loop at once, so that later changes are sent after it
+		t.successor = conn
+		r.adjustMemoryLimits()
+		conn.Enqueue(handover.Frame{Kind: handover.Listener, FDs: []int{fd}})
+		r.sendOperatorState(conn)
+		conn.Enqueue(handover.Frame{Kind: handover.Snapshot, Body: snapshot.Encode(r.State())})
 	})
 	if err != nil {
 		unix.Close(fd)
 		return
 	}
-	r.log.Info("another process is to replace this one")
-	defer r.execute(func() { // it is gone: clients are this process's again
+	r.log.Info("a process that is to replace this one has connected")
+	defer r.runAsync(func() { // the successor is gone: this process serves the clients again
 		r.log.Warn("the process that was to replace this one has ended")
-		if t.heir, t.others[1], t.handing = nil, 0, false; t.out != nil {
-			close(t.out)
-			t.out = nil
+		if t.successor, t.peerDescriptors[1], t.handingOver = nil, 0, false; t.outgoing != nil {
+			close(t.outgoing)
+			t.outgoing = nil
 		}
-		r.shareMemory()
+		r.adjustMemoryLimits()
 		if !t.accepting {
-			r.takeClients()
+			r.startAccepting()
 		}
 	})
 	for {
-		f, err := p.Receive(0)
+		frame, err := conn.Receive(0)
 		if err != nil {
 			return
 		}
-		switch f.Kind {
+		switch frame.Kind {
 		case handover.OperatorState:
-			r.receiveOperatorState(f)
+			r.receiveOperatorState(frame)
 		case handover.DescriptorCount:
-			r.heard(1, f)
+			r.setPeerDescriptors(1, frame)
 		case handover.Ready:
-			out := make(chan passed, r.lim.MaxDescriptors)
-			go r.passOn(p, out)
-			r.execute(func() { r.handOn(out) })
+			frames := make(chan outgoingFrame, r.limits.MaxDescriptors)
+			go r.sendFrames(conn, frames)
+			r.runAsync(func() { r.startHandover(frames) })
 		}
 	}
 }
 
-// handOn begins to pass on the clients.
-func (r *Router) handOn(out chan passed) {
+// startHandover starts to hand over the clients.
+func (r *Router) startHandover(frames chan outgoingFrame) {
 	t := &r.takeover
-	r.log.Info("clients are another process's from now on")
-	t.handing, t.handedOn, t.accepting, t.findable, t.out = true, true, false, false, out
-	_ = t.ln.SetDeadline(time.Unix(1, 0)) // what waits to be accepted waits for the heir
-	if t.unix != nil {
-		t.unix.Close() // the next process is the heir's; the name is too
-	}
-	r.tellServing(false)
-	r.publish()
-	r.handingOn()
+	r.log.Info("handing clients over to the next process")
+	t.handingOver, t.hasHandedOver, t.accepting, t.discoverable, t.outgoing = true, true, false, false, frames
+	_ = t.listener.SetDeadline(time.Unix(1, 0)) // connections waiting to be accepted are left to the successor
+	if t.socket != nil {
+		t.socket.Close() // the next process is to find the successor, which also takes the name
+	}
+	r.notifyServing(false)
+	r.publishStats()
+	r.continueHandover()
 }
 
-func (r *Router) handingOn() {
-	if !r.takeover.handing {
+func (r *Router) continueHandover() {
+	if !r.takeover.handingOver {
 		return
 	}
-	r.passClients()
-	for l := range r.passing {
-		l.stop()
+	r.handOverClients()
+	for l := range r.largeReads {
+		l.requestStop()
 	}
 	for _, s := range r.servers {
-		r.closeIdle(s)
+		r.closeIdleConnections(s)
 	}
-	r.after(r.lim.MetricsInterval/2, r.handingOn)
+	r.after(r.limits.MetricsInterval/2, r.continueHandover)
 }
 
-// passClients passes on each client of which nothing is in hand, with what of it is not read yet.
-func (r *Router) passClients() {
+// handOverClients hands over each client without pending commands, with its unread input.
+func (r *Router) handOverClients() {
 	t := &r.takeover
-	for c := range r.clients {
-		if c.over || c.leaving || !c.settled() {
+	for client := range r.clients {
+		if client.closeAfterReplies || client.detachPending || !client.hasNoPendingReplies() {
 			continue
 		}
-		fd, err := c.conn.Dup()
+		fd, err := client.conn.Dup()
 		if err != nil {
-			r.log.WithError(err).Warn("a client cannot be passed on")
+			r.log.WithError(err).Warn("client cannot be handed over")
 			return
 		}
-		c.rest = append([]byte(nil), c.unread()...)
-		delete(r.clients, c)
-		if c.asked {
-			r.askers--
+		client.detachedInput = append([]byte(nil), client.unreadInput()...)
+		delete(r.clients, client)
+		if client.hasSentRequest {
+			r.requestingClients--
 		}
-		c.conn.SetContext(nil)
-		r.close(c.conn)
-		c.conn = nil
-		r.conns++
-		t.unsent++
-		t.out <- passed{Frame: handover.Frame{Kind: handover.Client, Body: c.rest, FDs: []int{fd}}}
+		client.conn.SetContext(nil)
+		r.close(client.conn)
+		client.conn = nil
+		r.connCount++
+		t.unsentFrames++
+		t.outgoing <- outgoingFrame{Frame: handover.Frame{Kind: handover.Client, Body: client.detachedInput, FDs: []int{fd}}}
 	}
 }
 
-// passOn sends off the loop. What cannot be sent comes back.
-func (r *Router) passOn(p *handover.Conn, out chan passed) {
-	for x := range out {
-		err := p.Send(x.Frame)
+// sendFrames sends frames off the loop. Clients that cannot be sent return to this process.
+func (r *Router) sendFrames(conn *handover.Conn, frames chan outgoingFrame) {
+	for frame := range frames {
+		err := conn.Send(frame.Frame)
 		if err == nil {
-			r.execute(func() {
-				r.takeover.unsent--
-				r.conns -= len(x.FDs)
-				x.CloseDescriptors()
-				r.queue()
+			r.runAsync(func() {
+				r.takeover.unsentFrames--
+				r.connCount -= len(frame.FDs)
+				frame.CloseDescriptors()
+				r.queueBatch()
 			})
 			continue
 		}
-		r.execute(func() {
-			r.takeover.unsent--
-			r.conns -= len(x.FDs)
+		r.runAsync(func() {
+			r.takeover.unsentFrames--
+			r.connCount -= len(frame.FDs)
 		})
-		p.Close() // a frame may have gone in part: nothing more is told on it, and clients are this process's again
-		r.takeOver(x.Frame)
+		// A frame may have been sent in part, so the connection is unusable, and this process serves the clients again.
+		conn.Close()
+		r.adoptConnection(frame.Frame)
 	}
 }
 
-// takeOver takes a client that another process had, or was to have, with the big value that is on its way to it.
-func (r *Router) takeOver(f handover.Frame) {
+// adoptConnection adopts a client of another process, or one that could not be handed over, together with a large
+// value that is being streamed to it.
+func (r *Router) adoptConnection(f handover.Frame) {
 	if f.Kind == handover.LargeValue && len(f.FDs) == 2 {
-		r.takeValue(f)
+		r.adoptLargeRead(f)
 		return
 	}
 	if f.Kind != handover.Client || len(f.FDs) != 1 {
 		f.CloseDescriptors()
 		return
 	}
-	c, err := asConn(f.FDs[0])
+	c, err := connFromDescriptor(f.FDs[0])
 	if err != nil {
-		r.log.WithError(err).Warn("a client's connection cannot be taken")
+		r.log.WithError(err).Warn("client connection cannot be adopted")
 		return
 	}
-	r.enroll(c, &client{r: r, rest: f.Body, spoke: true}, func() {})
+	r.enroll(c, &client{r: r, detachedInput: f.Body, hasSentCommand: true}, func() {})
 }
 
-// followOld speaks to the old process until it ends.
-func (r *Router) followOld(p *handover.Conn) {
+// followPredecessor handles the predecessor's frames until it ends.
+func (r *Router) followPredecessor(conn *handover.Conn) {
 	for {
-		f, err := p.Receive(0)
+		frame, err := conn.Receive(0)
 		if err != nil {
 			break
 		}
-		switch f.Kind {
+		switch frame.Kind {
 		case handover.OperatorState:
-			r.receiveOperatorState(f)
+			r.receiveOperatorState(frame)
 		case handover.DescriptorCount:
-			r.heard(0, f)
+			r.setPeerDescriptors(0, frame)
 		case handover.LeaseTransfer:
-			if r.takeover.inherit != nil {
-				r.takeover.inherit(f.Body)
+			if r.takeover.onTransfer != nil {
+				r.takeover.onTransfer(frame.Body)
 			}
 		default:
-			r.takeOver(f)
+			r.adoptConnection(frame)
 		}
 	}
-	p.Close()
-	r.execute(func() {
+	conn.Close()
+	r.runAsync(func() {
 		r.log.Info("the process before this one has ended")
-		r.takeover.old, r.takeover.others[0] = nil, 0
-		r.shareMemory()
-		r.takeClients()
+		r.takeover.predecessor, r.takeover.peerDescriptors[0] = nil, 0
+		r.adjustMemoryLimits()
+		r.startAccepting()
 	})
 }
 
-// OnTransfer registers the function that receives the transfers of the process that this one replaces. Call it before Run.
-func (r *Router) OnTransfer(f func([]byte)) { r.takeover.inherit = f }
+// OnTransfer registers the function that receives the predecessor's transfers. Call it before Run.
+func (r *Router) OnTransfer(f func([]byte)) { r.takeover.onTransfer = f }
 
-// OfferTransfer leaves something to the process that is to replace this one, if there is one; it is made only then.
-func (r *Router) OfferTransfer(what func() []byte) {
+// OfferTransfer sends a transfer to the successor, if there is one; what is called only then.
+func (r *Router) OfferTransfer(transfer func() []byte) {
 	select {
 	case <-r.ready:
 	default:
 		return
 	}
-	r.execute(func() {
-		if heir := r.takeover.heir; heir != nil {
-			heir.Publish(handover.LeaseTransfer, what)
+	r.runAsync(func() {
+		if successor := r.takeover.successor; successor != nil {
+			successor.Publish(handover.LeaseTransfer, transfer)
 		}
 	})
 }
 
-// heard: another process tells how many descriptors it holds.
-func (r *Router) heard(which int, f handover.Frame) {
-	if n, err := strconv.Atoi(string(f.Body)); err == nil {
-		r.execute(func() {
-			if r.takeover.others[which] = n; which == 1 && r.takeover.heir == nil {
-				r.takeover.others[which] = 0
+// setPeerDescriptors records how many descriptors another process holds.
+func (r *Router) setPeerDescriptors(peer int, frame handover.Frame) {
+	if count, err := strconv.Atoi(string(frame.Body)); err == nil {
+		r.runAsync(func() {
+			if r.takeover.peerDescriptors[peer] = count; peer == 1 && r.takeover.successor == nil {
+				r.takeover.peerDescriptors[peer] = 0
 			}
 		})
 	}
 }
 
-// tellHolds tells the others how many descriptors this process holds.
-func (r *Router) tellHolds() {
+// publishDescriptorCount sends the other processes the number of descriptors that this one holds.
+func (r *Router) publishDescriptorCount() {
 	t := &r.takeover
-	if t.old == nil && t.heir == nil {
+	if t.predecessor == nil && t.successor == nil {
 		return
 	}
-	count := strconv.AppendInt(nil, int64(r.conns+descriptorsOfDial*r.dials+r.lim.ReservedDescriptors), 10)
-	for _, p := range []*handover.Conn{t.old, t.heir} {
-		if p != nil {
-			p.Publish(handover.DescriptorCount, func() []byte { return count })
+	count := strconv.AppendInt(nil, int64(r.connCount+descriptorsPerDial*r.pendingDials+r.limits.ReservedDescriptors), 10)
+	for _, conn := range []*handover.Conn{t.predecessor, t.successor} {
+		if conn != nil {
+			conn.Publish(handover.DescriptorCount, func() []byte { return count })
 		}
 	}
 }
 
-// shareMemory halves what this process may hold while another lives.
-func (r *Router) shareMemory() {
-	part := 1
-	if r.takeover.old != nil || r.takeover.heir != nil {
-		part = 2
-	}
-	r.lim.RequestBytes, r.lim.ClientBufferBytes = r.cfg.Limits.RequestBytes/part, r.cfg.Limits.ClientBufferBytes/part
-	debug.SetMemoryLimit(r.cfg.Limits.MemoryBytes / int64(part))
+// adjustMemoryLimits halves this process's memory limits while another process of the router is alive.
+func (r *Router) adjustMemoryLimits() {
+	processes := 1
+	if r.takeover.predecessor != nil || r.takeover.successor != nil {
+		processes = 2
+	}
+	r.limits.RequestBytes, r.limits.ClientBufferBytes = r.cfg.Limits.RequestBytes/processes, r.cfg.Limits.ClientBufferBytes/processes
+	debug.SetMemoryLimit(r.cfg.Limits.MemoryBytes / int64(processes))
 }
