--- a/core/hierarchy/dissemination.go
+++ b/core/hierarchy/dissemination.go
@@ -208,7 +208,7 @@
 		d.exchangedAt[via] = h.now
 		d.exchangeCount[via]++
 		isFullExchange := d.exchangeCount[via]%exchangesPerFullDigest == 0
-		for i, partner := range h.drawPartners(via, h.parameters.ExchangePartners) {
+		for i, partner := range h.drawPartners(via, h.parameters.ExchangeFanout) {
 			heartbeats := d.heartbeats[via]
 			if i == 0 && isFullExchange {
 				heartbeats = h.allEntries()
--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -257,7 +257,7 @@
 		configure func(*Parameters)
 		detected  func(*simulatedFleet) bool
 	}
-	stopDissemination := func(p *Parameters) { p.PushFanout, p.ExchangePartners = 0, 0 }
+	stopDissemination := func(p *Parameters) { p.PushFanout, p.ExchangeFanout = 0, 0 }
 	for name, violation := range map[string]violation{
 		"live site counted as lost": {
 			configure: func(p *Parameters) { p.LostAfter = clock.Second },
--- a/core/hierarchy/parameters.go
+++ b/core/hierarchy/parameters.go
@@ -25,7 +25,7 @@
 	StaleReconnectInterval    clock.Duration // while a summary is stale
 	IdleReconnectInterval     clock.Duration // while no summary is stale
 	PushFanout                int            // receivers of a push on each link
-	ExchangePartners          int            // receivers of a digest on each link
+	ExchangeFanout            int            // receivers of a digest on each link
 
 	StaleAfter  clock.Duration // without a heartbeat, after which a summary is Stale
 	LostAfter   clock.Duration // without a heartbeat, after which a summary is Lost
@@ -55,7 +55,7 @@
 	staleReconnectInterval    = 5 * clock.Second
 	idleReconnectInterval     = 60 * clock.Second
 	pushFanout                = 3
-	exchangePartners          = 2
+	exchangeFanout            = 2
 
 	staleAfter  = 60 * clock.Second
 	lostAfter   = 180 * clock.Second
@@ -87,7 +87,7 @@
 		StaleReconnectInterval:    staleReconnectInterval,
 		IdleReconnectInterval:     idleReconnectInterval,
 		PushFanout:                pushFanout,
-		ExchangePartners:          exchangePartners,
+		ExchangeFanout:            exchangeFanout,
 
 		StaleAfter:  staleAfter,
 		LostAfter:   lostAfter,
--- a/core/sharelease/leases.go
+++ b/core/sharelease/leases.go
@@ -58,7 +58,7 @@
 	}
 	for slot := range Slot(l.fleetSize) {
 		if slot != ownSlot {
-			l.granted[slot] = grantedPortion{expiresAt: timing.grantorExpiry(now, timing.Transfer)}
+			l.granted[slot] = grantedPortion{expiresAt: timing.grantorExpiry(now, timing.TransferDuration)}
 		}
 	}
 	return l
--- a/core/sharelease/receive.go
+++ b/core/sharelease/receive.go
@@ -35,9 +35,9 @@
 	if mayBeInUse {
 		return Message{}, false
 	}
-	duration := l.timing.Lease
+	duration := l.timing.LeaseDuration
 	if l.ending {
-		duration = l.timing.Transfer
+		duration = l.timing.TransferDuration
 	}
 	l.stamp++
 	l.granted[request.From] = grantedPortion{
--- a/core/sharelease/sharelease.go
+++ b/core/sharelease/sharelease.go
@@ -29,20 +29,20 @@
 
 // Timing is the spans of leases.
 type Timing struct {
-	Lease         clock.Duration // duration of a lease; holders renew it
-	Transfer      clock.Duration // duration of a lease from a process that is about to exit; it cannot be renewed
-	RetryInterval clock.Duration // between two requests to, or two revocations from, one slot
-	ExpiryMargin  clock.Duration // by which a grantor lets a lease expire later than its holder
+	LeaseDuration    clock.Duration // holders renew the lease
+	TransferDuration clock.Duration // of a lease granted by a process that is about to exit; it cannot be renewed
+	RetryInterval    clock.Duration // between two requests to, or two revocations from, one slot
+	ExpiryMargin     clock.Duration // by which a grantor lets a lease expire later than its holder
 }
 
 // DefaultTiming returns the timing of a fleet. A lease is requested four times in its duration, since packets get lost. A
 // transfer covers a restart, and is how long a process that reaches no other router does without its portions.
 func DefaultTiming() Timing {
 	return Timing{
-		Lease:         2 * clock.Second,
-		Transfer:      10 * clock.Second,
-		RetryInterval: 500 * clock.Millisecond,
-		ExpiryMargin:  50 * clock.Millisecond,
+		LeaseDuration:    2 * clock.Second,
+		TransferDuration: 10 * clock.Second,
+		RetryInterval:    500 * clock.Millisecond,
+		ExpiryMargin:     50 * clock.Millisecond,
 	}
 }
 
