--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,15 +1,15 @@
-// Package clock has the types of time for everything that decides. Deciding packages read no clock: each call is given the
-// current instant, so that a test can play any course of events.
+// Package clock defines the time types of the decision logic. The packages that use them do not read a clock: every call
+// is given the current time, so that tests control it.
 //
-// Time and Duration are names of one type, so that plain operators add and compare them. The name in a declaration tells
-// whether an instant or a span is meant.
+// Duration is an alias of Time, so that plain operators add and compare both. The name in a declaration shows whether a
+// point in time or a duration is meant.
 package clock
 
-// Time is an instant in whole microseconds. Its origin is that of the clock it was read from: the process's monotonic clock
-// unless a declaration says otherwise.
+// Time is a point in time in whole microseconds. Its origin is that of the clock it was read from: the process's monotonic
+// clock unless a declaration says otherwise.
 type Time int64
 
-// Duration is a span between two instants, in whole microseconds.
+// Duration is the difference of two times, in whole microseconds.
 type Duration = Time
 
 // The units of a Duration.
--- a/core/hierarchy/checker_test.go
+++ b/core/hierarchy/checker_test.go
@@ -6,9 +6,9 @@
 	"spurtrestle/core/clock"
 )
 
-// The checker of the simulated fleet: what the routers know, which guarantees they violate, and what they send.
+// The checker of the simulated fleet: the routers' views, violations of guarantees, and traffic.
 
-// checkGuarantees fails the test if the checker saw a violation of what docs/tiers-design.md guarantees.
+// checkGuarantees fails the test if the checker recorded a violation of a guarantee of docs/tiers-design.md.
 func (f *simulatedFleet) checkGuarantees(maxOverrepresented clock.Duration) {
 	f.t.Helper()
 	f.t.Logf("longest: %.1f s with too many representatives, %.1f s with none; %d of %d falsely lost; datagrams up to %d bytes",
@@ -25,7 +25,7 @@
 	}
 }
 
-// checkRoles records for how long sites have had too many representatives or none.
+// checkRoles records how long sites have had too many representatives or none.
 func (f *simulatedFleet) checkRoles() {
 	for _, site := range f.sites {
 		representatives, established := 0, 0
@@ -47,10 +47,10 @@
 	}
 }
 
-// checkStates counts sites and regions that a router holds for lost although a router of them is alive.
+// checkStates counts the sites and regions that a router shows as lost although one of their routers is alive.
 func (f *simulatedFleet) checkStates() {
 	isAlive := map[string]bool{}
-	established := f.living(func(router *simulatedRouter) bool { return f.now-router.stateSince > 10*clock.Second })
+	established := f.liveRouters(func(router *simulatedRouter) bool { return f.now-router.stateSince > 10*clock.Second })
 	for _, router := range established {
 		isAlive[router.site.name], isAlive[router.site.region] = true, true
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// durationSince returns for how long a condition has held, and keeps in since when it began.
+// durationSince returns how long a condition has held, and stores in since when it began.
 func (f *simulatedFleet) durationSince(since *clock.Time, holds bool) clock.Duration {
 	if !holds {
 		*since = 0
@@ -78,24 +78,25 @@
 	return f.now - *since
 }
 
-// waitUntil returns the time that passes until a condition holds. It fails the test after a limit.
+// waitUntil runs the fleet until a condition holds and returns how long that took. It fails the test after a limit.
 func (f *simulatedFleet) waitUntil(condition string, limit clock.Duration, holds func() bool) clock.Duration {
 	f.t.Helper()
-	began := f.now
+	begin := f.now
 	for !holds() {
-		if f.now-began >= limit {
-			f.t.Errorf("not %s after %d s: %s", condition, limit/clock.Second, f.inconsistency())
-			return f.now - began
+		if f.now-begin >= limit {
+			f.t.Errorf("not %s after %d s; inconsistency: %q", condition, limit/clock.Second, f.inconsistency())
+			return f.now - begin
 		}
 		f.run(stepInterval)
 	}
-	return f.now - began
+	return f.now - begin
 }
 
-// isConsistent reports whether all live routers of a region know the same sites, and all of the fleet the same regions.
+// isConsistent reports whether all live routers of a region have the same site summaries, and all live routers of the fleet
+// the same region summaries.
 func (f *simulatedFleet) isConsistent() bool { return f.inconsistency() == "" }
 
-// inconsistency describes a difference between two routers; empty if there is none.
+// inconsistency describes a difference between the views of two routers; empty if there is none.
 func (f *simulatedFleet) inconsistency() string {
 	var regions uint64
 	var first *simulatedRouter
@@ -109,7 +110,7 @@
 			first, regions = router, regionDigest
 		}
 		if was, known := sites[router.site.region]; known && was != siteDigest {
-			return fmt.Sprintf("%s differs on the sites of its region", router.name)
+			return fmt.Sprintf("%s differs from another router on the sites of its region", router.name)
 		}
 		sites[router.site.region] = siteDigest
 		if regionDigest != regions {
@@ -119,7 +120,7 @@
 	return f.regionMiscount(first)
 }
 
-// regionMiscount describes a region whose number of live routers a router has wrong; empty if there is none.
+// regionMiscount describes a region for which a router has a wrong number of live routers; empty if there is none.
 func (f *simulatedFleet) regionMiscount(first *simulatedRouter) string {
 	alive := map[string]uint32{}
 	for _, router := range f.routers {
@@ -128,12 +129,12 @@
 		}
 	}
 	if first == nil {
-		return "no live router"
+		return "no router is alive"
 	}
 	for region, want := range alive {
 		group := first.hierarchy.tables[RegionTier].entries[hashName(region)]
 		if group == nil || group.Counts.Alive != want {
-			return fmt.Sprintf("%s on live routers of %s: got %+v, want %d", first.name, region, group, want)
+			return fmt.Sprintf("live routers of %s at %s: got %+v, want %d alive", region, first.name, group, want)
 		}
 	}
 	return ""
@@ -161,7 +162,7 @@
 
 // oldestHeartbeat returns the greatest age of a heartbeat at any router.
 func (f *simulatedFleet) oldestHeartbeat() (oldest clock.Duration) {
-	for _, router := range f.living(func(*simulatedRouter) bool { return true }) {
+	for _, router := range f.liveRouters(func(*simulatedRouter) bool { return true }) {
 		for _, summaries := range router.hierarchy.tables {
 			for _, group := range summaries.entries {
 				oldest = max(oldest, f.now-group.heartbeatAt)
@@ -171,21 +172,22 @@
 	return oldest
 }
 
-// logRates logs the bytes per second since resetCounters, received and sent together, by role, and returns the highest rate.
+// logRates logs the bytes per second that routers of each role received and sent since resetCounters, and returns the highest
+// rate.
 func (f *simulatedFleet) logRates(span clock.Duration) (highest float64) {
 	roles := map[string]func(*simulatedRouter) bool{
-		"router":                  hasNoRole,
-		"site's representative":   representsOnlySite,
-		"region's representative": representsRegion,
+		"none":                  hasNoRole,
+		"site representative":   representsOnlySite,
+		"region representative": representsRegion,
 	}
-	for role, ok := range roles {
-		sum, top, all := 0.0, 0.0, f.living(ok)
-		for _, router := range all {
+	for role, hasRole := range roles {
+		sum, highestOfRole, routers := 0.0, 0.0, f.liveRouters(hasRole)
+		for _, router := range routers {
 			rate := float64(router.bytesReceived+router.bytesSent) * 1e6 / float64(span)
-			sum, top = sum+rate, max(top, rate)
+			sum, highestOfRole = sum+rate, max(highestOfRole, rate)
 		}
-		highest = max(highest, top)
-		f.t.Logf("%d of %s: %.0f B/s, %.0f at most", len(all), role, sum/float64(max(1, len(all))), top)
+		highest = max(highest, highestOfRole)
+		f.t.Logf("%d with the role %s: mean %.0f B/s, highest %.0f B/s", len(routers), role, sum/float64(max(1, len(routers))), highestOfRole)
 	}
 	f.t.Logf("bytes per second sent by a router, by kind: %v", f.ratesByKind(span))
 	f.resetCounters()
--- a/core/hierarchy/decode.go
+++ b/core/hierarchy/decode.go
@@ -52,7 +52,7 @@
 const (
 	// maxCount bounds the counts in a summary.
 	maxCount = 1 << 31
-	// maxAddressSize is one more than the size of an IPv6 address, so that a longer one is read as malformed.
+	// maxAddressSize is one more than the size of an IPv6 address, so that every longer address is malformed.
 	maxAddressSize = 16 + 1
 )
 
@@ -74,7 +74,7 @@
 	malformed bool
 }
 
-// more reports whether there are fields left to read.
+// more reports whether unread fields remain.
 func (r *reader) more() bool { return len(r.remaining) > 0 && !r.malformed }
 
 // require marks the datagram as malformed unless a condition is true.
@@ -216,7 +216,7 @@
 func (r *reader) uint64() uint64     { return binary.BigEndian.Uint64(r.bytes(8)) }
 func (r *reader) nameHash() nameHash { return nameHash(r.uint32()) }
 
-// bytes reads size bytes; zeros if fewer remain.
+// bytes reads size bytes, or returns zeros if fewer remain.
 func (r *reader) bytes(size int) []byte {
 	if r.malformed || len(r.remaining) < size {
 		r.malformed = true
--- a/core/hierarchy/dissemination.go
+++ b/core/hierarchy/dissemination.go
@@ -18,7 +18,7 @@
 	linkCount
 )
 
-// exchangesPerFullDigest is the number of exchanges of which one carries all heartbeats to one partner.
+// exchangesPerFullDigest is the interval, in exchanges, at which all heartbeats are sent to one peer.
 const exchangesPerFullDigest = 10
 
 // tiersOn returns the tiers that are disseminated on a link.
@@ -43,21 +43,21 @@
 
 // dissemination is the state of sending updates, digests and reconnects.
 type dissemination struct {
-	summaries        entrySet              // to push
-	heartbeats       [linkCount]entrySet   // to send with the next digest
-	newRevision      bool                  // a heartbeat has a higher policy revision than any before; pushed with the summaries
-	pushedAt         clock.Time            // last push
-	pingedAt         clock.Time            // last ping
-	exchangedAt      [linkCount]clock.Time // last exchange of digests
-	exchangeCount    [linkCount]int
-	versionsSentAt   [tierCount]clock.Time // last answer to a digest that differed
-	changedAt        [tierCount]clock.Time // last change of the table
-	nextReconnectAt  clock.Time
-	reconnectCounter int // selects the next unknown peer
-}
-
-// exchangeNow makes the next exchange on a link due at once and include all heartbeats: the next count is 0. Time 0 is longer ago than
-// an exchange interval, because a role begins SiteRoleDelay after the start at the earliest.
+	summaries       entrySet              // to push
+	heartbeats      [linkCount]entrySet   // to send with the next digest
+	newRevision     bool                  // a queued heartbeat has a new highest policy revision, to push with the summaries
+	pushedAt        clock.Time            // last push
+	pingedAt        clock.Time            // last ping
+	exchangedAt     [linkCount]clock.Time // last exchange of digests
+	exchangeCount   [linkCount]int
+	versionsSentAt  [tierCount]clock.Time // last reply to a digest that differed
+	changedAt       [tierCount]clock.Time // last change of the table
+	nextReconnectAt clock.Time
+	reconnectCount  int // selects the next candidate
+}
+
+// exchangeNow makes the next exchange on a link due immediately, with all heartbeats since its count is 0. Time 0 is more
+// than an exchange interval ago, because a role begins SiteRoleDelay after the start at the earliest.
 func (d *dissemination) exchangeNow(via link) { d.exchangedAt[via], d.exchangeCount[via] = 0, -1 }
 
 // queueSummary includes a changed summary in the next push.
@@ -88,19 +88,20 @@
 	}
 }
 
-// drawPartners returns up to count random routers on a link.
-func (h *Hierarchy) drawPartners(via link, count int) []netip.AddrPort {
+// samplePeers returns up to count random routers on a link.
+func (h *Hierarchy) samplePeers(via link, count int) []netip.AddrPort {
 	switch via {
 	case regionLink:
-		return h.drawRepresentatives(SiteTier, h.config.Site, count)
+		return h.sampleRepresentatives(SiteTier, h.config.Site, count)
 	case interRegionLink:
-		return h.drawRepresentatives(RegionTier, h.config.Region, count)
+		return h.sampleRepresentatives(RegionTier, h.config.Region, count)
 	default:
-		return h.drawSiteMembers(count)
+		return h.sampleSiteMembers(count)
 	}
 }
 
-func (h *Hierarchy) drawSiteMembers(count int) (members []netip.AddrPort) {
+// sampleSiteMembers returns up to count random other members of the local site.
+func (h *Hierarchy) sampleSiteMembers(count int) (members []netip.AddrPort) {
 	for _, member := range h.localSite.Members {
 		if member.Addr != h.config.Addr {
 			members = append(members, member.Addr)
@@ -110,27 +111,27 @@
 	return members[:min(count, len(members))]
 }
 
-// drawRepresentatives returns up to count representatives of other groups of a tier that are not lost. A second one of a group
-// is returned only where there are fewer groups than count.
-func (h *Hierarchy) drawRepresentatives(tier Tier, own string, count int) (representatives []netip.AddrPort) {
+// sampleRepresentatives returns up to count random representatives of other groups of a tier that are not lost. It returns a
+// second one of a group only if there are fewer groups than count.
+func (h *Hierarchy) sampleRepresentatives(tier Tier, own string, count int) (representatives []netip.AddrPort) {
 	groups := h.tables[tier].entriesByName()
 	h.random.Shuffle(len(groups), func(i, j int) { groups[i], groups[j] = groups[j], groups[i] })
 	first := h.random.IntN(maxRepresentatives)
-	for turn := range maxRepresentatives {
+	for round := range maxRepresentatives {
 		for _, group := range groups {
 			if len(representatives) == count {
 				return representatives
 			}
 			isCandidate := group.Name != own && h.heartbeatAge(group) <= h.parameters.LostAfter
-			if isCandidate && turn < len(group.Representatives) {
-				representatives = append(representatives, group.Representatives[(first+turn)%len(group.Representatives)])
+			if isCandidate && round < len(group.Representatives) {
+				representatives = append(representatives, group.Representatives[(first+round)%len(group.Representatives)])
 			}
 		}
 	}
 	return representatives
 }
 
-// pushUpdates sends queued summaries, and heartbeats with a new policy revision, to some routers on each link.
+// pushUpdates sends queued summaries, and heartbeats with a new policy revision, to PushFanout routers on each link.
 func (h *Hierarchy) pushUpdates() {
 	d := &h.dissemination
 	hasUpdates := !d.summaries.empty() || d.newRevision
@@ -141,8 +142,8 @@
 		if !h.usesLink(via) {
 			continue
 		}
-		// The draw for siteLink is unused; without it the sequence of random numbers would change.
-		receivers := h.drawPartners(via, h.parameters.PushFanout)
+		// The sample for siteLink is unused; without it the sequence of random numbers would change.
+		receivers := h.samplePeers(via, h.parameters.PushFanout)
 		if via == siteLink {
 			receivers = h.successors(h.parameters.PushFanout)
 		}
@@ -160,8 +161,8 @@
 }
 
 // successors returns up to count members of the site at distances 1, k, k^2 ... after this router in the cyclic order of ranks,
-// where k^count is the number of members. If each receiver forwards an update to its own successors, every member is reached
-// in a few hops by several paths; random receivers would leave some members out.
+// where k^count is the number of members. When each receiver forwards an update to its own successors, every member is
+// reached in a few hops over several paths; random receivers would miss some members.
 func (h *Hierarchy) successors(count int) (members []netip.AddrPort) {
 	own, isMember := h.ranks[h.config.Addr]
 	if !isMember || count == 0 {
@@ -183,7 +184,7 @@
 	return members
 }
 
-// encodeUpdates returns the queued updates for a link.
+// encodeUpdates returns the datagrams with the queued updates for a link.
 func (h *Hierarchy) encodeUpdates(via link) [][]byte {
 	var records [][]byte
 	for _, tier := range tiersOn(via) {
@@ -197,7 +198,7 @@
 	return bodies
 }
 
-// exchangeDigests sends the digests of the tables and the queued heartbeats to some routers on each link.
+// exchangeDigests sends the digests of the tables and the queued heartbeats to ExchangeFanout routers on each link.
 func (h *Hierarchy) exchangeDigests() {
 	h.pingCandidates()
 	d := &h.dissemination
@@ -208,12 +209,12 @@
 		d.exchangedAt[via] = h.now
 		d.exchangeCount[via]++
 		isFullExchange := d.exchangeCount[via]%exchangesPerFullDigest == 0
-		for i, partner := range h.drawPartners(via, h.parameters.ExchangeFanout) {
+		for i, peer := range h.samplePeers(via, h.parameters.ExchangeFanout) {
 			heartbeats := d.heartbeats[via]
 			if i == 0 && isFullExchange {
 				heartbeats = h.allEntries()
 			}
-			h.outgoing = append(h.outgoing, Datagram{To: partner, Body: h.encodeDigest(via, heartbeats)})
+			h.outgoing = append(h.outgoing, Datagram{To: peer, Body: h.encodeDigest(via, heartbeats)})
 		}
 		d.heartbeats[via] = entrySet{}
 	}
@@ -226,7 +227,7 @@
 	return h.parameters.ExchangeInterval
 }
 
-// pingCandidates shows the other candidates of the site that this representative is responsive.
+// pingCandidates pings the other candidates of the site, to show that this representative is responsive.
 func (h *Hierarchy) pingCandidates() {
 	if !h.role.RepresentsSite || h.now-h.dissemination.pingedAt < h.parameters.PingInterval {
 		return
--- a/core/hierarchy/election.go
+++ b/core/hierarchy/election.go
@@ -9,9 +9,9 @@
 // NoRank is the rank of a router that is not known to be a member of its site, and of all routers of a fleet without tiers.
 const NoRank = -1
 
-// Role is a router's rank in its site and the groups that it represents. There is no vote: each router applies the same rule to its own
-// membership view. Views that differ for a moment may give a site too many representatives; summary versions resolve what they
-// publish.
+// Role is a router's rank in its site and the groups that it represents. There is no vote: each router applies the same rule
+// to its own membership view. While views differ, a site may have too many representatives; summary versions resolve
+// concurrent publications.
 type Role struct {
 	Rank             int // among the live routers of the site, by age; or NoRank
 	RepresentsSite   bool
@@ -21,7 +21,7 @@
 // Role returns this router's current role.
 func (h *Hierarchy) Role() Role { return h.role }
 
-// electRoles applies the election rule to this router. A router with a new role exchanges digests at once.
+// electRoles applies the election rule to this router. A router with a new role exchanges digests immediately.
 func (h *Hierarchy) electRoles() {
 	h.rankMembers()
 	previous := h.role
@@ -44,12 +44,12 @@
 	return Role{
 		Rank:             rank,
 		RepresentsSite:   representsSite,
-		RepresentsRegion: representsSite && uptime >= h.parameters.RegionRoleDelay && h.inRepresentingSite(),
+		RepresentsRegion: representsSite && uptime >= h.parameters.RegionRoleDelay && h.isInRepresentingSite(),
 	}
 }
 
-// rankMembers ranks the live routers of the site, the oldest first. A restarted router is ranked last, so a restart moves a role
-// once, and representatives have known the fleet for a while.
+// rankMembers ranks the live routers of the site, the oldest first. A restarted router is ranked last, so that a restart moves
+// a role only once, and representatives are routers that already have the summaries.
 func (h *Hierarchy) rankMembers() {
 	clear(h.ranks)
 	slices.SortFunc(h.localSite.Members, func(a, b Member) int {
@@ -69,7 +69,8 @@
 }
 
 // isElected reports whether a router of this rank represents the site. The first ranks always do. A standby does while fewer
-// than RepresentativesPerSite routers before it are responsive: the membership detects a failed router after some seconds.
+// than RepresentativesPerSite routers of higher rank are responsive, because the membership takes seconds to detect a failed
+// router.
 func (h *Hierarchy) isElected(rank int) bool {
 	if rank < h.parameters.RepresentativesPerSite {
 		return true
@@ -95,7 +96,7 @@
 	return h.now-h.lastReceivedAt[addr] <= h.parameters.SilenceTimeout
 }
 
-// siteRepresentatives returns the representatives of the local site in this router's view: the first responsive candidates.
+// siteRepresentatives returns the representatives of the local site as this router sees them: the first responsive candidates.
 func (h *Hierarchy) siteRepresentatives() (representatives []netip.AddrPort) {
 	for rank, member := range h.localSite.Members {
 		if rank >= h.candidateCount() || len(representatives) == h.parameters.RepresentativesPerSite {
@@ -118,6 +119,6 @@
 	return sites
 }
 
-func (h *Hierarchy) inRepresentingSite() bool {
+func (h *Hierarchy) isInRepresentingSite() bool {
 	return slices.ContainsFunc(h.representingSites(), func(site *entry) bool { return site.Name == h.config.Site })
 }
--- a/core/hierarchy/encode.go
+++ b/core/hierarchy/encode.go
@@ -8,7 +8,7 @@
 // MaxDatagramSize bounds the size in bytes of a datagram, sent or accepted.
 const MaxDatagramSize = 1300
 
-// datagramKind is the first byte of a datagram. It determines the format of the rest; a changed format needs a new kind.
+// datagramKind is the first byte of a datagram. It determines the format of the rest; a format change requires a new kind.
 type datagramKind byte
 
 const (
@@ -25,15 +25,15 @@
 	nameHashSize      = 4
 	versionSize       = 8
 	maxHeartbeatSize  = nameHashSize + binary.MaxVarintLen32 + 2*binary.MaxVarintLen64
-	versionRangeSize  = 2*nameHashSize + 1 // first and last name; a byte more, so that ranges are those of older builds
+	versionRangeSize  = 2*nameHashSize + 1 // first and last name, and a spare byte that keeps the ranges equal to those of older builds
 	initialBufferSize = 64
 )
 
-// reservedHeartbeats is the part of a digest for the group's header and the heartbeat that selectHeartbeats adds. The capacity of a
-// datagram is below 256 heartbeats, so that their number fits a byte.
+// reservedHeartbeats is the capacity, in heartbeats, that a digest reserves for the header of a tier and for the heartbeat that
+// selectHeartbeats adds. A datagram has room for fewer than 256 heartbeats, so their number fits in a byte.
 const reservedHeartbeats = 1
 
-// newDatagram returns the header that all datagrams begin with: kind, fleet, region, address of the sender.
+// newDatagram returns the header that all datagrams begin with: kind, fleet, region and address of the sender.
 func (h *Hierarchy) newDatagram(kind datagramKind) []byte {
 	body := make([]byte, 0, initialBufferSize)
 	body = append(body, byte(kind))
@@ -53,9 +53,9 @@
 	return binary.BigEndian.AppendUint16(body, addr.Port())
 }
 
-// encodeDigest returns a datagram with the digests of the tables and as many of the given heartbeats as fit. The heartbeats are
-// grouped by tier, each group headed by the tier and the number of heartbeats. Sequence numbers are relative to this router's
-// wall clock.
+// encodeDigest returns a datagram with the digests of the tables and as many of the given heartbeats as fit. Heartbeats are
+// grouped by tier; each group begins with the tier and the number of heartbeats. Sequence numbers are relative to this
+// router's wall clock.
 func (h *Hierarchy) encodeDigest(via link, heartbeats entrySet) []byte {
 	body := h.newDatagram(kindDigest)
 	for _, summaries := range h.tables {
@@ -79,7 +79,8 @@
 	return body
 }
 
-// selectHeartbeats returns up to limit of the given entries, from a random one on, and an entry with the newest policy revision.
+// selectHeartbeats returns up to limit of the given entries, starting at a random one, and an entry with the newest policy
+// revision.
 func (h *Hierarchy) selectHeartbeats(summaries *table, entries map[nameHash]bool, limit int) (names []nameHash) {
 	for name := range summaries.keysFromRandom(h.random) {
 		if entries[name] && len(names) < limit {
@@ -93,7 +94,7 @@
 	return names
 }
 
-// appendRelativeHeartbeat encodes the sequence number as its lag behind the wall clock, which is small.
+// appendRelativeHeartbeat encodes the sequence number as its lag behind the wall clock, which takes fewer bytes.
 func (h *Hierarchy) appendRelativeHeartbeat(body []byte, heartbeat Heartbeat) []byte {
 	lag := int64(h.wallClock()) - int64(heartbeat.Sequence)
 	return appendRevisions(binary.AppendVarint(body, lag), heartbeat)
@@ -136,7 +137,8 @@
 	}
 }
 
-// encodeRequest requests as many of the summaries as fit. The others are requested after a later digest.
+// encodeRequest returns a datagram that requests as many of the summaries as fit. The others are requested after a later
+// digest.
 func (h *Hierarchy) encodeRequest(tier Tier, names []nameHash) []byte {
 	body := append(h.newDatagram(kindRequest), byte(tier))
 	capacity := (MaxDatagramSize - len(body)) / nameHashSize
--- a/core/hierarchy/faults_test.go
+++ b/core/hierarchy/faults_test.go
@@ -6,7 +6,8 @@
 	"spurtrestle/core/clock"
 )
 
-// After random faults, sequential and concurrent, all routers are consistent within the stated time, and no live router counted as lost.
+// After random sequential and concurrent faults, all routers are consistent within the stated time, and no site or region with a
+// live router counted as lost.
 func TestHierarchy_ConvergesAfterRandomFaults(t *testing.T) {
 	const consistentWithin = 20 * clock.Second
 	for seed := range uint64(8) {
@@ -25,26 +26,26 @@
 	}
 }
 
-// injectRandomFault starts a random fault, or ends those of the network.
+// injectRandomFault starts a random fault, or ends the network faults.
 func (f *simulatedFleet) injectRandomFault() {
 	site := f.sites[f.random.IntN(len(f.sites))]
 	switch f.random.IntN(8) {
 	case 0:
 		f.lossRate, f.duplicateRate, f.maxDelay = 0.3, 0.2, 2*clock.Second
 	case 1:
-		f.isCut = func(from, to *simulatedRouter) bool {
+		f.isPartitioned = func(from, to *simulatedRouter) bool {
 			return (from.site.region == site.region) != (to.site.region == site.region)
 		}
 	case 2: // one-way partition: the site receives nothing
-		f.isCut = func(from, to *simulatedRouter) bool { return to.site == site && from.site != site }
+		f.isPartitioned = func(from, to *simulatedRouter) bool { return to.site == site && from.site != site }
 	case 3:
 		f.lossRate, f.duplicateRate, f.maxDelay = 0.02, 0, defaultMaxDelay
-		f.isCut = func(_, _ *simulatedRouter) bool { return false }
+		f.isPartitioned = func(_, _ *simulatedRouter) bool { return false }
 	case 4:
 		f.killMatching(site, representsSite)
-	case 5: // a rack
+	case 5: // the failure of a rack
 		f.killMatching(site, func(router *simulatedRouter) bool { return router.index < 4 })
-	case 6: // the whole site restarts with clocks an hour back
+	case 6: // the entire site restarts with its clocks set back by an hour
 		f.killMatching(site, func(*simulatedRouter) bool { return true })
 		f.run(5 * clock.Second)
 		for _, router := range site.routers {
@@ -52,19 +53,19 @@
 			f.start(router)
 		}
 	case 7:
-		f.startAllDead()
+		f.startAllStopped()
 	}
 }
 
-func (f *simulatedFleet) killMatching(site *simulatedSite, ok func(*simulatedRouter) bool) {
+func (f *simulatedFleet) killMatching(site *simulatedSite, matches func(*simulatedRouter) bool) {
 	for _, router := range site.routers {
-		if router.hierarchy != nil && ok(router) {
+		if router.hierarchy != nil && matches(router) {
 			f.kill(router)
 		}
 	}
 }
 
-func (f *simulatedFleet) startAllDead() {
+func (f *simulatedFleet) startAllStopped() {
 	for _, router := range f.routers {
 		if router.hierarchy == nil {
 			f.start(router)
@@ -72,10 +73,11 @@
 	}
 }
 
+// heal ends all faults of the network and starts all stopped routers.
 func (f *simulatedFleet) heal() {
 	f.lossRate, f.duplicateRate, f.maxDelay = 0, 0, defaultMaxDelay
-	f.isCut = func(_, _ *simulatedRouter) bool { return false }
-	f.startAllDead()
+	f.isPartitioned = func(_, _ *simulatedRouter) bool { return false }
+	f.startAllStopped()
 }
 
 // stateOf returns the state of a site or region at a router; Lost + 1 if the router does not know it.
@@ -87,40 +89,40 @@
 	return router.hierarchy.summaryState(group)
 }
 
-// A region partitioned for an hour keeps its own tiers, shows the others as stale and then as lost with their last counts, and converges
-// soon after the partition heals.
+// A region that is partitioned for an hour keeps its own summaries, shows the other region as stale and then as lost with its
+// last counts, and converges soon after the partition ends.
 func TestHierarchy_RegionPartitionedForAnHour(t *testing.T) {
 	fleet := newFleet(t, 1, 6, 3, 4)
 	fleet.startAll(clock.Second)
 	fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
 	partitioned := fleet.sites[0].region
-	fleet.isCut = func(from, to *simulatedRouter) bool {
+	fleet.isPartitioned = func(from, to *simulatedRouter) bool {
 		return (from.site.region == partitioned) != (to.site.region == partitioned)
 	}
-	here, there := fleet.sites[0].routers[3], fleet.sites[1].routers[3]
+	insider, outsider := fleet.sites[0].routers[3], fleet.sites[1].routers[3]
 	bothSee := func(state State) func() bool {
 		return func() bool {
-			return stateOf(here, RegionTier, there.site.region) == state && stateOf(there, RegionTier, partitioned) == state
+			return stateOf(insider, RegionTier, outsider.site.region) == state && stateOf(outsider, RegionTier, partitioned) == state
 		}
 	}
 	t.Logf("stale after %.0f s", seconds(fleet.waitUntil("stale", fleet.parameters.StaleAfter+40*clock.Second, bothSee(Stale))))
 	fleet.waitUntil("lost", fleet.parameters.LostAfter, bothSee(Lost))
 	fleet.run(3600 * clock.Second)
-	if s := here.hierarchy.tables[RegionTier].entries[hashName(there.site.region)]; s == nil || s.Counts.Alive != 8 {
+	if s := insider.hierarchy.tables[RegionTier].entries[hashName(outsider.site.region)]; s == nil || s.Counts.Alive != 8 {
 		t.Errorf("last counts of the other region: got %+v, want 8 alive", s)
 	}
-	if s := stateOf(here, SiteTier, fleet.sites[3].name); s != Fresh {
+	if s := stateOf(insider, SiteTier, fleet.sites[3].name); s != Fresh {
 		t.Errorf("site of the own region: got %v, want %v", s, Fresh)
 	}
 	fleet.falseLosses = 0
 	fleet.kill(fleet.sites[1].routers[0])
 	fleet.run(20 * clock.Second)
-	fleet.isCut = func(_, _ *simulatedRouter) bool { return false }
+	fleet.isPartitioned = func(_, _ *simulatedRouter) bool { return false }
 	t.Logf("consistent %.1f s after the partition", seconds(fleet.waitUntil("consistent after the partition", 15*clock.Second, fleet.isConsistent)))
 	fleet.waitUntil("fresh", 20*clock.Second, bothSee(Fresh))
 }
 
-// A failed site is stale, then lost, and then its routers no longer count in its region.
+// A failed site becomes stale and then lost; from then on its routers do not count in its region.
 func TestHierarchy_SiteFails(t *testing.T) {
 	fleet := newFleet(t, 2, 6, 2, 4)
 	fleet.startAll(clock.Second)
@@ -142,36 +144,36 @@
 	fleet.checkGuarantees(10 * clock.Second)
 }
 
-// All candidates of a site fail at once; the next by age are elected once the membership has detected the failures.
+// All candidates of a site fail at once. The next routers by age are elected when the membership has detected the failures.
 func TestElection_AllCandidatesFail(t *testing.T) {
 	fleet := newFleet(t, 3, 5, 2, 18)
 	fleet.startAll(clock.Second)
 	fleet.waitUntil("settled", 20*clock.Second, fleet.isSettled)
-	for _, router := range fleet.living(func(router *simulatedRouter) bool {
+	for _, router := range fleet.liveRouters(func(router *simulatedRouter) bool {
 		return router.site == fleet.sites[0] && router.hierarchy.Role().Rank < fleet.parameters.RepresentativesPerSite+fleet.parameters.StandbysPerSite
 	}) {
 		fleet.kill(router)
 	}
 	fleet.waitUntil("represented again", fleet.maxDeathDetection+clock.Second, func() bool {
-		return len(fleet.living(func(router *simulatedRouter) bool { return router.site == fleet.sites[0] && representsSite(router) })) > 0
+		return len(fleet.liveRouters(func(router *simulatedRouter) bool { return router.site == fleet.sites[0] && representsSite(router) })) > 0
 	})
 	fleet.waitUntil("consistent", 15*clock.Second, fleet.isConsistent)
 	fleet.checkGuarantees(10 * clock.Second)
 }
 
-// Two regions that never had contact join by a seed address.
-func TestReconnect_JoinsHalvesBySeedAddress(t *testing.T) {
+// Two regions that never had contact discover each other through a seed address.
+func TestReconnect_JoinsSeparateRegionsBySeedAddress(t *testing.T) {
 	fleet := newFleet(t, 4, 4, 2, 3)
-	half := func(router *simulatedRouter) bool { return router.site.region == fleet.sites[0].region }
-	fleet.isCut = func(from, to *simulatedRouter) bool { return half(from) != half(to) }
+	inFirstRegion := func(router *simulatedRouter) bool { return router.site.region == fleet.sites[0].region }
+	fleet.isPartitioned = func(from, to *simulatedRouter) bool { return inFirstRegion(from) != inFirstRegion(to) }
 	fleet.startAll(clock.Second)
 	fleet.run(60 * clock.Second)
-	fleet.isCut = func(_, _ *simulatedRouter) bool { return false }
+	fleet.isPartitioned = func(_, _ *simulatedRouter) bool { return false }
 	took := fleet.waitUntil("joined", fleet.parameters.IdleReconnectInterval+20*clock.Second, fleet.isConsistent)
 	t.Logf("joined after %.1f s", seconds(took))
 }
 
-// State and replies stay bounded under a flood of datagrams.
+// The state and the replies stay bounded under a flood of datagrams.
 func TestReceive_BoundsStateAndReplies(t *testing.T) {
 	fleet := newFleet(t, 5, 2, 1, 3)
 	fleet.startAll(clock.Second)
@@ -182,8 +184,8 @@
 		router.hierarchy.Receive(fleet.now, append(other.hierarchy.newDatagram(kindUpdate), appendSummary(nil, Tier(i%2), group)...))
 		router.hierarchy.Receive(fleet.now, other.hierarchy.encodeDigest(regionLink, entrySet{}))
 	}
-	if s, r := len(router.hierarchy.tables[SiteTier].entries), len(router.hierarchy.tables[RegionTier].entries); s > maxSites || r > maxRegions {
-		t.Errorf("table sizes: got %d sites and %d regions, want at most %d and %d", s, r, maxSites, maxRegions)
+	if sites, regions := len(router.hierarchy.tables[SiteTier].entries), len(router.hierarchy.tables[RegionTier].entries); sites > maxSites || regions > maxRegions {
+		t.Errorf("table sizes: got %d sites and %d regions, want at most %d and %d", sites, regions, maxSites, maxRegions)
 	}
 	sent := 0
 	for _, datagram := range router.hierarchy.Tick(fleet.now, fleet.localSite(router)) {
@@ -236,8 +238,8 @@
 		if err != nil {
 			return
 		}
-		if n := len(received.heartbeats[SiteTier]) + len(received.heartbeats[RegionTier]) + len(received.versions) + len(received.names) + len(received.summaries); n > MaxDatagramSize {
-			t.Errorf("entries decoded from %d bytes: got %d, want at most %d", len(body), n, MaxDatagramSize)
+		if entries := len(received.heartbeats[SiteTier]) + len(received.heartbeats[RegionTier]) + len(received.versions) + len(received.names) + len(received.summaries); entries > MaxDatagramSize {
+			t.Errorf("entries decoded from %d bytes: got %d, want at most %d", len(body), entries, MaxDatagramSize)
 		}
 		for _, record := range received.summaries {
 			copied := &reader{remaining: appendSummary(nil, record.tier, &entry{Summary: record.Summary, Heartbeat: record.Heartbeat})}
@@ -251,7 +253,7 @@
 	})
 }
 
-// The checker detects each violation it exists for.
+// The checker detects each kind of violation.
 func TestChecker_DetectsViolations(t *testing.T) {
 	type violation struct {
 		configure func(*Parameters)
@@ -269,7 +271,7 @@
 		},
 		"no representative": {
 			configure: func(p *Parameters) { p.SiteRoleDelay = clock.Hour },
-			detected:  func(fleet *simulatedFleet) bool { return len(fleet.living(representsSite)) == 0 },
+			detected:  func(fleet *simulatedFleet) bool { return len(fleet.liveRouters(representsSite)) == 0 },
 		},
 		"no dissemination": {
 			configure: stopDissemination,
@@ -287,7 +289,7 @@
 		fleet.setRevision(fleet.routers[3], 1)
 		fleet.run(20 * clock.Second)
 		if !violation.detected(fleet) {
-			t.Errorf("%s: got no violation detected, want one", name)
+			t.Errorf("%s: got no violation, want one", name)
 		}
 	}
 }
--- a/core/hierarchy/golden_test.go
+++ b/core/hierarchy/golden_test.go
@@ -13,8 +13,9 @@
 	"spurtrestle/internal/goldentest"
 )
 
-// The datagrams of a small fleet over twelve seconds and the status of each router at the end are byte for byte those of the build
-// before the renames, which wrote the file: the first datagrams of each kind in full, and a digest over all in the order of sending.
+// The datagrams of a small fleet over twelve seconds and the final status of each router are byte for byte those of the golden
+// file, which an earlier build wrote: routers of different builds exchange datagrams. The file has the first datagrams of each
+// kind in full, and a digest over all in the order of sending.
 func TestGolden_DatagramsAndStatus(t *testing.T) {
 	goldentest.CompareFile(t, "testdata/datagrams.golden", goldenRun(t))
 }
--- a/core/hierarchy/hierarchy.go
+++ b/core/hierarchy/hierarchy.go
@@ -1,19 +1,20 @@
-// Package hierarchy decides what a router of a tiered fleet knows of other sites and regions, and which datagrams it sends for
-// that. Full membership ends at the site. Elected representatives publish one versioned summary of their site to the other
-// sites of the region, and one of their region to the other regions. Summaries are disseminated by push and by anti-entropy
-// exchanges of digests, so datagrams may be lost, duplicated and reordered, and two routers may publish one summary at a time;
-// all routers converge to the summary with the highest version.
+// Package hierarchy maintains a router's view of the other sites and regions of a tiered fleet, and creates the gossip
+// datagrams that disseminate it. Only the routers of one site know each other individually. Elected representatives publish
+// one versioned summary of their site to the other sites of the region, and one of their region to the other regions.
+// Summaries are disseminated by push and by anti-entropy (periodic comparison of digests), so datagrams may be lost,
+// duplicated and reordered, and two routers may publish the same summary concurrently: all routers converge to the summary
+// with the highest version.
 //
 // Package internal/gossip owns a Hierarchy and calls it under its lock: Tick several times a second, Receive for each
-// datagram. This package does no I/O, starts no goroutine and reads no clock: each call is given the current time of a monotonic
-// clock. State and datagrams are bounded in size.
+// datagram. This package does no I/O, starts no goroutine and reads no clock: each call is given the current time of a
+// monotonic clock. State and datagrams are bounded in size.
 //
 //   - parameters.go: sizes and timings
 //   - election.go: representatives of a site and of a region
 //   - publication.go: writing summaries and heartbeats
 //   - table.go, summary.go: the summaries of one tier
 //   - dissemination.go: push of updates, periodic exchange of digests
-//   - repair.go: received datagrams, and repair of what digests show to be missing
+//   - repair.go: received datagrams, and repair of missing summaries
 //   - reconnect.go: contact with routers that do not respond
 //   - encode.go, decode.go: datagrams
 //   - status.go: the state shown to operators
@@ -34,8 +35,8 @@
 	Name             string
 	Addr             netip.AddrPort   // at which other routers reach this one
 	SeedAddrs        []netip.AddrPort // of routers of other sites, for the first contact
-	WallClockSeconds uint32           // Unix time at New; orders the summaries of a site that restarted without any state
-	RandomSeed       uint64           // for the choice of partners
+	WallClockSeconds uint32           // Unix time at New; orders the summaries of a site whose routers all restarted
+	RandomSeed       uint64           // for the selection of peers
 }
 
 // Member is a live router of the local site.
@@ -60,7 +61,7 @@
 	Body []byte
 }
 
-// Hierarchy is one router's knowledge of the tiers. It is not safe for concurrent use.
+// Hierarchy is one router's view of the tiers. It is not safe for concurrent use.
 type Hierarchy struct {
 	parameters Parameters
 	config     Config
@@ -82,7 +83,7 @@
 	droppedDatagrams  uint64     // malformed or foreign ones received, and replies over the limit
 }
 
-// New returns a Hierarchy that knows of no other site or region.
+// New returns a Hierarchy without any summaries.
 func New(now clock.Time, parameters Parameters, config Config) *Hierarchy {
 	h := &Hierarchy{
 		parameters:     parameters,
@@ -99,8 +100,8 @@
 	return h
 }
 
-// Tick advances the time, replaces the state of the local site and returns the datagrams to send, replies to received
-// datagrams included. The caller calls it several times a second.
+// Tick advances the time, replaces the state of the local site and returns the datagrams to send, including the replies to
+// received ones. The caller calls it several times a second.
 func (h *Hierarchy) Tick(now clock.Time, localSite LocalSite) []Datagram {
 	h.now, h.localSite = now, localSite
 	h.electRoles()
@@ -122,6 +123,7 @@
 // heartbeatAge is the time since a newer heartbeat of the entry was last received or published.
 func (h *Hierarchy) heartbeatAge(group *entry) clock.Duration { return h.now - group.heartbeatAt }
 
+// expireSummaries removes the summaries without a heartbeat for Parameters.ExpireAfter.
 func (h *Hierarchy) expireSummaries() {
 	for _, summaries := range h.tables {
 		for name, group := range summaries.entries {
--- a/core/hierarchy/parameters.go
+++ b/core/hierarchy/parameters.go
@@ -5,19 +5,19 @@
 // Parameters are the sizes and timings of a hierarchy.
 type Parameters struct {
 	RepresentativesPerSite int
-	StandbysPerSite        int // ranks below the representatives that replace unresponsive ones
+	StandbysPerSite        int // routers that replace unresponsive representatives
 	RepresentingSites      int // sites of a region whose representatives also represent the region
 
-	SilenceTimeout          clock.Duration // without a datagram, after which a candidate counts as unresponsive
+	SilenceTimeout          clock.Duration // without a datagram, after which a candidate is unresponsive
 	SiteRoleDelay           clock.Duration // from the start until the router may represent its site
 	RegionRoleDelay         clock.Duration // from the start until the router may represent its region
 	SitePublishInterval     clock.Duration // minimum between two versions of the site's summary by one router
 	RegionPublishInterval   clock.Duration // minimum between two versions of the region's summary by one router
-	TakeoverDelay           clock.Duration // for each rank, before a lower rank publishes in place of a higher one
+	TakeoverDelay           clock.Duration // per rank, before a router publishes in place of a higher-ranked one
 	SiteHeartbeatInterval   clock.Duration
 	RegionHeartbeatInterval clock.Duration
 
-	PingInterval              clock.Duration // between pings of a representative to the candidates of its site
+	PingInterval              clock.Duration // between two pings of a representative to the candidates of its site
 	PushInterval              clock.Duration // minimum between two pushes of updates
 	ExchangeInterval          clock.Duration // between two exchanges of digests on a link
 	IsolatedReconnectInterval clock.Duration // while no router of another site or region is known, and during StartupPeriod
--- a/core/hierarchy/publication.go
+++ b/core/hierarchy/publication.go
@@ -7,14 +7,14 @@
 	"spurtrestle/core/clock"
 )
 
-// publication is the progress of publishing one summary.
+// publication is this router's state of publishing one summary.
 type publication struct {
 	publishedAt  clock.Time // by this router; 0: never
-	differsSince clock.Time // when the summary in the table began to differ from the actual state; 0: they agree
+	differsSince clock.Time // when the summary in the table began to differ from the actual state; 0: they are equal
 	differsFrom  Version    // the version in the table that differs
 }
 
-// publishIntervals are minimum times between publications of one tier.
+// publishIntervals are the minimum times between two publications of one tier.
 type publishIntervals struct {
 	summary   clock.Duration
 	heartbeat clock.Duration
@@ -46,13 +46,13 @@
 }
 
 // publishSummary publishes a new version of the summary if its content differs from the table's, and otherwise a heartbeat if
-// one is due. Rank 0 publishes at once. Each rank below waits longer, and publishes only if no higher rank has; a negative
-// rank is below all others.
+// one is due. Rank 0 publishes immediately. Each lower rank waits longer, and publishes only if no higher rank has; a
+// negative rank is below all others.
 func (h *Hierarchy) publishSummary(tier Tier, summary Summary, heartbeat Heartbeat, rank int) {
 	if rank < 0 {
 		rank = h.candidateCount()
 	}
-	takeover := clock.Duration(rank) * h.parameters.TakeoverDelay
+	takeoverDelay := clock.Duration(rank) * h.parameters.TakeoverDelay
 	intervals := h.publishIntervals(tier)
 	name := hashName(summary.Name)
 	current := h.tables[tier].entries[name]
@@ -64,15 +64,15 @@
 	progress := &h.publications[tier]
 	if sameContent(current.Summary, summary) {
 		progress.differsSince = 0
-		h.publishHeartbeat(tier, current, heartbeat, intervals.heartbeat+takeover)
+		h.publishHeartbeat(tier, current, heartbeat, intervals.heartbeat+takeoverDelay)
 		return
 	}
 	if progress.differsSince == 0 || progress.differsFrom != current.Version {
 		progress.differsSince, progress.differsFrom = h.now, current.Version
 	}
-	leftToHigherRank := h.now-progress.differsSince < takeover
+	awaitsHigherRank := h.now-progress.differsSince < takeoverDelay
 	publishedRecently := progress.publishedAt != 0 && h.now-progress.publishedAt < intervals.summary
-	if leftToHigherRank || publishedRecently {
+	if awaitsHigherRank || publishedRecently {
 		return
 	}
 	writer := uint16(hashName(h.config.Addr.String()))
@@ -82,8 +82,8 @@
 	h.queueSummary(tier, name)
 }
 
-// publishHeartbeat publishes a heartbeat if the last one is older than interval, or at once if the policy revision is higher
-// than any published one.
+// publishHeartbeat publishes a heartbeat if the last one is older than interval, or immediately if the policy revision is
+// higher than any published one.
 func (h *Hierarchy) publishHeartbeat(tier Tier, current *entry, heartbeat Heartbeat, interval clock.Duration) {
 	newRevision := heartbeat.MaxRevision > h.tables[tier].maxRevision(h.now, h.parameters.LostAfter)
 	if !newRevision && h.heartbeatAge(current) < interval {
@@ -93,7 +93,7 @@
 	h.queueHeartbeat(tier, hashName(current.Name), newRevision)
 }
 
-// sameContent reports whether two summaries are equal but for their versions.
+// sameContent reports whether two summaries are equal except for their versions.
 func sameContent(a, b Summary) bool {
 	return a.Name == b.Name &&
 		a.Counts == b.Counts &&
@@ -113,7 +113,7 @@
 	return summary, Heartbeat{MinRevision: h.localSite.MinRevision, MaxRevision: h.localSite.MaxRevision}
 }
 
-// localRegionSummary adds up the summaries of the region's sites. Routers of lost sites do not count as alive.
+// localRegionSummary aggregates the summaries of the region's sites. Routers of lost sites do not count as alive.
 func (h *Hierarchy) localRegionSummary() (Summary, Heartbeat) {
 	summary := Summary{Name: h.config.Region}
 	heartbeat := Heartbeat{}
--- a/core/hierarchy/reconnect.go
+++ b/core/hierarchy/reconnect.go
@@ -11,8 +11,8 @@
 // maxKnownRepresentatives bounds the result of KnownRepresentatives.
 const maxKnownRepresentatives = 64
 
-// reconnect contacts one router from which nothing is received: a seed address, or a representative of a stale summary. It heals
-// partitions of any length.
+// reconnect contacts one router from which nothing is received: a seed address, or a representative of a stale summary. The
+// fleet therefore recovers from a partition of any duration.
 func (h *Hierarchy) reconnect() {
 	d := &h.dissemination
 	if !h.role.RepresentsSite || h.now < d.nextReconnectAt {
@@ -22,12 +22,12 @@
 	// Jitter spreads the reconnects of routers that started together.
 	jitter := clock.Duration(h.random.Int64N(int64(interval / 2)))
 	d.nextReconnectAt = h.now + interval - jitter
-	peers := h.unknownPeers()
+	peers := h.reconnectCandidates()
 	if len(peers) == 0 {
 		return
 	}
-	h.introduce(peers[d.reconnectCounter%len(peers)])
-	d.reconnectCounter++
+	h.introduce(peers[d.reconnectCount%len(peers)])
+	d.reconnectCount++
 }
 
 func (h *Hierarchy) reconnectInterval() clock.Duration {
@@ -41,17 +41,17 @@
 	}
 }
 
-// introduce sends the local summaries and the digests of the tables to a router that may not know this one. The digest is that of
-// regionLink, which includes both tiers; a receiver in another region ignores the tier of sites.
+// introduce sends the local summaries and the digests of the tables to a router that may not know this one. The digest is that
+// of regionLink, which includes both tiers; a receiver in another region ignores the site tier.
 func (h *Hierarchy) introduce(peer netip.AddrPort) {
 	records := h.encodeSummaries(SiteTier, map[nameHash]bool{hashName(h.config.Site): true})
 	records = append(records, h.encodeSummaries(RegionTier, map[nameHash]bool{hashName(h.config.Region): true})...)
-	h.reply(peer, h.packRecords(kindUpdate, records), 1)
-	h.reply(peer, [][]byte{h.encodeDigest(regionLink, entrySet{})}, 1)
+	h.enqueue(peer, h.packRecords(kindUpdate, records), 1)
+	h.enqueue(peer, [][]byte{h.encodeDigest(regionLink, entrySet{})}, 1)
 }
 
-// representsTier reports whether this router exchanges a tier's summaries with other groups of the tier.
-func (h *Hierarchy) representsTier(tier Tier) bool {
+// disseminatesTier reports whether this router exchanges a tier's summaries with other groups of the tier.
+func (h *Hierarchy) disseminatesTier(tier Tier) bool {
 	return tier == SiteTier || h.role.RepresentsRegion
 }
 
@@ -63,17 +63,18 @@
 	return h.config.Region
 }
 
-// isIsolated reports whether a tier that this router represents has no other group that is not stale.
+// isIsolated reports whether a tier that this router disseminates has no other group that is not stale.
 func (h *Hierarchy) isIsolated() bool {
 	for tier := range tierCount {
-		if h.representsTier(tier) && !h.hasFreshNeighbour(tier) {
+		if h.disseminatesTier(tier) && !h.hasFreshPeerGroup(tier) {
 			return true
 		}
 	}
 	return false
 }
 
-func (h *Hierarchy) hasFreshNeighbour(tier Tier) bool {
+// hasFreshPeerGroup reports whether a tier has a group other than the router's own that is not stale.
+func (h *Hierarchy) hasFreshPeerGroup(tier Tier) bool {
 	for _, group := range h.tables[tier].entries {
 		if group.Name != h.ownName(tier) && h.heartbeatAge(group) <= h.parameters.StaleAfter {
 			return true
@@ -82,11 +83,11 @@
 	return false
 }
 
-// hasStaleSummary reports whether a summary of a tier that this router represents is stale.
+// hasStaleSummary reports whether a summary of a tier that this router disseminates is stale.
 func (h *Hierarchy) hasStaleSummary() bool {
 	for tier := range tierCount {
 		for _, group := range h.tables[tier].entries {
-			if h.representsTier(tier) && h.heartbeatAge(group) > h.parameters.StaleAfter {
+			if h.disseminatesTier(tier) && h.heartbeatAge(group) > h.parameters.StaleAfter {
 				return true
 			}
 		}
@@ -94,11 +95,11 @@
 	return false
 }
 
-// unknownPeers returns the addresses to reconnect to: seed addresses and the representatives of stale summaries.
-func (h *Hierarchy) unknownPeers() []netip.AddrPort {
+// reconnectCandidates returns the addresses to reconnect to: seed addresses and the representatives of stale summaries.
+func (h *Hierarchy) reconnectCandidates() []netip.AddrPort {
 	peers := slices.Clone(h.config.SeedAddrs)
 	for tier := range tierCount {
-		if !h.representsTier(tier) {
+		if !h.disseminatesTier(tier) {
 			continue
 		}
 		for _, group := range h.tables[tier].entries {
@@ -111,7 +112,7 @@
 }
 
 // introduceToRegion introduces this router to representatives of its region whose sites it does not know. Two sites of a region
-// may have only seed addresses in another region, and find each other by that region's summary.
+// may have seed addresses in another region only; they discover each other through the summary of their own region.
 func (h *Hierarchy) introduceToRegion(representatives []netip.AddrPort) {
 	if !h.role.RepresentsSite {
 		return
@@ -130,8 +131,8 @@
 	}
 }
 
-// KnownRepresentatives returns a random selection of representatives of other sites and regions. The caller persists them as
-// addresses to contact after a restart.
+// KnownRepresentatives returns a random sample of the representatives of other sites and regions. The caller persists it as
+// the addresses to contact after a restart.
 func (h *Hierarchy) KnownRepresentatives() []netip.AddrPort {
 	var representatives []netip.AddrPort
 	for tier := range tierCount {
--- a/core/hierarchy/repair.go
+++ b/core/hierarchy/repair.go
@@ -6,20 +6,20 @@
 	"spurtrestle/core/clock"
 )
 
-// Bounds of replies and of their forwarding.
+// Limits of replies and of forwarding.
 const (
-	maxOutgoing        = 32 // datagrams that wait for the next Tick
-	maxReplyDatagrams  = 3  // datagrams that answer one digest or request
-	maxForwardedRepair = 8  // summaries of a repair up to which a router without a role forwards them in its site
+	maxOutgoing        = 32 // queued datagrams
+	maxReplyDatagrams  = 3  // in reply to one digest or request
+	maxForwardedRepair = 8  // summaries in a repair that a router without a role forwards in its site
 
-	// versionsInterval is the minimum time between two answers to digests that differ; while the table is changing it is
-	// changingVersionsInterval.
+	// versionsInterval is the minimum time between two replies to digests that differ. While the table is changing the minimum
+	// is changingVersionsInterval.
 	versionsInterval         = 1 * clock.Second
 	changingVersionsInterval = 2 * clock.Second
 )
 
-// Receive processes a datagram. Replies are returned by the next Tick. Malformed datagrams and those of another fleet are
-// counted and dropped.
+// Receive processes a datagram. The next Tick returns the replies. Malformed datagrams and those of another fleet are counted
+// and dropped.
 func (h *Hierarchy) Receive(now clock.Time, body []byte) {
 	received, err := decode(body)
 	if err != nil || received.fleet != hashName(h.config.Fleet) {
@@ -40,7 +40,7 @@
 			h.repair(received)
 		}
 	case kindRequest:
-		h.reply(received.from, h.packRecords(kindRepair, h.encodeSummaries(received.tier, received.requested())), maxReplyDatagrams)
+		h.enqueue(received.from, h.packRecords(kindRepair, h.encodeSummaries(received.tier, received.requested())), maxReplyDatagrams)
 	case kindUpdate, kindRepair:
 		h.receiveSummaries(received)
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// compareDigests answers a digest that differs from this router's with the versions of its table, so that the sender can repair
-// both.
+// compareDigests replies to a digest that differs from this router's with the versions of its table, so that the sender can
+// repair both tables.
 func (h *Hierarchy) compareDigests(received message) {
 	h.hasComparedDigest = true
 	for tier := range tierCount {
@@ -78,7 +78,7 @@
 			continue
 		}
 		h.dissemination.versionsSentAt[tier] = h.now
-		h.reply(received.from, h.encodeVersions(tier), maxReplyDatagrams)
+		h.enqueue(received.from, h.encodeVersions(tier), maxReplyDatagrams)
 	}
 }
 
@@ -94,30 +94,30 @@
 // repair sends the summaries that the sender of versions lacks, and requests those that this router lacks.
 func (h *Hierarchy) repair(received message) {
 	entries := h.tables[received.tier].entries
-	theirVersions := map[nameHash]Version{}
-	var missingHere []nameHash
-	for _, theirs := range received.versions {
-		theirVersions[theirs.name] = theirs.version
-		own := entries[theirs.name]
-		if own == nil || own.Version < theirs.version {
-			missingHere = append(missingHere, theirs.name)
+	peerVersions := map[nameHash]Version{}
+	var missingLocally []nameHash
+	for _, peerRecord := range received.versions {
+		peerVersions[peerRecord.name] = peerRecord.version
+		local := entries[peerRecord.name]
+		if local == nil || local.Version < peerRecord.version {
+			missingLocally = append(missingLocally, peerRecord.name)
 		}
 	}
-	missingThere := map[nameHash]bool{}
-	for name, own := range entries {
+	missingRemotely := map[nameHash]bool{}
+	for name, local := range entries {
 		inRange := name >= received.first && name <= received.last
-		if inRange && theirVersions[name] < own.Version {
-			missingThere[name] = true
+		if inRange && peerVersions[name] < local.Version {
+			missingRemotely[name] = true
 		}
 	}
-	h.reply(received.from, h.packRecords(kindRepair, h.encodeSummaries(received.tier, missingThere)), maxReplyDatagrams)
-	if len(missingHere) > 0 {
-		h.reply(received.from, [][]byte{h.encodeRequest(received.tier, missingHere)}, 1)
+	h.enqueue(received.from, h.packRecords(kindRepair, h.encodeSummaries(received.tier, missingRemotely)), maxReplyDatagrams)
+	if len(missingLocally) > 0 {
+		h.enqueue(received.from, [][]byte{h.encodeRequest(received.tier, missingLocally)}, 1)
 	}
 }
 
-// receiveSummaries merges summaries and forwards newer ones. A router without a role does not forward a large repair: a router
-// that just joined lacks everything, and the others of its site do not.
+// receiveSummaries merges summaries and forwards newer ones. A router without a role does not forward a large repair, which it
+// usually receives because it has just joined, while the others of its site already have the summaries.
 func (h *Hierarchy) receiveSummaries(received message) {
 	forwards := received.kind == kindUpdate || len(received.summaries) <= maxForwardedRepair || h.role.RepresentsSite
 	for _, record := range received.summaries {
@@ -138,14 +138,14 @@
 }
 
 // isExpired reports whether a heartbeat is older than ExpireAfter. Routers remove a summary at different times, and must not
-// take a removed one back from each other.
+// receive a removed one again from each other.
 func (h *Hierarchy) isExpired(heartbeat Heartbeat) bool {
 	ageSeconds := int64(h.wallClock()) - int64(heartbeat.Sequence)
 	return ageSeconds > int64(h.parameters.ExpireAfter/clock.Second)
 }
 
-// reply queues up to limit bodies for the next Tick. Those over the limits are counted and dropped.
-func (h *Hierarchy) reply(to netip.AddrPort, bodies [][]byte, limit int) {
+// enqueue queues up to limit datagrams for the next Tick. Those over limit or maxOutgoing are counted and dropped.
+func (h *Hierarchy) enqueue(to netip.AddrPort, bodies [][]byte, limit int) {
 	for i, body := range bodies {
 		if i >= limit || len(h.outgoing) >= maxOutgoing {
 			h.droppedDatagrams++
--- a/core/hierarchy/simulation_test.go
+++ b/core/hierarchy/simulation_test.go
@@ -9,16 +9,16 @@
 	"spurtrestle/core/clock"
 )
 
-// A simulated fleet in virtual time: routers of this package, a network that loses, duplicates, reorders and partitions, a membership of
-// each site that detects joins and failures late, and a checker of the state of the routers.
+// A simulated fleet in virtual time: routers of this package; a network that loses, duplicates and reorders datagrams and can
+// be partitioned; a membership of each site that detects joins and failures late; and a checker of the routers' state.
 
 const (
 	tickInterval     = 10 * clock.Millisecond  // of the simulation
 	stepInterval     = 200 * clock.Millisecond // between two calls of Tick
 	defaultMaxDelay  = 20 * clock.Millisecond
-	revisionInterval = 6600 * clock.Millisecond // between the 13,000 changes of configuration a day of the target
-	datagramOverhead = 20 + 8 + 2               // IPv4, UDP, and the two bytes by which memberlist and internal/gossip mark a datagram
-	gossipDelay      = 500 * clock.Millisecond  // until the other routers of a site know a new revision
+	revisionInterval = 6600 * clock.Millisecond // at the target rate of 13,000 configuration changes a day
+	datagramOverhead = 20 + 8 + 2               // IPv4, UDP, and the two type bytes of memberlist and internal/gossip
+	gossipDelay      = 500 * clock.Millisecond  // until the other routers of a site have a new revision
 	inFlightSlots    = 1024                     // longest delivery, in ticks
 )
 
@@ -66,19 +66,19 @@
 	lossRate          float64
 	duplicateRate     float64
 	maxDelay          clock.Duration
-	isCut             func(from, to *simulatedRouter) bool
+	isPartitioned     func(from, to *simulatedRouter) bool
 	minDeathDetection clock.Duration // until the membership detects a failure
 	maxDeathDetection clock.Duration
 
 	falseLosses            int                 // observations of a lost site or region with a live router
 	checkedStates          int                 // observations
 	longestOverrepresented clock.Duration      // of a site with too many representatives
-	longestUnrepresented   clock.Duration      // of a site without
+	longestUnrepresented   clock.Duration      // of a site without a representative
 	longestDatagram        int                 // in bytes
 	sentByKind             [kindRepair + 1]int // bytes of each kind of datagram
 }
 
-// newFleet returns a fleet of stopped routers. The regions have about equally many sites.
+// newFleet returns a fleet of stopped routers. The sites are distributed evenly over the regions.
 func newFleet(t testing.TB, seed uint64, sites, regions, perSite int) *simulatedFleet {
 	f := &simulatedFleet{
 		t:                 t,
@@ -86,7 +86,7 @@
 		parameters:        DefaultParameters(),
 		routersByAddress:  map[netip.AddrPort]*simulatedRouter{},
 		maxDelay:          defaultMaxDelay,
-		isCut:             func(_, _ *simulatedRouter) bool { return false },
+		isPartitioned:     func(_, _ *simulatedRouter) bool { return false },
 		minDeathDetection: 4 * clock.Second,
 		maxDeathDetection: 7 * clock.Second,
 	}
@@ -102,7 +102,7 @@
 		f.sites = append(f.sites, site)
 	}
 	for i, site := range f.sites {
-		for _, router := range site.routers { // seeds: the first router of the own region, and of the next
+		for _, router := range site.routers { // seeds: the first router of the own region and of the next one
 			router.seedAddrs = []netip.AddrPort{f.sites[i%regions].routers[0].address, f.sites[(i%regions+1)%regions].routers[0].address}
 		}
 	}
@@ -130,13 +130,13 @@
 
 // startAll starts all routers at random times within a period.
 func (f *simulatedFleet) startAll(span clock.Duration) {
-	begin := map[clock.Time][]*simulatedRouter{}
+	startingAt := map[clock.Time][]*simulatedRouter{}
 	for _, router := range f.routers {
 		at := clock.Time(f.random.IntN(int(span/tickInterval))) * tickInterval
-		begin[at] = append(begin[at], router)
+		startingAt[at] = append(startingAt[at], router)
 	}
 	for at := clock.Time(0); at < span; at += tickInterval {
-		for _, router := range begin[at] {
+		for _, router := range startingAt[at] {
 			f.start(router)
 		}
 		f.step()
@@ -179,7 +179,7 @@
 		f.sentByKind[datagram.Body[0]] += len(datagram.Body) + datagramOverhead
 		f.longestDatagram = max(f.longestDatagram, len(datagram.Body))
 		to := f.routersByAddress[datagram.To]
-		if to == nil || f.isCut(from, to) {
+		if to == nil || f.isPartitioned(from, to) {
 			continue
 		}
 		for range f.copiesDelivered() {
@@ -201,7 +201,7 @@
 	return 1
 }
 
-// localSite returns a router's membership view of its site. Each router detects failures late, and joins a little late, at its own time.
+// localSite returns a router's membership view of its site. Each router detects failures and joins with delays of its own.
 func (f *simulatedFleet) localSite(router *simulatedRouter) (l LocalSite) {
 	l.Counts.Total = uint32(len(router.site.routers))
 	l.MinRevision = ^uint64(0)
@@ -236,14 +236,14 @@
 	return f.now-member.stateSince > 100*clock.Millisecond+500*delay
 }
 
-// living returns the live routers that match a condition.
-func (f *simulatedFleet) living(ok func(*simulatedRouter) bool) (all []*simulatedRouter) {
+// liveRouters returns the live routers that match a condition.
+func (f *simulatedFleet) liveRouters(matches func(*simulatedRouter) bool) (routers []*simulatedRouter) {
 	for _, router := range f.routers {
-		if router.hierarchy != nil && ok(router) {
-			all = append(all, router)
+		if router.hierarchy != nil && matches(router) {
+			routers = append(routers, router)
 		}
 	}
-	return all
+	return routers
 }
 
 // setRevision gives a router a new policy revision.
@@ -257,6 +257,6 @@
 
 func representsSite(router *simulatedRouter) bool { return router.hierarchy.Role().RepresentsSite }
 
-func (f *simulatedFleet) pick(all []*simulatedRouter) *simulatedRouter {
-	return all[f.random.IntN(len(all))]
+func (f *simulatedFleet) pickRandom(routers []*simulatedRouter) *simulatedRouter {
+	return routers[f.random.IntN(len(routers))]
 }
--- a/core/hierarchy/status.go
+++ b/core/hierarchy/status.go
@@ -30,7 +30,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("state of a summary: %q is none of fresh, stale, lost", text)
+	return fmt.Errorf("unknown summary state %q: want fresh, stale or lost", text)
 }
 
 // GroupStatus is the state of a site or a region as shown to operators.
@@ -48,7 +48,7 @@
 	Representatives []string       `json:"representatives"`
 }
 
-// Status is a router's knowledge of the tiers as shown to operators.
+// Status is a router's view of the tiers as shown to operators.
 type Status struct {
 	Region           string        `json:"region"`
 	Site             string        `json:"site"`
@@ -56,8 +56,8 @@
 	RepresentsRegion bool          `json:"represents_region"`
 	Settled          bool          `json:"settled"`
 	NewestRevision   uint64        `json:"newest_policy_revision"`
-	SitesDigest      string        `json:"sites_digest"`   // equal at all routers of a region with equal knowledge
-	RegionsDigest    string        `json:"regions_digest"` // equal at all routers of the fleet with equal knowledge
+	SitesDigest      string        `json:"sites_digest"`   // equal at all routers of a region that have the same summaries
+	RegionsDigest    string        `json:"regions_digest"` // equal at all routers of the fleet that have the same summaries
 	Sites            []GroupStatus `json:"sites"`
 	Regions          []GroupStatus `json:"regions"`
 	DatagramsDropped uint64        `json:"datagrams_dropped"`
@@ -82,8 +82,8 @@
 	}
 }
 
-// Settled reports whether this router knows its own site and region, and for Parameters.SettleAfter no summary has changed and
-// no digest of another router has differed. It advances the time as Tick does.
+// Settled reports whether this router has the summaries of its own site and region and, for Parameters.SettleAfter, no
+// summary has changed and no digest of another router has differed. It advances the time as Tick does.
 func (h *Hierarchy) Settled(now clock.Time) bool {
 	h.now = max(h.now, now)
 	for tier := range tierCount {
--- a/core/hierarchy/summary.go
+++ b/core/hierarchy/summary.go
@@ -22,8 +22,8 @@
 	Total     uint32 `json:"of"`            // including failed ones that are still known
 }
 
-// Summary describes a site or a region to routers outside it. Of two summaries of one name the one with the higher version is
-// current.
+// Summary describes a site or a region to routers outside it. Of two summaries with the same name, the one with the higher
+// version is current.
 type Summary struct {
 	Name            string
 	Version         Version
@@ -34,9 +34,9 @@
 	Representatives []netip.AddrPort
 }
 
-// Version orders the summaries of one name. From the high bits down: 32 bits of wall clock at which the sequence of versions
-// began, 16 bits of counter, 16 bits that identify the writer. A counter overflow carries into the clock's bits and preserves the
-// order.
+// Version orders the summaries of one name. From the high bits down it has 32 bits of the wall clock at which the sequence
+// of versions began, a 16-bit counter, and 16 bits that identify the writer. A counter overflow carries into the clock bits
+// and preserves the order.
 type Version uint64
 
 const (
@@ -44,21 +44,21 @@
 	writerBits     = 16
 )
 
-// next returns the version after v by a writer, at least that of a sequence that begins at wallClock.
+// next returns a writer's version that follows v, and is not below the first version of a sequence that begins at wallClock.
 func (v Version) next(wallClock uint32, writer uint16) Version {
 	base := max(v, Version(wallClock)<<wallClockShift)
 	return (base>>writerBits+1)<<writerBits | Version(writer)
 }
 
-// Heartbeat shows that a site or region is alive, and carries the state that changes too often for a version of its own. The
-// heartbeat with the highest sequence number is current.
+// Heartbeat shows that a site or region is alive, and carries the state that changes too often for a new summary version.
+// The heartbeat with the highest sequence number is current.
 type Heartbeat struct {
-	Sequence    uint32 // rises with the wall clock
+	Sequence    uint32 // increases with the wall clock
 	MinRevision uint64 // lowest policy revision at a live router
 	MaxRevision uint64 // highest policy revision at a live router
 }
 
-// nameHash identifies a site or region in frequent datagrams.
+// nameHash identifies a site or region in frequently sent datagrams, in place of its name.
 type nameHash uint32
 
 func hashName(name string) nameHash {
--- a/core/hierarchy/table.go
+++ b/core/hierarchy/table.go
@@ -34,8 +34,8 @@
 
 func newTable(limit int) *table { return &table{limit: limit, entries: map[nameHash]*entry{}} }
 
-// merge stores the summary and the heartbeat where they are newer than the stored ones, and reports whether the summary was. A
-// full table accepts no new name, and of two names with one hash the first stays.
+// merge stores the summary and the heartbeat, each if it is newer than the stored one, and reports whether the summary was
+// stored. A full table accepts no new names; of two names with the same hash the first is kept.
 func (t *table) merge(now clock.Time, summary Summary, heartbeat Heartbeat) bool {
 	name := hashName(summary.Name)
 	current := t.entries[name]
@@ -59,7 +59,7 @@
 	return true
 }
 
-// recordHeartbeat stores a heartbeat of a known name and reports whether it was newer than the stored one.
+// recordHeartbeat stores the heartbeat of a known name if it is newer than the stored one, and reports whether it was.
 func (t *table) recordHeartbeat(now clock.Time, name nameHash, heartbeat Heartbeat) bool {
 	current := t.entries[name]
 	if current == nil || heartbeat.Sequence <= current.Sequence {
@@ -86,7 +86,7 @@
 	return t.digest
 }
 
-// refresh recomputes the sorted keys and the digest after a change.
+// refresh recomputes the sorted keys and the digest if the table has changed.
 func (t *table) refresh() {
 	if t.sorted != nil {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// keysFromRandom iterates over all keys in ascending order, cyclically from a random one.
+// keysFromRandom iterates over all keys in ascending order, starting at a random one and wrapping around.
 func (t *table) keysFromRandom(random *rand.Rand) iter.Seq[nameHash] {
 	return func(yield func(nameHash) bool) {
 		keys := t.sortedKeys()
