--- a/core/membership/changes.go
+++ b/core/membership/changes.go
@@ -7,10 +7,10 @@
 	"spurtrestle/core/clock"
 )
 
-// Event names a change of a view, as it stands in the log.
+// Event is a kind of change of a view. Its text is logged.
 type Event string
 
-// Events beside those named as the state that a router enters.
+// The events that are not the entry into a state; those are named after the state.
 const (
 	EventNewIncarnation    Event = "new incarnation"
 	EventDraining          Event = "draining"
@@ -24,11 +24,11 @@
 	EventStalled           Event = "process stalled; view is stale"
 )
 
-// Change is a change of the view that is logged.
+// Change is a change of the view, to be logged.
 type Change struct {
 	Router         Name
 	Event          Event
-	Warning        bool           // it needs an operator's attention
+	Warning        bool           // it requires an operator's attention
 	Owner          *Member        // of the name; nil for EventForgotten and EventStalled
 	PolicyRevision uint64         // of the owner
 	StalledFor     clock.Duration // for EventStalled
@@ -55,11 +55,11 @@
 	}
 }
 
-// collectChanges returns what has changed since the last call, ordered by router.
+// collectChanges returns the changes since the last call, ordered by router.
 func (v *View) collectChanges() []Change {
 	var changes []Change
 	seen := map[Name]bool{}
-	for name, processes := range v.byName() {
+	for name, processes := range v.processesByName() {
 		seen[name] = true
 		owner := ownerOf(processes)
 		before, current := v.reported[name], owner.reportedState()
@@ -91,8 +91,8 @@
 	return changes
 }
 
-// eventBetween names the change from one state of a router to the current one, of several the most important one. It returns
-// "" if there is nothing to log. The zero state stands for a router that was not known.
+// eventBetween returns the most important difference between two states of a router, or "" if there is nothing to log. The zero
+// state is that of an unknown router.
 func eventBetween(before, current reportedState) Event {
 	switch {
 	case before == current:
@@ -115,7 +115,7 @@
 		return EventNotAccepting
 	case before.policyRevision != current.policyRevision:
 		return EventPolicyChanged
-	default: // before.duplicated alone is left
+	default: // only before.duplicated remains
 		return EventDuplicateResolved
 	}
 }
--- a/core/membership/diff.go
+++ b/core/membership/diff.go
@@ -13,8 +13,8 @@
 	textDuplicate = "two of the name"
 )
 
-// Diff compares the snapshots of two routers and returns a line for each router that they show differently. Spans are not
-// compared, and a router that is gone in one snapshot may be missing in the other.
+// Diff compares the snapshots of two routers and returns a line for each router whose status differs. Durations are not
+// compared, and a router that is lost or left in one snapshot may be missing in the other.
 func Diff(a, b Snapshot) []string {
 	inA, inB := a.routersByName(), b.routersByName()
 	var names []Name
@@ -27,12 +27,12 @@
 	for _, name := range slices.Compact(names) {
 		routerA, isInA := inA[name]
 		routerB, isInB := inB[name]
-		isGoneInB := !isInA && !routerB.State.isPresent()
-		isGoneInA := !isInB && !routerA.State.isPresent()
-		if isGoneInA || isGoneInB {
+		isDepartedInB := !isInA && !routerB.State.isPresent()
+		isDepartedInA := !isInB && !routerA.State.isPresent()
+		if isDepartedInA || isDepartedInB {
 			continue
 		}
-		textA, textB := describe(routerA, isInA), describe(routerB, isInB)
+		textA, textB := describeRouter(routerA, isInA), describeRouter(routerB, isInB)
 		if textA != textB {
 			lines = append(lines, fmt.Sprintf("%s: %s by %s; %s by %s", name, textA, a.ReportedBy, textB, b.ReportedBy))
 		}
@@ -48,8 +48,9 @@
 	return byName
 }
 
-// describe returns the compared part of a router's status. Suspect counts as Alive: it is one router's own observation.
-func describe(router RouterStatus, isKnown bool) string {
+// describeRouter returns the compared part of a router's status. Suspect counts as Alive, since it is only the reporting
+// router's observation.
+func describeRouter(router RouterStatus, isKnown bool) string {
 	if !isKnown {
 		return textMissing
 	}
--- a/core/membership/digest.go
+++ b/core/membership/digest.go
@@ -15,13 +15,13 @@
 // the same digest.
 func (v *View) Digest() (digest uint64, settled bool) { return v.digest, v.settled }
 
-// updateDigest computes the digest over the alive routers and the states that they announce. It leaves out all that only
-// this router observes, so that two views of the same alive routers in the same states have the same digest. Routers of
-// different builds compare digests: the encoding must not change.
+// updateDigest computes the digest over the alive routers and the states that they announce. It excludes this router's own
+// observations, so that two views of the same alive routers in the same states have the same digest. Routers of different
+// builds compare digests: the encoding must not change.
 func (v *View) updateDigest(now clock.Time) {
 	v.expireHandovers(now)
 	var rows [][]byte
-	for name, processes := range v.byName() {
+	for name, processes := range v.processesByName() {
 		owner := ownerOf(processes)
 		if owner.routerState == Alive {
 			rows = append(rows, digestRow(name, owner))
--- a/core/membership/golden_test.go
+++ b/core/membership/golden_test.go
@@ -7,14 +7,14 @@
 	"spurtrestle/internal/goldentest"
 )
 
-// goldenHeartbeats have each field set in one of them at least.
+// goldenHeartbeats have every field set in at least one of them.
 var goldenHeartbeats = []Heartbeat{
 	{Incarnation: 1, Seq: 1},
 	{Incarnation: 1 << 63, Seq: 1 << 40, Accepting: true, Draining: true, HandingOver: true, Yielded: true, Left: true, Duplicate: 7, PolicyRevision: 1 << 50, ViewDigest: 1 << 63},
 	{Incarnation: 9, Seq: 3, Leader: true, VoterID: 5, VoterAddr: "10.0.0.1:7947", Voter: true, LastIndex: 77},
 }
 
-// goldenView is a view of six routers in all states, two of them of one name.
+// goldenView returns a view with routers in all states and two processes of one name.
 func goldenView() *View {
 	view := New(0, DefaultConfig(1e6), Member{Fleet: "harvest", Name: "me", Site: "hill", Incarnation: 1, Slot: 0, StartedAt: 1000, Build: "b1", Addr: "10.0.0.1:7946"})
 	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "a", Site: "hill", Incarnation: 2, Slot: 1, StartedAt: 2000, Build: "b2", Addr: "10.0.0.2:7946"})
@@ -43,7 +43,7 @@
 		}
 		var read Heartbeat
 		if err := json.Unmarshal(text, &read); err != nil || read != heartbeat {
-			t.Errorf("%s is read as %+v, %v", text, read, err)
+			t.Errorf("decoding %s: got %+v and error %v, want %+v", text, read, err, heartbeat)
 		}
 	}
 	text, err := json.MarshalIndent(goldenHeartbeats, "", " ")
@@ -61,7 +61,7 @@
 	goldentest.Compare(t, "view.json", text)
 }
 
-// The digest is compared between routers of different builds.
+// Routers of different builds compare digests, so the digest of a view must not change.
 func TestGolden_Digest(t *testing.T) {
 	view := goldenView()
 	digest, _ := view.Digest()
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -9,15 +9,15 @@
 	"spurtrestle/core/clock"
 )
 
-// randomFleet draws members and heartbeats. A name may have several processes; a number belongs to one process, and a
-// sequence number to one heartbeat.
+// randomFleet generates members and heartbeats. A name may have several processes; an incarnation identifies one process, and a
+// sequence number one heartbeat of it.
 func randomFleet(random *rand.Rand) (members []Member, heartbeats []Heartbeat) {
-	var drawn []Member
+	var candidates []Member
 	for i := range 1 + random.IntN(5) {
 		name := Name(strconv.Itoa(i))
 		for range 1 + random.IntN(2) {
 			id := Incarnation(10 + random.IntN(40))
-			drawn = append(drawn, Member{Name: name, Site: "s", Incarnation: id, StartedAt: int64(id), Addr: fmt.Sprint(id)})
+			candidates = append(candidates, Member{Name: name, Site: "s", Incarnation: id, StartedAt: int64(id), Addr: fmt.Sprint(id)})
 			for seq := range uint64(3) {
 				heartbeats = append(heartbeats, Heartbeat{Incarnation: id, Seq: seq + 2, Accepting: random.IntN(2) == 0,
 					PolicyRevision: uint64(random.IntN(2))})
@@ -25,7 +25,7 @@
 		}
 	}
 	seen := map[Incarnation]bool{}
-	for _, member := range drawn {
+	for _, member := range candidates {
 		if !seen[member.Incarnation] {
 			seen[member.Incarnation] = true
 			members = append(members, member)
@@ -42,7 +42,7 @@
 	return members, heartbeats
 }
 
-// describeContent is the part of a view that the digest is computed over.
+// describeContent returns the part of a view that the digest is computed over.
 func describeContent(view *View) string {
 	text := ""
 	for _, router := range view.Snapshot(1).Routers {
@@ -51,8 +51,8 @@
 	return text
 }
 
-// Whatever the order and number of repetitions of members and heartbeats, the same alive routers give the same digest, and
-// different contents give different digests.
+// The same alive routers give the same digest, in whatever order and however often members and heartbeats arrive, and different
+// contents give different digests.
 func TestDigest_DependsOnContentOnly(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	contentOf := map[uint64]string{}
@@ -80,14 +80,14 @@
 			}
 			content := describeContent(view)
 			if other, ok := contentOf[view.digest]; ok && other != content {
-				t.Fatalf("digest %x stands for\n%s\nand for\n%s", view.digest, other, content)
+				t.Fatalf("two contents have the digest %x:\n%s\nand\n%s", view.digest, other, content)
 			}
 			contentOf[view.digest] = content
 		}
 	}
 }
 
-// Heartbeats of unknown processes are bounded, and make place again once they are forgotten.
+// The records of unknown processes are bounded, and a process can join again once they are forgotten.
 func TestView_BoundsFloodOfHeartbeats(t *testing.T) {
 	config := testConfig()
 	view := New(0, config, parseMember([]string{"me/1"}))
--- a/core/membership/reconnect.go
+++ b/core/membership/reconnect.go
@@ -6,13 +6,13 @@
 	"spurtrestle/core/clock"
 )
 
-// reconnectsPerInterval bounds the reconnect attempts of the fleet in a reconnect interval. Routers of a fleet up to that
-// size make one attempt each; in a larger fleet each router's interval is longer.
+// reconnectsPerInterval bounds the reconnect attempts of the fleet per reconnect interval. In a fleet of up to this size each
+// router makes one attempt; in a larger fleet each router's interval is longer.
 const reconnectsPerInterval = 8
 
-// NextReconnect returns the address of a router that is not alive, if a reconnect attempt is due. Attempts go to the
-// seeds and to the addresses of lost and left routers, approximately in turn since the addresses change meanwhile. A partition
-// therefore heals even after both sides have forgotten each other.
+// NextReconnect returns the address of a router that is not alive, if a reconnect attempt is due. Attempts rotate over the
+// seeds and the addresses of lost and left routers; the rotation is approximate because the addresses change. The fleet
+// therefore recovers from a partition even after both sides have forgotten each other.
 func (v *View) NextReconnect(now clock.Time, seeds []string) (addr string, ok bool) {
 	if now < v.reconnectAt {
 		return "", false
@@ -39,8 +39,7 @@
 	return "", false
 }
 
-// KnownAddrs returns the addresses of all other processes that are alive or have been, sorted, for the file that a restart
-// reads.
+// KnownAddrs returns the sorted addresses of all other processes that are or were alive. They are persisted for a restart.
 func (v *View) KnownAddrs() []string {
 	addrs := slices.Clone(v.reconnectAddrs)
 	for _, p := range v.processes {
@@ -52,8 +51,8 @@
 	return slices.Compact(addrs)
 }
 
-// rememberAddr adds an address to reconnect to, in place of the oldest one when there are too many.
-func (v *View) rememberAddr(addr string) {
+// addReconnectAddr adds an address to reconnect to. It replaces the oldest one if there are too many.
+func (v *View) addReconnectAddr(addr string) {
 	if slices.Contains(v.reconnectAddrs, addr) {
 		return
 	}
--- a/core/membership/state.go
+++ b/core/membership/state.go
@@ -5,12 +5,12 @@
 // State is the state of a router in a view.
 type State uint8
 
-// A router that is Lost or Left becomes Alive again when a process of it joins. The zero State is that of a process that has
-// not joined; no router of a snapshot has it.
+// The states of a router. A router that is Lost or Left becomes Alive again when a process of it joins. The zero State is that
+// of a process that has not joined; no router of a snapshot has it.
 const (
 	Alive   State = iota + 1
 	Suspect       // alive according to others, without recent direct contact
-	Lost          // found dead or unreachable by the failure detector
+	Lost          // declared dead or unreachable by the failure detector
 	Left          // shut down gracefully
 )
 
@@ -32,5 +32,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("read state of a router: %q is none of alive, suspect, lost, left", text)
+	return fmt.Errorf("unknown router state %q: want alive, suspect, lost or left", text)
 }
--- a/core/membership/status.go
+++ b/core/membership/status.go
@@ -8,7 +8,7 @@
 	"spurtrestle/core/clock"
 )
 
-// RouterStatus is the state of one router in a Snapshot. Spans are in microseconds, as of the time of the snapshot.
+// RouterStatus is the state of one router in a Snapshot. Durations are in microseconds, as of the time of the snapshot.
 type RouterStatus struct {
 	Name           Name           `json:"name"`
 	Site           Site           `json:"site"`
@@ -21,7 +21,7 @@
 	InStateFor     clock.Duration `json:"for"`
 	Accepting      bool           `json:"takes_clients"`
 	Draining       bool           `json:"draining"`
-	NameConflict   bool           `json:"name_conflict"` // two alive processes use the name; the older one is shown
+	NameConflict   bool           `json:"name_conflict"` // two alive processes have the name; the older one is shown
 	PolicyRevision uint64         `json:"policy_revision"`
 	ContactAge     clock.Duration `json:"age"` // since the last direct contact
 	Digest         string         `json:"digest"`
@@ -43,7 +43,7 @@
 	Settled     bool           `json:"settled"`
 	SettledFor  clock.Duration `json:"for"` // since Settled last changed
 	Disagreeing []Name         `json:"disagree"`
-	YieldReason string         `json:"out_of_service"` // why this router stays out of service; empty: it does not
+	YieldReason string         `json:"out_of_service"` // why this router stays out of service; empty if it is in service
 	Sites       []SiteCount    `json:"sites"`
 	Routers     []RouterStatus `json:"routers"`
 }
@@ -62,7 +62,7 @@
 	if snapshot.Disagreeing == nil {
 		snapshot.Disagreeing = []Name{} // an empty array in JSON
 	}
-	for _, processes := range v.byName() {
+	for _, processes := range v.processesByName() {
 		snapshot.Routers = append(snapshot.Routers, v.statusOf(now, ownerOf(processes)))
 	}
 	slices.SortFunc(snapshot.Routers, func(a, b RouterStatus) int { return cmp.Compare(a.Name, b.Name) })
--- a/core/membership/trace_test.go
+++ b/core/membership/trace_test.go
@@ -10,10 +10,10 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// tickInterval is the span between two calls of Tick in a script.
+// tickInterval is the time between two calls of Tick in a script.
 const tickInterval = 500 * clock.Millisecond
 
-// testConfig is the default one for a probe interval of a second, with a shorter time until a router is forgotten.
+// testConfig returns the default configuration for a probe interval of a second, with a shorter ForgetAfter.
 func testConfig() Config {
 	config := DefaultConfig(clock.Second)
 	config.ForgetAfter = clock.Minute
@@ -21,11 +21,11 @@
 }
 
 func parseNumber(text string) uint64 {
-	n, _ := strconv.ParseUint(text, 10, 64) // a text that is no number is 0
+	n, _ := strconv.ParseUint(text, 10, 64) // 0 if text is not a number
 	return n
 }
 
-// parseMember reads a member of a script, as in "a/2 site=s start=5 predecessor=1 slot=0".
+// parseMember parses a member of a script, as in "a/2 site=s start=5 predecessor=1 slot=0".
 func parseMember(words []string) Member {
 	name, id, _ := strings.Cut(words[0], "/")
 	number := parseNumber(id)
@@ -48,7 +48,7 @@
 	return member
 }
 
-// parseHeartbeat applies the fields of a script to a heartbeat.
+// parseHeartbeat sets the fields of a heartbeat that a script lists.
 func parseHeartbeat(t *testing.T, heartbeat Heartbeat, words []string) Heartbeat {
 	t.Helper()
 	for _, word := range words {
@@ -71,13 +71,13 @@
 		case "seq":
 			heartbeat.Seq = parseNumber(value)
 		default:
-			t.Fatalf("unknown field of a heartbeat: %q", word)
+			t.Fatalf("unknown heartbeat field %q", word)
 		}
 	}
 	return heartbeat
 }
 
-// trace runs a script against the view of the router "me", incarnation 1.
+// trace is a run of a script against the view of the router "me", incarnation 1.
 type trace struct {
 	t    *testing.T
 	view *View
@@ -85,8 +85,8 @@
 	seqs map[Incarnation]uint64
 }
 
-// TestTraces runs the scripts of testdata. A script has a line for each input, with its time in seconds; below it stand the
-// changes that are logged and the view that results.
+// TestTraces runs the scripts of testdata. A script has a line for each input, with its time in seconds, followed by the logged
+// changes and the resulting view.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		run := &trace{t: t, view: New(0, testConfig(), parseMember([]string{"me/1"})), seqs: map[Incarnation]uint64{}}
@@ -140,7 +140,7 @@
 		}
 	case "show", "continues":
 	default:
-		r.t.Fatalf("unknown input: %q", input)
+		r.t.Fatalf("unknown input %q", input)
 	}
 }
 
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -7,8 +7,7 @@
 	"spurtrestle/core/clock"
 )
 
-// process is what the view knows of one incarnation. The state is Alive, Lost or Left; Suspect is derived when the view is
-// shown.
+// process is the view's record of one incarnation. Its state is Alive, Lost or Left; Suspect is derived by Snapshot.
 type process struct {
 	Member
 	joined      bool // Member is known
@@ -27,20 +26,20 @@
 	processes map[Incarnation]*process
 
 	digest       uint64
-	changedAt    clock.Time // when the digest last changed, or the process continued after a stall
+	changedAt    clock.Time // when the digest last changed or the process resumed after a stall
 	settled      bool
 	settledSince clock.Time // when settled last changed
 
 	reported   map[Name]reportedState // as of the last call of Tick
 	lastTick   clock.Time
-	stalledFor clock.Duration // a stall that Tick has not reported yet; 0: none
+	stalledFor clock.Duration // duration of a stall that Tick has not reported yet; 0: none
 
 	reconnectAddrs []string // of processes that are lost or left, oldest first
 	reconnectNext  int
 	reconnectAt    clock.Time
 }
 
-// New returns a view that contains this process alone.
+// New returns a view that contains only this process.
 func New(now clock.Time, config Config, self Member) *View {
 	v := &View{
 		config:       config,
@@ -63,8 +62,8 @@
 	return v
 }
 
-// MemberJoined records that the failure detector has found a process alive, for the first time or again, or with changed metadata. A process that has
-// announced its shutdown does not come back: the failure detector is outdated.
+// MemberJoined records that the failure detector reports a process as alive, for the first time or again, or with changed
+// metadata. It ignores a process that has announced its shutdown: the failure detector's information is outdated.
 func (v *View) MemberJoined(now clock.Time, member Member) {
 	p := v.findOrAdd(now, member.Incarnation)
 	if p == nil || member.Incarnation == v.self.Incarnation {
@@ -83,18 +82,18 @@
 	v.updateDigest(now)
 }
 
-// MemberFailed records that the failure detector has found a process dead.
+// MemberFailed records that the failure detector has declared a process dead.
 func (v *View) MemberFailed(now clock.Time, incarnation Incarnation) {
 	p := v.processes[incarnation]
 	if p == nil || !p.isAlive() || incarnation == v.self.Incarnation {
 		return
 	}
-	v.setGone(now, p)
+	v.markDeparted(now, p)
 	v.updateDigest(now)
 }
 
 // ReceiveHeartbeat records a heartbeat and reports whether it is newer than the last one of the same process. The caller
-// broadcasts newer heartbeats again.
+// rebroadcasts newer heartbeats.
 func (v *View) ReceiveHeartbeat(now clock.Time, heartbeat Heartbeat) bool {
 	p := v.findOrAdd(now, heartbeat.Incarnation)
 	if p == nil || heartbeat.Incarnation == v.self.Incarnation || heartbeat.Seq <= p.heartbeat.Seq {
@@ -103,13 +102,13 @@
 	p.heartbeat = heartbeat
 	isFirstLeave := p.joined && heartbeat.Left && p.state != Left
 	if isFirstLeave {
-		v.setGone(now, p)
+		v.markDeparted(now, p)
 	}
 	v.updateDigest(now)
 	return true
 }
 
-// RecordContact records that a process itself has answered.
+// RecordContact records direct contact with a process.
 func (v *View) RecordContact(now clock.Time, incarnation Incarnation) {
 	p, ok := v.processes[incarnation]
 	if ok {
@@ -126,14 +125,14 @@
 	return v.setHeartbeat(now, heartbeat)
 }
 
-// UpdateHeartbeat has change edit this process's heartbeat, and reports whether it has changed.
+// UpdateHeartbeat applies change to this process's heartbeat, and reports whether the heartbeat has changed.
 func (v *View) UpdateHeartbeat(now clock.Time, change func(*Heartbeat)) bool {
 	heartbeat := v.Heartbeat()
 	change(&heartbeat)
 	return v.setHeartbeat(now, heartbeat)
 }
 
-// AnnounceLeave announces that this process shuts down gracefully.
+// AnnounceLeave announces that this process is shutting down gracefully.
 func (v *View) AnnounceLeave(now clock.Time) {
 	v.UpdateHeartbeat(now, func(heartbeat *Heartbeat) {
 		heartbeat.HandingOver = false
@@ -141,7 +140,7 @@
 	})
 }
 
-// AnnounceHandover announces that this process exits since a successor has taken over.
+// AnnounceHandover announces that this process is exiting because a successor has taken over.
 func (v *View) AnnounceHandover(now clock.Time) {
 	v.UpdateHeartbeat(now, func(heartbeat *Heartbeat) {
 		heartbeat.HandingOver = true
@@ -161,7 +160,7 @@
 	return p.heartbeat, true
 }
 
-// Heartbeats returns the last heartbeat of each process, ordered by incarnation: the full state for anti-entropy.
+// Heartbeats returns the last heartbeat of each process, ordered by incarnation. It is the full state for anti-entropy.
 func (v *View) Heartbeats() []Heartbeat {
 	var heartbeats []Heartbeat
 	for _, p := range v.processes {
@@ -176,7 +175,7 @@
 // AliveMembers returns the owner of each alive router's name, ordered by name. It includes this process.
 func (v *View) AliveMembers() []Member {
 	var members []Member
-	for _, processes := range v.byName() {
+	for _, processes := range v.processesByName() {
 		owner := ownerOf(processes)
 		if owner.routerState == Alive {
 			members = append(members, owner.Member)
@@ -186,10 +185,10 @@
 	return members
 }
 
-// Disagreeing returns the names of alive routers whose last announced digest differs from this view's, in order.
+// Disagreeing returns the sorted names of the alive routers whose last announced digest differs from this view's.
 func (v *View) Disagreeing() []Name {
 	var names []Name
-	for name, processes := range v.byName() {
+	for name, processes := range v.processesByName() {
 		owner := ownerOf(processes)
 		isPeer := owner.routerState == Alive && owner.Incarnation != v.self.Incarnation
 		if isPeer && owner.heartbeat.ViewDigest != v.digest {
@@ -203,8 +202,8 @@
 // processesPerReconnectAddr bounds the processes of a view, as a multiple of MaxReconnectAddrs.
 const processesPerReconnectAddr = 4
 
-// findOrAdd returns the record of an incarnation. It returns nil for a new one when the view is full, so that a flood of
-// heartbeats does not grow it without bound.
+// findOrAdd returns the record of an incarnation, which it adds if there is none. It returns nil for a new incarnation if the
+// view is full, so that a flood of heartbeats cannot grow the view without bound.
 func (v *View) findOrAdd(now clock.Time, incarnation Incarnation) *process {
 	p := v.processes[incarnation]
 	isFull := len(v.processes) >= processesPerReconnectAddr*v.config.MaxReconnectAddrs
@@ -216,14 +215,14 @@
 	return p
 }
 
-// setGone marks a process as lost, or as left if it has announced that.
-func (v *View) setGone(now clock.Time, p *process) {
+// markDeparted marks a process as left if it has announced its shutdown, and as lost otherwise.
+func (v *View) markDeparted(now clock.Time, p *process) {
 	p.state = Lost
 	if p.heartbeat.Left {
 		p.state = Left
 	}
 	p.stateSince = now
-	v.rememberAddr(p.Addr)
+	v.addReconnectAddr(p.Addr)
 }
 
 // setHeartbeat replaces this process's heartbeat, and reports whether it has changed.
@@ -238,8 +237,8 @@
 	return true
 }
 
-// byName groups the processes that have joined by the name of their router.
-func (v *View) byName() map[Name][]*process {
+// processesByName groups the joined processes by the name of their router.
+func (v *View) processesByName() map[Name][]*process {
 	groups := map[Name][]*process{}
 	for _, p := range v.processes {
 		if p.joined {
@@ -249,8 +248,8 @@
 	return groups
 }
 
-// aliveOf returns the alive processes of a name.
-func (v *View) aliveOf(name Name) []*process {
+// aliveProcessesOf returns the alive processes of a name.
+func (v *View) aliveProcessesOf(name Name) []*process {
 	var alive []*process
 	for _, p := range v.processes {
 		if p.isAlive() && p.Name == name {
--- a/core/policycommit/entry.go
+++ b/core/policycommit/entry.go
@@ -7,15 +7,15 @@
 
 // The kinds of entries, with the fields that each uses.
 const (
-	EntryPropose        EntryKind = "propose" // a change is proposed: Token, Base, Document, Author, Reason, RequestedAt
-	EntryCommit         EntryKind = "decide"  // the pending change is in force from here on: Token
-	EntryAbort          EntryKind = "abort"   // the pending change is dropped: Token, AbortReason
-	EntryJoin           EntryKind = "enter"   // a router's process is a member: Name, Incarnation, FailOpen, Build, Site
-	EntryLeave          EntryKind = "leave"   // the process has shut down: Name, Incarnation
-	EntryMarkDead       EntryKind = "dead"    // an operator reports the router dead: Name, Author, Reason, RequestedAt
-	EntrySiteTransition EntryKind = "site"    // a site changes its state: Transition
-	EntryGrantShare     EntryKind = "lend"    // the share of a lost router is leased to the others: Name, Incarnation
-	EntryRevokeShare    EntryKind = "unlend"  // the share is the router's own again: Name
+	EntryPropose        EntryKind = "propose" // propose a change: Token, Base, Document, Author, Reason, RequestedAt
+	EntryCommit         EntryKind = "decide"  // commit the pending change: Token
+	EntryAbort          EntryKind = "abort"   // drop the pending change: Token, AbortReason
+	EntryJoin           EntryKind = "enter"   // add a router's process as a member: Name, Incarnation, FailOpen, Build, Site
+	EntryLeave          EntryKind = "leave"   // remove a process that has shut down: Name, Incarnation
+	EntryMarkDead       EntryKind = "dead"    // remove a router that an operator reports as dead: Name, Author, Reason, RequestedAt
+	EntrySiteTransition EntryKind = "site"    // change the state of a site: Transition
+	EntryGrantShare     EntryKind = "lend"    // lease the share of a lost router to the others: Name, Incarnation
+	EntryRevokeShare    EntryKind = "unlend"  // return the share to its router: Name
 )
 
 // Entry is one entry of the raft log, stored as JSON.
--- a/core/policycommit/explore_test.go
+++ b/core/policycommit/explore_test.go
@@ -12,30 +12,31 @@
 	"spurtrestle/core/clock"
 )
 
-var long = flag.Bool("long", false, "explore the scopes that take minutes as well")
+var long = flag.Bool("long", false, "also explore the scopes that take minutes")
 
-// modelTiming is the timing of the model: a tick is a lease.
+// modelTiming is the timing of the model: a lease lasts one tick.
 var modelTiming = Timing{LeaseDuration: 1, RenewInterval: 1, RetryInterval: 1, PrepareTimeout: 3}
 
-// The model has two routers that renew, a leader that answers and resolves, and an operator that proposes. Messages may be
-// delayed without bound. A router that stalls is one that takes no step.
+// The tests of this file explore a model of the protocol exhaustively. The model has two routers that renew, a leader that
+// answers renewals and resolves changes, and an operator that proposes changes. Messages may be delayed without bound. A stalled
+// router is one that takes no steps.
 
 // acceptAll is the validation of a build that can apply every document.
 func acceptAll(string) error { return nil }
 
-// eventBudget bounds the events of a run that are not steps of the protocol.
+// eventBudget is the number of events in a run that are not steps of the protocol, by kind.
 type eventBudget struct {
 	proposals, losses, duplicates, crashes, newLeaders int
 }
 
-// plantedBug is a fault of the protocol that the exploration has to find.
-type plantedBug string
+// injectedBug is a protocol error that the exploration has to find.
+type injectedBug string
 
 const (
-	noBug               plantedBug = ""
-	leaseFromReceipt    plantedBug = "lease counts from its receipt"
-	leaseIgnored        plantedBug = "lease is not checked"
-	preparedIsForgotten plantedBug = "prepared change is forgotten"
+	noBug             injectedBug = ""
+	leaseFromReceipt  injectedBug = "lease counts from its receipt"
+	leaseIgnored      injectedBug = "lease is not checked"
+	preparedForgotten injectedBug = "prepared change is forgotten"
 )
 
 // scope bounds the states that are explored.
@@ -81,7 +82,7 @@
 
 func (s *modelState) append(entry Entry) { s.log.Apply(s.log.Index+1, entry) }
 
-// key encodes what distinguishes two states.
+// key encodes all properties that distinguish two states.
 func (s *modelState) key() []byte {
 	key := make([]byte, 0, 256)
 	numbers := func(values ...int64) {
@@ -130,19 +131,19 @@
 // explorer visits every state of a scope once.
 type explorer struct {
 	scope     scope
-	bug       plantedBug
+	bug       injectedBug
 	states    int
-	visited   map[[16]byte]struct{} // by a hash: of 1e7 states no two share one, but for a chance of 1e-24
+	visited   map[[16]byte]struct{} // hashes of the visited states; the chance of a collision among 1e7 states is 1e-24
 	violation string
 }
 
-func explore(s scope, bug plantedBug) *explorer {
+func explore(s scope, bug injectedBug) *explorer {
 	e := &explorer{scope: s, bug: bug, visited: map[[16]byte]struct{}{}}
 	e.visit(e.initialState())
 	return e
 }
 
-// initialState has all routers with a lease of revision 0.
+// initialState returns a state in which all routers have a lease for revision 0.
 func (e *explorer) initialState() *modelState {
 	s := &modelState{
 		log:          &LogState{},
@@ -167,13 +168,13 @@
 	return s
 }
 
-// visit checks a state, and then visits the states that each possible step leads to.
+// visit checks a state and then recursively visits its successor states.
 func (e *explorer) visit(s *modelState) {
 	if e.violation != "" {
 		return
 	}
 	e.checkServed(s)
-	if e.violation != "" || !e.markVisited(s) {
+	if e.violation != "" || !e.addVisited(s) {
 		return
 	}
 	e.environmentSteps(s)
@@ -185,7 +186,8 @@
 	}
 }
 
-// checkServed looks for a router that can admit requests under a revision longer than a lease after a later one was served.
+// checkServed records a violation if a router can still admit requests under a revision more than a lease duration after a
+// later revision was first served.
 func (e *explorer) checkServed(s *modelState) {
 	for i, follower := range s.followers {
 		deadline := follower.AdmissionDeadline(s.now)
@@ -202,17 +204,17 @@
 		}
 		for later, servedAt := range s.firstServed {
 			if later > revision && s.now > servedAt+modelTiming.LeaseDuration {
-				e.violation = fmt.Sprintf("at tick %d router %d serves revision %d, and %d was served at %d", s.now, i, revision, later, servedAt)
+				e.violation = fmt.Sprintf("at tick %d router %d serves revision %d, but revision %d was first served at tick %d", s.now, i, revision, later, servedAt)
 				return
 			}
 		}
 	}
 }
 
-// markVisited reports whether the state is new.
-func (e *explorer) markVisited(s *modelState) bool {
+// addVisited adds the state to the visited ones and reports whether it is new.
+func (e *explorer) addVisited(s *modelState) bool {
 	hash := fnv.New128a()
-	_, _ = hash.Write(s.key()) // cannot fail
+	_, _ = hash.Write(s.key()) // a hash's Write never fails
 	var key [16]byte
 	hash.Sum(key[:0])
 	if _, ok := e.visited[key]; ok {
@@ -223,14 +225,14 @@
 	return true
 }
 
-// step visits the state that one step leads to.
+// step applies a step to a copy of the state and visits the result.
 func (e *explorer) step(s *modelState, do func(*modelState)) {
 	next := s.clone()
 	do(next)
 	e.visit(next)
 }
 
-// environmentSteps are the passing of time and the operator's proposals.
+// environmentSteps advance the time and propose changes.
 func (e *explorer) environmentSteps(s *modelState) {
 	if s.now < e.scope.ticks {
 		e.step(s, func(next *modelState) { next.now++ })
@@ -244,10 +246,11 @@
 	}
 }
 
+// leaderSteps resolve the pending change or replace the leader.
 func (e *explorer) leaderSteps(s *modelState) {
 	entry := s.clone().leader.ResolvePending(s.now, s.log)
-	firstSight := s.log.Pending != nil && s.leader.pendingToken == ""
-	if entry != nil || firstSight {
+	isFirstObservation := s.log.Pending != nil && s.leader.pendingToken == ""
+	if entry != nil || isFirstObservation {
 		e.step(s, func(next *modelState) {
 			if entry := next.leader.ResolvePending(next.now, next.log); entry != nil {
 				next.append(*entry)
@@ -262,14 +265,14 @@
 	}
 }
 
-// renewalSteps send a renewal, answer it, or lose it.
+// renewalSteps send, answer or lose a renewal.
 func (e *explorer) renewalSteps(s *modelState, i int) {
 	if s.renewals[i] == nil && s.leases[i] == nil && s.renewalsLeft[i] > 0 {
 		e.step(s, func(next *modelState) {
 			renewal := s.followers[i].renewal(next.now)
 			next.renewals[i] = &renewal
 			next.renewalsLeft[i]--
-			if e.bug == preparedIsForgotten {
+			if e.bug == preparedForgotten {
 				next.followers[i].prepared = ""
 			}
 		})
@@ -296,7 +299,7 @@
 	}
 }
 
-// leaseSteps receive a lease, receive it and keep a duplicate in flight, or lose it.
+// leaseSteps receive a lease, receive it with a duplicate left in flight, or lose it.
 func (e *explorer) leaseSteps(s *modelState, i int) {
 	lease := s.leases[i]
 	if lease == nil {
@@ -327,7 +330,7 @@
 	}
 }
 
-// crashStep replaces a router's process by a new one without state.
+// crashStep replaces a router's process with a new one without state.
 func (e *explorer) crashStep(s *modelState, i int) {
 	if s.budget.crashes == 0 {
 		return
@@ -341,15 +344,15 @@
 	})
 }
 
-// In every order of events of a small fleet, no router serves a revision longer than a lease after the next one was first served.
-// The planted bugs are found in the same scopes, so the scopes are large enough to show a violation.
+// In every order of events of a small fleet, no router serves a revision for more than a lease duration after the next one was
+// first served. The injected bugs are found in the same scopes, which shows that the scopes are large enough.
 func TestEveryOrder(t *testing.T) {
 	failClosed, mixed, failOpen := []bool{false, false}, []bool{true, false}, []bool{true, true}
 	scopes := map[string]scope{
 		"both fail closed": {failClosed, 5, []int{3, 1}, eventBudget{proposals: 1}},
 		"both fail open":   {failOpen, 5, []int{3, 2}, eventBudget{proposals: 1}},
 		"one fails open":   {mixed, 5, []int{3, 1}, eventBudget{proposals: 1}},
-		// Shorter runs with other events.
+		// Shorter runs with additional events.
 		"loss and duplicate": {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, losses: 1, duplicates: 1}},
 		"crash":              {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, crashes: 1}},
 		"new leader":         {failClosed, 4, []int{2, 1}, eventBudget{proposals: 1, newLeaders: 1}},
@@ -359,7 +362,7 @@
 	for name, s := range scopes {
 		t.Run(name, func(t *testing.T) {
 			if takesMinutes[name] && !*long {
-				t.Skip("minutes: make accord-long")
+				t.Skip("takes minutes; run by make accord-long")
 			}
 			t.Parallel()
 			e := explore(s, noBug)
@@ -369,21 +372,21 @@
 			t.Logf("%d states", e.states)
 		})
 	}
-	// A forgotten prepare does not show where fail-closed routers get a new lease.
-	shownIn := map[plantedBug][]string{
-		preparedIsForgotten: {"both fail open", "all events"},
-		leaseFromReceipt:    slices.Collect(maps.Keys(scopes)),
-		leaseIgnored:        slices.Collect(maps.Keys(scopes)),
+	// A forgotten prepare is not visible in the other scopes, where fail-closed routers get a new lease.
+	visibleIn := map[injectedBug][]string{
+		preparedForgotten: {"both fail open", "all events"},
+		leaseFromReceipt:  slices.Collect(maps.Keys(scopes)),
+		leaseIgnored:      slices.Collect(maps.Keys(scopes)),
 	}
-	for bug, names := range shownIn {
+	for bug, names := range visibleIn {
 		for _, name := range names {
 			t.Run(string(bug)+"/"+name, func(t *testing.T) {
 				t.Parallel()
 				e := explore(scopes[name], bug)
 				if e.violation == "" {
-					t.Errorf("not found in %d states", e.states)
+					t.Errorf("injected bug: got no violation in %d states, want one", e.states)
 				}
-				t.Logf("found in %d states: %s", e.states, e.violation)
+				t.Logf("violation after %d states: %s", e.states, e.violation)
 			})
 		}
 	}
--- a/core/policycommit/follower.go
+++ b/core/policycommit/follower.go
@@ -2,31 +2,31 @@
 
 import "spurtrestle/core/clock"
 
-// NoDeadline is the admission deadline of a router that may serve until further notice. It compares as a deadline that has
-// passed: test for it first.
+// NoDeadline is the admission deadline of a router that may serve indefinitely. It compares like a deadline that has passed, so
+// callers test for it first.
 const NoDeadline clock.Time = 0
 
-// Follower is the participant of a change on a router, and the owner of its lease. It is not safe for concurrent use.
+// Follower is a router's participant in a change, and holds the router's lease. It is not safe for concurrent use.
 type Follower struct {
 	timing Timing
 	config FollowerConfig
 
 	active      ActivePolicy
 	hasRevision bool
-	index       Index // the highest of a lease received
+	index       Index // the highest index of a lease received
 
 	leaseExpiresAt clock.Time
-	hasOwnLease    bool // granted to this incarnation, not transferred to it
+	hasOwnLease    bool // a lease was granted to this incarnation, not just transferred to it
 	leaving        bool
 
 	prepared      Token
-	preparedIndex Index // of the lease that had the document
+	preparedIndex Index // of the lease that contained the document
 	rejected      Token
 	rejectReason  string
 
 	hasRenewed bool
 	renewedAt  clock.Time
-	answered   bool // the last renewal
+	answered   bool // the last renewal was
 }
 
 // FollowerConfig describes a router to its leader.
@@ -38,19 +38,19 @@
 	Validate    func(document string) error // reports why this build cannot apply a document
 }
 
-// ActivePolicy is the revision that a router's lease is for.
+// ActivePolicy is the revision that a router's lease applies to, with its document.
 type ActivePolicy struct {
 	Revision Revision
 	Document string
 }
 
-// LeaseUpdate is what the caller of ReceiveLease has to do.
+// LeaseUpdate lists the actions that the caller of ReceiveLease must take.
 type LeaseUpdate struct {
-	Adopt    bool // apply the active policy, which has changed
-	RenewNow bool // send the next renewal at once: it reports the outcome of the prepare
+	Adopt    bool // the active policy has changed: apply it
+	RenewNow bool // send the next renewal immediately: it reports the outcome of the prepare
 }
 
-// NewFollower returns the follower of a router that has no lease yet.
+// NewFollower returns a follower without a lease.
 func NewFollower(timing Timing, config FollowerConfig) *Follower {
 	return &Follower{timing: timing, config: config, answered: true}
 }
@@ -86,14 +86,14 @@
 	}
 }
 
-// Leave ends the admission of requests permanently and returns the renewal that reports it.
+// Leave permanently ends the admission of requests and returns the renewal that reports it.
 func (f *Follower) Leave(now clock.Time) Renewal {
 	f.leaving = true
 	return f.renewal(now)
 }
 
-// ReceiveLease handles the answer to a renewal. A router never goes back to an earlier revision: a lease of one counts as an
-// answer, but extends nothing.
+// ReceiveLease handles the answer to a renewal. A router never returns to an earlier revision: a lease for one counts as an
+// answer, but does not extend the router's lease.
 func (f *Follower) ReceiveLease(now clock.Time, lease Lease) LeaseUpdate {
 	if !f.isAcceptable(now, lease) {
 		return LeaseUpdate{}
@@ -105,14 +105,14 @@
 	var update LeaseUpdate
 	if !f.hasRevision || lease.Revision != f.active.Revision {
 		if lease.Revision < f.active.Revision {
-			return LeaseUpdate{} // by a voter whose folder was restored from an older copy
+			return LeaseUpdate{} // granted by a voter whose data directory was restored from an older copy
 		}
 		f.active = ActivePolicy{Revision: lease.Revision, Document: lease.Document}
 		f.hasRevision = true
 		update.Adopt = true
 	}
 	f.leaseExpiresAt = max(f.leaseExpiresAt, lease.RenewalSentAt+lease.Duration)
-	f.forgetResolved(lease.Pending)
+	f.clearResolved(lease.Pending)
 	if f.mustPrepare(lease) {
 		f.prepare(now, lease)
 		update.RenewNow = true
@@ -126,13 +126,13 @@
 	if !answersThisProcess || lease.Index < f.index || f.leaving {
 		return false
 	}
-	// The leader granted it before it had the change that this router has prepared.
+	// The leader granted the lease before it had the change that this router has prepared.
 	grantedBeforeProposal := f.prepared != "" && lease.Pending != f.prepared && lease.Index <= f.preparedIndex
 	return !grantedBeforeProposal
 }
 
-// forgetResolved drops what was prepared or rejected, unless it is pending still.
-func (f *Follower) forgetResolved(pending Token) {
+// clearResolved drops a prepared or rejected change that is no longer pending.
+func (f *Follower) clearResolved(pending Token) {
 	if f.prepared != pending {
 		f.prepared = ""
 	}
@@ -146,7 +146,7 @@
 	return hasDocument && f.prepared != lease.Pending && f.rejected != lease.Pending
 }
 
-// prepare validates the pending document and makes the next renewal due at once.
+// prepare validates the pending document, records the outcome and makes the next renewal due immediately.
 func (f *Follower) prepare(now clock.Time, lease Lease) {
 	if err := f.config.Validate(lease.PrepareDocument); err != nil {
 		f.rejected, f.rejectReason = lease.Pending, err.Error()
@@ -157,11 +157,11 @@
 	f.renewedAt = now - f.timing.RetryInterval
 }
 
-// Active returns the policy that the lease is for; false before the first lease.
+// Active returns the policy that the lease applies to; false before the first lease.
 func (f *Follower) Active() (ActivePolicy, bool) { return f.active, f.hasRevision }
 
-// AdmissionDeadline returns until when the router may admit requests. It is NoDeadline for a fail-open router that has prepared
-// no change, and not after now for a router that may admit nothing.
+// AdmissionDeadline returns the time until which the router may admit requests. It is NoDeadline for a fail-open router that has
+// prepared no change, and not later than now for a router that may not admit any.
 func (f *Follower) AdmissionDeadline(now clock.Time) clock.Time {
 	switch {
 	case !f.hasRevision || f.leaving:
@@ -172,5 +172,5 @@
 	return f.leaseExpiresAt
 }
 
-// Prepared returns the change that the router has prepared and that is not resolved here; empty if there is none.
+// Prepared returns the change that the router has prepared and whose outcome it has not received; empty if there is none.
 func (f *Follower) Prepared() Token { return f.prepared }
--- a/core/policycommit/golden_test.go
+++ b/core/policycommit/golden_test.go
@@ -8,22 +8,23 @@
 	"spurtrestle/internal/goldentest"
 )
 
-// messagesFile has the JSON forms of everything that is exchanged or stored, by name, as the build bfb4b5c wrote them.
+// messagesFile has the JSON encoding of every exchanged or stored type, by name, as written by build bfb4b5c. Routers of
+// different builds exchange these messages and read each other's log.
 const messagesFile = "testdata/messages.golden"
 
-// siteOrder has an order in its JSON form, so that the test does not depend on the names of its fields.
-func siteOrder(t *testing.T) *sitefailover.Transition {
+// siteTransition decodes a transition from JSON, so that the test does not depend on the names of its fields.
+func siteTransition(t *testing.T) *sitefailover.Transition {
 	t.Helper()
 	const text = `{"Site":"coast","On":0,"stage":"lost","step":1,"by":"ada","reason":"dark","at":7,"index":0}`
-	var order sitefailover.Transition
-	if err := json.Unmarshal([]byte(text), &order); err != nil {
+	var transition sitefailover.Transition
+	if err := json.Unmarshal([]byte(text), &transition); err != nil {
 		t.Fatal(err)
 	}
-	return &order
+	return &transition
 }
 
-// logStateGolden applies entries of every kind and records the verdicts.
-func logStateGolden(t *testing.T, checkVerdict func(Token, Verdict)) *LogState {
+// goldenLogState applies entries of every kind and passes the verdicts to checkVerdict.
+func goldenLogState(t *testing.T, checkVerdict func(Token, Verdict)) *LogState {
 	t.Helper()
 	state := &LogState{}
 	for i, entry := range []Entry{
@@ -40,7 +41,7 @@
 		{Kind: EntryGrantShare, Name: "n1", Incarnation: 11},
 		{Kind: EntryGrantShare, Name: "n2", Incarnation: 99},
 		{Kind: EntryMarkDead, Name: "n3", Author: "ada", Reason: "burnt", RequestedAt: 6},
-		{Kind: EntrySiteTransition, Transition: siteOrder(t)},
+		{Kind: EntrySiteTransition, Transition: siteTransition(t)},
 	} {
 		if verdict, ok := state.Apply(Index(i+1), entry); ok {
 			checkVerdict(entry.Token, verdict)
@@ -64,7 +65,7 @@
 		"enter":   {Kind: EntryJoin, Name: "n1", Incarnation: 11, FailOpen: true, Build: "abc", Site: "hill"},
 		"leave":   {Kind: EntryLeave, Name: "n1", Incarnation: 11},
 		"dead":    {Kind: EntryMarkDead, Name: "n1", Author: "ada", Reason: "burnt", RequestedAt: 5},
-		"site":    {Kind: EntrySiteTransition, Transition: siteOrder(t)},
+		"site":    {Kind: EntrySiteTransition, Transition: siteTransition(t)},
 		"lend":    {Kind: EntryGrantShare, Name: "n1", Incarnation: 11},
 		"unlend":  {Kind: EntryRevokeShare, Name: "n1"},
 	} {
@@ -92,10 +93,10 @@
 		Voters:       []string{"n1/a at 127.0.0.1:1, leads"}, Sites: &sitefailover.Status{}, Document: "doc"})
 
 	check("logstate/empty", &LogState{})
-	state := logStateGolden(t, func(token Token, verdict Verdict) { check("verdict/of-"+string(token), verdict) })
+	state := goldenLogState(t, func(token Token, verdict Verdict) { check("verdict/of-"+string(token), verdict) })
 	check("logstate/full", state)
 
-	// The reasons of the leader are stored in abort entries and shown to operators.
+	// Abort entries with the leader's reasons are stored, and shown to operators.
 	timing := DefaultTiming()
 	leader := NewLeader(0, timing, 3)
 	leader.AnswerRenewal(1, state, Renewal{Name: "n2", Incarnation: 12, FailOpen: true, Site: "coast", Rejected: "t5", RejectReason: "line 2: bad"})
@@ -110,7 +111,7 @@
 	golden.CheckAllCompared(t)
 }
 
-// A log state of the older build is read without loss.
+// A log state that was written by an older build is read without loss.
 func TestLogState_ReadsOlderSnapshot(t *testing.T) {
 	want := goldentest.ReadMessages(t, messagesFile).Text("logstate/full")
 	var state LogState
@@ -118,6 +119,6 @@
 		t.Fatal(err)
 	}
 	if text, err := json.Marshal(&state); err != nil || string(text) != want {
-		t.Errorf("after reading and writing:\n got %s, %v\nwant %s", text, err, want)
+		t.Errorf("log state after decoding and encoding:\n got %s, error %v\nwant %s", text, err, want)
 	}
 }
--- a/core/policycommit/leader.go
+++ b/core/policycommit/leader.go
@@ -9,12 +9,12 @@
 	"spurtrestle/core/clock"
 )
 
-// Leader coordinates a change on the voter that leads raft, and answers renewals. Every term has a new Leader, which knows
-// nothing of the leases that earlier ones granted. It is not safe for concurrent use.
+// Leader coordinates a change and answers renewals on the voter that is the raft leader. Every term has a new Leader, which does
+// not know the leases that earlier ones granted. It is not safe for concurrent use.
 type Leader struct {
 	timing       Timing
 	startedAt    clock.Time
-	renewals     map[RouterName]receivedRenewal // the last of each router; bounded by the names of the fleet
+	renewals     map[RouterName]receivedRenewal // the last of each router; bounded by the number of names in the fleet
 	pendingToken Token
 	pendingSince clock.Time // when this leader first saw the pending change
 
@@ -26,7 +26,7 @@
 	receivedAt clock.Time
 }
 
-// RenewalAnswer is the answer to a renewal. At most one field is set; none if the router gets no lease now.
+// RenewalAnswer is the answer to a renewal. At most one field is set; none if the router does not get a lease now.
 type RenewalAnswer struct {
 	Lease *Lease
 	Entry *Entry // to append to the log before the router can get a lease
@@ -42,8 +42,8 @@
 	}
 }
 
-// AnswerRenewal records a renewal and answers it. If the router's share is leased out, it also begins to reclaim the share. The caller must have received the renewal before a majority confirmed this
-// leader, and must have read state after.
+// AnswerRenewal records a renewal and answers it. If the router's share is leased out, it also begins to reclaim the share. The
+// caller must have received the renewal before a majority confirmed this leader, and must have read state afterwards.
 func (l *Leader) AnswerRenewal(now clock.Time, state *LogState, renewal Renewal) RenewalAnswer {
 	l.renewals[renewal.Name] = receivedRenewal{Renewal: renewal, receivedAt: now}
 	member, isMember := state.Members[renewal.Name]
@@ -64,7 +64,7 @@
 		}}
 	}
 	if state.LeasedOut[renewal.Name] {
-		l.shares.reclaimed[renewal.Name] = true // no lease before the share is the router's own again
+		l.shares.reclaimed[renewal.Name] = true // the router gets no lease before its share is returned
 		return RenewalAnswer{}
 	}
 	return RenewalAnswer{Lease: l.grantLease(now, state, renewal)}
@@ -98,13 +98,15 @@
 	return lease
 }
 
-// leaseBound is how long a lease may count after it was granted, by the clock of any router that runs a hundredth slow.
-func (l *Leader) leaseBound() clock.Duration {
+// maxLeaseValidity is the longest time for which a lease may count after it was granted, even by a clock that runs a hundredth
+// slow.
+func (l *Leader) maxLeaseValidity() clock.Duration {
 	return l.timing.LeaseDuration + l.timing.LeaseDuration/clockDriftDivisor + l.timing.ClockSlack
 }
 
-// ResolvePending returns the entry that ends the pending change, or nil while it has to wait: a commit once every router that
-// may be serving has prepared; an abort if one has rejected the change, or has not prepared within Timing.PrepareTimeout.
+// ResolvePending returns the entry that ends the pending change, or nil while the change has to wait. It returns a commit once
+// every router that may be serving has prepared, and an abort if one has rejected the change or has not prepared within
+// Timing.PrepareTimeout. The reasons are stored in the raft log and shown to operators.
 func (l *Leader) ResolvePending(now clock.Time, state *LogState) *Entry {
 	pending := state.Pending
 	if pending == nil {
@@ -137,15 +139,15 @@
 	return nil
 }
 
-// vote is what the leader knows of a member's part in the pending change.
+// vote is a member's response to the pending change, as far as the leader knows it.
 type vote int
 
 const (
 	votePrepared vote = iota
 	voteRejected
-	voteNotNeeded   // the member has no lease, and admits nothing until it has one of the revision that is decided on now
-	voteMissing     // it renews, but has neither prepared nor rejected
-	voteUnreachable // it does not renew, and may be serving
+	voteNotNeeded   // the member has no lease, and admits no requests until it has one for the outcome of the change
+	voteMissing     // the member renews, but has neither prepared nor rejected
+	voteUnreachable // the member does not renew, and may be serving
 )
 
 func (l *Leader) voteOf(now clock.Time, name RouterName, member Member, pending Token) vote {
@@ -164,13 +166,13 @@
 	return voteUnreachable
 }
 
-// leaseExpired reports whether the last lease of a router has certainly expired. A new leader waits first for the leases that the
-// one before may have granted.
+// leaseExpired reports whether the last lease of a router has definitely expired. A new leader first waits for the leases that
+// its predecessor may have granted.
 func (l *Leader) leaseExpired(now clock.Time, name RouterName, member Member) bool {
-	bound := l.leaseBound()
+	validity := l.maxLeaseValidity()
 	renewal, ok := l.renewals[name]
-	renewedLately := ok && renewal.Incarnation == member.Incarnation && now-renewal.receivedAt <= bound
-	return now-l.startedAt > bound && !renewedLately
+	renewedRecently := ok && renewal.Incarnation == member.Incarnation && now-renewal.receivedAt <= validity
+	return now-l.startedAt > validity && !renewedRecently
 }
 
 // Followers returns the state of all members, by name.
--- a/core/policycommit/leader_shares_test.go
+++ b/core/policycommit/leader_shares_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	shareFleetSize  = 5
-	shareTick       = 50 * clock.Millisecond
-	shareFaultsEnd  = 110 * clock.Second // from here on all routers run
-	shareTrialEnd   = 150 * clock.Second
-	shareMaxDelay   = 800 * clock.Millisecond // of a lease
-	shareTolerance  = 1e-9
-	neverAdmitted   = -1 << 50
-	shareTrialSeeds = 200
+	shareFleetSize       = 5
+	shareTick            = 50 * clock.Millisecond
+	shareFaultsEnd       = 110 * clock.Second // from then on all routers run
+	shareSimulationEnd   = 150 * clock.Second
+	shareMaxDelay        = 800 * clock.Millisecond // of a lease
+	shareTolerance       = 1e-9
+	neverAdmitted        = -1 << 50
+	shareSimulationSeeds = 200
 )
 
-// shareRouter is a router of a trial, with a clock that runs up to a hundredth slow.
+// shareRouter is a router of a simulation, with a clock that runs up to a hundredth slow.
 type shareRouter struct {
 	follower       *Follower
 	name           RouterName
@@ -30,7 +30,7 @@
 	stalled        bool
 	extraShare     float64
 	extraUntil     clock.Time // by its clock
-	lastAdmittedAt clock.Time // by the trial's clock
+	lastAdmittedAt clock.Time // by the clock of the simulation
 }
 
 func (r *shareRouter) ownTime(now clock.Time) clock.Time {
@@ -44,8 +44,8 @@
 	lease     Lease
 }
 
-// shareTrial is a run of routers that crash, stall, restart and renew late, under leaders that change.
-type shareTrial struct {
+// shareSimulation is a run of routers that crash, stall, restart and renew late, while the leader changes.
+type shareSimulation struct {
 	timing          Timing
 	random          *rand.Rand
 	log             *LogState
@@ -53,25 +53,25 @@
 	routers         []*shareRouter
 	nextIncarnation Incarnation
 	inFlight        []delayedLease
-	extraTime       clock.Time // that extra shares counted, over all routers
+	extraTime       clock.Time // for which extra shares were in use, summed over all routers
 }
 
-func newShareTrial(seed uint64, timing Timing) *shareTrial {
-	trial := &shareTrial{
+func newShareSimulation(seed uint64, timing Timing) *shareSimulation {
+	simulation := &shareSimulation{
 		timing: timing,
 		random: rand.New(rand.NewPCG(seed, 6)),
 		log:    &LogState{},
 		leader: NewLeader(0, timing, shareFleetSize),
 	}
 	for i := range shareFleetSize {
-		router := &shareRouter{name: RouterName(fmt.Sprint("r", i)), clockRate: 1 - 0.01*trial.random.Float64(), lastAdmittedAt: neverAdmitted}
-		trial.routers = append(trial.routers, router)
-		trial.restart(router)
+		router := &shareRouter{name: RouterName(fmt.Sprint("r", i)), clockRate: 1 - 0.01*simulation.random.Float64(), lastAdmittedAt: neverAdmitted}
+		simulation.routers = append(simulation.routers, router)
+		simulation.restart(router)
 	}
-	return trial
+	return simulation
 }
 
-func (s *shareTrial) restart(router *shareRouter) {
+func (s *shareSimulation) restart(router *shareRouter) {
 	s.nextIncarnation++
 	router.incarnation = s.nextIncarnation
 	router.up = true
@@ -79,10 +79,10 @@
 	router.follower = NewFollower(s.timing, FollowerConfig{Name: router.name, Incarnation: router.incarnation, Validate: acceptAll})
 }
 
-func (s *shareTrial) append(entry Entry) { s.log.Apply(s.log.Index+1, entry) }
+func (s *shareSimulation) append(entry Entry) { s.log.Apply(s.log.Index+1, entry) }
 
-// injectFault lets one router or the leader fail or recover, in one of fifty ticks.
-func (s *shareTrial) injectFault(now clock.Time) {
+// injectFault makes a random router or the leader fail or recover, in about one of fifty ticks.
+func (s *shareSimulation) injectFault(now clock.Time) {
 	router := s.routers[s.random.IntN(shareFleetSize)]
 	switch s.random.IntN(400) {
 	case 0, 1:
@@ -100,15 +100,15 @@
 	}
 }
 
-func (s *shareTrial) recover(router *shareRouter) {
+func (s *shareSimulation) recover(router *shareRouter) {
 	router.stalled = false
 	if !router.up {
 		s.restart(router)
 	}
 }
 
-// renew lets a router renew. A quarter of the renewals is lost, and a quarter of the leases.
-func (s *shareTrial) renew(now clock.Time, router *shareRouter) {
+// renew sends a router's renewal if one is due. A quarter of the renewals and a quarter of the leases are lost.
+func (s *shareSimulation) renew(now clock.Time, router *shareRouter) {
 	renewal, due := router.follower.NextRenewal(router.ownTime(now))
 	if !due || s.random.IntN(4) == 0 {
 		return
@@ -123,8 +123,8 @@
 	}
 }
 
-// usedShare is the share of the fleet's limits that a router may use, with what it has in flight.
-func (s *shareTrial) usedShare(now clock.Time, router *shareRouter) float64 {
+// usedShare is the share of the fleet's limits that a router may be using, including its requests in flight.
+func (s *shareSimulation) usedShare(now clock.Time, router *shareRouter) float64 {
 	ownTime := router.ownTime(now)
 	if router.up && router.follower.AdmissionDeadline(ownTime) > ownTime {
 		router.lastAdmittedAt = now
@@ -142,8 +142,8 @@
 	return used
 }
 
-// deliver hands over the leases that have arrived. Those for a router that is down or stalled are lost.
-func (s *shareTrial) deliver(now clock.Time) {
+// deliver delivers the leases that have arrived. Leases for a router that is down or stalled are lost.
+func (s *shareSimulation) deliver(now clock.Time) {
 	var later []delayedLease
 	for _, delayed := range s.inFlight {
 		if delayed.arrivesAt > now {
@@ -163,13 +163,13 @@
 	s.inFlight = later
 }
 
-// errSharesOver reports that routers could use more than the whole together.
-var errSharesOver = errors.New("shares over the whole")
+// errSharesExceedOne reports that the routers together could use more than the fleet's limits.
+var errSharesExceedOne = errors.New("sum of shares exceeds 1")
 
-// run returns errSharesOver if the shares came to more than the whole, and another error if shares were still leased
-// out at the end.
-func (s *shareTrial) run() error {
-	for now := clock.Time(0); now < shareTrialEnd; now += shareTick {
+// run returns errSharesExceedOne if the sum of the shares exceeded 1, and another error if shares were still leased out at the
+// end.
+func (s *shareSimulation) run() error {
+	for now := clock.Time(0); now < shareSimulationEnd; now += shareTick {
 		hasFaults := now <= shareFaultsEnd
 		if hasFaults {
 			s.injectFault(now)
@@ -188,12 +188,12 @@
 			sum += s.usedShare(now, router)
 		}
 		if sum > 1+shareTolerance {
-			return fmt.Errorf("%w: %.3f at %d ms", errSharesOver, sum, now/clock.Millisecond)
+			return fmt.Errorf("%w: %.3f at %d ms", errSharesExceedOne, sum, now/clock.Millisecond)
 		}
 		s.deliver(now)
 	}
 	if len(s.log.LeasedOut) > 0 {
-		return fmt.Errorf("shares leased out after all routers have returned: %v", s.log.LeasedOut)
+		return fmt.Errorf("shares still leased out after all routers have recovered: %v", s.log.LeasedOut)
 	}
 	return nil
 }
@@ -204,26 +204,26 @@
 	return timing
 }
 
-// Whatever is lost, late or comes back, the shares never come to more than the whole.
-func TestLeader_SharesNeverOverTheWhole(t *testing.T) {
+// The sum of the shares in use never exceeds 1, even if messages are lost or late and routers fail and recover.
+func TestLeader_SumOfSharesNeverExceedsOne(t *testing.T) {
 	extraTime := clock.Time(0)
-	for seed := range uint64(shareTrialSeeds) {
-		trial := newShareTrial(seed, shareTestTiming())
-		if err := trial.run(); err != nil {
+	for seed := range uint64(shareSimulationSeeds) {
+		simulation := newShareSimulation(seed, shareTestTiming())
+		if err := simulation.run(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		extraTime += trial.extraTime
+		extraTime += simulation.extraTime
 	}
 	if extraTime < 1000*clock.Second {
-		t.Errorf("extra shares counted for %d s in all, which shows little", extraTime/clock.Second)
+		t.Errorf("time with extra shares in use: got %d s, want at least 1000 s, so that the test is meaningful", extraTime/clock.Second)
 	}
 }
 
-// With waits that are too short the trials find shares over the whole.
-func TestLeader_ShortWaitsAreFound(t *testing.T) {
+// The simulation detects a sum of shares over 1 if the leader waits for too short a time.
+func TestLeader_SimulationDetectsShortWaits(t *testing.T) {
 	for name, shorten := range map[string]func(*Timing){
-		"a share is leased out while requests are in flight": func(timing *Timing) { timing.ClockSlack -= 2500 * clock.Millisecond },
-		"a router has its share back at once": func(timing *Timing) {
+		"share leased out while requests are in flight": func(timing *Timing) { timing.ClockSlack -= 2500 * clock.Millisecond },
+		"share returned immediately": func(timing *Timing) {
 			timing.ClockSlack -= timing.LeaseDuration
 			timing.QuiescePeriod += timing.LeaseDuration
 		},
@@ -231,12 +231,12 @@
 		t.Run(name, func(t *testing.T) {
 			timing := shareTestTiming()
 			shorten(&timing)
-			for seed := range uint64(shareTrialSeeds) {
-				if errors.Is(newShareTrial(seed, timing).run(), errSharesOver) {
+			for seed := range uint64(shareSimulationSeeds) {
+				if errors.Is(newShareSimulation(seed, timing).run(), errSharesExceedOne) {
 					return
 				}
 			}
-			t.Errorf("no trial of %d found it", shareTrialSeeds)
+			t.Errorf("got no violation in %d simulations, want one", shareSimulationSeeds)
 		})
 	}
 }
--- a/core/policycommit/logstate.go
+++ b/core/policycommit/logstate.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxHistory  = 100 // committed changes that can be shown and undone
+	maxHistory  = 100 // committed changes that can be shown and reverted
 	maxVerdicts = 1000
 )
 
@@ -24,7 +24,7 @@
 	ProposalIndex Index    `json:"index"`
 }
 
-// Verdict is how a proposed change ended.
+// Verdict is the outcome of a proposed change.
 type Verdict struct {
 	Committed bool     `json:"everywhere"`
 	Revision  Revision `json:"revision"` // of the change; of the policy in force if it was not committed
@@ -39,19 +39,19 @@
 	Site        string      `json:"site"`
 }
 
-// LogState is the state that the entries of the raft log add up to. The zero value is the state of an empty log. It is stored in
-// raft snapshots as JSON.
+// LogState is the replicated state that results from the entries of the raft log. The zero value is the state of an empty log.
+// It is stored in raft snapshots as JSON.
 type LogState struct {
 	Index        Index                 `json:"index"`   // of the last entry applied
 	History      []Change              `json:"history"` // committed changes; the last is in force
 	Pending      *Change               `json:"pending"`
 	Verdicts     map[Token]Verdict     `json:"verdicts"`
-	VerdictOrder []Token               `json:"order"` // the keys of Verdicts, the oldest first
+	VerdictOrder []Token               `json:"order"` // the keys of Verdicts, oldest first
 	Members      map[RouterName]Member `json:"roster"`
 	DeathReports []Entry               `json:"said"`
 
 	Sites     map[sitefailover.Site]sitefailover.Decision `json:"sites"`
-	LeasedOut map[RouterName]bool                         `json:"out"` // lost routers whose shares the others have
+	LeasedOut map[RouterName]bool                         `json:"out"` // lost routers whose shares are leased to the others
 }
 
 // Current returns the revision in force and its document.
@@ -80,8 +80,8 @@
 	return &clone
 }
 
-// Apply applies the entry at an index of the log. ok reports whether the entry ended a proposed change, the entry's own or the
-// pending one; verdict is how, and is that of entry.Token.
+// Apply applies the entry at an index of the log. ok reports whether the entry ended a proposed change, either its own or the
+// pending one; verdict is then the outcome for entry.Token.
 func (l *LogState) Apply(index Index, entry Entry) (verdict Verdict, ok bool) {
 	l.Index = index
 	if l.Verdicts == nil {
@@ -115,7 +115,7 @@
 
 func (l *LogState) applyProposal(index Index, entry Entry) (Verdict, bool) {
 	if verdict, ok := l.Verdicts[entry.Token]; ok {
-		return verdict, true // a repeated request
+		return verdict, true // the request was repeated
 	}
 	current, _ := l.Current()
 	switch {
@@ -186,8 +186,8 @@
 	}
 }
 
-// applySiteTransition ignores a transition that was made for an earlier decision on the site: of two concurrent transitions, an
-// operator's and the leader's, the first in the log is applied.
+// applySiteTransition ignores a transition that was made for an earlier decision on the site. Of two concurrent transitions, by
+// an operator and by the leader, only the first one in the log is applied.
 func (l *LogState) applySiteTransition(index Index, transition *sitefailover.Transition) {
 	if transition == nil || l.Sites[transition.Site].Index != transition.PreviousIndex {
 		return
@@ -199,7 +199,7 @@
 	l.Sites[transition.Site] = transition.Decision
 }
 
-// applyShareGrant ignores a grant for an incarnation that another has replaced since.
+// applyShareGrant ignores a grant for an incarnation that has been replaced meanwhile.
 func (l *LogState) applyShareGrant(entry Entry) {
 	member := l.Members[entry.Name]
 	if member.Incarnation == 0 || member.Incarnation != entry.Incarnation {
--- a/core/policycommit/transfer.go
+++ b/core/policycommit/transfer.go
@@ -2,7 +2,7 @@
 
 import "spurtrestle/core/clock"
 
-// Transfer returns what to pass to the successor now; false if this process has nothing to pass.
+// Transfer returns the lease to pass to the successor; false if this process has none to pass.
 func (f *Follower) Transfer(now clock.Time) (LeaseTransfer, bool) {
 	deadline := f.AdmissionDeadline(now)
 	if deadline == NoDeadline {
@@ -17,8 +17,8 @@
 	return transfer, f.hasRevision && deadline > now
 }
 
-// AdoptTransfer adopts the lease of the predecessor and reports whether the active policy has changed. It does nothing once
-// the leader has granted this process a lease of its own.
+// AdoptTransfer adopts the lease of the predecessor and reports whether the active policy has changed. It has no effect once
+// the leader has granted this process its own lease.
 func (f *Follower) AdoptTransfer(now clock.Time, transfer LeaseTransfer) (adopt bool) {
 	isOlder := f.hasRevision && transfer.Revision < f.active.Revision
 	if f.hasOwnLease || f.leaving || isOlder || transfer.Remaining <= 0 {
--- a/core/sharelease/golden_test.go
+++ b/core/sharelease/golden_test.go
@@ -7,7 +7,7 @@
 	"spurtrestle/internal/goldentest"
 )
 
-// Messages go between routers of different builds as JSON.
+// Routers of different builds exchange messages as JSON, so the encoding must not change.
 func TestGolden_MessageJSON(t *testing.T) {
 	messages := []Message{
 		{Kind: Request, From: 1, To: 2, Grantor: 1 << 62, Holder: 1<<63 + 1, Stamp: 123456789},
@@ -20,13 +20,13 @@
 		t.Fatal(err)
 	}
 	goldentest.Compare(t, "messages.json", got)
-	var read []Message
-	if err := json.Unmarshal(got, &read); err != nil {
+	var decoded []Message
+	if err := json.Unmarshal(got, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	for i, message := range messages {
-		if read[i] != message {
-			t.Errorf("message %d is read as %+v, want %+v", i, read[i], message)
+		if decoded[i] != message {
+			t.Errorf("decoded message %d: got %+v, want %+v", i, decoded[i], message)
 		}
 	}
 }
--- a/core/sharelease/leases.go
+++ b/core/sharelease/leases.go
@@ -11,36 +11,36 @@
 // Peer is an alive process of another slot.
 type Peer struct {
 	Incarnation Incarnation
-	Granting    bool // it announces that it is drained
+	Granting    bool // it announces that it is draining
 }
 
-// grantedPortion is a portion of this slot's share that another slot may use.
+// grantedPortion is a portion of this slot's share that another slot may be using.
 type grantedPortion struct {
 	expiresAt clock.Time
 	holder    Incarnation // 0: granted by an earlier process of this slot, to an unknown holder
 	stamp     int64       // of the last grant
 }
 
-// Leases is the state of one process, as grantor and as holder. Its maps have an entry for each other slot of the fleet at
-// most. It is not safe for concurrent use.
+// Leases is the state of one process as grantor and as holder. Its maps have at most one entry for each other slot of the
+// fleet. It is not safe for concurrent use.
 type Leases struct {
 	timing      Timing
 	fleetSize   int
 	ownSlot     Slot
 	incarnation Incarnation
 	granting    bool
-	ending      bool  // the process is about to exit
+	exiting     bool  // the process is about to exit
 	stamp       int64 // counts grants and revocations
 
 	granted       map[Slot]grantedPortion
 	borrowedUntil map[Slot]clock.Time // expiry of the portions of other slots
-	revokedAt     map[Slot]clock.Time // grants of requests up to then are void
+	revokedAt     map[Slot]clock.Time // grants for requests up to this time are void
 	lastSentAt    map[Slot]clock.Time // last request or revocation
 	lastRequests  map[Slot]Message    // last request received from each slot
 }
 
-// New returns the state of a process that starts. All of its portions count as granted by an earlier process of its slot,
-// until their holders release them or a transfer has expired; with noneGranted, none is.
+// New returns the state of a starting process. All of its portions count as granted by an earlier process of its slot until
+// their holders release them or TransferDuration has passed. noneGranted is set if no earlier process can have granted any.
 func New(now clock.Time, timing Timing, fleetSize int, ownSlot Slot, incarnation Incarnation, noneGranted bool) *Leases {
 	l := &Leases{
 		timing:        timing,
@@ -64,16 +64,16 @@
 	return l
 }
 
-// SetGranting has the router grant its portions, which it does while it is drained, or revoke them. The router must use no more
-// than ReducedShare before SetGranting is called with granting set. With ending, the process is about to exit.
-func (l *Leases) SetGranting(granting, ending bool) {
+// SetGranting makes the router grant its portions, as it does while it is drained, or revoke them. The router must already use
+// no more than ReducedShare when SetGranting is called with granting set. exiting is set if the process is about to exit.
+func (l *Leases) SetGranting(granting, exiting bool) {
 	l.granting = granting
-	l.ending = ending
+	l.exiting = exiting
 }
 
-// ReducedShare returns the share of a router that grants its portions.
+// ReducedShare returns the share of a router while it grants its portions.
 func (l *Leases) ReducedShare() Share {
-	return unexpiring(MinimumShare(l.fleetSize))
+	return permanentShare(MinimumShare(l.fleetSize))
 }
 
 // Share returns the share that the router may use.
@@ -109,13 +109,13 @@
 	return (1 - minimumRatio) / float64(l.fleetSize) / float64(l.fleetSize-1)
 }
 
-// Tick lets time pass and returns the requests and revocations that are due, ordered by slot. peers are the alive processes
-// of the other slots; wantsMore is whether this router can use more than its own share.
+// Tick advances the time and returns the requests and revocations that are due, ordered by slot. peers are the alive processes
+// of the other slots; wantsMore is set if this router can use more than its own share.
 func (l *Leases) Tick(now clock.Time, peers map[Slot]Peer, wantsMore bool) []Message {
 	l.removeExpired(now)
 	var messages []Message
 	for _, slot := range slices.Sorted(maps.Keys(peers)) {
-		if !l.isOther(slot) || l.sentRecently(now, slot) {
+		if !l.isPeerSlot(slot) || l.sentRecently(now, slot) {
 			continue
 		}
 		message, ok := l.nextMessage(now, slot, peers[slot], wantsMore)
@@ -127,14 +127,14 @@
 	return messages
 }
 
-// removeExpired takes expired granted portions back, and ends the use of expired borrowed ones.
+// removeExpired takes back expired granted portions, and stops using expired borrowed ones.
 func (l *Leases) removeExpired(now clock.Time) {
 	maps.DeleteFunc(l.granted, func(_ Slot, granted grantedPortion) bool { return granted.expiresAt <= now })
 	maps.DeleteFunc(l.borrowedUntil, func(_ Slot, expiresAt clock.Time) bool { return expiresAt <= now })
 }
 
-// isOther reports whether a slot is one of the fleet's, and not this router's.
-func (l *Leases) isOther(slot Slot) bool {
+// isPeerSlot reports whether a slot is in the fleet and not this router's own.
+func (l *Leases) isPeerSlot(slot Slot) bool {
 	return slot != l.ownSlot && slot >= 0 && int(slot) < l.fleetSize
 }
 
@@ -143,8 +143,8 @@
 	return ok && now-sentAt < l.timing.RetryInterval
 }
 
-// nextMessage returns the revocation of a portion that the peer may use, or else the request for a portion that it grants. ok
-// is false if neither is needed.
+// nextMessage returns the revocation of a portion that the peer may be using, or otherwise a request for a portion that the peer
+// grants. ok is false if neither is needed.
 func (l *Leases) nextMessage(now clock.Time, slot Slot, peer Peer, wantsMore bool) (message Message, ok bool) {
 	if l.granting {
 		return Message{}, false
@@ -160,12 +160,12 @@
 	return Message{}, false
 }
 
-// TransferAll grants the portions to all holders that have requested them, as the last action of a process, and returns the
-// grants ordered by slot.
+// TransferAll grants the portions to all slots that have requested them and returns the grants, ordered by slot. It is the last
+// action of a process.
 func (l *Leases) TransferAll(now clock.Time) []Message {
 	l.SetGranting(true, true)
 	var grants []Message
-	for _, request := range l.lastRequests { // in any order: stamps are compared within a slot alone
+	for _, request := range l.lastRequests { // in any order: stamps are only compared within a slot
 		if grant, ok := l.Receive(now, request); ok {
 			grants = append(grants, grant)
 		}
--- a/core/sharelease/message.go
+++ b/core/sharelease/message.go
@@ -5,30 +5,30 @@
 // Kind is the kind of a Message.
 type Kind uint8
 
-// Holders send Request and Release, grantors Grant and Revoke. The values go over the wire.
+// The kinds of messages. Holders send Request and Release, grantors Grant and Revoke. The values are sent over the wire.
 const (
 	Request Kind = iota + 1 // requests a lease of the grantor's portion; Stamp is the holder's time
-	Grant                   // grants it for Duration from Stamp on, which is that of the request
-	Revoke                  // ends it; Stamp is the grantor's count of its messages
-	Release                 // confirms that the holder does not use it; Stamp is that of the revocation
+	Grant                   // grants it for Duration from Stamp, which is the Stamp of the request
+	Revoke                  // ends the lease; Stamp is the grantor's count of its messages
+	Release                 // confirms that the holder does not use the portion; Stamp is that of the revocation
 )
 
-// Message goes from a process of one slot to a process of another, as JSON under the names of the tags. A message that is
-// lost is sent again by the next Tick.
+// Message is sent from a process of one slot to a process of another, as JSON under the names of the tags. A later Tick replaces
+// a lost message.
 type Message struct {
 	Kind     Kind           `json:"Kind"`
 	From     Slot           `json:"From"`
 	To       Slot           `json:"To"`
 	Grantor  Incarnation    `json:"Lender"`
 	Holder   Incarnation    `json:"Borrower"`
-	Stamp    int64          `json:"At"` // the sender's time or count, or that of the message it answers; see Kind
+	Stamp    int64          `json:"At"` // the sender's time or count, or the Stamp of the message that this one answers; see Kind
 	Duration clock.Duration `json:"For"`
 }
 
-// requestedAt is when the holder sent the request, by the holder's clock. The message is a Request or a Grant.
+// requestedAt is when the holder sent the request, by the holder's clock. The message must be a Request or a Grant.
 func (m Message) requestedAt() clock.Time { return clock.Time(m.Stamp) }
 
-// sequence is the grantor's count of grants and revocations. The message is a Revoke or a Release.
+// sequence is the grantor's count of grants and revocations. The message must be a Revoke or a Release.
 func (m Message) sequence() int64 { return m.Stamp }
 
 // Recipient returns the incarnation that the message is for.
--- a/core/sharelease/receive.go
+++ b/core/sharelease/receive.go
@@ -2,10 +2,10 @@
 
 import "spurtrestle/core/clock"
 
-// Receive handles a message and returns the reply to send, if there is one. Messages for other processes, and those that
-// are older than what they would change, have no effect.
+// Receive handles a message and returns the reply to send, if there is one. Messages to other processes and outdated messages
+// have no effect.
 func (l *Leases) Receive(now clock.Time, message Message) (reply Message, ok bool) {
-	if message.To != l.ownSlot || !l.isOther(message.From) {
+	if message.To != l.ownSlot || !l.isPeerSlot(message.From) {
 		return Message{}, false
 	}
 	switch message.Kind {
@@ -21,12 +21,12 @@
 	return Message{}, false
 }
 
-// receiveRequest grants a portion, unless it may still be in use by an earlier process of the requesting slot.
+// receiveRequest grants a portion, unless an earlier process of the requesting slot may still be using it.
 func (l *Leases) receiveRequest(now clock.Time, request Message) (grant Message, ok bool) {
 	if request.Grantor != l.incarnation {
 		return Message{}, false
 	}
-	l.lastRequests[request.From] = request // also one that is not granted yet: TransferAll grants it
+	l.lastRequests[request.From] = request // even if it is not granted now, for TransferAll
 	if !l.granting {
 		return Message{}, false
 	}
@@ -36,7 +36,7 @@
 		return Message{}, false
 	}
 	duration := l.timing.LeaseDuration
-	if l.ending {
+	if l.exiting {
 		duration = l.timing.TransferDuration
 	}
 	l.stamp++
@@ -56,7 +56,7 @@
 	}, true
 }
 
-// receiveGrant begins or extends the use of a portion. The lease counts from the request, however long the reply took.
+// receiveGrant begins or extends the use of a portion. The lease counts from the request, so a late reply does not prolong it.
 func (l *Leases) receiveGrant(now clock.Time, grant Message) {
 	requestedAt := grant.requestedAt()
 	expiresAt := requestedAt + grant.Duration
@@ -68,7 +68,7 @@
 	l.borrowedUntil[grant.From] = max(l.borrowedUntil[grant.From], expiresAt)
 }
 
-// receiveRevoke ends the use of a portion and confirms that. Grants of earlier requests that are still on their way are void.
+// receiveRevoke ends the use of a portion and confirms that. Grants for earlier requests that are still in flight are void.
 func (l *Leases) receiveRevoke(now clock.Time, revocation Message) (release Message, ok bool) {
 	if revocation.Holder != l.incarnation {
 		return Message{}, false
@@ -85,7 +85,7 @@
 	}, true
 }
 
-// receiveRelease takes a portion back, unless it has been granted again since the revocation.
+// receiveRelease takes a portion back, unless the portion has been granted again since the revocation.
 func (l *Leases) receiveRelease(release Message) {
 	granted, isGranted := l.granted[release.From]
 	if !isGranted || release.Grantor != l.incarnation || release.sequence() <= granted.stamp {
--- a/core/sharelease/sharelease_test.go
+++ b/core/sharelease/sharelease_test.go
@@ -9,15 +9,15 @@
 	"spurtrestle/core/clock"
 )
 
-// simulation runs routers with clocks of their own over a network that delays, drops, duplicates and reorders messages.
+// simulation runs routers, each with its own clock, over a network that delays, drops, duplicates and reorders messages.
 type simulation struct {
 	*rand.Rand
 	now          int64 // true time, in microseconds
 	routers      []*router
 	inFlight     []delivery
-	cut          map[[2]int]bool
+	cutLinks     map[[2]int]bool
 	violation    string // the first sum of shares over 1
-	borrowedSeen int    // portions in use, summed over all steps
+	borrowedSeen int    // borrowed portions in use, summed over all steps
 }
 
 type router struct {
@@ -26,7 +26,7 @@
 	clockOffset int64
 	clockRate   float64
 	stalled     bool
-	share       Share // as last passed to the router's loop
+	share       Share // as last applied by the router's event loop
 }
 
 type delivery struct {
@@ -48,7 +48,7 @@
 
 func (s *simulation) send(from int, messages ...Message) {
 	for _, message := range messages {
-		if s.cut[[2]int{from, int(message.To)}] || s.IntN(10) < 2 {
+		if s.cutLinks[[2]int{from, int(message.To)}] || s.IntN(10) < 2 {
 			continue
 		}
 		for range 1 + s.IntN(2) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// advance lets a span pass: what is due is delivered, and routers that are not stalled tick.
+// advance advances the time, delivers the messages that are due and calls Tick on the routers that are not stalled.
 func (s *simulation) advance(span int64) {
 	s.now += span
 	s.deliver()
@@ -100,7 +100,8 @@
 	return peers
 }
 
-// checkSum adds up the shares in use. A stalled router's loop looks at the expiry before it sends anything.
+// checkSum records a violation if the sum of the shares in use exceeds 1. Even a stalled router checks the expiry of its share
+// before it sends a request.
 func (s *simulation) checkSum() {
 	sum := 0.0
 	for _, r := range s.routers {
@@ -117,13 +118,13 @@
 		}
 	}
 	if sum > 1+1e-9 && s.violation == "" {
-		s.violation = fmt.Sprintf("at %d the shares add up to %.4f", s.now, sum)
+		s.violation = fmt.Sprintf("at %d µs the sum of the shares is %.4f, want at most 1", s.now, sum)
 	}
 }
 
-// simulate runs some routers through random drains, crashes, stalls and cuts.
+// simulate runs some routers through random drains, crashes, stalls and link failures.
 func simulate(seed uint64) *simulation {
-	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 0)), cut: map[[2]int]bool{}}
+	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 0)), cutLinks: map[[2]int]bool{}}
 	fleetSize := 2 + s.IntN(4)
 	for range fleetSize {
 		s.routers = append(s.routers, &router{clockOffset: s.Int64N(1e9), clockRate: 1 + float64(s.IntN(9)-4)/1000})
@@ -140,7 +141,7 @@
 	return s
 }
 
-// injectEvent draws what happens to a router.
+// injectEvent applies a random event to a router.
 func (s *simulation) injectEvent(i int) {
 	r := s.routers[i]
 	isRunning := r.leases != nil && !r.stalled
@@ -152,7 +153,7 @@
 		r.leases.SetGranting(true, s.IntN(3) == 0)
 	case event < 6 && isRunning:
 		r.leases.SetGranting(false, false)
-	case event == 6 && (r.leases.ending || s.IntN(3) == 0):
+	case event == 6 && (r.leases.exiting || s.IntN(3) == 0):
 		if isRunning && s.IntN(2) == 0 {
 			s.send(i, r.leases.TransferAll(s.clockOf(r))...)
 		}
@@ -160,17 +161,18 @@
 	case event == 7 || r.stalled:
 		r.stalled = !r.stalled
 	case event == 8:
-		s.cut[[2]int{i, s.IntN(len(s.routers))}] = true
+		s.cutLinks[[2]int{i, s.IntN(len(s.routers))}] = true
 	case event > 8:
-		clear(s.cut)
+		clear(s.cutLinks)
 	}
 }
 
-// The shares in use never add up to more than 1, whatever is cut, late, duplicated, crashed, stalled or restarted.
+// The sum of the shares in use never exceeds 1, even if links fail, messages are late or duplicated, and routers crash, stall or
+// restart.
 func TestLeases_SumNeverExceedsOne(t *testing.T) {
 	const (
 		seeds           = 400
-		minBorrowedSeen = 10_000 // routers that grant nothing would pass as well
+		minBorrowedSeen = 10_000 // otherwise routers that grant nothing would pass
 	)
 	borrowedSeen := 0
 	for seed := range uint64(seeds) {
@@ -181,12 +183,12 @@
 		}
 	}
 	if borrowedSeen < minBorrowedSeen {
-		t.Errorf("portions in use: got %d, want at least %d", borrowedSeen, minBorrowedSeen)
+		t.Errorf("borrowed portions in use: got %d, want at least %d", borrowedSeen, minBorrowedSeen)
 	}
-	t.Log(borrowedSeen, "portions in use")
+	t.Logf("%d borrowed portions in use", borrowedSeen)
 }
 
-// fleet is a number of processes whose messages arrive at once.
+// fleet is a set of processes whose messages are delivered immediately.
 type fleet struct {
 	t     *testing.T
 	all   []*Leases
@@ -227,7 +229,7 @@
 	}
 }
 
-// One of six routers is drained: the others use its portions within moments, and it has them back when it accepts clients again.
+// When one of six routers is drained the others soon use its portions, and when it accepts clients again it gets them back.
 func TestLeases_PortionsFollowDrain(t *testing.T) {
 	const (
 		size        = 6
@@ -250,14 +252,14 @@
 	f.checkShare("accepting clients again", 0, ownShare)
 	f.checkShare("accepting clients again", 3, ownShare)
 
-	f.peers[0] = Peer{Incarnation: 1, Granting: true} // it announces a drain, and still uses its share
+	f.peers[0] = Peer{Incarnation: 1, Granting: true} // it announces that it is draining, but still uses its share
 	f.advance(600 * clock.Millisecond)
 	for _, grant := range f.all[0].TransferAll(f.now) {
 		f.all[grant.To].Receive(f.now, grant)
 	}
 	delete(f.peers, 0)
 	f.advance(5 * clock.Second)
-	f.checkShare("five seconds after its exit", 3, withPortion)
+	f.checkShare("five seconds after the exit of router 0", 3, withPortion)
 	f.advance(6 * clock.Second)
 	f.checkShare("after the transfer expired", 3, ownShare)
 }
--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -56,7 +56,7 @@
 		c.throttle.target = medianTarget(reporting) // a new leader continues with the target of its predecessor
 	}
 	fleet := sumTraffic(reporting)
-	current := pass{now: now, plan: plan, decisions: decisions, fleet: fleet}
+	current := evaluation{now: now, plan: plan, decisions: decisions, fleet: fleet}
 	for _, site := range plan.Sites {
 		c.evaluateSite(&current, site, collectEvidence(site.Name, routers, reporting))
 	}
@@ -98,7 +98,7 @@
 }
 
 // pass collects the results of one call of Evaluate.
-type pass struct {
+type evaluation struct {
 	now       clock.Time
 	plan      *Plan
 	decisions map[Site]Decision
@@ -114,14 +114,14 @@
 }
 
 // evaluateSite updates the state of one site and adds its part of the evaluation.
-func (c *Coordinator) evaluateSite(current *pass, site SitePlan, found evidence) {
+func (c *Coordinator) evaluateSite(current *evaluation, site SitePlan, observed evidence) {
 	decision := current.decisions[site.Name]
 	state := c.siteState(current.now, site.Name)
 	state.setDecision(current.now, decision, current.fleet.failedFraction)
-	state.observe(current.now, found)
+	state.observe(current.now, observed)
 
-	responding := found.responding
-	if decision.Stage != Lost && c.isWarmedUp(current.now) && !found.known {
+	responding := observed.responding
+	if decision.Stage != Lost && c.isWarmedUp(current.now) && !observed.known {
 		responding = 0 // no reporting router expects servers there
 	}
 	keyShare := decision.keyShare(current.plan)
@@ -133,21 +133,21 @@
 		Capacity:         fullCapacity * keyShare * responding,
 		CapacityPlanned:  site.Capacity > 0,
 		Responding:       responding,
-		Routers:          found.routers,
-		ReportingRouters: found.reportingRouters,
+		Routers:          observed.routers,
+		ReportingRouters: observed.reportingRouters,
 	}
 	current.anyDegraded = current.anyDegraded || status.isDegraded()
-	current.displacedServers += float64(found.expectedServers) * (1 - keyShare)
+	current.displacedServers += float64(observed.expectedServers) * (1 - keyShare)
 	current.capacities = append(current.capacities, availableCapacity{
 		site:     site.Name,
-		servers:  float64(found.expectedServers) * keyShare * responding,
+		servers:  float64(observed.expectedServers) * keyShare * responding,
 		capacity: status.Capacity,
 	})
 	if keyShare < 1 {
 		current.addKeyShare(site.Name, keyShare, decision)
 	}
 	if c.isWarmedUp(current.now) {
-		due := c.dueTransition(current, site.Name, state, found)
+		due := c.dueTransition(current, site.Name, state, observed)
 		status.WaitingFor = due.waitingFor
 		current.transition = cmp.Or(current.transition, due.transition)
 	}
@@ -155,17 +155,17 @@
 }
 
 // addKeyShare orders the key share of a site that is not up. The failover weights are those of the latest decision.
-func (p *pass) addKeyShare(site Site, share float64, decision Decision) {
-	p.orders.KeyShares = append(p.orders.KeyShares, SiteShare{Site: site, Fraction: share})
-	if decision.Index >= p.latestDecision {
-		p.latestDecision, p.orders.FailoverWeights = decision.Index, decision.FailoverWeights
+func (e *evaluation) addKeyShare(site Site, share float64, decision Decision) {
+	e.orders.KeyShares = append(e.orders.KeyShares, SiteShare{Site: site, Fraction: share})
+	if decision.Index >= e.latestDecision {
+		e.latestDecision, e.orders.FailoverWeights = decision.Index, decision.FailoverWeights
 	}
 }
 
 // dueTransition completes the transition of a site that is due. It proposes none if one of another site is proposed already, or if
 // no other site is left.
-func (c *Coordinator) dueTransition(current *pass, site Site, state *siteState, found evidence) proposal {
-	due := state.next(current.now, current.plan, found, current.fleet)
+func (c *Coordinator) dueTransition(current *evaluation, site Site, state *siteState, observed evidence) proposal {
+	due := state.next(current.now, current.plan, observed, current.fleet)
 	transition := due.transition
 	if transition == nil {
 		return due
--- a/core/sitefailover/shedding.go
+++ b/core/sitefailover/shedding.go
@@ -106,7 +106,7 @@
 	capacityChangedAt clock.Time
 	answered          []answeredRate // since the capacity changed, within answeredWindow
 	measuredRatio     float64        // highest rate answered while the throttle was off, as a multiple of the capacity
-	fitsSince         clock.Time     // when all offered requests began to fit; 0: they do not
+	unneededSince     clock.Time     // when all offered requests began to fit; 0: they do not
 	updatedAt         clock.Time
 }
 
@@ -133,7 +133,7 @@
 	highestAnswered := t.recordAnswered(now, fleet.answeredRate())
 	t.adjustTarget(now, fleet.failedFraction, highestAnswered, anyDegraded)
 	t.target = min(max(t.target, minTargetRatio*capacity), maxTargetRatio*capacity)
-	t.releaseWhenFitting(now, anyDegraded || fleet.offeredRate() > t.target)
+	t.releaseWhenUnneeded(now, anyDegraded || fleet.offeredRate() > t.target)
 }
 
 // followCapacity starts the target at the capacity, and moves it by changes of the capacity.
@@ -179,10 +179,10 @@
 	}
 }
 
-// releaseWhenFitting switches the throttle off once it has not been needed for releaseDelay.
-func (t *throttle) releaseWhenFitting(now clock.Time, isNeeded bool) {
-	t.fitsSince = beginning(now, t.fitsSince, !isNeeded)
-	if hasLasted(now, t.fitsSince, releaseDelay) {
-		t.target, t.fitsSince = 0, 0
+// releaseWhenUnneeded switches the throttle off once it has not been needed for releaseDelay.
+func (t *throttle) releaseWhenUnneeded(now clock.Time, isNeeded bool) {
+	t.unneededSince = conditionStart(now, t.unneededSince, !isNeeded)
+	if hasLasted(now, t.unneededSince, releaseDelay) {
+		t.target, t.unneededSince = 0, 0
 	}
 }
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -31,7 +31,7 @@
 	index       uint64
 	routersDown map[Site]bool // its routers do not report
 	responding  map[Site]float64
-	blind       map[link]bool // routers of the first site find the second silent
+	unreachable map[link]bool // routers of the first site find the second silent
 	offered     []OfferedLoad // of each router
 	capacity    float64       // answers per second of a complete site
 	logDecision func(string, ...any)
@@ -47,7 +47,7 @@
 		decisions:   map[Site]Decision{},
 		routersDown: map[Site]bool{},
 		responding:  map[Site]float64{},
-		blind:       map[link]bool{},
+		unreachable: map[link]bool{},
 		offered:     []OfferedLoad{{1000001, 20}, {600001, 60}, {200001, 20}},
 		capacity:    250,
 		logDecision: func(string, ...any) {},
@@ -101,7 +101,7 @@
 func (s *simulation) observations(from Site, offeredRate, reporting float64) (observations []SiteObservation) {
 	for _, site := range sites {
 		responding := int(serversPerSite*s.responding[site] + 0.5)
-		if s.blind[link{from, site}] {
+		if s.unreachable[link{from, site}] {
 			responding = 0
 		}
 		observations = append(observations, SiteObservation{
@@ -191,7 +191,7 @@
 	case "mute":
 		s.routersDown[site] = arguments[1] == "on"
 	case "blind":
-		s.blind[link{site, Site(arguments[1])}] = arguments[2] == "on"
+		s.unreachable[link{site, Site(arguments[1])}] = arguments[2] == "on"
 	case "load":
 		for i := range s.offered {
 			s.offered[i].Rate *= parseNumber(t, arguments[0])
@@ -298,7 +298,7 @@
 			t.Fatalf("seed %d, %v: %s counts as lost: got %d sites that find it silent, want most", seed, s.now, site, silent)
 		}
 	case transition.Stage == Recovering && previous.Stage == Lost:
-		if s.routersDown[site] || s.responding[site] < halfFraction {
+		if s.routersDown[site] || s.responding[site] < recoveryFraction {
 			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site",
 				seed, s.now, site, s.routersDown[site], s.responding[site])
 		}
@@ -309,7 +309,7 @@
 
 func (s *simulation) sitesFindingSilent(site Site) (count int) {
 	for _, other := range sites {
-		findsSilent := s.responding[site] <= silentFraction || s.blind[link{other, site}]
+		findsSilent := s.responding[site] <= silentFraction || s.unreachable[link{other, site}]
 		if other != site && !s.routersDown[other] && findsSilent {
 			count++
 		}
@@ -336,7 +336,7 @@
 	case 2:
 		s.responding[site] = float64(random.IntN(5)) / 4
 	case 3:
-		s.blind[link{site, other}] = !s.blind[link{site, other}] && site != other
+		s.unreachable[link{site, other}] = !s.unreachable[link{site, other}] && site != other
 	case 4:
 		s.routersDown[site] = !s.routersDown[site]
 	case 5:
@@ -346,7 +346,7 @@
 
 func (s *simulation) endFaults() {
 	clear(s.routersDown)
-	clear(s.blind)
+	clear(s.unreachable)
 	for _, site := range sites {
 		s.responding[site] = 1
 	}
--- a/core/sitefailover/sitestate.go
+++ b/core/sitefailover/sitestate.go
@@ -42,21 +42,21 @@
 }
 
 // observe records since when the evidence justifies a transition.
-func (s *siteState) observe(now clock.Time, found evidence) {
-	isLost := s.decision.Stage == Up && found.showsLoss()
-	isLostAgain := s.decision.Stage == Recovering && (found.showsLoss() || found.showsHalfLoss())
-	isBack := s.decision.Stage == Lost && found.showsRecovery()
-	s.lossSince = beginning(now, s.lossSince, isLost || isLostAgain)
-	s.recoverySince = beginning(now, s.recoverySince, isBack)
-	s.servers = max(s.servers, found.expectedServers)
+func (s *siteState) observe(now clock.Time, observed evidence) {
+	isLost := s.decision.Stage == Up && observed.showsLoss()
+	isLostAgain := s.decision.Stage == Recovering && (observed.showsLoss() || observed.showsPartialLoss())
+	isBack := s.decision.Stage == Lost && observed.showsRecovery()
+	s.lossSince = conditionStart(now, s.lossSince, isLost || isLostAgain)
+	s.recoverySince = conditionStart(now, s.recoverySince, isBack)
+	s.servers = max(s.servers, observed.expectedServers)
 	peakExpired := now-s.peakAt > serverCountWindow
-	if s.decision.Stage == Up && (found.answerRate >= s.peakRate || peakExpired) {
-		s.peakRate, s.peakAt = found.answerRate, now
+	if s.decision.Stage == Up && (observed.answerRate >= s.peakRate || peakExpired) {
+		s.peakRate, s.peakAt = observed.answerRate, now
 	}
 }
 
-// beginning returns when a condition began, given its last beginning; 0 if it is false.
-func beginning(now, last clock.Time, isTrue bool) clock.Time {
+// conditionStart returns when a condition began, given its last conditionStart; 0 if it is false.
+func conditionStart(now, last clock.Time, isTrue bool) clock.Time {
 	switch {
 	case !isTrue:
 		return 0
@@ -88,23 +88,23 @@
 }
 
 // next evaluates the transitions of the state machine that evidence can cause, see the package comment.
-func (s *siteState) next(now clock.Time, plan *Plan, found evidence, fleet traffic) proposal {
+func (s *siteState) next(now clock.Time, plan *Plan, observed evidence, fleet traffic) proposal {
 	switch {
 	case s.decision.Stage == Up:
-		return s.nextFromUp(now, plan, found)
+		return s.nextFromUp(now, plan, observed)
 	case s.decision.Stage == Recovering && hasLasted(now, s.lossSince, plan.LostAfter/2):
 		repeatedLoss := Decision{Stage: Lost, RepeatedLosses: s.decision.RepeatedLosses + 1}
-		return propose(repeatedLoss, "%.0f%% of its servers answer, in step %d of its return", 100*found.responding, s.decision.Step+1)
+		return propose(repeatedLoss, "%.0f%% of its servers answer, in step %d of its return", 100*observed.responding, s.decision.Step+1)
 	case s.decision.Paused:
 		return waitFor("an operator holds it")
 	case s.decision.Stage == Lost:
-		return s.nextFromLost(now, plan, found)
+		return s.nextFromLost(now, plan, observed)
 	default:
-		return s.nextFromRecovering(now, plan, found, fleet)
+		return s.nextFromRecovering(now, plan, observed, fleet)
 	}
 }
 
-func (s *siteState) nextFromUp(now clock.Time, plan *Plan, found evidence) proposal {
+func (s *siteState) nextFromUp(now clock.Time, plan *Plan, observed evidence) proposal {
 	if s.lossSince == 0 {
 		return proposal{}
 	}
@@ -119,16 +119,16 @@
 		loss.RepeatedLosses = s.decision.RepeatedLosses + 1
 	}
 	return propose(loss, "%d of %d other sites find its servers silent, and %d of its %d routers are heard",
-		found.sitesFindingSilent, found.otherSites, found.reportingRouters, found.routers)
+		observed.sitesFindingSilent, observed.otherSites, observed.reportingRouters, observed.routers)
 }
 
-func (s *siteState) nextFromLost(now clock.Time, plan *Plan, found evidence) proposal {
+func (s *siteState) nextFromLost(now clock.Time, plan *Plan, observed evidence) proposal {
 	wait := min(maxRecoveryWait, plan.RecoverAfter<<min(s.decision.RepeatedLosses, maxWaitDoublings))
 	switch {
-	case s.recoverySince == 0 && 2*found.reportingRouters < found.routers:
-		return waitFor("%d of its %d routers are heard", found.reportingRouters, found.routers)
+	case s.recoverySince == 0 && 2*observed.reportingRouters < observed.routers:
+		return waitFor("%d of its %d routers are heard", observed.reportingRouters, observed.routers)
 	case s.recoverySince == 0:
-		return waitFor("%.0f%% of its servers are listed, and %.0f%% answer at the site", 100*found.listed, 100*found.respondingLocally)
+		return waitFor("%.0f%% of its servers are listed, and %.0f%% answer at the site", 100*observed.listed, 100*observed.respondingLocally)
 	case !hasLasted(now, s.recoverySince, wait):
 		return waitFor("it is to be there for %.1f s", float64(wait)/float64(clock.Second))
 	}
@@ -136,14 +136,14 @@
 	return propose(recovery, "its routers and servers are there again")
 }
 
-func (s *siteState) nextFromRecovering(now clock.Time, plan *Plan, found evidence, fleet traffic) proposal {
+func (s *siteState) nextFromRecovering(now clock.Time, plan *Plan, observed evidence, fleet traffic) proposal {
 	// Failures are compared with those before the step: the overload that the recovery is to end must not block it.
 	maxFailedFraction := s.failedAtDecision + highFailedFraction
 	switch {
 	case now-s.decidedAt < plan.MinStepDuration:
 		return waitFor("the step has just been taken")
-	case found.responding < healthyFraction:
-		return waitFor("%.0f%% of its servers answer", 100*found.responding)
+	case observed.responding < healthyFraction:
+		return waitFor("%.0f%% of its servers answer", 100*observed.responding)
 	case fleet.failedFraction > maxFailedFraction:
 		return waitFor("%.0f%% of what is let in is given up, and %.0f%% was before the step", 100*fleet.failedFraction, 100*s.failedAtDecision)
 	case fleet.originSlowdown > maxOriginSlowdown:
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -71,7 +71,7 @@
 	decayed.CacheLatency = decayLatency(knowledge.CacheLatency, age)
 	// The rates themselves stay; the time for which they count as observed decays.
 	observedFor := min(max(knowledge.ObservedFor, 0), MaxObservedFor)
-	decayed.ObservedFor = scale(observedFor, Weight(age, RateHalfLife))
+	decayed.ObservedFor = scaleDuration(observedFor, Weight(age, RateHalfLife))
 	usedBudget := max(0, initialRetryBudget-knowledge.RetryBudget)
 	decayed.RetryBudget = initialRetryBudget - Weight(age, RetryBudgetHalfLife)*usedBudget
 	hotKeyWeight := Weight(age, HotKeyHalfLife)
@@ -80,7 +80,7 @@
 	decayed.MethodLatencies = nil
 	latencyWeight := Weight(age, LatencyHalfLife)
 	for _, latency := range knowledge.MethodLatencies {
-		decayed.MethodLatencies = append(decayed.MethodLatencies, scale(latency, latencyWeight))
+		decayed.MethodLatencies = append(decayed.MethodLatencies, scaleDuration(latency, latencyWeight))
 	}
 	decayed.Servers = nil
 	for _, server := range knowledge.Servers {
@@ -92,7 +92,7 @@
 	return decayed
 }
 
-func scale(duration clock.Duration, factor float64) clock.Duration {
+func scaleDuration(duration clock.Duration, factor float64) clock.Duration {
 	return clock.Duration(factor * float64(duration))
 }
 
@@ -139,6 +139,6 @@
 		return routing.LatencySummary{}
 	}
 	distance := max(0, latency.Mean-latency.Fastest)
-	latency.Fastest += scale(distance, 1-Weight(age, FastestLatencyHalfLife))
+	latency.Fastest += scaleDuration(distance, 1-Weight(age, FastestLatencyHalfLife))
 	return latency
 }
