--- a/core/sitefailover/command.go
+++ b/core/sitefailover/command.go
@@ -5,15 +5,15 @@
 // Action is an operator's command on a site.
 type Action string
 
-// The actions.
+// The actions of an operator.
 const (
-	ActionLose    Action = "lost" // count the site as lost until ActionRecover
+	ActionLose    Action = "lost" // treat the site as lost until ActionRecover
 	ActionRecover Action = "back" // begin the recovery without waiting for evidence
-	ActionPause   Action = "hold" // take no further recovery step
-	ActionResume  Action = "go"   // let evidence decide again
+	ActionPause   Action = "hold" // pause the recovery
+	ActionResume  Action = "go"   // resume the recovery
 )
 
-// Command is an operator's request to change what a site counts as.
+// Command is an operator's request to change the state of a site.
 type Command struct {
 	Site   Site
 	Action Action
@@ -21,8 +21,8 @@
 	Reason string
 }
 
-// Transition returns the transition that carries the command out, or why the site's decision does not allow it. The text of the error
-// is part of the admin endpoint's reply and does not change.
+// Transition returns the transition that executes the command, or an error if the site's decision does not allow it. The error
+// texts are part of the admin endpoint's replies and must not change.
 func (c Command) Transition(plan *Plan, decisions map[Site]Decision) (*Transition, error) {
 	if !plan.contains(c.Site) {
 		return nil, fmt.Errorf("%q is no site of the plan; cache-routerctl fleet site status names them", c.Site)
--- a/core/sitefailover/coordinator.go
+++ b/core/sitefailover/coordinator.go
@@ -10,14 +10,14 @@
 const (
 	// leaderWarmUp is how long a new leader collects reports before it decides on any site.
 	leaderWarmUp = 1500 * clock.Millisecond
-	// maxRetryAfter bounds the retry-after of rejected requests, as the end of an outage is unknown. A lower limit in the
-	// settings applies as well.
+	// maxRetryAfter bounds the retry-after of rejected requests, because the end of an outage is unknown. A lower limit in the
+	// settings takes precedence.
 	maxRetryAfter = 30 * clock.Second
-	// loadSmoothing is the number of evaluations that the average load spans: each has the weight 1/loadSmoothing.
+	// loadSmoothing is the number of evaluations that the moving average of the load covers: each has the weight 1/loadSmoothing.
 	loadSmoothing = 20
 )
 
-// RouterState is the leader's knowledge of one router.
+// RouterState is the leader's view of one router.
 type RouterState struct {
 	Name      string
 	Site      Site
@@ -25,7 +25,7 @@
 	Report    Report
 }
 
-// Coordinator evaluates the reports of all routers at the leader. A new leader begins with a new one. It is not safe for
+// Coordinator evaluates the reports of all routers at the leader. A new leader starts with a new Coordinator. It is not safe for
 // concurrent use.
 type Coordinator struct {
 	startedAt   clock.Time
@@ -35,7 +35,7 @@
 	status      Status
 }
 
-// NewCoordinator returns the Coordinator of a router that became leader now.
+// NewCoordinator returns the Coordinator of a router that has just become the leader.
 func NewCoordinator(now clock.Time) *Coordinator {
 	return &Coordinator{startedAt: now, sites: map[Site]*siteState{}}
 }
@@ -43,8 +43,8 @@
 // Status returns the state as of the last call of Evaluate.
 func (c *Coordinator) Status() Status { return c.status }
 
-// Evaluate evaluates the state of all routers. It returns the orders for them, and a transition to propose to the quorum, or
-// nil. At most one transition is returned at a time. It sorts routers by name.
+// Evaluate evaluates the state of all routers. It returns the orders for them, and at most one transition to propose to the
+// quorum; nil if there is none. It sorts routers by name.
 func (c *Coordinator) Evaluate(now clock.Time, plan *Plan, decisions map[Site]Decision, routers []RouterState) (Orders, *Transition) {
 	if !plan.Enabled() {
 		c.throttle, c.status = throttle{}, Status{}
@@ -53,7 +53,7 @@
 	slices.SortFunc(routers, func(a, b RouterState) int { return cmp.Compare(a.Name, b.Name) })
 	reporting := slices.DeleteFunc(slices.Clone(routers), func(router RouterState) bool { return !router.Reporting })
 	if c.throttle.target == 0 && !c.isWarmedUp(now) {
-		c.throttle.target = medianTarget(reporting) // a new leader continues with the target of its predecessor
+		c.throttle.target = medianTarget(reporting) // a new leader takes over the target of its predecessor
 	}
 	fleet := sumTraffic(reporting)
 	current := evaluation{now: now, plan: plan, decisions: decisions, fleet: fleet}
@@ -65,7 +65,7 @@
 	}
 	assignDisplaced(current.capacities, current.displacedServers, current.orders.FailoverWeights)
 	capacity, limitingSite := totalCapacity(current.capacities)
-	measuredRatio := c.throttle.measuredRatio // the status has the ratio that this update uses, and update may change it
+	measuredRatio := c.throttle.measuredRatio // the status shows the ratio that this update uses; update may change it
 	c.throttle.update(now, fleet, capacity, current.anyDegraded)
 	orders := c.admissionOrders(current.orders, fleet, plan)
 	c.status = Status{
@@ -97,7 +97,7 @@
 	return orders
 }
 
-// pass collects the results of one call of Evaluate.
+// evaluation collects the results of one call of Evaluate.
 type evaluation struct {
 	now       clock.Time
 	plan      *Plan
@@ -106,14 +106,14 @@
 
 	sites            []SiteStatus
 	capacities       []availableCapacity
-	displacedServers float64 // servers whose keys are at other sites
+	displacedServers float64 // servers whose keys are served by other sites
 	anyDegraded      bool    // a site is not up or not healthy
 	orders           Orders
-	latestDecision   uint64 // index of the decision that the failover weights are from
+	latestDecision   uint64 // index of the decision that the failover weights were taken from
 	transition       *Transition
 }
 
-// evaluateSite updates the state of one site and adds its part of the evaluation.
+// evaluateSite updates the state of one site and adds the site's results to the evaluation.
 func (c *Coordinator) evaluateSite(current *evaluation, site SitePlan, observed evidence) {
 	decision := current.decisions[site.Name]
 	state := c.siteState(current.now, site.Name)
@@ -154,7 +154,7 @@
 	current.sites = append(current.sites, status)
 }
 
-// addKeyShare orders the key share of a site that is not up. The failover weights are those of the latest decision.
+// addKeyShare adds the key share of a site that is not up to the orders. The failover weights are those of the latest decision.
 func (e *evaluation) addKeyShare(site Site, share float64, decision Decision) {
 	e.orders.KeyShares = append(e.orders.KeyShares, SiteShare{Site: site, Fraction: share})
 	if decision.Index >= e.latestDecision {
@@ -162,8 +162,8 @@
 	}
 }
 
-// dueTransition completes the transition of a site that is due. It proposes none if one of another site is proposed already, or if
-// no other site is left.
+// dueTransition returns the proposal for a site, with all fields of its transition set. It proposes no transition if another
+// site's transition is already proposed, or if the last remaining site would be lost.
 func (c *Coordinator) dueTransition(current *evaluation, site Site, state *siteState, observed evidence) proposal {
 	due := state.next(current.now, current.plan, observed, current.fleet)
 	transition := due.transition
@@ -195,9 +195,9 @@
 	return state
 }
 
-// FailoverWeights returns the weights by which the keys of a site that is being lost go to the servers of the others; nil spreads
-// them evenly, also where the number of servers of a site is unknown. They are computed once for a loss, because each change
-// moves keys.
+// FailoverWeights returns the weights by which the keys of a lost site are distributed to the servers of the other sites. nil
+// distributes them evenly, for example if the number of servers of a site is unknown. The weights are computed once per loss,
+// because each change moves keys.
 func (c *Coordinator) FailoverWeights(plan *Plan, site Site, decisions map[Site]Decision) []SiteShare {
 	var capacities []SiteCapacity
 	lost := []Site{}
@@ -216,7 +216,7 @@
 			lost = append(lost, planned.Name)
 		}
 	}
-	lost = append(lost, site) // last: its preferred targets apply
+	lost = append(lost, site) // last, so that its preferred targets apply
 	return failoverWeights(capacities, lost, c.averageLoad)
 }
 
@@ -233,7 +233,7 @@
 	return targets[len(targets)/2]
 }
 
-// traffic is the sum of the reports of all routers.
+// traffic aggregates the reports of all routers.
 type traffic struct {
 	offered        []OfferedLoad // highest rank first
 	admittedRate   float64       // per second
--- a/core/sitefailover/doc.go
+++ b/core/sitefailover/doc.go
@@ -1,16 +1,16 @@
-// Package sitefailover decides how a fleet handles the loss of an entire site: which sites count as lost, how a site recovers in
-// steps, how the keys of a lost site are spread over the others, and which requests all routers reject meanwhile.
+// Package sitefailover handles the loss of an entire site: it determines which sites are lost, how a site recovers in steps, how
+// the keys of a lost site are distributed over the others, and which requests all routers reject meanwhile.
 //
-// The leader of the policy quorum (package policycommit, process internal/controlplane) runs a Coordinator. Each router sends a
-// Report with its lease renewals, and receives Orders with its leases, so that all routers follow the same orders. The Decision on
-// a site is an entry of the quorum's raft log and outlives the leader. A router without recent orders falls back to its own
+// The leader of the policy quorum (package policycommit, run by internal/controlplane) has a Coordinator. Each router sends a
+// Report with its lease renewals, and receives Orders with its leases, so that all routers follow the same orders. The Decision
+// on a site is an entry of the quorum's raft log and outlives the leader. A router without recent orders falls back to its own
 // evidence. Package internal/controlplane owns all values and calls this package under its lock; this package does no I/O, starts
 // no goroutine and reads no clock: each call is given the current time of a monotonic clock.
 //
 // # State machine of a site
 //
-// The state is Decision.Stage with Decision.Step and Decision.Paused. Evidence is what the reports of all routers show, see
-// evidence.go; an operator's events are the actions of a Command.
+// The state is Decision.Stage with Decision.Step and Decision.Paused. Transitions are caused by evidence from the reports of all
+// routers, see evidence.go, or by an operator's Command.
 //
 //	state       event                             guard                                next state
 //	up          a quorum of other sites finds     for Plan.LostAfter; no server responds   lost
@@ -28,17 +28,17 @@
 //	lost or     ActionPause, ActionResume         none                                     same state, paused
 //	recovering                                                                             or not paused
 //
-// A loss within a minute after a recovery counts as a repeated loss.
+// A loss within a minute of a recovery counts as a repeated loss.
 //
-// A site that is up and partly unavailable is shown as degraded. That is not a state: only its capacity depends on it.
+// A site that is up but partly unavailable is shown as degraded. That is not a state: it only affects the site's capacity.
 //
 //   - plan.go: the operators' plan
 //   - decision.go, command.go: states, transitions, operator commands
 //   - report.go, orders.go: messages between routers and the leader
 //   - coordinator.go: the leader's evaluation
 //   - evidence.go, sitestate.go: evidence, and the transitions that it justifies
-//   - weights.go: how the keys of a lost site are spread
-//   - shedding.go: how many requests are admitted
-//   - forecast.go: what the loss of a site would be like
+//   - weights.go: distribution of the keys of a lost site
+//   - shedding.go: admission and load shedding while a site is degraded
+//   - forecast.go: forecast of the load that a loss would shed
 //   - status.go: the state shown to operators
 package sitefailover
--- a/core/sitefailover/evidence.go
+++ b/core/sitefailover/evidence.go
@@ -3,29 +3,30 @@
 import "slices"
 
 const (
-	// silentFraction of the expected servers or fewer responding is a silent site: the last servers may be leaving discovery.
+	// silentFraction is the fraction of responding servers up to which a site is silent. It is above 0 because the last servers
+	// may still be listed by discovery.
 	silentFraction = 0.2
-	// recoveryFraction of the expected servers is needed by a recovering site.
+	// recoveryFraction is the fraction of the expected servers, a half, that a recovering site must exceed.
 	recoveryFraction = 0.5
 )
 
-// evidence is what all routers together show about a site.
+// evidence is the combined information about a site from the reports of all routers.
 type evidence struct {
 	known                  bool    // a reporting router expects servers there
-	expectedServers        int     // the most that a router expects
-	responding             float64 // fraction of the expected servers, the median over the observing sites
-	listed                 float64 // fraction of the expected servers in discovery, the highest over the routers
+	expectedServers        int     // the highest number that a router expects
+	responding             float64 // fraction of the expected servers, median over the observing sites
+	listed                 float64 // fraction of the expected servers in discovery, maximum over the routers
 	routers                int     // of the site
 	reportingRouters       int     // of the site
 	otherSites             int     // with a reporting router
 	sitesFindingSilent     int     // other sites where most routers find the site silent
-	sitesFindingHalfSilent int     // other sites where most routers find half of the servers or fewer responding
+	sitesFindingHalfSilent int     // other sites where most routers find at most half of the servers responding
 	routersReachingServers int     // reporting routers of the site to which its servers respond
-	respondingLocally      float64 // fraction of the expected servers that responds at the site, mean over its routers
+	respondingLocally      float64 // fraction of the expected servers that respond to the site's own routers, mean over these
 	answerRate             float64 // answers of the site's servers per second
 }
 
-// siteView sums the observations of one observing site.
+// siteView aggregates the observations by the routers of one site.
 type siteView struct {
 	routers           int
 	findingSilent     int // routers
@@ -44,7 +45,7 @@
 	}
 }
 
-// collectEvidence evaluates the reports about one site. reporting are the routers with a recent report.
+// collectEvidence aggregates the reports about one site. reporting are the routers with a recent report.
 func collectEvidence(site Site, routers, reporting []RouterState) (e evidence) {
 	for _, router := range routers {
 		if router.Site != site {
@@ -74,7 +75,7 @@
 	return e
 }
 
-// addViews evaluates the views of the observing sites, that of the site itself included.
+// addViews aggregates the views of the observing sites, including that of the site itself.
 func (e *evidence) addViews(site Site, views map[Site]*siteView) {
 	var means []float64
 	for observer, view := range views {
@@ -99,23 +100,24 @@
 	}
 }
 
-// isQuorum reports whether a number of the other sites is a majority of them, and at least two if there are two or more.
+// isQuorum reports whether a number of the other sites is a majority of them, and at least two unless there is only one.
 func (e evidence) isQuorum(sites int) bool {
 	return e.otherSites > 0 && sites >= min(2, e.otherSites) && 2*sites > e.otherSites
 }
 
-// showsLoss reports whether the entire site is lost: a quorum of the other sites finds it silent, and no router of the site that
-// reports disagrees. A site that is slow, partly failed or partitioned from one other site is not lost.
+// showsLoss reports whether the entire site is lost: a quorum of the other sites finds it silent, and no reporting router of the
+// site disagrees. A site that is slow, partly failed or partitioned from only one other site is not lost.
 func (e evidence) showsLoss() bool {
 	isUncontested := e.reportingRouters == 0 || e.routersReachingServers == 0
 	return e.known && e.isQuorum(e.sitesFindingSilent) && isUncontested
 }
 
-// showsPartialLoss reports whether a quorum of the other sites finds half of the servers silent. A recovering site is lost again.
+// showsPartialLoss reports whether a quorum of the other sites finds half of the servers silent, by which a recovering site is
+// lost again.
 func (e evidence) showsPartialLoss() bool { return e.known && e.isQuorum(e.sitesFindingHalfSilent) }
 
-// showsRecovery reports whether the site can take keys again: half of its routers report, and more than half of its servers are
-// listed and, where a router of the site reports, respond to it.
+// showsRecovery reports whether the site can serve keys again: half of its routers report, more than half of its servers are
+// listed and, if any router of the site reports, more than half respond to its routers.
 func (e evidence) showsRecovery() bool {
 	routersReport := 2*e.reportingRouters >= e.routers
 	serversRespond := e.reportingRouters == 0 || e.respondingLocally > recoveryFraction
--- a/core/sitefailover/forecast.go
+++ b/core/sitefailover/forecast.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// overShareRatio is the multiple of its share from which on a tenant counts as over its share. Package routing uses the same ratio for
-// admission, with a tolerance for measured rates.
+// overShareRatio is the multiple of its share above which a tenant counts as over its share. Package routing uses the same ratio
+// for admission, with a tolerance for measured rates.
 const overShareRatio = 1.2
 
 // RequestLoad is the rate of the first attempts of one method, tenant and rank.
@@ -17,7 +17,7 @@
 	Rate   float64 // per second
 }
 
-// Forecast is what the loss of sites would be like, without retries.
+// Forecast is the predicted effect of a loss of sites, without retries.
 type Forecast struct {
 	LostSites         []Site
 	OfferedRate       float64 // first attempts per second
@@ -30,14 +30,14 @@
 	ByTenant          []ShedLoad
 }
 
-// ShedLoad is how much of a method's or a tenant's requests would be shed. Lists have the highest rank first.
+// ShedLoad is the rate at which a method's or a tenant's requests would be shed. Lists have the highest rank first.
 type ShedLoad struct {
 	Name        string
 	OfferedRate float64 // first attempts per second
 	ShedRate    float64 // of these
 }
 
-// ShedFraction is the fraction of the requests that is shed.
+// ShedFraction is the fraction of the requests that would be shed.
 func (s ShedLoad) ShedFraction() float64 {
 	if s.OfferedRate == 0 {
 		return 0
@@ -45,7 +45,8 @@
 	return s.ShedRate / s.OfferedRate
 }
 
-// ForecastLoss computes which requests would be shed if sites were lost. Sites without a number of servers count alike.
+// ForecastLoss predicts which requests would be shed if sites were lost. Sites with an unknown number of servers count as having
+// one.
 func ForecastLoss(sites []SiteCapacity, loads []RequestLoad, lost []Site) Forecast {
 	forecast := Forecast{LostSites: lost}
 	for _, load := range loads {
@@ -79,7 +80,7 @@
 	return totalCapacity(remaining)
 }
 
-// withServers returns the sites with one server for those of an unknown number.
+// withServers returns the sites, with one server for each site whose number of servers is unknown.
 func withServers(sites []SiteCapacity) []SiteCapacity {
 	sites = slices.Clone(sites)
 	for i := range sites {
@@ -88,7 +89,7 @@
 	return sites
 }
 
-// offeredByRank sums loads that are sorted by rank.
+// offeredByRank sums the rates of each rank. The loads must be sorted by rank.
 func offeredByRank(loads []RequestLoad) (offered []OfferedLoad) {
 	for _, load := range loads {
 		last := len(offered) - 1
@@ -101,7 +102,7 @@
 	return offered
 }
 
-// add adds a load to the lists.
+// add adds a load to the lists of the forecast.
 func (f *Forecast) add(load RequestLoad) {
 	shedRate := f.shedRate(load)
 	name := load.Method
@@ -124,7 +125,7 @@
 	}
 }
 
-// addShed adds rates to the list's entry of a name.
+// addShed adds rates to the entry of a name, which it creates if necessary.
 func addShed(list []ShedLoad, name string, offeredRate, shedRate float64) []ShedLoad {
 	i := slices.IndexFunc(list, func(entry ShedLoad) bool { return entry.Name == name })
 	if i < 0 {
@@ -136,9 +137,9 @@
 	return list
 }
 
-// DistributeLoads distributes the plan's expected loads over the tenants and ranks them. Loads without a tenant go to all tenants
-// by their shares. methodWeights are priority weights of methods relative to the highest; a tenant over its share has its
-// weight multiplied by overShareWeight.
+// DistributeLoads distributes the plan's expected loads over the tenants and ranks them. Loads without a tenant are divided among
+// all tenants by their shares. methodWeights are the priority weights of methods relative to the highest; the weight of a tenant
+// over its share is multiplied by overShareWeight.
 func DistributeLoads(loads []ExpectedLoad, methodWeights, tenantShares map[string]float64, overShareWeight float64) (requests []RequestLoad) {
 	tenantRates, totalRate := ratesByTenant(loads, tenantShares)
 	rankOf := func(method, tenant string) Rank {
@@ -168,7 +169,7 @@
 	return requests
 }
 
-// ratesByTenant returns the expected rate of each tenant and of all.
+// ratesByTenant returns the expected rate of each tenant and the total rate.
 func ratesByTenant(loads []ExpectedLoad, tenantShares map[string]float64) (rates map[string]float64, total float64) {
 	rates = map[string]float64{}
 	for _, load := range loads {
--- a/core/sitefailover/golden_test.go
+++ b/core/sitefailover/golden_test.go
@@ -10,8 +10,8 @@
 	"spurtrestle/internal/goldentest"
 )
 
-// Reports, orders, transitions and statuses of a run with losses, operator commands and a change of leader, byte for byte as the build
-// before the renames wrote them: some of each in full, and a digest over all in their order.
+// Reports, orders, transitions and statuses of a run with losses, operator commands and a change of leader are byte for byte those
+// of the golden file, which an earlier build wrote. The file has some of each in full, and a digest over all in order.
 func TestGolden_JSON(t *testing.T) {
 	goldentest.CompareFile(t, "testdata/json.golden", goldenRun(t))
 }
--- a/core/sitefailover/plan.go
+++ b/core/sitefailover/plan.go
@@ -10,11 +10,11 @@
 // Site is the name of a site.
 type Site string
 
-// Plan is the operators' plan for the loss of a site. The zero value plans nothing.
+// Plan is the operators' plan for the loss of a site. The zero value disables failover.
 type Plan struct {
 	Sites           []SitePlan
-	OriginReadRate  float64        // reads per second that the origin can answer; 0: unknown, no limit for the fleet
-	RecoverySteps   []float64      // fractions of its keys that a recovering site has, ascending; the last is 1; not empty if there are sites
+	OriginReadRate  float64        // reads per second that the origin can answer; 0: unknown, so that the fleet has no limit
+	RecoverySteps   []float64      // fractions of its keys that a recovering site serves, ascending up to 1; not empty if there are sites
 	LostAfter       clock.Duration // minimum duration of the evidence of a loss
 	RecoverAfter    clock.Duration // minimum duration of the evidence of a recovery; doubled by each repeated loss
 	MinStepDuration clock.Duration // of a recovery step
@@ -24,8 +24,8 @@
 // SitePlan is the plan for one site.
 type SitePlan struct {
 	Name             Site
-	Capacity         float64 // answers per second of all its cache servers; 0: the highest rate seen recently
-	PreferredTargets []Site  // sites that get its load first while it is lost; empty: by free capacity
+	Capacity         float64 // answers per second of all its cache servers; 0: use the highest recent rate
+	PreferredTargets []Site  // sites that get its load first while it is lost; empty: distribute by free capacity
 }
 
 // ExpectedLoad is the expected rate of one kind of request.
@@ -39,7 +39,7 @@
 	defaultLostAfter       = 1 * clock.Second
 	defaultRecoverAfter    = 3 * clock.Second
 	defaultMinStepDuration = 500 * clock.Millisecond
-	defaultRecoverySteps   = 8 // equal steps limit the cache misses of a step
+	defaultRecoverySteps   = 8 // of equal size, to limit the cache misses in each step
 )
 
 // DefaultPlan returns a plan without sites that has the default timings and steps.
--- a/core/sitefailover/report.go
+++ b/core/sitefailover/report.go
@@ -7,8 +7,8 @@
 	"spurtrestle/core/clock"
 )
 
-// Rank orders requests for load shedding; the lowest rank is shed first. It is the request's priority weight in millionths of the
-// highest, plus one. Requests of a tenant over its share, and retries of shed requests, have a lower rank.
+// Rank orders requests for load shedding: the lowest rank is shed first. It is the request's priority weight in millionths of the
+// highest weight, plus one. Requests of a tenant over its share and retries of shed requests have a lower rank.
 type Rank int
 
 // rankScale is the number of ranks between no priority weight and the highest.
@@ -26,8 +26,8 @@
 // SiteObservation is a router's view of the cache servers of a site.
 type SiteObservation struct {
 	Site            Site    `json:"s"`
-	ExpectedServers int     `json:"u"` // the most that were listed at once recently
-	ListedServers   int     `json:"l"` // by discovery now
+	ExpectedServers int     `json:"u"` // the highest number that was recently listed at one time
+	ListedServers   int     `json:"l"` // by discovery, currently
 	SilentServers   int     `json:"q"` // listed, but not responding
 	AnswerRate      float64 `json:"a"` // per second
 }
@@ -38,14 +38,14 @@
 	return min(1, float64(servers)/float64(max(1, o.ExpectedServers)))
 }
 
-// Report is a router's summary of the last second, sent to the leader.
+// Report is a router's summary of the last second for the leader.
 type Report struct {
 	Site            Site              `json:"site"` // of the router
 	Offered         []OfferedLoad     `json:"offered"`
-	AdmittedRate    float64           `json:"let"`    // admitted requests that ended, per second
-	FailedRate      float64           `json:"lost"`   // of these, requests that failed
-	AdmittedWeight  float64           `json:"worth"`  // priority weight of admitted requests that ended, per second
-	FailedWeight    float64           `json:"missed"` // of this, the weight of requests that failed
+	AdmittedRate    float64           `json:"let"`    // admitted requests that have ended, per second
+	FailedRate      float64           `json:"lost"`   // those of them that failed, per second
+	AdmittedWeight  float64           `json:"worth"`  // priority weight of the admitted requests that have ended, per second
+	FailedWeight    float64           `json:"missed"` // priority weight of those of them that failed, per second
 	OriginSlowdown  float64           `json:"origin"` // the origin's latency as a multiple of the expected one; 0: unknown
 	AdmissionTarget float64           `json:"target"` // of the orders in force at the router
 	Observations    []SiteObservation `json:"seen"`
@@ -60,11 +60,11 @@
 	return r.Observations[i], true
 }
 
-// serverCountWindow is how long a number of listed servers counts as expected. It exceeds the time in which an outage is handled.
+// serverCountWindow is how long a number of listed servers counts as expected. It is longer than the handling of an outage takes.
 const serverCountWindow = 10 * clock.Minute
 
-// ServerCounts remembers how many cache servers each site had recently, because discovery no longer lists failed ones. The zero
-// value is ready to use.
+// ServerCounts records how many cache servers each site had recently, because discovery does not list failed ones. The zero value
+// is ready to use.
 type ServerCounts struct {
 	recent map[Site][]serverCount // descending counts
 }
@@ -74,15 +74,15 @@
 	servers int
 }
 
-// Record records the listed servers and returns the observations, sorted by site, with ExpectedServers set. The result includes
-// sites that were observed only earlier.
+// Record records the listed servers and returns the observations, sorted by site, with ExpectedServers set. The result also
+// includes sites that only earlier calls observed.
 func (c *ServerCounts) Record(now clock.Time, observations []SiteObservation) []SiteObservation {
 	if c.recent == nil {
 		c.recent = map[Site][]serverCount{}
 	}
 	for _, observation := range observations {
 		site, listed := observation.Site, observation.ListedServers
-		// A count matters only until a later one is as high.
+		// A count is obsolete once a later one is at least as high.
 		higher := slices.DeleteFunc(c.recent[site], func(count serverCount) bool {
 			return count.servers <= listed || now-count.at > serverCountWindow
 		})
--- a/core/sitefailover/shedding.go
+++ b/core/sitefailover/shedding.go
@@ -6,8 +6,8 @@
 	"spurtrestle/core/clock"
 )
 
-// shedThreshold returns the lowest rank that fits a target in part, and the fraction of the requests of that rank that fit.
-// offered has the highest rank first. If everything fits the result is rank 0, which no request has.
+// shedThreshold returns the rank that fits a target only in part, and the fraction of the requests of that rank that fits.
+// Higher ranks fit completely. offered has the highest rank first. If everything fits the result is rank 0, which no request has.
 func shedThreshold(offered []OfferedLoad, target float64) (minRank Rank, fraction float64) {
 	remaining := target
 	for _, load := range offered {
@@ -19,15 +19,15 @@
 	return 0, 1
 }
 
-// availableCapacity is the capacity of a site in its current state.
+// availableCapacity is the capacity of one site in its current state.
 type availableCapacity struct {
 	site     Site
 	servers  float64 // responding, scaled by the site's key share
 	capacity float64 // of these servers, answers per second
 }
 
-// totalCapacity returns the answers per second that all sites together can give, and the site that limits them. Keys are spread
-// evenly over the servers, so the first site that reaches its capacity limits the fleet.
+// totalCapacity returns the answers per second that all sites together can give, and the site that limits this rate. Keys are
+// distributed evenly over the servers, so the first site that reaches its capacity limits the fleet.
 func totalCapacity(sites []availableCapacity) (capacity float64, limitingSite Site) {
 	servers := 0.0
 	for _, site := range sites {
@@ -45,7 +45,7 @@
 	return capacity, limitingSite
 }
 
-// assignDisplaced adds the keys of displaced servers to the servers of the sites that have them, by failover weights.
+// assignDisplaced distributes displaced servers to the sites that serve their keys instead, by failover weights.
 func assignDisplaced(sites []availableCapacity, displacedServers float64, weights []SiteShare) {
 	weighted := make([]float64, len(sites))
 	totalWeighted := 0.0
@@ -67,46 +67,46 @@
 }
 
 const (
-	// throttleInterval is the time between two updates of the target. Each router answers requests and reports within it.
+	// throttleInterval is the time between two updates of the target, long enough for each router to answer requests and report.
 	throttleInterval = 250 * clock.Millisecond
 
-	// The fraction of the admitted priority weight that fails: below lowFailedFraction the target rises, above
-	// highFailedFraction it falls. Priority weight is used in place of the number of requests because the most critical
+	// If the failed fraction of the admitted priority weight is below lowFailedFraction the target is raised, and above
+	// highFailedFraction it is lowered. Priority weight is used instead of the number of requests because the most critical
 	// requests have the tightest deadlines and fail first in a queue.
 	lowFailedFraction  = 0.01
 	highFailedFraction = 0.03
 
-	// Factors of the target in one update.
+	// The factors by which one update changes the target.
 	decreaseFactor        = 0.97
 	increaseFactor        = 1.04
 	healthyIncreaseFactor = 1.06 // while no site is degraded
 
-	// Bounds of the target as a multiple of the capacity: a planned capacity is for the usual mix of requests, and does not
-	// include what the origin answers.
+	// The limits of the target as a multiple of the capacity: a planned capacity is for the usual mix of requests, and does not
+	// include the requests that the origin answers.
 	minTargetRatio = 0.5
 	maxTargetRatio = 1.5
 
-	// answeredWindow is how long an answered rate stays a lower bound of the target: failures are seen up to a second after the
-	// target has fallen.
+	// answeredWindow is how long an answered rate remains a lower bound of the target: failures are still reported up to a second
+	// after the target has been lowered.
 	answeredWindow = 2 * clock.Second
 	// releaseDelay is how long all offered requests must fit the target before the throttle is switched off.
 	releaseDelay = 2 * clock.Second
 	// capacityTolerance is the relative change of the capacity that invalidates the answered rates.
 	capacityTolerance = 0.05
 	// changeGracePeriod is the time after a change of the capacity in which failures do not lower the target: requests in flight
-	// at a lost site fail whatever the target is.
+	// at a lost site fail regardless of the target.
 	changeGracePeriod = 1500 * clock.Millisecond
 )
 
-// throttle is the admission control of the fleet: the rate of requests that are admitted, and not shed, while a site is degraded. The target starts at the capacity of the sites and is
-// adjusted by the failures of admitted requests.
+// throttle is the admission control of the fleet: while a site is degraded it limits the rate of admitted requests to a target.
+// The target starts at the capacity of the sites and is adjusted by the failures of admitted requests.
 type throttle struct {
 	target            float64 // admitted requests per second; 0: the throttle is off
 	capacity          float64 // at the last change of the capacity
 	capacityChangedAt clock.Time
 	answered          []answeredRate // since the capacity changed, within answeredWindow
-	measuredRatio     float64        // highest rate answered while the throttle was off, as a multiple of the capacity
-	unneededSince     clock.Time     // when all offered requests began to fit; 0: they do not
+	measuredRatio     float64        // highest answered rate while the throttle was off, as a multiple of the capacity
+	unneededSince     clock.Time     // when the offered requests began to fit the target; 0: they do not fit
 	updatedAt         clock.Time
 }
 
@@ -115,7 +115,7 @@
 	rate float64
 }
 
-// update adjusts the target by the traffic of the fleet, the capacity of its sites, and whether any site is degraded.
+// update adjusts the target to the traffic of the fleet, the capacity of its sites, and whether any site is degraded.
 func (t *throttle) update(now clock.Time, fleet traffic, capacity float64, anyDegraded bool) {
 	if now-t.updatedAt < throttleInterval {
 		return
@@ -136,17 +136,17 @@
 	t.releaseWhenUnneeded(now, anyDegraded || fleet.offeredRate() > t.target)
 }
 
-// followCapacity starts the target at the capacity, and moves it by changes of the capacity.
+// followCapacity initializes the target with the capacity, and moves it by changes of the capacity.
 func (t *throttle) followCapacity(now clock.Time, capacity float64) {
 	if t.target == 0 {
 		t.target, t.capacity, t.capacityChangedAt = capacity*max(1, t.measuredRatio), capacity, now
 	}
-	if t.capacity == 0 { // a new leader continues with the target of its predecessor
+	if t.capacity == 0 { // a new leader has taken over the target of its predecessor
 		t.capacity, t.capacityChangedAt = capacity, now
 	}
 	changed := capacity < t.capacity*(1-capacityTolerance) || capacity > t.capacity*(1+capacityTolerance)
 	if changed {
-		// The difference between target and capacity is mostly what the origin answers, and remains.
+		// The difference between target and capacity is kept: it is mostly the requests that the origin answers.
 		t.target += capacity - t.capacity
 		t.answered, t.capacity, t.capacityChangedAt = nil, capacity, now
 	}
@@ -162,12 +162,12 @@
 	return highest
 }
 
-// adjustTarget lowers the target if too many admitted requests fail, but not below a rate that was answered recently, and raises
-// it if few do.
+// adjustTarget lowers the target if too many admitted requests fail, but not below the highest recently answered rate, and raises
+// the target if few fail.
 func (t *throttle) adjustTarget(now clock.Time, failedFraction, highestAnswered float64, anyDegraded bool) {
 	switch {
 	case failedFraction > highFailedFraction && now-t.capacityChangedAt < changeGracePeriod:
-		// Requests that were in flight at the change fail: the target stays.
+		// The failures are requests that were in flight at the change: the target stays.
 	case failedFraction > highFailedFraction:
 		t.target = max(t.target*decreaseFactor, min(highestAnswered, t.target))
 	case failedFraction >= lowFailedFraction:
@@ -179,7 +179,7 @@
 	}
 }
 
-// releaseWhenUnneeded switches the throttle off once it has not been needed for releaseDelay.
+// releaseWhenUnneeded turns the throttle off once it has not been needed for releaseDelay.
 func (t *throttle) releaseWhenUnneeded(now clock.Time, isNeeded bool) {
 	t.unneededSince = conditionStart(now, t.unneededSince, !isNeeded)
 	if hasLasted(now, t.unneededSince, releaseDelay) {
--- a/core/sitefailover/sitefailover_test.go
+++ b/core/sitefailover/sitefailover_test.go
@@ -18,10 +18,10 @@
 	serversPerSite     = 4
 )
 
-// link is the direction in which routers of one site observe servers of another.
+// link is the path from the routers of one site to the servers of another.
 type link struct{ from, to Site }
 
-// simulation is a fleet as the leader sees it. Each transition is applied at once.
+// simulation is a fleet as the leader sees it. Each transition is applied immediately.
 type simulation struct {
 	now         clock.Time
 	plan        Plan
@@ -29,9 +29,9 @@
 	orders      Orders // in force at all routers
 	decisions   map[Site]Decision
 	index       uint64
-	routersDown map[Site]bool // its routers do not report
+	routersDown map[Site]bool // sites whose routers do not report
 	responding  map[Site]float64
-	unreachable map[link]bool // routers of the first site find the second silent
+	unreachable map[link]bool // links over which the servers appear silent
 	offered     []OfferedLoad // of each router
 	capacity    float64       // answers per second of a complete site
 	logDecision func(string, ...any)
@@ -137,7 +137,7 @@
 		transition.RepeatedLosses, transition.DecidedBy, transition.Reason)
 }
 
-// isRecovered reports whether all sites are up and nothing is shed.
+// isRecovered reports whether all sites are up and no requests are shed.
 func (s *simulation) isRecovered() bool {
 	for _, site := range sites {
 		if s.decisions[site].Stage != Up {
@@ -147,7 +147,7 @@
 	return s.coordinator.throttle.target == 0
 }
 
-// A script has an event per line after its time in seconds. Below each line stand the decisions up to then, and for "look" the status.
+// Each line of a script is a time in seconds and an event, followed by the decisions up to then and, for "look", the status.
 func TestCoordinator_Traces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		s := newSimulation()
@@ -172,7 +172,7 @@
 	return number
 }
 
-// event carries out one event of a script.
+// event executes one event of a script.
 func (s *simulation) event(t *testing.T, event string, arguments []string, log func(string, ...any)) {
 	t.Helper()
 	site := Site("")
@@ -188,9 +188,9 @@
 		s.routersDown[site], s.responding[site] = false, 1
 	case "servers":
 		s.responding[site] = parseNumber(t, arguments[1])
-	case "mute":
+	case "mute": // the routers of the site do not report
 		s.routersDown[site] = arguments[1] == "on"
-	case "blind":
+	case "blind": // the routers of one site cannot reach the servers of another
 		s.unreachable[link{site, Site(arguments[1])}] = arguments[2] == "on"
 	case "load":
 		for i := range s.offered {
@@ -232,8 +232,8 @@
 		orders.MinRank, orders.MinRankFraction)
 }
 
-// Under random faults no transition lacks its evidence, no recovery skips a step, the admitted requests fit the target, and once all
-// faults have ended every site is up and nothing is shed.
+// Under random faults every transition has its evidence, no recovery skips a step, and the admitted requests fit the target. Once
+// all faults have ended, every site comes up and no requests are shed.
 func TestCoordinator_RecoversFromRandomFaults(t *testing.T) {
 	const faults = 40
 	for seed := range uint64(60) {
@@ -263,7 +263,7 @@
 			}
 		}
 		if !s.isRecovered() {
-			t.Fatalf("seed %d: at the end: got decisions %v and target %.0f, want all up and 0", seed, s.decisions, s.coordinator.throttle.target)
+			t.Fatalf("seed %d: after all faults have ended: got decisions %v and target %.0f, want all sites up and target 0", seed, s.decisions, s.coordinator.throttle.target)
 		}
 	}
 }
@@ -285,7 +285,7 @@
 	}
 }
 
-// checkTransition fails the test if the simulated state does not justify a transition.
+// checkTransition fails the test if the simulated state does not justify the transition.
 func (s *simulation) checkTransition(t *testing.T, seed uint64, transition *Transition) {
 	t.Helper()
 	site, previous := transition.Site, s.decisions[transition.Site]
@@ -295,11 +295,11 @@
 	case transition.Stage == Lost && previous.Stage == Up:
 		silent := s.sitesFindingSilent(site)
 		if silent < 2 && silent < len(sites)-1-s.otherSitesDown(site) {
-			t.Fatalf("seed %d, %v: %s counts as lost: got %d sites that find it silent, want most", seed, s.now, site, silent)
+			t.Fatalf("seed %d, %v: %s is lost: got %d sites that find it silent, want a majority", seed, s.now, site, silent)
 		}
 	case transition.Stage == Recovering && previous.Stage == Lost:
 		if s.routersDown[site] || s.responding[site] < recoveryFraction {
-			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers, want a working site",
+			t.Fatalf("seed %d, %v: %s recovers: got routers down %v and %.2f of the servers responding, want a working site",
 				seed, s.now, site, s.routersDown[site], s.responding[site])
 		}
 	case skipsStep, endsEarly:
@@ -355,7 +355,7 @@
 	}
 }
 
-// Requests of a tenant over its share are shed first, whatever their method.
+// Requests of a tenant over its share are shed first, regardless of their method.
 func ExampleForecastLoss() {
 	loads := []ExpectedLoad{
 		{Method: "status", Rate: 420},
@@ -385,7 +385,7 @@
 	// dairy 188 of 188
 }
 
-// Servers that discovery no longer lists stay expected for some minutes.
+// Servers that discovery no longer lists remain expected for some minutes.
 func ExampleServerCounts() {
 	var counts ServerCounts
 	for _, listing := range []struct {
--- a/core/sitefailover/sitestate.go
+++ b/core/sitefailover/sitestate.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// repeatedLossWindow is the time after a recovery in which a loss counts as a repeated one.
+	// repeatedLossWindow is the time after a recovery within which a loss counts as a repeated one.
 	repeatedLossWindow = 60 * clock.Second
 	// maxRecoveryWait bounds the doubling of Plan.RecoverAfter.
 	maxRecoveryWait = 10_000 * clock.Second
-	// maxWaitDoublings limits the doubling to the range of a Duration.
+	// maxWaitDoublings prevents an overflow of the doubled Duration.
 	maxWaitDoublings = 20
 
 	// healthyFraction of its servers must respond before the next step of a recovery. An up site below it is degraded.
 	healthyFraction = 0.8
-	// maxOriginSlowdown is the slowdown of the origin over which no recovery step is taken.
+	// maxOriginSlowdown is the slowdown of the origin above which no recovery step is taken.
 	maxOriginSlowdown = 1.5
 )
 
@@ -24,15 +24,15 @@
 type siteState struct {
 	decision         Decision
 	decidedAt        clock.Time // when this leader first saw the decision
-	failedAtDecision float64    // fraction of the admitted weight that failed then
-	lossSince        clock.Time // when the evidence of a loss began; 0: there is none
-	recoverySince    clock.Time // when the evidence of a recovery began; 0: there is none
-	servers          int        // the most that were expected
+	failedAtDecision float64    // fraction of the admitted weight that failed at that time
+	lossSince        clock.Time // when the evidence of a loss began; 0: no evidence
+	recoverySince    clock.Time // when the evidence of a recovery began; 0: no evidence
+	servers          int        // highest number that was expected
 	peakRate         float64    // highest recent rate of answers while up, per second
 	peakAt           clock.Time
 }
 
-// setDecision records the current decision. A new one resets the evidence.
+// setDecision records the current decision. A new decision resets the evidence.
 func (s *siteState) setDecision(now clock.Time, decision Decision, failedFraction float64) {
 	if s.decision.Index != decision.Index {
 		s.decidedAt, s.failedAtDecision = now, failedFraction
@@ -41,7 +41,7 @@
 	s.decision = decision
 }
 
-// observe records since when the evidence justifies a transition.
+// observe records how long the evidence has justified a transition, and the site's size and peak rate.
 func (s *siteState) observe(now clock.Time, observed evidence) {
 	isLost := s.decision.Stage == Up && observed.showsLoss()
 	isLostAgain := s.decision.Stage == Recovering && (observed.showsLoss() || observed.showsPartialLoss())
@@ -55,7 +55,7 @@
 	}
 }
 
-// conditionStart returns when a condition began, given its last conditionStart; 0 if it is false.
+// conditionStart returns when a condition began, given the last result; 0 if the condition is false.
 func conditionStart(now, last clock.Time, isTrue bool) clock.Time {
 	switch {
 	case !isTrue:
@@ -72,8 +72,8 @@
 	return since != 0 && now-since >= duration
 }
 
-// proposal is a transition that is due, or the condition that the next one waits for. The texts of conditions and reasons are part of
-// replies and of the raft log, and do not change.
+// proposal is a transition that is due, or the condition that the next one waits for. The texts of conditions and reasons are part
+// of replies and of the raft log, and must not change.
 type proposal struct {
 	transition *Transition
 	waitingFor string
@@ -87,7 +87,7 @@
 	return proposal{transition: newTransition(decision, fmt.Sprintf(format, arguments...))}
 }
 
-// next evaluates the transitions of the state machine that evidence can cause, see the package comment.
+// next evaluates the transitions of the state machine that are caused by evidence, see the package comment.
 func (s *siteState) next(now clock.Time, plan *Plan, observed evidence, fleet traffic) proposal {
 	switch {
 	case s.decision.Stage == Up:
@@ -112,7 +112,7 @@
 		return waitFor("the evidence of its loss is to hold")
 	}
 	loss := Decision{Stage: Lost}
-	// A site that is up and has a decision has recovered, by evidence or by an operator.
+	// A site that is up and has a decision has recovered before, by evidence or by an operator.
 	hasRecovered := s.decision.Index > 0
 	recoveredRecently := hasRecovered && now-s.decidedAt < repeatedLossWindow
 	if recoveredRecently {
@@ -137,7 +137,7 @@
 }
 
 func (s *siteState) nextFromRecovering(now clock.Time, plan *Plan, observed evidence, fleet traffic) proposal {
-	// Failures are compared with those before the step: the overload that the recovery is to end must not block it.
+	// Failures are compared with those before the step, so that the overload during the outage does not block the recovery.
 	maxFailedFraction := s.failedAtDecision + highFailedFraction
 	switch {
 	case now-s.decidedAt < plan.MinStepDuration:
--- a/core/sitefailover/sitestate_test.go
+++ b/core/sitefailover/sitestate_test.go
@@ -6,14 +6,14 @@
 	"spurtrestle/core/clock"
 )
 
-// The transitions by evidence in the table of the package comment, each with its guard met and not met.
+// The transitions by evidence in the table of the package comment, each with its guard satisfied and not satisfied.
 func TestSiteState_Transitions(t *testing.T) {
 	const now = 1000 * clock.Second
 	plan := DefaultPlan()
 	lastStep := len(plan.RecoverySteps) - 1
 	healthy := evidence{known: true, routers: 2, reportingRouters: 2, listed: 1, responding: 1, respondingLocally: 1}
-	slow := healthy
-	slow.responding = healthyFraction - 0.1
+	unhealthy := healthy
+	unhealthy.responding = healthyFraction - 0.1
 	since := func(duration clock.Duration) clock.Time { return now - duration }
 	tests := []struct {
 		name     string
@@ -24,7 +24,7 @@
 	}{
 		{name: "up without evidence", evidence: healthy},
 		{
-			name:  "up, evidence of a loss too young",
+			name:  "up, evidence of a loss too recent",
 			state: siteState{lossSince: since(plan.LostAfter - 1)},
 		},
 		{
@@ -43,7 +43,7 @@
 			want:  &Decision{Stage: Lost},
 		},
 		{
-			name:     "lost, evidence of a recovery too young",
+			name:     "lost, evidence of a recovery too recent",
 			state:    siteState{decision: Decision{Stage: Lost}, recoverySince: since(plan.RecoverAfter - 1)},
 			evidence: healthy,
 		},
@@ -64,7 +64,7 @@
 			evidence: healthy,
 		},
 		{
-			name:     "recovering, step too young",
+			name:     "recovering, step too recent",
 			state:    siteState{decision: Decision{Stage: Recovering}, decidedAt: since(plan.MinStepDuration - 1)},
 			evidence: healthy,
 		},
@@ -83,7 +83,7 @@
 		{
 			name:     "recovering, servers do not respond",
 			state:    siteState{decision: Decision{Stage: Recovering}, decidedAt: since(plan.MinStepDuration)},
-			evidence: slow,
+			evidence: unhealthy,
 		},
 		{
 			name:     "recovering, more requests fail than before the step",
@@ -164,7 +164,7 @@
 			command := Command{Site: "a", Action: test.action, Author: "ann", Reason: "by phone"}
 			got, err := command.Transition(&plan, map[Site]Decision{"a": test.current, "b": test.other})
 			if (err != nil) != test.rejected {
-				t.Fatalf("error: got %v, want one: %v", err, test.rejected)
+				t.Fatalf("error: got %v, want an error: %v", err, test.rejected)
 			}
 			if err != nil {
 				return
--- a/core/sitefailover/status.go
+++ b/core/sitefailover/status.go
@@ -12,11 +12,11 @@
 	Sites                 []SiteStatus  `json:"sites"`
 	Capacity              float64       `json:"bears"` // answers per second of all sites together
 	MeasuredCapacityRatio float64       `json:"more"`  // highest answered rate as a multiple of the capacity; 0: not measured
-	LimitingSite          Site          `json:"binds"` // whose capacity limits that of the fleet
+	LimitingSite          Site          `json:"binds"` // whose capacity limits the fleet's
 	Offered               []OfferedLoad `json:"offered"`
 	AdmittedRate          float64       `json:"let"`    // per second
 	FailedRate            float64       `json:"lost"`   // admitted requests that failed, per second
-	OriginSlowdown        float64       `json:"origin"` // as in Report, the highest
+	OriginSlowdown        float64       `json:"origin"` // the highest in a Report
 	Orders                Orders        `json:"orders"`
 }
 
@@ -26,11 +26,11 @@
 	Name             Site    `json:"name"`
 	KeyShare         float64 `json:"share"`
 	Capacity         float64 `json:"bears"` // answers per second in its current state
-	CapacityPlanned  bool    `json:"told"`  // by the plan; otherwise measured
+	CapacityPlanned  bool    `json:"told"`  // Capacity is from the plan; otherwise it is measured
 	Responding       float64 `json:"there"` // fraction of its servers
 	Routers          int     `json:"routers"`
 	ReportingRouters int     `json:"heard"`
-	WaitingFor       string  `json:"waits"` // condition of the next transition
+	WaitingFor       string  `json:"waits"` // the condition that the next transition waits for
 }
 
 // DisplayStage returns the stage as shown to operators.
@@ -45,7 +45,7 @@
 	}
 }
 
-// isDegraded reports whether a site is not up, or misses servers or routers.
+// isDegraded reports whether a site is not up, or lacks servers or routers.
 func (s SiteStatus) isDegraded() bool {
 	missesServers := s.Responding < healthyFraction
 	missesRouters := float64(s.ReportingRouters) < healthyFraction*float64(s.Routers)
--- a/core/sitefailover/weights.go
+++ b/core/sitefailover/weights.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// minFailoverWeight is the least weight relative to the highest: each site gets some of the keys, so that its measured
-	// capacity stays current.
+	// minFailoverWeight is the lowest weight relative to the highest: each site gets some of the keys, so that its measured
+	// capacity remains current.
 	minFailoverWeight = 0.05
-	// evenFailoverWeight is the lowest weight from which on the keys are spread evenly instead: a smaller difference does not
-	// justify moving keys.
+	// evenFailoverWeight is the threshold for the lowest weight above which the keys are distributed evenly: a smaller difference
+	// does not justify moving keys.
 	evenFailoverWeight = 0.8
-	// minDivisor avoids a division by zero.
+	// minDivisor prevents a division by zero.
 	minDivisor = 1e-9
 )
 
@@ -24,9 +24,9 @@
 	PreferredTargets []Site
 }
 
-// failoverWeights returns weights by which the keys of lost sites go to the servers of the others, so that these reach their
-// capacity at the same load. If the last lost site has preferred targets, they get the keys that they have capacity for at the
-// given load first. The weights are per server, the highest is 1; nil spreads the keys evenly.
+// failoverWeights returns weights by which the keys of lost sites are distributed to the servers of the others, so that the other
+// sites reach their capacity at the same load. If the last lost site has preferred targets, these first get as many keys as they
+// have free capacity for at the given load. The weights are per server and the highest is 1; nil distributes the keys evenly.
 func failoverWeights(sites []SiteCapacity, lost []Site, load float64) []SiteShare {
 	totalServers, lostServers, remainingCapacity := 0.0, 0.0, 0.0
 	var preferred []Site
@@ -43,27 +43,28 @@
 		}
 	}
 	if len(preferred) == 0 || load > remainingCapacity {
-		load = remainingCapacity // no site has free capacity beyond it
+		load = remainingCapacity // a higher load cannot be served
 	}
 	if totalServers == 0 || load <= 0 {
 		return nil
 	}
-	free := map[Site]float64{}
+	freeCapacity := map[Site]float64{}
 	for _, site := range sites {
 		if !slices.Contains(lost, site.Site) {
-			free[site.Site] = max(0, site.Capacity-load*float64(site.Servers)/totalServers)
+			freeCapacity[site.Site] = max(0, site.Capacity-load*float64(site.Servers)/totalServers)
 		}
 	}
-	assigned := distributeLoad(load*lostServers/totalServers, free, preferred)
-	return normalizedWeights(sites, free, assigned)
+	assigned := distributeLoad(load*lostServers/totalServers, freeCapacity, preferred)
+	return normalizedWeights(sites, freeCapacity, assigned)
 }
 
-// normalizedWeights returns the load assigned to each site in free per server, relative to the highest; nil if it is nearly even.
-func normalizedWeights(sites []SiteCapacity, free, assigned map[Site]float64) []SiteShare {
+// normalizedWeights returns the load per server that is assigned to each site in freeCapacity, relative to the highest; nil if the
+// distribution is nearly even.
+func normalizedWeights(sites []SiteCapacity, freeCapacity, assigned map[Site]float64) []SiteShare {
 	var weights []SiteShare
 	highest := 0.0
 	for _, site := range sites {
-		_, remains := free[site.Site]
+		_, remains := freeCapacity[site.Site]
 		if !remains || site.Servers <= 0 {
 			continue
 		}
@@ -82,12 +83,12 @@
 	return weights
 }
 
-// distributeLoad assigns a load to sites: to the preferred ones in order up to their free capacity, and the rest in proportion to
-// the free capacity that is left. The capacities are summed in the order of the sites' names: the last digit of a sum depends on
-// the order, and every leader must compute the same weights.
-func distributeLoad(load float64, free map[Site]float64, preferred []Site) map[Site]float64 {
+// distributeLoad assigns a load to sites: first to the preferred ones, in order, up to their free capacity, and the rest in
+// proportion to the remaining free capacity. The capacities are summed in the order of the sites' names: the last digit of a
+// floating-point sum depends on the order, and every leader must compute the same weights.
+func distributeLoad(load float64, freeCapacity map[Site]float64, preferred []Site) map[Site]float64 {
 	assigned := map[Site]float64{}
-	remaining := maps.Clone(free)
+	remaining := maps.Clone(freeCapacity)
 	for _, site := range preferred {
 		assigned[site] = min(load, remaining[site])
 		load -= assigned[site]
--- a/core/sitefailover/weights_test.go
+++ b/core/sitefailover/weights_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Leaders that compute weights from the same capacities agree to the last digit.
+// Leaders that compute weights from the same capacities get the same weights to the last digit.
 func TestFailoverWeights_AreTheSameInEveryCall(t *testing.T) {
 	const cases, calls = 200, 50
 	random := rand.New(rand.NewPCG(1, 1))
@@ -32,6 +32,6 @@
 		}
 	}
 	if differing > 0 {
-		t.Errorf("%d of %d cases give more than one answer in %d calls", differing, cases, calls)
+		t.Errorf("cases with different weights in %d calls: got %d of %d, want 0", calls, differing, cases)
 	}
 }
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -1,10 +1,10 @@
-// Package staleness decides how much of a router's learned state is still valid after a restart. Package internal/router decays
-// the state that a snapshot restored before it passes it to package routing; cache-routerctl shows the result. The package has no
-// state, does no I/O and reads no clock.
+// Package staleness determines how much of a router's learned state is still valid after a restart. Package internal/router
+// decays the state of a snapshot before it passes the state to package routing; cache-routerctl shows the result. The package
+// has no state, does no I/O and reads no clock.
 //
-// Each kind of measurement decays exponentially with its own half-life, by the age of its own evidence. Restored measurements that
-// were not confirmed since have the time of their old evidence, so that repeated restarts do not make them younger. As the weights
-// fall to zero, the defaults of package routing for unmeasured servers take over.
+// Each kind of measurement decays exponentially with its own half-life, by the age of its own evidence. Restored measurements
+// that have not been confirmed keep the time of their old evidence, so that repeated restarts do not make them younger. When the
+// weights have fallen to zero, the defaults of package routing for unmeasured servers apply.
 package staleness
 
 import (
@@ -14,15 +14,15 @@
 	"spurtrestle/core/routing"
 )
 
-// Half-lives by kind of measurement. Each is several times the time to measure anew, and shorter than the time in which the
-// measured quantity usually changes.
+// Half-lives by kind of measurement. Each is several times the time that a new measurement takes, and shorter than the time in
+// which the measured quantity usually changes.
 const (
 	LatencyHalfLife        = 10 * clock.Minute
 	FastestLatencyHalfLife = 60 * clock.Minute // of the baseline that distinguishes overload from a slow method
 	RateHalfLife           = 60 * clock.Second // of traffic and answers
 	HealthHalfLife         = 15 * clock.Second // of consecutive failures and ejection
 	HotKeyHalfLife         = 60 * clock.Second
-	RetryBudgetHalfLife    = 30 * clock.Second // towards the budget of a new router
+	RetryBudgetHalfLife    = 30 * clock.Second // of the difference from the budget of a new router
 )
 
 const (
@@ -33,16 +33,16 @@
 	// MaxObservedFor bounds the time for which restored rates count as observed.
 	MaxObservedFor = 60 * clock.Second
 
-	// MinWeight is the weight under which a measurement is dropped: one of the 32 samples that package routing counts at most.
+	// MinWeight is the weight below which a measurement is dropped: one of the at most 32 samples that package routing counts.
 	MinWeight = 1.0 / 32
 
-	// minHealthWeight is the weight under which health is reset: after two half-lives an ejected server would be due for a retry.
+	// minHealthWeight is the weight below which health is reset: after two half-lives an ejected server would be due for a retry.
 	minHealthWeight = 0.25
 
 	// initialRetryBudget is the retry budget of a new router, as in package routing (initialRetries).
 	initialRetryBudget = 10
 
-	// minKeyCount is the count under which a hot key is dropped.
+	// minKeyCount is the count below which a hot key is dropped.
 	minKeyCount = 1
 )
 
@@ -63,17 +63,17 @@
 	return weight
 }
 
-// Decay returns the part of the knowledge that is still valid. It does not modify its argument. Knowledge from a predecessor is not
-// necessarily valid, so negative durations and counts are read as 0.
+// Decay returns the part of the knowledge that is still valid. It does not modify its argument. Knowledge from a predecessor may
+// contain invalid values, so negative durations and counts are treated as 0.
 func Decay(knowledge routing.Knowledge, now clock.Time) routing.Knowledge {
 	age := Age(now, knowledge.CapturedAt)
 	decayed := knowledge
 	decayed.CacheLatency = decayLatency(knowledge.CacheLatency, age)
-	// The rates themselves stay; the time for which they count as observed decays.
+	// The rates themselves are kept; the time for which they count as observed decays.
 	observedFor := min(max(knowledge.ObservedFor, 0), MaxObservedFor)
 	decayed.ObservedFor = scaleDuration(observedFor, Weight(age, RateHalfLife))
-	usedBudget := max(0, initialRetryBudget-knowledge.RetryBudget)
-	decayed.RetryBudget = initialRetryBudget - Weight(age, RetryBudgetHalfLife)*usedBudget
+	usedRetries := max(0, initialRetryBudget-knowledge.RetryBudget)
+	decayed.RetryBudget = initialRetryBudget - Weight(age, RetryBudgetHalfLife)*usedRetries
 	hotKeyWeight := Weight(age, HotKeyHalfLife)
 	decayed.KeyReads = hotKeyWeight * knowledge.KeyReads
 	decayed.Keys = decayKeys(knowledge.Keys, hotKeyWeight)
@@ -96,6 +96,7 @@
 	return clock.Duration(factor * float64(duration))
 }
 
+// decayKeys scales the counts of the hot keys and drops keys with a small count.
 func decayKeys(keys []routing.KeyKnowledge, weight float64) (decayed []routing.KeyKnowledge) {
 	for _, key := range keys {
 		key.Count *= weight
@@ -106,8 +107,8 @@
 	return decayed
 }
 
-// decayServer decays the knowledge about one server by the age of its own evidence. AttemptRate stays: package routing corrects it by the
-// time for which rates count as observed. ReportedServiceTime stays until latencies have no weight.
+// decayServer decays the knowledge about one server by the age of its own evidence. AttemptRate is kept: package routing corrects
+// it by the time for which rates count as observed. ReportedServiceTime is kept until latencies have no weight.
 func decayServer(server routing.ServerKnowledge, now clock.Time) routing.ServerKnowledge {
 	age := Age(now, server.ObservedAt)
 	server.Latency = decayLatency(server.Latency, age)
@@ -127,7 +128,7 @@
 	return server
 }
 
-// hasEvidence reports whether enough knowledge about a server is left to restore it.
+// hasEvidence reports whether the remaining knowledge about a server is worth restoring.
 func hasEvidence(server routing.ServerKnowledge) bool {
 	return server.Latency.Samples > 0 || server.Ejected
 }
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -15,8 +15,8 @@
 
 const now clock.Time = 1_800_000_000e6
 
-// knowledgeAt returns the knowledge of a router at a time: two servers observed then, one of them ejected, and one last observed an
-// hour before.
+// knowledgeAt returns the knowledge of a router with two servers that were observed at the given time, one of them ejected, and one
+// that was last observed an hour earlier.
 func knowledgeAt(at clock.Time) routing.Knowledge {
 	normal := routing.LatencySummary{Recent: 5000, Mean: 6000, Fastest: 3000, Samples: 32}
 	slow := routing.LatencySummary{Recent: 90000, Mean: 80000, Fastest: 3000, Samples: 32}
@@ -44,7 +44,7 @@
 
 func toDuration(d clock.Duration) time.Duration { return time.Duration(d) * time.Microsecond }
 
-// A script has an age per line. Below each line stands the knowledge that is left at that age.
+// Each line of a script is an age, followed by the knowledge that remains at that age.
 func TestDecay_Traces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		return tracetest.Steps(script, func(line string, log func(string, ...any)) {
@@ -79,7 +79,7 @@
 		losesBudget := older.RetryBudget < younger.RetryBudget
 		gainsEntries := len(older.Servers) > len(younger.Servers) || len(older.Keys) > len(younger.Keys)
 		if gainsSamples || losesManySamples || gainsRates || losesBudget || gainsEntries {
-			t.Fatalf("knowledge %v old and older by %v:\ngot  %+v\nwant at most %+v", age, difference, older, younger)
+			t.Fatalf("knowledge that is %v older than at age %v:\ngot  %+v\nwant at most %+v", toDuration(difference), toDuration(age), older, younger)
 		}
 		bothMeasured := younger.CacheLatency.Samples > 0 && older.CacheLatency.Samples > 0
 		isBetween := older.CacheLatency.Fastest >= younger.CacheLatency.Fastest && older.CacheLatency.Fastest <= older.CacheLatency.Mean
@@ -92,14 +92,15 @@
 	})
 }
 
-// Repeated restarts, each reading the snapshot of the one before and observing nothing, make no evidence younger.
+// A series of restarts, each of which reads the snapshot of the previous process and observes nothing, does not make evidence
+// younger.
 func TestDecay_RestartLoopRenewsNoEvidence(t *testing.T) {
 	knowledge := knowledgeAt(now)
 	at := now
 	for range 20 {
 		at += clock.Minute
 		knowledge = Decay(knowledge, at)
-		knowledge.CapturedAt = at // written again by the process that read it
+		knowledge.CapturedAt = at // the restarted process writes a new snapshot
 		for _, server := range knowledge.Servers {
 			if server.ObservedAt > now {
 				t.Fatalf("evidence of server %d: got time %v, want at most %v", server.Server, server.ObservedAt, now)
@@ -111,7 +112,7 @@
 	}
 	direct := Decay(knowledgeAt(now), at)
 	if len(knowledge.Servers) > len(direct.Servers) {
-		t.Errorf("servers after twenty restarts: got %d, want at most %d as after one", len(knowledge.Servers), len(direct.Servers))
+		t.Errorf("servers after twenty restarts: got %d, want at most %d, as after a single restart", len(knowledge.Servers), len(direct.Servers))
 	}
 	if knowledge.RetryBudget < 2 {
 		t.Errorf("retry budget: got %v, want at least 2", knowledge.RetryBudget)
