--- a/core/hierarchy/decode.go
+++ b/core/hierarchy/decode.go
@@ -17,8 +17,8 @@
 	digests    [tierCount]uint64            // kindDigest
 	heartbeats [tierCount][]heartbeatRecord // kindDigest
 	tier       Tier                         // kindVersions, kindRequest
-	first      nameHash                     // kindVersions: the range of names that versions covers
-	last       nameHash                     // kindVersions
+	firstName  nameHash                     // kindVersions: the range of names that versions covers
+	lastName   nameHash                     // kindVersions
 	versions   []versionRecord              // kindVersions
 	names      []nameHash                   // kindRequest
 	summaries  []summaryRecord              // kindUpdate, kindRepair
@@ -123,8 +123,8 @@
 
 func (r *reader) versions(received *message) {
 	received.tier = r.tier()
-	received.first = r.nameHash()
-	received.last = r.nameHash()
+	received.firstName = r.nameHash()
+	received.lastName = r.nameHash()
 	for r.more() {
 		name := r.nameHash()
 		version := Version(r.uint64())
--- a/core/hierarchy/dissemination.go
+++ b/core/hierarchy/dissemination.go
@@ -43,17 +43,17 @@
 
 // dissemination is the state of sending updates, digests and reconnects.
 type dissemination struct {
-	summaries       entrySet              // to push
-	heartbeats      [linkCount]entrySet   // to send with the next digest
-	newRevision     bool                  // a queued heartbeat has a new highest policy revision, to push with the summaries
-	pushedAt        clock.Time            // last push
-	pingedAt        clock.Time            // last ping
-	exchangedAt     [linkCount]clock.Time // last exchange of digests
-	exchangeCount   [linkCount]int
-	versionsSentAt  [tierCount]clock.Time // last reply to a digest that differed
-	changedAt       [tierCount]clock.Time // last change of the table
-	nextReconnectAt clock.Time
-	reconnectCount  int // selects the next candidate
+	queuedSummaries  entrySet              // for the next push
+	queuedHeartbeats [linkCount]entrySet   // for the next digest on each link
+	hasNewRevision   bool                  // a queued heartbeat has a new highest policy revision, and is pushed with the summaries
+	pushedAt         clock.Time            // last push
+	pingedAt         clock.Time            // last ping
+	exchangedAt      [linkCount]clock.Time // last exchange of digests
+	exchangeCount    [linkCount]int
+	versionsSentAt   [tierCount]clock.Time // last reply to a digest that differed
+	changedAt        [tierCount]clock.Time // last change of the table
+	nextReconnectAt  clock.Time
+	reconnectCount   int // selects the next candidate
 }
 
 // exchangeNow makes the next exchange on a link due immediately, with all heartbeats since its count is 0. Time 0 is more
@@ -62,7 +62,7 @@
 
 // queueSummary includes a changed summary in the next push.
 func (h *Hierarchy) queueSummary(tier Tier, name nameHash) {
-	h.dissemination.summaries.add(tier, name)
+	h.dissemination.queuedSummaries.add(tier, name)
 	h.dissemination.changedAt[tier] = h.now
 }
 
@@ -70,10 +70,10 @@
 func (h *Hierarchy) queueHeartbeat(tier Tier, name nameHash, newRevision bool) {
 	for via := range linkCount {
 		if h.usesLink(via) {
-			h.dissemination.heartbeats[via].add(tier, name)
+			h.dissemination.queuedHeartbeats[via].add(tier, name)
 		}
 	}
-	h.dissemination.newRevision = h.dissemination.newRevision || newRevision
+	h.dissemination.hasNewRevision = h.dissemination.hasNewRevision || newRevision
 }
 
 // usesLink reports whether this router's role includes a link.
@@ -134,7 +134,7 @@
 // pushUpdates sends queued summaries, and heartbeats with a new policy revision, to PushFanout routers on each link.
 func (h *Hierarchy) pushUpdates() {
 	d := &h.dissemination
-	hasUpdates := !d.summaries.empty() || d.newRevision
+	hasUpdates := !d.queuedSummaries.empty() || d.hasNewRevision
 	if !hasUpdates || h.now-d.pushedAt < h.parameters.PushInterval {
 		return
 	}
@@ -149,7 +149,7 @@
 		}
 		h.sendAll(receivers, h.encodeUpdates(via))
 	}
-	d.summaries, d.newRevision, d.pushedAt = entrySet{}, false, h.now
+	d.queuedSummaries, d.hasNewRevision, d.pushedAt = entrySet{}, false, h.now
 }
 
 func (h *Hierarchy) sendAll(receivers []netip.AddrPort, bodies [][]byte) {
@@ -188,12 +188,12 @@
 func (h *Hierarchy) encodeUpdates(via link) [][]byte {
 	var records [][]byte
 	for _, tier := range tiersOn(via) {
-		records = append(records, h.encodeSummaries(tier, h.dissemination.summaries[tier])...)
+		records = append(records, h.encodeSummaries(tier, h.dissemination.queuedSummaries[tier])...)
 	}
 	bodies := h.packRecords(kindUpdate, records)
-	if h.dissemination.newRevision {
-		bodies = append(bodies, h.encodeDigest(via, h.dissemination.heartbeats[via]))
-		h.dissemination.heartbeats[via] = entrySet{}
+	if h.dissemination.hasNewRevision {
+		bodies = append(bodies, h.encodeDigest(via, h.dissemination.queuedHeartbeats[via]))
+		h.dissemination.queuedHeartbeats[via] = entrySet{}
 	}
 	return bodies
 }
@@ -210,13 +210,13 @@
 		d.exchangeCount[via]++
 		isFullExchange := d.exchangeCount[via]%exchangesPerFullDigest == 0
 		for i, peer := range h.samplePeers(via, h.parameters.ExchangeFanout) {
-			heartbeats := d.heartbeats[via]
+			heartbeats := d.queuedHeartbeats[via]
 			if i == 0 && isFullExchange {
 				heartbeats = h.allEntries()
 			}
 			h.outgoing = append(h.outgoing, Datagram{To: peer, Body: h.encodeDigest(via, heartbeats)})
 		}
-		d.heartbeats[via] = entrySet{}
+		d.queuedHeartbeats[via] = entrySet{}
 	}
 }
 
--- a/core/hierarchy/parameters.go
+++ b/core/hierarchy/parameters.go
@@ -8,9 +8,9 @@
 	StandbysPerSite        int // routers that replace unresponsive representatives
 	RepresentingSites      int // sites of a region whose representatives also represent the region
 
-	SilenceTimeout          clock.Duration // without a datagram, after which a candidate is unresponsive
-	SiteRoleDelay           clock.Duration // from the start until the router may represent its site
-	RegionRoleDelay         clock.Duration // from the start until the router may represent its region
+	SilenceTimeout          clock.Duration // a candidate without a datagram for this long is unresponsive
+	SiteRoleDelay           clock.Duration // after the start, before the router may represent its site
+	RegionRoleDelay         clock.Duration // after the start, before the router may represent its region
 	SitePublishInterval     clock.Duration // minimum between two versions of the site's summary by one router
 	RegionPublishInterval   clock.Duration // minimum between two versions of the region's summary by one router
 	TakeoverDelay           clock.Duration // per rank, before a router publishes in place of a higher-ranked one
@@ -21,16 +21,16 @@
 	PushInterval              clock.Duration // minimum between two pushes of updates
 	ExchangeInterval          clock.Duration // between two exchanges of digests on a link
 	IsolatedReconnectInterval clock.Duration // while no router of another site or region is known, and during StartupPeriod
-	StartupPeriod             clock.Duration // in which reconnects and exchanges are more frequent
+	StartupPeriod             clock.Duration // after the start, with more frequent reconnects and exchanges
 	StaleReconnectInterval    clock.Duration // while a summary is stale
 	IdleReconnectInterval     clock.Duration // while no summary is stale
 	PushFanout                int            // receivers of a push on each link
 	ExchangeFanout            int            // receivers of a digest on each link
 
-	StaleAfter  clock.Duration // without a heartbeat, after which a summary is Stale
-	LostAfter   clock.Duration // without a heartbeat, after which a summary is Lost
-	ExpireAfter clock.Duration // without a heartbeat, after which a summary is removed
-	SettleAfter clock.Duration // without a change or a mismatch, after which this router is settled
+	StaleAfter  clock.Duration // a summary without a heartbeat for this long is Stale
+	LostAfter   clock.Duration // a summary without a heartbeat for this long is Lost
+	ExpireAfter clock.Duration // a summary without a heartbeat for this long is removed
+	SettleAfter clock.Duration // a router without a change or a digest mismatch for this long is settled
 }
 
 const (
--- a/core/hierarchy/repair.go
+++ b/core/hierarchy/repair.go
@@ -105,7 +105,7 @@
 	}
 	missingRemotely := map[nameHash]bool{}
 	for name, local := range entries {
-		inRange := name >= received.first && name <= received.last
+		inRange := name >= received.firstName && name <= received.lastName
 		if inRange && peerVersions[name] < local.Version {
 			missingRemotely[name] = true
 		}
--- a/core/hierarchy/simulation_test.go
+++ b/core/hierarchy/simulation_test.go
@@ -26,8 +26,8 @@
 	site             *simulatedSite
 	name             string
 	address          netip.AddrPort
-	index            int // within its site
-	phase            clock.Time
+	index            int        // within its site
+	phase            clock.Time // offset of its calls of Tick within a stepInterval
 	hierarchy        *Hierarchy // nil: stopped
 	stateSince       clock.Time // when the router last started or stopped
 	incarnation      uint64
--- a/core/membership/golden_test.go
+++ b/core/membership/golden_test.go
@@ -14,7 +14,7 @@
 	{Incarnation: 9, Seq: 3, Leader: true, VoterID: 5, VoterAddr: "10.0.0.1:7947", Voter: true, LastIndex: 77},
 }
 
-// goldenView returns a view with routers in all states and two processes of one name.
+// goldenView returns a view of six other routers in all states, one of which has two processes.
 func goldenView() *View {
 	view := New(0, DefaultConfig(1e6), Member{Fleet: "harvest", Name: "me", Site: "hill", Incarnation: 1, Slot: 0, StartedAt: 1000, Build: "b1", Addr: "10.0.0.1:7946"})
 	view.MemberJoined(1e6, Member{Fleet: "harvest", Name: "a", Site: "hill", Incarnation: 2, Slot: 1, StartedAt: 2000, Build: "b2", Addr: "10.0.0.2:7946"})
--- a/core/membership/trace_test.go
+++ b/core/membership/trace_test.go
@@ -77,8 +77,8 @@
 	return heartbeat
 }
 
-// trace is a run of a script against the view of the router "me", incarnation 1.
-type trace struct {
+// scriptRun is a run of a script against the view of the router "me", incarnation 1.
+type scriptRun struct {
 	t    *testing.T
 	view *View
 	now  clock.Time
@@ -89,12 +89,12 @@
 // changes and the resulting view.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
-		run := &trace{t: t, view: New(0, testConfig(), parseMember([]string{"me/1"})), seqs: map[Incarnation]uint64{}}
+		run := &scriptRun{t: t, view: New(0, testConfig(), parseMember([]string{"me/1"})), seqs: map[Incarnation]uint64{}}
 		return tracetest.Steps(script, run.step)
 	})
 }
 
-func (r *trace) step(line string, print func(string, ...any)) {
+func (r *scriptRun) step(line string, log func(string, ...any)) {
 	words := strings.Fields(line)
 	seconds, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
@@ -104,16 +104,16 @@
 	input, args := words[1], words[2:]
 	for r.now+tickInterval < at && input != "continues" {
 		r.now += tickInterval
-		r.tick(print)
+		r.tick(log)
 	}
 	r.now = at
-	r.apply(input, args, print)
-	r.tick(print)
-	print("%s", describeSnapshot(r.view.Snapshot(r.now)))
+	r.apply(input, args, log)
+	r.tick(log)
+	log("%s", describeSnapshot(r.view.Snapshot(r.now)))
 }
 
 // apply passes one input of a script to the view.
-func (r *trace) apply(input string, args []string, print func(string, ...any)) {
+func (r *scriptRun) apply(input string, args []string, log func(string, ...any)) {
 	var id Incarnation
 	if len(args) > 0 {
 		id = Incarnation(parseNumber(args[0]))
@@ -129,12 +129,12 @@
 		r.seqs[id]++
 		heartbeat := Heartbeat{Incarnation: id, Seq: r.seqs[id], ViewDigest: r.view.digest}
 		if !r.view.ReceiveHeartbeat(r.now, parseHeartbeat(r.t, heartbeat, args[1:])) {
-			print("not newer")
+			log("not newer")
 		}
 	case "reconnect":
 		for range 2 {
 			if addr, ok := r.view.NextReconnect(r.now, []string{"at-join"}); ok {
-				print("reconnect to %s", addr)
+				log("reconnect to %s", addr)
 				r.view.reconnectAt = r.now
 			}
 		}
@@ -144,14 +144,14 @@
 	}
 }
 
-func (r *trace) tick(print func(string, ...any)) {
+func (r *scriptRun) tick(log func(string, ...any)) {
 	_, changes := r.view.Tick(r.now)
 	for _, change := range changes {
 		mark := ""
 		if change.Warning {
 			mark = "!"
 		}
-		print("%v log: %s %s%s", float64(r.now)/float64(clock.Second), change.Router, change.Event, mark)
+		log("%v log: %s %s%s", float64(r.now)/float64(clock.Second), change.Router, change.Event, mark)
 	}
 }
 
--- a/core/policycommit/explore_test.go
+++ b/core/policycommit/explore_test.go
@@ -226,9 +226,9 @@
 }
 
 // step applies a step to a copy of the state and visits the result.
-func (e *explorer) step(s *modelState, do func(*modelState)) {
+func (e *explorer) step(s *modelState, apply func(*modelState)) {
 	next := s.clone()
-	do(next)
+	apply(next)
 	e.visit(next)
 }
 
--- a/core/policycommit/policycommit.go
+++ b/core/policycommit/policycommit.go
@@ -42,7 +42,7 @@
 	RetryInterval  clock.Duration // until an unanswered renewal is sent again
 	PrepareTimeout clock.Duration // until a change is aborted that not all routers have prepared
 	ClockSlack     clock.Duration // added by the leader to a lease, in addition to a hundredth of it, before it counts as expired
-	QuiescePeriod  clock.Duration // from the expiry of a router's last lease until its requests in flight have ended and the shares that it granted have expired
+	QuiescePeriod  clock.Duration // after a lost router's last lease, until its requests in flight and its share leases have ended
 }
 
 // clockDriftDivisor is the inverse of the maximum rate error of a router's clock, a hundredth.
--- a/core/sharelease/sharelease_test.go
+++ b/core/sharelease/sharelease_test.go
@@ -190,17 +190,17 @@
 
 // fleet is a set of processes whose messages are delivered immediately.
 type fleet struct {
-	t     *testing.T
-	all   []*Leases
-	peers map[Slot]Peer
-	now   clock.Time
+	t         *testing.T
+	processes []*Leases
+	peers     map[Slot]Peer
+	now       clock.Time
 }
 
 func newFleet(t *testing.T, size int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, peers: map[Slot]Peer{}, now: clock.Second}
 	for i := range size {
-		f.all = append(f.all, New(f.now, DefaultTiming(), size, Slot(i), Incarnation(i+1), false))
+		f.processes = append(f.processes, New(f.now, DefaultTiming(), size, Slot(i), Incarnation(i+1), false))
 		f.peers[Slot(i)] = Peer{Incarnation: Incarnation(i + 1)}
 	}
 	return f
@@ -208,9 +208,9 @@
 
 func (f *fleet) advance(span clock.Duration) {
 	for end := f.now + span; f.now < end; f.now += 10 * clock.Millisecond {
-		for _, leases := range f.all {
+		for _, leases := range f.processes {
 			for queue := leases.Tick(f.now, f.peers, !leases.granting); len(queue) > 0; queue = queue[1:] {
-				if reply, ok := f.all[queue[0].To].Receive(f.now+1, queue[0]); ok {
+				if reply, ok := f.processes[queue[0].To].Receive(f.now+1, queue[0]); ok {
 					queue = append(queue, reply)
 				}
 			}
@@ -220,12 +220,12 @@
 
 func (f *fleet) checkShare(when string, slot int, want float64) {
 	f.t.Helper()
-	if got := f.all[slot].Share(f.now).Current; math.Abs(got-want) > 1e-9 {
-		all := ""
-		for _, leases := range f.all {
-			all += fmt.Sprintf(" %.4f", leases.Share(f.now).Current)
+	if got := f.processes[slot].Share(f.now).Current; math.Abs(got-want) > 1e-9 {
+		shares := ""
+		for _, leases := range f.processes {
+			shares += fmt.Sprintf(" %.4f", leases.Share(f.now).Current)
 		}
-		f.t.Errorf("%s: share of slot %d: got %.4f, want %.4f; all:%s", when, slot, got, want, all)
+		f.t.Errorf("%s: share of slot %d: got %.4f, want %.4f; all shares:%s", when, slot, got, want, shares)
 	}
 }
 
@@ -240,13 +240,13 @@
 	f.advance(20 * clock.Millisecond)
 	f.checkShare("after the start", 3, ownShare)
 
-	f.all[0].SetGranting(true, false)
+	f.processes[0].SetGranting(true, false)
 	f.peers[0] = Peer{Incarnation: 1, Granting: true}
 	f.advance(600 * clock.Millisecond)
 	f.checkShare("drained", 0, minimumRatio/size)
 	f.checkShare("drained", 3, withPortion)
 
-	f.all[0].SetGranting(false, false)
+	f.processes[0].SetGranting(false, false)
 	f.peers[0] = Peer{Incarnation: 1}
 	f.advance(600 * clock.Millisecond)
 	f.checkShare("accepting clients again", 0, ownShare)
@@ -254,8 +254,8 @@
 
 	f.peers[0] = Peer{Incarnation: 1, Granting: true} // it announces that it is draining, but still uses its share
 	f.advance(600 * clock.Millisecond)
-	for _, grant := range f.all[0].TransferAll(f.now) {
-		f.all[grant.To].Receive(f.now, grant)
+	for _, grant := range f.processes[0].TransferAll(f.now) {
+		f.processes[grant.To].Receive(f.now, grant)
 	}
 	delete(f.peers, 0)
 	f.advance(5 * clock.Second)
