--- a/core/hierarchy/hierarchy.go
+++ b/core/hierarchy/hierarchy.go
@@ -1,5 +1,5 @@
 // Package hierarchy maintains a router's view of the other sites and regions of a tiered fleet, and creates the gossip
-// datagrams that disseminate it. Only the routers of one site know each other individually. Elected representatives publish
+// datagrams that disseminate it. A router knows the individual routers of its own site only. Elected representatives publish
 // one versioned summary of their site to the other sites of the region, and one of their region to the other regions.
 // Summaries are disseminated by push and by anti-entropy (periodic comparison of digests), so datagrams may be lost,
 // duplicated and reordered, and two routers may publish the same summary concurrently: all routers converge to the summary
--- a/core/policycommit/follower.go
+++ b/core/policycommit/follower.go
@@ -26,7 +26,7 @@
 
 	hasRenewed bool
 	renewedAt  clock.Time
-	answered   bool // the last renewal was
+	answered   bool // a lease has answered the last renewal
 }
 
 // FollowerConfig describes a router to its leader.
--- a/core/policycommit/leader_shares.go
+++ b/core/policycommit/leader_shares.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// lastRenewalAt returns when any incarnation of a router last renewed, and the start of this leader if that was earlier.
+// lastRenewalAt returns when any incarnation of a router last renewed, or when this leader started if that was later.
 func (l *Leader) lastRenewalAt(name RouterName) clock.Time {
 	return max(l.startedAt, l.renewals[name].receivedAt)
 }
--- a/core/sitefailover/shedding.go
+++ b/core/sitefailover/shedding.go
@@ -106,7 +106,7 @@
 	capacityChangedAt clock.Time
 	answered          []answeredRate // since the capacity changed, within answeredWindow
 	measuredRatio     float64        // highest answered rate while the throttle was off, as a multiple of the capacity
-	unneededSince     clock.Time     // when the offered requests began to fit the target; 0: they do not fit
+	unneededSince     clock.Time     // since when the throttle has not been needed; 0: it is needed
 	updatedAt         clock.Time
 }
 
