--- a/core/hierarchy/parameters.go
+++ b/core/hierarchy/parameters.go
@@ -5,32 +5,32 @@
 // Parameters are the sizes and timings of a hierarchy.
 type Parameters struct {
 	RepresentativesPerSite int
-	StandbysPerSite        int // ranks below the representatives that replace unresponsive ones
+	StandbysPerSite        int // routers that replace unresponsive representatives
 	RepresentingSites      int // sites of a region whose representatives also represent the region
 
-	SilenceTimeout          clock.Duration // without a datagram, after which a candidate counts as unresponsive
-	SiteRoleDelay           clock.Duration // from the start until the router may represent its site
-	RegionRoleDelay         clock.Duration // from the start until the router may represent its region
+	SilenceTimeout          clock.Duration // a candidate without a datagram for this long is unresponsive
+	SiteRoleDelay           clock.Duration // after the start, before the router may represent its site
+	RegionRoleDelay         clock.Duration // after the start, before the router may represent its region
 	SitePublishInterval     clock.Duration // minimum between two versions of the site's summary by one router
 	RegionPublishInterval   clock.Duration // minimum between two versions of the region's summary by one router
-	TakeoverDelay           clock.Duration // for each rank, before a lower rank publishes in place of a higher one
+	TakeoverDelay           clock.Duration // per rank, before a router publishes in place of a higher-ranked one
 	SiteHeartbeatInterval   clock.Duration
 	RegionHeartbeatInterval clock.Duration
 
-	PingInterval              clock.Duration // between pings of a representative to the candidates of its site
+	PingInterval              clock.Duration // between two pings of a representative to the candidates of its site
 	PushInterval              clock.Duration // minimum between two pushes of updates
 	ExchangeInterval          clock.Duration // between two exchanges of digests on a link
 	IsolatedReconnectInterval clock.Duration // while no router of another site or region is known, and during StartupPeriod
-	StartupPeriod             clock.Duration // in which reconnects and exchanges are more frequent
+	StartupPeriod             clock.Duration // after the start, with more frequent reconnects and exchanges
 	StaleReconnectInterval    clock.Duration // while a summary is stale
 	IdleReconnectInterval     clock.Duration // while no summary is stale
 	PushFanout                int            // receivers of a push on each link
-	ExchangePartners          int            // receivers of a digest on each link
+	ExchangeFanout            int            // receivers of a digest on each link
 
-	StaleAfter  clock.Duration // without a heartbeat, after which a summary is Stale
-	LostAfter   clock.Duration // without a heartbeat, after which a summary is Lost
-	ExpireAfter clock.Duration // without a heartbeat, after which a summary is removed
-	SettleAfter clock.Duration // without a change or a mismatch, after which this router is settled
+	StaleAfter  clock.Duration // a summary without a heartbeat for this long is Stale
+	LostAfter   clock.Duration // a summary without a heartbeat for this long is Lost
+	ExpireAfter clock.Duration // a summary without a heartbeat for this long is removed
+	SettleAfter clock.Duration // a router without a change or a digest mismatch for this long is settled
 }
 
 const (
@@ -55,7 +55,7 @@
 	staleReconnectInterval    = 5 * clock.Second
 	idleReconnectInterval     = 60 * clock.Second
 	pushFanout                = 3
-	exchangePartners          = 2
+	exchangeFanout            = 2
 
 	staleAfter  = 60 * clock.Second
 	lostAfter   = 180 * clock.Second
@@ -87,7 +87,7 @@
 		StaleReconnectInterval:    staleReconnectInterval,
 		IdleReconnectInterval:     idleReconnectInterval,
 		PushFanout:                pushFanout,
-		ExchangePartners:          exchangePartners,
+		ExchangeFanout:            exchangeFanout,
 
 		StaleAfter:  staleAfter,
 		LostAfter:   lostAfter,
--- a/core/membership/trace_test.go
+++ b/core/membership/trace_test.go
@@ -10,10 +10,10 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// tickInterval is the span between two calls of Tick in a script.
+// tickInterval is the time between two calls of Tick in a script.
 const tickInterval = 500 * clock.Millisecond
 
-// testConfig is the default one for a probe interval of a second, with a shorter time until a router is forgotten.
+// testConfig returns the default configuration for a probe interval of a second, with a shorter ForgetAfter.
 func testConfig() Config {
 	config := DefaultConfig(clock.Second)
 	config.ForgetAfter = clock.Minute
@@ -21,11 +21,11 @@
 }
 
 func parseNumber(text string) uint64 {
-	n, _ := strconv.ParseUint(text, 10, 64) // a text that is no number is 0
+	n, _ := strconv.ParseUint(text, 10, 64) // 0 if text is not a number
 	return n
 }
 
-// parseMember reads a member of a script, as in "a/2 site=s start=5 predecessor=1 slot=0".
+// parseMember parses a member of a script, as in "a/2 site=s start=5 predecessor=1 slot=0".
 func parseMember(words []string) Member {
 	name, id, _ := strings.Cut(words[0], "/")
 	number := parseNumber(id)
@@ -48,7 +48,7 @@
 	return member
 }
 
-// parseHeartbeat applies the fields of a script to a heartbeat.
+// parseHeartbeat sets the fields of a heartbeat that a script lists.
 func parseHeartbeat(t *testing.T, heartbeat Heartbeat, words []string) Heartbeat {
 	t.Helper()
 	for _, word := range words {
@@ -71,30 +71,30 @@
 		case "seq":
 			heartbeat.Seq = parseNumber(value)
 		default:
-			t.Fatalf("unknown field of a heartbeat: %q", word)
+			t.Fatalf("unknown heartbeat field %q", word)
 		}
 	}
 	return heartbeat
 }
 
-// trace runs a script against the view of the router "me", incarnation 1.
-type trace struct {
+// scriptRun is a run of a script against the view of the router "me", incarnation 1.
+type scriptRun struct {
 	t    *testing.T
 	view *View
 	now  clock.Time
 	seqs map[Incarnation]uint64
 }
 
-// TestTraces runs the scripts of testdata. A script has a line for each input, with its time in seconds; below it stand the
-// changes that are logged and the view that results.
+// TestTraces runs the scripts of testdata. A script has a line for each input, with its time in seconds, followed by the logged
+// changes and the resulting view.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
-		run := &trace{t: t, view: New(0, testConfig(), parseMember([]string{"me/1"})), seqs: map[Incarnation]uint64{}}
+		run := &scriptRun{t: t, view: New(0, testConfig(), parseMember([]string{"me/1"})), seqs: map[Incarnation]uint64{}}
 		return tracetest.Steps(script, run.step)
 	})
 }
 
-func (r *trace) step(line string, print func(string, ...any)) {
+func (r *scriptRun) step(line string, log func(string, ...any)) {
 	words := strings.Fields(line)
 	seconds, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
@@ -104,16 +104,16 @@
 	input, args := words[1], words[2:]
 	for r.now+tickInterval < at && input != "continues" {
 		r.now += tickInterval
-		r.tick(print)
+		r.tick(log)
 	}
 	r.now = at
-	r.apply(input, args, print)
-	r.tick(print)
-	print("%s", describeSnapshot(r.view.Snapshot(r.now)))
+	r.apply(input, args, log)
+	r.tick(log)
+	log("%s", describeSnapshot(r.view.Snapshot(r.now)))
 }
 
 // apply passes one input of a script to the view.
-func (r *trace) apply(input string, args []string, print func(string, ...any)) {
+func (r *scriptRun) apply(input string, args []string, log func(string, ...any)) {
 	var id Incarnation
 	if len(args) > 0 {
 		id = Incarnation(parseNumber(args[0]))
@@ -129,29 +129,29 @@
 		r.seqs[id]++
 		heartbeat := Heartbeat{Incarnation: id, Seq: r.seqs[id], ViewDigest: r.view.digest}
 		if !r.view.ReceiveHeartbeat(r.now, parseHeartbeat(r.t, heartbeat, args[1:])) {
-			print("not newer")
+			log("not newer")
 		}
 	case "reconnect":
 		for range 2 {
 			if addr, ok := r.view.NextReconnect(r.now, []string{"at-join"}); ok {
-				print("reconnect to %s", addr)
+				log("reconnect to %s", addr)
 				r.view.reconnectAt = r.now
 			}
 		}
 	case "show", "continues":
 	default:
-		r.t.Fatalf("unknown input: %q", input)
+		r.t.Fatalf("unknown input %q", input)
 	}
 }
 
-func (r *trace) tick(print func(string, ...any)) {
+func (r *scriptRun) tick(log func(string, ...any)) {
 	_, changes := r.view.Tick(r.now)
 	for _, change := range changes {
 		mark := ""
 		if change.Warning {
 			mark = "!"
 		}
-		print("%v log: %s %s%s", float64(r.now)/float64(clock.Second), change.Router, change.Event, mark)
+		log("%v log: %s %s%s", float64(r.now)/float64(clock.Second), change.Router, change.Event, mark)
 	}
 }
 
