--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, &configerror.Error{Field: "grpc.listen", Problem: err.Error(), Cause: err}
 	}
-	front := grpcfront.New(r, grpcfront.Limits{Connections: g.Connections, Streams: g.Streams, Value: cfg.Limits.RESP.Bulk})
+	front := grpcfront.New(r, grpcfront.Limits{Connections: g.Connections, Streams: g.Streams, ValueBytes: cfg.Limits.RESP.Bulk})
 	go func() {
 		if err := front.Serve(ln); !grpcfront.Stopped(err) {
 			log.WithError(err).Error("no more gRPC clients are taken")
--- a/cmd/cache-router/longwrite_test.go
+++ b/cmd/cache-router/longwrite_test.go
@@ -126,7 +126,7 @@
 	w.gets("+PONG\r\n")
 	// One with no line end behind it is no command: it never runs, and the connection ends.
 	bad := p.writer()
-	text := resp.AppendLongCommand(nil, 100_000, []byte("CACHE.SET"), []byte("k"), []byte("f"), []byte("c=pay,d=2500"))
+	text := resp.AppendStreamedCommand(nil, 100_000, []byte("CACHE.SET"), []byte("k"), []byte("f"), []byte("c=pay,d=2500"))
 	_, _ = bad.Write(append(text, bytes.Repeat([]byte("v"), 100_002)...))
 	if got, err := io.ReadAll(bad); len(got) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("%q, %v", got, err)
--- a/cmd/cache-router/play_test.go
+++ b/cmd/cache-router/play_test.go
@@ -109,7 +109,7 @@
 // readCommands is a cache server's side, readReplies a client's, readRequests that of the origin and discovery.
 func readCommands(s *side, c net.Conn) {
 	readMessages(s, c, func(buf []byte) (string, int, error) {
-		words, used, err := resp.Command(buf, nil, resp.Bounds{Bulk: 1 << 20, Line: 1 << 10, Args: 16})
+		words, used, err := resp.ReadCommand(buf, nil, resp.Bounds{Bulk: 1 << 20, Line: 1 << 10, Args: 16})
 		return short(string(bytes.Join(words, []byte(" ")))), used, err
 	})
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -179,8 +179,8 @@
 )
 
 func (l *Limits) setSizes() {
-	l.RESP = resp.Bounds{Bulk: maxSmallValueBytes, Long: maxValueBytes, Line: maxCommandLineBytes, Args: maxCommandArguments}
-	l.Origin = httpwire.Bounds{Head: maxHeadBytes, Body: maxSmallValueBytes, Long: maxValueBytes}
+	l.RESP = resp.Bounds{Bulk: maxSmallValueBytes, Streamed: maxValueBytes, Line: maxCommandLineBytes, Args: maxCommandArguments}
+	l.Origin = httpwire.Bounds{Head: maxHeadBytes, Body: maxSmallValueBytes, Streamed: maxValueBytes}
 	l.Discovery = httpwire.Bounds{Head: maxHeadBytes, Body: maxEndpointListBytes}
 	l.ReadChunk = readChunkBytes
 	l.LargeValueWindow = largeValueWindowBytes
--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -43,7 +43,7 @@
 type Limits struct {
 	Connections int
 	Streams     int // calls at once on a connection
-	Value       int // bytes of a value
+	ValueBytes  int // bytes of a value
 }
 
 const (
@@ -71,8 +71,8 @@
 // New returns a front that does not listen yet. Call it before the router runs.
 func New(r Router, lim Limits) *Server {
 	s := &Server{r: r, lim: lim, health: health.NewServer()}
-	s.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(lim.Streams)), grpc.MaxRecvMsgSize(lim.Value+around),
-		grpc.MaxSendMsgSize(lim.Value+around), grpc.MaxHeaderListSize(headers), grpc.ConnectionTimeout(handshake),
+	s.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(lim.Streams)), grpc.MaxRecvMsgSize(lim.ValueBytes+around),
+		grpc.MaxSendMsgSize(lim.ValueBytes+around), grpc.MaxHeaderListSize(headers), grpc.ConnectionTimeout(handshake),
 		grpc.InitialWindowSize(perStream), grpc.InitialConnWindowSize(4*perStream),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastPing, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idle, Time: half, Timeout: half}))
@@ -197,8 +197,8 @@
 		return "key", "is needed"
 	case len(key) > around/2:
 		return "key", fmt.Sprintf("has more than %d bytes", around/2)
-	case len(value) > s.lim.Value:
-		return "value", fmt.Sprintf("has more than %d bytes", s.lim.Value)
+	case len(value) > s.lim.ValueBytes:
+		return "value", fmt.Sprintf("has more than %d bytes", s.lim.ValueBytes)
 	}
 	return "", ""
 }
@@ -231,7 +231,7 @@
 		return nil, refusals[e.refused]
 	case e.Kind == wire.Served:
 		return e.Value, nil
-	case e.Long:
+	case e.TooLarge:
 		return nil, status.Error(codes.ResourceExhausted, "the value is too big for gRPC; RESP2 passes it")
 	case e.Kind == wire.Failed:
 		return nil, status.Error(codes.Aborted, "failed: it may have run")
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -87,7 +87,7 @@
 	if x.r, err = router.New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
-	x.front = New(x.r, Limits{Connections: 4, Streams: 1000, Value: 64 << 10})
+	x.front = New(x.r, Limits{Connections: 4, Streams: 1000, ValueBytes: 64 << 10})
 	ln, err := net.Listen("tcp", at(7443))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -10,9 +10,9 @@
 
 // Bounds is how much one answer may hold.
 type Bounds struct {
-	Head int // bytes of its head, and of what stands around chunks
-	Body int // bytes that are held whole
-	Long int // bytes of a body that is passed on in pieces
+	Head     int // bytes of its head, and of what stands around chunks
+	Body     int // bytes that are held whole
+	Streamed int // bytes of a body that is passed on in pieces
 }
 
 // ErrProtocol is an answer that is broken or over the bounds.
@@ -51,7 +51,7 @@
 
 // Read reads one answer; ended tells that the connection brings nothing more. It returns the bytes used, 0 while the
 // answer is not whole. Interim answers (1xx) are passed over.
-func Read(buf []byte, ended bool, b Bounds) (Response, int, error) {
+func ReadResponse(buf []byte, ended bool, b Bounds) (Response, int, error) {
 	skipped := 0
 	for {
 		r, used, err := read(buf[skipped:], ended, b)
@@ -69,7 +69,7 @@
 
 // Long reads the head of an answer whose length is told and over the bound for such as are held whole: where its body
 // begins, and its size. The place is 0 where it is no such answer.
-func Long(buf []byte, b Bounds) (r Response, at, size int) {
+func ReadLargeHead(buf []byte, b Bounds) (r Response, at, size int) {
 	r, end, err := readHead(buf, b)
 	for err == nil && end > 0 && r.Status < 200 && end <= b.Head { // interim answers are passed over
 		var more int
@@ -82,7 +82,7 @@
 		return r, 0, 0
 	}
 	n, err := strconv.ParseUint(string(r.Get("Content-Length")), 10, 31)
-	if err != nil || int(n) <= b.Body || int(n) > b.Long {
+	if err != nil || int(n) <= b.Body || int(n) > b.Streamed {
 		return r, 0, 0
 	}
 	return r, end, int(n)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -8,7 +8,7 @@
 
 var bounds = Bounds{Head: 128, Body: 32}
 
-func ExampleRead() {
+func ExampleReadResponse() {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvaluebehind",
 		"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n3;x=1\r\nval\r\n2\r\nue\r\n0\r\nT: 1\r\n\r\nbehind",
@@ -28,7 +28,7 @@
 		"HTTP/1.1 2000 OK\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "SSH-2.0-x\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 128),
 	} {
-		r, used, err := Read([]byte(text), true, bounds)
+		r, used, err := ReadResponse([]byte(text), true, bounds)
 		if err != nil {
 			fmt.Printf("%.40q: %v\n", text, err)
 			continue
@@ -65,11 +65,11 @@
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n2\r\nue\r\n0\r\n\r\n",
 	} {
 		for i := range text {
-			if r, used, err := Read([]byte(text[:i]), false, bounds); used != 0 || err != nil {
+			if r, used, err := ReadResponse([]byte(text[:i]), false, bounds); used != 0 || err != nil {
 				t.Errorf("%q: %v, %d, %v", text[:i], r, used, err)
 			}
 		}
-		if r, used, err := Read([]byte(text), false, bounds); string(r.Body) != "value" || used != len(text) || err != nil {
+		if r, used, err := ReadResponse([]byte(text), false, bounds); string(r.Body) != "value" || used != len(text) || err != nil {
 			t.Errorf("%q: %q, %d, %v", text, r.Body, used, err)
 		}
 	}
@@ -77,16 +77,16 @@
 
 // A long answer is told by its head alone, and as soon as that is whole.
 func TestLong(t *testing.T) {
-	b := Bounds{Head: 200, Body: 4, Long: 9}
+	b := Bounds{Head: 200, Body: 4, Streamed: 9}
 	head := "HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 	for i := range len(head) + 3 {
-		if _, at, size := Long([]byte((head + "value")[:i]), b); (at > 0) != (i >= len(head)) || at > 0 && (at != len(head) || size != 5) {
+		if _, at, size := ReadLargeHead([]byte((head + "value")[:i]), b); (at > 0) != (i >= len(head)) || at > 0 && (at != len(head) || size != 5) {
 			t.Errorf("%d bytes: %d %d", i, at, size)
 		}
 	}
 	for _, text := range []string{"200 OK\r\nContent-Length: 4", "200 OK\r\nContent-Length: 10", "200 OK\r\nTransfer-Encoding: chunked",
 		"200 OK\r\nContent-Length: 5\r\nContent-Length: 6", "200 OK\r\nA: b"} {
-		if _, at, size := Long([]byte("HTTP/1.1 "+text+"\r\n\r\n"), b); at != 0 {
+		if _, at, size := ReadLargeHead([]byte("HTTP/1.1 "+text+"\r\n\r\n"), b); at != 0 {
 			t.Errorf("%q: %d %d", text, at, size)
 		}
 	}
@@ -105,16 +105,16 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"), 20)
 	f.Add([]byte("HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n0\r\n\r\n"), 70)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
-		r, used, err := Read(data, false, bounds)
+		r, used, err := ReadResponse(data, false, bounds)
 		if used < 0 || used > len(data) || err != nil && used != 0 || len(r.Body) > bounds.Body {
 			t.Fatalf("used %d of %d, %v", used, len(data), err)
 		}
 		part := data[:max(0, min(cut, len(data)))]
-		if _, less, early := Read(part, false, bounds); less > 0 && less != used || early != nil && err == nil {
+		if _, less, early := ReadResponse(part, false, bounds); less > 0 && less != used || early != nil && err == nil {
 			t.Fatalf("a part gives %d, %v, the whole %d, %v", less, early, used, err)
 		}
-		_, _, _ = Read(data, true, bounds)
-		if _, at, size := Long(data, Bounds{Head: bounds.Head, Body: 2, Long: 100}); at < 0 || at > len(data) || at > 0 && (size <= 2 || size > 100) {
+		_, _, _ = ReadResponse(data, true, bounds)
+		if _, at, size := ReadLargeHead(data, Bounds{Head: bounds.Head, Body: 2, Streamed: 100}); at < 0 || at > len(data) || at > 0 && (size <= 2 || size > 100) {
 			t.Fatalf("a long body of %d at %d of %d", size, at, len(data))
 		}
 	})
--- a/internal/lab/bench/null.go
+++ b/internal/lab/bench/null.go
@@ -73,7 +73,7 @@
 		out = out[:0]
 		for {
 			var size int
-			if words, size, err = resp.Command(buf[used:have], words, bounds); err != nil {
+			if words, size, err = resp.ReadCommand(buf[used:have], words, bounds); err != nil {
 				return
 			}
 			if size == 0 {
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -92,7 +92,7 @@
 			for {
 				var size int
 				var bad error
-				words, size, bad = resp.Command(have[used:], words, bounds)
+				words, size, bad = resp.ReadCommand(have[used:], words, bounds)
 				if bad != nil {
 					k.odd("what cannot be read")
 					return
--- a/internal/lab/cheat/cheat.go
+++ b/internal/lab/cheat/cheat.go
@@ -256,7 +256,7 @@
 	var have []byte
 	buf := make([]byte, 64<<10)
 	for {
-		words, used, err := resp.Command(have, nil, bounds)
+		words, used, err := resp.ReadCommand(have, nil, bounds)
 		if err != nil {
 			switch r.kind {
 			case Serves:
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -10,10 +10,10 @@
 
 // Bounds is how much one message may hold.
 type Bounds struct {
-	Bulk int // bytes of one string that is held whole
-	Long int // bytes of one that is passed on in pieces
-	Line int // bytes of one line
-	Args int // entries of one array
+	Bulk     int // bytes of one string that is held whole
+	Streamed int // bytes of one that is passed on in pieces
+	Line     int // bytes of one line
+	Args     int // entries of one array
 }
 
 // ErrProtocol is a message that is broken or over the bounds.
@@ -82,7 +82,7 @@
 
 // Command reads one command, an array of bulk strings, into args. It returns the bytes used, 0 while the command is
 // not whole. An empty array is a command of no words.
-func Command(buf []byte, args [][]byte, b Bounds) (words [][]byte, used int, err error) {
+func ReadCommand(buf []byte, args [][]byte, b Bounds) (words [][]byte, used int, err error) {
 	args = args[:0]
 	if len(buf) == 0 {
 		return args, 0, nil
@@ -127,7 +127,7 @@
 
 // LongCommand tells of a command whose last word is a string over the bound for such as are held whole: the words before
 // it, where in buf that string begins, and its size.
-func LongCommand(buf []byte, args [][]byte, b Bounds) (words [][]byte, at, size int, ok bool) {
+func ReadLargeCommand(buf []byte, args [][]byte, b Bounds) (words [][]byte, at, size int, ok bool) {
 	words = args[:0]
 	head, at, err := line(buf, 0, b)
 	if err != nil || at == 0 || buf[0] != '*' { // an empty line was taken for a head, and ended the program
@@ -138,7 +138,7 @@
 		if head, at, err = line(buf, at, b); err != nil || at == 0 {
 			break
 		}
-		if size, err = count(head[1:], b.Long); err != nil || size < 0 {
+		if size, err = count(head[1:], b.Streamed); err != nil || size < 0 {
 			break
 		}
 		if i == n-1 {
@@ -158,7 +158,7 @@
 
 // LongReply tells of an array of three whose first entry is a string over the bound for such as are held whole: where in
 // buf that string begins, and its size.
-func LongReply(buf []byte, b Bounds) (at, size int, ok bool) {
+func ReadLargeReply(buf []byte, b Bounds) (at, size int, ok bool) {
 	head, at, err := line(buf, 0, b)
 	if err != nil || at == 0 || string(head) != "*3" || at == len(buf) || buf[at] != '$' {
 		return 0, 0, false
@@ -166,7 +166,7 @@
 	if head, at, err = line(buf, at, b); err != nil || at == 0 {
 		return 0, 0, false
 	}
-	size, err = count(head[1:], b.Long)
+	size, err = count(head[1:], b.Streamed)
 	return at, size, err == nil && size > b.Bulk
 }
 
@@ -231,7 +231,7 @@
 }
 
 // AppendLongCommand adds a command of these words and one more, of that size, that follows it, with a line end behind.
-func AppendLongCommand(to []byte, size int, words ...[]byte) []byte {
+func AppendStreamedCommand(to []byte, size int, words ...[]byte) []byte {
 	to = strconv.AppendInt(append(to, '*'), int64(len(words)+1), 10)
 	to = append(to, "\r\n"...)
 	for _, w := range words {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -64,11 +64,11 @@
 	command := AppendCommand(nil, []byte("CACHE.SET"), []byte("k"), []byte(""), []byte("a\r\n*1\r\n"))
 	reply := []byte("*3\r\n$4\r\na\r\nb\r\n:1\r\n$-1\r\n")
 	for i := range command {
-		if words, used, err := Command(command[:i], nil, bounds); used != 0 || err != nil {
+		if words, used, err := ReadCommand(command[:i], nil, bounds); used != 0 || err != nil {
 			t.Errorf("%q: %q, %d, %v", command[:i], words, used, err)
 		}
 	}
-	words, used, err := Command(append(command, "*1\r\n$4\r\nPING\r\n"...), nil, bounds)
+	words, used, err := ReadCommand(append(command, "*1\r\n$4\r\nPING\r\n"...), nil, bounds)
 	if fmt.Sprintf("%q", words) != `["CACHE.SET" "k" "" "a\r\n*1\r\n"]` || used != len(command) || err != nil {
 		t.Errorf("%q, %d, %v", words, used, err)
 	}
@@ -81,26 +81,26 @@
 
 // What is long is told by its head alone, and as soon as that is whole.
 func TestLong(t *testing.T) {
-	b := Bounds{Bulk: 9, Long: 20, Line: 32, Args: 5}
+	b := Bounds{Bulk: 9, Streamed: 20, Line: 32, Args: 5}
 	command := AppendCommand(nil, []byte("CACHE.SET"), []byte("k"), []byte("0123456789"))
 	reply := []byte("*3\r\n$10\r\n0123456789\r\n$-1\r\n$-1\r\n")
 	for i := range command {
-		words, at, size, ok := LongCommand(command[:i], nil, b)
+		words, at, size, ok := ReadLargeCommand(command[:i], nil, b)
 		if whole := i >= len(command)-12; ok != whole || ok && (len(words) != 2 || at != len(command)-12 || size != 10) {
 			t.Errorf("%q: %q %d %d %v", command[:i], words, at, size, ok)
 		}
 	}
 	for i := range reply {
-		if at, size, ok := LongReply(reply[:i], b); ok != (i >= 9) || ok && (at != 9 || size != 10) {
+		if at, size, ok := ReadLargeReply(reply[:i], b); ok != (i >= 9) || ok && (at != 9 || size != 10) {
 			t.Errorf("%q: %d %d %v", reply[:i], at, size, ok)
 		}
 	}
 	for _, text := range []string{"*3\r\n$9\r\n", "*3\r\n$21\r\n", "*2\r\n$10\r\n", "*3\r\n$-1\r\n", "$10\r\n", "*2\r\n$10\r\n0123456789\r\n$10\r\n"} {
-		if _, _, ok := LongReply([]byte(text), b); ok {
+		if _, _, ok := ReadLargeReply([]byte(text), b); ok {
 			t.Errorf("%q is long", text)
 		}
 	}
-	if got := AppendLongCommand(nil, 10, []byte("CACHE.SET"), []byte("k")); !bytes.Equal(got, command[:len(command)-12]) {
+	if got := AppendStreamedCommand(nil, 10, []byte("CACHE.SET"), []byte("k")); !bytes.Equal(got, command[:len(command)-12]) {
 		t.Errorf("%q", got)
 	}
 }
@@ -111,15 +111,15 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		part := data[:max(0, min(cut, len(data)))]
-		words, used, err := Command(data, nil, bounds)
+		words, used, err := ReadCommand(data, nil, bounds)
 		if used < 0 || used > len(data) || err != nil && used != 0 {
 			t.Fatalf("used %d of %d, %v", used, len(data), err)
 		}
-		if _, less, early := Command(part, nil, bounds); less > 0 && less != used || early != nil && err == nil {
+		if _, less, early := ReadCommand(part, nil, bounds); less > 0 && less != used || early != nil && err == nil {
 			t.Fatalf("a part gives %d, %v, the whole %d, %v", less, early, used, err)
 		}
 		if used > 0 && len(words) > 0 {
-			again, n, err := Command(AppendCommand(nil, words...), nil, bounds)
+			again, n, err := ReadCommand(AppendCommand(nil, words...), nil, bounds)
 			if err != nil || n == 0 || !bytes.Equal(bytes.Join(again, []byte{0}), bytes.Join(words, []byte{0})) {
 				t.Fatalf("%q came back as %q, %v", words, again, err)
 			}
@@ -131,11 +131,11 @@
 		if _, less, early := ReadReply(part, bounds); less > 0 && less != used || early != nil && err == nil {
 			t.Fatalf("a part gives %d, %v, the whole %d, %v", less, early, used, err)
 		}
-		small := Bounds{Bulk: 3, Long: 100, Line: bounds.Line, Args: bounds.Args}
-		if _, at, size, ok := LongCommand(data, nil, small); ok && (at < 0 || at > len(data) || size <= 3 || size > 100) {
+		small := Bounds{Bulk: 3, Streamed: 100, Line: bounds.Line, Args: bounds.Args}
+		if _, at, size, ok := ReadLargeCommand(data, nil, small); ok && (at < 0 || at > len(data) || size <= 3 || size > 100) {
 			t.Fatalf("a long word of %d at %d of %d", size, at, len(data))
 		}
-		if at, size, ok := LongReply(data, small); ok && (at < 0 || at > len(data) || size <= 3 || size > 100) {
+		if at, size, ok := ReadLargeReply(data, small); ok && (at < 0 || at > len(data) || size <= 3 || size > 100) {
 			t.Fatalf("a long value of %d at %d of %d", size, at, len(data))
 		}
 	})
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -110,7 +110,7 @@
 		if len(buf) == 0 {
 			return gnet.None
 		}
-		words, used, err := resp.Command(buf, c.words, c.r.lim.RESP)
+		words, used, err := resp.ReadCommand(buf, c.words, c.r.lim.RESP)
 		c.words = words
 		if err != nil {
 			if ok, away := c.longWrite(buf); away {
@@ -409,16 +409,16 @@
 	if write && len(words) > 4 {
 		q.Value = own(words[4])
 	}
-	p := resp2.ReadProps(words[3])
+	p := resp2.ParseProps(words[3])
 	method, known := r.methods[string(p.Method)]
-	if p.Bad || p.Waits == 0 || !known || len(q.ID) == 0 || r.requests[q.ID] != nil {
+	if p.BadDeadline || p.Timeout == 0 || !known || len(q.ID) == 0 || r.requests[q.ID] != nil {
 		if known {
 			r.refused(method, wire.Failed)
 		}
 		return q, came, 0, false
 	}
 	return q, routing.RequestArrived{Request: q.ID, Key: routing.Key(q.Key), Write: write, Method: method, Tenant: routing.Tenant(p.Tenant),
-		ClientRetry: p.Resent}, p.Waits, true
+		ClientRetry: p.Resent}, p.Timeout, true
 }
 
 // hasAsked counts who has asked, once.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -46,7 +46,7 @@
 func TestDeadlineOfABigWriteWhoseConnectionComesUpLate(t *testing.T) {
 	l, up := held(t, nil)
 	l.r.loop = enrollsNobody{l}
-	l.r.lim.RESP.Long, l.r.lim.LargeValueWindow, l.r.lim.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
+	l.r.lim.RESP.Streamed, l.r.lim.LargeValueWindow, l.r.lim.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
 	client := l.open(nil)
 	client.fd, _ = sockets(t)
 	const size = 1 << 17
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -225,7 +225,7 @@
 			}
 		case 5:
 			if c := pick(servers, n); c != nil {
-				if _, http := c.ctx.(*upstream).server.speaks.(http1.Back); !http {
+				if _, http := c.ctx.(*upstream).server.speaks.(http1.Codec); !http {
 					c.in = append(c.in, []string{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-BUSY\r\n",
 						"-ERR failed\r\n", "*1\r", "nonsense\r\n"}[int(n)%6]...)
 					traffic(c)
--- a/internal/router/long.go
+++ b/internal/router/long.go
@@ -45,13 +45,13 @@
 // no such answer. Its connection is to be closed on the loop then; what is left of it is the descriptor.
 func (up *upstream) long(buf []byte) bool {
 	w := up.carries
-	o, at, size, ok := up.server.speaks.Long(buf)
+	o, at, size, ok := up.server.speaks.ReadLargeAnswer(buf)
 	if !ok || up.conn.OutboundBuffered() > 0 {
 		return false
 	}
 	c, plain := w.q.from.(*client)
 	if !plain { // other protocols hand values over whole
-		up.r.answer(w.q, wire.Answer{Kind: wire.Failed, Long: true})
+		up.r.answer(w.q, wire.Answer{Kind: wire.Failed, TooLarge: true})
 		up.r.returned(w, routing.OK, up.r.report(o.Report))
 		return true
 	}
@@ -406,7 +406,7 @@
 func (l *long) rest(server net.Conn) bool {
 	_ = server.SetDeadline(time.Now().Add(span(l.r.lim.LargeValueStallTimeout)))
 	for {
-		whole, keep, err := l.up.server.speaks.Behind(l.has)
+		whole, keep, err := l.up.server.speaks.ReadTrailer(l.has)
 		if err != nil || whole {
 			_ = server.SetDeadline(time.Time{})
 			return err == nil && keep
--- a/internal/router/longwrite.go
+++ b/internal/router/longwrite.go
@@ -36,7 +36,7 @@
 // none; where the client is away its connection is to be closed.
 func (c *client) longWrite(buf []byte) (ok, away bool) {
 	r := c.r
-	words, at, size, ok := resp.LongCommand(buf, c.words, r.lim.RESP)
+	words, at, size, ok := resp.ReadLargeCommand(buf, c.words, r.lim.RESP)
 	if !ok || len(words) != 4 || string(bytes.ToUpper(words[0])) != "CACHE.SET" {
 		return false, false
 	}
@@ -192,7 +192,7 @@
 	r.close(conn)
 	// The router waits its whole time once the value has gone, but no longer than the client does.
 	w.sent = r.clock()
-	head, tail := up.server.speaks.AppendLong(nil, wire.NewAttempt(&b.q.Request, up.server.addr, w.remaining(w.sent)), b.size)
+	head, tail := up.server.speaks.AppendStreamedWrite(nil, wire.NewAttempt(&b.q.Request, up.server.addr, w.remaining(w.sent)), b.size)
 	b.start(func(client net.Conn) bool {
 		server, err := asConn(fd)
 		if err != nil {
@@ -248,14 +248,14 @@
 }
 
 // await reads the server's answer.
-func (b *body) await(server net.Conn, speaks wire.Back, until time.Time) (o wire.Outcome, keep bool) {
+func (b *body) await(server net.Conn, speaks wire.ServerCodec, until time.Time) (o wire.Outcome, keep bool) {
 	_ = server.SetReadDeadline(until)
 	var has []byte
 	more := make([]byte, 4096)
 	for {
 		n, err := server.Read(more)
 		has = append(has, more[:n]...)
-		o, used, keep, broken := speaks.Read(has, err == io.EOF) // a reset is no end of an answer without a length
+		o, used, keep, broken := speaks.ReadAnswer(has, err == io.EOF) // a reset is no end of an answer without a length
 		switch {
 		case broken != nil:
 			return wire.Outcome{Status: routing.Failed}, false
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -97,7 +97,7 @@
 }
 
 // count is the one place where a request's end is counted, but for those whose clients left.
-func (r *Router) count(m routing.Method, k wire.Kind) {
+func (r *Router) count(m routing.Method, k wire.AnswerKind) {
 	switch k {
 	case wire.Served:
 		r.counts.Served++
@@ -110,7 +110,7 @@
 }
 
 // refused counts a request that ended before the decisions saw it.
-func (r *Router) refused(m routing.Method, k wire.Kind) {
+func (r *Router) refused(m routing.Method, k wire.AnswerKind) {
 	r.counts.Taken++
 	r.count(m, k)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -66,8 +66,8 @@
 	askers    int                  // those of them that have sent a request
 	stalled   []*client            // clients whose commands wait for room
 	servers   map[routing.ServerID]*server
-	cache     wire.Back // how cache servers are spoken to, and the origin
-	origin    wire.Back
+	cache     wire.ServerCodec // how cache servers are spoken to, and the origin
+	origin    wire.ServerCodec
 	dialer    func(addr string, p peer, failed func(error)) // dialOff, but in tests
 	dials     int
 	upstreams int // open connections to servers
@@ -102,8 +102,8 @@
 func New(cfg config.Config, log *logrus.Logger) (*Router, error) {
 	r := &Router{cfg: cfg, lim: cfg.Limits, log: log, start: time.Now(), ready: make(chan struct{}), ended: make(chan struct{}),
 		methods: map[string]routing.Method{}, requests: map[routing.RequestID]*request{}, clients: map[*client]struct{}{}, passing: map[*long]struct{}{},
-		servers: map[routing.ServerID]*server{}, book: discovery.New(), cache: resp2.Back{Bounds: cfg.Limits.RESP},
-		origin: http1.Back{Bounds: cfg.Limits.Origin}}
+		servers: map[routing.ServerID]*server{}, book: discovery.New(), cache: resp2.ServerCodec{Bounds: cfg.Limits.RESP},
+		origin: http1.Codec{Bounds: cfg.Limits.Origin}}
 	r.ops.barred = map[routing.ServerID]bool{}
 	r.counts.Ended = make([][3]int, len(cfg.Settings.Methods))
 	r.dialer, r.began = r.dialOff, clock.Time(r.start.UnixMicro())
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -20,7 +20,7 @@
 type server struct {
 	id       routing.ServerID
 	addr     string
-	speaks   wire.Back
+	speaks   wire.ServerCodec
 	ready    bool // listed and not out: idle connections are of use
 	listed   bool // in the list, and not draining
 	out      bool // an operator has taken it out
@@ -221,7 +221,7 @@
 		return
 	}
 	attempt := wire.NewAttempt(&w.q.Request, up.server.addr, w.remaining(up.r.clock()))
-	up.r.scratch = up.server.speaks.Append(up.r.scratch[:0], attempt)
+	up.r.scratch = up.server.speaks.AppendAttempt(up.r.scratch[:0], attempt)
 	up.writing = true
 	_, err := up.conn.Write(up.r.scratch)
 	up.writing = false
@@ -251,7 +251,7 @@
 	if err != nil || len(buf) == 0 {
 		return gnet.None
 	}
-	o, used, keep, err := up.server.speaks.Read(buf, false)
+	o, used, keep, err := up.server.speaks.ReadAnswer(buf, false)
 	if err != nil && up.long(buf) {
 		return gnet.Close
 	}
@@ -296,7 +296,7 @@
 	if up.writing || up.conn.OutboundBuffered() > 0 || w.q.body != nil { // a body has not begun to go
 		status = routing.ConnectError
 	} else if buf, _ := up.conn.Peek(-1); ended && len(buf) > 0 {
-		if o, used, _, err := up.server.speaks.Read(buf, true); err == nil && used > 0 {
+		if o, used, _, err := up.server.speaks.ReadAnswer(buf, true); err == nil && used > 0 {
 			up.r.spoke(w, o)
 			return
 		}
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if w.calling && len(buf) > 0 {
-		if answer, used, err := httpwire.Read(buf, true, w.r.lim.Discovery); err == nil && used > 0 {
+		if answer, used, err := httpwire.ReadResponse(buf, true, w.r.lim.Discovery); err == nil && used > 0 {
 			w.took(answer)
 			return
 		}
@@ -107,12 +107,12 @@
 	if err != nil || len(buf) == 0 {
 		return gnet.None
 	}
-	answer, used, err := httpwire.Read(buf, false, w.r.lim.Discovery)
+	answer, used, err := httpwire.ReadResponse(buf, false, w.r.lim.Discovery)
 	if err != nil || !w.calling {
 		return gnet.Close
 	}
 	if used == 0 { // one without a length is a list as soon as it is whole: who ends the connection late has told it all the same
-		if answer, used, err = httpwire.Read(buf, true, w.r.lim.Discovery); err != nil || used == 0 || !json.Valid(answer.Body) {
+		if answer, used, err = httpwire.ReadResponse(buf, true, w.r.lim.Discovery); err != nil || used == 0 || !json.Valid(answer.Body) {
 			return gnet.None
 		}
 	}
--- a/internal/wire/attempt_test.go
+++ b/internal/wire/attempt_test.go
@@ -36,16 +36,16 @@
 func sentProps(t *testing.T, a wire.Attempt, large bool) (byProtocol map[string][]byte) {
 	t.Helper()
 	const size = 3
-	cache, origin := resp2.Back{}, http1.Back{}
-	command, head := cache.Append(nil, a), origin.Append(nil, a)
+	cache, origin := resp2.ServerCodec{}, http1.Codec{}
+	command, head := cache.AppendAttempt(nil, a), origin.AppendAttempt(nil, a)
 	if large {
 		var tail string
-		command, tail = cache.AppendLong(nil, a, size)
+		command, tail = cache.AppendStreamedWrite(nil, a, size)
 		command = append(append(command, "abc"...), tail...)
-		head, tail = origin.AppendLong(nil, a, size)
+		head, tail = origin.AppendStreamedWrite(nil, a, size)
 		head = append(append(head, "abc"...), tail...)
 	}
-	words, used, err := resp.Command(command, nil, resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8})
+	words, used, err := resp.ReadCommand(command, nil, resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8})
 	if err != nil || used != len(command) {
 		t.Fatalf("%q cannot be read: %v", command, err)
 	}
--- a/internal/wire/http1/http1.go
+++ b/internal/wire/http1/http1.go
@@ -10,17 +10,17 @@
 	"spurtrestle/internal/wire"
 )
 
-// Back speaks to the origin.
-type Back struct{ Bounds httpwire.Bounds }
+// Codec speaks to the origin.
+type Codec struct{ Bounds httpwire.Bounds }
 
 // Append adds a request.
-func (Back) Append(to []byte, a wire.Attempt) []byte {
+func (Codec) AppendAttempt(to []byte, a wire.Attempt) []byte {
 	method, path, headers, body := partsOf(a)
 	return httpwire.AppendRequest(to, method, path, a.Host, headers, body)
 }
 
 // AppendLong adds the head of such a request.
-func (Back) AppendLong(to []byte, a wire.Attempt, size int) (head []byte, tail string) {
+func (Codec) AppendStreamedWrite(to []byte, a wire.Attempt, size int) (head []byte, tail string) {
 	method, path, headers, _ := partsOf(a)
 	headers = append(headers, httpwire.Header{Name: "Content-Length", Value: strconv.AppendInt(nil, int64(size), 10)})
 	return httpwire.AppendRequest(to, method, path, a.Host, headers, nil), ""
@@ -37,17 +37,17 @@
 }
 
 // Long reads the head of an answer with a big value.
-func (b Back) Long(buf []byte) (o wire.Outcome, at, size int, ok bool) {
-	answer, at, size := httpwire.Long(buf, b.Bounds)
+func (b Codec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
+	answer, at, size := httpwire.ReadLargeHead(buf, b.Bounds)
 	return wire.Outcome{Status: routing.OK, Report: answer.Get("Endpoint-Load-Metrics"), Close: answer.Close}, at, size, at > 0 && answer.Status == 200
 }
 
 // Behind reads what stands behind the value: nothing may.
-func (Back) Behind(buf []byte) (whole, keep bool, err error) { return true, len(buf) == 0, nil }
+func (Codec) ReadTrailer(buf []byte) (whole, keep bool, err error) { return true, len(buf) == 0, nil }
 
 // Read reads the origin's answer.
-func (b Back) Read(buf []byte, ended bool) (o wire.Outcome, used int, keep bool, err error) {
-	answer, used, err := httpwire.Read(buf, ended, b.Bounds)
+func (b Codec) ReadAnswer(buf []byte, ended bool) (o wire.Outcome, used int, keep bool, err error) {
+	answer, used, err := httpwire.ReadResponse(buf, ended, b.Bounds)
 	if err != nil || used == 0 {
 		return o, 0, false, err
 	}
--- a/internal/wire/http1/http1_test.go
+++ b/internal/wire/http1/http1_test.go
@@ -7,13 +7,13 @@
 	"spurtrestle/internal/wire"
 )
 
-var back = Back{httpwire.Bounds{Head: 1000, Body: 100}}
+var back = Codec{httpwire.Bounds{Head: 1000, Body: 100}}
 
 func Example_append() {
 	q := &wire.Request{ID: "id", Key: []byte("a b/c"), Props: wire.NewProps([]byte("c=get\r\n,d=5"))}
-	fmt.Printf("%q\n", back.Append(nil, wire.NewAttempt(q, "origin:80", 3900)))
+	fmt.Printf("%q\n", back.AppendAttempt(nil, wire.NewAttempt(q, "origin:80", 3900)))
 	q.Write, q.Value = true, []byte("v")
-	fmt.Printf("%q\n", back.Append(nil, wire.NewAttempt(q, "origin:80", 3900)))
+	fmt.Printf("%q\n", back.AppendAttempt(nil, wire.NewAttempt(q, "origin:80", 3900)))
 	// Output:
 	// "GET /a%20b%2Fc HTTP/1.1\r\nHost: origin:80\r\nX-Trace-Id: id\r\nX-Props: c=get,d=3\r\n\r\n"
 	// "PUT /a%20b%2Fc HTTP/1.1\r\nHost: origin:80\r\nX-Trace-Id: id\r\nX-Props: c=get,d=3\r\nContent-Length: 1\r\n\r\nv"
@@ -23,7 +23,7 @@
 	for _, text := range []string{"200 OK\r\nContent-Length: 1\r\nEndpoint-Load-Metrics: a=1\r\n\r\nv", "500 x\r\nContent-Length: 0\r\n\r\n",
 		"503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", "503 x\r\nContent-Length: 0\r\n\r\n", "200 OK\r\n\r\nto the end"} {
 		for _, ended := range []bool{false, true} {
-			o, used, keep, err := back.Read([]byte("HTTP/1.1 "+text), ended)
+			o, used, keep, err := back.ReadAnswer([]byte("HTTP/1.1 "+text), ended)
 			fmt.Printf("%.14q ended %v: status %d value %q report %q, %d used, kept %v, %v\n", text, ended, o.Status, o.Value, o.Report, used, keep, err)
 		}
 	}
--- a/internal/wire/resp2/resp2.go
+++ b/internal/wire/resp2/resp2.go
@@ -18,20 +18,20 @@
 	set = []byte("CACHE.SET")
 )
 
-// Back speaks to cache servers.
-type Back struct{ Bounds resp.Bounds }
+// ServerCodec speaks to cache servers.
+type ServerCodec struct{ Bounds resp.Bounds }
 
 // Append adds a command: as its client sent it, but for the deadline.
-func (Back) Append(to []byte, a wire.Attempt) []byte {
+func (ServerCodec) AppendAttempt(to []byte, a wire.Attempt) []byte {
 	var id, props [128]byte // what is longer is allocated
 	words, n := wordsOf(a, id[:0], props[:0])
 	return resp.AppendCommand(to, words[:n]...)
 }
 
 // AppendLong adds the head of such a command.
-func (Back) AppendLong(to []byte, a wire.Attempt, size int) (head []byte, tail string) {
+func (ServerCodec) AppendStreamedWrite(to []byte, a wire.Attempt, size int) (head []byte, tail string) {
 	words, n := wordsOf(a, nil, nil)
-	return resp.AppendLongCommand(to, size, words[:n-1]...), "\r\n"
+	return resp.AppendStreamedCommand(to, size, words[:n-1]...), "\r\n"
 }
 
 func wordsOf(a wire.Attempt, id, props []byte) (words [5][]byte, n int) {
@@ -49,7 +49,7 @@
 var errUnexpected = errors.New("an answer of no known form")
 
 // Read reads a cache server's answer.
-func (b Back) Read(buf []byte, _ bool) (o wire.Outcome, used int, keep bool, err error) {
+func (b ServerCodec) ReadAnswer(buf []byte, _ bool) (o wire.Outcome, used int, keep bool, err error) {
 	reply, used, err := resp.ReadReply(buf, b.Bounds)
 	if err != nil || used == 0 {
 		return o, 0, false, err
@@ -71,13 +71,13 @@
 }
 
 // Long reads the head of an answer with a big value.
-func (b Back) Long(buf []byte) (o wire.Outcome, at, size int, ok bool) {
-	at, size, ok = resp.LongReply(buf, b.Bounds)
+func (b ServerCodec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
+	at, size, ok = resp.ReadLargeReply(buf, b.Bounds)
 	return wire.Outcome{Status: routing.OK}, at, size, ok
 }
 
 // Behind reads the two entries that follow the value, and the line end before them.
-func (b Back) Behind(buf []byte) (whole, keep bool, err error) {
+func (b ServerCodec) ReadTrailer(buf []byte) (whole, keep bool, err error) {
 	const head = "*3\r\n$0\r\n"
 	_, used, err := resp.ReadReply(append([]byte(head), buf...), b.Bounds)
 	return used > 0, used == len(head)+len(buf), err
@@ -105,16 +105,16 @@
 }
 
 // Props are what the properties of a request tell the router.
-type Props struct {
-	Method []byte
-	Tenant []byte
-	Waits  clock.Time // how long its client waits; 0: not told
-	Resent bool
-	Bad    bool // d is no time
+type ParsedProps struct {
+	Method      []byte
+	Tenant      []byte
+	Timeout     clock.Time // how long its client waits; 0: not told
+	Resent      bool
+	BadDeadline bool // d is no time
 }
 
 // ReadProps reads names and values. What is not known goes on unread.
-func ReadProps(text []byte) (p Props) {
+func ParseProps(text []byte) (p ParsedProps) {
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(part, []byte("="))
 		switch string(name) {
@@ -126,10 +126,10 @@
 			ms, err := strconv.ParseFloat(string(value), 64)
 			plain := len(bytes.Trim(value, "0123456789.")) == 0 // no signs, exponents, other bases or names
 			if !plain || err != nil || !(ms > 0) || ms >= 1e9 {
-				p.Bad = true
+				p.BadDeadline = true
 				continue
 			}
-			p.Waits = clock.Time(ms * 1e3)
+			p.Timeout = clock.Time(ms * 1e3)
 		case "r":
 			p.Resent = string(value) == "1"
 		}
--- a/internal/wire/resp2/resp2_test.go
+++ b/internal/wire/resp2/resp2_test.go
@@ -8,13 +8,13 @@
 	"spurtrestle/internal/wire"
 )
 
-var back = Back{resp.Bounds{Bulk: 64, Line: 64, Args: 16}}
+var back = ServerCodec{resp.Bounds{Bulk: 64, Line: 64, Args: 16}}
 
 func Example_append() {
 	q := &wire.Request{ID: "id", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=2000,x=1"))}
-	fmt.Printf("%q\n", back.Append(nil, wire.NewAttempt(q, "", 2500)))
+	fmt.Printf("%q\n", back.AppendAttempt(nil, wire.NewAttempt(q, "", 2500)))
 	q.Write, q.Value, q.Verb = true, []byte("v"), []byte("cache.set")
-	fmt.Printf("%q\n", back.Append(nil, wire.NewAttempt(q, "", 0)))
+	fmt.Printf("%q\n", back.AppendAttempt(nil, wire.NewAttempt(q, "", 0)))
 	// Output:
 	// "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=get,d=2,x=1\r\n"
 	// "*5\r\n$9\r\ncache.set\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=get,d=1,x=1\r\n$1\r\nv\r\n"
@@ -23,7 +23,7 @@
 func Example_read() {
 	for _, text := range []string{"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n", "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", "-BUSY\r\n", "-BUSY 5\r\n", "-BUSYBODY\r\n",
 		"-ERR failed a=1\r\n", "+OK\r\n", "*2\r\n$1\r\nv\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n", "nonsense\r\n"} {
-		o, used, keep, err := back.Read([]byte(text), false)
+		o, used, keep, err := back.ReadAnswer([]byte(text), false)
 		fmt.Printf("%-32q status %d value %q report %q, %d used, kept %v, %v\n", text, o.Status, o.Value, o.Report, used, keep, err)
 	}
 	// Output:
@@ -52,8 +52,8 @@
 
 func Example_props() {
 	for _, text := range []string{"c=get,t=acme,d=480,r=1,size=9", "d=0.5", "d=-1", "d=1e3", "d=NaN", "d=0x10", "d=9999999999", "c", ""} {
-		p := ReadProps([]byte(text))
-		fmt.Printf("%q: method %q tenant %q waits %d resent %v bad %v\n", text, p.Method, p.Tenant, p.Waits, p.Resent, p.Bad)
+		p := ParseProps([]byte(text))
+		fmt.Printf("%q: method %q tenant %q waits %d resent %v bad %v\n", text, p.Method, p.Tenant, p.Timeout, p.Resent, p.BadDeadline)
 	}
 	// Output:
 	// "c=get,t=acme,d=480,r=1,size=9": method "get" tenant "acme" waits 480000 resent true bad false
@@ -73,12 +73,12 @@
 	f.Fuzz(func(t *testing.T, props, key []byte, write bool) {
 		q := &wire.Request{ID: "id", Key: key, Props: wire.NewProps(props), Write: write}
 		b := resp.Bounds{Bulk: 1 << 20, Line: 64, Args: 16}
-		words, used, err := resp.Command(back.Append(nil, wire.NewAttempt(q, "", 7999)), nil, b)
+		words, used, err := resp.ReadCommand(back.AppendAttempt(nil, wire.NewAttempt(q, "", 7999)), nil, b)
 		if err != nil || used == 0 || len(words) < 4 {
 			t.Fatalf("%q %d %v", words, used, err)
 		}
-		before, after := ReadProps(props), ReadProps(words[3])
-		if !before.Bad && (after.Bad || before.Waits != 0 && after.Waits != 7000) { // a bad one is never taken
+		before, after := ParseProps(props), ParseProps(words[3])
+		if !before.BadDeadline && (after.BadDeadline || before.Timeout != 0 && after.Timeout != 7000) { // a bad one is never taken
 			t.Errorf("%q became %q", props, words[3])
 		}
 	})
@@ -89,6 +89,6 @@
 	to := make([]byte, 0, 256)
 	b.ReportAllocs()
 	for b.Loop() {
-		to = back.Append(to[:0], wire.NewAttempt(q, "", 480e3))
+		to = back.AppendAttempt(to[:0], wire.NewAttempt(q, "", 480e3))
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,19 +19,19 @@
 }
 
 // Kind is what a final answer says.
-type Kind uint8
+type AnswerKind uint8
 
 const (
-	Served   Kind = iota
-	Rejected      // trying again is harmless
-	Failed        // nothing is promised
+	Served   AnswerKind = iota
+	Rejected            // trying again is harmless
+	Failed              // nothing is promised
 )
 
 // Answer is the one final answer of a request.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	Value      []byte     // of a served one; it may change once the answer is written
-	Long       bool       // of a failed one: there is a value, too big for who asked
+	TooLarge   bool       // of a failed one: there is a value, too big for who asked
 	RetryAfter clock.Time // of a rejected one: when to come back; 0: not told
 }
 
@@ -43,18 +43,18 @@
 	Close  bool   // of a big value: the connection carries nothing behind it
 }
 
-// Back speaks one protocol to servers, on a connection that carries one attempt at a time.
-type Back interface {
+// ServerCodec speaks one protocol to servers, on a connection that carries one attempt at a time.
+type ServerCodec interface {
 	// Append adds an attempt.
-	Append(to []byte, a Attempt) []byte
+	AppendAttempt(to []byte, a Attempt) []byte
 	// AppendLong adds the head of a write whose value, of size bytes, is passed on behind it; tail ends it.
-	AppendLong(to []byte, a Attempt, size int) (head []byte, tail string)
+	AppendStreamedWrite(to []byte, a Attempt, size int) (head []byte, tail string)
 	// Read reads an answer from what has come so far; ended: no more comes. used is 0 while it is not whole; keep
 	// tells whether the connection can carry another attempt. An error is an answer that cannot be read.
-	Read(buf []byte, ended bool) (o Outcome, used int, keep bool, err error)
+	ReadAnswer(buf []byte, ended bool) (o Outcome, used int, keep bool, err error)
 	// Long tells of an answer that Read refuses for its size: its value begins at a place in buf and has that size. ok is
 	// false where it is no such answer.
-	Long(buf []byte) (o Outcome, at, size int, ok bool)
+	ReadLargeAnswer(buf []byte) (o Outcome, at, size int, ok bool)
 	// Behind reads what stands behind such a value; whole is false while more must come, keep as in Read.
-	Behind(buf []byte) (whole, keep bool, err error)
+	ReadTrailer(buf []byte) (whole, keep bool, err error)
 }
