--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,5 +1,6 @@
-// Package httpwire reads answers and writes requests of HTTP/1.1. The reader takes what has come so far and tells how
-// much of it it used: none while an answer is not whole. It does no I/O and keeps nothing.
+// Package httpwire parses responses and formats requests of HTTP/1.1, for the router's connections to the origin and to
+// discovery. The parser takes the bytes received so far and returns how many it used: none while a response is incomplete.
+// It does no I/O and keeps no state.
 package httpwire
 
 import (
@@ -8,53 +9,53 @@
 	"strconv"
 )
 
-// Bounds is how much one answer may hold.
+// Bounds limits the size of one response.
 type Bounds struct {
-	Head     int // bytes of its head, and of what stands around chunks
-	Body     int // bytes that are held whole
-	Streamed int // bytes of a body that is passed on in pieces
+	Head     int // bytes of the head, and of chunk sizes and trailers
+	Body     int // bytes of a body that is buffered as a whole
+	Streamed int // bytes of a body that is streamed
 }
 
-// ErrProtocol is an answer that is broken or over the bounds.
-var ErrProtocol = errors.New("broken or oversize answer")
+// ErrProtocol means that a response is malformed or exceeds its bounds.
+var ErrProtocol = errors.New("malformed or oversized HTTP response")
 
-// Response is one answer. Body and Head point into the input, but for a chunked body, which is copied together.
+// Response is a parsed response. Head and Body are slices of the input, except for a chunked body, which is a copy.
 type Response struct {
 	Status int
 	Head   []byte // the header lines
 	Body   []byte
-	Close  bool // the connection carries nothing more
+	Close  bool // the connection cannot be reused
 }
 
-// Get returns the value of the first header of this name, nil where there is none.
+// Get returns the value of the first header of this name, or nil if there is none.
 func (r Response) Get(name string) []byte {
 	for head := r.Head; len(head) > 0; {
-		var l []byte
-		l, head, _ = bytes.Cut(head, []byte("\n"))
-		k, v, ok := bytes.Cut(l, []byte(":"))
-		if ok && len(k) == len(name) && bytes.EqualFold(k, []byte(name)) {
-			return bytes.TrimSpace(v)
+		var line []byte
+		line, head, _ = bytes.Cut(head, []byte("\n"))
+		key, value, ok := bytes.Cut(line, []byte(":"))
+		if ok && len(key) == len(name) && bytes.EqualFold(key, []byte(name)) {
+			return bytes.TrimSpace(value)
 		}
 	}
 	return nil
 }
 
-// has tells whether a comma-separated header holds the word.
-func (r Response) has(name, word string) bool {
+// hasToken reports whether a comma-separated header contains a token.
+func (r Response) hasToken(name, token string) bool {
 	for part := range bytes.SplitSeq(r.Get(name), []byte(",")) {
-		if bytes.EqualFold(bytes.TrimSpace(part), []byte(word)) {
+		if bytes.EqualFold(bytes.TrimSpace(part), []byte(token)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Read reads one answer; ended tells that the connection brings nothing more. It returns the bytes used, 0 while the
-// answer is not whole. Interim answers (1xx) are passed over.
+// ReadResponse parses one response. ended means that the connection delivers no more. It returns the number of bytes used, 0
+// while the response is incomplete. Interim responses (1xx) are skipped.
 func ReadResponse(buf []byte, ended bool, b Bounds) (Response, int, error) {
 	skipped := 0
 	for {
-		r, used, err := read(buf[skipped:], ended, b)
+		r, used, err := readOne(buf[skipped:], ended, b)
 		if err != nil || used == 0 {
 			return Response{}, 0, err
 		}
@@ -67,11 +68,11 @@
 	}
 }
 
-// Long reads the head of an answer whose length is told and over the bound for such as are held whole: where its body
-// begins, and its size. The place is 0 where it is no such answer.
+// ReadLargeHead parses the head of a response whose Content-Length exceeds Bounds.Body. It returns the offset at which the
+// body begins, and its size. The offset is 0 if buf does not begin with such a head.
 func ReadLargeHead(buf []byte, b Bounds) (r Response, at, size int) {
 	r, end, err := readHead(buf, b)
-	for err == nil && end > 0 && r.Status < 200 && end <= b.Head { // interim answers are passed over
+	for err == nil && end > 0 && r.Status < 200 && end <= b.Head { // skips interim responses
 		var more int
 		if r, more, err = readHead(buf[end:], b); more == 0 {
 			return r, 0, 0
@@ -88,7 +89,8 @@
 	return r, end, int(n)
 }
 
-func read(buf []byte, ended bool, b Bounds) (r Response, used int, err error) {
+// readOne parses one response, which may be an interim one.
+func readOne(buf []byte, ended bool, b Bounds) (r Response, used int, err error) {
 	r, end, err := readHead(buf, b)
 	if err != nil || end == 0 {
 		return r, 0, err
@@ -99,6 +101,7 @@
 	return readBody(r, buf, end, ended, b)
 }
 
+// readHead parses the status line and the headers. used is 0 while they are incomplete.
 func readHead(buf []byte, b Bounds) (r Response, used int, err error) {
 	end := headEnd(buf)
 	if end == 0 {
@@ -120,21 +123,22 @@
 	if err != nil || r.Status < 100 {
 		return r, 0, ErrProtocol
 	}
-	if !wellFormed(head) {
+	if !validHeaders(head) {
 		return r, 0, ErrProtocol
 	}
 	r.Head = head
-	r.Close = r.has("Connection", "close") || first[7] == '0' && !r.has("Connection", "keep-alive")
+	r.Close = r.hasToken("Connection", "close") || first[7] == '0' && !r.hasToken("Connection", "keep-alive")
 	return r, end, nil
 }
 
+// readBody parses the body that begins at offset end, and completes r. used counts the head, too.
 func readBody(r Response, buf []byte, end int, ended bool, b Bounds) (_ Response, used int, err error) {
 	if coding := r.Get("Transfer-Encoding"); coding != nil {
 		if !bytes.EqualFold(coding, []byte("chunked")) || r.Get("Content-Length") != nil {
 			return r, 0, ErrProtocol
 		}
 		var n int
-		r.Body, n, err = chunks(buf[end:], b)
+		r.Body, n, err = readChunked(buf[end:], b)
 		if err != nil || n == 0 {
 			return r, 0, err
 		}
@@ -154,21 +158,21 @@
 	if len(buf)-end > b.Body {
 		return r, 0, ErrProtocol
 	}
-	if !ended { // a body without a length lasts until the connection ends
+	if !ended { // a body without a length extends to the end of the connection
 		return r, 0, nil
 	}
 	r.Body, r.Close = buf[end:], true
 	return r, len(buf), nil
 }
 
-// wellFormed tells whether each header line has a name, and whether all that tell a length tell the same one. An answer
-// of which a part can't be read, or whose end is in doubt, is not passed on.
-func wellFormed(head []byte) bool {
+// validHeaders reports whether each header line has a name and all Content-Length headers agree. A response with an
+// unreadable header or an ambiguous end must not be forwarded.
+func validHeaders(head []byte) bool {
 	var length []byte
-	for l := range bytes.Lines(head) {
-		l = bytes.TrimRight(l, "\r\n")
-		name, value, ok := bytes.Cut(l, []byte(":"))
-		if value = bytes.TrimSpace(value); len(l) == 0 {
+	for line := range bytes.Lines(head) {
+		line = bytes.TrimRight(line, "\r\n")
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if value = bytes.TrimSpace(value); len(line) == 0 {
 			continue
 		}
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
@@ -184,7 +188,7 @@
 	return true
 }
 
-// headEnd is where the body begins, 0 while the head is not whole.
+// headEnd returns the offset at which the body begins, 0 while the head is incomplete.
 func headEnd(buf []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(buf[at:], '\n')
@@ -198,10 +202,10 @@
 	}
 }
 
-// chunks copies a chunked body together.
-func chunks(buf []byte, b Bounds) (body []byte, used int, err error) {
+// readChunked decodes a chunked body into a copy. used is 0 while the body is incomplete.
+func readChunked(buf []byte, b Bounds) (body []byte, used int, err error) {
 	body = []byte{}
-	around := 0 // bytes of sizes and trailers
+	overhead := 0 // bytes of chunk sizes and trailers
 	for at := 0; ; {
 		i := bytes.IndexByte(buf[at:], '\n')
 		if i < 0 {
@@ -212,24 +216,16 @@
 		}
 		text, _, _ := bytes.Cut(bytes.TrimSpace(buf[at:at+i]), []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 16, 31)
-		if around += i; err != nil || len(body)+int(n) > b.Body || around > b.Head {
+		if overhead += i; err != nil || len(body)+int(n) > b.Body || overhead > b.Head {
 			return nil, 0, ErrProtocol
 		}
 		at += i + 1
-		if n == 0 { // trailers, until an empty line
-			for {
-				i := bytes.IndexByte(buf[at:], '\n')
-				if i < 0 {
-					return nil, 0, nil
-				}
-				if around += i; around > b.Head {
-					return nil, 0, ErrProtocol
-				}
-				empty := len(bytes.TrimSpace(buf[at:at+i])) == 0
-				if at += i + 1; empty {
-					return body, at, nil
-				}
+		if n == 0 {
+			used, err := readTrailers(buf, at, overhead, b)
+			if err != nil || used == 0 {
+				return nil, 0, err
 			}
+			return body, used, nil
 		}
 		end := at + int(n)
 		if len(buf) < end+2 {
@@ -242,32 +238,50 @@
 	}
 }
 
-// Header is one header of a request.
+// readTrailers parses the trailers of a chunked body, which begin at offset at and end with an empty line. overhead counts
+// the bytes of chunk sizes before them. used is the offset behind the empty line, 0 while that is missing.
+func readTrailers(buf []byte, at, overhead int, b Bounds) (used int, err error) {
+	for {
+		i := bytes.IndexByte(buf[at:], '\n')
+		if i < 0 {
+			return 0, nil
+		}
+		if overhead += i; overhead > b.Head {
+			return 0, ErrProtocol
+		}
+		empty := len(bytes.TrimSpace(buf[at:at+i])) == 0
+		if at += i + 1; empty {
+			return at, nil
+		}
+	}
+}
+
+// Header is a header of a request.
 type Header struct {
 	Name  string
 	Value []byte
 }
 
-// AppendRequest adds a request; body nil means one without a body. The path must be escaped.
+// AppendRequest appends a request. A nil body means none. The path must be escaped already.
 func AppendRequest(to []byte, method, path, host string, headers []Header, body []byte) []byte {
-	put := func(parts ...string) {
-		for _, p := range parts {
-			to = append(to, p...)
+	add := func(parts ...string) {
+		for _, part := range parts {
+			to = append(to, part...)
 		}
 	}
-	put(method, " ", path, " HTTP/1.1\r\nHost: ", host, "\r\n")
+	add(method, " ", path, " HTTP/1.1\r\nHost: ", host, "\r\n")
 	for _, h := range headers {
-		put(h.Name, ": ")
-		for _, c := range h.Value { // no value may begin a header of its own
+		add(h.Name, ": ")
+		for _, c := range h.Value { // drops line ends, so that a value cannot inject a header
 			if c >= ' ' || c == '\t' {
 				to = append(to, c)
 			}
 		}
-		put("\r\n")
+		add("\r\n")
 	}
 	if body != nil {
-		put("Content-Length: ", strconv.Itoa(len(body)), "\r\n")
+		add("Content-Length: ", strconv.Itoa(len(body)), "\r\n")
 	}
-	put("\r\n")
+	add("\r\n")
 	return append(to, body...)
 }
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -44,50 +44,50 @@
 	// 200 "x", 39 of 39 used, close true, never ran ""
 	// 200 "", 35 of 35 used, close false, never ran ""
 	// 200 "until the end", 32 of 32 used, close true, never ran ""
-	// "HTTP/1.1 200 OK\r\nContent-Length: 33\r\n\r\n": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nTransfer-Encoding: chun": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nTransfer-Encoding: chun": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nno colon here\r\nContent-": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nCont": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTran": broken or oversize answer
-	// "HTTP/1.1 2000 OK\r\n\r\n": broken or oversize answer
-	// "HTTP/2 200 OK\r\n\r\n": broken or oversize answer
-	// "SSH-2.0-x\r\n\r\n": broken or oversize answer
-	// "HTTP/1.1 200 OK\r\nX: xxxxxxxxxxxxxxxxxxxx": broken or oversize answer
+	// "HTTP/1.1 200 OK\r\nContent-Length: 33\r\n\r\n": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nTransfer-Encoding: chun": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nTransfer-Encoding: chun": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nno colon here\r\nContent-": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nCont": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTran": malformed or oversized HTTP response
+	// "HTTP/1.1 2000 OK\r\n\r\n": malformed or oversized HTTP response
+	// "HTTP/2 200 OK\r\n\r\n": malformed or oversized HTTP response
+	// "SSH-2.0-x\r\n\r\n": malformed or oversized HTTP response
+	// "HTTP/1.1 200 OK\r\nX: xxxxxxxxxxxxxxxxxxxx": malformed or oversized HTTP response
 }
 
-// An answer that comes in parts is nothing until it is whole, wherever it is cut.
-func TestEveryCutOfAnAnswerWaits(t *testing.T) {
+// A prefix of a response, wherever it ends, uses no bytes and is no error.
+func TestPartialResponseUsesNothing(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n2\r\nue\r\n0\r\n\r\n",
 	} {
 		for i := range text {
 			if r, used, err := ReadResponse([]byte(text[:i]), false, bounds); used != 0 || err != nil {
-				t.Errorf("%q: %v, %d, %v", text[:i], r, used, err)
+				t.Errorf("%q: response %v, used %d, error %v", text[:i], r, used, err)
 			}
 		}
 		if r, used, err := ReadResponse([]byte(text), false, bounds); string(r.Body) != "value" || used != len(text) || err != nil {
-			t.Errorf("%q: %q, %d, %v", text, r.Body, used, err)
+			t.Errorf("%q: body %q, used %d, error %v", text, r.Body, used, err)
 		}
 	}
 }
 
-// A long answer is told by its head alone, and as soon as that is whole.
-func TestLong(t *testing.T) {
+// A large response is recognized as soon as its head is complete, and not before.
+func TestReadsHeadOfLargeResponse(t *testing.T) {
 	b := Bounds{Head: 200, Body: 4, Streamed: 9}
 	head := "HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 	for i := range len(head) + 3 {
 		if _, at, size := ReadLargeHead([]byte((head + "value")[:i]), b); (at > 0) != (i >= len(head)) || at > 0 && (at != len(head) || size != 5) {
-			t.Errorf("%d bytes: %d %d", i, at, size)
+			t.Errorf("after %d bytes: body of %d bytes at offset %d", i, size, at)
 		}
 	}
 	for _, text := range []string{"200 OK\r\nContent-Length: 4", "200 OK\r\nContent-Length: 10", "200 OK\r\nTransfer-Encoding: chunked",
 		"200 OK\r\nContent-Length: 5\r\nContent-Length: 6", "200 OK\r\nA: b"} {
 		if _, at, size := ReadLargeHead([]byte("HTTP/1.1 "+text+"\r\n\r\n"), b); at != 0 {
-			t.Errorf("%q: %d %d", text, at, size)
+			t.Errorf("%q: body of %d bytes at offset %d", text, size, at)
 		}
 	}
 }
@@ -107,15 +107,15 @@
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		r, used, err := ReadResponse(data, false, bounds)
 		if used < 0 || used > len(data) || err != nil && used != 0 || len(r.Body) > bounds.Body {
-			t.Fatalf("used %d of %d, %v", used, len(data), err)
+			t.Fatalf("used %d of %d bytes, error %v", used, len(data), err)
 		}
 		part := data[:max(0, min(cut, len(data)))]
-		if _, less, early := ReadResponse(part, false, bounds); less > 0 && less != used || early != nil && err == nil {
-			t.Fatalf("a part gives %d, %v, the whole %d, %v", less, early, used, err)
+		if _, partUsed, partErr := ReadResponse(part, false, bounds); partUsed > 0 && partUsed != used || partErr != nil && err == nil {
+			t.Fatalf("a prefix gives %d, %v, the whole input %d, %v", partUsed, partErr, used, err)
 		}
 		_, _, _ = ReadResponse(data, true, bounds)
 		if _, at, size := ReadLargeHead(data, Bounds{Head: bounds.Head, Body: 2, Streamed: 100}); at < 0 || at > len(data) || at > 0 && (size <= 2 || size > 100) {
-			t.Fatalf("a long body of %d at %d of %d", size, at, len(data))
+			t.Fatalf("large body of %d bytes at offset %d of %d", size, at, len(data))
 		}
 	})
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp reads and writes RESP2. The readers take what has come so far and tell how much of it they used:
-// none while a message is not whole. They do no I/O, keep nothing, and what they return points into the input.
+// Package resp parses and formats RESP2 messages, for the router and for the lab's clients and servers. The parsers take
+// the bytes received so far and return how many they used: none while a message is incomplete. They do no I/O, keep no
+// state, and return slices of the input.
 package resp
 
 import (
@@ -8,29 +9,31 @@
 	"strconv"
 )
 
-// Bounds is how much one message may hold.
+// Bounds limits the size of one message.
 type Bounds struct {
-	Bulk     int // bytes of one string that is held whole
-	Streamed int // bytes of one that is passed on in pieces
-	Line     int // bytes of one line
-	Args     int // entries of one array
+	Bulk     int // bytes of a string that is buffered as a whole
+	Streamed int // bytes of a string that is streamed
+	Line     int // bytes of a line
+	Args     int // entries of an array
 }
 
-// ErrProtocol is a message that is broken or over the bounds.
-var ErrProtocol = errors.New("broken or oversize message")
+// ErrProtocol means that a message is malformed or exceeds its bounds.
+var ErrProtocol = errors.New("malformed or oversized RESP message")
 
-const maxDepth = 2 // a cache server's answer is an array of strings: arrays in it are refused at their first byte
+// maxReplyDepth permits an array of strings, the form of a cache server's answer. A nested array is refused at its first
+// byte.
+const maxReplyDepth = 2
 
-// Reply is one answer of a server.
+// Reply is a server's answer.
 type Reply struct {
 	Kind  byte // one of + - : $ *
 	Null  bool
-	Text  []byte // of all kinds but *
-	Items []Reply
+	Text  []byte  // for all kinds except *
+	Items []Reply // for kind *
 }
 
-// line cuts the line that begins at from, without its end; next is 0 while it is not whole.
-func line(buf []byte, from int, b Bounds) (text []byte, next int, err error) {
+// readLine returns the line that begins at from, without its line end. next is 0 while the line is incomplete.
+func readLine(buf []byte, from int, b Bounds) (text []byte, next int, err error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
 		if len(buf)-from > b.Line {
@@ -44,8 +47,8 @@
 	return buf[from : from+i-1], from + i + 1, nil
 }
 
-// count reads a length from -1 to most.
-func count(text []byte, most int) (int, error) {
+// parseLength parses a length from -1 to most.
+func parseLength(text []byte, most int) (int, error) {
 	if len(text) == 2 && text[0] == '-' && text[1] == '1' {
 		return -1, nil
 	}
@@ -65,8 +68,8 @@
 	return n, nil
 }
 
-// bulk cuts the n bytes that begin at from and the line end behind them.
-func bulk(buf []byte, from, n int) (text []byte, next int, err error) {
+// readBulk returns the n bytes that begin at from and are followed by a line end. next is 0 while they are incomplete.
+func readBulk(buf []byte, from, n int) (text []byte, next int, err error) {
 	end := from + n
 	if len(buf) < end+2 {
 		if len(buf) > end && buf[end] != '\r' {
@@ -80,8 +83,8 @@
 	return buf[from:end], end + 2, nil
 }
 
-// Command reads one command, an array of bulk strings, into args. It returns the bytes used, 0 while the command is
-// not whole. An empty array is a command of no words.
+// ReadCommand parses one command, an array of bulk strings, into args. used is 0 while the command is incomplete. An empty
+// array is a command without words.
 func ReadCommand(buf []byte, args [][]byte, b Bounds) (words [][]byte, used int, err error) {
 	args = args[:0]
 	if len(buf) == 0 {
@@ -90,11 +93,11 @@
 	if buf[0] != '*' {
 		return args, 0, ErrProtocol
 	}
-	head, at, err := line(buf, 0, b)
+	head, at, err := readLine(buf, 0, b)
 	if err != nil || at == 0 {
 		return args, 0, err
 	}
-	n, err := count(head[1:], b.Args)
+	n, err := parseLength(head[1:], b.Args)
 	if err != nil {
 		return args, 0, err
 	}
@@ -105,15 +108,15 @@
 		if buf[at] != '$' {
 			return args, 0, ErrProtocol
 		}
-		head, next, err := line(buf, at, b)
+		head, next, err := readLine(buf, at, b)
 		if err != nil || next == 0 {
 			return args, 0, err
 		}
-		size, err := count(head[1:], b.Bulk)
+		size, err := parseLength(head[1:], b.Bulk)
 		if err != nil || size < 0 {
 			return args, 0, ErrProtocol
 		}
-		text, next, err := bulk(buf, next, size)
+		text, next, err := readBulk(buf, next, size)
 		if err != nil || next == 0 {
 			return args, 0, err
 		}
@@ -122,23 +125,23 @@
 	return args, at, nil
 }
 
-// ReadReply reads one answer. It returns the bytes used, 0 while the answer is not whole.
-func ReadReply(buf []byte, b Bounds) (Reply, int, error) { return reply(buf, 0, b, maxDepth) }
+// ReadReply parses one reply and returns the number of bytes used, 0 while the reply is incomplete.
+func ReadReply(buf []byte, b Bounds) (Reply, int, error) { return readReply(buf, 0, b, maxReplyDepth) }
 
-// LongCommand tells of a command whose last word is a string over the bound for such as are held whole: the words before
-// it, where in buf that string begins, and its size.
+// ReadLargeCommand parses the head of a command whose last word exceeds Bounds.Bulk. It returns the words before that
+// one, its offset in buf and its size. ok is false if buf does not begin with such a head.
 func ReadLargeCommand(buf []byte, args [][]byte, b Bounds) (words [][]byte, at, size int, ok bool) {
 	words = args[:0]
-	head, at, err := line(buf, 0, b)
-	if err != nil || at == 0 || buf[0] != '*' { // an empty line was taken for a head, and ended the program
+	head, at, err := readLine(buf, 0, b)
+	if err != nil || at == 0 || buf[0] != '*' { // an empty line was once parsed as a head, which made the process panic
 		return words, 0, 0, false
 	}
-	n, err := count(head[1:], b.Args)
+	n, err := parseLength(head[1:], b.Args)
 	for i := 0; err == nil && i < n && at < len(buf) && buf[at] == '$'; i++ {
-		if head, at, err = line(buf, at, b); err != nil || at == 0 {
+		if head, at, err = readLine(buf, at, b); err != nil || at == 0 {
 			break
 		}
-		if size, err = count(head[1:], b.Streamed); err != nil || size < 0 {
+		if size, err = parseLength(head[1:], b.Streamed); err != nil || size < 0 {
 			break
 		}
 		if i == n-1 {
@@ -148,7 +151,7 @@
 		if size > b.Bulk {
 			break
 		}
-		if text, at, err = bulk(buf, at, size); err != nil || at == 0 {
+		if text, at, err = readBulk(buf, at, size); err != nil || at == 0 {
 			break
 		}
 		words = append(words, text)
@@ -156,21 +159,22 @@
 	return words, 0, 0, false
 }
 
-// LongReply tells of an array of three whose first entry is a string over the bound for such as are held whole: where in
-// buf that string begins, and its size.
+// ReadLargeReply parses the head of an array of three entries whose first is a string that exceeds Bounds.Bulk. It returns
+// the string's offset in buf and its size. ok is false if buf does not begin with such a head.
 func ReadLargeReply(buf []byte, b Bounds) (at, size int, ok bool) {
-	head, at, err := line(buf, 0, b)
+	head, at, err := readLine(buf, 0, b)
 	if err != nil || at == 0 || string(head) != "*3" || at == len(buf) || buf[at] != '$' {
 		return 0, 0, false
 	}
-	if head, at, err = line(buf, at, b); err != nil || at == 0 {
+	if head, at, err = readLine(buf, at, b); err != nil || at == 0 {
 		return 0, 0, false
 	}
-	size, err = count(head[1:], b.Streamed)
+	size, err = parseLength(head[1:], b.Streamed)
 	return at, size, err == nil && size > b.Bulk
 }
 
-func reply(buf []byte, from int, b Bounds, depth int) (r Reply, next int, err error) {
+// readReply parses the reply that begins at from; next is 0 while it is incomplete.
+func readReply(buf []byte, from int, b Bounds, depth int) (r Reply, next int, err error) {
 	if from == len(buf) {
 		return r, 0, nil
 	}
@@ -178,7 +182,7 @@
 	if depth == 1 && r.Kind == '*' || bytes.IndexByte([]byte("+-:$*"), r.Kind) < 0 {
 		return r, 0, ErrProtocol
 	}
-	head, next, err := line(buf, from, b)
+	head, next, err := readLine(buf, from, b)
 	if err != nil || next == 0 {
 		return r, 0, err
 	}
@@ -190,7 +194,7 @@
 	if r.Kind == '*' {
 		most = b.Args
 	}
-	n, err := count(r.Text, most)
+	n, err := parseLength(r.Text, most)
 	if err != nil {
 		return r, 0, err
 	}
@@ -200,12 +204,12 @@
 		return r, next, nil
 	}
 	if r.Kind == '$' {
-		r.Text, next, err = bulk(buf, next, n)
+		r.Text, next, err = readBulk(buf, next, n)
 		return r, next, err
 	}
 	for range n {
 		var item Reply
-		if item, next, err = reply(buf, next, b, depth-1); err != nil || next == 0 {
+		if item, next, err = readReply(buf, next, b, depth-1); err != nil || next == 0 {
 			return r, 0, err
 		}
 		r.Items = append(r.Items, item)
@@ -213,34 +217,35 @@
 	return r, next, nil
 }
 
-// AppendBulk adds one bulk string.
+// AppendBulk appends a bulk string.
 func AppendBulk(to, text []byte) []byte {
 	to = strconv.AppendInt(append(to, '$'), int64(len(text)), 10)
 	to = append(append(to, "\r\n"...), text...)
 	return append(to, "\r\n"...)
 }
 
-// AppendCommand adds one command of these words.
+// AppendCommand appends a command of these words.
 func AppendCommand(to []byte, words ...[]byte) []byte {
 	to = strconv.AppendInt(append(to, '*'), int64(len(words)), 10)
 	to = append(to, "\r\n"...)
-	for _, w := range words {
-		to = AppendBulk(to, w)
+	for _, word := range words {
+		to = AppendBulk(to, word)
 	}
 	return to
 }
 
-// AppendLongCommand adds a command of these words and one more, of that size, that follows it, with a line end behind.
+// AppendStreamedCommand appends the head of a command that consists of these words and a last one of size bytes. The caller
+// sends that word and a line end after the head.
 func AppendStreamedCommand(to []byte, size int, words ...[]byte) []byte {
 	to = strconv.AppendInt(append(to, '*'), int64(len(words)+1), 10)
 	to = append(to, "\r\n"...)
-	for _, w := range words {
-		to = AppendBulk(to, w)
+	for _, word := range words {
+		to = AppendBulk(to, word)
 	}
 	return append(strconv.AppendInt(append(to, '$'), int64(size), 10), "\r\n"...)
 }
 
-// AppendLine adds a line of the given kind, + or -.
+// AppendLine appends a simple string (kind +) or an error (kind -).
 func AppendLine(to []byte, kind byte, text string) []byte {
 	return append(append(append(to, kind), text...), "\r\n"...)
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,14 +9,14 @@
 
 var bounds = Bounds{Bulk: 64, Line: 32, Args: 5}
 
-func show(r Reply) string {
+func formatReply(r Reply) string {
 	switch {
 	case r.Null:
 		return string(r.Kind) + "null"
 	case r.Kind == '*':
 		var items []string
-		for _, x := range r.Items {
-			items = append(items, show(x))
+		for _, item := range r.Items {
+			items = append(items, formatReply(item))
 		}
 		return "[" + strings.Join(items, " ") + "]"
 	}
@@ -35,7 +35,7 @@
 			fmt.Printf("%.20q: %v\n", text, err)
 			continue
 		}
-		fmt.Println(show(r), used)
+		fmt.Println(formatReply(r), used)
 	}
 	// Output:
 	// $"value" 11
@@ -48,60 +48,60 @@
 	// -"ERR failed inflight=7,queue=2" 32
 	// +"PONG" 7
 	// :"12" 5
-	// "$65\r\n": broken or oversize message
-	// "$x\r\n": broken or oversize message
-	// "$-2\r\n": broken or oversize message
-	// "$3\r\nabcd\r\n": broken or oversize message
-	// "*6\r\n": broken or oversize message
-	// "hello\r\n": broken or oversize message
-	// "+no line end\n": broken or oversize message
-	// "*3\r\n*": broken or oversize message
-	// "+xxxxxxxxxxxxxxxxxxx": broken or oversize message
+	// "$65\r\n": malformed or oversized RESP message
+	// "$x\r\n": malformed or oversized RESP message
+	// "$-2\r\n": malformed or oversized RESP message
+	// "$3\r\nabcd\r\n": malformed or oversized RESP message
+	// "*6\r\n": malformed or oversized RESP message
+	// "hello\r\n": malformed or oversized RESP message
+	// "+no line end\n": malformed or oversized RESP message
+	// "*3\r\n*": malformed or oversized RESP message
+	// "+xxxxxxxxxxxxxxxxxxx": malformed or oversized RESP message
 }
 
-// A message that comes in parts is nothing until it is whole, wherever it is cut.
-func TestEveryCutOfAMessageWaits(t *testing.T) {
+// A prefix of a message, wherever it ends, uses no bytes and is no error.
+func TestPartialMessageUsesNothing(t *testing.T) {
 	command := AppendCommand(nil, []byte("CACHE.SET"), []byte("k"), []byte(""), []byte("a\r\n*1\r\n"))
 	reply := []byte("*3\r\n$4\r\na\r\nb\r\n:1\r\n$-1\r\n")
 	for i := range command {
 		if words, used, err := ReadCommand(command[:i], nil, bounds); used != 0 || err != nil {
-			t.Errorf("%q: %q, %d, %v", command[:i], words, used, err)
+			t.Errorf("%q: words %q, used %d, error %v", command[:i], words, used, err)
 		}
 	}
 	words, used, err := ReadCommand(append(command, "*1\r\n$4\r\nPING\r\n"...), nil, bounds)
 	if fmt.Sprintf("%q", words) != `["CACHE.SET" "k" "" "a\r\n*1\r\n"]` || used != len(command) || err != nil {
-		t.Errorf("%q, %d, %v", words, used, err)
+		t.Errorf("words %q, used %d, error %v", words, used, err)
 	}
 	for i := range reply {
 		if r, used, err := ReadReply(reply[:i], bounds); used != 0 || err != nil {
-			t.Errorf("%q: %v, %d, %v", reply[:i], r, used, err)
+			t.Errorf("%q: reply %v, used %d, error %v", reply[:i], r, used, err)
 		}
 	}
 }
 
-// What is long is told by its head alone, and as soon as that is whole.
-func TestLong(t *testing.T) {
+// A large value is recognized as soon as the head of its message is complete, and not before.
+func TestReadsHeadOfLargeValue(t *testing.T) {
 	b := Bounds{Bulk: 9, Streamed: 20, Line: 32, Args: 5}
 	command := AppendCommand(nil, []byte("CACHE.SET"), []byte("k"), []byte("0123456789"))
 	reply := []byte("*3\r\n$10\r\n0123456789\r\n$-1\r\n$-1\r\n")
 	for i := range command {
 		words, at, size, ok := ReadLargeCommand(command[:i], nil, b)
 		if whole := i >= len(command)-12; ok != whole || ok && (len(words) != 2 || at != len(command)-12 || size != 10) {
-			t.Errorf("%q: %q %d %d %v", command[:i], words, at, size, ok)
+			t.Errorf("%q: words %q, offset %d, size %d, ok %v", command[:i], words, at, size, ok)
 		}
 	}
 	for i := range reply {
 		if at, size, ok := ReadLargeReply(reply[:i], b); ok != (i >= 9) || ok && (at != 9 || size != 10) {
-			t.Errorf("%q: %d %d %v", reply[:i], at, size, ok)
+			t.Errorf("%q: offset %d, size %d, ok %v", reply[:i], at, size, ok)
 		}
 	}
 	for _, text := range []string{"*3\r\n$9\r\n", "*3\r\n$21\r\n", "*2\r\n$10\r\n", "*3\r\n$-1\r\n", "$10\r\n", "*2\r\n$10\r\n0123456789\r\n$10\r\n"} {
 		if _, _, ok := ReadLargeReply([]byte(text), b); ok {
-			t.Errorf("%q is long", text)
+			t.Errorf("%q is taken for the head of a large reply", text)
 		}
 	}
 	if got := AppendStreamedCommand(nil, 10, []byte("CACHE.SET"), []byte("k")); !bytes.Equal(got, command[:len(command)-12]) {
-		t.Errorf("%q", got)
+		t.Errorf("head of a streamed command: %q", got)
 	}
 }
 
@@ -113,30 +113,30 @@
 		part := data[:max(0, min(cut, len(data)))]
 		words, used, err := ReadCommand(data, nil, bounds)
 		if used < 0 || used > len(data) || err != nil && used != 0 {
-			t.Fatalf("used %d of %d, %v", used, len(data), err)
+			t.Fatalf("used %d of %d bytes, error %v", used, len(data), err)
 		}
-		if _, less, early := ReadCommand(part, nil, bounds); less > 0 && less != used || early != nil && err == nil {
-			t.Fatalf("a part gives %d, %v, the whole %d, %v", less, early, used, err)
+		if _, partUsed, partErr := ReadCommand(part, nil, bounds); partUsed > 0 && partUsed != used || partErr != nil && err == nil {
+			t.Fatalf("a prefix gives %d, %v, the whole input %d, %v", partUsed, partErr, used, err)
 		}
 		if used > 0 && len(words) > 0 {
 			again, n, err := ReadCommand(AppendCommand(nil, words...), nil, bounds)
 			if err != nil || n == 0 || !bytes.Equal(bytes.Join(again, []byte{0}), bytes.Join(words, []byte{0})) {
-				t.Fatalf("%q came back as %q, %v", words, again, err)
+				t.Fatalf("%q was parsed again as %q, error %v", words, again, err)
 			}
 		}
 		_, used, err = ReadReply(data, bounds)
 		if used < 0 || used > len(data) || err != nil && used != 0 {
-			t.Fatalf("used %d of %d, %v", used, len(data), err)
+			t.Fatalf("used %d of %d bytes, error %v", used, len(data), err)
 		}
-		if _, less, early := ReadReply(part, bounds); less > 0 && less != used || early != nil && err == nil {
-			t.Fatalf("a part gives %d, %v, the whole %d, %v", less, early, used, err)
+		if _, partUsed, partErr := ReadReply(part, bounds); partUsed > 0 && partUsed != used || partErr != nil && err == nil {
+			t.Fatalf("a prefix gives %d, %v, the whole input %d, %v", partUsed, partErr, used, err)
 		}
 		small := Bounds{Bulk: 3, Streamed: 100, Line: bounds.Line, Args: bounds.Args}
 		if _, at, size, ok := ReadLargeCommand(data, nil, small); ok && (at < 0 || at > len(data) || size <= 3 || size > 100) {
-			t.Fatalf("a long word of %d at %d of %d", size, at, len(data))
+			t.Fatalf("large word of %d bytes at offset %d of %d", size, at, len(data))
 		}
 		if at, size, ok := ReadLargeReply(data, small); ok && (at < 0 || at > len(data) || size <= 3 || size > 100) {
-			t.Fatalf("a long value of %d at %d of %d", size, at, len(data))
+			t.Fatalf("large value of %d bytes at offset %d of %d", size, at, len(data))
 		}
 	})
 }
--- a/internal/wire/attempt.go
+++ b/internal/wire/attempt.go
@@ -7,46 +7,46 @@
 	"spurtrestle/core/clock"
 )
 
-// Attempt is one send of a request to one server. Its properties can be written out only with the deadline that the
-// server is sent, so that no protocol can pass on the deadline that the client gave at first.
+// Attempt is one transmission of a request to one server. Its properties can be encoded only together with the deadline of
+// the attempt, so that no protocol can forward the client's original deadline.
 type Attempt struct {
 	Request  *Request
-	Host     string // where it goes, host and port
+	Host     string // host and port of the server
 	deadline Deadline
 }
 
-// NewAttempt makes an attempt of a request. remaining is how long its server's answer can still be of use: until the
-// router stops waiting or the client does, whichever is first, as of the moment in which the attempt is written.
+// NewAttempt returns an attempt of a request. remaining is how long an answer from the server is still useful, measured
+// when the attempt is encoded: until the router or the client stops waiting, whichever comes first.
 func NewAttempt(request *Request, host string, remaining clock.Time) Attempt {
-	return Attempt{Request: request, Host: host, deadline: deadlineOf(remaining)}
+	return Attempt{Request: request, Host: host, deadline: newDeadline(remaining)}
 }
 
-// AppendProps adds the properties of the request, with the deadline of this attempt in place of the client's.
+// AppendProps appends the request's properties, with the deadline of this attempt in place of the client's.
 func (a Attempt) AppendProps(to []byte) []byte { return a.Request.Props.append(to, a.deadline) }
 
-// Deadline is the time that a server is told to have, in whole milliseconds, at least one.
+// Deadline is the time that a server is given for an attempt, in whole milliseconds. It is at least 1.
 type Deadline int64
 
 const microsPerMilli = 1000
 
-// deadlineOf rounds down, so that a server never counts on more time than is left.
-func deadlineOf(remaining clock.Time) Deadline {
+// newDeadline rounds down, so that a server is never given more time than remains.
+func newDeadline(remaining clock.Time) Deadline {
 	return Deadline(max(1, remaining/microsPerMilli))
 }
 
-// Props are the properties of a request, names and values as its client gave them. Their text is not accessible: what is
-// sent on carries the deadline of its attempt.
+// Props holds the properties of a request, names and values as the client sent them. The text is not accessible, because
+// what is forwarded must carry the deadline of its attempt instead of the client's.
 type Props struct{ text []byte }
 
-// NewProps holds the text of properties, "name=value" joined by commas. It does not copy the text.
+// NewProps wraps properties in the form "name=value", joined by commas. It does not copy the text.
 func NewProps(text []byte) Props { return Props{text} }
 
-// Len is the size of the text in bytes.
+// Len returns the size of the text in bytes.
 func (p Props) Len() int { return len(p.text) }
 
-var deadlineName = []byte("d=")
+var deadlinePrefix = []byte("d=")
 
-// append adds the properties with each deadline among them replaced, and all else byte for byte.
+// append appends the properties, with each deadline among them replaced and everything else unchanged.
 func (p Props) append(to []byte, d Deadline) []byte {
 	first := true
 	for property := range bytes.SplitSeq(p.text, []byte(",")) {
@@ -54,8 +54,8 @@
 			to = append(to, ',')
 		}
 		first = false
-		if bytes.HasPrefix(property, deadlineName) {
-			to = append(to, deadlineName...)
+		if bytes.HasPrefix(property, deadlinePrefix) {
+			to = append(to, deadlinePrefix...)
 			to = strconv.AppendInt(to, int64(d), 10)
 			continue
 		}
--- a/internal/wire/attempt_test.go
+++ b/internal/wire/attempt_test.go
@@ -31,8 +31,8 @@
 	// "d=0.5"              "d=47"
 }
 
-// sentProps are the properties that a server reads of an attempt, by either protocol, whole requests and the heads of
-// large writes alike.
+// sentProps returns the properties that a server reads from an attempt in each protocol. With large set, the attempt is
+// encoded as a streamed write.
 func sentProps(t *testing.T, a wire.Attempt, large bool) (byProtocol map[string][]byte) {
 	t.Helper()
 	const size = 3
@@ -47,7 +47,7 @@
 	}
 	words, used, err := resp.ReadCommand(command, nil, resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8})
 	if err != nil || used != len(command) {
-		t.Fatalf("%q cannot be read: %v", command, err)
+		t.Fatalf("%q cannot be parsed: %v", command, err)
 	}
 	_, rest, found := bytes.Cut(head, []byte("X-Props: "))
 	props, _, ended := bytes.Cut(rest, []byte("\r\n"))
@@ -57,8 +57,9 @@
 	return map[string][]byte{"RESP2": words[3], "HTTP/1.1": props}
 }
 
-// Whatever the properties are, the deadline sent is never more than what is left, never 0, and all else goes on as it came.
-func TestNoDeadlineAboveWhatIsLeft(t *testing.T) {
+// Whatever the properties are, the deadline sent never exceeds the remaining time and is never 0, and all other properties are
+// forwarded unchanged.
+func TestDeadlineNeverExceedsRemainingTime(t *testing.T) {
 	random := rand.New(rand.NewPCG(46, 1))
 	pieces := []string{"d=", "d", "=", "c=get", "t=acme", "xd=", "d =", " ", "480", "0", "9999", "r=1", "size=7", "D=5", "é"}
 	for range 20_000 {
@@ -82,7 +83,7 @@
 				}
 				ms, err := strconv.ParseInt(strings.TrimPrefix(after[i], "d="), 10, 64)
 				if err != nil || ms < 1 || ms > 1 && clock.Time(ms)*1000 > remaining {
-					t.Fatalf("%s: with %d us left %q became %q", protocol, remaining, text, props)
+					t.Fatalf("%s: with %d us remaining, %q became %q", protocol, remaining, text, props)
 				}
 			}
 			if len(after) != len(strings.Split(text, ",")) {
--- a/internal/wire/http1/http1.go
+++ b/internal/wire/http1/http1.go
@@ -1,4 +1,5 @@
-// Package http1 speaks the platform's form of HTTP/1.1 to the origin. It does no I/O.
+// Package http1 encodes attempts at the origin and decodes its answers, in the platform's form of HTTP/1.1. The router uses
+// it as a wire.ServerCodec. It does no I/O and keeps no state.
 package http1
 
 import (
@@ -10,23 +11,24 @@
 	"spurtrestle/internal/wire"
 )
 
-// Codec speaks to the origin.
+// Codec is the wire.ServerCodec for the origin.
 type Codec struct{ Bounds httpwire.Bounds }
 
-// Append adds a request.
+// AppendAttempt implements wire.ServerCodec.
 func (Codec) AppendAttempt(to []byte, a wire.Attempt) []byte {
-	method, path, headers, body := partsOf(a)
+	method, path, headers, body := requestParts(a)
 	return httpwire.AppendRequest(to, method, path, a.Host, headers, body)
 }
 
-// AppendLong adds the head of such a request.
+// AppendStreamedWrite implements wire.ServerCodec.
 func (Codec) AppendStreamedWrite(to []byte, a wire.Attempt, size int) (head []byte, tail string) {
-	method, path, headers, _ := partsOf(a)
+	method, path, headers, _ := requestParts(a)
 	headers = append(headers, httpwire.Header{Name: "Content-Length", Value: strconv.AppendInt(nil, int64(size), 10)})
 	return httpwire.AppendRequest(to, method, path, a.Host, headers, nil), ""
 }
 
-func partsOf(a wire.Attempt) (method, path string, headers []httpwire.Header, body []byte) {
+// requestParts returns what a request for an attempt consists of; body is nil for a read.
+func requestParts(a wire.Attempt) (method, path string, headers []httpwire.Header, body []byte) {
 	request := a.Request
 	headers = []httpwire.Header{{Name: "X-Trace-Id", Value: []byte(request.ID)}, {Name: "X-Props", Value: a.AppendProps(nil)}}
 	method = "GET"
@@ -36,16 +38,17 @@
 	return method, "/" + url.PathEscape(string(request.Key)), headers, body
 }
 
-// Long reads the head of an answer with a big value.
+// ReadLargeAnswer implements wire.ServerCodec.
 func (b Codec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
 	answer, at, size := httpwire.ReadLargeHead(buf, b.Bounds)
 	return wire.Outcome{Status: routing.OK, Report: answer.Get("Endpoint-Load-Metrics"), Close: answer.Close}, at, size, at > 0 && answer.Status == 200
 }
 
-// Behind reads what stands behind the value: nothing may.
+// ReadTrailer implements wire.ServerCodec. No bytes may follow the value.
 func (Codec) ReadTrailer(buf []byte) (whole, keep bool, err error) { return true, len(buf) == 0, nil }
 
-// Read reads the origin's answer.
+// ReadAnswer implements wire.ServerCodec. An answer of 503 or 504 with the header "X-Never-Ran: 1" means that the origin
+// has not run the request.
 func (b Codec) ReadAnswer(buf []byte, ended bool) (o wire.Outcome, used int, keep bool, err error) {
 	answer, used, err := httpwire.ReadResponse(buf, ended, b.Bounds)
 	if err != nil || used == 0 {
--- a/internal/wire/resp2/resp2.go
+++ b/internal/wire/resp2/resp2.go
@@ -1,5 +1,6 @@
-// Package resp2 speaks the platform's form of RESP2: requests of clients and their answers, attempts at cache servers and
-// theirs. It does no I/O.
+// Package resp2 encodes and decodes the platform's form of RESP2: the properties of client requests and the answers to
+// them, and attempts at cache servers and their answers. The router uses it on both sides. It does no I/O and keeps no
+// state.
 package resp2
 
 import (
@@ -14,31 +15,32 @@
 )
 
 var (
-	get = []byte("CACHE.GET")
-	set = []byte("CACHE.SET")
+	getCommand = []byte("CACHE.GET")
+	setCommand = []byte("CACHE.SET")
 )
 
-// ServerCodec speaks to cache servers.
+// ServerCodec is the wire.ServerCodec for cache servers.
 type ServerCodec struct{ Bounds resp.Bounds }
 
-// Append adds a command: as its client sent it, but for the deadline.
+// AppendAttempt implements wire.ServerCodec. The command is as the client sent it, except for the deadline.
 func (ServerCodec) AppendAttempt(to []byte, a wire.Attempt) []byte {
-	var id, props [128]byte // what is longer is allocated
-	words, n := wordsOf(a, id[:0], props[:0])
+	var id, props [128]byte // longer ones are allocated on the heap
+	words, n := commandWords(a, id[:0], props[:0])
 	return resp.AppendCommand(to, words[:n]...)
 }
 
-// AppendLong adds the head of such a command.
+// AppendStreamedWrite implements wire.ServerCodec.
 func (ServerCodec) AppendStreamedWrite(to []byte, a wire.Attempt, size int) (head []byte, tail string) {
-	words, n := wordsOf(a, nil, nil)
+	words, n := commandWords(a, nil, nil)
 	return resp.AppendStreamedCommand(to, size, words[:n-1]...), "\r\n"
 }
 
-func wordsOf(a wire.Attempt, id, props []byte) (words [5][]byte, n int) {
+// commandWords returns the words of an attempt's command, of which the first n are used. It appends to id and props.
+func commandWords(a wire.Attempt, id, props []byte) (words [5][]byte, n int) {
 	request := a.Request
-	verb, n := get, 4
+	verb, n := getCommand, 4
 	if request.Write {
-		verb, n = set, 5
+		verb, n = setCommand, 5
 	}
 	if request.Verb != nil {
 		verb = request.Verb
@@ -46,9 +48,9 @@
 	return [5][]byte{verb, request.Key, append(id, request.ID...), a.AppendProps(props), request.Value}, n
 }
 
-var errUnexpected = errors.New("an answer of no known form")
+var errUnexpectedReply = errors.New("unexpected RESP reply")
 
-// Read reads a cache server's answer.
+// ReadAnswer implements wire.ServerCodec.
 func (b ServerCodec) ReadAnswer(buf []byte, _ bool) (o wire.Outcome, used int, keep bool, err error) {
 	reply, used, err := resp.ReadReply(buf, b.Bounds)
 	if err != nil || used == 0 {
@@ -60,36 +62,37 @@
 		if o.Status = routing.Miss; !reply.Items[0].Null {
 			o.Status, o.Value = routing.OK, reply.Items[0].Text
 		}
-	case reply.Kind == '-' && isWord(reply.Text, "BUSY"):
+	case reply.Kind == '-' && hasFirstWord(reply.Text, "BUSY"):
 		o.Status = routing.QueueFull
 	case reply.Kind == '-':
 		o.Status, o.Report = routing.Failed, reply.Text[bytes.LastIndexByte(reply.Text, ' ')+1:]
 	default:
-		return o, 0, false, errUnexpected
+		return o, 0, false, errUnexpectedReply
 	}
 	return o, used, true, nil
 }
 
-// Long reads the head of an answer with a big value.
+// ReadLargeAnswer implements wire.ServerCodec.
 func (b ServerCodec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
 	at, size, ok = resp.ReadLargeReply(buf, b.Bounds)
 	return wire.Outcome{Status: routing.OK}, at, size, ok
 }
 
-// Behind reads the two entries that follow the value, and the line end before them.
+// ReadTrailer implements wire.ServerCodec. A large value is followed by its line end and the two remaining entries of the
+// array.
 func (b ServerCodec) ReadTrailer(buf []byte) (whole, keep bool, err error) {
 	const head = "*3\r\n$0\r\n"
 	_, used, err := resp.ReadReply(append([]byte(head), buf...), b.Bounds)
 	return used > 0, used == len(head)+len(buf), err
 }
 
-// isWord tells whether the first word of a line is this one.
-func isWord(line []byte, word string) bool {
+// hasFirstWord reports whether word is the first word of a line.
+func hasFirstWord(line []byte, word string) bool {
 	first, _, _ := bytes.Cut(line, []byte(" "))
 	return string(first) == word
 }
 
-// AppendAnswer adds a request's final answer.
+// AppendAnswer appends the final answer to a client's request.
 func AppendAnswer(to []byte, a wire.Answer) []byte {
 	switch a.Kind {
 	case wire.Served:
@@ -104,19 +107,19 @@
 	return append(to, "-ERR failed\r\n"...)
 }
 
-// Props are what the properties of a request tell the router.
+// ParsedProps holds the properties of a request that the router acts on.
 type ParsedProps struct {
 	Method      []byte
 	Tenant      []byte
-	Timeout     clock.Time // how long its client waits; 0: not told
+	Timeout     clock.Time // how long the client waits; 0 means unspecified
 	Resent      bool
-	BadDeadline bool // d is no time
+	BadDeadline bool // d is not a positive time
 }
 
-// ReadProps reads names and values. What is not known goes on unread.
+// ParseProps parses names and values. Unknown names are ignored here and forwarded unchanged.
 func ParseProps(text []byte) (p ParsedProps) {
-	for part := range bytes.SplitSeq(text, []byte(",")) {
-		name, value, _ := bytes.Cut(part, []byte("="))
+	for property := range bytes.SplitSeq(text, []byte(",")) {
+		name, value, _ := bytes.Cut(property, []byte("="))
 		switch string(name) {
 		case "c":
 			p.Method = value
@@ -124,7 +127,7 @@
 			p.Tenant = value
 		case "d":
 			ms, err := strconv.ParseFloat(string(value), 64)
-			plain := len(bytes.Trim(value, "0123456789.")) == 0 // no signs, exponents, other bases or names
+			plain := len(bytes.Trim(value, "0123456789.")) == 0 // excludes signs, exponents, other bases, and names such as NaN
 			if !plain || err != nil || !(ms > 0) || ms >= 1e9 {
 				p.BadDeadline = true
 				continue
--- a/internal/wire/resp2/resp2_test.go
+++ b/internal/wire/resp2/resp2_test.go
@@ -8,13 +8,13 @@
 	"spurtrestle/internal/wire"
 )
 
-var back = ServerCodec{resp.Bounds{Bulk: 64, Line: 64, Args: 16}}
+var codec = ServerCodec{resp.Bounds{Bulk: 64, Line: 64, Args: 16}}
 
 func Example_append() {
-	q := &wire.Request{ID: "id", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=2000,x=1"))}
-	fmt.Printf("%q\n", back.AppendAttempt(nil, wire.NewAttempt(q, "", 2500)))
-	q.Write, q.Value, q.Verb = true, []byte("v"), []byte("cache.set")
-	fmt.Printf("%q\n", back.AppendAttempt(nil, wire.NewAttempt(q, "", 0)))
+	request := &wire.Request{ID: "id", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=2000,x=1"))}
+	fmt.Printf("%q\n", codec.AppendAttempt(nil, wire.NewAttempt(request, "", 2500)))
+	request.Write, request.Value, request.Verb = true, []byte("v"), []byte("cache.set")
+	fmt.Printf("%q\n", codec.AppendAttempt(nil, wire.NewAttempt(request, "", 0)))
 	// Output:
 	// "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=get,d=2,x=1\r\n"
 	// "*5\r\n$9\r\ncache.set\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=get,d=1,x=1\r\n$1\r\nv\r\n"
@@ -23,20 +23,20 @@
 func Example_read() {
 	for _, text := range []string{"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n", "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", "-BUSY\r\n", "-BUSY 5\r\n", "-BUSYBODY\r\n",
 		"-ERR failed a=1\r\n", "+OK\r\n", "*2\r\n$1\r\nv\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n", "nonsense\r\n"} {
-		o, used, keep, err := back.ReadAnswer([]byte(text), false)
-		fmt.Printf("%-32q status %d value %q report %q, %d used, kept %v, %v\n", text, o.Status, o.Value, o.Report, used, keep, err)
+		o, used, keep, err := codec.ReadAnswer([]byte(text), false)
+		fmt.Printf("%-32q status %d value %q report %q, %d used, keep %v, %v\n", text, o.Status, o.Value, o.Report, used, keep, err)
 	}
 	// Output:
-	// "*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n" status 0 value "v" report "a=1", 25 used, kept true, <nil>
-	// "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n" status 8 value "" report "", 24 used, kept true, <nil>
-	// "-BUSY\r\n"                      status 2 value "" report "", 7 used, kept true, <nil>
-	// "-BUSY 5\r\n"                    status 2 value "" report "", 9 used, kept true, <nil>
-	// "-BUSYBODY\r\n"                  status 1 value "" report "BUSYBODY", 11 used, kept true, <nil>
-	// "-ERR failed a=1\r\n"            status 1 value "" report "a=1", 17 used, kept true, <nil>
-	// "+OK\r\n"                        status 0 value "" report "", 0 used, kept false, an answer of no known form
-	// "*2\r\n$1\r\nv\r\n$-1\r\n"       status 0 value "" report "", 0 used, kept false, an answer of no known form
-	// "*3\r\n$1\r\nv\r\n"              status 0 value "" report "", 0 used, kept false, <nil>
-	// "nonsense\r\n"                   status 0 value "" report "", 0 used, kept false, broken or oversize message
+	// "*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n" status 0 value "v" report "a=1", 25 used, keep true, <nil>
+	// "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n" status 8 value "" report "", 24 used, keep true, <nil>
+	// "-BUSY\r\n"                      status 2 value "" report "", 7 used, keep true, <nil>
+	// "-BUSY 5\r\n"                    status 2 value "" report "", 9 used, keep true, <nil>
+	// "-BUSYBODY\r\n"                  status 1 value "" report "BUSYBODY", 11 used, keep true, <nil>
+	// "-ERR failed a=1\r\n"            status 1 value "" report "a=1", 17 used, keep true, <nil>
+	// "+OK\r\n"                        status 0 value "" report "", 0 used, keep false, unexpected RESP reply
+	// "*2\r\n$1\r\nv\r\n$-1\r\n"       status 0 value "" report "", 0 used, keep false, unexpected RESP reply
+	// "*3\r\n$1\r\nv\r\n"              status 0 value "" report "", 0 used, keep false, <nil>
+	// "nonsense\r\n"                   status 0 value "" report "", 0 used, keep false, malformed or oversized RESP message
 }
 
 func Example_answers() {
@@ -53,42 +53,42 @@
 func Example_props() {
 	for _, text := range []string{"c=get,t=acme,d=480,r=1,size=9", "d=0.5", "d=-1", "d=1e3", "d=NaN", "d=0x10", "d=9999999999", "c", ""} {
 		p := ParseProps([]byte(text))
-		fmt.Printf("%q: method %q tenant %q waits %d resent %v bad %v\n", text, p.Method, p.Tenant, p.Timeout, p.Resent, p.BadDeadline)
+		fmt.Printf("%q: method %q tenant %q timeout %d resent %v bad deadline %v\n", text, p.Method, p.Tenant, p.Timeout, p.Resent, p.BadDeadline)
 	}
 	// Output:
-	// "c=get,t=acme,d=480,r=1,size=9": method "get" tenant "acme" waits 480000 resent true bad false
-	// "d=0.5": method "" tenant "" waits 500 resent false bad false
-	// "d=-1": method "" tenant "" waits 0 resent false bad true
-	// "d=1e3": method "" tenant "" waits 0 resent false bad true
-	// "d=NaN": method "" tenant "" waits 0 resent false bad true
-	// "d=0x10": method "" tenant "" waits 0 resent false bad true
-	// "d=9999999999": method "" tenant "" waits 0 resent false bad true
-	// "c": method "" tenant "" waits 0 resent false bad false
-	// "": method "" tenant "" waits 0 resent false bad false
+	// "c=get,t=acme,d=480,r=1,size=9": method "get" tenant "acme" timeout 480000 resent true bad deadline false
+	// "d=0.5": method "" tenant "" timeout 500 resent false bad deadline false
+	// "d=-1": method "" tenant "" timeout 0 resent false bad deadline true
+	// "d=1e3": method "" tenant "" timeout 0 resent false bad deadline true
+	// "d=NaN": method "" tenant "" timeout 0 resent false bad deadline true
+	// "d=0x10": method "" tenant "" timeout 0 resent false bad deadline true
+	// "d=9999999999": method "" tenant "" timeout 0 resent false bad deadline true
+	// "c": method "" tenant "" timeout 0 resent false bad deadline false
+	// "": method "" tenant "" timeout 0 resent false bad deadline false
 }
 
-// An attempt as it is sent is a command that can be read, and its props hold one d for each that came.
+// An encoded attempt is a valid command, and a valid deadline among its properties is replaced by that of the attempt.
 func FuzzAppend(f *testing.F) {
 	f.Add([]byte("c=get,d=5"), []byte("k"), false)
 	f.Fuzz(func(t *testing.T, props, key []byte, write bool) {
-		q := &wire.Request{ID: "id", Key: key, Props: wire.NewProps(props), Write: write}
+		request := &wire.Request{ID: "id", Key: key, Props: wire.NewProps(props), Write: write}
 		b := resp.Bounds{Bulk: 1 << 20, Line: 64, Args: 16}
-		words, used, err := resp.ReadCommand(back.AppendAttempt(nil, wire.NewAttempt(q, "", 7999)), nil, b)
+		words, used, err := resp.ReadCommand(codec.AppendAttempt(nil, wire.NewAttempt(request, "", 7999)), nil, b)
 		if err != nil || used == 0 || len(words) < 4 {
-			t.Fatalf("%q %d %v", words, used, err)
+			t.Fatalf("words %q, used %d, error %v", words, used, err)
 		}
 		before, after := ParseProps(props), ParseProps(words[3])
-		if !before.BadDeadline && (after.BadDeadline || before.Timeout != 0 && after.Timeout != 7000) { // a bad one is never taken
+		if !before.BadDeadline && (after.BadDeadline || before.Timeout != 0 && after.Timeout != 7000) { // the router refuses requests with a bad deadline
 			t.Errorf("%q became %q", props, words[3])
 		}
 	})
 }
 
 func BenchmarkAppend(b *testing.B) {
-	q := &wire.Request{ID: "9b1f03aa5c7e2d41", Key: []byte("7f3a9c21e0b4d655"), Props: wire.NewProps([]byte("c=read,t=acme,d=480"))}
+	request := &wire.Request{ID: "9b1f03aa5c7e2d41", Key: []byte("7f3a9c21e0b4d655"), Props: wire.NewProps([]byte("c=read,t=acme,d=480"))}
 	to := make([]byte, 0, 256)
 	b.ReportAllocs()
 	for b.Loop() {
-		to = back.AppendAttempt(to[:0], wire.NewAttempt(q, "", 480e3))
+		to = codec.AppendAttempt(to[:0], wire.NewAttempt(request, "", 480e3))
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire holds what a request, its answer, an attempt and its outcome are, whatever protocol they came by. The
-// router knows these alone; each protocol has a package of its own that reads and writes them, without I/O and without
-// knowing the router.
+// Package wire defines requests, answers, attempts and outcomes independently of the protocols that carry them. The
+// router works on these types alone. Each protocol has a package of its own that encodes and decodes them; those packages
+// do no I/O and do not know the router. Nothing here is safe for concurrent use: a request and its answer belong to one
+// goroutine at a time, normally the router's loop.
 package wire
 
 import (
@@ -8,53 +9,56 @@
 	"spurtrestle/core/routing"
 )
 
-// Request is one request as it is passed on. Its bytes belong to it until it is over.
+// Request is a client's request as it is forwarded. It owns its bytes until the request is over.
 type Request struct {
 	ID    routing.RequestID
 	Key   []byte
 	Props Props
-	Value []byte // of a write
+	Value []byte // set for writes only
 	Write bool
-	Verb  []byte // as its client wrote it; nil: the protocol's own
+	Verb  []byte // the command name as the client spelled it; nil selects the protocol's own
 }
 
-// Kind is what a final answer says.
+// AnswerKind is the result that a final answer reports.
 type AnswerKind uint8
 
+// The kinds of final answers.
 const (
 	Served   AnswerKind = iota
-	Rejected            // trying again is harmless
-	Failed              // nothing is promised
+	Rejected            // a retry is harmless
+	Failed              // the request may or may not have run
 )
 
-// Answer is the one final answer of a request.
+// Answer is the single final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	Value      []byte     // of a served one; it may change once the answer is written
-	TooLarge   bool       // of a failed one: there is a value, too big for who asked
-	RetryAfter clock.Time // of a rejected one: when to come back; 0: not told
+	Value      []byte     // if served; valid only until the answer is written
+	TooLarge   bool       // if failed: a value exists, but is too large for the client's protocol
+	RetryAfter clock.Time // if rejected: how long the client should wait before a retry; 0 means unspecified
 }
 
-// Outcome is how an attempt ended, by what its server said.
+// Outcome is the result of one attempt, as its server reported it.
 type Outcome struct {
 	Status routing.AttemptStatus
-	Value  []byte // of OK; it points into what was read
-	Report []byte // the load report as it came, names and values; nil: none
-	Close  bool   // of a big value: the connection carries nothing behind it
+	Value  []byte // if OK; points into the input buffer
+	Report []byte // the load report as received, names and values; nil means none
+	Close  bool   // for a large value: the connection cannot be reused after it
 }
 
-// ServerCodec speaks one protocol to servers, on a connection that carries one attempt at a time.
+// ServerCodec encodes attempts and decodes answers in one protocol. A connection carries one attempt at a time.
 type ServerCodec interface {
-	// Append adds an attempt.
+	// AppendAttempt appends an encoded attempt.
 	AppendAttempt(to []byte, a Attempt) []byte
-	// AppendLong adds the head of a write whose value, of size bytes, is passed on behind it; tail ends it.
+	// AppendStreamedWrite appends the head of a write whose value, of size bytes, is streamed after it. The caller sends
+	// tail after the value.
 	AppendStreamedWrite(to []byte, a Attempt, size int) (head []byte, tail string)
-	// Read reads an answer from what has come so far; ended: no more comes. used is 0 while it is not whole; keep
-	// tells whether the connection can carry another attempt. An error is an answer that cannot be read.
+	// ReadAnswer decodes an answer from the bytes received so far. ended means that the connection delivers no more.
+	// used is 0 while the answer is incomplete. keep reports whether the connection can carry another attempt. An error
+	// means that the answer is invalid.
 	ReadAnswer(buf []byte, ended bool) (o Outcome, used int, keep bool, err error)
-	// Long tells of an answer that Read refuses for its size: its value begins at a place in buf and has that size. ok is
-	// false where it is no such answer.
+	// ReadLargeAnswer decodes the head of an answer that ReadAnswer refuses for its size: the value begins at offset at in
+	// buf and has size bytes. ok is false if buf does not begin with such an answer.
 	ReadLargeAnswer(buf []byte) (o Outcome, at, size int, ok bool)
-	// Behind reads what stands behind such a value; whole is false while more must come, keep as in Read.
+	// ReadTrailer decodes what follows a large value. whole is false while more input is needed; keep is as in ReadAnswer.
 	ReadTrailer(buf []byte) (whole, keep bool, err error)
 }
