--- a/cmd/cache-router-fleet/main.go
+++ b/cmd/cache-router-fleet/main.go
@@ -1,5 +1,5 @@
-// Command cache-router-fleet is the router with a view of the other routers of its fleet, which the operator's file
-// switches on. What that links in costs a start some 0.3 ms, so that the plain program is without it.
+// Command cache-router-fleet is the router for RESP2 clients with fleet membership and shared policies, which the operator's
+// file enables. It is a program of its own because the additional packages delay each start by about 0.3 ms.
 package main
 
 import (
--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -1,5 +1,5 @@
-// Command cache-router-grpc is the router on sockets, for RESP2 clients and, where the operator's file says so, for those of
-// gRPC. Elsewhere it is the same as cache-router.
+// Command cache-router-grpc is the router for RESP2 clients and, if the operator's file enables them, for gRPC clients. In all
+// other respects it is the same as cache-router-fleet.
 package main
 
 import (
@@ -20,7 +20,7 @@
 
 func main() { program.Main(program.Parts{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Join}) }
 
-// listen begins to take gRPC clients, and returns what ends that in order.
+// listen starts the gRPC front end. The returned function stops it and aborts calls that outlast the longest deadline.
 func listen(r *router.Router, cfg config.Config, g operator.GRPC, log *logrus.Logger) (stop func(), err error) {
 	ln, err := router.Listen(g.Listen)
 	if err != nil {
@@ -29,10 +29,10 @@
 	front := grpcfront.New(r, grpcfront.Limits{Connections: g.Connections, Streams: g.Streams, ValueBytes: cfg.Limits.RESP.Bulk})
 	go func() {
 		if err := front.Serve(ln); !grpcfront.Stopped(err) {
-			log.WithError(err).Error("no more gRPC clients are taken")
+			log.WithError(err).Error("gRPC server failed; accepting no more gRPC clients")
 		}
 	}()
-	log.WithField("listen", g.Listen).Info("taking gRPC clients, in clear text")
+	log.WithField("listen", g.Listen).Info("accepting gRPC clients without TLS")
 	longest := settings.LongestDeadline(cfg.Settings)
 	return func() { front.Stop(time.Duration(longest) * time.Microsecond) }, nil
 }
--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -1,6 +1,7 @@
-// Package grpcfront takes requests of gRPC clients and hands them to the router's loop; it decides nothing about them. The
-// library's goroutines stand off the loop: a call is offered in a bounded queue, and its answer comes back through a channel
-// with room for it, so that neither side ever waits for the other.
+// Package grpcfront is the gRPC front end of cache-router-grpc. It validates calls, hands them to the router's event loop
+// and translates answers to gRPC statuses; it makes no routing decisions. Calls run on goroutines of the gRPC library. Each
+// one is offered through the router's bounded queue, and its answer returns through a buffered channel, so that neither the
+// loop nor a call ever blocks on the other.
 package grpcfront
 
 import (
@@ -32,58 +33,59 @@
 	cachev1 "spurtrestle/proto/spurtrestle/cache/v1"
 )
 
-// Router is the side of the loop.
+// Router is the part of router.Router that a front end uses.
 type Router interface {
 	Offer(*router.Offer) bool
 	Withdraw(*router.Offer)
 	OnServing(func(bool))
 }
 
-// Limits bound what clients can make the front hold.
+// Limits bounds the resources that clients can make the front end use.
 type Limits struct {
-	Connections int
-	Streams     int // calls at once on a connection
+	Connections int // open at once
+	Streams     int // concurrent calls on a connection
 	ValueBytes  int // bytes of a value
 }
 
 const (
-	around      = 4 << 10 // bytes of a message beside its value
-	headers     = 8 << 10
-	mostText    = 256                    // bytes of an id, a method or a tenant
-	leastPing   = 10 * time.Second       // a client that pings more often is sent away
-	idle        = 5 * time.Minute        // a connection without a call for so long is closed
-	half        = 20 * time.Second       // a peer that has vanished is found out within that, and as long again
-	handshake   = 2 * time.Second        // a connection on which nothing begins by then is closed
-	perStream   = 64 << 10               // a slow reader holds up itself alone
-	lastAnswers = 500 * time.Millisecond // beyond the longest deadline, until what is left is cut off
+	messageOverheadBytes  = 4 << 10 // of a message, in addition to its value
+	maxHeaderListBytes    = 8 << 10
+	maxAttributeBytes     = 256                    // of an id, a method or a tenant
+	minPingInterval       = 10 * time.Second       // the connection of a client that pings more often is closed
+	connectionIdleTimeout = 5 * time.Minute        // a connection without calls is closed after this time
+	keepaliveInterval     = 20 * time.Second       // sends a ping after this time without input, and closes the connection after as long again without a reply
+	handshakeTimeout      = 2 * time.Second        // a connection that has not completed its handshake by then is closed
+	streamWindowBytes     = 64 << 10               // limits what a client that reads slowly can hold back to its own stream
+	shutdownMargin        = 500 * time.Millisecond // added to the longest deadline before open calls are aborted
 )
 
-// Server is the front.
+// Server implements the cache service and the health service. Its methods are safe for concurrent use.
 type Server struct {
 	cachev1.UnimplementedCacheServiceServer
-	r      Router
-	lim    Limits
-	server *grpc.Server
-	health *health.Server
-	conns  sync.Map // *counted by the client's address
+	router     Router
+	limits     Limits
+	grpcServer *grpc.Server
+	health     *health.Server
+	conns      sync.Map // *trackedConn by client address
 }
 
-// New returns a front that does not listen yet. Call it before the router runs.
-func New(r Router, lim Limits) *Server {
-	s := &Server{r: r, lim: lim, health: health.NewServer()}
-	s.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(lim.Streams)), grpc.MaxRecvMsgSize(lim.ValueBytes+around),
-		grpc.MaxSendMsgSize(lim.ValueBytes+around), grpc.MaxHeaderListSize(headers), grpc.ConnectionTimeout(handshake),
-		grpc.InitialWindowSize(perStream), grpc.InitialConnWindowSize(4*perStream),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastPing, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idle, Time: half, Timeout: half}))
-	cachev1.RegisterCacheServiceServer(s.server, s)
-	healthv1.RegisterHealthServer(s.server, s.health)
-	s.serving(false)
-	r.OnServing(s.serving)
+// New returns a front end that does not listen yet. Call it before the router runs.
+func New(r Router, limits Limits) *Server {
+	s := &Server{router: r, limits: limits, health: health.NewServer()}
+	s.grpcServer = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(limits.Streams)), grpc.MaxRecvMsgSize(limits.ValueBytes+messageOverheadBytes),
+		grpc.MaxSendMsgSize(limits.ValueBytes+messageOverheadBytes), grpc.MaxHeaderListSize(maxHeaderListBytes), grpc.ConnectionTimeout(handshakeTimeout),
+		grpc.InitialWindowSize(streamWindowBytes), grpc.InitialConnWindowSize(4*streamWindowBytes),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: connectionIdleTimeout, Time: keepaliveInterval, Timeout: keepaliveInterval}))
+	cachev1.RegisterCacheServiceServer(s.grpcServer, s)
+	healthv1.RegisterHealthServer(s.grpcServer, s.health)
+	s.setServing(false)
+	r.OnServing(s.setServing)
 	return s
 }
 
-func (s *Server) serving(on bool) {
+// setServing publishes the state of the health service. After New, it is called on the router's loop.
+func (s *Server) setServing(on bool) {
 	state := healthv1.HealthCheckResponse_NOT_SERVING
 	if on {
 		state = healthv1.HealthCheckResponse_SERVING
@@ -92,162 +94,169 @@
 	s.health.SetServingStatus(cachev1.CacheService_ServiceDesc.ServiceName, state)
 }
 
-// Serve takes connections until Stop.
+// Serve accepts connections until Stop is called.
 func (s *Server) Serve(ln net.Listener) error {
-	return s.server.Serve(&bounded{Listener: ln, room: make(chan struct{}, s.lim.Connections), open: &s.conns})
+	return s.grpcServer.Serve(&limitedListener{Listener: ln, permits: make(chan struct{}, s.limits.Connections), conns: &s.conns})
 }
 
-// Stop takes no new calls, and returns once those in hand are over; after the longest deadline they are cut off.
+// Stop refuses new calls and returns once all open calls have ended. Calls that outlast the longest deadline are aborted.
 func (s *Server) Stop(longest time.Duration) {
-	cut := time.AfterFunc(longest+lastAnswers, s.server.Stop)
-	defer cut.Stop()
-	s.server.GracefulStop()
+	abort := time.AfterFunc(longest+shutdownMargin, s.grpcServer.Stop)
+	defer abort.Stop()
+	s.grpcServer.GracefulStop()
 }
 
-// Get reads a key.
-func (s *Server) Get(ctx context.Context, q *cachev1.GetRequest) (*cachev1.GetResponse, error) {
-	value, err := s.ask(ctx, q.GetAttributes(), q.GetKey(), nil, false)
+// Get implements the RPC that reads a key.
+func (s *Server) Get(ctx context.Context, request *cachev1.GetRequest) (*cachev1.GetResponse, error) {
+	value, err := s.call(ctx, request.GetAttributes(), request.GetKey(), nil, false)
 	if err != nil {
 		return nil, err
 	}
 	return &cachev1.GetResponse{Value: value}, nil
 }
 
-// Set writes a key.
-func (s *Server) Set(ctx context.Context, q *cachev1.SetRequest) (*cachev1.SetResponse, error) {
-	value, err := s.ask(ctx, q.GetAttributes(), q.GetKey(), q.GetValue(), true)
+// Set implements the RPC that writes a key.
+func (s *Server) Set(ctx context.Context, request *cachev1.SetRequest) (*cachev1.SetResponse, error) {
+	value, err := s.call(ctx, request.GetAttributes(), request.GetKey(), request.GetValue(), true)
 	if err != nil {
 		return nil, err
 	}
 	return &cachev1.SetResponse{Receipt: value}, nil
 }
 
-// ended is how a call ended, on its way from the loop.
-type ended struct {
+// callResult is the end of a call, as the router's loop reports it: a refusal if that is set, otherwise an answer.
+type callResult struct {
 	wire.Answer
-	refused router.Refusal
+	refusal router.Refusal
 }
 
-// ask offers a request and waits for its one answer.
-func (s *Server) ask(ctx context.Context, at *cachev1.Attributes, key, value []byte, write bool) ([]byte, error) {
-	if field, what := s.wrong(at, key, value); what != "" {
-		return nil, invalid(field, what)
+// call offers a request to the router and waits for its answer, its refusal, or the end of ctx.
+func (s *Server) call(ctx context.Context, attributes *cachev1.Attributes, key, value []byte, write bool) ([]byte, error) {
+	if field, problem := s.invalidField(attributes, key, value); problem != "" {
+		return nil, invalidArgument(field, problem)
 	}
-	done := make(chan ended, 1)
-	o := &router.Offer{Request: wire.Request{ID: routing.RequestID(at.GetId()), Key: key, Value: value, Write: write}, Method: at.GetMethod(),
-		Tenant: routing.Tenant(at.GetTenant()), Resent: at.GetResent(),
+	done := make(chan callResult, 1)
+	offer := &router.Offer{Request: wire.Request{ID: routing.RequestID(attributes.GetId()), Key: key, Value: value, Write: write}, Method: attributes.GetMethod(),
+		Tenant: routing.Tenant(attributes.GetTenant()), Resent: attributes.GetResent(),
 		Answer: func(a wire.Answer) {
 			a.Value = bytes.Clone(a.Value)
-			done <- ended{Answer: a}
+			done <- callResult{Answer: a}
 		},
-		Refuse: func(why router.Refusal) { done <- ended{refused: why} },
+		Refuse: func(reason router.Refusal) { done <- callResult{refusal: reason} },
 		Gone:   func() bool { return ctx.Err() != nil },
 		Unread: func() bool { return s.hasUnread(ctx) }}
-	if due, told := ctx.Deadline(); told {
-		if o.Waits = clock.Time(time.Until(due) / time.Microsecond); o.Waits <= 0 {
+	if deadline, ok := ctx.Deadline(); ok {
+		if offer.Waits = clock.Time(time.Until(deadline) / time.Microsecond); offer.Waits <= 0 {
 			return nil, status.Error(codes.DeadlineExceeded, "the deadline had passed when the call came")
 		}
 	}
-	if err := ctx.Err(); err != nil { // it was cancelled before the call was taken, as in a process that stood still
+	if err := ctx.Err(); err != nil { // cancelled before the handler ran, for example while the process was stalled
 		return nil, status.FromContextError(err).Err()
 	}
-	o.Props = wire.NewProps(props(o, at))
-	if !s.r.Offer(o) {
+	offer.Props = wire.NewProps(encodeProps(offer, attributes))
+	if !s.router.Offer(offer) {
 		return nil, status.Error(codes.ResourceExhausted, "too many calls wait to be taken")
 	}
 	select {
-	case e := <-done:
-		return e.result()
+	case result := <-done:
+		return result.response()
 	case <-ctx.Done():
-		s.r.Withdraw(o)
+		s.router.Withdraw(offer)
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 }
 
-// hasUnread reports whether there is something of a call's connection that is not read yet.
+// hasUnread reports whether the connection of a call has input that the library has not processed. It is called on the
+// router's loop.
 func (s *Server) hasUnread(ctx context.Context) bool {
 	client, ok := peer.FromContext(ctx)
 	if !ok {
 		return false
 	}
 	conn, ok := s.conns.Load(client.Addr.String())
-	return ok && conn.(*counted).hasUnread()
+	return ok && conn.(*trackedConn).hasUnread()
 }
 
-// wrong names the field that cannot be taken. What is a separator in the form that cache servers are sent is refused.
-func (s *Server) wrong(at *cachev1.Attributes, key, value []byte) (field, what string) {
-	for _, x := range []struct {
+// invalidField returns the first invalid field and what is wrong with it; problem is "" if there is none. The separators of
+// the property format that cache servers receive are refused in attributes.
+func (s *Server) invalidField(attributes *cachev1.Attributes, key, value []byte) (field, problem string) {
+	for _, attribute := range []struct {
 		field, text string
-		needed      bool
-	}{{"attributes.id", at.GetId(), true}, {"attributes.method", at.GetMethod(), true}, {"attributes.tenant", at.GetTenant(), false}} {
+		required    bool
+	}{{"attributes.id", attributes.GetId(), true}, {"attributes.method", attributes.GetMethod(), true},
+		{"attributes.tenant", attributes.GetTenant(), false}} {
 		switch {
-		case x.text == "" && x.needed:
-			return x.field, "is needed"
-		case len(x.text) > mostText:
-			return x.field, fmt.Sprintf("has more than %d bytes", mostText)
+		case attribute.text == "" && attribute.required:
+			return attribute.field, "is needed"
+		case len(attribute.text) > maxAttributeBytes:
+			return attribute.field, fmt.Sprintf("has more than %d bytes", maxAttributeBytes)
 		}
-		for _, c := range []byte(x.text) {
+		for _, c := range []byte(attribute.text) {
 			if c <= ' ' || c == ',' || c == '=' || c > '~' {
-				return x.field, "holds a space, a comma, an equals sign or what is no printable ASCII"
+				return attribute.field, "holds a space, a comma, an equals sign or what is no printable ASCII"
 			}
 		}
 	}
 	switch {
 	case len(key) == 0:
 		return "key", "is needed"
-	case len(key) > around/2:
-		return "key", fmt.Sprintf("has more than %d bytes", around/2)
-	case len(value) > s.lim.ValueBytes:
-		return "value", fmt.Sprintf("has more than %d bytes", s.lim.ValueBytes)
+	case len(key) > messageOverheadBytes/2:
+		return "key", fmt.Sprintf("has more than %d bytes", messageOverheadBytes/2)
+	case len(value) > s.limits.ValueBytes:
+		return "value", fmt.Sprintf("has more than %d bytes", s.limits.ValueBytes)
 	}
 	return "", ""
 }
 
-// props are the names and values that cache servers and the origin are sent; the time is put in with each attempt.
-func props(o *router.Offer, at *cachev1.Attributes) []byte {
-	p := "c=" + o.Method
-	if o.Tenant != "" {
-		p += ",t=" + string(o.Tenant)
+// encodeProps returns the properties that cache servers and the origin receive. Its deadline is a placeholder, which each
+// attempt replaces.
+func encodeProps(offer *router.Offer, attributes *cachev1.Attributes) []byte {
+	props := "c=" + offer.Method
+	if offer.Tenant != "" {
+		props += ",t=" + string(offer.Tenant)
 	}
-	p += ",d=1"
-	if at.GetResent() {
-		p += ",r=1"
+	props += ",d=1"
+	if attributes.GetResent() {
+		props += ",r=1"
 	}
-	return []byte(p)
+	return []byte(props)
 }
 
-var refusals = map[router.Refusal]error{
+// refusalStatuses maps the reasons for which the router refuses an offer to gRPC statuses.
+var refusalStatuses = map[router.Refusal]error{
 	router.Full:     status.Error(codes.ResourceExhausted, "the router holds all that it may"),
-	router.NoMethod: invalid("attributes.method", "is none of the service"),
+	router.NoMethod: invalidArgument("attributes.method", "is none of the service"),
 	router.SameID:   status.Error(codes.AlreadyExists, "another open req has this id"),
 	router.Late:     status.Error(codes.DeadlineExceeded, "the deadline had passed when the call was taken"),
 	router.Ending:   status.Error(codes.Unavailable, "the router is ending"),
 }
 
-// result is the one table from answers to statuses.
-func (e ended) result() ([]byte, error) {
+// response translates the end of a call to the value or the gRPC status that the client receives.
+func (c callResult) response() ([]byte, error) {
 	switch {
-	case e.refused != 0:
-		return nil, refusals[e.refused]
-	case e.Kind == wire.Served:
-		return e.Value, nil
-	case e.TooLarge:
+	case c.refusal != 0:
+		return nil, refusalStatuses[c.refusal]
+	case c.Kind == wire.Served:
+		return c.Value, nil
+	case c.TooLarge:
 		return nil, status.Error(codes.ResourceExhausted, "the value is too big for gRPC; RESP2 passes it")
-	case e.Kind == wire.Failed:
+	case c.Kind == wire.Failed:
 		return nil, status.Error(codes.Aborted, "failed: it may have run")
-	case e.RetryAfter <= 0:
+	case c.RetryAfter <= 0:
 		return nil, status.Error(codes.Unavailable, "nacked: trying again is harmless")
 	}
-	return nil, with(status.New(codes.Unavailable, "nacked: trying again is harmless"),
-		&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(e.RetryAfter) * time.Microsecond)})
+	return nil, withDetail(status.New(codes.Unavailable, "nacked: trying again is harmless"),
+		&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(c.RetryAfter) * time.Microsecond)})
 }
 
-func invalid(field, what string) error {
-	return with(status.New(codes.InvalidArgument, field+" "+what),
-		&errdetails.BadRequest{FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: field, Description: what}}})
+// invalidArgument returns a status that names the invalid field.
+func invalidArgument(field, problem string) error {
+	return withDetail(status.New(codes.InvalidArgument, field+" "+problem),
+		&errdetails.BadRequest{FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: field, Description: problem}}})
 }
 
-func with(s *status.Status, detail any) error {
+// withDetail adds a RetryInfo or BadRequest message to a status.
+func withDetail(s *status.Status, detail any) error {
 	var err error
 	switch d := detail.(type) {
 	case *errdetails.RetryInfo:
@@ -255,29 +264,30 @@
 	case *errdetails.BadRequest:
 		s, err = s.WithDetails(d)
 	}
-	if err != nil { // such a message can always be packed
+	if err != nil { // unreachable: these messages can always be encoded
 		return status.Error(codes.Internal, err.Error())
 	}
 	return s.Err()
 }
 
-// bounded holds so many connections at once; one more is closed as it comes.
-type bounded struct {
+// limitedListener closes each new connection while as many are open as permits has room for.
+type limitedListener struct {
 	net.Listener
-	room chan struct{}
-	open *sync.Map // *counted by the client's address
+	permits chan struct{} // holds one entry for each open connection
+	conns   *sync.Map     // *trackedConn by client address
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		c, err := b.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case b.room <- struct{}{}:
-			conn := &counted{Conn: c, bounded: b}
-			b.open.Store(c.RemoteAddr().String(), conn)
+		case l.permits <- struct{}{}:
+			conn := &trackedConn{Conn: c, listener: l}
+			l.conns.Store(c.RemoteAddr().String(), conn)
 			return conn, nil
 		default:
 			c.Close()
@@ -285,32 +295,33 @@
 	}
 }
 
-type counted struct {
+// trackedConn is an open connection of a limitedListener. It knows whether its reader waits for input.
+type trackedConn struct {
 	net.Conn
-	bounded *bounded
-	once    sync.Once
-	reading atomic.Bool // the library has acted on all that it has read, and waits for more
+	listener        *limitedListener
+	closeOnce       sync.Once
+	waitingForInput atomic.Bool // the library has processed all its input and is blocked in Read
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(p []byte) (int, error) {
-	c.reading.Store(true)
-	defer c.reading.Store(false)
+func (c *trackedConn) Read(p []byte) (int, error) {
+	c.waitingForInput.Store(true)
+	defer c.waitingForInput.Store(false)
 	return c.Conn.Read(p)
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
-	c.once.Do(func() {
-		c.bounded.open.CompareAndDelete(c.RemoteAddr().String(), c)
-		<-c.bounded.room
+func (c *trackedConn) Close() error {
+	c.closeOnce.Do(func() {
+		c.listener.conns.CompareAndDelete(c.RemoteAddr().String(), c)
+		<-c.listener.permits
 	})
 	return c.Conn.Close()
 }
 
-// hasUnread reports whether bytes or the end of the connection wait to be read, or to be acted on.
-func (c *counted) hasUnread() bool {
-	if !c.reading.Load() {
+// hasUnread reports whether input, or the end of the connection, is still to be read or processed.
+func (c *trackedConn) hasUnread() bool {
+	if !c.waitingForInput.Load() {
 		return true
 	}
 	socket, ok := c.Conn.(syscall.Conn)
@@ -323,15 +334,15 @@
 	}
 	unread := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, peekErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buffer [1]byte
+		_, _, peekErr := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		unread = peekErr == nil
 	})
 	return err == nil && unread
 }
 
-// ErrStopped is what Serve returns after Stop.
+// ErrStopped is returned by Serve after Stop.
 var ErrStopped = grpc.ErrServerStopped
 
-// Stopped tells whether Serve ended because it was told to.
+// Stopped reports whether err, returned by Serve, is the result of Stop.
 func Stopped(err error) bool { return err == nil || errors.Is(err, ErrStopped) }
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -32,45 +32,47 @@
 	cachev1 "spurtrestle/proto/spurtrestle/cache/v1"
 )
 
-// site is a router with a gRPC front, one stand-in cache server behind it, and a client.
-type site struct {
-	t      *testing.T
-	log    *event.Log
-	server *cacheserver.Server
-	r      *router.Router
-	front  *Server
-	ended  chan error
-	conn   *grpc.ClientConn
-	c      cachev1.CacheServiceClient
-	n      atomic.Int64
+// testRouter is a router with a gRPC front end, one simulated cache server and a client.
+type testRouter struct {
+	t         *testing.T
+	log       *event.Log
+	server    *cacheserver.Server
+	router    *router.Router
+	frontend  *Server
+	runResult chan error
+	conn      *grpc.ClientConn
+	client    cachev1.CacheServiceClient
+	lastID    atomic.Int64
 }
 
-var places atomic.Int32
+// lastAddress counts the loopback addresses that tests have used; each test has one of its own.
+var lastAddress atomic.Int32
 
-func start(t *testing.T) *site {
-	s, err := scenario.Parse([]byte(scenario.Commented))
+// startRouter starts a router with a gRPC front end and waits until it serves. Its cleanup checks that nothing is left over.
+func startRouter(t *testing.T) *testRouter {
+	parsed, err := scenario.Parse([]byte(scenario.Commented))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Service.Mode, s.Routers.Count, s.Servers.Count = "through", 1, 1
-	x := &site{t: t, log: event.NewLog(), ended: make(chan error, 1)}
-	f := &cacheserver.Fleet{Log: x.log, Set: s.Servers, Service: s.Service, Through: true, Methods: map[string]scenario.Method{},
+	parsed.Service.Mode, parsed.Routers.Count, parsed.Servers.Count = "through", 1, 1
+	r := &testRouter{t: t, log: event.NewLog(), runResult: make(chan error, 1)}
+	cacheServers := &cacheserver.Fleet{Log: r.log, Set: parsed.Servers, Service: parsed.Service, Through: true, Methods: map[string]scenario.Method{},
 		Repeats: &cacheserver.Repeats{}}
-	for _, m := range s.Methods {
-		m.Work, m.Spread = 1000, "none"
-		f.Methods[m.Name] = m
+	for _, method := range parsed.Methods {
+		method.Work, method.Spread = 1000, "none"
+		cacheServers.Methods[method.Name] = method
 	}
-	at := func(port int) string { return fmt.Sprintf("127.16.0.%d:%d", places.Load(), port) }
-	places.Add(1)
-	if x.server, err = cacheserver.Start(f, "s0", "a", 0, []string{at(16379)}, true, 1); err != nil {
+	address := func(port int) string { return fmt.Sprintf("127.16.0.%d:%d", lastAddress.Load(), port) }
+	lastAddress.Add(1)
+	if r.server, err = cacheserver.Start(cacheServers, "s0", "a", 0, []string{address(16379)}, true, 1); err != nil {
 		t.Fatal(err)
 	}
-	reg, err := registry.Start(x.log, s.Discovery, []string{at(18500)})
+	discovery, err := registry.Start(r.log, parsed.Discovery, []string{address(18500)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	reg.Set(registry.Entry{UID: "s0", Zone: "a", Kind: "cache", State: "active", Addr: x.server.Addr}, true)
-	text, err := fleet.Config(s, 0, "n1", at(6379), at(18500), "1", reg.Known(0))
+	discovery.Set(registry.Entry{UID: "s0", Zone: "a", Kind: "cache", State: "active", Addr: r.server.Addr}, true)
+	text, err := fleet.Config(parsed, 0, "n1", address(6379), address(18500), "1", discovery.Known(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,68 +86,69 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	if x.r, err = router.New(cfg, log); err != nil {
+	if r.router, err = router.New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
-	x.front = New(x.r, Limits{Connections: 4, Streams: 1000, ValueBytes: 64 << 10})
-	ln, err := net.Listen("tcp", at(7443))
+	r.frontend = New(r.router, Limits{Connections: 4, Streams: 1000, ValueBytes: 64 << 10})
+	ln, err := net.Listen("tcp", address(7443))
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { x.ended <- x.r.Run() }()
-	go func() { _ = x.front.Serve(ln) }() // ends with Stop
-	if x.conn, err = grpc.NewClient(at(7443), grpc.WithTransportCredentials(insecure.NewCredentials())); err != nil {
+	go func() { r.runResult <- r.router.Run() }()
+	go func() { _ = r.frontend.Serve(ln) }() // ends with Stop
+	if r.conn, err = grpc.NewClient(address(7443), grpc.WithTransportCredentials(insecure.NewCredentials())); err != nil {
 		t.Fatal(err)
 	}
-	x.c = cachev1.NewCacheServiceClient(x.conn)
-	h := healthv1.NewHealthClient(x.conn)
-	for until := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		got, err := h.Check(t.Context(), &healthv1.HealthCheckRequest{})
+	r.client = cachev1.NewCacheServiceClient(r.conn)
+	healthClient := healthv1.NewHealthClient(r.conn)
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		got, err := healthClient.Check(t.Context(), &healthv1.HealthCheckRequest{})
 		if err == nil && got.Status == healthv1.HealthCheckResponse_SERVING {
 			break
 		}
-		if time.Now().After(until) {
-			t.Fatal("never serving: ", got, err)
+		if time.Now().After(deadline) {
+			t.Fatal("the health service does not report SERVING: ", got, err)
 		}
 	}
 	t.Cleanup(func() {
-		x.r.Drain()
-		x.front.Stop(time.Second)
-		x.conn.Close()
+		r.router.Drain()
+		r.frontend.Stop(time.Second)
+		r.conn.Close()
 		select {
-		case err := <-x.ended:
+		case err := <-r.runResult:
 			if err != nil {
 				t.Error(err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Error("the router did not end")
+			t.Error("the router did not stop")
 		}
-		if got := x.r.Counters(); !strings.Contains(got, " reqs=0 held-bytes=0 ") {
-			t.Error("something is left of a req: ", got)
+		if got := r.router.Counters(); !strings.Contains(got, " reqs=0 held-bytes=0 ") {
+			t.Error("the router still holds a request: ", got)
 		}
-		x.server.Kill()
-		x.server.Wait()
-		reg.Close()
+		r.server.Kill()
+		r.server.Wait()
+		discovery.Close()
 	})
-	return x
+	return r
 }
 
-func (x *site) id() string { return fmt.Sprintf("id-%d", x.n.Add(1)) }
+func (r *testRouter) newID() string { return fmt.Sprintf("id-%d", r.lastID.Add(1)) }
 
-func (x *site) get(ctx context.Context, id, method string) (string, error) {
-	got, err := x.c.Get(ctx, &cachev1.GetRequest{Attributes: &cachev1.Attributes{Id: id, Method: method}, Key: []byte("k")})
+func (r *testRouter) get(ctx context.Context, id, method string) (string, error) {
+	got, err := r.client.Get(ctx, &cachev1.GetRequest{Attributes: &cachev1.Attributes{Id: id, Method: method}, Key: []byte("k")})
 	return string(got.GetValue()), err
 }
 
-func (x *site) strike(kind string, share float64, end bool) {
-	if err := x.server.Strike(scenario.Fault{Kind: kind, Share: share, Factor: 1}, end); err != nil {
-		x.t.Fatal(err)
+// setFault begins or ends a fault of the cache server.
+func (r *testRouter) setFault(kind string, share float64, end bool) {
+	if err := r.server.Strike(scenario.Fault{Kind: kind, Share: share, Factor: 1}, end); err != nil {
+		r.t.Fatal(err)
 	}
 }
 
-// seen counts what the server saw of a request.
-func (x *site) seen(id string, kind event.Kind) (n int) {
-	for _, e := range x.log.Events() {
+// countEvents counts the events of a kind that the server logged for a request.
+func (r *testRouter) countEvents(id string, kind event.Kind) (n int) {
+	for _, e := range r.log.Events() {
 		if e.Kind == kind && string(e.Req) == id {
 			n++
 		}
@@ -153,47 +156,47 @@
 	return n
 }
 
-func within(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	for until := time.Now().Add(2 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("it never came to be that ", what)
+	for deadline := time.Now().Add(2 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting until ", condition)
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	x := start(t)
-	id := x.id()
-	if got, err := x.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.Req(id), []byte(got)) {
+func TestCallsReceiveTheRoutersAnswer(t *testing.T) {
+	r := startRouter(t)
+	id := r.newID()
+	if got, err := r.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.Req(id), []byte(got)) {
 		t.Error(got, err)
 	}
-	id = x.id()
-	set, err := x.c.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
-	if err != nil || !cacheserver.MadeFor(event.Req(id), set.GetReceipt()) || x.seen(id, event.Ran) != 1 {
-		t.Error(set, err, x.seen(id, event.Ran))
+	id = r.newID()
+	set, err := r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
+	if err != nil || !cacheserver.MadeFor(event.Req(id), set.GetReceipt()) || r.countEvents(id, event.Ran) != 1 {
+		t.Error(set, err, r.countEvents(id, event.Ran))
 	}
-	// What may have run and must not run again fails, and nothing more is said of it.
-	x.strike("reset", 1, false)
-	_, err = x.c.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: x.id(), Method: "book"}, Key: []byte("k")})
+	// A request that may have run and must not run twice fails, without further details.
+	r.setFault("reset", 1, false)
+	_, err = r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: r.newID(), Method: "book"}, Key: []byte("k")})
 	if status.Code(err) != codes.Aborted {
 		t.Error(err)
 	}
-	// What may run again is rejected once its tries are used up, with the time to come back.
-	_, err = x.get(t.Context(), x.id(), "status")
+	// A request that may run again is rejected once its attempts are used up, with a retry delay.
+	_, err = r.get(t.Context(), r.newID(), "status")
 	if s := status.Convert(err); s.Code() != codes.Unavailable || len(s.Details()) != 1 ||
 		s.Details()[0].(*errdetails.RetryInfo).RetryDelay.AsDuration() < 100*time.Millisecond {
 		t.Error(err)
 	}
-	x.strike("reset", 0, true)
+	r.setFault("reset", 0, true)
 }
 
-func TestBadInputIsNamed(t *testing.T) {
-	x := start(t)
+func TestInvalidFieldIsNamed(t *testing.T) {
+	r := startRouter(t)
 	for _, c := range []struct {
-		at    *cachev1.Attributes
-		key   string
-		field string
+		attributes *cachev1.Attributes
+		key        string
+		field      string
 	}{
 		{nil, "k", "attributes.id"},
 		{&cachev1.Attributes{Id: "a b", Method: "status"}, "k", "attributes.id"},
@@ -203,125 +206,124 @@
 		{&cachev1.Attributes{Id: "a", Method: "status", Tenant: "x,d=9"}, "k", "attributes.tenant"},
 		{&cachev1.Attributes{Id: "a", Method: "status"}, "", "key"},
 	} {
-		_, err := x.c.Get(t.Context(), &cachev1.GetRequest{Attributes: c.at, Key: []byte(c.key)})
-		s := status.Convert(err)
-		if s.Code() != codes.InvalidArgument || len(s.Details()) != 1 ||
-			s.Details()[0].(*errdetails.BadRequest).FieldViolations[0].Field != c.field {
-			t.Errorf("%v: %v", c.at, err)
+		_, err := r.client.Get(t.Context(), &cachev1.GetRequest{Attributes: c.attributes, Key: []byte(c.key)})
+		got := status.Convert(err)
+		if got.Code() != codes.InvalidArgument || len(got.Details()) != 1 ||
+			got.Details()[0].(*errdetails.BadRequest).FieldViolations[0].Field != c.field {
+			t.Errorf("attributes %v: got %v, want a violation of %s", c.attributes, err, c.field)
 		}
 	}
-	at := &cachev1.Attributes{Id: "big", Method: "book"}
+	attributes := &cachev1.Attributes{Id: "big", Method: "book"}
 	for size, want := range map[int]codes.Code{64 << 10: codes.OK, 64<<10 + 1: codes.InvalidArgument, 1 << 20: codes.ResourceExhausted} {
-		_, err := x.c.Set(t.Context(), &cachev1.SetRequest{Attributes: at, Key: []byte("k"), Value: make([]byte, size)})
+		_, err := r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: attributes, Key: []byte("k"), Value: make([]byte, size)})
 		if status.Code(err) != want {
-			t.Errorf("a value of %d bytes: %v", size, err)
+			t.Errorf("write of %d bytes: got %v, want %v", size, err, want)
 		}
 	}
 }
 
-// A client that cancels has its attempt called off at once, and a second request with its id is refused only until then.
-func TestCancelRecalls(t *testing.T) {
-	x := start(t)
-	x.strike("hang", 0, false)
+// When a client cancels a call, its attempt is cancelled at once. Until then a second request with the same id is refused.
+func TestCancellingACallCancelsItsAttempt(t *testing.T) {
+	r := startRouter(t)
+	r.setFault("hang", 0, false)
 	ctx, cancel := context.WithCancel(t.Context())
-	id := x.id()
+	id := r.newID()
 	done := make(chan error, 1)
 	go func() {
-		_, err := x.get(ctx, id, "status")
+		_, err := r.get(ctx, id, "status")
 		done <- err
 	}()
-	within(t, "the write-out came", func() bool { return x.seen(id, event.Begun) == 1 })
-	if _, err := x.get(t.Context(), id, "status"); status.Code(err) != codes.AlreadyExists {
+	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.Begun) == 1 })
+	if _, err := r.get(t.Context(), id, "status"); status.Code(err) != codes.AlreadyExists {
 		t.Error(err)
 	}
 	cancel()
 	if err := <-done; status.Code(err) != codes.Canceled {
 		t.Error(err)
 	}
-	within(t, "the write-out was called off", func() bool { return x.seen(id, event.Ended) == 1 })
-	x.strike("hang", 0, true)
+	waitUntil(t, "the attempt is cancelled", func() bool { return r.countEvents(id, event.Ended) == 1 })
+	r.setFault("hang", 0, true)
 }
 
-// A client's deadline that is shorter than the method's own counts; one that has passed brings no attempt; a longer one,
-// or none, lengthens nothing.
-func TestDeadlines(t *testing.T) {
-	x := start(t)
-	x.strike("hang", 0, false)
-	defer x.strike("hang", 0, true)
+// The shorter of the client's and the method's deadline applies. A deadline that has passed causes no attempt.
+func TestShorterDeadlineApplies(t *testing.T) {
+	r := startRouter(t)
+	r.setFault("hang", 0, false)
+	defer r.setFault("hang", 0, true)
 	for _, c := range []struct {
-		own  time.Duration
-		most time.Duration
-	}{{120 * time.Millisecond, 250 * time.Millisecond}, {time.Minute, 900 * time.Millisecond}} { // the method's is 600 ms
-		ctx, cancel := context.WithTimeout(t.Context(), c.own)
+		deadline time.Duration
+		limit    time.Duration
+	}{{120 * time.Millisecond, 250 * time.Millisecond}, {time.Minute, 900 * time.Millisecond}} { // the method's deadline is 600 ms
+		ctx, cancel := context.WithTimeout(t.Context(), c.deadline)
 		began := time.Now()
-		_, err := x.get(ctx, x.id(), "status")
+		_, err := r.get(ctx, r.newID(), "status")
 		cancel()
-		if took := time.Since(began); took > c.most || err == nil {
-			t.Errorf("with %v: %v after %v", c.own, err, took)
+		if took := time.Since(began); took > c.limit || err == nil {
+			t.Errorf("with a deadline of %v: %v after %v", c.deadline, err, took)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 	defer cancel()
-	id := x.id()
-	if _, err := x.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || x.seen(id, event.Begun) != 0 {
-		t.Error(err, x.seen(id, event.Begun))
+	id := r.newID()
+	if _, err := r.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || r.countEvents(id, event.Begun) != 0 {
+		t.Error(err, r.countEvents(id, event.Begun))
 	}
 }
 
-// What is in hand when the router is told to end is answered; what comes later is sent elsewhere.
-func TestDrain(t *testing.T) {
-	x := start(t)
-	if _, err := x.get(t.Context(), x.id(), "status"); err != nil {
+// A draining router answers open calls, and its health service reports NOT_SERVING, so that clients go elsewhere.
+func TestDrainAnswersOpenCalls(t *testing.T) {
+	r := startRouter(t)
+	if _, err := r.get(t.Context(), r.newID(), "status"); err != nil {
 		t.Fatal(err)
 	}
-	x.strike("hang", 0, false)
-	id := x.id()
+	r.setFault("hang", 0, false)
+	id := r.newID()
 	done := make(chan error, 1)
 	go func() {
-		_, err := x.get(t.Context(), id, "status")
+		_, err := r.get(t.Context(), id, "status")
 		done <- err
 	}()
-	within(t, "the write-out came", func() bool { return x.seen(id, event.Begun) == 1 })
-	x.r.Drain()
-	h := healthv1.NewHealthClient(x.conn)
-	within(t, "it tells of its end", func() bool {
-		got, err := h.Check(t.Context(), &healthv1.HealthCheckRequest{})
+	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.Begun) == 1 })
+	r.router.Drain()
+	healthClient := healthv1.NewHealthClient(r.conn)
+	waitUntil(t, "the health service reports NOT_SERVING", func() bool {
+		got, err := healthClient.Check(t.Context(), &healthv1.HealthCheckRequest{})
 		return err == nil && got.Status == healthv1.HealthCheckResponse_NOT_SERVING
 	})
-	x.strike("hang", 0, true)
+	r.setFault("hang", 0, true)
 	if err := <-done; err != nil {
-		t.Error("what was in hand got ", err)
+		t.Error("the open call got ", err)
 	}
 }
 
-// Thousands of calls begun and given up leave nothing behind (the counters are looked at in the end), nor any goroutine.
-func TestFloodOfCancels(t *testing.T) {
+// Thousands of cancelled calls leave neither requests nor goroutines behind. The cleanup of startRouter checks the counters.
+func TestManyCancelledCallsLeakNothing(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Run("flood", func(t *testing.T) {
-		x := start(t)
+		r := startRouter(t)
 		var wg sync.WaitGroup
 		for range 50 {
 			wg.Go(func() {
 				for i := range 60 {
 					ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i*20)*time.Microsecond)
-					_, _ = x.get(ctx, x.id(), "status") // that it is given up is the point
+					_, _ = r.get(ctx, r.newID(), "status") // most of these calls are cancelled
 					cancel()
 				}
 			})
 		}
 		wg.Wait()
-		if _, err := x.get(t.Context(), x.id(), "status"); err != nil {
-			t.Error("after the flood: ", err)
+		if _, err := r.get(t.Context(), r.newID(), "status"); err != nil {
+			t.Error("after the cancelled calls: ", err)
 		}
 	})
-	// gnet ends its own in its own time.
+	// gnet's goroutines may end later.
 	goleak.VerifyNone(t, before, goleak.IgnoreAnyFunction("github.com/panjf2000/gnet/v2.Engine.Stop"),
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"))
 }
 
-// A connection has something unread from the client's last byte, or its end, until the reader is back for more.
-func TestConn_TellsWhatIsUnread(t *testing.T) {
+// A connection has unread input from the arrival of bytes, or of its end, until its reader is back in Read.
+func TestTrackedConn_ReportsUnreadInput(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -332,12 +334,12 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	accepted, err := (&bounded{Listener: ln, room: make(chan struct{}, 1), open: &sync.Map{}}).Accept()
+	accepted, err := (&limitedListener{Listener: ln, permits: make(chan struct{}, 1), conns: &sync.Map{}}).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	conn := accepted.(*counted)
+	conn := accepted.(*trackedConn)
 	read := make(chan int)
 	proceed := make(chan struct{})
 	go func() {
@@ -351,24 +353,24 @@
 			}
 		}
 	}()
-	await := func(want bool, when string) {
+	awaitUnread := func(want bool, when string) {
 		t.Helper()
-		for until := time.Now().Add(5 * time.Second); conn.hasUnread() != want; time.Sleep(time.Millisecond) {
-			if time.Now().After(until) {
-				t.Fatalf("%s: unread is %v, want %v", when, !want, want)
+		for deadline := time.Now().Add(5 * time.Second); conn.hasUnread() != want; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("%s: hasUnread is %v, want %v", when, !want, want)
 			}
 		}
 	}
-	await(false, "nothing was sent")
+	awaitUnread(false, "before any input")
 	if _, err := client.Write([]byte("cancel")); err != nil {
 		t.Fatal(err)
 	}
 	<-read
-	await(true, "it was read and not acted on")
+	awaitUnread(true, "input was read but not processed")
 	proceed <- struct{}{}
-	await(false, "the reader is back")
+	awaitUnread(false, "the reader is back in Read")
 	client.Close()
 	<-read
-	await(true, "the end was read and not acted on")
+	awaitUnread(true, "the end was read but not processed")
 	proceed <- struct{}{}
 }
