--- a/cmd/cache-router/main.go
+++ b/cmd/cache-router/main.go
@@ -1,4 +1,4 @@
-// Command cache-router is the router on sockets, for RESP2 clients alone: without gRPC it is half as large.
+// Command cache-router is the router for RESP2 clients only. Without gRPC the program is half as large.
 package main
 
 import "spurtrestle/internal/program"
--- a/cmd/cache-router/main_test.go
+++ b/cmd/cache-router/main_test.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// The program under test is the test binary itself.
+// TestMain runs the program itself if SPURTRESTLE_TEST says so: the program under test is this test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("SPURTRESTLE_TEST") == "run" {
 		main()
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-func TestBadConfigurationEndsTheProgram(t *testing.T) {
+func TestInvalidConfigurationIsFatal(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(`{"listen":"nowhere"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -47,9 +47,9 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args string
-		code int
-		says string
+		args   string
+		code   int
+		output string
 	}{
 		{"--help", 0, "cache-router check"},
 		{"check --config " + file, 0, "good; n1 listens on 127.0.0.1:1, 1 methods"},
@@ -67,39 +67,40 @@
 	} {
 		program := exec.Command(os.Args[0], strings.Fields(c.args)...)
 		program.Env = append(os.Environ(), "SPURTRESTLE_TEST=run", "EDGE_CONFIG=")
-		out, _ := program.CombinedOutput() // the code tells
-		if program.ProcessState.ExitCode() != c.code || !strings.Contains(string(out), c.says) {
-			t.Errorf("%s: %d, %s", c.args, program.ProcessState.ExitCode(), out)
+		out, _ := program.CombinedOutput() // the exit code is checked instead
+		if program.ProcessState.ExitCode() != c.code || !strings.Contains(string(out), c.output) {
+			t.Errorf("%s: exit code %d, want %d with %q; output: %s", c.args, program.ProcessState.ExitCode(), c.code, c.output, out)
 		}
 	}
 }
 
-// A door that cannot be opened, or is the clients' own, ends the start by its field, with nothing listening.
-func TestDoorThatCannotBe(t *testing.T) {
-	p := newPlayer(t)
-	p.start([]string{"s1"})
-	taken := strings.Replace(p.listen, "127.77.", "127.78.", 1)
-	for door, says := range map[string]string{p.admin: "admin: listen tcp " + p.admin + ": bind: address already in use; give", taken: "is listen too"} {
+// An admin address that is in use, or equals the clients' address, ends the start with an error that names the field. The
+// program must not listen for clients then.
+func TestUnusableAdminAddressIsFatal(t *testing.T) {
+	h := newHarness(t)
+	h.start([]string{"s1"})
+	taken := strings.Replace(h.listen, "127.77.", "127.78.", 1)
+	for admin, message := range map[string]string{h.admin: "admin: listen tcp " + h.admin + ": bind: address already in use; give", taken: "is listen too"} {
 		program := exec.Command(os.Args[0])
-		program.Env = append(os.Environ(), "SPURTRESTLE_TEST=run", "EDGE_CONFIG="+p.file, "EDGE_LISTEN="+taken, "EDGE_ADMIN="+door, "TMPDIR="+t.TempDir())
-		out, _ := program.CombinedOutput() // the code tells
-		if program.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), says) {
-			t.Errorf("%d, %s", program.ProcessState.ExitCode(), out)
+		program.Env = append(os.Environ(), "SPURTRESTLE_TEST=run", "EDGE_CONFIG="+h.configFile, "EDGE_LISTEN="+taken, "EDGE_ADMIN="+admin, "TMPDIR="+t.TempDir())
+		out, _ := program.CombinedOutput() // the exit code is checked instead
+		if program.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), message) {
+			t.Errorf("admin address %s: exit code %d, output: %s", admin, program.ProcessState.ExitCode(), out)
 		}
 		if c, err := net.Dial("tcp", taken); err == nil {
 			c.Close()
-			t.Error("it listens")
+			t.Error("the program listens for clients")
 		}
 	}
 }
 
-// TestOverSockets plays each script of testdata against the program.
-func TestOverSockets(t *testing.T) {
+// TestScripts runs each script of testdata against the program, over sockets.
+func TestScripts(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		t.Parallel()
-		p := newPlayer(t)
-		got := p.play(script)
-		if log := p.log.text(); strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic") {
+		h := newHarness(t)
+		got := h.runScript(script)
+		if log := h.log.text(); strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic") {
 			t.Error(log)
 		}
 		return got
--- a/cmd/cache-router/platform_test.go
+++ b/cmd/cache-router/platform_test.go
@@ -15,9 +15,9 @@
 	"spurtrestle/internal/resp"
 )
 
-// There are platforms with TCP and UDP over IPv4 alone, where each other kind of socket is refused. The program, built
-// as it is deployed, must hold no other before it says yes; and where the Unix socket for the next process cannot be, it
-// serves with one warning. Either way SIGHUP and SIGTERM do what they do elsewhere.
+// Some platforms permit only TCP and UDP sockets over IPv4. The program, built as it is deployed, must hold no other socket
+// before it is ready. Where the Unix socket for a successor cannot be created, it serves with one warning. In both cases
+// SIGHUP and SIGTERM work as elsewhere.
 func TestStartsWithIPv4Alone(t *testing.T) {
 	built := filepath.Join(t.TempDir(), "cache-router")
 	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", built, ".")
@@ -25,86 +25,87 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	full := filepath.Join(t.TempDir(), "file") // no folder: no socket can be made in it
+	full := filepath.Join(t.TempDir(), "file") // not a folder, so no socket can be created in it
 	if err := os.WriteFile(full, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	long := filepath.Join(t.TempDir(), strings.Repeat("long", 50)) // more than a socket's address has room for
+	long := filepath.Join(t.TempDir(), strings.Repeat("long", 50)) // longer than a socket address permits
 	if err := os.Mkdir(long, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		door     bool
+		admin    bool
 		tmp      string
 		warnings int
 	}{
-		"no door":             {},
-		"a door":              {door: true},
-		"no folder":           {door: true, tmp: full, warnings: 2}, // the other: what operators asked cannot be read
-		"a long path":         {door: true, tmp: long},
-		"nothing to write in": {door: true, tmp: "/proc", warnings: 1},
+		"no admin endpoint":   {},
+		"an admin endpoint":   {admin: true},
+		"no folder":           {admin: true, tmp: full, warnings: 2}, // the second one: the intent file cannot be read
+		"a long path":         {admin: true, tmp: long},
+		"nothing to write in": {admin: true, tmp: "/proc", warnings: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newPlayer(t)
-			p.binary, p.noDoor, p.tmp = built, !c.door, c.tmp
-			p.start(nil)
-			pid := p.program.Process.Pid
-			if got := p.ping(); got == "+PONG" {
-				t.Fatal("it says yes before it knows a server")
+			h := newHarness(t)
+			h.binary, h.noAdmin, h.tempDir = built, !c.admin, c.tmp
+			h.start(nil)
+			pid := h.program.Process.Pid
+			if got := h.ping(); got == "+PONG" {
+				t.Fatal("the program is ready before it knows a server")
 			}
-			if kinds := socketsOf(t, pid); len(kinds["other"]) > 0 || len(kinds["tcp"]) == 0 || len(kinds["udp"]) == 0 {
-				t.Errorf("before its yes it holds %v", kinds)
+			if kinds := steadySockets(t, pid); len(kinds["other"]) > 0 || len(kinds["tcp"]) == 0 || len(kinds["udp"]) == 0 {
+				t.Errorf("before it is ready, the program holds the sockets %v", kinds)
 			}
-			go p.listing("s1", "origin")
-			for i := 0; p.ping() != "+PONG"; i++ {
+			go h.serveList("s1", "origin")
+			for i := 0; h.ping() != "+PONG"; i++ {
 				if i > 30 {
-					t.Fatal("it does not say yes")
+					t.Fatal("the program does not become ready")
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			p.configure(p.config)
-			_ = p.program.Process.Signal(syscall.SIGHUP)
+			h.configure(h.config)
+			_ = h.program.Process.Signal(syscall.SIGHUP)
 			time.Sleep(300 * time.Millisecond)
-			if got := p.ping(); got != "+PONG" {
+			if got := h.ping(); got != "+PONG" {
 				t.Error("after SIGHUP:", got)
 			}
-			if kinds := socketsOf(t, pid); (len(kinds["other"]) > 0) != (c.door && c.warnings == 0) {
-				t.Errorf("after its yes it holds %v", kinds)
+			if kinds := steadySockets(t, pid); (len(kinds["other"]) > 0) != (c.admin && c.warnings == 0) {
+				t.Errorf("when it is ready, the program holds the sockets %v", kinds)
 			}
-			_ = p.program.Process.Signal(syscall.SIGTERM)
+			_ = h.program.Process.Signal(syscall.SIGTERM)
 			select {
-			case err := <-p.ended:
+			case err := <-h.exited:
 				if err != nil {
 					t.Error(err)
 				}
-			case <-time.After(patience):
-				t.Error("it stays after SIGTERM")
+			case <-time.After(waitTimeout):
+				t.Error("the program did not exit after SIGTERM")
 			}
-			if n := warningsOfTheProgram(p.log.text()); n != c.warnings {
-				t.Errorf("%d warnings: %s", n, p.log.text())
+			if n := countWarnings(h.log.text()); n != c.warnings {
+				t.Errorf("got %d warnings: %s", n, h.log.text())
 			}
 		})
 	}
 }
 
-// lateness are the warnings that tell of a machine which is slow at the moment: discovery's side of this test begins to answer
-// only once the sockets have been looked at, and where that took half a second the first call was given up.
-var lateness = []string{"a call to discovery failed", "the loop stood still"}
+// slowMachineWarnings are warnings that a slow machine causes. Discovery in this test answers only after the sockets have been
+// inspected; when that takes half a second, the program abandons its first call.
+var slowMachineWarnings = []string{"a call to discovery failed", "the loop stood still"}
 
-// warningsOfTheProgram counts the warnings in a log, but for those of a slow machine.
-func warningsOfTheProgram(log string) (n int) {
+// countWarnings counts the warnings in a log, except those that a slow machine causes.
+func countWarnings(log string) (n int) {
 	for line := range strings.Lines(log) {
-		late := slices.ContainsFunc(lateness, func(what string) bool { return strings.Contains(line, what) })
-		if strings.Contains(line, "level=warning") && !late {
+		slow := slices.ContainsFunc(slowMachineWarnings, func(what string) bool { return strings.Contains(line, what) })
+		if strings.Contains(line, "level=warning") && !slow {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *player) ping() string {
-	c, err := net.DialTimeout("tcp", p.listen, patience)
+// ping returns the answer to PING on a new connection.
+func (h *harness) ping() string {
+	c, err := net.DialTimeout("tcp", h.listen, waitTimeout)
 	if err != nil {
 		return err.Error()
 	}
@@ -115,13 +116,13 @@
 	return strings.TrimSpace(string(buf[:n]))
 }
 
-// socketsOf are the sockets that a process holds at each of three looks, by kind. At one look a connection that ends just then is
-// in no table any more, and seems to be of another kind.
-func socketsOf(t *testing.T, pid int) map[string][]string {
-	held := socketsNow(t, pid)
+// steadySockets returns the sockets that a process holds in each of three samples, by kind. In a single sample, a connection that
+// is just being closed is in no table any more and seems to be of another kind.
+func steadySockets(t *testing.T, pid int) map[string][]string {
+	held := currentSockets(t, pid)
 	for range 2 {
 		time.Sleep(50 * time.Millisecond)
-		now := socketsNow(t, pid)
+		now := currentSockets(t, pid)
 		for kind := range held {
 			held[kind] = slices.DeleteFunc(held[kind], func(s string) bool { return !slices.Contains(now[kind], s) })
 		}
@@ -129,10 +130,10 @@
 	return held
 }
 
-// socketsNow: what is neither TCP nor UDP over IPv4 is "other".
-func socketsNow(t *testing.T, pid int) map[string][]string {
+// currentSockets returns the sockets that a process holds, by kind: "tcp" and "udp" over IPv4, and "other".
+func currentSockets(t *testing.T, pid int) map[string][]string {
 	kinds := map[string][]string{}
-	in := map[string]string{}
+	kindOf := map[string]string{}
 	for _, kind := range []string{"tcp", "udp"} {
 		table, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", pid, kind))
 		if err != nil {
@@ -140,18 +141,18 @@
 		}
 		for line := range strings.Lines(string(table)) {
 			if f := strings.Fields(line); len(f) > 9 {
-				in[f[9]] = kind // the column of the inode
+				kindOf[f[9]] = kind // the column of the inode
 			}
 		}
 	}
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	if err != nil || len(files) == 0 {
-		t.Fatal("its descriptors cannot be read: ", err)
+		t.Fatal("cannot read the descriptors of the process: ", err)
 	}
 	for _, f := range files {
-		to, _ := os.Readlink(f) // gone by now: not held
+		to, _ := os.Readlink(f) // fails for a descriptor that has been closed meanwhile
 		if inode, ok := strings.CutPrefix(to, "socket:["); ok {
-			kind := in[strings.TrimSuffix(inode, "]")]
+			kind := kindOf[strings.TrimSuffix(inode, "]")]
 			if kind == "" {
 				kind = "other"
 			}
--- a/cmd/cache-router/restart_test.go
+++ b/cmd/cache-router/restart_test.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	restarted    = 10
-	readyWithin  = 10 * time.Second
-	mostNotReady = restarted / 10
+	restartedRouters = 10
+	readyTimeout     = 10 * time.Second
+	maxNotReady      = restartedRouters / 10
 )
 
-// restart kills ten routers at once and starts them again, each as its file has it by then, and returns how long each took until it
-// said yes; those that did not in time are left out.
-func restart(t *testing.T, all []*player) []time.Duration {
-	for _, p := range all {
-		_ = p.program.Process.Kill()
-		<-p.ended
+// killAndRestart kills all routers, starts them again with their current configurations, and returns how long each took to become
+// ready, without those that exceeded readyTimeout.
+func killAndRestart(t *testing.T, all []*harness) []time.Duration {
+	for _, h := range all {
+		_ = h.program.Process.Kill()
+		<-h.exited
 	}
 	var mu sync.Mutex
 	var took []time.Duration
 	var each sync.WaitGroup
-	for _, p := range all {
+	for _, h := range all {
 		began := time.Now()
-		p.run() // it returns as the process has begun
+		h.startProcess() // returns when the process serves, which may be before it is ready
 		each.Go(func() {
-			for p.ping() != "+PONG" {
-				if time.Since(began) > readyWithin {
+			for h.ping() != "+PONG" {
+				if time.Since(began) > readyTimeout {
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -45,32 +45,32 @@
 	return took
 }
 
-// Discovery is down: calls to it are not answered. Routers that are killed and start again are ready by the list that each had last,
-// while clients come back to them in crowds.
+// Discovery does not answer. Ten routers that are killed and restarted become ready with the last list that each one had, while
+// many clients reconnect to them.
 func TestRestartWhileDiscoveryIsDown(t *testing.T) {
-	var all []*player
-	for range restarted {
-		p := newPlayer(t)
-		p.noDoor = true
-		p.start([]string{"s1", "origin"})
-		all = append(all, p)
-		defer p.crowd(20)()
+	var all []*harness
+	for range restartedRouters {
+		h := newHarness(t)
+		h.noAdmin = true
+		h.start([]string{"s1", "origin"})
+		all = append(all, h)
+		defer h.holdIdleClients(20)()
 	}
-	if ready := restart(t, all); len(ready) < restarted-mostNotReady {
-		t.Errorf("%d of %d are ready in %v", len(ready), restarted, readyWithin)
+	if ready := killAndRestart(t, all); len(ready) < restartedRouters-maxNotReady {
+		t.Errorf("%d of %d routers became ready within %v", len(ready), restartedRouters, readyTimeout)
 	}
 }
 
-// Where lists are asked for, and the routers have none of their own, discovery refuses calls for three seconds after the restart and
-// answers one after the other then, each in its turn.
-func TestRestartAtABusyDiscovery(t *testing.T) {
-	const refuses, turn = 3 * time.Second, 150 * time.Millisecond
-	first := newPlayer(t)
-	discovery, body := first.server("discovery"), first.list(true, 2, []string{"s1", "origin"})
+// The routers have no list of their own and request one from discovery, which refuses calls for three seconds after the restart
+// and then answers one call at a time.
+func TestRestartWhileDiscoveryIsBusy(t *testing.T) {
+	const refusalPeriod, answerDelay = 3 * time.Second, 150 * time.Millisecond
+	first := newHarness(t)
+	discovery, body := first.endpoint("discovery"), first.listBody(true, 2, []string{"s1", "origin"})
 	var mu sync.Mutex
 	var answersFrom time.Time
 	go func() {
-		for m := range discovery.came {
+		for m := range discovery.received {
 			if !strings.HasSuffix(m.text, "instances") {
 				continue
 			}
@@ -78,28 +78,28 @@
 			refused := time.Now().Before(answersFrom)
 			mu.Unlock()
 			if refused {
-				_, _ = io.WriteString(m.on, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+				_, _ = io.WriteString(m.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			time.Sleep(turn)
-			_, _ = fmt.Fprintf(m.on, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+			time.Sleep(answerDelay)
+			_, _ = fmt.Fprintf(m.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	}()
-	all := []*player{first}
-	for len(all) < restarted {
-		p := newPlayer(t)
-		p.peers["discovery"] = discovery
-		all = append(all, p)
+	all := []*harness{first}
+	for len(all) < restartedRouters {
+		h := newHarness(t)
+		h.endpoints["discovery"] = discovery
+		all = append(all, h)
 	}
-	for _, p := range all {
-		p.noDoor = true
-		p.swaps = append(p.swaps, `"discovery":"pushed"`, `"discovery":"on_request"`)
-		p.start(nil)
+	for _, h := range all {
+		h.noAdmin = true
+		h.replacements = append(h.replacements, `"discovery":"pushed"`, `"discovery":"on_request"`)
+		h.start(nil)
 	}
 	mu.Lock()
-	answersFrom = time.Now().Add(refuses)
+	answersFrom = time.Now().Add(refusalPeriod)
 	mu.Unlock()
-	if ready := restart(t, all); len(ready) < restarted-mostNotReady {
-		t.Errorf("%d of %d are ready in %v", len(ready), restarted, readyWithin)
+	if ready := killAndRestart(t, all); len(ready) < restartedRouters-maxNotReady {
+		t.Errorf("%d of %d routers became ready within %v", len(ready), restartedRouters, readyTimeout)
 	}
 }
--- a/cmd/cache-router/signal_test.go
+++ b/cmd/cache-router/signal_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// startingProgram is a program that still reads its configuration, which a pipe holds back.
+// startingProgram is a program that is blocked in reading its configuration from a pipe.
 type startingProgram struct {
 	*exec.Cmd
-	config *os.File // the pipe
-	log    lockedBuffer
+	configPipe *os.File // the writing end
+	log        syncBuffer
 }
 
 func newStartingProgram(t *testing.T) *startingProgram {
@@ -31,29 +31,29 @@
 	}
 	t.Cleanup(func() { _ = program.Process.Kill() })
 	var err error
-	if program.config, err = os.OpenFile(pipe, os.O_WRONLY, 0); err != nil { // returns once the program has opened it
+	if program.configPipe, err = os.OpenFile(pipe, os.O_WRONLY, 0); err != nil { // returns once the program has opened it
 		t.Fatal(err)
 	}
 	return program
 }
 
-func (s *startingProgram) signal(t *testing.T, sent os.Signal) {
+func (s *startingProgram) send(t *testing.T, sent os.Signal) {
 	t.Helper()
 	if err := s.Process.Signal(sent); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// configure lets the program read its configuration.
-func (s *startingProgram) configure(t *testing.T, config string) {
+// writeConfig lets the program read its configuration and go on.
+func (s *startingProgram) writeConfig(t *testing.T, config string) {
 	t.Helper()
-	if _, err := s.config.WriteString(config); err != nil {
+	if _, err := s.configPipe.WriteString(config); err != nil {
 		t.Fatal(err)
 	}
-	s.config.Close()
+	s.configPipe.Close()
 }
 
-func (s *startingProgram) endsInOrder(t *testing.T) {
+func (s *startingProgram) checkCleanExit(t *testing.T) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- s.Wait() }()
@@ -62,119 +62,120 @@
 		if err != nil {
 			t.Errorf("%v: %s", err, s.log.text())
 		}
-	case <-time.After(patience):
-		t.Fatal("it goes on")
+	case <-time.After(waitTimeout):
+		t.Fatal("the program did not exit")
 	}
 }
 
-// SIGTERM comes while the program still reads its configuration: it ends in order once it has begun, with 0. It was ended by the
-// signal.
-func TestTermDuringStart(t *testing.T) {
-	p := newPlayer(t)
-	p.start([]string{"s1", "origin"})
+// SIGTERM arrives while the program reads its configuration: once it has started, it must shut down gracefully and exit with 0.
+// A former version was killed by the signal.
+func TestSIGTERMDuringStart(t *testing.T) {
+	h := newHarness(t)
+	h.start([]string{"s1", "origin"})
 	program := newStartingProgram(t)
-	for range 2 { // twice is as good as once
-		program.signal(t, syscall.SIGTERM)
+	for range 2 { // a second SIGTERM must change nothing
+		program.send(t, syscall.SIGTERM)
 	}
-	program.configure(t, p.config)
-	program.endsInOrder(t)
+	program.writeConfig(t, h.config)
+	program.checkCleanExit(t)
 }
 
-// SIGTERM comes during the start behind a row of other signals, which nobody has read yet: it is not lost.
-func TestTermBehindOtherSignalsDuringStart(t *testing.T) {
-	p := newPlayer(t)
-	p.start([]string{"s1", "origin"})
+// SIGTERM arrives during the start after a series of other signals that are not handled yet: it must not be lost.
+func TestSIGTERMBehindOtherSignalsDuringStart(t *testing.T) {
+	h := newHarness(t)
+	h.start([]string{"s1", "origin"})
 	program := newStartingProgram(t)
 	for range 5 {
-		program.signal(t, syscall.SIGUSR1)
-		program.signal(t, syscall.SIGHUP)
-		time.Sleep(5 * time.Millisecond) // equal signals that wait in the kernel are one
+		program.send(t, syscall.SIGUSR1)
+		program.send(t, syscall.SIGHUP)
+		time.Sleep(5 * time.Millisecond) // the kernel merges equal pending signals
 	}
-	program.signal(t, syscall.SIGTERM)
+	program.send(t, syscall.SIGTERM)
 	time.Sleep(5 * time.Millisecond)
-	program.configure(t, p.config)
-	program.endsInOrder(t)
+	program.writeConfig(t, h.config)
+	program.checkCleanExit(t)
 }
 
-// asks begins a request at the program whose server does not answer yet.
-func (p *player) asks(who, id string) {
-	p.do(who, "opens", "")
-	p.do(who, "sends", "CACHE.GET k "+id+" c=get,d=2500")
-	got := p.see(p.server("s1"))
-	for strings.HasSuffix(got, "the end") { // of a process before
-		got = p.see(p.server("s1"))
+// beginRequest sends a request from a client and waits until it reaches s1, which does not answer yet.
+func (h *harness) beginRequest(who, id string) {
+	h.execute(who, "opens", "")
+	h.execute(who, "sends", "CACHE.GET k "+id+" c=get,d=2500")
+	got := h.receive(h.endpoint("s1"))
+	for strings.HasSuffix(got, "the end") { // of a connection of an earlier process
+		got = h.receive(h.endpoint("s1"))
 	}
 	if !strings.Contains(got, id) {
-		p.t.Fatalf("s1 gets %s", got)
+		h.t.Fatalf("s1 received %s, want request %s", got, id)
 	}
 }
 
-func (p *player) endsInOrder(what string) {
-	p.t.Helper()
+func (h *harness) waitForCleanExit(what string) {
+	h.t.Helper()
 	select {
-	case err := <-p.ended:
+	case err := <-h.exited:
 		if err != nil {
-			p.t.Errorf("%s: %v", what, err)
+			h.t.Errorf("%s: %v", what, err)
 		}
-	case <-time.After(patience):
-		p.t.Fatalf("%s goes on", what)
+	case <-time.After(waitTimeout):
+		h.t.Fatalf("%s did not exit", what)
 	}
 }
 
-// served has the server answer, and the client get that.
-func (p *player) served(who string) {
-	p.t.Helper()
-	p.do("s1", "writes", `"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n"`)
-	if got := p.see(p.peers[who]); got != "$one" {
-		p.t.Errorf("%s got %s", who, got)
+// answerRequest has s1 answer, and checks that the client receives the answer.
+func (h *harness) answerRequest(who string) {
+	h.t.Helper()
+	h.execute("s1", "writes", `"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n"`)
+	if got := h.receive(h.endpoints[who]); got != "$one" {
+		h.t.Errorf("client %s received %s, want $one", who, got)
 	}
 }
 
-// SIGTERM comes while SIGHUP has the file read again, which a pipe holds back for good: the request in hand is answered, and the
-// program ends in order.
-func TestTermDuringReload(t *testing.T) {
-	p := newPlayer(t)
-	p.start([]string{"s1", "origin"})
-	p.asks("a", "r1")
-	if err := os.Remove(p.file); err != nil {
+// SIGTERM arrives during a reload that blocks forever, because the configuration is a pipe: the open request must be answered, and
+// the program must shut down gracefully.
+func TestSIGTERMDuringReload(t *testing.T) {
+	h := newHarness(t)
+	h.start([]string{"s1", "origin"})
+	h.beginRequest("a", "r1")
+	if err := os.Remove(h.configFile); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Mkfifo(p.file, 0o600); err != nil {
+	if err := syscall.Mkfifo(h.configFile, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.program.Process.Signal(syscall.SIGHUP)
-	in, err := os.OpenFile(p.file, os.O_WRONLY, 0) // returns once the program reads it
+	_ = h.program.Process.Signal(syscall.SIGHUP)
+	in, err := os.OpenFile(h.configFile, os.O_WRONLY, 0) // returns once the program reads it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer in.Close()
-	_ = p.program.Process.Signal(syscall.SIGTERM)
-	p.served("a")
-	p.endsInOrder("the program")
+	_ = h.program.Process.Signal(syscall.SIGTERM)
+	h.answerRequest("a")
+	h.waitForCleanExit("the program")
 }
 
-// SIGTERM comes to one of two processes while the new one waits for discovery's list, before it takes clients.
-func TestTermDuringHandover(t *testing.T) {
+// One of two processes receives SIGTERM while the successor waits for a list from discovery, before it accepts clients: the other
+// one must go on serving.
+func TestSIGTERMDuringHandover(t *testing.T) {
 	t.Run("the new one", func(t *testing.T) {
-		p := newPlayer(t)
-		p.start([]string{"s1", "origin"})
-		p.asks("a", "r1")
-		p.beside(0)
-		_ = p.program.Process.Signal(syscall.SIGTERM)
-		p.served("a")
-		p.endsInOrder("the new process")
-		p.asks("b", "r2")
-		p.served("b")
+		h := newHarness(t)
+		h.start([]string{"s1", "origin"})
+		h.beginRequest("a", "r1")
+		h.startSuccessor(0)
+		_ = h.program.Process.Signal(syscall.SIGTERM)
+		h.answerRequest("a")
+		h.waitForCleanExit("the new process")
+		h.beginRequest("b", "r2")
+		h.answerRequest("b")
 	})
 	t.Run("the old one", func(t *testing.T) {
-		p := newPlayer(t)
-		p.start([]string{"s1", "origin"})
-		p.asks("a", "r1")
-		first, _ := p.beside(0)
+		h := newHarness(t)
+		h.start([]string{"s1", "origin"})
+		h.beginRequest("a", "r1")
+		first, _ := h.startSuccessor(0)
 		_ = first.Process.Signal(syscall.SIGTERM)
-		p.served("a")
-		p.endsInOrder("the old process")
-		p.asks("b", "r2")
-		p.served("b")
+		h.answerRequest("a")
+		h.waitForCleanExit("the old process")
+		h.beginRequest("b", "r2")
+		h.answerRequest("b")
 	})
 }
--- a/cmd/cache-router/gone_test.go
+++ b/cmd/cache-router/stall_test.go
@@ -13,16 +13,16 @@
 	"spurtrestle/internal/resp"
 )
 
-// Hundreds of clients send a request and go while the process stands still: none of it is sent on when it runs again.
-func TestClientsGoneWhileTheProcessStands(t *testing.T) {
+// Hundreds of clients send a request and disconnect while the process is stopped: when it runs again, it must forward none of them.
+func TestRequestsOfGoneClientsAreDroppedAfterAStall(t *testing.T) {
 	const clients = 400
-	p := newPlayer(t)
-	p.sockets = 2000
-	p.start([]string{"s1", "origin"})
-	s1 := p.server("s1")
+	h := newHarness(t)
+	h.sockets = 2000
+	h.start([]string{"s1", "origin"})
+	s1 := h.endpoint("s1")
 	var all []net.Conn
 	for range clients {
-		c, err := net.Dial("tcp", p.listen)
+		c, err := net.Dial("tcp", h.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -32,59 +32,59 @@
 			t.Fatal(err)
 		}
 	}
-	for i, c := range all[:8] { // connections to the server are open and idle then
+	for i, c := range all[:8] { // leaves idle connections to the server open
 		_, _ = c.Write(resp.AppendCommand(nil, []byte("CACHE.GET"), []byte("k"), fmt.Append(nil, "before", i), []byte("c=get,d=2500")))
 	}
 	for range 8 {
-		if got := p.see(s1); !strings.Contains(got, "before") {
+		if got := h.receive(s1); !strings.Contains(got, "before") {
 			t.Fatal(got)
 		}
-		defer s1.last.Close()
-		_, _ = s1.last.Write([]byte("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"))
+		defer s1.current.Close()
+		_, _ = s1.current.Write([]byte("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"))
 	}
 	for _, c := range all[:8] {
 		if _, err := c.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := p.program.Process.Signal(syscall.SIGSTOP); err != nil {
+	if err := h.program.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	p.standsStill()
+	h.waitUntilStopped()
 	for i, c := range all {
 		_, _ = c.Write(resp.AppendCommand(nil, []byte("CACHE.GET"), fmt.Append(nil, "k", i), fmt.Append(nil, "r", i), []byte("c=get,d=2500")))
 		c.Close()
 	}
 	time.Sleep(300 * time.Millisecond)
-	if err := p.program.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := h.program.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
 	n := 0
-	for len(s1.came) > 0 {
-		if m := <-s1.came; strings.Contains(m.text, "CACHE.GET") {
+	for len(s1.received) > 0 {
+		if m := <-s1.received; strings.Contains(m.text, "CACHE.GET") {
 			n++
 		}
 	}
 	if n > 0 {
-		t.Errorf("%d of %d requests of clients that had gone were sent on", n, clients)
+		t.Errorf("%d of %d requests of disconnected clients were forwarded", n, clients)
 	}
 }
 
-// standsStill waits until each thread of the program has stopped: a signal to stop takes effect a little after it is sent, and
-// what the program does until then is rightly done for clients that are still there.
-func (p *player) standsStill() {
-	p.t.Helper()
-	tasks := fmt.Sprintf("/proc/%d/task", p.program.Process.Pid)
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(time.Millisecond) {
+// waitUntilStopped waits until each thread of the program has stopped. SIGSTOP takes effect with a delay, and until then the
+// program may act for clients that are still connected.
+func (h *harness) waitUntilStopped() {
+	h.t.Helper()
+	tasks := fmt.Sprintf("/proc/%d/task", h.program.Process.Pid)
+	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(time.Millisecond) {
 		if allStopped(tasks) {
 			return
 		}
 	}
-	p.t.Fatal("the program does not stop")
+	h.t.Fatal("the program did not stop after SIGSTOP")
 }
 
-// allStopped tells whether each thread in a folder of /proc is in state T, stopped.
+// allStopped reports whether each thread in a task folder of /proc is in state T (stopped).
 func allStopped(tasks string) bool {
 	threads, err := os.ReadDir(tasks)
 	if err != nil {
--- a/internal/wire/http1/http1.go
+++ b/internal/wire/http1/http1.go
@@ -45,7 +45,9 @@
 }
 
 // ReadTrailer implements wire.ServerCodec. No bytes may follow the value.
-func (Codec) ReadTrailer(buf []byte) (whole, keep bool, err error) { return true, len(buf) == 0, nil }
+func (Codec) ReadTrailer(buf []byte) (complete, keep bool, err error) {
+	return true, len(buf) == 0, nil
+}
 
 // ReadAnswer implements wire.ServerCodec. An answer of 503 or 504 with the header "X-Never-Ran: 1" means that the origin
 // has not run the request.
--- a/internal/wire/resp2/resp2.go
+++ b/internal/wire/resp2/resp2.go
@@ -80,7 +80,7 @@
 
 // ReadTrailer implements wire.ServerCodec. A large value is followed by its line end and the two remaining entries of the
 // array.
-func (b ServerCodec) ReadTrailer(buf []byte) (whole, keep bool, err error) {
+func (b ServerCodec) ReadTrailer(buf []byte) (complete, keep bool, err error) {
 	const head = "*3\r\n$0\r\n"
 	_, used, err := resp.ReadReply(append([]byte(head), buf...), b.Bounds)
 	return used > 0, used == len(head)+len(buf), err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -59,6 +59,6 @@
 	// ReadLargeAnswer decodes the head of an answer that ReadAnswer refuses for its size: the value begins at offset at in
 	// buf and has size bytes. ok is false if buf does not begin with such an answer.
 	ReadLargeAnswer(buf []byte) (o Outcome, at, size int, ok bool)
-	// ReadTrailer decodes what follows a large value. whole is false while more input is needed; keep is as in ReadAnswer.
-	ReadTrailer(buf []byte) (whole, keep bool, err error)
+	// ReadTrailer decodes what follows a large value. complete is false while more input is needed; keep is as in ReadAnswer.
+	ReadTrailer(buf []byte) (complete, keep bool, err error)
 }
