--- a/cmd/cache-router/harness_test.go
+++ b/cmd/cache-router/harness_test.go
@@ -355,7 +355,7 @@
 		h.sockets = number(0)
 		return nil
 	case "clients have":
-		h.ownRouters = true // the arguments of the line is "routers of their own"
+		h.ownRouters = true // the arguments are "routers of their own"
 		return nil
 	case "idle after":
 		h.idleCloseSeconds, _ = strconv.ParseFloat(arguments, 64)
--- a/cmd/cache-router/settings_test.go
+++ b/cmd/cache-router/settings_test.go
@@ -88,7 +88,7 @@
 // leave unanswered the requests of each class. Each request must get exactly one answer in time, and none may run twice where
 // its class forbids it.
 func TestRulesHoldUnderRandomSettings(t *testing.T) {
-	var answerable, served atomic.Int32 // of the requests that servers answer
+	var answerable, served atomic.Int32 // answerable: requests that the servers answer
 	t.Run("drawn", func(t *testing.T) {
 		for seed := range uint64(100) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -118,7 +118,7 @@
 	}
 	h.start(servers)
 	var mu sync.Mutex
-	saw := map[string][]arrival{}
+	arrivals := map[string][]arrival{}
 	for name, zone := range map[string]string{"s1": "a", "s2": "b", "s3": "a", "origin": "c"} {
 		s := h.endpoint(name)
 		go func() {
@@ -129,7 +129,7 @@
 				}
 				id, http := words[2], name == "origin"
 				mu.Lock()
-				saw[id] = append(saw[id], arrival{zone, time.Now()})
+				arrivals[id] = append(arrivals[id], arrival{zone, time.Now()})
 				mu.Unlock()
 				mode, _, _ := strings.Cut(id, "-")
 				text := map[string]string{"ok": fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(id), id), "err": "-ERR failed\r\n", "miss": "*3\r\n$-1\r\n$-1\r\n$-1\r\n"}[mode]
@@ -167,7 +167,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	for _, c := range d.classes {
-		for id, at := range saw {
+		for id, at := range arrivals {
 			mode, rest, _ := strings.Cut(id, "-")
 			if !strings.HasPrefix(rest, c.name+"-") {
 				continue
--- a/internal/wire/http1/http1.go
+++ b/internal/wire/http1/http1.go
@@ -39,8 +39,8 @@
 }
 
 // ReadLargeAnswer implements wire.ServerCodec.
-func (b Codec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
-	answer, at, size := httpwire.ReadLargeHead(buf, b.Bounds)
+func (c Codec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
+	answer, at, size := httpwire.ReadLargeHead(buf, c.Bounds)
 	return wire.Outcome{Status: routing.OK, Report: answer.Get("Endpoint-Load-Metrics"), Close: answer.Close}, at, size, at > 0 && answer.Status == 200
 }
 
@@ -51,8 +51,8 @@
 
 // ReadAnswer implements wire.ServerCodec. An answer of 503 or 504 with the header "X-Never-Ran: 1" means that the origin
 // has not run the request.
-func (b Codec) ReadAnswer(buf []byte, ended bool) (o wire.Outcome, used int, keep bool, err error) {
-	answer, used, err := httpwire.ReadResponse(buf, ended, b.Bounds)
+func (c Codec) ReadAnswer(buf []byte, ended bool) (o wire.Outcome, used int, keep bool, err error) {
+	answer, used, err := httpwire.ReadResponse(buf, ended, c.Bounds)
 	if err != nil || used == 0 {
 		return o, 0, false, err
 	}
--- a/internal/wire/resp2/resp2.go
+++ b/internal/wire/resp2/resp2.go
@@ -51,8 +51,8 @@
 var errUnexpectedReply = errors.New("unexpected RESP reply")
 
 // ReadAnswer implements wire.ServerCodec.
-func (b ServerCodec) ReadAnswer(buf []byte, _ bool) (o wire.Outcome, used int, keep bool, err error) {
-	reply, used, err := resp.ReadReply(buf, b.Bounds)
+func (c ServerCodec) ReadAnswer(buf []byte, _ bool) (o wire.Outcome, used int, keep bool, err error) {
+	reply, used, err := resp.ReadReply(buf, c.Bounds)
 	if err != nil || used == 0 {
 		return o, 0, false, err
 	}
@@ -73,16 +73,16 @@
 }
 
 // ReadLargeAnswer implements wire.ServerCodec.
-func (b ServerCodec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
-	at, size, ok = resp.ReadLargeReply(buf, b.Bounds)
+func (c ServerCodec) ReadLargeAnswer(buf []byte) (o wire.Outcome, at, size int, ok bool) {
+	at, size, ok = resp.ReadLargeReply(buf, c.Bounds)
 	return wire.Outcome{Status: routing.OK}, at, size, ok
 }
 
 // ReadTrailer implements wire.ServerCodec. A large value is followed by its line end and the two remaining entries of the
 // array.
-func (b ServerCodec) ReadTrailer(buf []byte) (complete, keep bool, err error) {
+func (c ServerCodec) ReadTrailer(buf []byte) (complete, keep bool, err error) {
 	const head = "*3\r\n$0\r\n"
-	_, used, err := resp.ReadReply(append([]byte(head), buf...), b.Bounds)
+	_, used, err := resp.ReadReply(append([]byte(head), buf...), c.Bounds)
 	return used > 0, used == len(head)+len(buf), err
 }
 
