--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -125,7 +125,7 @@
 		if len(buf) == 0 {
 			return gnet.None, true
 		}
-		words, used, err := resp.Command(buf, c.words, c.r.limits.RESP)
+		words, used, err := resp.ReadCommand(buf, c.words, c.r.limits.RESP)
 		c.words = words
 		if err != nil {
 			if ok, away := c.startLargeWrite(buf); away {
@@ -431,16 +431,16 @@
 	if write && len(words) > 4 {
 		request.Value = copyBytes(words[4])
 	}
-	props := resp2.ReadProps(words[3])
+	props := resp2.ParseProps(words[3])
 	method, known := r.methods[string(props.Method)]
-	if props.Bad || props.Waits == 0 || !known || len(request.ID) == 0 || r.requests[request.ID] != nil {
+	if props.BadDeadline || props.Timeout == 0 || !known || len(request.ID) == 0 || r.requests[request.ID] != nil {
 		if known {
 			r.countRefused(method, wire.Failed)
 		}
 		return request, event, 0, false
 	}
 	return request, routing.RequestArrived{Request: request.ID, Key: routing.Key(request.Key), Write: write, Method: method,
-		Tenant: routing.Tenant(props.Tenant), ClientRetry: props.Resent}, props.Waits, true
+		Tenant: routing.Tenant(props.Tenant), ClientRetry: props.Resent}, props.Timeout, true
 }
 
 // countRequester counts the client at its first request.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -48,7 +48,7 @@
 func TestDeadlineOfALargeWriteWithALateConnection(t *testing.T) {
 	l, up := newHeldDials(t, nil)
 	l.r.loop = failingEnrollLoop{l}
-	l.r.limits.RESP.Long, l.r.limits.LargeValueWindow, l.r.limits.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
+	l.r.limits.RESP.Streamed, l.r.limits.LargeValueWindow, l.r.limits.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
 	client := l.open(nil)
 	client.fd, _ = socketPair(t)
 	const size = 1 << 17
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -47,13 +47,13 @@
 // duplicate of its descriptor remains.
 func (up *upstream) startLargeRead(buf []byte) bool {
 	attempt := up.attempt
-	outcome, valueStart, size, ok := up.server.protocol.Long(buf)
+	outcome, valueStart, size, ok := up.server.protocol.ReadLargeAnswer(buf)
 	if !ok || up.conn.OutboundBuffered() > 0 {
 		return false
 	}
 	client, isRESP2 := attempt.request.responder.(*client)
 	if !isRESP2 { // front ends of other protocols pass on whole values only
-		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, Long: true})
+		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, TooLarge: true})
 		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
 		return true
 	}
@@ -413,7 +413,7 @@
 func (l *largeRead) readTrailer(server net.Conn) bool {
 	_ = server.SetDeadline(time.Now().Add(toDuration(l.r.limits.LargeValueStallTimeout)))
 	for {
-		complete, keep, err := l.upstream.server.protocol.Behind(l.received)
+		complete, keep, err := l.upstream.server.protocol.ReadTrailer(l.received)
 		if err != nil || complete {
 			_ = server.SetDeadline(time.Time{})
 			return err == nil && keep
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -38,7 +38,7 @@
 // loop.
 func (c *client) startLargeWrite(buf []byte) (ok, away bool) {
 	r := c.r
-	words, at, size, ok := resp.LongCommand(buf, c.words, r.limits.RESP)
+	words, at, size, ok := resp.ReadLargeCommand(buf, c.words, r.limits.RESP)
 	if !ok || len(words) != 4 || string(bytes.ToUpper(words[0])) != "CACHE.SET" {
 		return false, false
 	}
@@ -199,7 +199,7 @@
 	r.close(conn)
 	// The router waits its full time limit once the value has been sent, but no longer than the client does.
 	attempt.startedAt = r.clock()
-	head, tail := up.server.protocol.AppendLong(nil, wire.NewAttempt(&b.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), b.size)
+	head, tail := up.server.protocol.AppendStreamedWrite(nil, wire.NewAttempt(&b.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), b.size)
 	b.startGoroutine(func(client net.Conn) bool { return b.sendToServer(client, attempt, up, fd, head, tail) })
 }
 
@@ -266,14 +266,14 @@
 }
 
 // readResponse reads the server's response.
-func (*largeWrite) readResponse(server net.Conn, protocol wire.Back, deadline time.Time) (outcome wire.Outcome, keep bool) {
+func (*largeWrite) readResponse(server net.Conn, protocol wire.ServerCodec, deadline time.Time) (outcome wire.Outcome, keep bool) {
 	_ = server.SetReadDeadline(deadline)
 	var received []byte
 	buffer := make([]byte, 4096)
 	for {
 		n, err := server.Read(buffer)
 		received = append(received, buffer[:n]...)
-		outcome, used, keep, broken := protocol.Read(received, err == io.EOF) // a reset does not end an answer without a length
+		outcome, used, keep, broken := protocol.ReadAnswer(received, err == io.EOF) // a reset does not end an answer without a length
 		switch {
 		case broken != nil:
 			return wire.Outcome{Status: routing.Failed}, false
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -102,7 +102,7 @@
 
 // countOutcome counts the end of a request. All ends are counted here, except those of requests whose clients
 // left.
-func (r *Router) countOutcome(m routing.Method, k wire.Kind) {
+func (r *Router) countOutcome(m routing.Method, k wire.AnswerKind) {
 	switch k {
 	case wire.Served:
 		r.counts.Served++
@@ -115,7 +115,7 @@
 }
 
 // countRefused counts a request that ended before package routing processed it.
-func (r *Router) countRefused(m routing.Method, k wire.Kind) {
+func (r *Router) countRefused(m routing.Method, k wire.AnswerKind) {
 	r.counts.Requests++
 	r.countOutcome(m, k)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -75,8 +75,8 @@
 	requestingClients   int                     // clients that have sent a request
 	stalledClients      []*client               // clients whose commands wait for room
 	servers             map[routing.ServerID]*server
-	cache               wire.Back // protocol spoken to cache servers; origin is that for the origin
-	origin              wire.Back
+	cache               wire.ServerCodec // protocol spoken to cache servers; origin is that for the origin
+	origin              wire.ServerCodec
 	dialFunc            func(addr string, p connHandler, failed func(error)) // dialAsync, except in tests
 	pendingDials        int
 	serverConnCount     int // open connections to servers
@@ -112,8 +112,8 @@
 	r := &Router{cfg: cfg, limits: cfg.Limits, log: log, startTime: time.Now(), ready: make(chan struct{}), done: make(chan struct{}),
 		methods: map[string]routing.Method{}, requests: map[routing.RequestID]*pendingRequest{},
 		clients: map[*client]struct{}{}, largeReads: map[*largeRead]struct{}{},
-		servers: map[routing.ServerID]*server{}, endpoints: discovery.New(), cache: resp2.Back{Bounds: cfg.Limits.RESP},
-		origin: http1.Back{Bounds: cfg.Limits.Origin}}
+		servers: map[routing.ServerID]*server{}, endpoints: discovery.New(), cache: resp2.ServerCodec{Bounds: cfg.Limits.RESP},
+		origin: http1.Codec{Bounds: cfg.Limits.Origin}}
 	r.operator.announcedBans = map[routing.ServerID]bool{}
 	r.counts.OutcomesByMethod = make([][3]int, len(cfg.Settings.Methods))
 	r.dialFunc, r.startWallClock = r.dialAsync, clock.Time(r.startTime.UnixMicro())
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -21,7 +21,7 @@
 type server struct {
 	id              routing.ServerID
 	addr            string
-	protocol        wire.Back
+	protocol        wire.ServerCodec
 	ready           bool // listed and not banned: idle connections are worth keeping
 	listed          bool // in the endpoint list, and not draining
 	banned          bool // taken out of use by an operator or the fleet's policy
@@ -226,7 +226,7 @@
 		return
 	}
 	wireAttempt := wire.NewAttempt(&attempt.request.Request, up.server.addr, attempt.remaining(up.r.clock()))
-	up.r.writeBuffer = up.server.protocol.Append(up.r.writeBuffer[:0], wireAttempt)
+	up.r.writeBuffer = up.server.protocol.AppendAttempt(up.r.writeBuffer[:0], wireAttempt)
 	up.writing = true
 	_, err := up.conn.Write(up.r.writeBuffer)
 	up.writing = false
@@ -256,7 +256,7 @@
 	if err != nil || len(buf) == 0 {
 		return gnet.None
 	}
-	outcome, used, keep, err := up.server.protocol.Read(buf, false)
+	outcome, used, keep, err := up.server.protocol.ReadAnswer(buf, false)
 	if err != nil && up.startLargeRead(buf) {
 		return gnet.Close
 	}
@@ -303,7 +303,7 @@
 	if up.writing || up.conn.OutboundBuffered() > 0 || attempt.request.largeWrite != nil { // the body of a large write has not started
 		status = routing.ConnectError
 	} else if buf, _ := up.conn.Peek(-1); endOfStream && len(buf) > 0 {
-		if outcome, used, _, err := up.server.protocol.Read(buf, true); err == nil && used > 0 {
+		if outcome, used, _, err := up.server.protocol.ReadAnswer(buf, true); err == nil && used > 0 {
 			up.r.handleOutcome(attempt, outcome)
 			return
 		}
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if w.callPending && len(buf) > 0 {
-		if answer, used, err := httpwire.Read(buf, true, w.r.limits.Discovery); err == nil && used > 0 {
+		if answer, used, err := httpwire.ReadResponse(buf, true, w.r.limits.Discovery); err == nil && used > 0 {
 			w.handleResponse(answer)
 			return
 		}
@@ -107,13 +107,13 @@
 	if err != nil || len(buf) == 0 {
 		return gnet.None
 	}
-	answer, used, err := httpwire.Read(buf, false, w.r.limits.Discovery)
+	answer, used, err := httpwire.ReadResponse(buf, false, w.r.limits.Discovery)
 	if err != nil || !w.callPending {
 		return gnet.Close
 	}
 	if used == 0 {
 		// A list without a length is used as soon as it is complete, even if the server closes the connection late.
-		if answer, used, err = httpwire.Read(buf, true, w.r.limits.Discovery); err != nil || used == 0 || !json.Valid(answer.Body) {
+		if answer, used, err = httpwire.ReadResponse(buf, true, w.r.limits.Discovery); err != nil || used == 0 || !json.Valid(answer.Body) {
 			return gnet.None
 		}
 	}
