--- a/cmd/cache-router-fleet/main.go
+++ b/cmd/cache-router-fleet/main.go
@@ -8,4 +8,4 @@
 	"spurtrestle/internal/program"
 )
 
-func main() { program.Main(program.Parts{Fleet: gossip.Open, Policy: controlplane.Join}) }
+func main() { program.Main(program.Components{Fleet: gossip.Open, Policy: controlplane.Join}) }
--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -18,7 +18,9 @@
 	"spurtrestle/internal/settings"
 )
 
-func main() { program.Main(program.Parts{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Join}) }
+func main() {
+	program.Main(program.Components{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Join})
+}
 
 // listen begins to take gRPC clients, and returns what ends that in order.
 func listen(r *router.Router, cfg config.Config, g operator.GRPC, log *logrus.Logger) (stop func(), err error) {
--- a/cmd/cache-router/main.go
+++ b/cmd/cache-router/main.go
@@ -3,4 +3,4 @@
 
 import "spurtrestle/internal/program"
 
-func main() { program.Main(program.Parts{}) }
+func main() { program.Main(program.Components{}) }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -40,13 +40,13 @@
 	PipelinedCommands int // commands of one client that wait for their answers
 
 	// Clients; see setClientTimeouts.
-	QuietClientAge          clock.Duration // a client that was quiet for so long may be closed for another one
-	SilentClientTimeout     clock.Duration // of a client that has no open request and sends nothing
-	PartialCommandTimeout   clock.Duration // of a client that has sent a part of a command
-	LargeValueUnreadTimeout clock.Duration // of a client that reads nothing more of a large value
-	ClientWriteTimeout      clock.Duration // of a client that does not read its answers
-	ClientGoneCheckInterval clock.Duration // between two looks whether the client of a large value has gone
-	ClientNetworkMargin     clock.Duration // subtracted from a client's deadline, for the network between
+	IdleClientEvictionAge         clock.Duration // a client that was quiet for so long may be closed for another one
+	ClientIdleTimeout             clock.Duration // of a client that has no open request and sends nothing
+	PartialCommandTimeout         clock.Duration // of a client that has sent a part of a command
+	LargeValueUnreadTimeout       clock.Duration // of a client that reads nothing more of a large value
+	ClientWriteTimeout            clock.Duration // of a client that does not read its answers
+	ClientDisconnectCheckInterval clock.Duration // between two looks whether the client of a large value has gone
+	ClientNetworkMargin           clock.Duration // subtracted from a client's deadline, for the network between
 
 	// Start and end of the process; see setLifecycleTimeouts.
 	TakeoverListTimeout clock.Duration // how long a successor waits for an endpoint list
@@ -58,7 +58,7 @@
 	ServerIdleTimeout       clock.Duration // an idle connection is closed before the server closes it
 	IdleSweepInterval       clock.Duration // between two searches for idle connections
 	ReuseDelay              clock.Duration // before a connection is used again, where servers have answered twice
-	DuplicateMemory         clock.Duration // how long a second answer counts for ReuseDelay
+	DuplicateResponseWindow clock.Duration // how long a second answer counts for ReuseDelay
 	LargeValueStallTimeout  clock.Duration // of a server that sends nothing more of a large value
 	LargeValueRetryInterval clock.Duration // until a large value that waits is tried again
 
@@ -191,23 +191,23 @@
 }
 
 const (
-	quietClientAge          = 50 * clock.Millisecond // a connection's first request arrives earlier than this
-	silentClientTimeout     = 2 * clock.Second
+	idleClientEvictionAge   = 50 * clock.Millisecond // a connection's first request arrives earlier than this
+	clientIdleTimeout       = 2 * clock.Second
 	partialCommandTimeout   = 2500 * clock.Millisecond
 	largeValueUnreadTimeout = 10 * clock.Second
 	minClientWriteTimeout   = 3 * clock.Second
-	// clientGoneCheckInterval lets a large value's attempt end within 100 ms of its client's going.
-	clientGoneCheckInterval = 25 * clock.Millisecond
-	clientNetworkMargin     = 3 * clock.Millisecond
+	// clientDisconnectCheckInterval lets a large value's attempt end within 100 ms of its client's going.
+	clientDisconnectCheckInterval = 25 * clock.Millisecond
+	clientNetworkMargin           = 3 * clock.Millisecond
 )
 
 func (l *Limits) setClientTimeouts(service routing.Settings) {
-	l.QuietClientAge = quietClientAge
-	l.SilentClientTimeout = silentClientTimeout
+	l.IdleClientEvictionAge = idleClientEvictionAge
+	l.ClientIdleTimeout = clientIdleTimeout
 	l.PartialCommandTimeout = partialCommandTimeout
 	l.LargeValueUnreadTimeout = largeValueUnreadTimeout
 	l.ClientWriteTimeout = max(minClientWriteTimeout, settings.LongestDeadline(service))
-	l.ClientGoneCheckInterval = clientGoneCheckInterval
+	l.ClientDisconnectCheckInterval = clientDisconnectCheckInterval
 	l.ClientNetworkMargin = clientNetworkMargin
 }
 
@@ -232,7 +232,7 @@
 	maxIdleSweepInterval      = 250 * clock.Millisecond
 	idleSweepsPerTimeout      = 20
 	reuseDelay                = 50 * clock.Millisecond // second answers come some milliseconds late
-	duplicateMemory           = 30 * clock.Second
+	duplicateResponseWindow   = 30 * clock.Second
 	minLargeValueStallTimeout = 3 * clock.Second
 	largeValueRetryInterval   = 5 * clock.Millisecond
 )
@@ -248,7 +248,7 @@
 	}
 	l.IdleSweepInterval = min(maxIdleSweepInterval, l.ServerIdleTimeout/idleSweepsPerTimeout)
 	l.ReuseDelay = reuseDelay
-	l.DuplicateMemory = duplicateMemory
+	l.DuplicateResponseWindow = duplicateResponseWindow
 	l.LargeValueStallTimeout = max(minLargeValueStallTimeout, settings.LongestDeadline(service))
 	l.LargeValueRetryInterval = largeValueRetryInterval
 }
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -22,8 +22,8 @@
 	return &Conn{conn: conn.(*net.UnixConn)}, nil
 }
 
-// Answers reports whether a process listens under a name in a folder.
-func Answers(dir, name string) bool {
+// IsListening reports whether a process listens under a name in a folder.
+func IsListening(dir, name string) bool {
 	conn, err := Dial(dir, name, answerTimeout)
 	if err != nil {
 		return false
--- a/internal/program/check.go
+++ b/internal/program/check.go
@@ -15,7 +15,7 @@
 
 // check reads the configuration and the operator's file as serve would, without opening any socket, and prints a summary.
 // The operator's file can be checked alone.
-func check(configFile, operatorFile string, out io.Writer, parts Parts) error {
+func check(configFile, operatorFile string, out io.Writer, parts Components) error {
 	file, err := loadOperatorFile(operatorFile, parts)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 }
 
 // loadOperatorFile reads the operator's file and rejects functions that this program does not link in.
-func loadOperatorFile(path string, parts Parts) (operator.File, error) {
+func loadOperatorFile(path string, parts Components) (operator.File, error) {
 	file, err := operator.Load(path)
 	if err != nil {
 		return file, err
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -43,7 +43,7 @@
 }
 
 // run carries out a command line.
-func run(args []string, out io.Writer, parts Parts) error {
+func run(args []string, out io.Writer, parts Components) error {
 	opts, err := parseOptions(args)
 	if errors.Is(err, flag.ErrHelp) {
 		_, err = io.WriteString(out, usage)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,17 +18,17 @@
 	"spurtrestle/internal/router"
 )
 
-// Parts are the optional parts of a program; a nil part is not linked in. Programs without them are smaller and start
+// Components are the optional parts of a program; a nil part is not linked in. Programs without them are smaller and start
 // faster.
-type Parts struct {
-	GRPC   StartFront
+type Components struct {
+	GRPC   StartFrontend
 	Fleet  fleet.Join
 	Policy FollowPolicy
 }
 
-// StartFront starts to accept clients of a further protocol and returns the function that ends that gracefully. It is
+// StartFrontend starts to accept clients of a further protocol and returns the function that ends that gracefully. It is
 // called before the router runs. stop may be called more than once, also concurrently.
-type StartFront func(*router.Router, config.Config, operator.GRPC, *logrus.Logger) (stop func(), err error)
+type StartFrontend func(*router.Router, config.Config, operator.GRPC, *logrus.Logger) (stop func(), err error)
 
 // FollowPolicy makes the router follow the policy of its fleet.
 type FollowPolicy func(operator.Policy, fleet.Config, routing.Settings, *router.Router, fleet.Node, *logrus.Logger) (fleet.Policy, error)
@@ -40,7 +40,7 @@
 )
 
 // Main is the main function of a router's program.
-func Main(parts Parts) {
+func Main(parts Components) {
 	err := run(os.Args[1:], os.Stdout, parts)
 	if err == nil {
 		return
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -95,13 +95,13 @@
 	}
 	for _, c := range []struct {
 		text  string
-		parts Parts
+		parts Components
 		want  string // empty: no error
 	}{
-		{"[grpc]\nlisten = \"127.0.0.1:7443\"\n", Parts{},
+		{"[grpc]\nlisten = \"127.0.0.1:7443\"\n", Components{},
 			"FILE: grpc.listen: this program has no gRPC; start cache-router-grpc in its place, or leave the field empty"},
-		{"[grpc]\nlisten = \"127.0.0.1:7443\"\n", Parts{GRPC: grpc}, ""},
-		{"[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:1\"\n", Parts{}, "FILE: line 2: fleet.name: this program keeps no view of a fleet; " +
+		{"[grpc]\nlisten = \"127.0.0.1:7443\"\n", Components{GRPC: grpc}, ""},
+		{"[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:1\"\n", Components{}, "FILE: line 2: fleet.name: this program keeps no view of a fleet; " +
 			"start cache-router-fleet or cache-router-grpc in its place, or leave the field empty"},
 	} {
 		path := filepath.Join(t.TempDir(), "operator.toml")
@@ -128,7 +128,7 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(text, "silent", weights, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := check(path, "", io.Discard, Parts{})
+		err := check(path, "", io.Discard, Components{})
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("weights %s: got %v, want an error with %q", weights, err, want)
 		}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -28,7 +28,7 @@
 // process is one serving process: the router and the parts around it.
 type process struct {
 	log       *logrus.Logger
-	parts     Parts
+	parts     Components
 	config    config.Config
 	file      operator.File
 	fleet     fleet.Config // fleet.Fleet is empty without a fleet
@@ -41,7 +41,7 @@
 
 // serve runs a router until a signal ends it. After an error the process exits, which ends the goroutines that were
 // started by then and releases the lock of the snapshot folder.
-func serve(log *logrus.Logger, operatorFile string, parts Parts) error {
+func serve(log *logrus.Logger, operatorFile string, parts Components) error {
 	signals := notifySignals()
 	p, err := newProcess(log, operatorFile, parts)
 	if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // newProcess reads the configuration and makes the router, with what was learned before.
-func newProcess(log *logrus.Logger, operatorFile string, parts Parts) (*process, error) {
+func newProcess(log *logrus.Logger, operatorFile string, parts Components) (*process, error) {
 	p := &process{log: log, parts: parts, stopFront: func() {}, stopFleet: func() {}}
 	var err error
 	if p.config, err = config.Load(os.Getenv); err != nil {
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -27,7 +27,7 @@
 	was := r.now
 	if r.now = r.clock(); r.now-was > r.lim.StallThreshold {
 		r.log.WithField("for", span(r.now-was)).Warn("the loop stood still; what waited in the sockets counts as come when it began to")
-		r.stoodFrom, r.stoodUntil = was, r.now+r.lim.QuietClientAge
+		r.stoodFrom, r.stoodUntil = was, r.now+r.lim.IdleClientEvictionAge
 	}
 	r.noteLag(was)
 	r.counts.Batches++
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -164,7 +164,7 @@
 	slow := c.r.lim.PartialCommandTimeout
 	switch {
 	case c.part == 0:
-		return !c.spoke && now-c.whole >= c.r.lim.SilentClientTimeout
+		return !c.spoke && now-c.whole >= c.r.lim.ClientIdleTimeout
 	case c.waiting() <= c.r.lim.RESP.Line:
 		return now-c.part >= slow
 	}
--- a/internal/router/crowd_test.go
+++ b/internal/router/crowd_test.go
@@ -34,9 +34,9 @@
 		asks = l.open(nil)
 	}
 	l.comes(asks, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	crowd(2 * r.lim.QuietClientAge)
+	crowd(2 * r.lim.IdleClientEvictionAge)
 	if dials != 1 || asks.closed {
-		t.Errorf("%d dials within %d ms, and the client closed: %v", dials, 2*r.lim.QuietClientAge/1e3, asks.closed)
+		t.Errorf("%d dials within %d ms, and the client closed: %v", dials, 2*r.lim.IdleClientEvictionAge/1e3, asks.closed)
 	}
 
 	l, _ = held(t, nil)
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -74,7 +74,7 @@
 			continue // it is passed on
 		}
 		quiet := now - c.idle
-		mayHaveNoRequest := c.used || quiet >= r.lim.QuietClientAge || isLastMoment
+		mayHaveNoRequest := c.used || quiet >= r.lim.IdleClientEvictionAge || isLastMoment
 		if c.ended() && mayHaveNoRequest && (c.waiting() == 0 || quiet > r.lim.IdleSweepInterval) && !c.unheard() {
 			r.close(c.conn)
 		}
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -26,7 +26,7 @@
 // held returns a router whose dials wait to be let through, with two servers and the origin.
 func held(t *testing.T, change func(*routing.Settings)) (l *notedLoop, up func() *notedConn) {
 	cfg := notedConfig()
-	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.QuietClientAge = 60e6, 250e3, 50e3
+	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.IdleClientEvictionAge = 60e6, 250e3, 50e3
 	cfg.Settings.MaxAttempts, cfg.Settings.CancelAllowed = 3, true
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 2e6, Criticality: 1},
 		routing.MethodSettings{Name: "look", Idempotency: routing.Deduplicated, DeduplicationWindow: 400e3, LatencyBudget: 2e6, Criticality: 1})
@@ -260,7 +260,7 @@
 func TestDrain_EndsBesideClientsThatComeAgain(t *testing.T) {
 	l, _ := held(t, nil)
 	close(l.r.ready)
-	l.r.lim.ShutdownTimeout, l.r.lim.DrainAcceptPeriod, l.r.lim.QuietClientAge = 3e6, 500e3, 50e3
+	l.r.lim.ShutdownTimeout, l.r.lim.DrainAcceptPeriod, l.r.lim.IdleClientEvictionAge = 3e6, 500e3, 50e3
 	l.r.Drain()
 	l.rounds()
 	const step = 20e3 // less than the age from which a client may be closed
@@ -281,7 +281,7 @@
 // not used again before a second answer would have come: the next client got it for its own.
 func TestSecondAnswerMeetsNobody(t *testing.T) {
 	l, up := held(t, nil)
-	l.r.lim.ReuseDelay, l.r.lim.DuplicateMemory = 50e3, 30e6
+	l.r.lim.ReuseDelay, l.r.lim.DuplicateResponseWindow = 50e3, 30e6
 	client := l.open(nil)
 	ask := func(id string) { l.comes(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
 	ask("r1")
--- a/internal/router/long.go
+++ b/internal/router/long.go
@@ -219,7 +219,7 @@
 		}
 		return
 	}
-	l.r.after(l.r.lim.ClientGoneCheckInterval, l.watchClient)
+	l.r.after(l.r.lim.ClientDisconnectCheckInterval, l.watchClient)
 }
 
 var errStopped = errors.New("stopped for another process")
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -103,7 +103,7 @@
 // notedConfig is one of a method that must not run twice, with the origin alone.
 func notedConfig() config.Config {
 	cfg := config.Config{Listen: "-", Limits: config.Limits{RESP: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
-		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, SilentClientTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
+		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, ClientIdleTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
 	cfg.Limits.Origin = httpwire.Bounds{Head: 1 << 10, Body: 1 << 16}
 	cfg.Settings = routing.Settings{Routers: 1, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, MaxAttempts: 1,
 		Methods: []routing.MethodSettings{{Name: "pay", Idempotency: routing.NonIdempotent, LatencyBudget: 5e6, Criticality: 1}}}
@@ -341,7 +341,7 @@
 	r := l.r
 	client.asks(r, "r1")
 	l.rounds()
-	r.lim.Descriptors, r.lim.MaxDescriptors, r.lim.QuietClientAge = r.used(), r.used()+1, 1e6
+	r.lim.Descriptors, r.lim.MaxDescriptors, r.lim.IdleClientEvictionAge = r.used(), r.used()+1, 1e6
 	if fresh := l.open(nil); fresh.closed || client.closed || origin.closed {
 		t.Error("a client that came in had another closed, or itself, though there was a descriptor")
 	}
@@ -349,7 +349,7 @@
 		t.Error("the last descriptor was given away")
 	}
 	time.Sleep(20 * time.Millisecond)
-	r.lim.QuietClientAge = 10e3
+	r.lim.IdleClientEvictionAge = 10e3
 	newest := l.open(nil)
 	if client.closed || origin.closed || newest.closed || r.counts.Shed != 1 {
 		t.Error("one that waits for an answer was closed, or the newest")
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -212,7 +212,7 @@
 }
 
 // unasked: a server has sent what nobody asked for.
-func (r *Router) unasked() { r.waryUntil = r.clock() + r.lim.DuplicateMemory }
+func (r *Router) unasked() { r.waryUntil = r.clock() + r.lim.DuplicateResponseWindow }
 
 func (up *upstream) send(w *attempt) {
 	up.carries, w.up, up.used = w, up, true
@@ -324,7 +324,7 @@
 				r.close(c.conn)
 			}
 		// Some ask once and keep the connection for good. Clients may hold only so many, and had none left for requests.
-		case !c.over && now-c.idle >= r.lim.SilentClientTimeout && c.quiet() && c.waiting() == 0 && !c.unheard():
+		case !c.over && now-c.idle >= r.lim.ClientIdleTimeout && c.quiet() && c.waiting() == 0 && !c.unheard():
 			r.close(c.conn)
 		}
 	}
@@ -418,7 +418,7 @@
 	now := r.clock()
 	var longest *client
 	for c := range r.clients {
-		if c.quiet() && (c.asked || !askers) && now-c.idle >= r.lim.QuietClientAge && (longest == nil || c.asked == longest.asked && c.idle < longest.idle ||
+		if c.quiet() && (c.asked || !askers) && now-c.idle >= r.lim.IdleClientEvictionAge && (longest == nil || c.asked == longest.asked && c.idle < longest.idle ||
 			!c.asked && longest.asked) {
 			longest = c
 		}
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -228,7 +228,7 @@
 // clients back, since its successor has ended, leaves the name to a process that answers there: it has replaced the successor.
 func (r *Router) awaitHeir(handedOn bool) {
 	t := &r.takeover
-	if handedOn && handover.Answers(t.dir, t.name) {
+	if handedOn && handover.IsListening(t.dir, t.name) {
 		r.log.Warn("handover: another process has replaced the successor, and is the one that the next process finds")
 		return
 	}
--- a/internal/settings/service.go
+++ b/internal/settings/service.go
@@ -27,17 +27,17 @@
 	return longest
 }
 
-// OtherServiceError reports state or a process of another service than this router's.
-type OtherServiceError struct {
+// ServiceMismatchError reports state or a process of another service than this router's.
+type ServiceMismatchError struct {
 	Theirs, Ours []string // names of methods
 }
 
-func (e *OtherServiceError) Error() string {
+func (e *ServiceMismatchError) Error() string {
 	return fmt.Sprintf("it is of a service with the methods %s, and this router serves one with %s",
 		strings.Join(e.Theirs, ", "), strings.Join(e.Ours, ", "))
 }
 
-// CheckSameService returns nil where two lists of method names may belong to one service, and an *OtherServiceError
+// CheckSameService returns nil where two lists of method names may belong to one service, and an *ServiceMismatchError
 // otherwise. A service adds and drops methods, so that one list may contain the other; lists that each have a method which
 // the other lacks are of two services.
 func CheckSameService(theirs, ours []string) error {
@@ -45,7 +45,7 @@
 	if theirsInOurs || containsAll(theirs, ours) {
 		return nil
 	}
-	return &OtherServiceError{Theirs: theirs, Ours: ours}
+	return &ServiceMismatchError{Theirs: theirs, Ours: ours}
 }
 
 func containsAll(all, some []string) bool {
--- a/internal/settings/service_test.go
+++ b/internal/settings/service_test.go
@@ -19,7 +19,7 @@
 		{nil, []string{"get"}, false},
 	} {
 		err := CheckSameService(c.theirs, c.ours)
-		var other *OtherServiceError
+		var other *ServiceMismatchError
 		if got := err == nil; got != c.same || got == errors.As(err, &other) {
 			t.Errorf("theirs %v, ours %v: got %v, want same service %v", c.theirs, c.ours, err, c.same)
 		}
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Folder is a folder by the single operations that Store needs. Tests fail, tear, reorder and lose each of them. Errors
+// FS is a folder by the single operations that Store needs. Tests fail, tear, reorder and lose each of them. Errors
 // are *fs.PathError, with the operation and the file.
-type Folder interface {
+type FS interface {
 	// Names lists the files.
 	Names() ([]string, error)
 	// Read returns a file's content, or a little more than limit bytes of a longer one.
@@ -31,7 +31,7 @@
 	Sync() error
 }
 
-// Dir is a Folder of the operating system, by its path.
+// Dir is an FS on a directory of the operating system, given by its path.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -24,18 +24,18 @@
 //
 // A Store is not safe for concurrent use; the folder's lock keeps other processes out.
 type Store struct {
-	folder   Folder
+	folder   FS
 	newest   uint64          // the highest number loaded or saved
 	readable map[uint64]bool // generations that this process has read or written
 }
 
 // NewStore returns a store on a folder. It reads nothing yet.
-func NewStore(folder Folder) *Store {
+func NewStore(folder FS) *Store {
 	return &Store{folder: folder, readable: map[uint64]bool{}}
 }
 
-// Loaded is the result of Store.Load.
-type Loaded struct {
+// LoadResult is the result of Store.Load.
+type LoadResult struct {
 	State   State
 	File    string  // the name of its generation's file
 	Skipped []error // one for each newer generation, which cannot be read and stays in the folder
@@ -43,15 +43,15 @@
 
 // Load returns the newest generation that can be read. The error is ErrNoSnapshot where there is no generation at all;
 // Skipped is set also with an error.
-func (s *Store) Load() (Loaded, error) {
+func (s *Store) Load() (LoadResult, error) {
 	generations, err := s.generations()
 	if err != nil {
-		return Loaded{}, err
+		return LoadResult{}, err
 	}
 	if len(generations) == 0 {
-		return Loaded{}, ErrNoSnapshot
+		return LoadResult{}, ErrNoSnapshot
 	}
-	var loaded Loaded
+	var loaded LoadResult
 	s.newest = max(s.newest, generations[0])
 	for _, generation := range generations {
 		state, err := s.read(generation)
