--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads a router's configuration: the EDGE_ environment variables and the JSON file that EDGE_CONFIG names.
-// internal/program calls it at the start and at SIGHUP, and the check command does without starting a router. It has no
-// state.
+// Package config reads a router's configuration: the EDGE_ environment variables and the JSON file that EDGE_CONFIG names. It
+// also computes the limits that the network code observes. internal/program calls it at startup and on SIGHUP, and the check
+// command calls it without starting a router. The package is stateless.
 //
 // All errors are of type *configerror.Error.
 package config
@@ -16,7 +16,7 @@
 	"spurtrestle/internal/settings"
 )
 
-// Names of environment variables. All but the first take precedence over a field of the file.
+// Names of environment variables. Each one but the first overrides a field of the file.
 const (
 	variableFile      = "EDGE_CONFIG"
 	variableName      = "EDGE_NAME"
@@ -25,25 +25,25 @@
 	variableDiscovery = "EDGE_DISCOVERY"
 )
 
-// Config is a router's configuration.
+// Config is a router's complete configuration.
 type Config struct {
 	File           string // the path of the file
 	Name           string // of the router
 	Listen         string // address and port for clients
 	Admin          string // address and port of the admin endpoint; empty: there is none
-	Discovery      string // address and port
+	Discovery      string // address and port of service discovery
 	Seed           uint64
 	Settings       routing.Settings
-	SavedEndpoints json.RawMessage // an endpoint list from before, in discovery's form; empty: none
+	SavedEndpoints json.RawMessage // an endpoint list saved earlier, in discovery's format; empty: none
 	Limits         Limits
 	Slot           int      // the router's place among the routers of the settings, from 0
-	Site           string   // empty: unknown
+	Site           string   // the router's site; empty: unknown
 	Sites          []string // all sites; empty: unknown
-	ShapeConflict  error    // see shapeConflict: a warning at the start, an error of the check command; nil: none
+	ShapeConflict  error    // see shapeConflict: a warning at startup, an error in the check command; nil: none
 }
 
-// Load reads the variables through getenv, os.Getenv in service, and the file. The error is a *configerror.Error. File is
-// set also with an error; other fields are not valid then.
+// Load reads the environment variables through getenv, which is os.Getenv outside tests, and then the file. The error is a
+// *configerror.Error. If there is one, only File is valid.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv(variableFile)
 	if path == "" {
@@ -60,8 +60,8 @@
 	return c, configerror.InFile(path, err)
 }
 
-// Reload reads the file again while the router runs. The file is newer than the environment, so that its address of
-// discovery takes precedence.
+// Reload reads the file again while the router runs. The address of discovery is taken from the file, not from the environment:
+// the environment is fixed when the process starts, so that the file is newer.
 func Reload(getenv func(string) string) (Config, error) {
 	return Load(func(variable string) string {
 		if variable == variableDiscovery {
@@ -71,7 +71,7 @@
 	})
 }
 
-// document is the file as JSON has it.
+// document is the JSON form of the file.
 type document struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -83,11 +83,13 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
+// limitsObject is the JSON form of the limits that the machine sets.
 type limitsObject struct {
 	Memory  int `json:"memory_mb"`
 	Sockets int `json:"sockets"`
 }
 
+// parse reads the content of a file. Its errors do not name the file yet.
 func parse(data []byte, getenv func(string) string) (Config, error) {
 	var object document
 	if err := json.Unmarshal(data, &object); err != nil {
@@ -113,6 +115,7 @@
 	return c, err
 }
 
+// setAddresses sets the three addresses. The admin endpoint is optional.
 func (c *Config) setAddresses(object document, getenv func(string) string) error {
 	var err error
 	if c.Listen, err = address(getenv, variableListen, "listen", object.Listen); err != nil {
@@ -130,7 +133,7 @@
 	return err
 }
 
-// address returns the value of a variable, or else that of the file's field.
+// address returns the value of an environment variable or, if it is not set, that of the file's field.
 func address(getenv func(string) string, variable, field, value string) (string, error) {
 	name := field
 	override := getenv(variable)
@@ -145,8 +148,8 @@
 	return value, nil
 }
 
-// setSettings sets Settings from the settings object, and the router's slot and site, which package settings ignores: the
-// object is decoded twice.
+// setSettings sets Settings from the settings object, and the router's slot and site. Package settings does not read the latter
+// two, so that the object is decoded twice.
 func (c *Config) setSettings(object json.RawMessage) error {
 	if len(object) == 0 {
 		return &configerror.Error{Field: "settings", Problem: "missing", Remedy: "give the object that describes the service"}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 	`"policy-limits":{"send-cap":3,"connect-timeout-s":0.1,"idle-close-s":60},"rules":{},"request-classes":` +
 	`[{"name":"get","effect":"free","deadline-s":1}]}}`
 
-// load writes a configuration file and loads it with some environment variables.
+// load writes text to a configuration file and loads it with the given environment variables.
 func load(t *testing.T, text string, variables map[string]string) (Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -32,7 +32,7 @@
 	})
 }
 
-// TestLoad_EnvironmentTakesPrecedence reads a file, of which two fields are overridden.
+// TestLoad_EnvironmentTakesPrecedence loads a file with two of its fields overridden by the environment.
 func TestLoad_EnvironmentTakesPrecedence(t *testing.T) {
 	c, err := load(t, completeFile, map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"})
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestLoad_ErrorsNameFieldAndRemedy checks the complete text of an error for each kind of fault.
+// TestLoad_ErrorsNameFieldAndRemedy compares the complete error text for each kind of fault.
 func TestLoad_ErrorsNameFieldAndRemedy(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"127.0.0.4:6379"`, `"here"`, `FILE: listen: "here" is no address and port; write it as "127.0.0.1:6379"`},
@@ -80,7 +80,7 @@
 			t.Errorf("with %s: got %v, want %s", c.to, err, c.want)
 		}
 	}
-	const variable = `EDGE_LISTEN: "there" is no address and port; write it as "127.0.0.1:6379"` // the file is right
+	const variable = `EDGE_LISTEN: "there" is no address and port; write it as "127.0.0.1:6379"` // does not name the file, which is valid
 	if _, err := load(t, completeFile, map[string]string{"EDGE_LISTEN": "there"}); err == nil || err.Error() != variable {
 		t.Errorf("bad variable: got %v, want %s", err, variable)
 	}
@@ -89,7 +89,8 @@
 	}
 }
 
-// TestLoad_SettingsOfAnotherType rejects settings that are no object without printing a Go type's fields.
+// TestLoad_SettingsOfAnotherType verifies that the error for settings that are not an object does not print the fields of a Go
+// type.
 func TestLoad_SettingsOfAnotherType(t *testing.T) {
 	cfg, err := load(t, strings.Replace(completeFile, `"settings":`, `"settings":7,"set":`, 1), nil)
 	want := cfg.File + ": settings: json: cannot unmarshal number into Go value of type settings.document"
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestLoad_Shape tells the two shapes apart by the settings alone. A mix is reported by its field, but loaded; negative
-// costs and files for another router are errors.
+// TestLoad_Shape verifies that the two deployment shapes are distinguished by the settings alone. A mix of them is loaded and
+// reported with its field; negative costs and another router's file are errors.
 func TestLoad_Shape(t *testing.T) {
 	perClient := strings.NewReplacer(`"balancers":2`, `"balancers":800,"weights":"nominal","fees":{"waste":0.02,"cross-zone":0.06}`,
 		`"send-cap":3`, `"send-cap":4,"cancel":true,"parallel-tries":true`).Replace(completeFile)
@@ -117,7 +118,7 @@
 	}
 	for _, c := range []struct {
 		text, from, to, key string
-		conflict            bool // loaded, with a ShapeConflict
+		conflict            bool // expect a ShapeConflict rather than an error
 	}{
 		{perClient, `"nominal"`, `"silent"`, "weights", true},
 		{perClient, `"weights":"nominal",`, "", "weights", true},
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -12,94 +12,96 @@
 	"spurtrestle/internal/settings"
 )
 
-// Limits are the sizes, counts and durations that the network code observes. They are computed once, at start.
+// Limits holds the sizes, counts and durations that the network code observes. They are computed once, when the configuration
+// is loaded.
 type Limits struct {
 	// File descriptors; see setDescriptors.
-	Descriptors         int // connections and dials, without the reserve
-	MaxDescriptors      int // the same, for clients that connect while no other connection can be closed
-	ReservedDescriptors int // not part of the two above
-	ServerConnections   int // of Descriptors: connections to servers, and dials
-	ClientConnections   int // of Descriptors: beyond it, a client's connection is closed before an idle server's
-	ActiveClients       int // of Descriptors: clients that have sent a request; beyond it, the longest quiet one is closed
-	AdminConnections    int // apart from all of these
+	Descriptors         int // for connections and dials, excluding the reserve
+	MaxDescriptors      int // as Descriptors, but for clients that connect while no other connection can be closed
+	ReservedDescriptors int // counted in neither of the two above
+	ServerConnections   int // of Descriptors: for connections to servers, and dials
+	ClientConnections   int // of Descriptors: above it, a client's connection is closed before a server's idle one
+	ActiveClients       int // of Descriptors: for clients that have sent a request; above it, the longest idle one is closed
+	AdminConnections    int // in addition to Descriptors
 
 	// Memory, in bytes; see setMemory.
-	MemoryBytes       int64 // soft limit of the process
+	MemoryBytes       int64 // soft memory limit of the Go runtime
 	RequestBytes      int   // of all requests in flight
-	ClientBufferBytes int   // buffered by the connections of all clients
+	ClientBufferBytes int   // of the buffers of all clients' connections
 
 	// Sizes, in bytes, and queue lengths; see setSizes.
 	RESP              resp.Bounds
 	Origin            httpwire.Bounds
 	Discovery         httpwire.Bounds
-	ReadChunk         int // of one read by the loop
-	LargeValueWindow  int // of one large value in transit
+	ReadChunk         int // of one read by the event loop
+	LargeValueWindow  int // buffered of one large value in transit
 	ClientInput       int // unread input of one client
 	ClientOutput      int // unsent answers to one client
-	ExternalRequests  int // requests from other goroutines that wait for the loop
-	PipelinedCommands int // commands of one client that wait for their answers
+	ExternalRequests  int // from other goroutines, queued for the event loop
+	PipelinedCommands int // of one client, without an answer yet
 
 	// Clients; see setClientTimeouts.
-	IdleClientEvictionAge         clock.Duration // a client that was quiet for so long may be closed for another one
-	ClientIdleTimeout             clock.Duration // of a client that has no open request and sends nothing
-	PartialCommandTimeout         clock.Duration // of a client that has sent a part of a command
-	LargeValueUnreadTimeout       clock.Duration // of a client that reads nothing more of a large value
-	ClientWriteTimeout            clock.Duration // of a client that does not read its answers
-	ClientDisconnectCheckInterval clock.Duration // between two looks whether the client of a large value has gone
-	ClientNetworkMargin           clock.Duration // subtracted from a client's deadline, for the network between
+	IdleClientEvictionAge         clock.Duration // from this idle time on, a client may be closed to admit another one
+	ClientIdleTimeout             clock.Duration // for a client without an open request that sends nothing
+	PartialCommandTimeout         clock.Duration // for the rest of a command, once a part of it has arrived
+	LargeValueUnreadTimeout       clock.Duration // for a client that stops reading a large value
+	ClientWriteTimeout            clock.Duration // for a client that does not read its answers
+	ClientDisconnectCheckInterval clock.Duration // between checks for the disconnect of a large value's client
+	ClientNetworkMargin           clock.Duration // subtracted from a client's deadline for network delay
 
 	// Start and end of the process; see setLifecycleTimeouts.
-	TakeoverListTimeout clock.Duration // how long a successor waits for an endpoint list
-	DrainAcceptPeriod   clock.Duration // how long a draining router still accepts connections
-	ShutdownTimeout     clock.Duration // from SIGTERM to the end
+	TakeoverListTimeout clock.Duration // for a successor to get an endpoint list
+	DrainAcceptPeriod   clock.Duration // during which a draining router still accepts connections
+	ShutdownTimeout     clock.Duration // from SIGTERM to the end of the process
 
 	// Cache servers and the origin; see setServerTimeouts.
 	ConnectTimeout          clock.Duration
-	ServerIdleTimeout       clock.Duration // an idle connection is closed before the server closes it
-	IdleSweepInterval       clock.Duration // between two searches for idle connections
-	ReuseDelay              clock.Duration // before a connection is used again, where servers have answered twice
-	DuplicateResponseWindow clock.Duration // how long a second answer counts for ReuseDelay
-	LargeValueStallTimeout  clock.Duration // of a server that sends nothing more of a large value
-	LargeValueRetryInterval clock.Duration // until a large value that waits is tried again
+	ServerIdleTimeout       clock.Duration // shorter than the server's own, so that the router closes first
+	IdleSweepInterval       clock.Duration // between searches for idle connections
+	ReuseDelay              clock.Duration // before a connection is reused, if servers have sent duplicate responses
+	DuplicateResponseWindow clock.Duration // for which a duplicate response keeps ReuseDelay in effect
+	LargeValueStallTimeout  clock.Duration // for a server that stops sending a large value
+	LargeValueRetryInterval clock.Duration // between attempts to resume a large value that waits
 
 	// Discovery; see setDiscoveryTimeouts.
-	WatchTimeout        clock.Duration // the length of a watch that the router requests
-	WatchGrace          clock.Duration // how much later than WatchTimeout its answer may come; also for connecting
-	ListTimeout         clock.Duration // of a request for the full list
+	WatchTimeout        clock.Duration // of a watch, as the router requests it
+	WatchGrace          clock.Duration // added to WatchTimeout for the response to arrive; also the limit for connecting
+	ListTimeout         clock.Duration // for a request for the full list
 	DiscoveryRetryDelay clock.Duration // after a failed request
 
 	// The event loop; see setLoopIntervals.
-	MetricsInterval  clock.Duration // between two updates of the metrics, while there is traffic
-	LoopLagThreshold clock.Duration // between two batches, from which the loop is late
-	StallThreshold   clock.Duration // between two batches, from which the process or its machine stood still
-	AdminCallTimeout clock.Duration // how long a call to the admin endpoint may wait for the loop
+	MetricsInterval  clock.Duration // between updates of the metrics while there is traffic
+	LoopLagThreshold clock.Duration // time between two batches above which the loop is late
+	StallThreshold   clock.Duration // time between two batches above which the process or its machine was stalled
+	AdminCallTimeout clock.Duration // for a call to the admin endpoint to be handled by the loop
 }
 
+// Units of memory, in bytes.
 const (
 	kibibyte = 1 << 10
 	mebibyte = 1 << 20
 )
 
-// Bounds of the limits in the file.
+// Lower bounds of the limits in the file.
 const (
 	minSockets   = 50
 	minMemoryMiB = 16
 )
 
-// Descriptors that are no connection of clients or servers.
+// Descriptors that are not connections to clients or servers.
 const (
-	// openDescriptors is the standard streams, the epoll instances and event files of gnet and the Go runtime, the
+	// openDescriptors covers the standard streams, the epoll instances and event files of gnet and the Go runtime, the
 	// listener, the loop's first connection, the successor's socket, the configuration file, and four accepted connections
-	// that the loop does not have yet.
+	// that have not reached the loop yet.
 	openDescriptors = 24
-	// reservedDescriptors is openDescriptors and some connections that are being closed.
+	// reservedDescriptors covers openDescriptors and ten connections that are being closed.
 	reservedDescriptors = 34
-	// adminFiles is the admin endpoint's listener and the two files of the operator state.
+	// adminFiles covers the admin endpoint's listener and the two files of the operator state.
 	adminFiles          = 3
 	maxAdminConnections = 32
 )
 
-// newLimits computes the limits from those of the file.
+// newLimits computes the limits from those in the file and from the service's settings.
 func newLimits(given limitsObject, adminEnabled bool, service routing.Settings) (Limits, error) {
 	if err := checkLimits(given); err != nil {
 		return Limits{}, err
@@ -128,8 +130,8 @@
 	return nil
 }
 
-// Shares of the descriptors, as divisors. Servers get half of those for connections. Clients get a third of all, the
-// reserve included, and those that have sent a request a quarter, so that new clients find some free.
+// Divisors that give shares of the descriptors. Servers get half of those for connections. Clients get a third of all,
+// including the reserve, and clients that have sent a request get a quarter, so that some are free for new clients.
 const (
 	adminDivisor            = 12
 	serverConnectionDivisor = 2
@@ -150,7 +152,7 @@
 	l.ActiveClients = sockets / activeClientDivisor
 }
 
-// Shares of the memory. Three tenths are left to what the garbage collector does not count.
+// Shares of the memory. Three tenths are left for memory that the garbage collector does not count.
 const (
 	heapTenths          = 7
 	requestDivisor      = 8
@@ -163,11 +165,12 @@
 	l.ClientBufferBytes = mebibytes * mebibyte / clientBufferDivisor
 }
 
+// Sizes, in bytes, and queue lengths of Limits.
 const (
-	maxValueBytes         = 4 * mebibyte // the longest value of a cache server
+	maxValueBytes         = 4 * mebibyte // the longest value that a cache server or the origin may send
 	maxSmallValueBytes    = 64 * kibibyte
 	maxHeadBytes          = 16 * kibibyte
-	maxEndpointListBytes  = 4 * mebibyte // a list of thousands
+	maxEndpointListBytes  = 4 * mebibyte // enough for thousands of endpoints
 	maxCommandLineBytes   = 4 * kibibyte
 	maxCommandArguments   = 16
 	readChunkBytes        = 64 * kibibyte
@@ -190,13 +193,14 @@
 	l.PipelinedCommands = maxPipelinedCommands
 }
 
+// Durations of Limits for clients.
 const (
-	idleClientEvictionAge   = 50 * clock.Millisecond // a connection's first request arrives earlier than this
+	idleClientEvictionAge   = 50 * clock.Millisecond // the first request on a connection arrives sooner
 	clientIdleTimeout       = 2 * clock.Second
 	partialCommandTimeout   = 2500 * clock.Millisecond
 	largeValueUnreadTimeout = 10 * clock.Second
 	minClientWriteTimeout   = 3 * clock.Second
-	// clientDisconnectCheckInterval lets a large value's attempt end within 100 ms of its client's going.
+	// clientDisconnectCheckInterval lets the attempt for a large value end within 100 ms of its client's disconnect.
 	clientDisconnectCheckInterval = 25 * clock.Millisecond
 	clientNetworkMargin           = 3 * clock.Millisecond
 )
@@ -211,11 +215,12 @@
 	l.ClientNetworkMargin = clientNetworkMargin
 }
 
+// Durations of Limits for the start and the end of the process.
 const (
 	takeoverListTimeout = 2 * clock.Second
 	drainAcceptPeriod   = 500 * clock.Millisecond
-	// The process ends so long after the longest deadline, or after maxShutdownDeadline. SIGKILL comes 0.2 s later at the
-	// earliest.
+	// The process ends shutdownMargin after the longest deadline, of which at most maxShutdownDeadline is granted. SIGKILL
+	// follows 0.2 s later at the earliest.
 	shutdownMargin      = 500 * clock.Millisecond
 	maxShutdownDeadline = 3 * clock.Second
 )
@@ -226,12 +231,13 @@
 	l.ShutdownTimeout = min(maxShutdownDeadline, settings.LongestDeadline(service)) + shutdownMargin
 }
 
+// Durations of Limits for cache servers and the origin.
 const (
-	defaultConnectTimeout     = 250 * clock.Millisecond // where the settings have none
-	defaultServerIdleTimeout  = 15 * clock.Second       // where the settings have none
+	defaultConnectTimeout     = 250 * clock.Millisecond // if the settings have none
+	defaultServerIdleTimeout  = 15 * clock.Second       // if the settings have none
 	maxIdleSweepInterval      = 250 * clock.Millisecond
 	idleSweepsPerTimeout      = 20
-	reuseDelay                = 50 * clock.Millisecond // second answers come some milliseconds late
+	reuseDelay                = 50 * clock.Millisecond // duplicate responses arrive some milliseconds late
 	duplicateResponseWindow   = 30 * clock.Second
 	minLargeValueStallTimeout = 3 * clock.Second
 	largeValueRetryInterval   = 5 * clock.Millisecond
@@ -242,7 +248,7 @@
 	if l.ConnectTimeout <= 0 {
 		l.ConnectTimeout = defaultConnectTimeout
 	}
-	l.ServerIdleTimeout = service.ServerIdleTimeout * 9 / 10 // a request may be in transit when the server closes
+	l.ServerIdleTimeout = service.ServerIdleTimeout * 9 / 10 // a tenth less: a request may be in transit when the server closes
 	if l.ServerIdleTimeout <= 0 {
 		l.ServerIdleTimeout = defaultServerIdleTimeout
 	}
@@ -253,9 +259,9 @@
 	l.LargeValueRetryInterval = largeValueRetryInterval
 }
 
-// Discovery is an agent on the machine that pushes changes and answers at once, or one service that all routers poll,
-// where requests queue for up to two seconds. Either way a silent watch is given up at least a second before the endpoint
-// list counts as stale.
+// Durations of Limits for discovery. Discovery is either an agent on the same machine that pushes changes and answers at once,
+// or one service that all routers poll and where requests queue for up to two seconds. In both cases a watch without a
+// response is abandoned at least one second before the endpoint list counts as stale.
 const (
 	watchTimeoutPushed  = 4 * clock.Second
 	watchGracePushed    = 500 * clock.Millisecond
@@ -279,11 +285,12 @@
 	l.ListTimeout = listTimeoutPushed
 }
 
+// Durations of Limits for the event loop.
 const (
 	metricsInterval  = 20 * clock.Millisecond
 	loopLagThreshold = 80 * clock.Millisecond
 	stallThreshold   = 250 * clock.Millisecond
-	adminCallTimeout = 800 * clock.Millisecond // callers give up after a second
+	adminCallTimeout = 800 * clock.Millisecond // shorter than the second after which callers give up
 )
 
 func (l *Limits) setLoopIntervals() {
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -10,13 +10,13 @@
 	"spurtrestle/internal/configerror"
 )
 
-// settingsSection is the section that errors about the settings object name.
+// settingsSection is the section named in errors of the settings object.
 const settingsSection = "settings"
 
-// minAttemptsWithHedging is an attempt at a cache, a hedge, and one retry.
+// minAttemptsWithHedging allows an attempt at a cache, a hedged request and one retry.
 const minAttemptsWithHedging = 3
 
-// conflict is a pair of settings that belong to different shapes of a deployment.
+// conflict is a pair of settings that belong to different deployment shapes.
 type conflict struct {
 	found   bool
 	field   string
@@ -24,10 +24,10 @@
 	remedy  string
 }
 
-// shapeConflict returns an error for settings that mix the two shapes of a deployment: a shared proxy tier in front of
-// many clients, and a sidecar, a router in each client process. policy-limits.parallel-tries distinguishes them. A mix
-// mostly comes from a file that was moved from one shape to the other by half. Some deployments mean it, so that a start
-// only warns; the check command rejects it.
+// shapeConflict returns an error for settings that mix the two deployment shapes: a proxy tier that many clients share, and a
+// sidecar, a router in each client process. policy-limits.parallel-tries distinguishes them. A mix usually comes from a file
+// that was only partly converted from one shape to the other. Some deployments intend it, so startup only logs a warning; the
+// check command rejects it.
 func shapeConflict(service routing.Settings) error {
 	const sidecarReason = "policy-limits.parallel-tries is true, as where each client process has a router of its own"
 	sidecar := service.HedgingAllowed
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// checkCosts rejects negative costs.
+// checkCosts rejects negative costs, which would reward wasted work or traffic between zones.
 func checkCosts(service routing.Settings) error {
 	for _, cost := range []struct {
 		field string
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// placeDocument is the router's place in its fleet as the settings object has it. Decisions do not read it.
+// placeDocument is the router's place in its fleet, as given in the settings object. Routing decisions do not use it.
 type placeDocument struct {
 	Routers int      `json:"balancers"`
 	Slot    int      `json:"me"`
@@ -94,8 +94,8 @@
 	Zones   []string `json:"zones"`
 }
 
-// setPlace reads the router's slot and site. It rejects a slot or site outside the fleet, which means that the file is
-// another router's.
+// setPlace sets the router's slot and site. A slot or site outside the fleet is rejected: the file then belongs to another
+// router.
 func (c *Config) setPlace(object json.RawMessage) error {
 	var place placeDocument
 	if err := json.Unmarshal(object, &place); err != nil {
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -1,5 +1,6 @@
-// Package configerror has the error of everything that reads configuration: the environment, the configuration file, the
-// operator's file, the policy document and the lab's scenarios. It names the place of a fault and its remedy.
+// Package configerror provides the error type of all code that reads configuration: the environment, the configuration file,
+// the operator's file, the policy document and the lab's scenarios. An error states the location of a fault and its remedy. The
+// package is stateless.
 package configerror
 
 import (
@@ -13,17 +14,17 @@
 //
 //	FILE: line LINE: SECTION: FIELD: VALUE PROBLEM; REMEDY
 //
-// without the parts that are empty.
+// Empty parts are left out.
 type Error struct {
 	File        string // its path; empty for an environment variable
-	Line        int    // from 1
-	Section     string // the object that Field stands in, where that is not part of its name
-	Field       string // as the file names it, or the name of an environment variable
-	Value       string // as the text shows it: strings by strconv.Quote, numbers and addresses plain
+	Line        int    // counted from 1; 0: unknown
+	Section     string // the object that contains Field, if the field's name does not include it
+	Field       string // its name in the file, or the name of an environment variable
+	Value       string // as printed: strings quoted by strconv.Quote, numbers and addresses as they are
 	Problem     string // what is wrong with the value, or with the field
 	Remedy      string // what an operator can do
-	Environment bool   // Field is an environment variable: InFile does not blame the file
-	Cause       error  // the error behind it, for errors.Is and errors.As; not part of the text
+	Environment bool   // Field is an environment variable, so that InFile does not set File
+	Cause       error  // the underlying error, for errors.Is and errors.As; not part of the text
 }
 
 func (e *Error) Error() string {
@@ -51,11 +52,11 @@
 	return text.String()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// InFile returns an error with the file that it is about. An error of an environment variable is returned as it is, and
-// an error of another type becomes an Error with its text. The error itself is not modified.
+// InFile returns a copy of err with the path of the file that it concerns. An error of an environment variable is returned
+// unchanged, and an error of another type is converted to an Error with its text. err itself is not modified.
 func InFile(file string, err error) error {
 	located := asError(err)
 	if located == nil || located.Environment {
@@ -65,8 +66,8 @@
 	return located
 }
 
-// InSection returns an error with the section of the file that it is about, as InFile does with the file. Environment
-// variables have no sections.
+// InSection returns a copy of err with the section of the file that it concerns, converting other types as InFile does. It is
+// not meant for errors of environment variables, which have no section.
 func InSection(section string, err error) error {
 	located := asError(err)
 	if located == nil {
@@ -76,13 +77,13 @@
 	return located
 }
 
-// asError returns a copy of an Error, or an Error with the text of another error; nil for nil.
+// asError returns a copy of an Error, or converts an error of another type to an Error with its text. It returns nil for nil.
 func asError(err error) *Error {
 	if err == nil {
 		return nil
 	}
 	var located *Error
-	// An Error that another one wraps or joins is not taken out of it: the outer text would be lost.
+	// A wrapped or joined Error is not extracted, since the text around it would be lost.
 	if errors.As(err, &located) && located.Error() == err.Error() {
 		copied := *located
 		return &copied
@@ -90,8 +91,8 @@
 	return &Error{Problem: err.Error(), Cause: err}
 }
 
-// WithoutGoType removes the name of the Go struct from an error of encoding/json, and returns it: authors of files do not
-// know that name. It modifies the error.
+// WithoutGoType removes the name of the Go struct from an error of encoding/json and returns the error, which it modifies.
+// Authors of files do not know that name.
 func WithoutGoType(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
--- a/internal/configerror/configerror_test.go
+++ b/internal/configerror/configerror_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestError_Text leaves out the parts that are empty.
+// TestError_Text verifies that empty parts are left out of the text.
 func TestError_Text(t *testing.T) {
 	for _, c := range []struct {
 		err  Error
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestInFile sets the file of an Error, wraps other errors, and leaves those of environment variables and nil alone.
+// TestInFile sets the file of an Error, converts other errors, and returns nil and errors of environment variables unchanged.
 func TestInFile(t *testing.T) {
 	field := &Error{Field: "seed", Problem: "missing"}
 	variable := &Error{Field: "EDGE_LISTEN", Problem: "missing", Environment: true}
@@ -49,14 +49,14 @@
 		t.Errorf("InFile(nil): got %v, want nil", got)
 	}
 	if field.File != "" {
-		t.Errorf("InFile changed the error given to it: got file %q, want none", field.File)
+		t.Errorf("InFile modified its argument: got file %q, want none", field.File)
 	}
 	if !errors.Is(InFile("f", wrapped), fs.ErrNotExist) {
-		t.Error("InFile hides the cause: got no fs.ErrNotExist")
+		t.Error("InFile loses the cause: got no fs.ErrNotExist")
 	}
 }
 
-// TestInSection sets the section and leaves nil alone.
+// TestInSection sets the section of an Error and returns nil for nil.
 func TestInSection(t *testing.T) {
 	if got, want := InSection("settings", &Error{Field: "me", Value: "7", Problem: "is too large"}).Error(), "settings: me: 7 is too large"; got != want {
 		t.Errorf("got %s, want %s", got, want)
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestWithoutGoType names the field of a wrong JSON type, and no type of ours.
+// TestWithoutGoType verifies that the error for a wrong JSON type names the field and not the Go struct.
 func TestWithoutGoType(t *testing.T) {
 	type document struct {
 		Seed string `json:"seed"`
--- a/internal/program/check.go
+++ b/internal/program/check.go
@@ -13,10 +13,10 @@
 	"spurtrestle/internal/router"
 )
 
-// check reads the configuration and the operator's file as serve would, without opening any socket, and prints a summary.
-// The operator's file can be checked alone.
-func check(configFile, operatorFile string, out io.Writer, parts Components) error {
-	file, err := loadOperatorFile(operatorFile, parts)
+// check validates the configuration and the operator's file as serve does, without opening a socket, and prints a summary of
+// each. With an operator's file, the configuration is optional.
+func check(configFile, operatorFile string, out io.Writer, components Components) error {
+	file, err := loadOperatorFile(operatorFile, components)
 	if err != nil {
 		return err
 	}
@@ -42,6 +42,7 @@
 	return err
 }
 
+// describeState summarizes where and how often learned state is persisted.
 func describeState(state operator.State) string {
 	if state.Dir == "" {
 		return "no state is kept"
@@ -49,7 +50,8 @@
 	return fmt.Sprintf("state is kept in %s, every %v", state.Dir, state.Interval())
 }
 
-// loadConfigFile loads a file in place of that of the environment. Settings of two shapes are an error here.
+// loadConfigFile loads the configuration from path instead of from the file that EDGE_CONFIG names. Unlike at startup, settings
+// that mix two deployment shapes are an error.
 func loadConfigFile(path string) (config.Config, error) {
 	cfg, err := config.Load(func(variable string) string {
 		if variable == "EDGE_CONFIG" {
@@ -63,19 +65,19 @@
 	return cfg, cfg.ShapeConflict
 }
 
-// loadOperatorFile reads the operator's file and rejects functions that this program does not link in.
-func loadOperatorFile(path string, parts Components) (operator.File, error) {
+// loadOperatorFile reads the operator's file and rejects tables of components that are not linked into this program.
+func loadOperatorFile(path string, components Components) (operator.File, error) {
 	file, err := operator.Load(path)
 	if err != nil {
 		return file, err
 	}
-	if file.GRPC.Listen != "" && parts.GRPC == nil {
+	if file.GRPC.Listen != "" && components.GRPC == nil {
 		return file, &configerror.Error{File: path, Field: "grpc.listen", Problem: "this program has no gRPC",
 			Remedy: "start cache-router-grpc in its place, or leave the field empty"}
 	}
-	if file.Fleet.Name != "" && parts.Fleet == nil {
-		return file, file.FieldError("fleet.name", "this program keeps no view of a fleet",
-			"start cache-router-fleet or cache-router-grpc in its place, or leave the field empty")
+	if file.Fleet.Name != "" && components.Fleet == nil {
+		return file, file.FieldError("fleet.name", "this program is built without fleet membership",
+			"start cache-router-fleet or cache-router-grpc instead, or leave the field empty")
 	}
 	return file, nil
 }
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -26,24 +26,24 @@
 
 var errUsage = errors.New("wrong usage; see cache-router --help")
 
-// The commands. Without one the program serves.
+// The commands. The program serves if none is given.
 const (
 	commandServe   = ""
 	commandCheck   = "check"
 	commandVersion = "version"
 )
 
-// options are a parsed command line.
+// options is a parsed command line.
 type options struct {
 	command      string
-	configFile   string // of check
+	configFile   string // for commandCheck
 	operatorFile string // empty: none
 	logFormat    string
 	logLevel     string
 }
 
-// run carries out a command line.
-func run(args []string, out io.Writer, parts Components) error {
+// run executes a command line and returns when its command ends.
+func run(args []string, out io.Writer, components Components) error {
 	opts, err := parseOptions(args)
 	if errors.Is(err, flag.ErrHelp) {
 		_, err = io.WriteString(out, usage)
@@ -54,7 +54,7 @@
 	}
 	switch opts.command {
 	case commandCheck:
-		return check(opts.configFile, opts.operatorFile, out, parts)
+		return check(opts.configFile, opts.operatorFile, out, components)
 	case commandVersion:
 		_, err := fmt.Fprintln(out, "cache-router", revision())
 		return err
@@ -63,11 +63,11 @@
 	if err != nil {
 		return err
 	}
-	return serve(log, opts.operatorFile, parts)
+	return serve(log, opts.operatorFile, components)
 }
 
-// parseOptions returns errUsage for a wrong command line, and flag.ErrHelp for a request for help. The flags are those of
-// the usage text.
+// parseOptions parses a command line. It returns errUsage for an invalid one and flag.ErrHelp if help is requested. The flags
+// are described in the usage text.
 func parseOptions(args []string) (options, error) {
 	var opts options
 	hasCommand := len(args) > 0 && args[0] != "" && !strings.HasPrefix(args[0], "-")
@@ -102,6 +102,7 @@
 	return opts, nil
 }
 
+// newLogger returns a logger with the given level and format, or errUsage if either is unknown.
 func newLogger(opts options) (*logrus.Logger, error) {
 	log := logrus.New()
 	level, err := logrus.ParseLevel(opts.logLevel)
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -13,7 +13,8 @@
 	"spurtrestle/internal/settings"
 )
 
-// fleetConfig combines the operator's file and the configuration: the file's fields take precedence.
+// fleetConfig builds the fleet configuration from the operator's file, falling back to the router's configuration for the
+// name and the site.
 func fleetConfig(file operator.File, cfg config.Config) (fleet.Config, error) {
 	f := file.Fleet
 	c := fleet.Config{
@@ -44,15 +45,16 @@
 	return c, checkFleetConfig(c)
 }
 
+// checkFleetConfig validates what depends on both files; package operator has checked the rest.
 func checkFleetConfig(cfg fleet.Config) error {
 	if cfg.Name == "" {
 		return cfg.ConfigError("fleet.router", "is empty, and so is name in the configuration", "give the router a name")
 	}
 	if len(cfg.Sites) > 0 && !slices.Contains(cfg.Sites, cfg.Site) {
-		return cfg.ConfigError("fleet.site", fmt.Sprintf("%q is none of the settings' zones", cfg.Site), fmt.Sprintf("write one of %q", cfg.Sites))
+		return cfg.ConfigError("fleet.site", fmt.Sprintf("%q is not among the settings' zones", cfg.Site), fmt.Sprintf("write one of %q", cfg.Sites))
 	}
 	if cfg.Tiered && cfg.Site == "" {
-		return cfg.ConfigError("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet is made of them")
+		return cfg.ConfigError("fleet.site", "is empty, and so is the site in the configuration", "name the site; a tiered fleet consists of sites")
 	}
 	if cfg.Dir != "" {
 		if info, err := os.Stat(cfg.Dir); err == nil && !info.IsDir() {
@@ -62,16 +64,16 @@
 	return nil
 }
 
-// fleetRouter is a router with a view of its fleet, for the admin endpoint.
+// fleetRouter adds fleet membership to a router. It is served by the admin endpoint.
 type fleetRouter struct {
 	*router.Router
 	fleet.Node
 }
 
-// Metrics returns the metrics of the router and of the view.
+// Metrics returns the metrics of the router, followed by those of the fleet membership.
 func (r fleetRouter) Metrics() string { return r.Router.Metrics() + r.Node.Metrics() }
 
-// policyRouter is a fleetRouter that follows a policy, for the admin endpoint.
+// policyRouter adds the fleet's policy to a fleetRouter. It is served by the admin endpoint.
 type policyRouter struct {
 	fleetRouter
 	policy fleet.Policy
@@ -80,12 +82,12 @@
 // Policy returns the policy in force as JSON.
 func (r policyRouter) Policy() (string, error) { return r.policy.Policy() }
 
-// HandleRequest forwards an operator's request to the voters.
+// HandleRequest forwards an operator's request to the voters and returns their reply.
 func (r policyRouter) HandleRequest(request string) (string, error) {
 	return r.policy.HandleRequest(request)
 }
 
-// The admin endpoint finds these interfaces by type assertion.
+// The admin endpoint detects these interfaces by type assertion.
 var (
 	_ admin.Fleet  = fleetRouter{}
 	_ admin.Policy = policyRouter{}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,6 +1,9 @@
-// Package program is the command line of the router's programs, and the life of a router process: it reads the
-// configuration, starts the parts in order, handles signals, and ends the parts in reverse order. The programs under cmd
-// call Main with the parts that they link in.
+// Package program implements the command line of the router's programs and the lifecycle of a router process: it reads the
+// configuration, starts the components in order, handles signals, and stops the components when the router has drained. The
+// programs under cmd call Main with the optional components that they link in.
+//
+// The main goroutine owns the process value and blocks in Router.Run, which runs the event loop. One goroutine for each purpose
+// of signals calls the router, which hands the calls on to its loop.
 package program
 
 import (
@@ -18,19 +21,19 @@
 	"spurtrestle/internal/router"
 )
 
-// Components are the optional parts of a program; a nil part is not linked in. Programs without them are smaller and start
-// faster.
+// Components lists the optional components of a program. A nil field is a component that is not linked in: programs without it
+// are smaller and start faster.
 type Components struct {
 	GRPC   StartFrontend
 	Fleet  fleet.Join
 	Policy FollowPolicy
 }
 
-// StartFrontend starts to accept clients of a further protocol and returns the function that ends that gracefully. It is
-// called before the router runs. stop may be called more than once, also concurrently.
+// StartFrontend starts to accept clients of an additional protocol and returns the function that stops it gracefully. It is
+// called before the router runs. stop may be called more than once and concurrently.
 type StartFrontend func(*router.Router, config.Config, operator.GRPC, *logrus.Logger) (stop func(), err error)
 
-// FollowPolicy makes the router follow the policy of its fleet.
+// FollowPolicy connects the router to the policy of its fleet and returns the handle by which it is queried and closed.
 type FollowPolicy func(operator.Policy, fleet.Config, routing.Settings, *router.Router, fleet.Node, *logrus.Logger) (fleet.Policy, error)
 
 // Exit codes other than 0.
@@ -39,9 +42,9 @@
 	exitUsage   = 2
 )
 
-// Main is the main function of a router's program.
-func Main(parts Components) {
-	err := run(os.Args[1:], os.Stdout, parts)
+// Main runs a router's program and exits the process on failure. It is the only call in each main function under cmd.
+func Main(components Components) {
+	err := run(os.Args[1:], os.Stdout, components)
 	if err == nil {
 		return
 	}
@@ -52,7 +55,7 @@
 	os.Exit(exitFailure)
 }
 
-// revision is the commit that the program was built from.
+// revision returns the commit that the program was built from, or "unknown".
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TestParseOptions reads each command's flags and rejects what is none of them.
+// TestParseOptions parses the flags of each command and rejects unknown commands, flags and arguments.
 func TestParseOptions(t *testing.T) {
 	t.Setenv("EDGE_CONFIG", "from-environment.json")
 	for _, c := range []struct {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestNewLogger rejects unknown formats and levels as wrong usage.
+// TestNewLogger verifies that unknown formats and levels are usage errors.
 func TestNewLogger(t *testing.T) {
 	for _, c := range []struct {
 		format, level string
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFleetConfig takes name and site from the operator's file, or else from the configuration, and rejects a fleet that
-// lacks them.
+// TestFleetConfig verifies that the name and the site come from the operator's file or else from the configuration, and that
+// a fleet without them is rejected.
 func TestFleetConfig(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -67,7 +67,7 @@
 		fleet      operator.Fleet
 		cfg        config.Config
 		name, site string
-		field      string // of the error; empty: none
+		field      string // of the expected error; empty: none
 	}{
 		{operator.Fleet{Name: "f", Router: "r", Site: "a"}, config.Config{Name: "n", Site: "b", Sites: []string{"a", "b"}}, "r", "a", ""},
 		{operator.Fleet{Name: "f"}, config.Config{Name: "n", Site: "b", Sites: []string{"a", "b"}}, "n", "b", ""},
@@ -83,33 +83,33 @@
 			field = located.Field
 		}
 		if got.Name != c.name || got.Site != c.site || field != c.field {
-			t.Errorf("%+v: got %s, %s, %v, want %s, %s, an error of %q", c.fleet, got.Name, got.Site, err, c.name, c.site, c.field)
+			t.Errorf("%+v: got %s, %s, %v, want %s, %s, an error in field %q", c.fleet, got.Name, got.Site, err, c.name, c.site, c.field)
 		}
 	}
 }
 
-// TestLoadOperatorFile rejects functions that the program does not link in, by field and remedy.
+// TestLoadOperatorFile verifies that a table of a component that is not linked in is rejected with its field and a remedy.
 func TestLoadOperatorFile(t *testing.T) {
 	grpc := func(*router.Router, config.Config, operator.GRPC, *logrus.Logger) (func(), error) {
 		return func() {}, nil
 	}
 	for _, c := range []struct {
-		text  string
-		parts Components
-		want  string // empty: no error
+		text       string
+		components Components
+		want       string // empty: no error
 	}{
 		{"[grpc]\nlisten = \"127.0.0.1:7443\"\n", Components{},
 			"FILE: grpc.listen: this program has no gRPC; start cache-router-grpc in its place, or leave the field empty"},
 		{"[grpc]\nlisten = \"127.0.0.1:7443\"\n", Components{GRPC: grpc}, ""},
-		{"[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:1\"\n", Components{}, "FILE: line 2: fleet.name: this program keeps no view of a fleet; " +
-			"start cache-router-fleet or cache-router-grpc in its place, or leave the field empty"},
+		{"[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:1\"\n", Components{}, "FILE: line 2: fleet.name: this program is built without fleet membership; " +
+			"start cache-router-fleet or cache-router-grpc instead, or leave the field empty"},
 	} {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		got := ""
-		if _, err := loadOperatorFile(path, c.parts); err != nil {
+		if _, err := loadOperatorFile(path, c.components); err != nil {
 			got = strings.ReplaceAll(err.Error(), path, "FILE")
 		}
 		if got != c.want {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -25,25 +25,25 @@
 // finalSnapshotTimeout bounds the last write, within the grace period between SIGTERM and SIGKILL.
 const finalSnapshotTimeout = time.Second
 
-// process is one serving process: the router and the parts around it.
+// process is one serving process: the router and the components around it.
 type process struct {
-	log       *logrus.Logger
-	parts     Components
-	config    config.Config
-	file      operator.File
-	fleet     fleet.Config // fleet.Fleet is empty without a fleet
-	router    *router.Router
-	snapshots *snapshot.Writer // nil: learned state is not persisted
-	admin     net.Listener     // nil: there is no admin endpoint
-	stopFront func()           // ends gRPC gracefully
-	stopFleet func()
+	log          *logrus.Logger
+	components   Components
+	config       config.Config
+	file         operator.File
+	fleet        fleet.Config // fleet.Fleet is empty without a fleet
+	router       *router.Router
+	snapshots    *snapshot.Writer // nil: learned state is not persisted
+	admin        net.Listener     // nil: the admin endpoint is disabled
+	stopFrontend func()           // stops gRPC gracefully
+	stopFleet    func()           // leaves the policy and the fleet
 }
 
-// serve runs a router until a signal ends it. After an error the process exits, which ends the goroutines that were
-// started by then and releases the lock of the snapshot folder.
-func serve(log *logrus.Logger, operatorFile string, parts Components) error {
+// serve runs a router until a signal ends it. After an error the process exits, which ends the goroutines started so far and
+// releases the lock of the snapshot directory.
+func serve(log *logrus.Logger, operatorFile string, components Components) error {
 	signals := notifySignals()
-	p, err := newProcess(log, operatorFile, parts)
+	p, err := newProcess(log, operatorFile, components)
 	if err != nil {
 		return err
 	}
@@ -56,24 +56,24 @@
 	if err := p.joinFleet(); err != nil {
 		return err
 	}
-	if err := p.startFront(); err != nil {
+	if err := p.startFrontend(); err != nil {
 		return err
 	}
 	p.handleSignals(signals)
 	return p.run()
 }
 
-// newProcess reads the configuration and makes the router, with what was learned before.
-func newProcess(log *logrus.Logger, operatorFile string, parts Components) (*process, error) {
-	p := &process{log: log, parts: parts, stopFront: func() {}, stopFleet: func() {}}
+// newProcess reads the configuration and creates the router, with the state learned by an earlier process.
+func newProcess(log *logrus.Logger, operatorFile string, components Components) (*process, error) {
+	p := &process{log: log, components: components, stopFrontend: func() {}, stopFleet: func() {}}
 	var err error
 	if p.config, err = config.Load(os.Getenv); err != nil {
 		return nil, err
 	}
 	if p.config.ShapeConflict != nil {
-		log.WithError(p.config.ShapeConflict).Warn("config: settings of two shapes, each key applies as it stands")
+		log.WithError(p.config.ShapeConflict).Warn("config: settings mix two deployment shapes; each key applies as given")
 	}
-	if p.file, err = loadOperatorFile(operatorFile, parts); err != nil {
+	if p.file, err = loadOperatorFile(operatorFile, components); err != nil {
 		return nil, err
 	}
 	debug.SetMemoryLimit(p.config.Limits.MemoryBytes)
@@ -88,6 +88,7 @@
 	return p, err
 }
 
+// openSnapshots passes the newest snapshot to the router and has it submit new ones, if the operator's file names a directory.
 func (p *process) openSnapshots() {
 	dir := p.file.State.Dir
 	if dir == "" {
@@ -99,15 +100,15 @@
 	p.router.Remember(learned, interval, p.snapshots.Submit)
 }
 
-// openAdmin listens for operators, connects to a predecessor, and reads the operator state. The endpoint answers once
-// serveAdmin is called. The processes of a router find each other and the operator state in the temporary folder.
+// openAdmin opens the admin endpoint's listener, connects to a predecessor, and reads the operator state. Requests are answered
+// once serveAdmin is called. The processes of one router find each other and the operator state in the temporary directory.
 func (p *process) openAdmin() error {
 	if p.config.Admin == "" {
 		return nil
 	}
 	var err error
 	if p.admin, err = net.Listen("tcp", p.config.Admin); err != nil {
-		return &configerror.Error{Field: "admin", Problem: err.Error(), Remedy: "give the operators' door a free address", Cause: err}
+		return &configerror.Error{Field: "admin", Problem: err.Error(), Remedy: "give the admin endpoint a free address", Cause: err}
 	}
 	if err := p.router.Join(os.TempDir()); err != nil {
 		p.admin.Close()
@@ -118,14 +119,15 @@
 	return nil
 }
 
-// serveAdmin answers on the admin endpoint until its listener is closed.
+// serveAdmin starts to answer requests on the admin endpoint. Closing its listener ends that.
 func (p *process) serveAdmin(served admin.Router) {
 	if p.admin != nil {
 		go admin.Serve(p.admin, p.config.Limits.AdminConnections, served)
 	}
 }
 
-// joinFleet joins the router to its fleet and policy, where the operator's file has them, and starts the admin endpoint.
+// joinFleet joins the fleet and follows its policy, as far as the operator's file configures them, and starts the admin
+// endpoint.
 func (p *process) joinFleet() error {
 	if p.fleet.Fleet == "" {
 		p.serveAdmin(p.router)
@@ -133,7 +135,7 @@
 	}
 	minimumShare := sharelease.MinimumShare(p.fleet.FleetSize)
 	p.fleet.HasPredecessor, p.fleet.NoSharesGranted = p.router.Place(minimumShare)
-	node, err := p.parts.Fleet(p.fleet, p.router, p.log)
+	node, err := p.components.Fleet(p.fleet, p.router, p.log)
 	if err != nil {
 		return err
 	}
@@ -143,7 +145,7 @@
 		p.stopFleet = func() { node.Close(p.router.Handed()) }
 		return nil
 	}
-	policy, err := p.parts.Policy(p.file.Policy, p.fleet, p.config.Settings, p.router, node, p.log)
+	policy, err := p.components.Policy(p.file.Policy, p.fleet, p.config.Settings, p.router, node, p.log)
 	if err != nil {
 		return err
 	}
@@ -155,27 +157,28 @@
 	return nil
 }
 
-func (p *process) startFront() error {
+// startFrontend starts gRPC if the operator's file configures it.
+func (p *process) startFrontend() error {
 	if p.file.GRPC.Listen == "" {
 		return nil
 	}
-	stop, err := p.parts.GRPC(p.router, p.config, p.file.GRPC, p.log)
+	stop, err := p.components.GRPC(p.router, p.config, p.file.GRPC, p.log)
 	if err != nil {
 		return err
 	}
-	p.stopFront = stop
+	p.stopFrontend = stop
 	return nil
 }
 
-// errLoopEnded reports an event loop that ended without a signal.
+// errLoopEnded reports that the event loop ended without a signal to stop.
 var errLoopEnded = errors.New("the loop ended by itself")
 
-// run runs the router until it has drained, and ends the parts.
+// run runs the router until it has drained, then stops the components and writes the last snapshot.
 func (p *process) run() error {
 	if err := p.router.Run(); err != nil {
 		return err
 	}
-	p.stopFront()
+	p.stopFrontend()
 	p.stopFleet()
 	p.log.Info(p.router.Counters())
 	if p.snapshots != nil {
--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -11,15 +11,16 @@
 	"spurtrestle/internal/settings"
 )
 
-// processSignals are the signals of a process from its first moment on: an early SIGHUP does not end it, and an early
-// SIGTERM ends it gracefully once it serves. Each purpose has a channel and a goroutine of its own, so that no signal is
-// lost or delayed behind others; one that waits stands for several of its purpose.
+// processSignals holds the signal channels, registered when the process starts: an early SIGHUP does not kill it, and an early
+// SIGTERM ends it gracefully once it serves. Each purpose has its own channel and goroutine, so that a signal is neither lost
+// nor delayed behind those of another purpose; several pending signals of one purpose are handled as one.
 type processSignals struct {
 	reload   chan os.Signal // SIGHUP
 	end      chan os.Signal // SIGTERM and SIGINT
 	counters chan os.Signal // SIGUSR1
 }
 
+// notifySignals registers the signals that the process handles.
 func notifySignals() processSignals {
 	s := processSignals{
 		reload:   make(chan os.Signal, 1),
@@ -39,26 +40,27 @@
 	go p.handleCounters(signals.counters)
 }
 
-// handleEnd drains the router, and gRPC clients at the same time.
+// handleEnd drains the router and, concurrently, the gRPC clients.
 func (p *process) handleEnd(signals <-chan os.Signal) {
 	for range signals {
 		p.router.Drain()
-		go p.stopFront()
+		go p.stopFrontend()
 	}
 }
 
-// handleCounters prints the counters.
+// handleCounters logs the counters at each SIGUSR1.
 func (p *process) handleCounters(signals <-chan os.Signal) {
 	for range signals {
 		p.router.Print()
 	}
 }
 
-// formerReloadRejected is the text of the log line in earlier releases, for one release more.
+// formerReloadRejected is the text that the log line had in earlier releases. Operators' tools that match it find it in the
+// field "formerly" for one more release.
 const formerReloadRejected = "the new configuration is not taken; the old one holds"
 
-// handleReload reads the configuration again at each SIGHUP. Only the address of discovery takes effect without a
-// restart.
+// handleReload reads the configuration again at each SIGHUP. Of a valid one, only the address of discovery takes effect
+// without a restart.
 func (p *process) handleReload(signals <-chan os.Signal) {
 	for range signals {
 		cfg, err := config.Reload(os.Getenv)
@@ -74,7 +76,8 @@
 	}
 }
 
-// checkReloaded rejects the configuration of another service, whose discovery lists servers for other requests.
+// checkReloaded rejects the configuration of another service: its discovery lists servers that cannot answer this router's
+// requests.
 func (p *process) checkReloaded(cfg config.Config) error {
 	err := settings.CheckSameService(settings.MethodNames(cfg.Settings), settings.MethodNames(p.config.Settings))
 	if err == nil {
@@ -83,7 +86,7 @@
 	return &configerror.Error{
 		Field:   "settings",
 		Problem: err.Error(),
-		Remedy:  fmt.Sprintf("start it anew, or give it a file of its own in place of %q", os.Getenv("EDGE_CONFIG")),
+		Remedy:  fmt.Sprintf("restart the router, or give it its own file instead of %q", os.Getenv("EDGE_CONFIG")),
 		Cause:   err,
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,7 +1,7 @@
 package settings
 
-// The settings object as JSON has it. Durations are in seconds; their keys end in -s. The apply functions have the term of
-// each field.
+// JSON form of the settings object. Durations are in seconds, and their keys end in -s. The apply methods of document map each
+// field to its meaning.
 type (
 	document struct {
 		Balancers  *int           `json:"balancers"`
@@ -30,7 +30,7 @@
 	}
 	domainObject struct {
 		Mode                   string  `json:"mode"`
-		OriginKind             *int    `json:"origin-kind"` // index of Flavors; below 0: the origin is not listed
+		OriginKind             *int    `json:"origin-kind"` // index into Flavors; negative: the origin is not listed
 		OriginOverloadMultiple float64 `json:"origin-fall-multiple"`
 		OriginOverloadWindow   float64 `json:"origin-fall-s"`
 	}
@@ -75,7 +75,7 @@
 	}
 )
 
-// Values of the settings that name one of several.
+// Values of the enumerated settings.
 const (
 	discoveryPushed    = "pushed"
 	discoveryOnRequest = "on_request"
--- a/internal/settings/service.go
+++ b/internal/settings/service.go
@@ -9,7 +9,7 @@
 	"spurtrestle/core/routing"
 )
 
-// MethodNames lists the names of all methods.
+// MethodNames returns the names of all methods, in the order of the settings.
 func MethodNames(service routing.Settings) []string {
 	var names []string
 	for _, method := range service.Methods {
@@ -18,7 +18,7 @@
 	return names
 }
 
-// LongestDeadline is the longest deadline of any method.
+// LongestDeadline returns the longest deadline of any method.
 func LongestDeadline(service routing.Settings) clock.Duration {
 	longest := clock.Duration(0)
 	for _, method := range service.Methods {
@@ -27,7 +27,7 @@
 	return longest
 }
 
-// ServiceMismatchError reports state or a process of another service than this router's.
+// ServiceMismatchError reports that persisted state or another process belongs to a different service than this router's.
 type ServiceMismatchError struct {
 	Theirs, Ours []string // names of methods
 }
@@ -37,9 +37,9 @@
 		strings.Join(e.Theirs, ", "), strings.Join(e.Ours, ", "))
 }
 
-// CheckSameService returns nil where two lists of method names may belong to one service, and an *ServiceMismatchError
-// otherwise. A service adds and drops methods, so that one list may contain the other; lists that each have a method which
-// the other lacks are of two services.
+// CheckSameService returns nil if two lists of method names may belong to one service, and a *ServiceMismatchError otherwise.
+// Since a service adds and drops methods over time, one list may contain the other. Lists that each have a method missing from
+// the other belong to different services.
 func CheckSameService(theirs, ours []string) error {
 	theirsInOurs := len(theirs) > 0 && containsAll(ours, theirs)
 	if theirsInOurs || containsAll(theirs, ours) {
@@ -48,6 +48,7 @@
 	return &ServiceMismatchError{Theirs: theirs, Ours: ours}
 }
 
+// containsAll reports whether all contains every name of some.
 func containsAll(all, some []string) bool {
 	for _, name := range some {
 		if !slices.Contains(all, name) {
--- a/internal/settings/service_test.go
+++ b/internal/settings/service_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestCheckSameService tells services apart by their methods.
+// TestCheckSameService distinguishes services by their methods.
 func TestCheckSameService(t *testing.T) {
 	for _, c := range []struct {
 		theirs, ours []string
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that describes the service: its methods, tenants, costs and rules. The
-// router's configuration contains it (internal/config) and the simulator sends it (simwire). It has no state.
+// Package settings reads the settings object, which describes the service: its methods, tenants, costs and rules. The router's
+// configuration contains it (internal/config), and the simulator sends it (simwire). The package is stateless.
 package settings
 
 import (
@@ -14,8 +14,8 @@
 	"spurtrestle/internal/configerror"
 )
 
-// ReportFields maps the field names of a server's load report to the figures that they have. Other names are
-// routing.FigureUnknown.
+// ReportFields maps the field names of a server's load report to the figures that they report. A name that is not in the map
+// yields routing.FigureUnknown. It must not be modified.
 var ReportFields = map[string]routing.Figure{
 	"avg_ms":  routing.FigureServiceTime,
 	"waiting": routing.FigureQueue,
@@ -25,12 +25,14 @@
 	"x0":      routing.FigureHits,
 }
 
+// effects maps the values of a method's effect to its idempotency.
 var effects = map[string]routing.Idempotency{
 	"free":        routing.Idempotent,
 	"guarded":     routing.Deduplicated,
 	"single_shot": routing.NonIdempotent,
 }
 
+// groups maps the values of a method's group to the scope within which repeated requests are deduplicated.
 var groups = map[string]routing.DeduplicationScope{
 	"":     routing.ScopeAll,
 	"all":  routing.ScopeAll,
@@ -38,13 +40,13 @@
 	"cell": routing.ScopeCell,
 }
 
-// Seconds returns a number of seconds as a Duration.
+// Seconds converts a number of seconds to a Duration.
 func Seconds(seconds float64) clock.Duration {
 	return clock.Duration(math.Round(seconds * float64(clock.Second)))
 }
 
-// Parse reads the settings object. Unknown keys are ignored. The error is a *configerror.Error, or one of encoding/json,
-// which the caller locates with configerror.InSection. The settings are valid without an error only.
+// Parse reads the settings object. Unknown keys are ignored. The error is a *configerror.Error or an error of encoding/json; the
+// caller adds its location with configerror.InSection. The settings are valid only if there is no error.
 func Parse(data []byte) (routing.Settings, error) {
 	var d document
 	if err := json.Unmarshal(data, &d); err != nil {
@@ -70,7 +72,7 @@
 	return service, nil
 }
 
-// check rejects an object in which something is missing or contradicts something else.
+// check rejects an object with a missing or unknown value, or with values that contradict each other.
 func (d *document) check() error {
 	switch {
 	case d.Balancers == nil || *d.Balancers < 1:
@@ -92,6 +94,7 @@
 	return d.checkOriginKind()
 }
 
+// checkOriginKind rejects an origin that is missing although the mode needs it, or that is not among the flavors.
 func (d *document) checkOriginKind() error {
 	kind := d.Domain.OriginKind
 	if kind == nil && d.Domain.Mode == modeAside {
@@ -108,7 +111,7 @@
 func (d *document) applyDomain(service *routing.Settings) {
 	service.CacheAside = d.Domain.Mode == modeAside
 	kind := d.Domain.OriginKind
-	if kind != nil && *kind >= 0 { // below 0 the origin is not listed
+	if kind != nil && *kind >= 0 { // negative: the origin is not listed
 		service.OriginKind = routing.Kind(d.Flavors[*kind])
 	}
 	service.OriginOverloadMultiple = d.Domain.OriginOverloadMultiple
@@ -156,7 +159,8 @@
 	service.OverloadWindow = Seconds(rules.OverloadWindow)
 }
 
-// applyMethods is checked last, as in earlier releases; the text does not say which of the four faults it is.
+// applyMethods sets the methods. It validates them after everything else, so that an object with several faults yields the same
+// error as in earlier releases. The error does not say which of its four faults occurred.
 func (d *document) applyMethods(service *routing.Settings) error {
 	for _, class := range d.Classes {
 		effect, effectKnown := effects[class.Effect]
