--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,16 +1,16 @@
-// Package handover is the transport between two processes of one router while the successor replaces the predecessor:
+// Package handover implements the transport between two processes of one router while the successor replaces the predecessor:
 // frames over a Unix socket, which may carry file descriptors.
 //
-// The exchange, of which internal/router decides each step:
+// internal/router drives the exchange:
 //
 //	successor     Hello
 //	predecessor   Listener, OperatorState, Snapshot
 //	successor     Ready, once it has an endpoint list and accepts clients
-//	predecessor   Client or LargeValue for each connection, once nothing else of it is in flight
+//	predecessor   Client or LargeValue for each connection, once nothing else is in flight on it
 //	both          OperatorState and DescriptorCount at any time
 //	predecessor   LeaseTransfer at any time
 //
-// It ends when either process closes the connection. A predecessor whose successor ends early accepts clients again.
+// It ends when either process closes the connection. If the successor ends early, the predecessor accepts clients again.
 package handover
 
 import (
@@ -24,35 +24,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendTimeout bounds the wait for a process that does not read.
+// sendTimeout bounds the wait for a peer that does not read.
 const sendTimeout = 2 * time.Second
 
 // ErrFrameTooLong reports a frame with a body of more than MaxBodyBytes.
 var ErrFrameTooLong = errors.New("handover: frame too long")
 
-// Conn is a connection to the other process. Any goroutine may send; one receives.
+// Conn is a connection to the other process. Any goroutine may send; only one may receive.
 type Conn struct {
 	conn   *net.UnixConn
-	sendMu sync.Mutex // one frame after the other
+	sendMu sync.Mutex // serializes frames
 	outbox outbox
 }
 
-// Send sends a frame. Its descriptors stay open in this process. After an error a part of the frame may have been sent, so
-// that the connection is of no more use; but nothing has been after ErrFrameTooLong.
+// Send sends a frame and blocks until it is written. Its descriptors stay open in this process. ErrFrameTooLong means that nothing
+// was sent; after any other error a part of the frame may have been sent, and the connection must not be used any more.
 func (c *Conn) Send(frame Frame) error {
 	if len(frame.Body) > MaxBodyBytes {
 		return ErrFrameTooLong
 	}
 	c.sendMu.Lock()
 	defer c.sendMu.Unlock()
-	_ = c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // fails for a closed connection, as the write will
+	_ = c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // fails only for a closed connection, as does the write
 	header := binary.BigEndian.AppendUint32([]byte{byte(frame.Kind)}, uint32(len(frame.Body)))
 	var rights []byte
 	if len(frame.FDs) > 0 {
 		rights = unix.UnixRights(frame.FDs...)
 	}
 	n, _, err := c.conn.WriteMsgUnix(header, rights, nil)
-	if err == nil && n < len(header) { // the descriptors went with the first byte
+	if err == nil && n < len(header) { // the descriptors were sent with the first byte
 		_, err = c.conn.Write(header[n:])
 	}
 	if err == nil && len(frame.Body) > 0 {
@@ -61,13 +61,13 @@
 	return err
 }
 
-// Receive waits for the next frame; a timeout of 0 is none. The frame's descriptors belong to the caller.
+// Receive waits for the next frame. A timeout of 0 means no timeout. The caller must close the frame's descriptors.
 func (c *Conn) Receive(timeout time.Duration) (Frame, error) {
 	deadline := time.Time{}
 	if timeout > 0 {
 		deadline = time.Now().Add(timeout)
 	}
-	_ = c.conn.SetReadDeadline(deadline) // fails for a closed connection, as the read will
+	_ = c.conn.SetReadDeadline(deadline) // fails only for a closed connection, as does the read
 	header, descriptors, err := c.readHeader()
 	frame := Frame{FDs: descriptors}
 	if err == nil {
@@ -80,8 +80,8 @@
 	return frame, err
 }
 
-// readHeader reads the header of a frame and the descriptors that come with its first bytes. With an error there may be
-// descriptors too.
+// readHeader reads the header of a frame and the descriptors that arrive with its first bytes. It may return descriptors together
+// with an error.
 func (c *Conn) readHeader() (header []byte, descriptors []int, err error) {
 	header = make([]byte, headerBytes)
 	rights := make([]byte, unix.CmsgSpace(maxDescriptors*descriptorSize))
@@ -99,6 +99,7 @@
 	return header, descriptors, err
 }
 
+// readBody reads a body of the length given in the header.
 func (c *Conn) readBody(length uint32) ([]byte, error) {
 	if length > MaxBodyBytes {
 		return nil, ErrFrameTooLong
@@ -108,7 +109,8 @@
 	return body, err
 }
 
-// parseDescriptors returns the descriptors of a control message; none where it is not the one message that Send writes.
+// parseDescriptors returns the descriptors in a control message and marks them close-on-exec. It returns none if the message is
+// not of the form that Send writes.
 func parseDescriptors(rights []byte) []int {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
@@ -124,10 +126,10 @@
 	return descriptors
 }
 
-// Close ends the connection and drops what is queued; a Receive that waits returns an error. It waits for the goroutine that
-// sends what is queued, so that it must not be called where that one's bodies have to wait.
+// Close closes the connection and drops all queued frames. A pending Receive returns an error. Close waits for the goroutine that
+// sends queued frames: do not call it while holding something that a body function passed to Publish waits for.
 func (c *Conn) Close() {
 	c.closeOutbox()
-	c.conn.Close() // its error changes nothing for the caller
+	c.conn.Close() // the caller cannot act on an error
 	c.outbox.sender.Wait()
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConn_Frames sends frames of several sizes, with and without descriptors, through a socket in a folder with a long
-// name. The name then belongs to the next process that listens.
+// TestConn_Frames sends frames of several sizes, with and without descriptors, through a socket in a directory with a long path.
+// The next process that listens then takes over the socket's name.
 func TestConn_Frames(t *testing.T) {
 	dir := t.TempDir() + "/" + strings.Repeat("long", 40)
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -43,7 +43,7 @@
 	big := bytes.Repeat([]byte("x"), 1<<20)
 	go func() {
 		for _, f := range []Frame{{Kind: Hello}, {Kind: LargeValue, Body: big, FDs: []int{int(read.Fd()), int(write.Fd())}}, {Kind: DescriptorCount, Body: []byte("7")}} {
-			_ = sender.Send(f) // a missing frame fails below
+			_ = sender.Send(f) // a missing frame is detected below
 		}
 		write.Close()
 		sender.Close()
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestConn_RejectsLongFrames closes the descriptors of a frame whose length is beyond the bound.
+// TestConn_RejectsLongFrames verifies that a frame longer than MaxBodyBytes is rejected and its descriptors are closed.
 func TestConn_RejectsLongFrames(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := Listen(dir, "s")
@@ -106,8 +106,9 @@
 	}
 }
 
-// TestConn_DropsQueuedDescriptorsAtItsEnd leaves no descriptor open of frames that were queued for a process that is gone.
-func TestConn_DropsQueuedDescriptorsAtItsEnd(t *testing.T) {
+// TestConn_CloseDropsQueuedDescriptors guards against descriptor leaks: frames that are queued when the connection is closed, or
+// later, must not leave their descriptors open.
+func TestConn_CloseDropsQueuedDescriptors(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := Listen(dir, "s")
 	if err != nil {
@@ -123,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.Enqueue(Frame{Kind: LargeValue, Body: make([]byte, 1<<20)}) // the other process does not read it
+	conn.Enqueue(Frame{Kind: LargeValue, Body: make([]byte, 1<<20)}) // blocks the queue, since the other process does not read
 	var descriptors []int
 	for range 2 {
 		fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, 0)
--- a/internal/handover/outbox.go
+++ b/internal/handover/outbox.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// outbox is what a connection has still to send, in order. Its goroutine runs while there is something.
+// outbox queues the frames that a connection has yet to send, in order. Its goroutine runs while the queue is not empty.
 type outbox struct {
 	mu        sync.Mutex
 	frames    []queuedFrame
@@ -14,27 +14,29 @@
 	sender    sync.WaitGroup
 }
 
-// queuedFrame is a frame that is encoded when its turn comes.
+// queuedFrame is a frame whose body is produced when it is sent.
 type queuedFrame struct {
 	kind        Kind
 	body        func() []byte
 	fds         []int
-	replaceable bool // by a later frame of its kind
+	replaceable bool // by a later replaceable frame of its kind
 }
 
-// Enqueue sends a frame behind all that are queued, and does not wait. It owns the frame's descriptors.
+// Enqueue queues a frame behind all others and does not block. It takes ownership of the frame's descriptors.
 func (c *Conn) Enqueue(frame Frame) {
 	body := func() []byte { return frame.Body }
 	c.queue(queuedFrame{kind: frame.Kind, body: body, fds: frame.FDs})
 }
 
-// Publish sends the latest state of a kind, and does not wait. A state that is still queued is replaced where it stands, so that
-// the other process never receives an older state after a newer one, and at most one of a kind waits for it. body is called from
-// a goroutine of the connection when the frame's turn comes.
+// Publish queues the latest state of a kind and does not block. It replaces a queued state of that kind in its place in the queue.
+// The other process thus never receives an older state after a newer one, and at most one state of a kind is queued. The
+// connection's goroutine calls body when the frame is sent.
 func (c *Conn) Publish(kind Kind, body func() []byte) {
 	c.queue(queuedFrame{kind: kind, body: body, replaceable: true})
 }
 
+// queue appends a frame, or replaces the queued one that it supersedes, and starts the goroutine if it does not run. If the
+// connection is closed, the frame is dropped.
 func (c *Conn) queue(next queuedFrame) {
 	c.outbox.mu.Lock()
 	defer c.outbox.mu.Unlock()
@@ -56,8 +58,8 @@
 	}
 }
 
-// sendQueued sends until nothing is queued. After an error the connection is of no more use, and is closed: the goroutine that
-// receives from it notices.
+// sendQueued sends until the queue is empty. After an error it closes the connection, which must not be used any more; the
+// goroutine that receives from it then gets an error.
 func (c *Conn) sendQueued() {
 	for {
 		next, ok := c.nextQueued()
@@ -73,6 +75,7 @@
 	}
 }
 
+// nextQueued removes the first frame from the queue. If there is none, it returns false and marks the goroutine as stopped.
 func (c *Conn) nextQueued() (queuedFrame, bool) {
 	c.outbox.mu.Lock()
 	defer c.outbox.mu.Unlock()
@@ -85,7 +88,7 @@
 	return next, true
 }
 
-// closeOutbox drops what is queued, and all that would be queued later.
+// closeOutbox drops all queued frames and those queued later.
 func (c *Conn) closeOutbox() {
 	c.outbox.mu.Lock()
 	defer c.outbox.mu.Unlock()
--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -7,26 +7,25 @@
 	"time"
 )
 
-// State is what operators have requested of a router. Copies share their slice and map, which are never written to: a change
-// puts new ones in their place, so that another goroutine may read a copy meanwhile.
+// State is what operators have requested of a router. Copies share their slice and map. These are never modified: a change
+// replaces them, so that another goroutine may read a copy concurrently.
 type State struct {
-	Banned     []string         `json:"down"`  // cache servers to avoid, by their names in discovery, sorted
-	UnbannedAt map[string]int64 `json:"back"`  // when others were unbanned lately, Unix time in microseconds
-	Drain      bool             `json:"empty"` // the router is to drain
+	Banned     []string         `json:"down"`  // cache servers that get no requests: their names in discovery, sorted
+	UnbannedAt map[string]int64 `json:"back"`  // when other servers were recently unbanned, Unix time in microseconds
+	Drain      bool             `json:"empty"` // the router should drain
 }
 
 const (
-	// maxBanned bounds the file.
+	// maxBanned bounds the size of the file.
 	maxBanned = 4096
-	// unbannedRetention bounds UnbannedAt. It exceeds the longest warm-up, which starts at the unban.
+	// unbannedRetention is how long UnbannedAt keeps an entry. It exceeds the longest warm-up, which starts at the unban.
 	unbannedRetention = 5 * time.Minute
 )
 
-// IsBanned reports whether a cache server is to be avoided.
+// IsBanned reports whether a cache server is banned.
 func (s State) IsBanned(uid string) bool { return slices.Contains(s.Banned, uid) }
 
-// Ban adds a cache server to those to avoid. A banned one stays banned. It fails if
-// maxBanned servers are banned.
+// Ban bans a cache server. It does nothing if the server is banned already, and fails if maxBanned servers are.
 func (s *State) Ban(uid string) error {
 	if s.IsBanned(uid) {
 		return nil
@@ -41,8 +40,8 @@
 	return nil
 }
 
-// Unban makes a cache server usable again, and records when: it warms up from then on. One that is not banned stays as it
-// is.
+// Unban ends the ban of a cache server and records the time, from which the server warms up. It does nothing to a server that is
+// not banned. It also removes expired entries of UnbannedAt.
 func (s *State) Unban(uid string, now time.Time) {
 	s.UnbannedAt = maps.Clone(s.UnbannedAt)
 	maps.DeleteFunc(s.UnbannedAt, func(_ string, at int64) bool {
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -11,10 +11,12 @@
 	"time"
 )
 
+// ban returns a change for Store.Update that bans a server.
 func ban(uid string) func(*State) error {
 	return func(s *State) error { return s.Ban(uid) }
 }
 
+// unban returns a change for Store.Update that unbans a server at a fixed time.
 func unban(uid string) func(*State) error {
 	return func(s *State) error {
 		s.Unban(uid, time.UnixMicro(7e6))
@@ -22,7 +24,8 @@
 	}
 }
 
-// TestStore_TwoProcesses reads in one store what the other wrote. A second ban changes nothing, and one unban ends it.
+// TestStore_TwoProcesses verifies that each of two stores reads what the other wrote. A repeated ban changes nothing, and one
+// unban ends it.
 func TestStore_TwoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	one, two := Open(dir, "127.0.0.1:1", nil), Open(dir, "127.0.0.1:1", nil)
@@ -46,7 +49,7 @@
 	}
 }
 
-// TestStore_ConcurrentUpdates loses none of many updates by two stores at once.
+// TestStore_ConcurrentUpdates verifies that concurrent updates by two stores are not lost.
 func TestStore_ConcurrentUpdates(t *testing.T) {
 	dir := t.TempDir()
 	var all sync.WaitGroup
@@ -66,8 +69,8 @@
 	}
 }
 
-// TestStore_UnusableFile names a corrupt file and writes it anew from what the process knows, does not write a rejected
-// change, and returns a PersistError where there is no folder.
+// TestStore_UnusableFile verifies that a corrupt file is named in the error and overwritten with the state that the process knows,
+// that a rejected change is not written, and that a missing directory yields a PersistError.
 func TestStore_UnusableFile(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, "r", nil)
@@ -93,9 +96,9 @@
 	s = Open(gone, "r", nil)
 	state, err := s.Update(State{}, ban("a"))
 	if fmt.Sprint(state.Banned) != "[a]" || !errors.As(err, &persistError) || !strings.Contains(err.Error(), "TMPDIR") {
-		t.Errorf("no folder: got %v, %v, want [a] and a PersistError", state, err)
+		t.Errorf("no directory: got %v, %v, want [a] and a PersistError", state, err)
 	}
-	// Once the folder is there, the next update writes the state that was not persisted, over an older file.
+	// Once the directory exists, the next update writes the state that was not persisted and replaces an older file.
 	if err := os.Mkdir(gone, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -106,11 +109,11 @@
 		t.Error("Stale: got false, want true: the file lacks a change")
 	}
 	if state, err := s.Update(state, ban("b")); fmt.Sprint(state.Banned, err, s.Stale()) != "[a b] <nil> false" {
-		t.Errorf("update with the folder back: got %v, %v, stale %v, want [a b]", state, err, s.Stale())
+		t.Errorf("update once the directory exists: got %v, %v, stale %v, want [a b]", state, err, s.Stale())
 	}
 }
 
-// TestState_Bounds forgets unbans of long ago and rejects too many bans.
+// TestState_Bounds removes expired unbans and rejects too many bans.
 func TestState_Bounds(t *testing.T) {
 	s := State{UnbannedAt: map[string]int64{"old": 0}, Banned: []string{"x"}}
 	s.Unban("x", time.UnixMicro(1e9))
@@ -125,8 +128,8 @@
 	}
 }
 
-// TestStore_OtherService rejects the file of another service's router at the same address with an error that names both
-// services; the next update writes the file anew.
+// TestStore_OtherService rejects the file of a router of another service at the same address, with an error that names the methods
+// of both. The next update overwrites the file.
 func TestStore_OtherService(t *testing.T) {
 	dir := t.TempDir()
 	theirs, ours := Open(dir, "r", []string{"tile", "put"}), Open(dir, "r", []string{"get", "put"})
@@ -140,12 +143,12 @@
 	if state, err = ours.Update(State{}, ban("b")); err != nil || len(state.Banned) != 1 {
 		t.Errorf("update: got %v, %v, want one banned", state, err)
 	}
-	if state, err = Open(dir, "r", []string{"get"}).Load(); err != nil || !state.IsBanned("b") { // a part of the methods is the same service
+	if state, err = Open(dir, "r", []string{"get"}).Load(); err != nil || !state.IsBanned("b") { // a subset of the methods counts as the same service
 		t.Errorf("a store with fewer methods: got %v, %v, want b banned", state, err)
 	}
 }
 
-// TestStore_ThousandsOfBans reads thousands of bans again.
+// TestStore_ThousandsOfBans writes and reads thousands of bans.
 func TestStore_ThousandsOfBans(t *testing.T) {
 	const servers = 2000
 	state := State{}
@@ -163,8 +166,9 @@
 	}
 }
 
-// TestState_ChangesLeaveCopiesAsTheyAre holds a copy, which another goroutine may read meanwhile, to what it was.
-func TestState_ChangesLeaveCopiesAsTheyAre(t *testing.T) {
+// TestState_ChangesDoNotModifyCopies guards against a change that modifies the slice or the map of a copy, which another goroutine
+// may be reading.
+func TestState_ChangesDoNotModifyCopies(t *testing.T) {
 	state := State{Banned: []string{"a", "c"}, UnbannedAt: map[string]int64{"old": 0, "b": 7e6}}
 	inForce := state
 	before := fmt.Sprint(inForce)
@@ -178,9 +182,9 @@
 	}
 }
 
-// TestStore_ChangesWhileTheStateInForceIsRead is for the race detector: where the folder is gone, a change starts from the state in
-// force, which the router's event loop reads meanwhile. Without the detector a concurrent write of a map ends the process.
-func TestStore_ChangesWhileTheStateInForceIsRead(t *testing.T) {
+// TestStore_UpdateWhileStateIsRead is meant for the race detector. If the directory is missing, a change starts from the state in
+// force, which the router's event loop reads concurrently. Without the detector, a concurrent map write crashes the process.
+func TestStore_UpdateWhileStateIsRead(t *testing.T) {
 	store := Open(filepath.Join(t.TempDir(), "gone"), "r", nil)
 	inForce := State{Banned: []string{"a"}, UnbannedAt: map[string]int64{"b": 7e6}}
 	stop := make(chan struct{})
@@ -198,7 +202,7 @@
 	for range 2000 {
 		for _, change := range []func(*State) error{unban("a"), ban("b")} {
 			if _, err := store.Update(inForce, change); err == nil {
-				t.Fatal("update without a folder: got no error")
+				t.Fatal("update without a directory: got no error")
 			}
 		}
 	}
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -11,20 +11,21 @@
 	"testing"
 )
 
-// crashFS is an FS on a disk that only persists synced data. It can fail at any operation, and enumerates the states in
-// which the disk may be found after a loss of power at that moment: names since the last SyncDir in any selection, and of
-// unsynced bytes none, all, a part, or a part followed by zeros.
+// crashFS is an FS on a simulated disk that persists only synced data. It can fail at any operation, and enumerates the states in
+// which the disk may be found after a power loss at that point: any subset of the name changes since the last SyncDir, and of the
+// unsynced bytes none, all, half, or half followed by zeros.
 type crashFS struct {
-	names       map[string]*inode
-	durable     map[string]*inode
-	pending     []func(map[string]*inode) // changes of names since the last SyncDir
+	names       map[string]*inode         // as processes see them
+	durable     map[string]*inode         // as of the last SyncDir
+	pending     []func(map[string]*inode) // name changes since the last SyncDir
 	operations  int
-	failAt      int // operation that fails; 0: none
-	poweredOff  bool
-	err         error
-	ignoresSync bool // Sync does nothing
+	failAt      int   // number of the operation that fails; 0: none
+	poweredOff  bool  // every operation fails
+	err         error // of the operation that fails
+	ignoresSync bool  // File.Sync does nothing
 }
 
+// inode is the content of a file, as written and as last synced.
 type inode struct{ now, synced []byte }
 
 var errPowerLoss = errors.New("power loss")
@@ -33,6 +34,7 @@
 	return &crashFS{names: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
+// operation counts an operation and returns its injected error.
 func (c *crashFS) operation() error {
 	if c.poweredOff {
 		return errPowerLoss
@@ -45,6 +47,7 @@
 	return nil
 }
 
+// change applies a name change that is not durable until the next SyncDir.
 func (c *crashFS) change(f func(map[string]*inode)) {
 	f(c.names)
 	c.pending = append(c.pending, f)
@@ -84,7 +87,7 @@
 	}
 	f := c.names[from]
 	c.change(func(m map[string]*inode) {
-		if m[from] == f { // else it never got its first name: the rename goes with it
+		if m[from] == f { // otherwise its creation was lost, and the rename with it
 			delete(m, from)
 			m[to] = f
 		}
@@ -111,12 +114,13 @@
 	return nil
 }
 
+// crashFile is a file of a crashFS that is open for writing.
 type crashFile struct {
 	c *crashFS
 	f *inode
 }
 
-// Write writes in three pieces, so that the power can go between them.
+// Write writes in three pieces, so that power can be lost in between.
 func (f *crashFile) Write(p []byte) (n int, err error) {
 	for _, piece := range [][]byte{p[:len(p)/3], p[len(p)/3 : 2*len(p)/3], p[2*len(p)/3:]} {
 		if err := f.c.operation(); err != nil {
@@ -140,7 +144,7 @@
 
 func (f *crashFile) Close() error { return f.c.operation() }
 
-// eachAfterPowerLoss calls visit with every state in which the disk may be found.
+// eachAfterPowerLoss calls visit with every state in which the disk may be found after a power loss.
 func (c *crashFS) eachAfterPowerLoss(visit func(*crashFS)) {
 	for chosen := range 1 << len(c.pending) {
 		names := maps.Clone(c.durable)
@@ -159,7 +163,8 @@
 	}
 }
 
-// afterPowerLoss returns the remains of a file: its synced bytes, or of the newer ones all, half, or half and zeros.
+// afterPowerLoss returns the content of a file after a power loss: the synced bytes, or of the unsynced content all, half, or half
+// followed by zeros.
 func (f *inode) afterPowerLoss(form int) []byte {
 	half := len(f.now) / 2
 	switch {
@@ -173,10 +178,11 @@
 	return append(bytes.Clone(f.now[:half]), make([]byte, len(f.now)-half)...)
 }
 
-// TestStore_PowerLossAtEveryOperation finds the state from before a save or the saved one, complete, and saves again.
+// TestStore_PowerLossAtEveryOperation verifies that after a power loss during a save, the complete previous or new state is found,
+// and that the next process can save.
 func TestStore_PowerLossAtEveryOperation(t *testing.T) {
 	disks := 0
-	for saves := range 4 { // the first save, the second, and saves that remove older generations
+	for saves := range 4 { // the first save, the second one, and saves that remove older generations
 		for at := 1; ; at++ {
 			c := newCrashFS()
 			s := NewStore(c)
@@ -195,7 +201,7 @@
 				case err != nil:
 					t.Fatalf("save %d, power loss at operation %d: got %v, want a state", saves, at, err)
 				case loaded.State.Router != generationName(saves) && (saves == 0 || loaded.State.Router != generationName(saves-1)):
-					t.Fatalf("save %d, power loss at operation %d: got %s, want the saved state or the one before", saves, at, loaded.State.Router)
+					t.Fatalf("save %d, power loss at operation %d: got %s, want the saved state or the previous one", saves, at, loaded.State.Router)
 				case !sameState(loaded.State, sample(int(loaded.State.Knowledge.KeyReads))):
 					t.Fatalf("save %d, power loss at operation %d: got a mixture of two states", saves, at)
 				}
@@ -219,8 +225,8 @@
 	}
 }
 
-// TestStore_EveryOperationMayFail keeps the state from before when an operation fails (a full or read-only disk), and the
-// next save succeeds.
+// TestStore_EveryOperationMayFail verifies that an I/O error at any operation of a save, as on a full or read-only disk, leaves
+// the previous or the new state, and that the next save succeeds.
 func TestStore_EveryOperationMayFail(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		for at := 1; ; at++ {
@@ -254,7 +260,7 @@
 	}
 }
 
-// unreadableFS is a crashFS that does not read some of its files.
+// unreadableFS is a crashFS on which some files fail to be read with an I/O error.
 type unreadableFS struct {
 	*crashFS
 	unreadable map[string]bool
@@ -267,9 +273,9 @@
 	return u.crashFS.Read(name, limit)
 }
 
-// TestStore_KeepsAGenerationThatTheDiskDidNotRead reads a generation once the disk answers again, and keeps no more than a
-// few of them if it never does.
-func TestStore_KeepsAGenerationThatTheDiskDidNotRead(t *testing.T) {
+// TestStore_KeepsUnreadableGenerations guards against the removal of a valid generation that could not be read because of a
+// temporary I/O error. If the error persists, the number of such generations stays bounded.
+func TestStore_KeepsUnreadableGenerations(t *testing.T) {
 	disk := unreadableFS{newCrashFS(), map[string]bool{}}
 	save := func(s *Store, n int) {
 		t.Helper()
@@ -283,25 +289,25 @@
 	disk.unreadable["state.2"] = true
 	save(NewStore(disk), 3) // the next process
 	if disk.names["state.2"] == nil {
-		t.Error("a generation that the disk did not read was removed")
+		t.Error("a generation that could not be read was removed")
 	}
 	disk.unreadable["state.2"] = false
 	disk.names["state.3"].now[200] ^= 1
 	if loaded, err := NewStore(disk).Load(); err != nil || loaded.File != "state.2" {
-		t.Errorf("once the disk reads it: got %s, %v, want state.2", loaded.File, err)
+		t.Errorf("once it can be read: got %s, %v, want state.2", loaded.File, err)
 	}
-	for n := range 10 { // processes whose files of before are never read
+	for n := range 10 { // processes that cannot read any earlier file
 		for name := range disk.names {
 			disk.unreadable[name] = true
 		}
 		save(NewStore(disk), 4+n)
 	}
 	if files := len(disk.names); files > 1+retainedGenerations {
-		t.Errorf("after ten processes that read nothing: %d files, want at most %d", files, 1+retainedGenerations)
+		t.Errorf("after ten processes that could read nothing: got %d files, want at most %d", files, 1+retainedGenerations)
 	}
 }
 
-// TestStore_DiskWithoutSync loads the generation before a torn one, on a disk whose sync does nothing.
+// TestStore_DiskWithoutSync verifies that the generation before a torn one is loaded if the disk ignores syncs.
 func TestStore_DiskWithoutSync(t *testing.T) {
 	c := newCrashFS()
 	s := NewStore(c)
@@ -320,7 +326,8 @@
 	})
 }
 
-// TestStore_Generations stores two generations, skips a corrupt one, and leaves other files alone.
+// TestStore_Generations verifies that two generations are retained, that a corrupt one is skipped, and that files of a newer format
+// version and unrelated files are not removed.
 func TestStore_Generations(t *testing.T) {
 	c := newCrashFS()
 	s := NewStore(c)
@@ -338,7 +345,7 @@
 	if err != nil || loaded.File != "state.4" || loaded.State.Router != generationName(3) || len(loaded.Skipped) != 1 || !errors.Is(loaded.Skipped[0], ErrCorrupt) {
 		t.Errorf("newest corrupt: got %s from %s, skipped %v, error %v, want state.4", loaded.State.Router, loaded.File, loaded.Skipped, err)
 	}
-	// Files of a newer version and other files stay.
+	// Files of a newer format version and unrelated files stay.
 	newer := sample(6)
 	c.names["state.7"] = &inode{now: encodeAs(t, newer, Version+1)}
 	c.names["state.007"], c.names["notes"] = &inode{}, &inode{}
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -11,15 +11,16 @@
 	"spurtrestle/core/routing"
 )
 
-// Bounds of single values. A value beyond them is corruption that no checksum shows, and is clamped or dropped.
+// Bounds of single values. A value outside them indicates corruption that the checksums did not detect, and is clamped or
+// dropped.
 const (
-	maxTime          clock.Time = 1 << 53 // past the year 2200
+	maxTime          clock.Time = 1 << 53 // in microseconds; after the year 2200
 	maxDouble                   = 1e12
 	maxSamples                  = 32
 	maxFailurePoints            = 64
 )
 
-// Decode returns the state in a file of this or an older version, upgraded to the newest form. The error is ErrCorrupt or
+// Decode decodes a file of this or an older format version and upgrades the state to the newest one. The error wraps ErrCorrupt or
 // ErrNewerVersion.
 func Decode(file []byte) (State, error) {
 	records, err := splitRecords(file)
@@ -27,7 +28,7 @@
 		return State{}, err
 	}
 	if len(records) == 0 || records[0].kind != kindHeader {
-		return State{}, corruptf("it has no head")
+		return State{}, corruptf("the header record is missing")
 	}
 	s, err := decodeHeader(records[0].payload)
 	if err != nil {
@@ -49,16 +50,16 @@
 	}
 	version := int(fields.varint(fieldHeaderVersion))
 	if version < 1 {
-		return State{}, corruptf("version %d never was", version)
+		return State{}, corruptf("invalid format version %d", version)
 	}
 	if version > Version {
-		return State{}, fmt.Errorf("%w: %d, and %d is the newest known here", ErrNewerVersion, version, Version)
+		return State{}, fmt.Errorf("%w: format version %d, newest supported version %d", ErrNewerVersion, version, Version)
 	}
 	return State{Version: version, Router: fields.texts[fieldHeaderRouter]}, nil
 }
 
-// decodeRecord adds one record to the state. Unknown kinds, which a later build of the same version may have added, are
-// skipped; their payloads have to be in protobuf's wire form too.
+// decodeRecord adds the content of one record to the state. Records of unknown kinds, which a later build of the same format
+// version may have added, are skipped; their payloads must be in the protobuf wire format too.
 func (s *State) decodeRecord(r record) error {
 	if r.kind == kindKeys {
 		return s.decodeKeys(r.payload)
@@ -90,7 +91,7 @@
 
 func (s *State) decodeMethod(fields fieldSet) error {
 	if len(s.Methods) >= MaxMethods {
-		return corruptf("it names more than %d methods", MaxMethods)
+		return corruptf("more than %d methods", MaxMethods)
 	}
 	s.Methods = append(s.Methods, Method{Name: fields.texts[fieldMethodName], Latency: fields.time(fieldMethodLatency)})
 	return nil
@@ -98,7 +99,7 @@
 
 func (s *State) decodeServer(fields fieldSet) error {
 	if len(s.Servers) >= MaxServers {
-		return corruptf("it names more than %d servers", MaxServers)
+		return corruptf("more than %d servers", MaxServers)
 	}
 	s.Servers = append(s.Servers, Server{
 		UID: fields.texts[fieldServerUID],
@@ -119,7 +120,7 @@
 
 func (s *State) decodeKeys(payload []byte) error {
 	if len(payload)%keyEntryBytes != 0 || len(payload)/keyEntryBytes > MaxKeys {
-		return corruptf("the keys cannot be read")
+		return corruptf("malformed keys record")
 	}
 	for ; len(payload) > 0; payload = payload[keyEntryBytes:] {
 		hash := routing.KeyHash(binary.LittleEndian.Uint32(payload))
@@ -131,30 +132,31 @@
 	return nil
 }
 
-// fieldSet is a payload's fields by number. Fields of unknown numbers are never looked up.
+// fieldSet holds the fields of a payload by number. Unknown fields are kept and ignored.
 type fieldSet struct {
 	numbers map[protowire.Number]uint64
 	texts   map[protowire.Number]string
 }
 
+// parseFields parses a payload in the protobuf wire format. If a field is repeated, its last value counts.
 func parseFields(payload []byte) (fieldSet, error) {
 	fields := fieldSet{numbers: map[protowire.Number]uint64{}, texts: map[protowire.Number]string{}}
 	for len(payload) > 0 {
 		field, wireType, tagBytes := protowire.ConsumeTag(payload)
 		if tagBytes < 0 {
-			return fields, corruptf("a field cannot be read")
+			return fields, corruptf("malformed field")
 		}
 		payload = payload[tagBytes:]
 		valueBytes := fields.consumeValue(field, wireType, payload)
 		if valueBytes < 0 {
-			return fields, corruptf("a field cannot be read")
+			return fields, corruptf("malformed field")
 		}
 		payload = payload[valueBytes:]
 	}
 	return fields, nil
 }
 
-// consumeValue stores the value that a payload begins with and returns its size; below zero: it cannot be read.
+// consumeValue stores the value at the start of a payload and returns its size, or a negative number if it is malformed.
 func (f fieldSet) consumeValue(field protowire.Number, wireType protowire.Type, payload []byte) (size int) {
 	switch wireType {
 	case protowire.VarintType:
@@ -178,16 +180,17 @@
 	return protowire.DecodeZigZag(f.numbers[field])
 }
 
+// count returns a count, clamped to the range from 0 to limit.
 func (f fieldSet) count(field protowire.Number, limit int64) int {
 	return int(max(0, min(limit, f.varint(field))))
 }
 
-// time is an instant or a duration.
+// time returns a point in time or a duration, clamped to the range from 0 to maxTime.
 func (f fieldSet) time(field protowire.Number) clock.Time {
 	return max(0, min(clock.Time(f.varint(field)), maxTime))
 }
 
-// double is a rate or a count: not negative, and finite.
+// double returns a rate or a count, or 0 if the value is negative, not finite or above maxDouble.
 func (f fieldSet) double(field protowire.Number) float64 {
 	value := math.Float64frombits(f.numbers[field])
 	inRange := value > 0 && value <= maxDouble // false for NaN
@@ -197,7 +200,7 @@
 	return value
 }
 
-// latency reads four fields, of which field is the first.
+// latency reads a summary from four consecutive fields, starting at field.
 func (f fieldSet) latency(field protowire.Number) routing.LatencySummary {
 	return routing.LatencySummary{
 		Recent:  f.time(field),
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -12,8 +12,8 @@
 	"spurtrestle/core/routing"
 )
 
-// Encode returns the file for a state, in format Version. Servers are sorted by UID. What Decode would reject is left out:
-// servers, methods and keys beyond their bounds, and names that are too long.
+// Encode encodes a state as a file of format Version, with the servers sorted by UID. It leaves out what Decode would reject:
+// servers, methods and keys above their maximum number, and entries with names that are too long.
 func Encode(state State) []byte {
 	file := []byte(magic)
 	file = appendRecord(file, record{kindHeader, encodeHeader(Version, state.Router)})
@@ -33,6 +33,7 @@
 	return appendEnd(file)
 }
 
+// appendEnd appends the end record to an otherwise complete file.
 func appendEnd(file []byte) []byte {
 	var m message
 	m.varint(fieldEndChecksum, int64(crc32.Checksum(file, castagnoli)))
@@ -57,8 +58,8 @@
 	return m
 }
 
-// ratesOf lists the rates of an instance record in the order of their fields: encodeInstance reads and decodeInstance
-// writes through the pointers.
+// ratesOf returns pointers to the rates of an instance record in the order of their field numbers. encodeInstance reads and
+// decodeInstance writes through them.
 func ratesOf(knowledge *routing.Knowledge) [8]*float64 {
 	return [...]*float64{
 		&knowledge.RequestRate,
@@ -94,7 +95,7 @@
 	return m
 }
 
-// keyEntryBytes is the size of a key in a keys record: its hash in 4 bytes, its count in 8, both little endian.
+// keyEntryBytes is the size of a key in a keys record: a hash of 4 bytes and a count of 8 bytes, both little endian.
 const keyEntryBytes = 12
 
 func encodeKeys(keys []routing.KeyKnowledge) []byte {
@@ -107,7 +108,7 @@
 	return payload
 }
 
-// message is a payload in protobuf's wire form. Zero values are left out.
+// message is a payload in the protobuf wire format. Numbers and booleans that are zero are left out.
 type message []byte
 
 func (m *message) varint(field protowire.Number, value int64) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// latency writes four fields, of which field is the first.
+// latency appends a summary as four consecutive fields, starting at field.
 func (m *message) latency(field protowire.Number, latency routing.LatencySummary) {
 	m.varint(field, int64(latency.Recent))
 	m.varint(field+1, int64(latency.Mean))
--- a/internal/snapshot/record.go
+++ b/internal/snapshot/record.go
@@ -8,17 +8,19 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
+// magic is the string that every file begins with.
 const magic = "spurtrestle state"
 
-// Sizes of a record's fixed part.
+// Sizes of the parts of a record that precede its payload.
 const (
 	kindAndLengthBytes = 5
-	recordHeaderBytes  = 9
+	recordHeaderBytes  = 9 // kind, length and checksum
 )
 
+// recordKind is the type of a record.
 type recordKind byte
 
-// Numbers in the file.
+// Kinds of records, as stored in the file.
 const (
 	kindHeader   recordKind = 1
 	kindInstance recordKind = 2
@@ -28,7 +30,7 @@
 	kindEnd      recordKind = 6
 )
 
-// Field numbers in the payloads. A latency is four fields, of which the first is named here.
+// Field numbers in the payloads. A latency takes four consecutive numbers, of which the first is listed.
 const (
 	fieldHeaderVersion protowire.Number = 1
 	fieldHeaderRouter  protowire.Number = 2
@@ -55,6 +57,7 @@
 	fieldEndChecksum protowire.Number = 1
 )
 
+// record is one decoded record, whose checksum has been verified.
 type record struct {
 	kind    recordKind
 	payload []byte
@@ -62,6 +65,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// appendRecord appends a record with its header to a file.
 func appendRecord(file []byte, r record) []byte {
 	start := len(file)
 	file = append(file, byte(r.kind))
@@ -70,14 +74,15 @@
 	return append(file, r.payload...)
 }
 
+// recordChecksum returns the CRC-32C over the first header fields and the payload of a record.
 func recordChecksum(kindAndLength, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(kindAndLength, castagnoli), castagnoli, payload)
 }
 
-// splitRecords verifies all checksums of a file and returns its records without the end record.
+// splitRecords verifies the checksums of a file and returns its records, without the end record.
 func splitRecords(file []byte) ([]record, error) {
 	if len(file) > MaxFileBytes {
-		return nil, corruptf("%d bytes are more than %d", len(file), MaxFileBytes)
+		return nil, corruptf("size %d exceeds the maximum of %d bytes", len(file), MaxFileBytes)
 	}
 	if len(file) < len(magic) || string(file[:len(magic)]) != magic {
 		return nil, corruptf("it does not begin as a state does")
@@ -97,7 +102,7 @@
 	}
 }
 
-// recordAt reads the record that begins at an offset.
+// recordAt reads and verifies the record that begins at an offset.
 func recordAt(file []byte, offset int) (record, error) {
 	rest := file[offset:]
 	if len(rest) < recordHeaderBytes {
@@ -115,12 +120,12 @@
 	return record{recordKind(rest[0]), payload}, nil
 }
 
-// checkEnd verifies the end record that stands from offset to end: the checksum of the file before it, and that nothing
-// follows it.
+// checkEnd verifies the end record, which occupies the bytes from offset to end: the checksum of the file before it, and that no
+// bytes follow.
 func checkEnd(file []byte, offset, end int, payload []byte) error {
 	fields, err := parseFields(payload)
 	if err != nil || fields.varint(fieldEndChecksum) != int64(crc32.Checksum(file[:offset], castagnoli)) {
-		return corruptf("the checksum of the whole does not match")
+		return corruptf("the checksum of the whole file does not match")
 	}
 	if end != len(file) {
 		return corruptf("more stands behind its end, at byte %d", end)
@@ -128,7 +133,7 @@
 	return nil
 }
 
-// corruptf returns an ErrCorrupt with a detail, which `cache-routerctl state verify` prints.
+// corruptf returns an error that wraps ErrCorrupt and adds a detail, which `cache-routerctl state verify` prints.
 func corruptf(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, args...))
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,19 +1,19 @@
-// Package snapshot persists what a router has learned, so that its next process does not start from nothing.
+// Package snapshot persists what a router has learned, so that its next process does not have to learn it again.
 //
-// A snapshot is one versioned, checksummed file. The folder stores two generations. A generation is written beside
-// the others, synced, renamed into place, and the folder synced; only then is the generation before the last removed.
+// A snapshot is one versioned, checksummed file. The directory holds two generations. A new one is written under a temporary
+// name, synced and renamed, and the directory is synced; only then is the oldest generation removed.
 //
 // # File format
 //
-// A file is a magic text, then records, of which the last is an end record with the checksum of all bytes before it. A
-// record is its kind (1 byte), payload length (4 bytes, little endian), CRC-32C of kind, length and payload (4 bytes), and
-// the payload. The payload of a keys record is a list of hashes and counts; that of other kinds is in protobuf's wire
-// form, in which readers skip fields that they do not know.
+// A file is a magic string followed by records. The last one is an end record with the checksum of all bytes before it. A record
+// consists of its kind (1 byte), payload length (4 bytes, little endian), CRC-32C of kind, length and payload (4 bytes, little
+// endian), and the payload. The payload of a keys record is a list of hashes and counts. That of all other kinds is in the
+// protobuf wire format, so that readers can skip unknown fields.
 //
 // # Use
 //
-// internal/program opens a Writer, internal/router submits to it from its event loop, and the Writer's own goroutine does
-// all I/O. A predecessor sends its successor the same encoding over internal/handover.
+// internal/program opens a Writer, and internal/router submits states to it from its event loop. The Writer's own goroutine does
+// all I/O after OpenWriter. A predecessor also sends its successor a state in this encoding, over internal/handover.
 package snapshot
 
 import (
@@ -29,7 +29,7 @@
 //	2  ObservedAt of each server
 const Version = 2
 
-// Bounds of a file, so that decoding a corrupt one cannot exhaust memory.
+// Bounds of a file. They keep the decoding of a corrupt file from exhausting memory.
 const (
 	MaxFileBytes  = 8 << 20
 	MaxServers    = 10000
@@ -38,10 +38,10 @@
 	maxNameLength = 256
 )
 
-// State is the content of a file. Knowledge.Servers and Knowledge.MethodLatencies are empty: Servers and Methods replace
-// them, identified by names that do not change between processes.
+// State is the content of a file. Knowledge.Servers and Knowledge.MethodLatencies are empty. Servers and Methods replace them
+// and identify their entries by names, which stay the same across processes.
 type State struct {
-	Version   int // of the file that it was decoded from
+	Version   int // the format version of the file that it was decoded from
 	Router    string
 	Knowledge routing.Knowledge
 	Methods   []Method
@@ -54,7 +54,8 @@
 	Latency clock.Duration
 }
 
-// Server is what is known of one server, by its name in discovery: addresses and server numbers change.
+// Server is what is known about one server. It is identified by its name in discovery, since addresses and server numbers
+// change.
 type Server struct {
 	UID string
 	routing.ServerKnowledge
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// sample returns a state that differs from the others in several places by its number.
+// sample returns the state number n. States of different numbers differ in several fields.
 func sample(n int) State {
 	x := float64(n)
 	s := State{
@@ -75,12 +75,12 @@
 	return s
 }
 
-// generationName is the router's name in a sample, which is that of the file that it is saved as.
+// generationName returns the router's name in sample n, which equals the name of the file that the sample is saved as.
 func generationName(n int) string { return fileName(uint64(n)) }
 
 func sameState(a, b State) bool { return reflect.DeepEqual(a, b) }
 
-// encodeAs encodes a state with another version in its header.
+// encodeAs encodes a state with the given format version in its header.
 func encodeAs(t testing.TB, s State, version int) []byte {
 	t.Helper()
 	records, err := splitRecords(Encode(s))
@@ -95,7 +95,7 @@
 	return appendEnd(file)
 }
 
-// TestDecode_RoundTrip decodes what Encode wrote, and rejects versions that are not known.
+// TestDecode_RoundTrip decodes what Encode wrote and rejects unknown format versions.
 func TestDecode_RoundTrip(t *testing.T) {
 	for n := range 3 {
 		got, err := Decode(Encode(sample(n)))
@@ -111,7 +111,8 @@
 	}
 }
 
-// TestEncode_LeavesOutWhatDecodeRejects keeps a file readable whatever discovery calls a server.
+// TestEncode_LeavesOutWhatDecodeRejects guards against a file that cannot be read back because discovery lists a server with a
+// name that is too long, or the service has too many methods.
 func TestEncode_LeavesOutWhatDecodeRejects(t *testing.T) {
 	state := sample(1)
 	servers := len(state.Servers)
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestDecode_OlderVersions reads a sample file of each version.
+// TestDecode_OlderVersions reads a sample file of each format version.
 func TestDecode_OlderVersions(t *testing.T) {
 	for v := 1; v <= Version; v++ {
 		file, err := os.ReadFile(filepath.Join("testdata", fmt.Sprintf("v%d.state", v)))
@@ -151,7 +152,7 @@
 	}
 }
 
-// TestDecode_RejectsDamage cuts, flips and repeats bytes anywhere in a file.
+// TestDecode_RejectsDamage truncates a file, flips bits, or repeats its tail, at a random position.
 func TestDecode_RejectsDamage(t *testing.T) {
 	file := Encode(sample(2))
 	rapid.Check(t, func(t *rapid.T) {
@@ -171,7 +172,8 @@
 	})
 }
 
-// FuzzDecode decodes any bytes, as a file and as a record whose checksum would match, without a panic.
+// FuzzDecode checks that arbitrary bytes, as a file and as a record with a matching checksum, are decoded without a panic and
+// within the bounds.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(sample(1)))
 	f.Add(encodeAs(f, sample(1), 1))
@@ -186,8 +188,8 @@
 	})
 }
 
-// writeUntilKilled is the process that TestStore_SurvivesKills kills: it saves one sample after the other and prints the
-// number of each that is saved.
+// writeUntilKilled runs in the child process of TestStore_SurvivesKills. It saves one sample after the other and prints the
+// number of each one that is saved.
 func writeUntilKilled(dir string) {
 	lock, err := Dir(dir).Lock()
 	if err != nil {
@@ -213,8 +215,8 @@
 	}
 }
 
-// TestStore_SurvivesKills kills a saving process at random moments: each time the folder can be read and has the last
-// sample that the process reported as saved, or a newer one.
+// TestStore_SurvivesKills kills a process that saves snapshots, at random moments. Each time the directory must be readable and
+// hold the last sample that the process reported as saved, or a newer one.
 func TestStore_SurvivesKills(t *testing.T) {
 	dir := t.TempDir()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -229,8 +231,8 @@
 		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
-		time.AfterFunc(time.Duration(random.IntN(30000))*time.Microsecond, func() { _ = process.Process.Kill() }) // it never ends by itself
-		text, _ := io.ReadAll(out)                                                                                // it ends with the process
+		time.AfterFunc(time.Duration(random.IntN(30000))*time.Microsecond, func() { _ = process.Process.Kill() }) // the child never exits on its own
+		text, _ := io.ReadAll(out)                                                                                // ends when the child ends
 		_ = process.Wait()
 		for _, line := range strings.Fields(string(text)) {
 			n, err := strconv.Atoi(line)
@@ -254,7 +256,7 @@
 	}
 }
 
-// bufferedLog returns a log and a function that returns its lines so far.
+// bufferedLog returns a logger and a function that returns the lines logged since its last call.
 func bufferedLog() (*logrus.Logger, func() []string) {
 	var b bytes.Buffer
 	log := logrus.New()
@@ -268,16 +270,17 @@
 	}
 }
 
-// TestWriter_FinalStateIsReadAgain opens a folder, which a second writer then cannot use, and reads the last state anew.
+// TestWriter_FinalStateIsReadAgain verifies that a second writer cannot use a locked directory, and that the state passed to Close
+// is read by the next writer.
 func TestWriter_FinalStateIsReadAgain(t *testing.T) {
 	dir := t.TempDir()
 	log, lines := bufferedLog()
 	first, learned := OpenWriter(dir, log)
 	if learned != nil {
-		t.Errorf("empty folder: got %+v, want no state", learned)
+		t.Errorf("empty directory: got %+v, want no state", learned)
 	}
 	if _, other := OpenWriter(dir, log); other != nil {
-		t.Errorf("locked folder: got %+v, want no state", other)
+		t.Errorf("locked directory: got %+v, want no state", other)
 	}
 	first.Submit(sample(1))
 	first.Close(sample(2), time.Second)
@@ -287,21 +290,22 @@
 	}
 	second.Close(sample(3), time.Second)
 	got := strings.Join(lines(), "\n")
-	if !strings.Contains(got, ErrLocked.Error()) || !strings.Contains(got, "state.dir to another folder") {
-		t.Errorf("log: got %s, want the locked folder with its remedy", got)
+	if !strings.Contains(got, ErrLocked.Error()) || !strings.Contains(got, "Set state.dir of one of the two routers to another directory") {
+		t.Errorf("log: got %s, want ErrLocked with its remedy", got)
 	}
 }
 
-// TestWriter_LogsUnusableFolderOnce submits states to folders that cannot be used: one log line each, with a remedy.
-func TestWriter_LogsUnusableFolderOnce(t *testing.T) {
+// TestWriter_LogsUnusableDirectoryOnce submits several states to directories that cannot be used. Each one yields a single log
+// line, with a remedy.
+func TestWriter_LogsUnusableDirectoryOnce(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ dir, want string }{
-		{filepath.Join(dir, "absent"), "Make the folder: install -d -m 700"},
-		{file, "Name a folder in state.dir, not a file."},
+		{filepath.Join(dir, "absent"), "Create the directory: install -d -m 700"},
+		{file, "Set state.dir to a directory, not a file."},
 	} {
 		log, lines := bufferedLog()
 		writer, learned := OpenWriter(c.dir, log)
@@ -316,12 +320,12 @@
 	}
 }
 
-// TestRemedy names what an operator does about errors of a folder.
+// TestRemedy checks the remedies for errors of a snapshot directory.
 func TestRemedy(t *testing.T) {
 	for err, want := range map[error]string{
-		syscall.ENOSPC: "Make room",
+		syscall.ENOSPC: "Free space",
 		syscall.EROFS:  "Mount it writable",
-		syscall.EACCES: "Give it to the router's user",
+		syscall.EACCES: "Make the router's user its owner",
 	} {
 		if got := Remedy("/x", err); !strings.Contains(got, want) {
 			t.Errorf("%v: got %q, want %q in it", err, got, want)
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -9,40 +9,41 @@
 	"strings"
 )
 
-// Names of files in the folder, and how many generations stay in it.
+// Names of files in the directory, and how many readable generations are retained.
 const (
 	generationPrefix    = "state."
 	pendingName         = "state.new"
 	retainedGenerations = 2
 )
 
-// ErrNoSnapshot reports a folder without a generation.
-var ErrNoSnapshot = errors.New("there is no state")
+// ErrNoSnapshot reports a directory without any generation.
+var ErrNoSnapshot = errors.New("no snapshot found")
 
-// Store is a folder of generations: state.7 and state.8, of which the higher number is newer. At any moment one complete
-// generation is there. A torn one under a final name can only come from a disk that reports a sync and does not do it.
+// Store is a directory of generations, such as state.7 and state.8, of which the one with the higher number is newer. From the
+// first save on, at least one complete generation exists at any moment. A torn file under a generation's name can only occur if
+// the disk reports a sync that it has not done.
 //
-// A Store is not safe for concurrent use; the folder's lock keeps other processes out.
+// A Store is not safe for concurrent use. The lock of the directory excludes other processes.
 type Store struct {
-	folder   FS
-	newest   uint64          // the highest number loaded or saved
-	readable map[uint64]bool // generations that this process has read or written
+	fs       FS
+	newest   uint64          // the highest generation number loaded or saved
+	readable map[uint64]bool // generations that this process has read or written successfully
 }
 
-// NewStore returns a store on a folder. It reads nothing yet.
-func NewStore(folder FS) *Store {
-	return &Store{folder: folder, readable: map[uint64]bool{}}
+// NewStore returns a store on a directory. It does not read the directory yet.
+func NewStore(fs FS) *Store {
+	return &Store{fs: fs, readable: map[uint64]bool{}}
 }
 
 // LoadResult is the result of Store.Load.
 type LoadResult struct {
 	State   State
-	File    string  // the name of its generation's file
-	Skipped []error // one for each newer generation, which cannot be read and stays in the folder
+	File    string  // the name of the file that the state was read from
+	Skipped []error // an error for each newer generation; these cannot be read and stay in the directory
 }
 
-// Load returns the newest generation that can be read. The error is ErrNoSnapshot where there is no generation at all;
-// Skipped is set also with an error.
+// Load returns the newest generation that can be read. The error is ErrNoSnapshot if there is no generation at all. Skipped is
+// set even if there is an error.
 func (s *Store) Load() (LoadResult, error) {
 	generations, err := s.generations()
 	if err != nil {
@@ -66,8 +67,8 @@
 	return loaded, fmt.Errorf("no generation can be read: %w", errors.Join(loaded.Skipped...))
 }
 
-// Save writes an encoded state as the next generation, and then removes the generations that are no longer needed. After
-// an error the generations from before are still there. The folder's errors name the operation and the file.
+// Save writes an encoded state as the next generation and then removes the generations that are no longer needed. If it fails,
+// the newest of the previous generations still exists. Errors of FS name the operation and the file.
 func (s *Store) Save(file []byte) error {
 	generations, err := s.generations()
 	if err != nil {
@@ -78,13 +79,13 @@
 		next = max(next, generations[0]+1)
 	}
 	if err := s.writePending(file); err != nil {
-		_ = s.folder.Remove(pendingName) // the next save overwrites it anyway
+		_ = s.fs.Remove(pendingName) // best effort: the next save overwrites it
 		return err
 	}
-	if err := s.folder.Rename(pendingName, fileName(next)); err != nil {
+	if err := s.fs.Rename(pendingName, fileName(next)); err != nil {
 		return err
 	}
-	if err := s.folder.SyncDir(); err != nil {
+	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
 	s.newest = next
@@ -92,9 +93,9 @@
 	return s.prune(generations)
 }
 
-// writePending writes and syncs a file that has no generation's name yet.
+// writePending writes and syncs a file under a temporary name, which Load ignores.
 func (s *Store) writePending(content []byte) error {
-	file, err := s.folder.Create(pendingName)
+	file, err := s.fs.Create(pendingName)
 	if err != nil {
 		return err
 	}
@@ -107,11 +108,11 @@
 	return file.Close()
 }
 
-// prune removes generations, given from new to old, that were there before a save. Those of a newer version stay, and corrupt
-// ones are removed. Those that the disk did not read stay as well, up to as many as are retained of the readable ones: they may
-// be good, and the disk may answer next time.
+// prune removes obsolete generations among those that existed before a save, given from newest to oldest. Generations of a newer
+// format version stay, and corrupt ones are removed. Generations that could not be read because of an I/O error stay as well,
+// up to the number of readable ones that are retained: they may be valid, and a later read may succeed.
 func (s *Store) prune(generations []uint64) error {
-	readable := 1 // the one just saved
+	readable := 1 // the generation just saved
 	unread := 0
 	for _, generation := range generations {
 		isNeeded := false
@@ -130,7 +131,7 @@
 		if isNeeded {
 			continue
 		}
-		if err := s.folder.Remove(fileName(generation)); err != nil {
+		if err := s.fs.Remove(fileName(generation)); err != nil {
 			return err
 		}
 		delete(s.readable, generation)
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// checkReadable returns nil for a generation that can be read. Those known from before are not read again.
+// checkReadable returns nil for a generation that can be read. One that is known to be readable is not read again.
 func (s *Store) checkReadable(generation uint64) error {
 	if s.readable[generation] {
 		return nil
@@ -147,17 +148,18 @@
 	return err
 }
 
+// read reads and decodes a generation.
 func (s *Store) read(generation uint64) (State, error) {
-	file, err := s.folder.Read(fileName(generation), MaxFileBytes)
+	file, err := s.fs.Read(fileName(generation), MaxFileBytes)
 	if err != nil {
 		return State{}, err
 	}
 	return Decode(file)
 }
 
-// generations lists the numbers of the generations in the folder, from new to old.
+// generations returns the numbers of the generations in the directory, from newest to oldest.
 func (s *Store) generations() ([]uint64, error) {
-	names, err := s.folder.Names()
+	names, err := s.fs.Names()
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +177,7 @@
 	return generationPrefix + strconv.FormatUint(generation, 10)
 }
 
-// parseFileName is the inverse of fileName. Numbers with leading zeros are no generations.
+// parseFileName is the inverse of fileName. A name with leading zeros in its number is not a generation.
 func parseFileName(name string) (generation uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, generationPrefix)
 	if !ok {
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -14,7 +14,8 @@
 	"spurtrestle/core/clock"
 )
 
-// Log lines whose earlier text operators' pages named have it in this field for one release.
+// Earlier texts of log lines that the operators' documentation quoted. The lines carry them in the field formerly for one more
+// release.
 const (
 	formerly           = "formerly"
 	formerSkipped      = "a state cannot be used; the one before it is tried"
@@ -23,24 +24,23 @@
 	formerNotWritten   = "the last state was not written in time"
 )
 
-// Writer writes submitted states to a folder on a goroutine of its own, which ends with Close. A state that waits to be
-// written is replaced by a newer one.
+// Writer writes submitted states to a directory on its own goroutine, which runs until Close. A newer state replaces one that has
+// not been written yet.
 //
-// Errors of the folder are logged with a remedy, and each write is a new attempt: a router serves without persistence
-// rather than not at all.
+// Errors are logged with a remedy, and each write is a new attempt: a router without persistence still serves.
 type Writer struct {
 	dir         Dir
 	store       *Store
 	log         *logrus.Entry
-	lock        io.Closer // nil: not taken yet
+	lock        io.Closer // nil: not acquired yet; owned by the writing goroutine once it runs
 	submitted   chan State
 	final       chan State
 	done        chan struct{}
-	lastFailure string // the error logged last; repeats of it are not logged
+	lastFailure string // the error logged last, empty after a success; repetitions are not logged
 }
 
-// OpenWriter locks a folder, reads its newest state and starts the writing goroutine. The state is nil where there is none
-// that can be used. The caller must call Close.
+// OpenWriter locks a directory, reads its newest state and starts the writing goroutine. The state is nil if there is none that
+// can be used. The caller must call Close.
 func OpenWriter(dir string, log *logrus.Logger) (*Writer, *State) {
 	w := &Writer{
 		dir:       Dir(dir),
@@ -55,18 +55,18 @@
 	return w, learned
 }
 
-// Submit hands over a state without waiting. It is called from one goroutine, the event loop.
+// Submit queues a state for writing and does not block. Only one goroutine, the event loop, may call it.
 func (w *Writer) Submit(state State) {
 	select {
 	case <-w.submitted: // replaced by the newer state
 	default:
 	}
-	w.submitted <- state // cannot block: the only sender has just emptied the channel
+	w.submitted <- state // does not block: this goroutine, the only sender, has just drained the channel
 }
 
-// Close writes a final state, releases the folder and ends the goroutine. It is called once. It waits no longer than
-// timeout, so that a disk that hangs does not delay the end of the process: the goroutine then goes on writing, and the
-// lock is released when the process ends.
+// Close writes a final state, unlocks the directory and ends the writing goroutine. It must be called once. It waits for at most
+// timeout, so that a hanging disk does not delay the end of the process. After a timeout the goroutine continues to write, and
+// the lock is released when the process ends.
 func (w *Writer) Close(state State, timeout time.Duration) {
 	w.final <- state
 	select {
@@ -76,6 +76,7 @@
 	}
 }
 
+// load locks the directory and returns its newest usable state, or nil. It logs what it skips.
 func (w *Writer) load() *State {
 	if !w.acquireLock() {
 		return nil
@@ -104,6 +105,7 @@
 	return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339)
 }
 
+// run writes states until the final one has been written.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -113,13 +115,14 @@
 		case state := <-w.final:
 			w.save(state)
 			if w.lock != nil {
-				w.lock.Close() // the lock file is empty; closing releases it
+				w.lock.Close() // the lock file is empty, so the error does not matter
 			}
 			return
 		}
 	}
 }
 
+// save writes a state. It logs the first of a series of equal failures, and the first success after failures.
 func (w *Writer) save(state State) {
 	if !w.acquireLock() {
 		return
@@ -134,7 +137,7 @@
 	}
 }
 
-// acquireLock locks the folder unless it is locked by this writer already, and reports whether it is.
+// acquireLock locks the directory unless this writer holds the lock already. It reports whether it holds the lock.
 func (w *Writer) acquireLock() bool {
 	if w.lock != nil {
 		return true
@@ -148,7 +151,7 @@
 	return true
 }
 
-// logFailure logs an error with its remedy, once for a series of the same.
+// logFailure logs an error with its remedy, unless the previous failure was the same.
 func (w *Writer) logFailure(err error) {
 	if err.Error() == w.lastFailure {
 		return
@@ -157,21 +160,21 @@
 	w.log.WithError(err).WithField(formerly, formerNotPersisted).Warn("snapshot: state not persisted, serving without. " + Remedy(string(w.dir), err))
 }
 
-// Remedy returns what an operator can do about an error of a folder, as a sentence.
+// Remedy returns a sentence that tells the operator how to resolve an error of a snapshot directory.
 func Remedy(dir string, err error) string {
 	switch {
 	case errors.Is(err, ErrLocked):
-		return "Set state.dir to another folder for one of the two."
+		return "Set state.dir of one of the two routers to another directory."
 	case errors.Is(err, fs.ErrNotExist):
-		return fmt.Sprintf("Make the folder: install -d -m 700 -o %d %s", os.Geteuid(), dir)
+		return fmt.Sprintf("Create the directory: install -d -m 700 -o %d %s", os.Geteuid(), dir)
 	case errors.Is(err, fs.ErrPermission):
-		return fmt.Sprintf("Give it to the router's user: chown -R %d %s", os.Geteuid(), dir)
+		return fmt.Sprintf("Make the router's user its owner: chown -R %d %s", os.Geteuid(), dir)
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
-		return "Make room on the disk: two files of some hundred KB are needed."
+		return "Free space on the disk: two files of a few hundred KB are needed."
 	case errors.Is(err, syscall.EROFS):
-		return "Mount it writable, or leave state.dir out."
+		return "Mount it writable, or remove state.dir."
 	case errors.Is(err, syscall.ENOTDIR):
-		return "Name a folder in state.dir, not a file."
+		return "Set state.dir to a directory, not a file."
 	}
-	return "`cache-routerctl state verify " + dir + "` tells more."
+	return "`cache-routerctl state verify " + dir + "` prints details."
 }
