--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the HTTP endpoint for operators and for the tools that watch a router. internal/program starts it on an
-// address of its own; its goroutines reach the router through the interfaces below, so that a reply never waits for
-// clients' traffic.
+// Package admin implements the HTTP endpoint for operators and monitoring tools. internal/program serves it on a separate address.
+// Each request has a goroutine of net/http, which calls the router through the interfaces below, so that a reply does not wait
+// for client traffic.
 package admin
 
 import (
@@ -10,34 +10,35 @@
 	"time"
 )
 
-// Router is the router behind the endpoint. A change is in force once its method returns nil.
+// Router is the router that the endpoint controls. Its methods must be safe for concurrent use. A change is in force once its
+// method returns nil.
 type Router interface {
-	// Ready returns nil where the router accepts clients, and the reason where it does not.
+	// Ready returns nil if the router accepts clients, or the reason why it does not.
 	Ready() error
 	// Metrics returns the metrics as statsd lines.
 	Metrics() string
-	// BanServer stops sending requests to a cache server, by its name in discovery.
+	// BanServer stops the router from sending requests to a cache server, given by its name in discovery.
 	BanServer(uid string) error
-	// UnbanServer ends a ban.
+	// UnbanServer ends the ban of a cache server, given by its name in discovery.
 	UnbanServer(uid string) error
 	// SetDraining starts or stops draining.
 	SetDraining(on bool) error
 }
 
-// ErrUnknownServer reports the name of a cache server that is not in the endpoint list.
+// ErrUnknownServer reports that a cache server is not in the endpoint list.
 var ErrUnknownServer = errors.New("no cache server has that id; see discovery's list")
 
 const (
-	// callTimeout bounds reading a request and writing a reply, so that silent callers occupy no connection for long.
+	// callTimeout bounds reading a request and writing its reply, so that idle callers do not occupy connections for long.
 	callTimeout = 2 * time.Second
-	// policyRequestTimeout bounds the reply to a policy request: five seconds for a change of policy, and the time to
-	// forward it and to reply.
+	// policyRequestTimeout bounds the reply to a policy request. A change of policy may take five seconds, and forwarding it and
+	// replying take additional time.
 	policyRequestTimeout = 12 * time.Second
 	maxHeaderBytes       = 8 << 10
 )
 
-// Serve answers requests until the listener is closed, on at most maxConnections connections at once. It blocks until
-// then.
+// Serve answers requests until ln is closed, and blocks until then. It serves at most maxConnections connections at a time; a new
+// one above that closes the oldest.
 func Serve(ln net.Listener, maxConnections int, router Router) {
 	mux := http.NewServeMux()
 	for _, r := range routes(router) {
@@ -50,5 +51,5 @@
 		MaxHeaderBytes: maxHeaderBytes,
 	}
 	server.SetKeepAlivesEnabled(false)
-	_ = server.Serve(newEvictingListener(ln, maxConnections)) // returns the error of the closed listener
+	_ = server.Serve(newEvictingListener(ln, maxConnections)) // always returns an error, that of the closed listener
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -2,18 +2,18 @@
 
 import "net"
 
-// evictingListener bounds the connections of a listener: one beyond the bound closes the oldest. Callers that stay
-// without a request thus take no descriptors from clients, and do not block other callers.
+// evictingListener limits the number of connections of a listener: a connection above the limit closes the oldest. Callers that
+// keep idle connections open thus neither use up the descriptors of clients nor block other callers.
 type evictingListener struct {
 	net.Listener
-	accepted chan net.Conn // the latest ones by age, those that have ended included: calls are short
+	accepted chan net.Conn // the latest connections from oldest to newest, including closed ones: calls are short
 }
 
 func newEvictingListener(ln net.Listener, maxConnections int) *evictingListener {
 	return &evictingListener{Listener: ln, accepted: make(chan net.Conn, maxConnections)}
 }
 
-// Accept is called by one goroutine, the HTTP server's.
+// Accept returns the next connection. Only one goroutine, that of the HTTP server, may call it.
 func (l *evictingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -25,7 +25,7 @@
 			return conn, nil
 		default:
 			oldest := <-l.accepted
-			oldest.Close() // the caller gets no reply; an error means that the connection has ended
+			oldest.Close() // its caller gets no reply; an error means that it was closed already
 		}
 	}
 }
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Fleet is a Router with a view of its fleet.
+// Fleet is implemented by a Router that is a member of a fleet.
 type Fleet interface {
-	// StatusJSON returns the view as JSON.
+	// StatusJSON returns this router's view of the fleet as JSON.
 	StatusJSON() (string, error)
 }
 
-// Policy is a Router that follows a policy of its fleet.
+// Policy is implemented by a Router that follows the policy of its fleet.
 type Policy interface {
-	// Policy returns the policy in force here as JSON.
+	// Policy returns the policy that is in force in this router as JSON.
 	Policy() (string, error)
-	// HandleRequest passes a request on to the voters and returns their reply.
+	// HandleRequest forwards a request to the voters and returns their reply.
 	HandleRequest(request string) (string, error)
 }
 
@@ -30,11 +30,12 @@
 	errBadServerID = errors.New("the body is to be the id of a cache server")
 )
 
+// Bounds of request bodies.
 const (
 	maxServerIDBytes = 256
-	// maxServerIDBodyBytes is a server's id with some white space around it.
+	// maxServerIDBodyBytes allows for white space around a server's id.
 	maxServerIDBodyBytes = maxServerIDBytes + 64
-	// maxPolicyRequestBytes is a policy document, as JSON.
+	// maxPolicyRequestBytes is enough for a policy document as JSON.
 	maxPolicyRequestBytes = 256 << 10
 )
 
@@ -42,12 +43,12 @@
 type route struct {
 	path         string
 	method       string
-	maxBodyBytes int64         // the rest of a body is not read: a longer policy request is cut, and fails as bad JSON
-	timeout      time.Duration // of the reply; 0: callTimeout
+	maxBodyBytes int64         // a longer body is truncated; a truncated policy request then fails as invalid JSON
+	timeout      time.Duration // for the reply; 0: callTimeout
 	reply        func(body string) (string, error)
 }
 
-// routes lists the paths of a router. Replies in older words (out, in use, taking clients) are read by tools and stay.
+// routes returns the routes of a router. The replies "out", "in use" and "taking clients" must not change: tools parse them.
 func routes(router Router) []route {
 	return []route{
 		get("/ops/readiness", func() (string, error) { return "ready\n", router.Ready() }),
@@ -70,7 +71,7 @@
 		return
 	}
 	if r.timeout > 0 {
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(r.timeout)) // callTimeout applies if it fails
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(r.timeout)) // if it fails, callTimeout applies
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, r.maxBodyBytes))
 	if err != nil {
@@ -82,11 +83,11 @@
 		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
-	_, _ = io.WriteString(w, text) // the caller may have gone
+	_, _ = io.WriteString(w, text) // an error means that the caller has disconnected
 }
 
-// statusOf is the status of a reply with an error: 503 for every error that says that the router cannot do now what the
-// request asks for, a rejected policy request included.
+// statusOf returns the HTTP status for an error: 404 and 400 for faults of the request, and 503 for every error because of which
+// the router cannot currently do what is requested, including a rejected policy request.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrUnknownServer), errors.Is(err, errNoFleet), errors.Is(err, errNoPolicy):
@@ -97,15 +98,18 @@
 	return http.StatusServiceUnavailable
 }
 
+// get returns a GET route, whose reply does not depend on the body.
 func get(path string, reply func() (string, error)) route {
 	return route{path: path, method: http.MethodGet, maxBodyBytes: maxServerIDBodyBytes,
 		reply: func(string) (string, error) { return reply() }}
 }
 
+// put returns a PUT route.
 func put(path string, reply func(body string) (string, error)) route {
 	return route{path: path, method: http.MethodPut, maxBodyBytes: maxServerIDBodyBytes, reply: reply}
 }
 
+// fleetView returns the router's view of its fleet, or errNoFleet.
 func fleetView(router Router) (string, error) {
 	fleet, ok := router.(Fleet)
 	if !ok {
@@ -114,6 +118,7 @@
 	return fleet.StatusJSON()
 }
 
+// policyInForce returns the policy in force, or errNoPolicy.
 func policyInForce(router Router) (string, error) {
 	policy, ok := router.(Policy)
 	if !ok {
@@ -122,7 +127,8 @@
 	return policy.Policy()
 }
 
-// policyRequest is the route for requests to the voters, which may be long and take long where there is a policy.
+// policyRequest returns the route for requests to the voters. If the router follows a policy, the bodies may be large and the
+// replies may take long.
 func policyRequest(router Router) route {
 	r := route{path: "/ops/policy/ask", method: http.MethodPost}
 	policy, ok := router.(Policy)
@@ -137,7 +143,7 @@
 	return r
 }
 
-// withServerID calls change with the id of a cache server, which is all of a body.
+// withServerID calls change with the cache server's id that the body consists of.
 func withServerID(body string, change func(uid string) error) error {
 	if body == "" || len(body) > maxServerIDBytes {
 		return fmt.Errorf("%w, of 1 to %d bytes", errBadServerID, maxServerIDBytes)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery is the endpoint list as service discovery publishes it: the next request to discovery, the changes in
-// a response, and the number that stands for each server. It does no I/O; internal/router owns the list on its event loop.
+// Package discovery maintains the endpoint list that service discovery publishes: it determines the next request to discovery,
+// applies responses, and assigns each server a number. It does no I/O. internal/router owns the list on its event loop.
 package discovery
 
 import (
@@ -15,8 +15,8 @@
 // UID is a server's name in discovery, the same for every router.
 type UID string
 
-// EndpointList is this router's copy of discovery's endpoint list, with the numbers of its servers. It is not safe for
-// concurrent use.
+// EndpointList is this router's copy of the endpoint list, with the number assigned to each server. It is not safe for concurrent
+// use.
 type EndpointList struct {
 	revision  int64
 	synced    bool // a full list has been applied, so that the next request is a watch
@@ -34,10 +34,11 @@
 	}
 }
 
+// endpointsPath is the path of the endpoint list on the discovery server.
 const endpointsPath = "/registry/instances"
 
-// NextRequest returns the path of the next request, and how long discovery may take to answer: a request for the full
-// list, which is answered at once (0), and then watches of the given length.
+// NextRequest returns the path of the next request and how long discovery may delay its response. At first and after Invalidate,
+// the request is for the full list, which is returned without delay (0). Otherwise it is a watch of the given length.
 func (l *EndpointList) NextRequest(watchTimeout clock.Duration) (path string, wait clock.Duration) {
 	if !l.synced {
 		return endpointsPath, 0
@@ -45,16 +46,16 @@
 	return fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, l.revision, int64(watchTimeout/clock.Millisecond)), watchTimeout
 }
 
-// Invalidate makes the next request one for the full list, after a response whose changes may be lost.
+// Invalidate makes the next request ask for the full list. It is called when changes may have been missed.
 func (l *EndpointList) Invalidate() { l.synced = false }
 
-// Address returns the address and port of a server; empty for an unknown one.
+// Address returns the address and port of a server, or "" if the server is unknown.
 func (l *EndpointList) Address(id routing.ServerID) string { return l.addresses[id] }
 
-// UID returns the name of a server; empty for an unknown one.
+// UID returns the name of a server, or "" if the server is unknown.
 func (l *EndpointList) UID(id routing.ServerID) UID { return l.uids[id] }
 
-// ID returns the number of a server, and whether the list has it.
+// ID returns the number of a server, and whether the list contains the server.
 func (l *EndpointList) ID(uid UID) (routing.ServerID, bool) {
 	id, ok := l.ids[uid]
 	return id, ok
@@ -68,8 +69,8 @@
 	return update, err
 }
 
-// Apply applies a response to the last request and returns the update for the decisions. A response with an error changes
-// nothing; the caller then calls Invalidate. Entries without a name are skipped.
+// Apply applies the response to the last request and returns the update for package routing. If there is an error, the list is
+// unchanged and the caller must call Invalidate. Entries without a name are skipped.
 func (l *EndpointList) Apply(body []byte) (routing.EndpointsUpdated, error) {
 	update := routing.EndpointsUpdated{Kind: routing.IncrementalUpdate}
 	received, err := parseResponse(body)
@@ -85,7 +86,7 @@
 		update.Kind = routing.FullUpdate
 	}
 	entries := *received.Endpoints
-	// Sorted, so that two names of one response with the same hash get the same numbers in every router.
+	// Sorted, so that names with the same hash in one response get the same numbers in every router.
 	slices.SortStableFunc(entries, func(a, b endpointEntry) int { return strings.Compare(string(a.UID), string(b.UID)) })
 	for _, entry := range entries {
 		if entry.UID == "" {
@@ -101,8 +102,8 @@
 	return update, nil
 }
 
-// checkContinues rejects a response that does not continue the list: changes without a full list, and changes of an
-// earlier revision, which come from a discovery server that started anew and lacks the changes up to there.
+// checkContinues rejects a response that cannot be applied to the list: changes without a full list before them, and changes of an
+// earlier revision, which come from a discovery server that has restarted and lacks the changes since then.
 func (l *EndpointList) checkContinues(received response) error {
 	if received.Full {
 		return nil
@@ -116,10 +117,10 @@
 	return nil
 }
 
-// prune removes servers that have gone. A server that is replaced comes back under a new name, so that without pruning the
-// maps would grow.
+// prune forgets servers that have been removed. A replaced server returns under a new name, so that the maps would otherwise grow
+// without bound.
 func (l *EndpointList) prune(update routing.EndpointsUpdated) {
-	present := map[routing.ServerID]bool{} // by the update; false: removed
+	present := map[routing.ServerID]bool{} // servers in the update; false: removed
 	for _, endpoint := range update.Endpoints {
 		present[endpoint.Server] = endpoint.State != routing.Removed
 	}
@@ -135,14 +136,14 @@
 	}
 }
 
-// assignID returns the number of a server: a hash of its name, the same in every router. Of two names with one hash the
-// later, in the order of responses, gets the hash of its name with a zero byte behind it, and so on.
+// assignID returns the number of a server: a hash of its name, so that it is the same in every router. If two names collide, the
+// one that is applied later gets the hash of its name followed by a zero byte, or by as many as are needed.
 func (l *EndpointList) assignID(uid UID) routing.ServerID {
 	if id, ok := l.ids[uid]; ok {
 		return id
 	}
 	hash := fnv.New32a()
-	hash.Write([]byte(uid)) // a hash returns no error
+	hash.Write([]byte(uid)) // a hash never returns an error
 	id := routing.ServerID(hash.Sum32())
 	for l.uids[id] != "" {
 		hash.Write([]byte{0})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,12 +9,12 @@
 	"spurtrestle/core/routing"
 )
 
-// entry is an active server of a response, with more fields.
+// entry returns the JSON of an active server with additional fields.
 func entry(uid, more string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m","state":"active"%s}`, uid, more)
 }
 
-// responseBody is a response of discovery.
+// responseBody returns the JSON of a response.
 func responseBody(rev int, all bool, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, all, strings.Join(entries, ","))
 }
@@ -49,7 +49,7 @@
 	request()
 	// Output:
 	// request /registry/instances for 0
-	// update of kind 1 with 0 entries: changes came where the whole list was asked for
+	// update of kind 1 with 0 entries: response has changes only, but the full list was requested
 	// update of kind 0 with 2 entries: <nil>
 	//   {Server:412855716 Zone:a Kind:m Cell:0 State:0 Weight:0 StartedAt:0} at "127.0.0.1:1"
 	//   {Server:463188573 Zone:a Kind:m Cell:3 State:0 Weight:2 StartedAt:1500000} at "127.0.0.1:1"
@@ -69,9 +69,10 @@
 	// request /registry/instances for 0
 }
 
-// TestEndpointList_NumbersAreTheSameInEveryRouter applies the same servers in two orders; two of them have the same hash.
+// TestEndpointList_NumbersAreTheSameInEveryRouter guards against numbers that depend on the order of a response. Two of the names
+// have the same hash.
 func TestEndpointList_NumbersAreTheSameInEveryRouter(t *testing.T) {
-	const one, other = "costarring", "liquid" // one FNV-1a hash of 32 bits
+	const one, other = "costarring", "liquid" // have the same 32-bit FNV-1a hash
 	ids := func(body []byte) map[UID]routing.ServerID {
 		list := New()
 		if _, err := list.Apply(body); err != nil {
@@ -91,8 +92,8 @@
 	}
 }
 
-// TestEndpointList_RemovesServersThatHaveGone replaces a server by one of another name a hundred times.
-func TestEndpointList_RemovesServersThatHaveGone(t *testing.T) {
+// TestEndpointList_PrunesRemovedServers guards against maps that grow while servers are replaced by others with new names.
+func TestEndpointList_PrunesRemovedServers(t *testing.T) {
 	list := New()
 	for i := range 100 {
 		gone := fmt.Sprintf(`{"uid":"s-%d","state":"left"}`, i-1)
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -10,14 +10,14 @@
 	"spurtrestle/core/routing"
 )
 
-// response is the body of a response as JSON has it.
+// response is the JSON form of a response.
 type response struct {
 	Revision  *int64           `json:"rev"`
-	Full      bool             `json:"all"`
+	Full      bool             `json:"all"` // the complete list rather than changes
 	Endpoints *[]endpointEntry `json:"targets"`
 }
 
-// endpointEntry is one server of a response.
+// endpointEntry is one server in a response.
 type endpointEntry struct {
 	UID        UID     `json:"uid"`
 	Address    string  `json:"endpoint"`
@@ -29,20 +29,21 @@
 	BootMillis float64 `json:"boot_ms"`
 }
 
-// Errors of a response that is not applied.
+// Errors of a response that cannot be applied.
 var (
 	errNoRevision  = errors.New("rev is missing")
 	errNoEndpoints = errors.New("targets is missing")
-	errNotFull     = errors.New("changes came where the whole list was asked for")
+	errNotFull     = errors.New("response has changes only, but the full list was requested")
 )
 
-// revisionError reports changes up to an earlier revision than that of the list.
+// revisionError reports changes of an earlier revision than that of the list.
 type revisionError struct{ received, current int64 }
 
 func (e *revisionError) Error() string {
-	return fmt.Sprintf("changes up to version %d came where there was %d already", e.received, e.current)
+	return fmt.Sprintf("response of revision %d is older than the list, which is at revision %d", e.received, e.current)
 }
 
+// parseResponse decodes a response and checks that the required fields are present.
 func parseResponse(body []byte) (response, error) {
 	var r response
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -57,13 +58,14 @@
 	return r, nil
 }
 
+// endpointStates maps the states that discovery reports.
 var endpointStates = map[string]routing.EndpointState{
 	"active":  routing.Ready,
 	"leaving": routing.Draining,
 	"left":    routing.Removed,
 }
 
-// state returns the entry's state. One that is not known here counts as draining: no new requests are sent there.
+// state returns the entry's state. An unknown state counts as draining, so that the server gets no new requests.
 func (e endpointEntry) state() routing.EndpointState {
 	state, ok := endpointStates[e.State]
 	if !ok {
@@ -72,7 +74,7 @@
 	return state
 }
 
-// startedAt returns the start of the server's process; 0 where the entry has none, or an impossible one.
+// startedAt returns when the server's process started, or 0 if the entry has no start time or an invalid one.
 func (e endpointEntry) startedAt() clock.Time {
 	const maxBootMillis = math.MaxInt64 / 2e3 // half of the largest Time, in milliseconds
 	if e.BootMillis < 0 || e.BootMillis > maxBootMillis {
@@ -81,6 +83,7 @@
 	return clock.Time(e.BootMillis * float64(clock.Millisecond))
 }
 
+// endpoint converts the entry for package routing.
 func (e endpointEntry) endpoint(id routing.ServerID) routing.Endpoint {
 	return routing.Endpoint{
 		Server:    id,
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Fleet is the table [fleet]: the view of the fleet that the routers share (internal/gossip).
+// Fleet is the table [fleet], which configures fleet membership (internal/gossip).
 type Fleet struct {
-	Name       string   `toml:"name"`      // of the fleet; empty: this router has no view
-	Router     string   `toml:"router"`    // this router's name; empty: that of its configuration
-	Site       string   `toml:"site"`      // empty: that of the configuration
+	Name       string   `toml:"name"`      // of the fleet; empty: this router is not a member of one
+	Router     string   `toml:"router"`    // this router's name; empty: the one in the configuration
+	Site       string   `toml:"site"`      // this router's site; empty: the one in the configuration
 	Listen     string   `toml:"listen"`    // address and port, for UDP and TCP
-	Advertise  string   `toml:"advertise"` // the address for the others; empty: listen
-	Join       []string `toml:"join"`      // addresses of other routers, to begin with
-	Dir        string   `toml:"dir"`       // the folder of the known peers; empty: they are not persisted
+	Advertise  string   `toml:"advertise"` // the address at which others reach it; empty: listen
+	Join       []string `toml:"join"`      // addresses of other routers to contact first
+	Dir        string   `toml:"dir"`       // directory of the known peers; empty: they are not persisted
 	ProbeText  string   `toml:"probe"`     // see ProbeInterval
 	ForgetText string   `toml:"forget"`    // see ForgetAfter
 	Tiered     bool     `toml:"tiered"`    // full membership within the site, summaries of other sites and regions
 	Region     string   `toml:"region"`    // with Tiered: the site's region
-	Remote     []string `toml:"remote"`    // with Tiered: addresses of routers of other sites, to begin with
-	Anywhere   bool     `toml:"anywhere"`  // allows unspecified and public addresses
+	Remote     []string `toml:"remote"`    // with Tiered: addresses of routers of other sites to contact first
+	Anywhere   bool     `toml:"anywhere"`  // allow unspecified and public addresses
 
 	// Parsed by check.
 	endpoint    endpoint
@@ -31,20 +31,21 @@
 	forgetAfter time.Duration
 }
 
-// fleetAddressExample is the remedy of a wrong address.
+// fleetAddressExample is the remedy for an invalid address.
 const fleetAddressExample = `write it as "10.1.2.3:7946"`
 
-// Addresses returns the address to listen on, and the one that other routers use.
+// Addresses returns the address to listen on, and the one at which other routers reach this one.
 func (f Fleet) Addresses() (listen, advertise netip.AddrPort) {
 	return f.endpoint.listen, f.endpoint.advertise
 }
 
-// ProbeInterval is the time between two health checks of another router.
+// ProbeInterval returns the time between two health checks of another router.
 func (f Fleet) ProbeInterval() time.Duration { return f.probe }
 
-// ForgetAfter is how long lost routers, and those that left, are shown.
+// ForgetAfter returns how long routers that are lost or have left remain in the view of the fleet.
 func (f Fleet) ForgetAfter() time.Duration { return f.forgetAfter }
 
+// check validates the table and parses its addresses and durations.
 func (f *Fleet) check(table tomlTable) error {
 	if f.Name == "" {
 		if f.Listen != "" || len(f.Join) > 0 {
@@ -67,6 +68,7 @@
 	return nil
 }
 
+// namePattern matches the names of fleets, routers, sites and regions.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,60}$`)
 
 func (f *Fleet) checkNames(table tomlTable) error {
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// durationField is a duration that the file may set within bounds.
+// durationField is a duration with a default value, which the file may set within bounds.
 type durationField struct {
 	name         string
 	text         string
@@ -170,6 +172,7 @@
 	return nil
 }
 
+// parse sets value to the parsed text, or to the default if the text is empty.
 func (f durationField) parse(table tomlTable) error {
 	*f.value = f.defaultValue
 	if f.text == "" {
--- a/internal/operator/grpc.go
+++ b/internal/operator/grpc.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// GRPC is the table [grpc]: gRPC clients (internal/grpcfront).
+// GRPC is the table [grpc], which configures the gRPC endpoint for clients (internal/grpcfront).
 type GRPC struct {
-	Listen      string `toml:"listen"`      // address and port; empty: there are none
-	Connections int    `toml:"connections"` // at once
-	Streams     int    `toml:"streams"`     // at once on a connection
+	Listen      string `toml:"listen"`      // address and port; empty: gRPC is disabled
+	Connections int    `toml:"connections"` // maximum number of concurrent connections
+	Streams     int    `toml:"streams"`     // maximum number of concurrent streams of a connection
 }
 
-// Bounds of connections and streams. Zero stands for the default.
+// Default and maximum of connections and streams. Zero in the file selects the default.
 const (
 	defaultGRPCCount = 256
 	maxGRPCCount     = 10000
@@ -31,6 +31,7 @@
 	return checkGRPCCount(table, "streams", &g.Streams)
 }
 
+// checkGRPCCount replaces a zero count by the default and checks its range.
 func checkGRPCCount(table tomlTable, field string, count *int) error {
 	if *count == 0 {
 		*count = defaultGRPCCount
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,7 +1,7 @@
-// Package operator reads the file that the router's operator owns, deploy/spurtrestle.toml: functions beyond routing, each
-// off unless the file switches it on. internal/program loads it once, before the router starts.
+// Package operator reads the operator's file, of which deploy/spurtrestle.toml is the reference. It configures features beyond
+// routing, each of which is off by default. internal/program loads it once, before the router starts. The package is stateless.
 //
-// The file is strict TOML. Errors are of package configerror, with line, field and remedy.
+// The file is TOML, and unknown fields are errors. Errors are of package configerror, with line, field and remedy.
 package operator
 
 import (
@@ -11,10 +11,10 @@
 	"spurtrestle/internal/tomlfile"
 )
 
-// reference is the file that describes all fields.
+// reference is the file that documents all fields.
 const reference = "deploy/spurtrestle.toml"
 
-// File is the content of the file. The zero value applies where there is none.
+// File is the content of the operator's file. The zero value applies if there is none.
 type File struct {
 	State  State  `toml:"state"`
 	GRPC   GRPC   `toml:"grpc"`
@@ -24,7 +24,7 @@
 	lines  tomlfile.Lines
 }
 
-// Load reads a file. An empty path is no file. The error is a *configerror.Error; the file is valid without one only.
+// Load reads the file at path, or returns the zero File if path is empty. The File is valid only if there is no error.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, nil
@@ -41,7 +41,7 @@
 	return f, nil
 }
 
-// Parse reads the text of a file.
+// Parse reads and validates the text of a file. Errors do not name the file.
 func Parse(text []byte) (File, error) {
 	var f File
 	if err := tomlfile.Decode(text, &f, reference); err != nil {
@@ -51,13 +51,14 @@
 	return f, f.check()
 }
 
-// FieldError returns an error of a field, for the parts of the program that put the field to use and find it wrong.
+// FieldError returns an error of a field, named as in "fleet.name", with the file and the line. It is for code that detects a fault
+// only when it uses the field.
 func (f File) FieldError(field, problem, remedy string) error {
 	return &configerror.Error{File: f.path, Line: f.lines.Line(field), Field: field, Problem: problem, Remedy: remedy}
 }
 
-// check validates all tables and computes the values behind their texts. The first fault in a fixed order is returned, so
-// that a file with several gives the same error each time. The interval is checked after [grpc], as in earlier releases.
+// check validates all tables and parses their addresses and durations. The order is fixed, so that a file with several faults
+// yields the same error each time. The interval of [state] is checked after [grpc], as in earlier releases.
 func (f *File) check() error {
 	for _, step := range []func() error{
 		func() error { return f.State.check(f.table("state")) },
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// tomlTable makes the errors of one table's fields.
+// tomlTable creates errors of the fields of one table.
 type tomlTable struct {
 	name  string
 	lines tomlfile.Lines
@@ -81,7 +82,7 @@
 
 func (f *File) table(name string) tomlTable { return tomlTable{name: name, lines: f.lines} }
 
-// fault returns an error of a field. value is as the text shows it; empty where the problem includes it.
+// fault returns an error of a field. value is the value as printed, or empty if problem includes it.
 func (t tomlTable) fault(field, value, problem, remedy string) error {
 	name := t.name + "." + field
 	return &configerror.Error{Line: t.lines.Line(name), Field: name, Value: value, Problem: problem, Remedy: remedy}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestParse_ShippedFile has every function off, as has no file at all.
+// TestParse_ShippedFile verifies that every feature is off in the shipped file, and that no file yields the zero File.
 func TestParse_ShippedFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/spurtrestle.toml")
 	if err != nil {
@@ -17,14 +17,15 @@
 	}
 	f, err := Parse(text)
 	if err != nil || f.State.Dir != "" || f.GRPC.Listen != "" || f.Fleet.Name != "" || f.State.Interval() != 10*time.Second {
-		t.Errorf("shipped file: got %+v, %v, want every function off", f, err)
+		t.Errorf("shipped file: got %+v, %v, want every feature off", f, err)
 	}
 	if f, err := Load(""); err != nil || !reflect.DeepEqual(f, File{}) {
 		t.Errorf("no file: got %+v, %v, want the zero File", f, err)
 	}
 }
 
-// TestParse_ErrorsNameLineFieldAndRemedy gives the same error each time, also where a file has several faults.
+// TestParse_ErrorsNameLineFieldAndRemedy checks the error of each kind of fault. The error must be the same each time, even if a
+// file has several faults.
 func TestParse_ErrorsNameLineFieldAndRemedy(t *testing.T) {
 	for text, want := range map[string]string{
 		"[state]\ndirr = \"/x\"\n":                                                                 "line 2: state.dirr: is no field here; see deploy/spurtrestle.toml for all fields",
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestParse_ManyRoutersToJoin reads a list of thousands.
+// TestParse_ManyRoutersToJoin parses a join list with thousands of addresses.
 func TestParse_ManyRoutersToJoin(t *testing.T) {
 	const routers = 2000
 	text := "[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7946\"\njoin = ["
--- a/internal/operator/policy.go
+++ b/internal/operator/policy.go
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// Policy is the table [policy]: one policy for all routers of the fleet (internal/controlplane).
+// Policy is the table [policy], which configures a policy shared by all routers of the fleet (internal/controlplane).
 type Policy struct {
-	WhenIsolated string   `toml:"cut_off"`   // serve or refuse, where the voters cannot be reached; empty: there is no policy
-	Voters       []string `toml:"keepers"`   // names of the routers that vote: three or five
-	Listen       string   `toml:"listen"`    // at a voter: address and port for the log
-	Advertise    string   `toml:"advertise"` // the address for the other voters; empty: listen
-	Dir          string   `toml:"dir"`       // at a voter: the folder of the log
+	WhenIsolated string   `toml:"cut_off"`   // serve or refuse, while the voters cannot be reached; empty: there is no policy
+	Voters       []string `toml:"keepers"`   // names of the voting routers: three or five, or one
+	Listen       string   `toml:"listen"`    // at a voter: address and port for log replication
+	Advertise    string   `toml:"advertise"` // the address at which the other voters reach it; empty: listen
+	Dir          string   `toml:"dir"`       // at a voter: the directory of the log
 
 	// Parsed by check.
 	endpoint endpoint
@@ -26,14 +26,16 @@
 	WhenIsolatedReject = "refuse"
 )
 
-// policyAddressExample is the remedy of a wrong address.
+// policyAddressExample is the remedy for an invalid address.
 const policyAddressExample = `write it as "10.1.2.3:7947"`
 
-// Addresses returns the address to listen on, and the one that other voters use.
+// Addresses returns the address to listen on, and the one at which other voters reach this one. Both are invalid unless this
+// router is a voter.
 func (p Policy) Addresses() (listen, advertise netip.AddrPort) {
 	return p.endpoint.listen, p.endpoint.advertise
 }
 
+// check validates the table, including its dependencies on the table [fleet], and parses its addresses.
 func (p *Policy) check(table tomlTable, fleet Fleet) error {
 	if p.WhenIsolated == "" {
 		if p.Dir != "" || len(p.Voters) > 0 {
@@ -47,7 +49,7 @@
 	if err := p.checkVoters(table); err != nil {
 		return err
 	}
-	// A voter is found by its fields: its name may come from the configuration, which is not read here.
+	// A voter is recognized by its fields and not by its name, which may come from the configuration, which is not read here.
 	isVoter := p.Listen != "" || p.Dir != ""
 	if !isVoter {
 		return nil
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes TOML that people write: the operator's file, the policy document, and the lab's files. Errors
-// are of package configerror, with line, field and remedy. It has no state.
+// Package tomlfile decodes TOML files that people write: the operator's file, the policy document and the lab's files. Errors are of
+// package configerror, with line, field and remedy. The package is stateless.
 package tomlfile
 
 import (
@@ -14,8 +14,8 @@
 	"spurtrestle/internal/configerror"
 )
 
-// Decode reads text into a struct and rejects fields that the struct does not have. reference names the place where all
-// fields are described, for the remedy. Errors of several unknown fields are joined.
+// Decode decodes text into the struct that into points to, and rejects unknown fields. The remedy for these refers to reference, the
+// name of a document that describes all fields. The errors of several unknown fields are joined.
 func Decode(text []byte, into any, reference string) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var unknown *toml.StrictMissingError
@@ -29,6 +29,7 @@
 	return err
 }
 
+// unknownFieldsError returns one error for each unknown field, joined.
 func unknownFieldsError(unknown *toml.StrictMissingError, reference string) error {
 	var all []error
 	for _, field := range unknown.Errors {
@@ -43,6 +44,7 @@
 	return errors.Join(all...)
 }
 
+// malformedError returns an error for text that is not valid TOML or has a value of the wrong type.
 func malformedError(malformed *toml.DecodeError) error {
 	line, _ := malformed.Position()
 	field := strings.Join(malformed.Key(), ".")
@@ -58,8 +60,7 @@
 	}
 }
 
-// Lines maps each field and table of a text to its line, from 1. Fields are named as in "state.dir" and
-// "method[1].deadline".
+// Lines maps each field and table of a text to its line, counted from 1. Keys have the form "state.dir" and "method[1].deadline".
 type Lines map[string]int
 
 var (
@@ -67,11 +68,12 @@
 	fieldEntry  = regexp.MustCompile(`^\s*([A-Za-z_]+)\s*=`)
 )
 
-// FieldLines finds the fields and tables of a text by lines, as far as their names are letters, underscores and, of tables,
-// dots. Others are attributed to the table around them, and lines within multi-line strings are taken for fields.
+// FieldLines scans a text line by line for fields and tables. It recognizes names that consist of letters and underscores, and dots
+// in names of tables. Other fields are attributed to the table that contains them, and a line within a multi-line string may be
+// mistaken for a field.
 func FieldLines(text []byte) Lines {
 	lines := Lines{}
-	elementCount := map[string]int{} // by array of tables
+	elementCount := map[string]int{} // number of elements so far, by array of tables
 	prefix := ""
 	for i, content := range strings.Split(string(text), "\n") {
 		line := i + 1
@@ -91,7 +93,8 @@
 	return lines
 }
 
-// Line returns the line of a field, or else of the innermost table around it that is there, or else 1.
+// Line returns the line of a field. If the text does not contain the field, it returns the line of the innermost table around it
+// that the text contains, or 1.
 func (l Lines) Line(field string) int {
 	for {
 		if line := l[field]; line > 0 {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// TestLines_Line finds fields of plain tables and of arrays of tables, and falls back to the table around a field.
+// TestLines_Line looks up fields in tables and in arrays of tables, with the containing table as fallback.
 func TestLines_Line(t *testing.T) {
 	const text = "schema = 1\n\n[state]\n  dir = \"/x\"\n[[method]]\nname = \"get\"\n[[method]]\nname = \"put\"\n"
 	lines := FieldLines([]byte(text))
@@ -18,7 +18,7 @@
 	}
 }
 
-// TestDecode_Errors names the line, the field and the remedy of unknown fields and of lines that cannot be read.
+// TestDecode_Errors checks the line, field and remedy in the errors of unknown fields and malformed lines.
 func TestDecode_Errors(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"a\"\n": "",
