--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -86,7 +86,7 @@
 	return &configerror.Error{
 		Field:   "settings",
 		Problem: err.Error(),
-		Remedy:  fmt.Sprintf("restart the router, or give it its own file instead of %q", os.Getenv("EDGE_CONFIG")),
+		Remedy:  fmt.Sprintf("start it anew, or give it a file of its own in place of %q", os.Getenv("EDGE_CONFIG")),
 		Cause:   err,
 	}
 }
