--- a/cmd/cache-router-grpc/main.go
+++ b/cmd/cache-router-grpc/main.go
@@ -18,7 +18,9 @@
 	"spurtrestle/internal/settings"
 )
 
-func main() { program.Main(program.Parts{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Join}) }
+func main() {
+	program.Main(program.Components{GRPC: listen, Fleet: gossip.Open, Policy: controlplane.Join})
+}
 
 // listen starts the gRPC front end. The returned function stops it and aborts calls that outlast the longest deadline.
 func listen(r *router.Router, cfg config.Config, g operator.GRPC, log *logrus.Logger) (stop func(), err error) {
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -27,7 +27,7 @@
 	previous := r.batchTime
 	if r.batchTime = r.clock(); r.batchTime-previous > r.limits.StallThreshold {
 		r.log.WithField("for", toDuration(r.batchTime-previous)).Warn("the loop stood still; what waited in the sockets counts as come when it began to")
-		r.stallStart, r.stallGraceEnd = previous, r.batchTime+r.limits.QuietClientAge
+		r.stallStart, r.stallGraceEnd = previous, r.batchTime+r.limits.IdleClientEvictionAge
 	}
 	r.updateLag(previous)
 	r.counts.Batches++
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -178,7 +178,7 @@
 	headTimeout := c.r.limits.PartialCommandTimeout
 	switch {
 	case c.partialSince == 0:
-		return !c.hasSentCommand && now-c.lastCommandAt >= c.r.limits.SilentClientTimeout
+		return !c.hasSentCommand && now-c.lastCommandAt >= c.r.limits.ClientIdleTimeout
 	case c.unreadBytes() <= c.r.limits.RESP.Line:
 		return now-c.partialSince >= headTimeout
 	}
--- a/internal/router/descriptor_limit_test.go
+++ b/internal/router/descriptor_limit_test.go
@@ -34,9 +34,9 @@
 		requester = l.open(nil)
 	}
 	l.receive(requester, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	churn(2 * r.limits.QuietClientAge)
+	churn(2 * r.limits.IdleClientEvictionAge)
 	if dials != 1 || requester.closed {
-		t.Errorf("got %d dials within %d ms, want 1; client closed: %v", dials, 2*r.limits.QuietClientAge/1e3, requester.closed)
+		t.Errorf("got %d dials within %d ms, want 1; client closed: %v", dials, 2*r.limits.IdleClientEvictionAge/1e3, requester.closed)
 	}
 
 	l, _ = newHeldDials(t, nil)
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -75,7 +75,7 @@
 			continue // it is handed over instead
 		}
 		quietFor := now - client.lastActivity
-		mayHaveNoRequest := client.hasReceived || quietFor >= r.limits.QuietClientAge || isPastDeadline
+		mayHaveNoRequest := client.hasReceived || quietFor >= r.limits.IdleClientEvictionAge || isPastDeadline
 		if client.mayClose() && mayHaveNoRequest && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
 			r.close(client.conn)
 		}
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -27,7 +27,7 @@
 // dial.
 func newHeldDials(t *testing.T, change func(*routing.Settings)) (l *fakeLoop, up func() *fakeConn) {
 	cfg := originOnlyConfig()
-	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.QuietClientAge = 60e6, 250e3, 50e3
+	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.IdleClientEvictionAge = 60e6, 250e3, 50e3
 	cfg.Settings.MaxAttempts, cfg.Settings.CancelAllowed = 3, true
 	cfg.Settings.Methods = append(cfg.Settings.Methods, routing.MethodSettings{Name: "get", LatencyBudget: 2e6, Criticality: 1},
 		routing.MethodSettings{Name: "look", Idempotency: routing.Deduplicated, DeduplicationWindow: 400e3, LatencyBudget: 2e6, Criticality: 1})
@@ -264,7 +264,7 @@
 func TestDrainEndsWhileClientsReconnect(t *testing.T) {
 	l, _ := newHeldDials(t, nil)
 	close(l.r.ready)
-	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod, l.r.limits.QuietClientAge = 3e6, 500e3, 50e3
+	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod, l.r.limits.IdleClientEvictionAge = 3e6, 500e3, 50e3
 	l.r.Drain()
 	l.runQueued()
 	const step = 20e3 // less than the age from which a client may be closed
@@ -285,7 +285,7 @@
 // reused before a duplicate answer would have arrived; the next client used to get it as its own.
 func TestDuplicateAnswerIsDropped(t *testing.T) {
 	l, up := newHeldDials(t, nil)
-	l.r.limits.ReuseDelay, l.r.limits.DuplicateMemory = 50e3, 30e6
+	l.r.limits.ReuseDelay, l.r.limits.DuplicateResponseWindow = 50e3, 30e6
 	client := l.open(nil)
 	ask := func(id string) { l.receive(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
 	ask("r1")
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -225,7 +225,7 @@
 		}
 		return
 	}
-	l.r.after(l.r.limits.ClientGoneCheckInterval, l.pollClientGone)
+	l.r.after(l.r.limits.ClientDisconnectCheckInterval, l.pollClientGone)
 }
 
 var errHandoverStop = errors.New("stopped for the handover to another process")
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -104,7 +104,7 @@
 // originOnlyConfig has one method that must not run twice, and no server but the origin.
 func originOnlyConfig() config.Config {
 	cfg := config.Config{Listen: "-", Limits: config.Limits{RESP: resp.Bounds{Bulk: 1 << 16, Line: 1 << 10, Args: 8},
-		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, SilentClientTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
+		Descriptors: 100, ServerConnections: 50, ClientConnections: 50, ActiveClients: 50, ClientIdleTimeout: 2e6, PartialCommandTimeout: 2e6, MaxDescriptors: 110, PipelinedCommands: 10, RequestBytes: 1 << 20, ClientInput: 1 << 20, ClientOutput: 1 << 20, ClientBufferBytes: 1 << 20}}
 	cfg.Limits.Origin = httpwire.Bounds{Head: 1 << 10, Body: 1 << 16}
 	cfg.Settings = routing.Settings{Routers: 1, CacheAside: true, OriginKind: "origin", ClockGranularity: 1e3, MaxAttempts: 1,
 		Methods: []routing.MethodSettings{{Name: "pay", Idempotency: routing.NonIdempotent, LatencyBudget: 5e6, Criticality: 1}}}
@@ -346,7 +346,7 @@
 	r := l.r
 	client.sendWrites(r, "r1")
 	l.runQueued()
-	r.limits.Descriptors, r.limits.MaxDescriptors, r.limits.QuietClientAge = r.descriptorsInUse(), r.descriptorsInUse()+1, 1e6
+	r.limits.Descriptors, r.limits.MaxDescriptors, r.limits.IdleClientEvictionAge = r.descriptorsInUse(), r.descriptorsInUse()+1, 1e6
 	if fresh := l.open(nil); fresh.closed || client.closed || origin.closed {
 		t.Error("a connection was closed for a new client although a descriptor was free")
 	}
@@ -354,7 +354,7 @@
 		t.Error("the last descriptor was given away")
 	}
 	time.Sleep(20 * time.Millisecond)
-	r.limits.QuietClientAge = 10e3
+	r.limits.IdleClientEvictionAge = 10e3
 	newest := l.open(nil)
 	if client.closed || origin.closed || newest.closed || r.counts.EvictedConnections != 1 {
 		t.Error("closed a client or server connection in use, or the newest client, or not exactly one connection")
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -217,7 +217,9 @@
 }
 
 // noteUnsolicited records that a server has sent data that belongs to no attempt.
-func (r *Router) noteUnsolicited() { r.duplicateGuardUntil = r.clock() + r.limits.DuplicateMemory }
+func (r *Router) noteUnsolicited() {
+	r.duplicateGuardUntil = r.clock() + r.limits.DuplicateResponseWindow
+}
 
 func (up *upstream) send(attempt *activeAttempt) {
 	up.attempt, attempt.conn, up.hasCarried = attempt, up, true
@@ -333,7 +335,7 @@
 			}
 		// Some clients send one request and keep the connection. Clients can hold a limited number of connections,
 		// and would have none left for requests.
-		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.SilentClientTimeout && client.isQuiet() &&
+		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.ClientIdleTimeout && client.isQuiet() &&
 			client.unreadBytes() == 0 && !client.hasUnreadInput():
 			r.close(client.conn)
 		}
@@ -429,7 +431,7 @@
 	now := r.clock()
 	var candidate *client
 	for client := range r.clients {
-		if client.isQuiet() && (client.hasSentRequest || !requestersOnly) && now-client.lastActivity >= r.limits.QuietClientAge &&
+		if client.isQuiet() && (client.hasSentRequest || !requestersOnly) && now-client.lastActivity >= r.limits.IdleClientEvictionAge &&
 			(candidate == nil || client.hasSentRequest == candidate.hasSentRequest && client.lastActivity < candidate.lastActivity ||
 				!client.hasSentRequest && candidate.hasSentRequest) {
 			candidate = client
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -247,7 +247,7 @@
 // one has replaced the successor and keeps the name.
 func (r *Router) awaitSuccessors(hasHandedOver bool) {
 	t := &r.takeover
-	if hasHandedOver && handover.Answers(t.socketDir, t.socketName) {
+	if hasHandedOver && handover.IsListening(t.socketDir, t.socketName) {
 		r.log.Warn("handover: another process has replaced the successor, and is the one that the next process finds")
 		return
 	}
