--- a/internal/router/operator_control.go
+++ b/internal/router/operator_control.go
@@ -226,12 +226,12 @@
 	for _, s := range r.servers {
 		uid := string(r.endpoints.UID(s.id))
 		if banned := state.IsBanned(uid); banned != previous.IsBanned(uid) && !r.fleet.policyBans[uid] {
-			r.log.WithFields(map[string]any{"server": uid, "out": banned}).Info("operator change applied")
+			r.log.WithFields(map[string]any{"server": uid, "out": banned}).Info("as operators asked")
 			r.setBanned(s, banned, clock.Time(state.UnbannedAt[uid]))
 		}
 	}
 	if state.Drain != previous.Drain {
-		r.log.WithField("draining", state.Drain).Info("operator change applied")
+		r.log.WithField("draining", state.Drain).Info("as operators asked")
 		r.operator.closingClients = false
 		r.notifyServing(!state.Drain && r.hasUsableServer && !r.draining)
 		if state.Drain {
