--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -1,6 +1,6 @@
 // Package grpcfront is the gRPC front end of cache-router-grpc. It validates calls, hands them to the router's event loop
 // and translates answers to gRPC statuses; it makes no routing decisions. Calls run on goroutines of the gRPC library. Each
-// one is offered through the router's bounded queue, and its answer returns through a buffered channel, so that neither the
+// one is submitted through the router's bounded queue, and its answer returns through a buffered channel, so that neither the
 // loop nor a call ever blocks on the other.
 package grpcfront
 
@@ -99,7 +99,7 @@
 	return s.grpcServer.Serve(&limitedListener{Listener: ln, permits: make(chan struct{}, s.limits.Connections), conns: &s.conns})
 }
 
-// Stop refuses new calls and returns once all open calls have ended. Calls that outlast the longest deadline are aborted.
+// Stop rejects new calls and returns once all open calls have ended. Calls that outlast the longest deadline are aborted.
 func (s *Server) Stop(longest time.Duration) {
 	abort := time.AfterFunc(longest+shutdownMargin, s.grpcServer.Stop)
 	defer abort.Stop()
@@ -124,44 +124,44 @@
 	return &cachev1.SetResponse{Receipt: value}, nil
 }
 
-// callResult is the end of a call, as the router's loop reports it: a refusal if that is set, otherwise an answer.
+// callResult is the end of a call, as the router's loop reports it: a rejection if that is set, otherwise an answer.
 type callResult struct {
 	wire.Answer
-	refusal router.RefusalReason
+	rejection router.RejectReason
 }
 
-// call offers a request to the router and waits for its answer, its refusal, or the end of ctx.
+// call submits a request to the router and waits for its answer, its rejection, or the end of ctx.
 func (s *Server) call(ctx context.Context, attributes *cachev1.Attributes, key, value []byte, write bool) ([]byte, error) {
 	if field, problem := s.invalidField(attributes, key, value); problem != "" {
 		return nil, invalidArgument(field, problem)
 	}
 	done := make(chan callResult, 1)
-	offer := &router.ExternalRequest{Request: wire.Request{ID: routing.RequestID(attributes.GetId()), Key: key, Value: value, Write: write}, Method: attributes.GetMethod(),
+	request := &router.ExternalRequest{Request: wire.Request{ID: routing.RequestID(attributes.GetId()), Key: key, Value: value, Write: write}, Method: attributes.GetMethod(),
 		Tenant: routing.Tenant(attributes.GetTenant()), ClientRetry: attributes.GetResent(),
 		Answer: func(a wire.Answer) {
 			a.Value = bytes.Clone(a.Value)
 			done <- callResult{Answer: a}
 		},
-		Refuse:         func(reason router.RefusalReason) { done <- callResult{refusal: reason} },
+		Reject:         func(reason router.RejectReason) { done <- callResult{rejection: reason} },
 		ClientGone:     func() bool { return ctx.Err() != nil },
 		HasUnreadInput: func() bool { return s.hasUnread(ctx) }}
 	if deadline, ok := ctx.Deadline(); ok {
-		if offer.Timeout = clock.Time(time.Until(deadline) / time.Microsecond); offer.Timeout <= 0 {
+		if request.Timeout = clock.Time(time.Until(deadline) / time.Microsecond); request.Timeout <= 0 {
 			return nil, status.Error(codes.DeadlineExceeded, "the deadline had passed when the call came")
 		}
 	}
 	if err := ctx.Err(); err != nil { // cancelled before the handler ran, for example while the process was stalled
 		return nil, status.FromContextError(err).Err()
 	}
-	offer.Props = wire.NewProps(encodeProps(offer, attributes))
-	if !s.router.Submit(offer) {
+	request.Props = wire.NewProps(encodeProps(request, attributes))
+	if !s.router.Submit(request) {
 		return nil, status.Error(codes.ResourceExhausted, "too many calls wait to be taken")
 	}
 	select {
 	case result := <-done:
 		return result.response()
 	case <-ctx.Done():
-		s.router.Withdraw(offer)
+		s.router.Withdraw(request)
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 }
@@ -178,7 +178,7 @@
 }
 
 // invalidField returns the first invalid field and what is wrong with it; problem is "" if there is none. The separators of
-// the property format that cache servers receive are refused in attributes.
+// the property format that cache servers receive are rejected in attributes.
 func (s *Server) invalidField(attributes *cachev1.Attributes, key, value []byte) (field, problem string) {
 	for _, attribute := range []struct {
 		field, text string
@@ -210,10 +210,10 @@
 
 // encodeProps returns the properties that cache servers and the origin receive. Its deadline is a placeholder, which each
 // attempt replaces.
-func encodeProps(offer *router.ExternalRequest, attributes *cachev1.Attributes) []byte {
-	props := "c=" + offer.Method
-	if offer.Tenant != "" {
-		props += ",t=" + string(offer.Tenant)
+func encodeProps(request *router.ExternalRequest, attributes *cachev1.Attributes) []byte {
+	props := "c=" + request.Method
+	if request.Tenant != "" {
+		props += ",t=" + string(request.Tenant)
 	}
 	props += ",d=1"
 	if attributes.GetResent() {
@@ -222,20 +222,20 @@
 	return []byte(props)
 }
 
-// refusalStatuses maps the reasons for which the router refuses an offer to gRPC statuses.
-var refusalStatuses = map[router.RefusalReason]error{
-	router.RefusedOverloaded:    status.Error(codes.ResourceExhausted, "the router holds all that it may"),
-	router.RefusedUnknownMethod: invalidArgument("attributes.method", "is none of the service"),
-	router.RefusedDuplicateID:   status.Error(codes.AlreadyExists, "another open req has this id"),
-	router.RefusedExpired:       status.Error(codes.DeadlineExceeded, "the deadline had passed when the call was taken"),
-	router.RefusedShuttingDown:  status.Error(codes.Unavailable, "the router is ending"),
+// rejectionStatuses maps the reasons for which the router rejects a request to gRPC statuses.
+var rejectionStatuses = map[router.RejectReason]error{
+	router.RejectedOverloaded:    status.Error(codes.ResourceExhausted, "the router holds all that it may"),
+	router.RejectedUnknownMethod: invalidArgument("attributes.method", "is none of the service"),
+	router.RejectedDuplicateID:   status.Error(codes.AlreadyExists, "another open req has this id"),
+	router.RejectedExpired:       status.Error(codes.DeadlineExceeded, "the deadline had passed when the call was taken"),
+	router.RejectedShuttingDown:  status.Error(codes.Unavailable, "the router is ending"),
 }
 
 // response translates the end of a call to the value or the gRPC status that the client receives.
 func (c callResult) response() ([]byte, error) {
 	switch {
-	case c.refusal != 0:
-		return nil, refusalStatuses[c.refusal]
+	case c.rejection != 0:
+		return nil, rejectionStatuses[c.rejection]
 	case c.Kind == wire.Served:
 		return c.Value, nil
 	case c.TooLarge:
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// When a client cancels a call, its attempt is cancelled at once. Until then a second request with the same id is refused.
+// When a client cancels a call, its attempt is cancelled at once. Until then a second request with the same id is rejected.
 func TestCancellingACallCancelsItsAttempt(t *testing.T) {
 	r := startRouter(t)
 	r.setFault("hang", 0, false)
--- a/internal/router/client_gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -60,7 +60,7 @@
 	props := fmt.Sprintf("c=%s,d=1900", method)
 	if d.byGRPC {
 		request := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
-			Answer: func(wire.Answer) {}, Refuse: func(why RefusalReason) { d.t.Errorf("%s is refused: %d", id, why) }}
+			Answer: func(wire.Answer) {}, Reject: func(reason RejectReason) { d.t.Errorf("%s is rejected: %d", id, reason) }}
 		d.offers[id] = request
 		d.loop.r.Submit(request)
 		d.loop.runQueued()
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -144,7 +144,7 @@
 	close(l.r.ready)
 	answered := func(wire.Answer) {}
 	request := &ExternalRequest{Request: wire.Request{ID: "r1", Key: []byte("k"), Props: wire.NewProps([]byte("c=get,d=1"))}, Method: "get", Timeout: 1900e3,
-		Answer: answered, Refuse: func(why RefusalReason) { t.Errorf("refused: %d", why) }}
+		Answer: answered, Reject: func(reason RejectReason) { t.Errorf("rejected: %d", reason) }}
 	if !l.r.Submit(request) {
 		t.Fatal("the request is not accepted")
 	}
--- a/internal/router/external_requests.go
+++ b/internal/router/external_requests.go
@@ -9,16 +9,16 @@
 	"spurtrestle/internal/wire"
 )
 
-// RefusalReason is why a front end's request is not admitted.
-type RefusalReason uint8
+// RejectReason is why a front end's request is not admitted.
+type RejectReason uint8
 
-// The reasons for which a request is refused.
+// The reasons for which a request is rejected.
 const (
-	RefusedOverloaded    RefusalReason = iota + 1 // the router holds as many requests as it may
-	RefusedUnknownMethod                          // the settings do not contain its method
-	RefusedDuplicateID                            // another open request has its id
-	RefusedExpired                                // its deadline had passed when it arrived
-	RefusedShuttingDown                           // the router admits no new requests
+	RejectedOverloaded    RejectReason = iota + 1 // the router holds as many requests as it may
+	RejectedUnknownMethod                         // the settings do not contain its method
+	RejectedDuplicateID                           // another open request has its id
+	RejectedExpired                               // its deadline had passed when it arrived
+	RejectedShuttingDown                          // the router admits no new requests
 )
 
 // ExternalRequest is a request of a front end off the loop: a protocol whose library has goroutines of its own.
@@ -29,10 +29,10 @@
 	Tenant      routing.Tenant
 	Timeout     clock.Time // how long its client waits; 0: as long as the method allows
 	ClientRetry bool
-	// Exactly one of Answer and Refuse is called, on the loop, once; it must not block. An answer's value is valid
+	// Exactly one of Answer and Reject is called, on the loop, once; it must not block. An answer's value is valid
 	// only during the call.
 	Answer func(wire.Answer)
-	Refuse func(RefusalReason)
+	Reject func(RejectReason)
 	// ClientGone reports whether the client has canceled or disconnected, as far as the front end has read; nil:
 	// never before Withdraw. It and HasUnreadInput are called on the loop when the loop is late.
 	ClientGone func() bool
@@ -64,7 +64,7 @@
 }
 
 // Withdraw reports that the client of a request is gone. Its attempts are canceled, and once the loop has
-// processed the withdrawal, neither Answer nor Refuse is called.
+// processed the withdrawal, neither Answer nor Reject is called.
 func (r *Router) Withdraw(request *ExternalRequest) {
 	request.withdrawn.Store(true)
 	r.enqueueExternal(externalEvent{request, true}, 1<<62)
@@ -106,25 +106,25 @@
 			continue
 		}
 		if reason := r.admitExternal(event.request); reason != 0 {
-			event.request.Refuse(reason)
+			event.request.Reject(reason)
 		}
 	}
 }
 
-func (r *Router) admitExternal(request *ExternalRequest) RefusalReason {
+func (r *Router) admitExternal(request *ExternalRequest) RejectReason {
 	method, known := r.methods[request.Method]
 	size := len(request.Key) + request.Props.Len() + len(request.Value)
 	switch {
 	case r.closingClients || r.operator.state.Drain || r.fleet.outOfService != "":
-		return RefusedShuttingDown
+		return RejectedShuttingDown
 	case !known:
-		return RefusedUnknownMethod
+		return RejectedUnknownMethod
 	case r.requests[request.ID] != nil:
-		return RefusedDuplicateID
+		return RejectedDuplicateID
 	case request.Timeout < 0:
-		return RefusedExpired
+		return RejectedExpired
 	case r.requestBytes+size > r.limits.RequestBytes:
-		return RefusedOverloaded
+		return RejectedOverloaded
 	}
 	timeout := r.cfg.Settings.Methods[method].Deadline // a client that waits longer does not extend it
 	if request.Timeout > 0 {
--- a/internal/router/loop_lag.go
+++ b/internal/router/loop_lag.go
@@ -41,8 +41,8 @@
 // clientMayBeGone reports, while the loop is late, whether the end of a request's client may be in input that its
 // front end has not read yet.
 func (r *Router) clientMayBeGone(request *pendingRequest) bool {
-	offer, isOffer := request.responder.(*ExternalRequest)
-	return isOffer && !request.finished && r.batchTime < r.laggingUntil && offer.HasUnreadInput != nil && offer.HasUnreadInput()
+	external, isExternal := request.responder.(*ExternalRequest)
+	return isExternal && !request.finished && r.batchTime < r.laggingUntil && external.HasUnreadInput != nil && external.HasUnreadInput()
 }
 
 // recheckClientThenConnect connects an attempt after its request's front end has had time to read.
