--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -20,7 +20,7 @@
 	slots             []*slot    // commands in order, until their replies are written
 	lastActivity      clock.Time // when it last sent or received something
 	lastCommandAt     clock.Time // when the last complete command arrived, or the connection was opened
-	partialSince      clock.Time // when the first byte of an incomplete command arrived; 0: there is none
+	partialSince      clock.Time // when the first byte of an incomplete command arrived; 0: no command is incomplete
 	enrolling         bool       // accepted, but not yet enrolled in the loop
 	hasReceived       bool       // has sent something
 	hasSentCommand    bool       // has sent a complete command
@@ -128,7 +128,7 @@
 		words, used, err := resp.ReadCommand(buf, c.words, c.r.limits.RESP)
 		c.words = words
 		if err != nil {
-			if ok, away := c.startLargeWrite(buf); away {
+			if ok, detached := c.startLargeWrite(buf); detached {
 				return gnet.Close, true // a duplicate of the descriptor takes over
 			} else if ok {
 				c.r.noteClientBuffer(c.unreadBytes())
@@ -172,7 +172,7 @@
 }
 
 // isSilent reports whether the client has sent no complete command since it connected, or takes too long for the
-// head of a command, or has stopped in the middle of one. A value may arrive slowly, but not for ever.
+// head of a command, or has stopped in the middle of one. A value may arrive slowly, but only up to a time limit.
 func (c *client) isSilent(now clock.Time) bool {
 	const valueTimeoutFactor = 10 // time limit of a value, in time limits of a head
 	headTimeout := c.r.limits.PartialCommandTimeout
@@ -402,7 +402,7 @@
 	}
 	request, event, timeout, ok := c.parseRequest(words, write)
 	if !ok {
-		c.replyNow(refusedRequestReply)
+		c.replyNow(invalidRequestReply)
 		return
 	}
 	request.slot.request = request
@@ -411,9 +411,10 @@
 	c.countRequester()
 }
 
-var refusedRequestReply = []byte("-ERR a req needs a new id, c, and d\r\n")
+var invalidRequestReply = []byte("-ERR a req needs a new id, c, and d\r\n")
 
-// parseRequest builds a request from the words of a command; ok is false if it is refused, which is counted.
+// parseRequest builds a request from the words of a command; ok is false if it is invalid, which is counted
+// as a failed request if its method is known.
 func (c *client) parseRequest(words [][]byte, write bool) (request *pendingRequest, event routing.RequestArrived, timeout clock.Time, ok bool) {
 	r := c.r
 	size := 0
@@ -435,7 +436,7 @@
 	method, known := r.methods[string(props.Method)]
 	if props.BadDeadline || props.Timeout == 0 || !known || len(request.ID) == 0 || r.requests[request.ID] != nil {
 		if known {
-			r.countRefused(method, wire.Failed)
+			r.countUnadmitted(method, wire.Failed)
 		}
 		return request, event, 0, false
 	}
--- a/internal/router/descriptor_limit_test.go
+++ b/internal/router/descriptor_limit_test.go
@@ -59,7 +59,7 @@
 		r.limits.ServerConnections = 8
 		requester := l.open(nil)
 		l.open(nil) // quiet, and too young to be closed
-		r.takeover.peerDescriptors[0] = others
+		r.takeover.peerDescriptors[predecessorPeer] = others
 		r.limits.Descriptors, r.limits.MaxDescriptors = r.descriptorsInUse(), r.descriptorsInUse()+5
 		l.receive(requester, command("CACHE.GET", "k", "r1", "c=get,d=1900")) // no descriptor for its attempt
 		if newcomer := l.open(nil); newcomer.closed != (others == 0) {
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -75,8 +75,8 @@
 			continue // it is handed over instead
 		}
 		quietFor := now - client.lastActivity
-		mayHaveNoRequest := client.hasReceived || quietFor >= r.limits.QuietClientAge || isPastDeadline
-		if client.mayClose() && mayHaveNoRequest && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
+		connectGraceOver := client.hasReceived || quietFor >= r.limits.QuietClientAge || isPastDeadline
+		if client.mayClose() && connectGraceOver && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
 			r.close(client.conn)
 		}
 	}
--- a/internal/router/fleet_limits.go
+++ b/internal/router/fleet_limits.go
@@ -14,9 +14,9 @@
 // fleetLimits holds what the fleet lets this router do. Its fields belong to the loop, except where noted.
 type fleetLimits struct {
 	share            float64    // share of the fleet's limits; 0: none was set, and package routing uses its default
-	shareExpiresAt   clock.Time // share holds until then; 0: without end
+	shareExpiresAt   clock.Time // share is in force until then; 0: without end
 	shareAfterExpiry float64
-	noSharesGranted  bool   // no part of this router's own share is lent, or may be
+	noSharesGranted  bool   // no part of this router's own share is granted to others, and none may be
 	outOfService     string // why no clients are accepted; empty: they are
 
 	extraShare          float64 // added to share: what lost routers leave unused
@@ -30,11 +30,16 @@
 	policyBans         map[string]bool        // cache servers that the fleet's policy takes out of use
 }
 
-var errShareNotWhole = errors.New("another process is taking over, which begins with the whole part")
+var errSuccessorNeedsFullShare = errors.New("another process is taking over, which begins with the whole part")
+
+// fullShareTolerance is the fraction of a router's own share from which on a share counts as the full one: shares are
+// floating-point numbers.
+const fullShareTolerance = 0.999
 
 // EnableFleetShare makes the router's share of the fleet's limits depend on SetShare. The router starts with a
-// share of minimum, which is certainly its own, unless its predecessor has lent nothing. It reports whether there is
-// a predecessor, and whether that has lent nothing. Call it after ConnectPredecessor and before Run.
+// share of minimum, which is certainly its own, unless its predecessor has granted nothing of its share to others. It
+// reports whether there is a predecessor, and whether that has granted nothing. Call it after ConnectPredecessor and
+// before Run.
 func (r *Router) EnableFleetShare(minimum float64) (hasPredecessor, noSharesGranted bool) {
 	hasPredecessor = r.takeover.predecessor != nil
 	noSharesGranted = hasPredecessor && r.takeover.operatorFrame != nil && r.takeover.operatorFrame.NoSharesGranted
@@ -60,11 +65,11 @@
 // SetShare limits the router to a share of the fleet's limits. The share is in force once SetShare returns nil;
 // after an error it is not, and never will be by this call.
 func (r *Router) SetShare(share fleet.Share) (err error) {
-	ownShare := 1 / float64(max(1, r.cfg.Settings.Routers)) // share of a router that has lent nothing
+	ownShare := 1 / float64(max(1, r.cfg.Settings.Routers)) // share of a router that has granted nothing to others
 	callErr := r.runOnLoop(func() {
-		noSharesGranted := share.AfterExpiry > ownShare*0.999
+		noSharesGranted := share.AfterExpiry > ownShare*fullShareTolerance
 		if r.takeover.successor != nil && !noSharesGranted && r.fleet.noSharesGranted {
-			err = errShareNotWhole // the successor was started on the assumption that nothing is lent
+			err = errSuccessorNeedsFullShare // the successor was started on the assumption that nothing is granted to others
 			return
 		}
 		r.fleet.noSharesGranted, r.fleet.shareAfterExpiry, r.fleet.shareExpiresAt = noSharesGranted, share.AfterExpiry, 0
@@ -94,14 +99,15 @@
 		} else {
 			r.log.Info("accepting clients again: no other router uses this name")
 		}
-		r.notifyServing(r.hasUsableServer && !r.refusesClients())
+		r.notifyServing(r.hasUsableServer && !r.rejectsClients())
 		r.runBatch()
 		r.publishStats()
 	})
 }
 
-// refusesClients reports whether client connections are being closed.
-func (r *Router) refusesClients() bool {
+// rejectsClients reports whether clients should use another router: this one drains, is out of service, or may admit
+// no requests.
+func (r *Router) rejectsClients() bool {
 	return r.draining || r.operator.state.Drain || r.fleet.outOfService != "" || r.fleet.admissionClosed
 }
 
@@ -117,7 +123,7 @@
 	if r.mayAdmit() == limits.admissionClosed {
 		limits.admissionClosed, changed = !limits.admissionClosed, true
 		r.log.WithField("may", !limits.admissionClosed).Debug("permission to admit new requests changed")
-		r.notifyServing(r.hasUsableServer && !r.refusesClients())
+		r.notifyServing(r.hasUsableServer && !r.rejectsClients())
 		if r.takeover.predecessor != nil && r.hasUsableServer {
 			r.startAccepting()
 		}
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -238,7 +238,7 @@
 	if err := h.successor.Send(handover.Frame{Kind: handover.DescriptorCount, Body: strconv.AppendInt(nil, int64(count), 10)}); err != nil {
 		t.Fatal(err)
 	}
-	h.awaitOnLoop(t, func() bool { return h.router.takeover.peerDescriptors[1] == count })
+	h.awaitOnLoop(t, func() bool { return h.router.takeover.peerDescriptors[successorPeer] == count })
 }
 
 // awaitOnLoop returns once a condition on the loop's state holds.
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -23,7 +23,7 @@
 )
 
 // largeRead is a large value on its way from a server to a client. gnet cannot pause reading, and a large value
-// must not be held in memory as a whole. So both connections leave the loop, and a goroutine copies the value in
+// must not be held in memory completely. So both connections leave the loop, and a goroutine copies the value in
 // chunks; its blocking writes provide back-pressure.
 type largeRead struct {
 	r                *Router
@@ -52,7 +52,7 @@
 		return false
 	}
 	client, isRESP2 := attempt.request.responder.(*client)
-	if !isRESP2 { // front ends of other protocols pass on whole values only
+	if !isRESP2 { // front ends of other protocols accept complete values only
 		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, TooLarge: true})
 		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
 		return true
@@ -162,6 +162,8 @@
 	c.onClose(false)
 }
 
+const responseBufferBytes = 4096 // for what a server sends after a large value, or in response to a large write
+
 var chunkPool = sync.Pool{New: func() any { return new([]byte) }}
 
 // connFromDescriptor returns a connection for a descriptor, which it closes.
@@ -182,8 +184,8 @@
 	return fd, errors.Join(e, err)
 }
 
-// start runs off the loop and copies the value. The client's connection is closed unless the whole value has been
-// written.
+// start runs off the loop and copies the value. The client's connection is closed unless the complete value has
+// been written.
 func (l *largeRead) start(clientDescriptor int) {
 	client, err := connFromDescriptor(clientDescriptor)
 	server, serverErr := connFromDescriptor(l.serverDescriptor)
@@ -389,7 +391,7 @@
 	}
 	r.runAsync(func() {
 		method := r.methods[message.Method]
-		s := &server{protocol: r.cache}
+		s := &server{protocol: r.cacheCodec}
 		if id, known := r.endpoints.ID(discovery.UID(message.Server)); known && r.servers[id] != nil {
 			s = r.servers[id]
 		}
@@ -418,7 +420,7 @@
 			_ = server.SetDeadline(time.Time{})
 			return err == nil && keep
 		}
-		buffer := make([]byte, 4096)
+		buffer := make([]byte, responseBufferBytes)
 		n, err := server.Read(buffer)
 		if l.received = append(l.received, buffer[:n]...); err != nil {
 			return false
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -23,7 +23,7 @@
 type largeWrite struct {
 	r                *Router
 	client           *client
-	request          *pendingRequest // nil: refused at its head
+	request          *pendingRequest // nil: its head was invalid
 	clientDescriptor int
 	received         []byte // bytes of the value read so far
 	size             int
@@ -34,11 +34,11 @@
 }
 
 // startLargeWrite handles the head of a write whose value exceeds the limit for values held in memory. ok is false
-// if this is no such head; if away is true, the caller closes the client's connection, which continues off the
-// loop.
-func (c *client) startLargeWrite(buf []byte) (ok, away bool) {
+// if this is no such head. If detached is true, the caller closes the connection on the loop; a duplicate of its
+// descriptor continues off the loop.
+func (c *client) startLargeWrite(buf []byte) (ok, detached bool) {
 	r := c.r
-	words, at, size, ok := resp.ReadLargeCommand(buf, c.words, r.limits.RESP)
+	words, valueStart, size, ok := resp.ReadLargeCommand(buf, c.words, r.limits.RESP)
 	if !ok || len(words) != 4 || string(bytes.ToUpper(words[0])) != "CACHE.SET" {
 		return false, false
 	}
@@ -51,18 +51,18 @@
 		r.log.WithError(err).Warn("large value cannot be read")
 		return false, false
 	}
-	b := &largeWrite{r: r, client: c, clientDescriptor: fd, size: size, received: append([]byte(nil), buf[at:]...)}
+	w := &largeWrite{r: r, client: c, clientDescriptor: fd, size: size, received: append([]byte(nil), buf[valueStart:]...)}
 	request, event, timeout, valid := c.parseRequest(words, true)
 	slot := &request.slot
 	c.slots = append(c.slots, slot)
 	c.detachFromLoop()
 	c.detachedInput = nil
 	if !valid {
-		slot.reply = refusedRequestReply // it is written after the value has been read
-		b.startGoroutine(b.discardValue)
+		slot.reply = invalidRequestReply // it is written after the value has been read
+		w.startGoroutine(w.discardValue)
 		return true, true
 	}
-	request.largeWrite, b.request, slot.request = b, request, request
+	request.largeWrite, w.request, slot.request = w, request, request
 	event.SingleAttempt = true
 	r.admitRequest(request, event, timeout, c.lastActivity)
 	c.countRequester()
@@ -71,54 +71,54 @@
 
 // finishEarly answers a write that ended before its value was sent: the reply is written after the value has been
 // read.
-func (b *largeWrite) finishEarly(a wire.Answer) {
-	b.client.fillSlot(&b.request.slot, resp2.AppendAnswer(nil, a))
-	if !b.started {
-		b.startGoroutine(b.discardValue)
+func (w *largeWrite) finishEarly(a wire.Answer) {
+	w.client.fillSlot(&w.request.slot, resp2.AppendAnswer(nil, a))
+	if !w.started {
+		w.startGoroutine(w.discardValue)
 	}
 }
 
-func (b *largeWrite) startGoroutine(f func(client net.Conn) bool) {
-	b.started = true
+func (w *largeWrite) startGoroutine(f func(client net.Conn) bool) {
+	w.started = true
 	go func() {
-		client, err := connFromDescriptor(b.clientDescriptor)
+		client, err := connFromDescriptor(w.clientDescriptor)
 		if err != nil {
-			b.r.runAsync(b.client.detachedConnLost)
+			w.r.runAsync(w.client.detachedConnLost)
 			return
 		}
-		b.registerConn(client)
+		w.registerConn(client)
 		if f(client) {
-			b.r.enroll(client, b.client, b.client.detachedConnLost)
+			w.r.enroll(client, w.client, w.client.detachedConnLost)
 			return
 		}
 		client.Close()
-		b.r.runAsync(b.client.detachedConnLost)
+		w.r.runAsync(w.client.detachedConnLost)
 	}()
 }
 
 // registerConn records a connection so that the loop can interrupt it.
-func (b *largeWrite) registerConn(c net.Conn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.conns = append(b.conns, c)
+func (w *largeWrite) registerConn(c net.Conn) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.conns = append(w.conns, c)
 }
 
-// interrupt makes the goroutine's reads and writes fail, since nobody waits for their result.
-func (b *largeWrite) interrupt() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, c := range b.conns {
+// interrupt makes the goroutine's reads and writes fail: its attempt has ended, and nothing waits for their result.
+func (w *largeWrite) interrupt() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, c := range w.conns {
 		_ = c.SetDeadline(time.Unix(1, 0))
 	}
 }
 
-// discardValue reads the value to its end; it returns false if the client ended before that, or the command is
-// malformed.
-func (b *largeWrite) discardValue(client net.Conn) bool { return b.readValue(client, func([]byte) {}) }
+// discardValue reads the value to its end and drops it. It returns false as readValue does.
+func (w *largeWrite) discardValue(client net.Conn) bool { return w.readValue(client, func([]byte) {}) }
 
-// readValue passes the value to write in chunks, and reads the line end after it.
-func (b *largeWrite) readValue(client net.Conn, write func([]byte)) bool {
-	remaining := b.size + 2
+// readValue passes the value to write in chunks, and reads the line end after it. It returns false if the client
+// disconnected or stalled, or the command is malformed; the last byte of the value has not been passed on then.
+func (w *largeWrite) readValue(client net.Conn, write func([]byte)) bool {
+	remaining := w.size + 2
 	// The last byte of the value is held back until the line end has arrived: a malformed command must not run.
 	var heldBack []byte
 	consume := func(data []byte) {
@@ -127,17 +127,17 @@
 		heldBack = append(heldBack, data[n:]...)
 		remaining -= len(data)
 	}
-	n := min(len(b.received), remaining)
-	consume(b.received[:n])
-	b.client.detachedInput = b.received[n:] // the client is off the loop: nothing else accesses it
+	n := min(len(w.received), remaining)
+	consume(w.received[:n])
+	w.client.detachedInput = w.received[n:] // the client is off the loop: nothing else accesses it
 	chunk := chunkPool.Get().(*[]byte)
 	defer chunkPool.Put(chunk)
-	if len(*chunk) != b.r.limits.LargeValueWindow {
-		*chunk = make([]byte, b.r.limits.LargeValueWindow)
+	if len(*chunk) != w.r.limits.LargeValueWindow {
+		*chunk = make([]byte, w.r.limits.LargeValueWindow)
 	}
 	for remaining > 0 {
-		_ = client.SetReadDeadline(time.Now().Add(toDuration(b.r.limits.LargeValueStallTimeout)))
-		n, err := client.Read((*chunk)[:min(remaining, b.r.limits.LargeValueWindow)])
+		_ = client.SetReadDeadline(time.Now().Add(toDuration(w.r.limits.LargeValueStallTimeout)))
+		n, err := client.Read((*chunk)[:min(remaining, w.r.limits.LargeValueWindow)])
 		if n > 0 {
 			consume((*chunk)[:n])
 		}
@@ -148,7 +148,7 @@
 	if string(heldBack[1:]) != "\r\n" {
 		return false
 	}
-	// The client's disconnect may lie behind the value in its socket, unseen until now.
+	// The client may have disconnected after the value, which reading the value does not show.
 	if raw, err := client.(syscall.Conn).SyscallConn(); err == nil {
 		gone := false
 		_ = raw.Control(func(fd uintptr) { gone = peerHungUp(int(fd)) })
@@ -161,11 +161,11 @@
 }
 
 // scheduleSend starts to send on the loop's next round, outside of any callback of the server's connection.
-func (b *largeWrite) scheduleSend(attempt *activeAttempt) {
+func (w *largeWrite) scheduleSend(attempt *activeAttempt) {
 	up := attempt.conn
-	b.r.runAsync(func() {
+	w.r.runAsync(func() {
 		if attempt.conn == up { // otherwise it has ended meanwhile
-			b.forward(attempt)
+			w.forward(attempt)
 		}
 	})
 }
@@ -179,12 +179,12 @@
 }
 
 // forward sends the value to the chosen server and handles its response.
-func (b *largeWrite) forward(attempt *activeAttempt) {
-	r, up := b.r, attempt.conn
-	if peerHungUp(b.clientDescriptor) { // off the loop, nothing has noticed that the client left while the write waited
-		r.clientLeft(b.request)
+func (w *largeWrite) forward(attempt *activeAttempt) {
+	r, up := w.r, attempt.conn
+	if peerHungUp(w.clientDescriptor) { // off the loop, nothing has noticed that the client left while the write waited
+		r.clientLeft(w.request)
 		r.abortAttempt(attempt, routing.NotSent)
-		b.startGoroutine(b.discardValue)
+		w.startGoroutine(w.discardValue)
 		return
 	}
 	fd, err := up.conn.Dup()
@@ -199,23 +199,23 @@
 	r.close(conn)
 	// The router waits its full time limit once the value has been sent, but no longer than the client does.
 	attempt.startedAt = r.clock()
-	head, tail := up.server.protocol.AppendStreamedWrite(nil, wire.NewAttempt(&b.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), b.size)
-	b.startGoroutine(func(client net.Conn) bool { return b.sendToServer(client, attempt, up, fd, head, tail) })
+	head, tail := up.server.protocol.AppendStreamedWrite(nil, wire.NewAttempt(&w.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), w.size)
+	w.startGoroutine(func(client net.Conn) bool { return w.sendToServer(client, attempt, up, fd, head, tail) })
 }
 
 // sendToServer runs on the write's goroutine. It sends head, the value and tail to the server, and handles the
-// response. It returns false if the client's connection is of no more use.
-func (b *largeWrite) sendToServer(client net.Conn, attempt *activeAttempt, up *upstream, serverDescriptor int, head []byte, tail string) bool {
-	r := b.r
+// response. It returns false if the client's connection cannot be used any more.
+func (w *largeWrite) sendToServer(client net.Conn, attempt *activeAttempt, up *upstream, serverDescriptor int, head []byte, tail string) bool {
+	r := w.r
 	server, err := connFromDescriptor(serverDescriptor)
 	if err != nil {
 		r.runAsync(func() {
 			r.endAttempt(attempt, routing.ConnectError, nil)
 			up.detachedConnClosed()
 		})
-		return b.discardValue(client)
+		return w.discardValue(client)
 	}
-	b.registerConn(server)
+	w.registerConn(server)
 	write := func(data []byte) {
 		if err == nil {
 			_ = server.SetWriteDeadline(time.Now().Add(toDuration(r.limits.LargeValueStallTimeout)))
@@ -223,7 +223,7 @@
 		}
 	}
 	write(head)
-	complete := b.readValue(client, write) && err == nil
+	complete := w.readValue(client, write) && err == nil
 	if complete {
 		write([]byte(tail))
 	}
@@ -238,15 +238,15 @@
 		<-done
 		return err != nil // otherwise the client's connection failed
 	}
-	b.finishSent(server, attempt, up)
+	w.finishSent(server, attempt, up)
 	return true
 }
 
 // finishSent waits for the response to a write that was sent completely, and returns the connection to the loop.
-func (b *largeWrite) finishSent(server net.Conn, attempt *activeAttempt, up *upstream) {
-	r := b.r
+func (w *largeWrite) finishSent(server net.Conn, attempt *activeAttempt, up *upstream) {
+	r := w.r
 	sent := time.Now()
-	outcome, keep := b.readResponse(server, up.server.protocol, sent.Add(toDuration(attempt.timeout)))
+	outcome, keep := w.readResponse(server, up.server.protocol, sent.Add(toDuration(attempt.timeout)))
 	done := make(chan struct{})
 	r.runAsync(func() {
 		defer close(done)
@@ -269,13 +269,13 @@
 func (*largeWrite) readResponse(server net.Conn, protocol wire.ServerCodec, deadline time.Time) (outcome wire.Outcome, keep bool) {
 	_ = server.SetReadDeadline(deadline)
 	var received []byte
-	buffer := make([]byte, 4096)
+	buffer := make([]byte, responseBufferBytes)
 	for {
 		n, err := server.Read(buffer)
 		received = append(received, buffer[:n]...)
-		outcome, used, keep, broken := protocol.ReadAnswer(received, err == io.EOF) // a reset does not end an answer without a length
+		outcome, used, keep, parseErr := protocol.ReadAnswer(received, err == io.EOF) // a reset does not end an answer without a length
 		switch {
-		case broken != nil:
+		case parseErr != nil:
 			return wire.Outcome{Status: routing.Failed}, false
 		case used > 0:
 			return outcome, keep && used == len(received) && err == nil
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -83,11 +83,11 @@
 		return
 	}
 	var known []routing.ServerKnowledge
-	for _, e := range update.Endpoints {
-		uid := r.endpoints.UID(e.Server)
-		if x, ok := r.learned.unlistedServers[uid]; ok {
-			x.Server = e.Server
-			known = append(known, x)
+	for _, endpoint := range update.Endpoints {
+		uid := r.endpoints.UID(endpoint.Server)
+		if knowledge, ok := r.learned.unlistedServers[uid]; ok {
+			knowledge.Server = endpoint.Server
+			known = append(known, knowledge)
 			delete(r.learned.unlistedServers, uid)
 		}
 	}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -114,8 +114,8 @@
 	r.counts.OutcomesByMethod[m][k]++
 }
 
-// countRefused counts a request that ended before package routing processed it.
-func (r *Router) countRefused(m routing.Method, k wire.AnswerKind) {
+// countUnadmitted counts a request that ends without having been admitted.
+func (r *Router) countUnadmitted(m routing.Method, k wire.AnswerKind) {
 	r.counts.Requests++
 	r.countOutcome(m, k)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -59,7 +59,7 @@
 	// If the loop stalled from stallStart on, input that is read before stallGraceEnd may have arrived at any time
 	// since stallStart.
 	stallStart, stallGraceEnd clock.Time
-	laggingUntil              clock.Time // until then client disconnects may still be unread in the sockets
+	laggingUntil              clock.Time // until then the loop may not have read disconnects of clients that are in its sockets
 	pendingEvents             []routing.Event
 	decisions                 []routing.Decision
 	batchQueued               bool // a batch is scheduled on the loop
@@ -75,14 +75,14 @@
 	requestingClients   int                     // clients that have sent a request
 	stalledClients      []*client               // clients whose commands wait for room
 	servers             map[routing.ServerID]*server
-	cache               wire.ServerCodec // protocol spoken to cache servers; origin is that for the origin
-	origin              wire.ServerCodec
+	cacheCodec          wire.ServerCodec // protocol spoken to cache servers
+	originCodec         wire.ServerCodec
 	dialFunc            func(addr string, p connHandler, failed func(error)) // dialAsync, except in tests
 	pendingDials        int
-	serverConnCount     int // open connections to servers
-	duplicateGuardUntil clock.Time
-	dialQueue           []*server // servers with attempts that wait for a dial
-	connCount           int       // open connections of all kinds
+	serverConnCount     int        // open connections to servers
+	duplicateGuardUntil clock.Time // until then a used server connection rests before it is reused; see mayReuse
+	dialQueue           []*server  // servers with attempts that wait for a dial
+	connCount           int        // open connections of all kinds
 	endpoints           *discovery.EndpointList
 	watch               *watch
 	initialEndpoints    routing.EndpointsUpdated // the endpoint list to start with
@@ -104,7 +104,7 @@
 type connHandler interface {
 	onOpen(gnet.Conn)
 	onTraffic() gnet.Action
-	onClose(endOfStream bool) // endOfStream: the peer ended the stream in order and everything it sent has been read
+	onClose(endOfStream bool) // endOfStream: the peer closed the stream without a reset, and everything it sent has been read
 }
 
 // New returns a router that is not running yet.
@@ -112,8 +112,8 @@
 	r := &Router{cfg: cfg, limits: cfg.Limits, log: log, startTime: time.Now(), ready: make(chan struct{}), done: make(chan struct{}),
 		methods: map[string]routing.Method{}, requests: map[routing.RequestID]*pendingRequest{},
 		clients: map[*client]struct{}{}, largeReads: map[*largeRead]struct{}{},
-		servers: map[routing.ServerID]*server{}, endpoints: discovery.New(), cache: resp2.ServerCodec{Bounds: cfg.Limits.RESP},
-		origin: http1.Codec{Bounds: cfg.Limits.Origin}}
+		servers: map[routing.ServerID]*server{}, endpoints: discovery.New(), cacheCodec: resp2.ServerCodec{Bounds: cfg.Limits.RESP},
+		originCodec: http1.Codec{Bounds: cfg.Limits.Origin}}
 	r.operator.announcedBans = map[routing.ServerID]bool{}
 	r.counts.OutcomesByMethod = make([][3]int, len(cfg.Settings.Methods))
 	r.dialFunc, r.startWallClock = r.dialAsync, clock.Time(r.startTime.UnixMicro())
@@ -238,8 +238,8 @@
 func (r *Router) OnClose(c gnet.Conn, err error) gnet.Action {
 	r.connCount--
 	if p, ok := c.Context().(connHandler); ok {
-		var read *os.SyscallError
-		p.onClose(errors.As(err, &read) && read.Err == io.EOF)
+		var readErr *os.SyscallError
+		p.onClose(errors.As(err, &readErr) && readErr.Err == io.EOF)
 		c.SetContext(nil)
 	}
 	return gnet.None
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -98,7 +98,7 @@
 	r.dialFunc(addr, &upstream{r: r, server: s, addr: addr}, func(error) {
 		r.counts.FailedDials++
 		s.dialing--
-		if addr != s.addr { // nothing is known of the new address
+		if addr != s.addr { // the failure says nothing about the new address
 			r.dialQueue = append(r.dialQueue, s)
 		} else if len(s.waitingAttempts) > s.dialing {
 			r.endAttempt(s.waitingAttempts[0], routing.ConnectError, nil)
@@ -287,7 +287,7 @@
 // reach the server that way, the socket is shut down first.
 //
 // An answer without a length lasts until the end of the stream. A reset is no such end: the rest of the value is
-// missing, and the client would get half a value as a whole one.
+// missing, and the client would get a truncated value as a complete one.
 func (up *upstream) onClose(endOfStream bool) {
 	s := up.server
 	up.r.serverConnCount--
@@ -349,7 +349,7 @@
 // descriptorsInUse returns the number of descriptors held by connections, pending dials and the other processes of
 // this router.
 func (r *Router) descriptorsInUse() int {
-	return r.connCount + descriptorsPerDial*r.pendingDials + r.takeover.peerDescriptors[0] + r.takeover.peerDescriptors[1]
+	return r.connCount + descriptorsPerDial*r.pendingDials + r.takeover.peerDescriptors[predecessorPeer] + r.takeover.peerDescriptors[successorPeer]
 }
 
 // makeRoomToDial closes idle connections until there are descriptors for a dial. Servers get only part of the
@@ -380,11 +380,12 @@
 }
 
 // sharesDescriptors reports whether another process of this router is alive. Clients with admitted requests move
-// between the processes, and the descriptors of both count, so that dials may wait without an excess of clients.
+// between the processes, and the descriptors of both count, so that dials may wait even though there are not too
+// many clients.
 func (r *Router) sharesDescriptors() bool { return r.takeover.peerDescriptors != [2]int{} }
 
 // dialsBlocked reports whether attempts wait for a connection for lack of descriptors, and not because servers
-// have used up their part. Descriptors freed by clients must not go to new clients then: when many clients
+// have used up their own limit. Descriptors freed by clients must not go to new clients then: when many clients
 // reconnected at once, each was too young to be closed, and no attempt ever got a connection.
 func (r *Router) dialsBlocked() bool {
 	return len(r.dialQueue) > 0 && r.serverConnCount+descriptorsPerDial*(r.pendingDials+1) <= r.limits.ServerConnections
@@ -453,24 +454,24 @@
 	r.restoreListedServers(update)
 	r.addEvent(update)
 	kept := map[routing.ServerID]bool{}
-	for _, e := range update.Endpoints {
-		kept[e.Server] = e.State != routing.Removed
-		s := r.servers[e.Server]
+	for _, endpoint := range update.Endpoints {
+		kept[endpoint.Server] = endpoint.State != routing.Removed
+		s := r.servers[endpoint.Server]
 		if s == nil {
-			s = &server{id: e.Server}
-			r.servers[e.Server] = s
-			uid := string(r.endpoints.UID(e.Server))
+			s = &server{id: endpoint.Server}
+			r.servers[endpoint.Server] = s
+			uid := string(r.endpoints.UID(endpoint.Server))
 			r.setBanned(s, r.isBanned(uid), clock.Time(r.operator.state.UnbannedAt[uid])) // before anything is sent to it
 		}
-		s.isOrigin = r.cfg.Settings.OriginKind != "" && e.Kind == r.cfg.Settings.OriginKind
-		if s.protocol = r.cache; s.isOrigin {
-			s.protocol = r.origin
+		s.isOrigin = r.cfg.Settings.OriginKind != "" && endpoint.Kind == r.cfg.Settings.OriginKind
+		if s.protocol = r.cacheCodec; s.isOrigin {
+			s.protocol = r.originCodec
 		}
-		if addr := r.endpoints.Address(e.Server); s.addr != addr {
+		if addr := r.endpoints.Address(endpoint.Server); s.addr != addr {
 			r.closeIdleConnections(s)
 			s.addr = addr
 		}
-		s.listed = e.State == routing.Ready
+		s.listed = endpoint.State == routing.Ready
 		if s.ready = s.listed && !s.banned; !s.ready {
 			r.stopUsing(s)
 		}
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -39,16 +39,22 @@
 	hasHandedOver          bool               // handingOver was set once, even if that successor has ended since
 	outgoing               chan outgoingFrame // frames to the successor; has room for all clients
 	unsentFrames           int                // frames queued but not yet sent to the successor
-	peerDescriptors        [2]int             // descriptors held by the predecessor and by the successor
+	peerDescriptors        [2]int             // descriptors held by the other processes, by predecessorPeer and successorPeer
 	onTransfer             func([]byte)       // receives the predecessor's transfers; set before Run
 }
 
+// Indices of takeover.peerDescriptors.
+const (
+	predecessorPeer = iota
+	successorPeer
+)
+
 // operatorFrame carries what operators have requested from one process to another while both are alive, since the
 // file that holds it may be damaged or not writable.
 type operatorFrame struct {
 	operatorstate.State
 	NotPersisted    bool `json:"Unkept"` // the file does not contain it
-	NoSharesGranted bool `json:"Whole"`  // no part of this router's share of the fleet's limits is lent
+	NoSharesGranted bool `json:"Whole"`  // no part of this router's share of the fleet's limits is granted to other routers
 }
 
 // outgoingFrame carries a client's connection to the successor.
@@ -295,7 +301,7 @@
 	r.log.Info("a process that is to replace this one has connected")
 	defer r.runAsync(func() { // the successor is gone: this process serves the clients again
 		r.log.Warn("the process that was to replace this one has ended")
-		if t.successor, t.peerDescriptors[1], t.handingOver = nil, 0, false; t.outgoing != nil {
+		if t.successor, t.peerDescriptors[successorPeer], t.handingOver = nil, 0, false; t.outgoing != nil {
 			close(t.outgoing)
 			t.outgoing = nil
 		}
@@ -313,7 +319,7 @@
 		case handover.OperatorState:
 			r.receiveOperatorState(frame)
 		case handover.DescriptorCount:
-			r.setPeerDescriptors(1, frame)
+			r.setPeerDescriptors(successorPeer, frame)
 		case handover.Ready:
 			frames := make(chan outgoingFrame, r.limits.MaxDescriptors)
 			go r.sendFrames(conn, frames)
@@ -336,6 +342,8 @@
 	r.continueHandover()
 }
 
+// continueHandover hands over the clients without pending commands, stops the streams of large values so that they can
+// be handed over, and closes idle server connections. It repeats this until the handover ends.
 func (r *Router) continueHandover() {
 	if !r.takeover.handingOver {
 		return
@@ -429,7 +437,7 @@
 		case handover.OperatorState:
 			r.receiveOperatorState(frame)
 		case handover.DescriptorCount:
-			r.setPeerDescriptors(0, frame)
+			r.setPeerDescriptors(predecessorPeer, frame)
 		case handover.LeaseTransfer:
 			if r.takeover.onTransfer != nil {
 				r.takeover.onTransfer(frame.Body)
@@ -441,7 +449,7 @@
 	conn.Close()
 	r.runAsync(func() {
 		r.log.Info("the process before this one has ended")
-		r.takeover.predecessor, r.takeover.peerDescriptors[0] = nil, 0
+		r.takeover.predecessor, r.takeover.peerDescriptors[predecessorPeer] = nil, 0
 		r.adjustMemoryLimits()
 		r.startAccepting()
 	})
@@ -450,7 +458,8 @@
 // OnTransfer registers the function that receives the predecessor's transfers. Call it before Run.
 func (r *Router) OnTransfer(f func([]byte)) { r.takeover.onTransfer = f }
 
-// OfferTransfer sends a transfer to the successor, if there is one; what is called only then.
+// OfferTransfer sends the result of transfer to the successor, if there is one; transfer is called, on the loop,
+// only then.
 func (r *Router) OfferTransfer(transfer func() []byte) {
 	select {
 	case <-r.ready:
@@ -468,7 +477,7 @@
 func (r *Router) setPeerDescriptors(peer int, frame handover.Frame) {
 	if count, err := strconv.Atoi(string(frame.Body)); err == nil {
 		r.runAsync(func() {
-			if r.takeover.peerDescriptors[peer] = count; peer == 1 && r.takeover.successor == nil {
+			if r.takeover.peerDescriptors[peer] = count; peer == successorPeer && r.takeover.successor == nil {
 				r.takeover.peerDescriptors[peer] = 0
 			}
 		})
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -28,7 +28,7 @@
 	timeoutTimer *timer
 }
 
-// restartWatch starts over at an address with the whole list, since versions there need not continue those seen so
+// restartWatch starts over at an address with the full list, since versions there need not continue those seen so
 // far. Responses to the old watch are ignored, and the last list stays valid until the new one answers.
 func (r *Router) restartWatch(addr string) {
 	if previous := r.watch; previous != nil {
@@ -134,9 +134,9 @@
 func (w *watch) handleResponse(answer httpwire.Response) {
 	w.callPending = false
 	w.r.cancel(w.timeoutTimer)
-	l, err := w.r.endpoints.Apply(answer.Body)
+	update, err := w.r.endpoints.Apply(answer.Body)
 	if answer.Status != http.StatusOK {
-		err = &refusedError{status: answer.Status}
+		err = &rejectedError{status: answer.Status}
 	}
 	if err != nil {
 		w.handleFailure(err)
@@ -146,18 +146,18 @@
 		w.failing = false
 		w.r.log.Info("discovery answers again")
 	}
-	w.r.applyEndpoints(l)
+	w.r.applyEndpoints(update)
 	w.startCall()
 }
 
-// refusedError is a response of discovery without a list, as when it has more calls than it can handle.
-type refusedError struct{ status int }
+// rejectedError is a response of discovery with a status other than 200, as when it has more calls than it can handle.
+type rejectedError struct{ status int }
 
 // Error returns the status.
-func (e *refusedError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *rejectedError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
 // handleFailure keeps the last list in force. If package routing requests the lists, it also decides when to try
-// again. The next call requests the whole list: the server that answers then may number its versions anew, and a
+// again. The next call requests the full list: the server that answers then may number its versions anew, and a
 // response on its way has been lost.
 func (w *watch) handleFailure(err error) {
 	if w.superseded {
@@ -172,8 +172,8 @@
 		w.r.log.WithError(err).Warn("a call to discovery failed; going on with the last list")
 	}
 	if w.r.cfg.Settings.PollEndpoints {
-		var refused *refusedError
-		w.r.addEvent(routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: errors.As(err, &refused)})
+		var rejected *rejectedError
+		w.r.addEvent(routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: errors.As(err, &rejected)})
 		return
 	}
 	w.r.cancel(w.retryTimer)
