--- a/internal/grpcfront/grpcfront.go
+++ b/internal/grpcfront/grpcfront.go
@@ -53,7 +53,7 @@
 	maxAttributeBytes     = 256                    // of an id, a method or a tenant
 	minPingInterval       = 10 * time.Second       // the connection of a client that pings more often is closed
 	connectionIdleTimeout = 5 * time.Minute        // a connection without calls is closed after this time
-	keepaliveInterval     = 20 * time.Second       // sends a ping after this time without input, and closes the connection after as long again without a reply
+	keepaliveInterval     = 20 * time.Second       // a ping is sent after this time without input, and the connection is closed if it stays unanswered for as long
 	handshakeTimeout      = 2 * time.Second        // a connection that has not completed its handshake by then is closed
 	streamWindowBytes     = 64 << 10               // limits what a client that reads slowly can hold back to its own stream
 	shutdownMargin        = 500 * time.Millisecond // added to the longest deadline before open calls are aborted
@@ -150,7 +150,7 @@
 			return nil, status.Error(codes.DeadlineExceeded, "the deadline had passed when the call came")
 		}
 	}
-	if err := ctx.Err(); err != nil { // cancelled before the handler ran, for example while the process was stalled
+	if err := ctx.Err(); err != nil { // canceled before the handler ran, for example while the process was stalled
 		return nil, status.FromContextError(err).Err()
 	}
 	request.Props = wire.NewProps(encodeProps(request, attributes))
@@ -177,7 +177,7 @@
 	return ok && conn.(*trackedConn).hasUnread()
 }
 
-// invalidField returns the first invalid field and what is wrong with it; problem is "" if there is none. The separators of
+// invalidField returns the first invalid field and what is wrong with it; both are "" if all fields are valid. The separators of
 // the property format that cache servers receive are rejected in attributes.
 func (s *Server) invalidField(attributes *cachev1.Attributes, key, value []byte) (field, problem string) {
 	for _, attribute := range []struct {
@@ -270,7 +270,7 @@
 	return s.Err()
 }
 
-// limitedListener closes each new connection while as many are open as permits has room for.
+// limitedListener closes each new connection while permits is full.
 type limitedListener struct {
 	net.Listener
 	permits chan struct{} // holds one entry for each open connection
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -107,7 +107,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the health service does not report SERVING: ", got, err)
+			t.Fatal("the health service does not report SERVING within 5 s: ", got, err)
 		}
 	}
 	t.Cleanup(func() {
@@ -222,7 +222,7 @@
 	}
 }
 
-// When a client cancels a call, its attempt is cancelled at once. Until then a second request with the same id is rejected.
+// When a client cancels a call, its attempt is canceled at once. Until then a second request with the same id is rejected.
 func TestCancellingACallCancelsItsAttempt(t *testing.T) {
 	r := startRouter(t)
 	r.setFault("hang", 0, false)
@@ -241,7 +241,7 @@
 	if err := <-done; status.Code(err) != codes.Canceled {
 		t.Error(err)
 	}
-	waitUntil(t, "the attempt is cancelled", func() bool { return r.countEvents(id, event.Ended) == 1 })
+	waitUntil(t, "the attempt is canceled", func() bool { return r.countEvents(id, event.Ended) == 1 })
 	r.setFault("hang", 0, true)
 }
 
@@ -296,7 +296,7 @@
 	}
 }
 
-// Thousands of cancelled calls leave neither requests nor goroutines behind. The cleanup of startRouter checks the counters.
+// Thousands of canceled calls leave neither requests nor goroutines behind. The cleanup of startRouter checks the counters.
 func TestManyCancelledCallsLeakNothing(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Run("flood", func(t *testing.T) {
@@ -306,14 +306,14 @@
 			wg.Go(func() {
 				for i := range 60 {
 					ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i*20)*time.Microsecond)
-					_, _ = r.get(ctx, r.newID(), "status") // most of these calls are cancelled
+					_, _ = r.get(ctx, r.newID(), "status") // most of these calls are canceled
 					cancel()
 				}
 			})
 		}
 		wg.Wait()
 		if _, err := r.get(t.Context(), r.newID(), "status"); err != nil {
-			t.Error("after the cancelled calls: ", err)
+			t.Error("after the canceled calls: ", err)
 		}
 	})
 	// gnet's goroutines may end later.
--- a/internal/router/client_gone_test.go
+++ b/internal/router/client_gone_test.go
@@ -14,13 +14,13 @@
 
 // departureTest is a router whose dials are completed by the test, with clients of one protocol that disconnect.
 type departureTest struct {
-	t            *testing.T
-	loop         *fakeLoop
-	pendingDials []pendingDial
-	serverConns  []*fakeConn // to servers, in the order in which they were opened
-	clients      map[string]*fakeConn
-	offers       map[string]*ExternalRequest // requests of gRPC clients
-	byGRPC       bool
+	t                *testing.T
+	loop             *fakeLoop
+	pendingDials     []pendingDial
+	serverConns      []*fakeConn // to servers, in the order in which they were opened
+	clients          map[string]*fakeConn
+	externalRequests map[string]*ExternalRequest // requests of gRPC clients
+	byGRPC           bool
 }
 
 type pendingDial struct {
@@ -43,7 +43,7 @@
 		passed += time.Microsecond
 		return passed
 	}
-	test := &departureTest{t: t, loop: l, clients: map[string]*fakeConn{}, offers: map[string]*ExternalRequest{}, byGRPC: byGRPC}
+	test := &departureTest{t: t, loop: l, clients: map[string]*fakeConn{}, externalRequests: map[string]*ExternalRequest{}, byGRPC: byGRPC}
 	close(l.r.ready)
 	l.r.limits.ExternalRequests = 100
 	for i := range l.r.cfg.Settings.Methods {
@@ -61,7 +61,7 @@
 	if d.byGRPC {
 		request := &ExternalRequest{Request: wire.Request{ID: routing.RequestID(id), Key: []byte(key), Props: wire.NewProps([]byte(props)), Write: write}, Method: method, Timeout: 1900e3,
 			Answer: func(wire.Answer) {}, Reject: func(reason RejectReason) { d.t.Errorf("%s is rejected: %d", id, reason) }}
-		d.offers[id] = request
+		d.externalRequests[id] = request
 		d.loop.r.Submit(request)
 		d.loop.runQueued()
 		return
@@ -78,7 +78,7 @@
 // disconnect makes a client close its connection, or cancel its call.
 func (d *departureTest) disconnect(id string) {
 	if d.byGRPC {
-		d.loop.r.Withdraw(d.offers[id])
+		d.loop.r.Withdraw(d.externalRequests[id])
 	} else {
 		_ = d.loop.Close(d.clients[id])
 	}
@@ -222,8 +222,8 @@
 			d.completeDial(d.pendingDials[0].addr)
 		}
 		for _, c := range d.serverConns {
-			up, is := c.ctx.(*upstream)
-			if c.closed || !is || up.attempt == nil || up.attempt.request.ID == "gone" && up.attempt.number < routing.Attempt(began) {
+			up, isUpstream := c.ctx.(*upstream)
+			if c.closed || !isUpstream || up.attempt == nil || up.attempt.request.ID == "gone" && up.attempt.number < routing.Attempt(began) {
 				continue
 			}
 			text := hitReply
@@ -304,7 +304,7 @@
 // processed. No attempt of the call begins on a connection that is opened then.
 func TestNoAttemptForACallWithdrawnBeforeTheLoopReadsIt(t *testing.T) {
 	test := newLateDeparture(t, "gone")
-	test.loop.r.Withdraw(test.offers["gone"])
+	test.loop.r.Withdraw(test.externalRequests["gone"])
 	test.completeDial(cacheAddr)
 	test.wantAttempts("gone", 0)
 	if test.loop.r.external.openRequests != 0 || len(test.loop.r.requests) != 0 {
@@ -318,8 +318,8 @@
 	for _, cancelled := range []bool{true, false} {
 		test := newLateDeparture(t, "call")
 		unread, gone := true, false
-		test.offers["call"].HasUnreadInput = func() bool { return unread }
-		test.offers["call"].ClientGone = func() bool { return gone }
+		test.externalRequests["call"].HasUnreadInput = func() bool { return unread }
+		test.externalRequests["call"].ClientGone = func() bool { return gone }
 		test.completeDial(cacheAddr)
 		test.loop.advance(5e3)
 		test.wantAttempts("call", 0)
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -32,7 +32,7 @@
 	carriedLargeRead  bool       // has carried a large read, part of which the kernel may still hold
 	detached          bool       // off the loop while a large value is streamed
 	detachedInput     []byte     // input from before it left the loop, not read yet
-	words             [][]byte
+	words             [][]byte   // of the last command; the slice is reused
 
 	arrivalTimes arrivalTimes // of the unread input
 	receivedAt   clock.Time   // when the last byte of the current command arrived
@@ -62,7 +62,7 @@
 		c.r.queueBatch()
 	}
 	if !c.r.makeRoomForClient(c) {
-		c.r.close(conn)
+		c.r.closeConn(conn)
 		return
 	}
 	if len(c.detachedInput) > 0 { // input that another process has read
@@ -188,7 +188,7 @@
 // resumeReading reads input that arrived before the connection was on this loop, or while the client was stalled.
 func (c *client) resumeReading() {
 	if conn := c.conn; conn != nil && !c.closeAfterReplies && c.onTraffic() == gnet.Close {
-		c.r.close(conn)
+		c.r.closeConn(conn)
 	}
 }
 
@@ -287,7 +287,7 @@
 		c.r.runAsync(c.detach) // not within a callback of this connection
 	}
 	if c.conn != nil && c.closeAfterReplies && c.mayClose() {
-		c.r.close(c.conn)
+		c.r.closeConn(c.conn)
 	}
 }
 
@@ -301,7 +301,7 @@
 	}
 	if n := c.conn.OutboundBuffered(); n > c.r.limits.ClientOutput { // the client does not read its replies
 		c.r.counts.AbortedConnections++
-		c.r.close(c.conn)
+		c.r.closeConn(c.conn)
 	} else {
 		c.r.noteClientBuffer(n)
 	}
@@ -328,7 +328,7 @@
 			return
 		}
 		r.counts.EvictedConnections++
-		r.close(largest.conn)
+		r.closeConn(largest.conn)
 	}
 }
 
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -35,7 +35,7 @@
 }
 
 // wantDeadline checks that the deadline sent is at most the client's time left, and not much less, so that the
-// server does not give up early.
+// server does not abort the request early.
 func wantDeadline(t *testing.T, server *fakeConn, left int) {
 	t.Helper()
 	const tolerance = 200 // milliseconds, for the real time that the test itself takes
@@ -46,7 +46,7 @@
 
 // A large write is streamed once there is a connection for it: its head carries the time left at that moment.
 func TestDeadlineOfALargeWriteWithALateConnection(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	l.r.loop = failingEnrollLoop{l}
 	l.r.limits.RESP.Streamed, l.r.limits.LargeValueWindow, l.r.limits.LargeValueStallTimeout = 1<<20, 1<<12, 5e6
 	client := l.open(nil)
@@ -57,7 +57,7 @@
 	l.advance(700e3)
 	var other int
 	l.fd, other = socketPair(t)
-	up()
+	completeDial()
 	server, err := net.FileConn(os.NewFile(uintptr(duplicate(t, other)), ""))
 	if err != nil {
 		t.Fatal(err)
@@ -87,55 +87,55 @@
 )
 
 func TestDeadlineOfAnAttemptAfterALateMiss(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	cache := up()
+	cache := completeDial()
 	wantDeadline(t, cache, 1900)
 	l.advance(600e3)
 	l.receive(cache, missReply)
-	wantDeadline(t, up(), 1300)
+	wantDeadline(t, completeDial(), 1300)
 }
 
 func TestDeadlineOfARetry(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	cache := up()
+	cache := completeDial()
 	l.advance(600e3)
 	l.receive(cache, errorReply)
 	l.advance(0)
 	retried := cache // on the same connection, or on a new one
 	if len(sentDeadline.FindAllString(cache.written, -1)) < 2 {
-		retried = up()
+		retried = completeDial()
 	}
 	wantDeadline(t, retried, 1300)
 }
 
 func TestDeadlineWhenTheConnectionComesUpLate(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	l.advance(400e3)
-	cache := up()
+	cache := completeDial()
 	wantDeadline(t, cache, 1500)
 	l.advance(300e3)
 	l.receive(cache, missReply)
 	l.advance(500e3)
-	wantDeadline(t, up(), 700)
+	wantDeadline(t, completeDial(), 700)
 }
 
 func TestDeadlineOfAWrite(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.SET", "k", "r1", "c=pay,d=1900", "v"))
 	l.advance(700e3)
-	wantDeadline(t, up(), 1200)
+	wantDeadline(t, completeDial(), 1200)
 }
 
 // A front end off the loop passes the client's timeout in the call; the properties hold a placeholder.
 func TestDeadlineOfAnExternalRequest(t *testing.T) {
-	l, up := newHeldDials(t, func(s *routing.Settings) {
+	l, completeDial := newHeldDials(t, func(s *routing.Settings) {
 		for i := range s.Methods {
 			s.Methods[i].Deadline = 3e6
 		}
@@ -149,19 +149,19 @@
 		t.Fatal("the request is not accepted")
 	}
 	l.runQueued()
-	cache := up()
+	cache := completeDial()
 	wantDeadline(t, cache, 1900)
 	l.advance(600e3)
 	l.receive(cache, missReply)
-	wantDeadline(t, up(), 1300)
+	wantDeadline(t, completeDial(), 1300)
 }
 
 // If the router's time limit for a cache is shorter than the client's deadline, the cache is sent the shorter one.
 func TestDeadlineIsTheLesserOfRouterAndClient(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
-	cache := up()
+	cache := completeDial()
 	attempt := cache.ctx.(*upstream).attempt
 	attempt.timeout, attempt.request.clientDeadline = 500e3, attempt.startedAt+1900e3
 	if left := attempt.remaining(attempt.startedAt); left != 500e3 {
@@ -176,13 +176,13 @@
 // A command that stayed unread because its client had reached its limit of pipelined commands counts its time from
 // its arrival.
 func TestDeadlineOfACommandThatWaitedUnread(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	l.r.limits.PipelinedCommands = 1
 	client := l.open(nil)
 	for i := range 2 { // the second stays unread
 		l.receive(client, command("CACHE.GET", "k", fmt.Sprint("r", i), "c=get,d=1900"))
 	}
-	cache := up()
+	cache := completeDial()
 	l.advance(500e3)
 	l.receive(client, command("CACHE.GET", "k", "later", "c=get,d=1900"))
 	l.advance(100e3)
--- a/internal/router/descriptor_limit_test.go
+++ b/internal/router/descriptor_limit_test.go
@@ -46,24 +46,24 @@
 	r.limits.Descriptors, r.limits.MaxDescriptors = r.descriptorsInUse(), r.descriptorsInUse()+3
 	l.receive(first, command("CACHE.GET", "k", "r1", "c=get,d=1900")) // no descriptor for its attempt
 	if second := l.open(nil); second.closed {
-		t.Error("a client is refused although no other client could be closed instead")
+		t.Error("a new client was closed although no other client could be closed instead")
 	}
 }
 
 // While a process replaces another, clients with admitted requests move between them, and the descriptors of both
 // count. A new client is kept even though an attempt waits for a descriptor and another client is quiet.
 func TestNewClientIsKeptDuringHandover(t *testing.T) {
-	for what, others := range map[string]int{"alone": 0, "replaced": 3} {
+	for name, peerDescriptors := range map[string]int{"alone": 0, "replaced": 3} {
 		l, _ := newHeldDials(t, nil)
 		r := l.r
 		r.limits.ServerConnections = 8
 		requester := l.open(nil)
 		l.open(nil) // quiet, and too young to be closed
-		r.takeover.peerDescriptors[predecessorPeer] = others
+		r.takeover.peerDescriptors[predecessorPeer] = peerDescriptors
 		r.limits.Descriptors, r.limits.MaxDescriptors = r.descriptorsInUse(), r.descriptorsInUse()+5
 		l.receive(requester, command("CACHE.GET", "k", "r1", "c=get,d=1900")) // no descriptor for its attempt
-		if newcomer := l.open(nil); newcomer.closed != (others == 0) {
-			t.Errorf("%s: new client closed: %v", what, newcomer.closed)
+		if newcomer := l.open(nil); newcomer.closed != (peerDescriptors == 0) {
+			t.Errorf("%s: new client closed: %v", name, newcomer.closed)
 		}
 	}
 }
--- a/internal/router/discovery_outage_test.go
+++ b/internal/router/discovery_outage_test.go
@@ -24,7 +24,7 @@
 	dialRefused   = "a dial is refused"
 	dialHangs     = "a dial hangs"
 	callSilent    = "a call is never answered"
-	callRefused   = "a call is answered with 503"
+	callRejected  = "a call is answered with 503"
 	callReset     = "a call is reset"
 	callTruncated = "an answer is truncated"
 )
@@ -69,7 +69,7 @@
 func (o *discoveryOutage) answerFaulty(c *fakeConn) clock.Time {
 	const never = 1 << 60
 	switch o.fault {
-	case callRefused:
+	case callRejected:
 		c.written = ""
 		o.loop.receive(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return 0
@@ -88,7 +88,7 @@
 func TestListArrivesWithinSixSecondsOfAnOutage(t *testing.T) {
 	const limit, step = 5.6e6, 50e3 // the rest of the 6 s is for requests already on their way
 	for _, mode := range []string{"pushed", "on_request"} {
-		for _, fault := range []string{dialRefused, dialHangs, callSilent, callRefused, callReset, callTruncated} {
+		for _, fault := range []string{dialRefused, dialHangs, callSilent, callRejected, callReset, callTruncated} {
 			t.Run(mode+", "+fault, func(t *testing.T) {
 				longest := clock.Time(0)
 				for phase := range clock.Time(40) {
@@ -143,12 +143,12 @@
 	return 0
 }
 
-// Discovery refuses calls beyond its capacity, which all routers share. Routers that retried too soon kept each
+// Discovery rejects calls beyond its capacity, which all routers share. Routers that retried too soon kept each
 // other out: some had no list for fourteen seconds.
-func TestRefusedCallsAreSpreadOut(t *testing.T) {
+func TestRejectedCallsAreSpreadOut(t *testing.T) {
 	const duration, step, limit = clock.Time(40e6), clock.Time(50e3), 20 // with at most 1.5 s between two calls there were over 30
 	loop, _ := newConfiguredRouter(t, "on_request")
-	o := &discoveryOutage{loop: loop, fault: callRefused, answerAt: map[*fakeConn]clock.Time{}}
+	o := &discoveryOutage{loop: loop, fault: callRejected, answerAt: map[*fakeConn]clock.Time{}}
 	loop.r.dialFunc = o.dial
 	loop.r.restartWatch(loop.r.cfg.Discovery)
 	loop.runQueued()
@@ -157,7 +157,7 @@
 		loop.advance(step)
 	}
 	if n := loop.r.counts.FailedDiscoveryCalls; n > limit {
-		t.Errorf("got %d refused calls in %v, want at most %d", n, toDuration(duration), limit)
+		t.Errorf("got %d rejected calls in %v, want at most %d", n, toDuration(duration), limit)
 	}
-	t.Logf("%d refused calls", loop.r.counts.FailedDiscoveryCalls)
+	t.Logf("%d rejected calls", loop.r.counts.FailedDiscoveryCalls)
 }
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -77,7 +77,7 @@
 		quietFor := now - client.lastActivity
 		connectGraceOver := client.hasReceived || quietFor >= r.limits.QuietClientAge || isPastDeadline
 		if client.mayClose() && connectGraceOver && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
-			r.close(client.conn)
+			r.closeConn(client.conn)
 		}
 	}
 	if r.closingClients && r.takeover.unsentFrames == 0 && len(r.clients) == 0 && r.detachedClients == 0 && r.external.openRequests == 0 && !r.stopped {
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -25,7 +25,7 @@
 
 // newHeldDials returns a router with a cache server and the origin, and a function that completes the next pending
 // dial.
-func newHeldDials(t *testing.T, change func(*routing.Settings)) (l *fakeLoop, up func() *fakeConn) {
+func newHeldDials(t *testing.T, change func(*routing.Settings)) (l *fakeLoop, completeDial func() *fakeConn) {
 	cfg := originOnlyConfig()
 	cfg.Limits.ServerIdleTimeout, cfg.Limits.IdleSweepInterval, cfg.Limits.QuietClientAge = 60e6, 250e3, 50e3
 	cfg.Settings.MaxAttempts, cfg.Settings.CancelAllowed = 3, true
@@ -78,15 +78,15 @@
 // A retry that waits for a connection is not sent once the server's deduplication window for the first attempt may
 // be over.
 func TestRetryOutsideDeduplicationWindowIsNotSent(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
-	first := up()
+	first := completeDial()
 	l.advance(100e3)
 	_ = l.Close(first) // the attempt may have run; its retry waits for a new connection
 	l.runQueued()
 	l.advance(350e3)
-	if second := up(); second.written != "" {
+	if second := completeDial(); second.written != "" {
 		t.Errorf("450 ms after the first attempt, with a deduplication window of 400 ms, sent %q", second.written)
 	}
 	if client.written != "-ERR failed\r\n" {
@@ -95,7 +95,7 @@
 }
 
 // socketPair returns the two ends of a real connection.
-func socketPair(t *testing.T) (mine, others int) {
+func socketPair(t *testing.T) (local, remote int) {
 	two, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -221,7 +221,7 @@
 // An endpoint list moves a server while a dial to its old address is pending: the waiting attempt goes to the new
 // address, and the old connection is not used.
 func TestDialToOutdatedAddressIsNotUsed(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	list, err := l.r.endpoints.Apply([]byte(`{"rev":2,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"},` +
@@ -231,10 +231,10 @@
 	}
 	l.r.applyEndpoints(list)
 	l.runQueued()
-	if old := up(); old.written != "" || !old.closed {
+	if old := completeDial(); old.written != "" || !old.closed {
 		t.Errorf("the old address received %q, closed: %v", old.written, old.closed)
 	}
-	if moved := up(); !strings.Contains(moved.written, "r1") || moved.ctx.(*upstream).addr != "127.0.0.1:9" {
+	if moved := completeDial(); !strings.Contains(moved.written, "r1") || moved.ctx.(*upstream).addr != "127.0.0.1:9" {
 		t.Errorf("the new address received %q", moved.written)
 	}
 }
@@ -242,12 +242,12 @@
 // All pending requests are answered by the shutdown deadline, whatever their own deadline, including requests that
 // arrive late.
 func TestAllRequestsAreAnsweredByShutdownDeadline(t *testing.T) {
-	l, up := newHeldDials(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
+	l, completeDial := newHeldDials(t, func(s *routing.Settings) { s.Methods[1].LatencyBudget = 6e6 })
 	close(l.r.ready)
 	l.r.limits.ShutdownTimeout, l.r.limits.DrainAcceptPeriod = 3e6, 500e3
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=6000")) // sent, and no answer arrives
-	up()
+	completeDial()
 	l.receive(client, command("CACHE.GET", "k2", "r2", "c=get,d=6000")) // waits for a connection that is never opened
 	l.r.Drain()
 	l.runQueued()
@@ -284,34 +284,34 @@
 // A server answers twice, the second time some milliseconds late. After that was seen once, a connection is not
 // reused before a duplicate answer would have arrived; the next client used to get it as its own.
 func TestDuplicateAnswerIsDropped(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	l.r.limits.ReuseDelay, l.r.limits.DuplicateMemory = 50e3, 30e6
 	client := l.open(nil)
-	ask := func(id string) { l.receive(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
-	ask("r1")
-	first := up()
+	sendRequest := func(id string) { l.receive(client, command("CACHE.GET", "k"+id, id, "c=get,d=1900")) }
+	sendRequest("r1")
+	first := completeDial()
 	l.receive(first, hitReply)
 	l.receive(first, hitReply) // detected: no attempt was pending
 	if !first.closed {
 		t.Fatal("a connection with a duplicate answer was kept")
 	}
-	ask("r2")
-	second := up()
+	sendRequest("r2")
+	second := completeDial()
 	l.receive(second, hitReply)
-	ask("r3")
-	third := up() // a connection of its own
+	sendRequest("r3")
+	third := completeDial() // a connection of its own
 	l.receive(second, "*3\r\n$5\r\nagain\r\n$-1\r\n$-1\r\n")
 	if !second.closed || strings.Contains(client.written, "again") {
 		t.Errorf("the duplicate answer was used: %q", client.written)
 	}
 	l.receive(third, hitReply)
 	l.advance(60e3)
-	ask("r4") // the connection has rested
+	sendRequest("r4") // the connection has rested
 	if l.receive(third, hitReply); client.written != strings.Repeat("$1\r\nv\r\n", 4) {
 		t.Errorf("the client got %q", client.written)
 	}
-	ask("r5") // a waiting attempt does not get a connection that was used just now
-	ask("r6")
+	sendRequest("r5") // a waiting attempt does not get a connection that was used just now
+	sendRequest("r6")
 	l.receive(third, hitReply)
 	if strings.Contains(third.written, "r6") {
 		t.Error("a connection was reused without a rest")
@@ -321,10 +321,10 @@
 // A server has closed an idle connection, and the loop has not noticed. A request that must not run twice is not
 // written to it, since it would then count as one that may have run.
 func TestClosedConnectionIsNotReused(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=pay,d=900"))
-	first := up()
+	first := completeDial()
 	l.receive(first, hitReply)
 	var other int
 	first.fd, other = socketPair(t)
@@ -339,7 +339,7 @@
 	if strings.Contains(first.written, "r3") {
 		t.Error("the request was written to a closed connection")
 	}
-	if second := up(); !strings.Contains(second.written, "r3") {
+	if second := completeDial(); !strings.Contains(second.written, "r3") {
 		t.Error("the request was not written to a new connection")
 	}
 }
@@ -347,29 +347,29 @@
 // After a pause of the process, a connection is opened before the loop runs its timers. An attempt that waited for
 // it past its deadline, or past the deduplication window, is not sent.
 func TestExpiredAttemptIsNotSentOnALateConnection(t *testing.T) {
-	l, up := newHeldDials(t, nil)
+	l, completeDial := newHeldDials(t, nil)
 	client := l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=get,d=1900"))
 	l.r.startWallClock += 3e6
-	if late := up(); late.written != "" {
+	if late := completeDial(); late.written != "" {
 		t.Errorf("1.1 s after the deadline, sent %q", late.written)
 	}
-	l, up = newHeldDials(t, nil)
+	l, completeDial = newHeldDials(t, nil)
 	client = l.open(nil)
 	l.receive(client, command("CACHE.GET", "k", "r1", "c=look,d=1900"))
-	first := up()
+	first := completeDial()
 	l.advance(100e3)
 	_ = l.Close(first) // the attempt may have run
 	l.runQueued()
 	l.r.startWallClock += 350e3
-	if second := up(); second.written != "" {
+	if second := completeDial(); second.written != "" {
 		t.Errorf("450 ms after the first attempt, with a deduplication window of 400 ms, sent %q", second.written)
 	}
 }
 
 // newConfiguredRouter returns a router with the limits of a configuration file, a discovery mode, and a function
 // that completes the next pending dial, or returns nil if there is none.
-func newConfiguredRouter(t *testing.T, mode string) (l *fakeLoop, nextDial func() *fakeConn) {
+func newConfiguredRouter(t *testing.T, mode string) (l *fakeLoop, completeDial func() *fakeConn) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","limits":{"memory_mb":64,"sockets":256},`+
 		`"settings":{"balancers":1,"discovery":%q,"domain":{"mode":"aside","origin-kind":0},"flavors":["origin"],"policy-limits":{"send-cap":1},`+
@@ -400,8 +400,8 @@
 // a missed update counts against the router, and the whole list is requested.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	const list = `{"rev":5,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`
-	l, up := newConfiguredRouter(t, "on_request")
-	first := up()
+	l, completeDial := newConfiguredRouter(t, "on_request")
+	first := completeDial()
 	l.receive(first, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 	if !strings.Contains(first.written, "index=5&wait=20000") {
 		t.Fatalf("the watch requested %q", first.written)
@@ -415,7 +415,7 @@
 		t.Fatal("the watch was not abandoned after 21.1 s of silence")
 	}
 	for range 9 { // package routing decides when: within the second
-		if second := up(); second != nil {
+		if second := completeDial(); second != nil {
 			if second.written != "GET /registry/instances HTTP/1.1\r\nHost: 127.0.0.1:2\r\n\r\n" {
 				t.Errorf("the next call is %q", second.written)
 			}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -188,32 +188,32 @@
 	commandsSent, bannedAt := map[*fakeConn]int{}, map[string]clock.Time{}
 	close(r.ready)
 	r.limits.ShutdownTimeout, r.limits.DrainAcceptPeriod, r.limits.LargeValueRetryInterval = 3e6, 500e3, 5e3
-	endBy := clock.Time(0)           // deadline for all answers, after SIGTERM
-	unavailable := map[string]bool{} // servers that drain or are gone, by the last list
+	shutdownDeadline := clock.Time(0) // of all answers, after SIGTERM
+	unavailable := map[string]bool{}  // servers that drain or are gone, by the last list
 	type sent struct {
-		on      *fakeConn
+		conn    *fakeConn
 		attempt *activeAttempt
 	}
 	outstanding := map[sent]bool{}               // attempts outstanding after the last step; true: sent completely
 	mayHaveRun := map[routing.RequestID]string{} // requests that may have run, and at which server
 	neverRan := (*activeAttempt)(nil)            // answered in this step as never run
-	traffic := func(c *fakeConn) {
+	handleInput := func(c *fakeConn) {
 		if r.OnTraffic(c) == gnet.Close {
 			_ = l.Close(c)
 		}
 	}
-	dialled := func(up bool) {
+	endDial := func(succeeds bool) {
 		if len(dials) == 0 {
 			return
 		}
 		d := dials[0]
 		dials = dials[1:]
-		if up {
+		if succeeds {
 			servers = append(servers, l.open(d.p))
 			return
 		}
 		r.pendingDials--
-		d.failed(errors.New("refused"))
+		d.failed(errors.New("connection refused"))
 	}
 	open := func(of []*fakeConn) []*fakeConn {
 		return slices.DeleteFunc(slices.Clone(of), func(c *fakeConn) bool { return c.closed })
@@ -235,16 +235,16 @@
 				commandsSent[c]++
 				if kind == stepPing {
 					c.in = append(c.in, "*2\r\n$4\r\nPING\r\n$1\r\nx\r\n"...)
-					traffic(c)
+					handleInput(c)
 					break
 				}
 				if n%2 == 0 {
 					c.in = resp.AppendCommand(c.in, []byte("CACHE.GET"), []byte{'k', n}, fmt.Append(nil, "r", i), fmt.Appendf(nil, "c=get,d=%d", 1900+int(n)%16/14*7000))
-					traffic(c)
+					handleInput(c)
 					break
 				}
 				c.in = resp.AppendCommand(c.in, []byte("CACHE.SET"), []byte("k"), fmt.Append(nil, "r", i), []byte("c=pay,d=900"), []byte("v"))
-				traffic(c)
+				handleInput(c)
 			}
 		case stepConnect:
 			clients = append(clients, l.open(nil))
@@ -257,7 +257,7 @@
 				if _, http := c.ctx.(*upstream).server.protocol.(http1.Codec); !http {
 					c.in = append(c.in, []string{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-BUSY\r\n",
 						"-ERR failed\r\n", "*1\r", "nonsense\r\n"}[int(n)%6]...)
-					traffic(c)
+					handleInput(c)
 					break
 				}
 				if len(c.in) == 0 && n%6 == 2 {
@@ -266,7 +266,7 @@
 				c.in = append(c.in, []string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 5",
 					"HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
 					"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 200 OK\r\n\r\nhalf"}[int(n)%6]...)
-				traffic(c)
+				handleInput(c)
 			}
 		case stepServerClose:
 			if c := pick(servers, n); c != nil && n/16%2 == 0 {
@@ -278,7 +278,7 @@
 				l.closeWith(c, os.NewSyscallError("read", io.EOF))
 			}
 		case stepDialEnd:
-			dialled(n%4 > 0)
+			endDial(n%4 > 0)
 		case stepEndpoints:
 			state := []string{"active", "leaving", "left", "active", "active", "active", "active", "active"}[n%8]
 			uid, kind := []string{"o", "s", "u"}[n/8%3], []string{"origin", "m", "m"}[n/8%3]
@@ -316,7 +316,7 @@
 			r.applyOperatorState(state)
 		case stepDrain:
 			if n < 4 && !r.draining {
-				endBy = r.clock() + 3e6
+				shutdownDeadline = r.clock() + 3e6
 				r.Drain()
 				l.runQueued()
 			}
@@ -324,18 +324,18 @@
 		if afterStep != nil {
 			afterStep(l)
 		}
-		inHand := 0
+		openRequests := 0
 		for _, request := range r.requests {
 			if !request.finished {
-				inHand++
+				openRequests++
 			}
 		}
-		if r.publishStats(); r.operator.stats.Load().openRequests != inHand {
-			t.Fatalf("%d requests are open, the statistics say %d", inHand, r.operator.stats.Load().openRequests)
+		if r.publishStats(); r.operator.stats.Load().openRequests != openRequests {
+			t.Fatalf("%d requests are open, the statistics say %d", openRequests, r.operator.stats.Load().openRequests)
 		}
 		for s, fullySent := range outstanding {
-			up, on := s.on.ctx.(*upstream)
-			if fullySent && s.attempt != neverRan && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(on && up.attempt == s.attempt) {
+			up, isUpstream := s.conn.ctx.(*upstream)
+			if fullySent && s.attempt != neverRan && r.cfg.Settings.Methods[s.attempt.request.method].Idempotency == routing.NonIdempotent && !(isUpstream && up.attempt == s.attempt) {
 				mayHaveRun[s.attempt.request.ID] = string(r.endpoints.UID(s.attempt.server.id))
 			}
 		}
@@ -344,12 +344,12 @@
 		outstanding = map[sent]bool{}
 		carried := map[*pendingRequest]int{}
 		for _, c := range servers {
-			if up, ok := c.ctx.(*upstream); ok && up.attempt != nil {
+			if up, isUpstream := c.ctx.(*upstream); isUpstream && up.attempt != nil {
 				attempt := up.attempt
 				outstanding[sent{c, attempt}] = c.outboundBytes == 0
 				if _, old := previous[sent{c, attempt}]; !old {
-					if at, may := mayHaveRun[attempt.request.ID]; may {
-						t.Fatalf("%s is sent again, and may have run at %s", attempt.request.ID, at)
+					if server, found := mayHaveRun[attempt.request.ID]; found {
+						t.Fatalf("%s is sent again, and may have run at %s", attempt.request.ID, server)
 					}
 					if attempt.request.finished || unavailable[string(r.endpoints.UID(attempt.server.id))] {
 						t.Fatalf("%s is sent to %v; finished: %v, unavailable servers: %v", attempt.request.ID, attempt.server.id, attempt.request.finished, unavailable)
@@ -358,22 +358,22 @@
 				if uid := string(r.endpoints.UID(up.server.id)); uid != "" && up.server.banned && up.attempt.startedAt > bannedAt[uid] {
 					t.Fatalf("an attempt was sent to %s, which is banned", uid)
 				}
-				most := 1
+				maxAttempts := 1
 				if cfg.Settings.HedgingAllowed {
-					most = 2
+					maxAttempts = 2
 				}
-				if carried[up.attempt.request]++; carried[up.attempt.request] > most {
+				if carried[up.attempt.request]++; carried[up.attempt.request] > maxAttempts {
 					t.Fatalf("%d attempts of one request are outstanding", carried[up.attempt.request])
 				}
 			}
 		}
 	}
 	if !r.draining {
-		endBy = r.clock() + 3e6
+		shutdownDeadline = r.clock() + 3e6
 		r.Drain()
 		l.runQueued()
 	}
-	r.startWallClock += max(0, endBy+50e3-r.clock())
+	r.startWallClock += max(0, shutdownDeadline+50e3-r.clock())
 	r.runBatch()
 	l.runQueued()
 	for _, request := range r.requests {
@@ -383,7 +383,7 @@
 	}
 	for range 400 + len(steps)/2 { // all deadlines pass and everything outstanding ends, even a thousand pipelined commands
 		l.runQueued()
-		dialled(false)
+		endDial(false)
 		r.startWallClock += 1e6
 		r.runBatch()
 	}
@@ -417,9 +417,9 @@
 	if n.Attempts != n.OK+n.Misses+n.NotExecuted+n.MaybeExecuted+n.Canceled {
 		t.Errorf("attempts without an outcome: %v", n)
 	}
-	up := len(open(servers))
-	if in := len(open(clients)) > 0; up != r.serverConnCount || in != (len(r.clients) > 0) ||
+	openServers := len(open(servers))
+	if hasClients := len(open(clients)) > 0; openServers != r.serverConnCount || hasClients != (len(r.clients) > 0) ||
 		r.connCount != r.serverConnCount+len(r.clients) || r.pendingDials != len(dials) {
-		t.Errorf("server connections: counted %d, open %d; all connections: counted %d; dials: counted %d, pending %d", r.serverConnCount, up, r.connCount, r.pendingDials, len(dials))
+		t.Errorf("server connections: counted %d, open %d; all connections: counted %d; dials: counted %d, pending %d", r.serverConnCount, openServers, r.connCount, r.pendingDials, len(dials))
 	}
 }
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -185,20 +185,20 @@
 	}
 }
 
-// A successor that does not read holds up one transfer, however many are offered.
+// A successor that does not read holds up one transfer, however many follow.
 func TestHandover_TransfersDoNotAccumulate(t *testing.T) {
 	h := newHandoverTest(t)
 	h.sendHello(t)
 	h.receiveUntil(t, handover.Snapshot, ignoreState)
 	large := make([]byte, 1<<20) // more than a socket buffers
 	before := runtime.NumGoroutine()
-	const offers = 100
-	for range offers {
+	const transfers = 100
+	for range transfers {
 		h.router.OfferTransfer(func() []byte { return large })
 	}
 	time.Sleep(200 * time.Millisecond)
 	if after := runtime.NumGoroutine(); after > before+10 {
-		t.Errorf("%d offers to a successor that does not read: %d goroutines, and %d before", offers, after, before)
+		t.Errorf("%d transfers to a successor that does not read: %d goroutines, want about the %d before", transfers, after, before)
 	}
 }
 
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -29,9 +29,9 @@
 	r                *Router
 	upstream         *upstream
 	client           *client
-	serverDescriptor int // of the server's connection
-	received         []byte
-	size             int
+	serverDescriptor int    // of the server's connection
+	received         []byte // what the loop has read of the value and after it; from start on, only what follows the value
+	size             int    // of the value
 	method           routing.Method
 	closeAfter       bool // the server's connection carries nothing after the value
 
@@ -114,14 +114,14 @@
 	fd, err := c.conn.Dup()
 	if err != nil {
 		c.r.log.WithError(err).Warn("large value cannot be forwarded")
-		c.r.close(c.conn)
+		c.r.closeConn(c.conn)
 		return
 	}
 	c.slots = c.slots[1:]
 	c.detachedInput = append([]byte(nil), c.unreadInput()...)
 	conn := c.conn
 	c.detachFromLoop()
-	c.r.close(conn)
+	c.r.closeConn(conn)
 	go l.start(fd)
 }
 
@@ -180,8 +180,8 @@
 	if err != nil {
 		return -1, err
 	}
-	e := raw.Control(func(of uintptr) { fd, err = unix.FcntlInt(of, unix.F_DUPFD_CLOEXEC, 0) })
-	return fd, errors.Join(e, err)
+	controlErr := raw.Control(func(original uintptr) { fd, err = unix.FcntlInt(original, unix.F_DUPFD_CLOEXEC, 0) })
+	return fd, errors.Join(controlErr, err)
 }
 
 // start runs off the loop and copies the value. The client's connection is closed unless the complete value has
@@ -354,8 +354,8 @@
 	text, err := json.Marshal(message)
 	var fds []int
 	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
-		fd, e := duplicateDescriptor(c.(*net.TCPConn))
-		if err = errors.Join(err, e); e == nil {
+		fd, dupErr := duplicateDescriptor(c.(*net.TCPConn))
+		if err = errors.Join(err, dupErr); dupErr == nil {
 			fds = append(fds, fd)
 		}
 	}
@@ -383,9 +383,9 @@
 func (r *Router) adoptLargeRead(f handover.Frame) {
 	var message largeReadFrame
 	err := json.Unmarshal(f.Body, &message)
-	clientConn, err1 := connFromDescriptor(f.FDs[0])
-	serverConn, err2 := connFromDescriptor(f.FDs[1])
-	if err = errors.Join(err, err1, err2); err != nil {
+	clientConn, clientErr := connFromDescriptor(f.FDs[0])
+	serverConn, serverErr := connFromDescriptor(f.FDs[1])
+	if err = errors.Join(err, clientErr, serverErr); err != nil {
 		r.log.WithError(err).Warn("large value of the previous process cannot be adopted")
 		return // what remains of it ends with the process
 	}
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -193,10 +193,10 @@
 		r.abortAttempt(attempt, routing.ConnectError)
 		return
 	}
-	r.cancel(attempt.timer) // its time limit starts when the value has been sent
+	r.cancelTimer(attempt.timer) // its time limit starts when the value has been sent
 	conn := up.conn
 	up.detachFromLoop()
-	r.close(conn)
+	r.closeConn(conn)
 	// The router waits its full time limit once the value has been sent, but no longer than the client does.
 	attempt.startedAt = r.clock()
 	head, tail := up.server.protocol.AppendStreamedWrite(nil, wire.NewAttempt(&w.request.Request, up.server.addr, attempt.remaining(attempt.startedAt)), w.size)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -206,8 +206,8 @@
 		return
 	}
 	request.attempts = slices.Delete(request.attempts, n, n+1)
-	r.cancel(attempt.timer)
-	r.cancel(attempt.startTimer)
+	r.cancelTimer(attempt.timer)
+	r.cancelTimer(attempt.startTimer)
 	if attempt.conn != nil && !attempt.conn.detached {
 		attempt.conn.noteSent()
 		attempt.conn.attempt, attempt.conn = nil, nil
@@ -239,7 +239,7 @@
 	if up != nil && up.detached {
 		attempt.request.largeWrite.interrupt()
 	} else if up != nil {
-		r.close(up.conn)
+		r.closeConn(up.conn)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -245,7 +245,7 @@
 	return gnet.None
 }
 
-func (r *Router) close(c gnet.Conn) {
+func (r *Router) closeConn(c gnet.Conn) {
 	if err := r.loop.Close(c); err != nil {
 		r.log.WithError(err).Warn("closing a connection failed")
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -79,10 +79,10 @@
 }
 
 // closeWith closes a connection with the error that gnet would report.
-func (l *fakeLoop) closeWith(c gnet.Conn, why error) {
+func (l *fakeLoop) closeWith(c gnet.Conn, err error) {
 	if n := c.(*fakeConn); !n.closed {
 		n.closed = true
-		l.r.OnClose(c, why)
+		l.r.OnClose(c, err)
 	}
 }
 
@@ -156,18 +156,18 @@
 
 // If the connection breaks before the last byte of a request was sent, the request has never run and may be
 // rejected. After that it may have run, and must fail.
-func Example_breaks() {
+func Example_connectionBreaks() {
 	for _, c := range []struct {
-		name  string
-		left  int
-		fails error
+		name          string
+		outboundBytes int
+		writeErr      error
 	}{
-		{"all had left", 0, nil},
-		{"some was still in our buffer", 10, nil},
+		{"the request was sent completely", 0, nil},
+		{"part of it was still in the router's buffer", 10, nil},
 		{"the write itself failed", 0, errors.New("broken pipe")},
 	} {
 		l, client, origin := newConnectedOrigin(new(testing.T))
-		origin.outboundBytes, origin.writeErr = c.left, c.fails
+		origin.outboundBytes, origin.writeErr = c.outboundBytes, c.writeErr
 		client.sendWrites(l.r, "r")
 		l.runQueued()
 		if !origin.closed {
@@ -177,8 +177,8 @@
 		fmt.Printf("%s: %q, then %d requests and %d bytes held\n", c.name, client.written, len(l.r.requests), l.r.requestBytes)
 	}
 	// Output:
-	// all had left: "-ERR failed\r\n", then 0 requests and 0 bytes held
-	// some was still in our buffer: "-BUSY\r\n", then 0 requests and 0 bytes held
+	// the request was sent completely: "-ERR failed\r\n", then 0 requests and 0 bytes held
+	// part of it was still in the router's buffer: "-BUSY\r\n", then 0 requests and 0 bytes held
 	// the write itself failed: "-BUSY\r\n", then 0 requests and 0 bytes held
 }
 
@@ -288,14 +288,14 @@
 func Example_timers() {
 	l, _, _ := newConnectedOrigin(new(testing.T))
 	r := l.r
-	say := func(text string) func() { return func() { fmt.Println(text) } }
-	r.after(3e6, say("third"))
-	r.after(1e6, say("first"))
-	gone := r.after(2e6, say("cancelled"))
-	r.after(2e6, say("second"))
-	r.after(9e6, say("too early"))
-	r.cancel(gone)
-	r.cancel(gone)
+	printText := func(text string) func() { return func() { fmt.Println(text) } }
+	r.after(3e6, printText("third"))
+	r.after(1e6, printText("first"))
+	canceled := r.after(2e6, printText("canceled"))
+	r.after(2e6, printText("second"))
+	r.after(9e6, printText("too early"))
+	r.cancelTimer(canceled)
+	r.cancelTimer(canceled) // has no effect
 	r.fireTimers(r.clock() + 4e6)
 	// Output:
 	// first
@@ -484,7 +484,7 @@
 	}
 }
 
-// A front end may listen before the loop runs: its requests are refused until then.
+// A front end may listen before the loop runs: its requests are rejected until then.
 func TestSubmitBeforeTheLoopRuns(t *testing.T) {
 	r, err := New(config.Config{}, logrus.New())
 	if err != nil {
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -154,7 +154,7 @@
 	s := up.server
 	if up.addr != s.addr {
 		up.r.dialQueue = append(up.r.dialQueue, s)
-		up.r.close(up.conn)
+		up.r.closeConn(up.conn)
 		up.r.dialForWaiting()
 		return
 	}
@@ -167,7 +167,7 @@
 		return
 	}
 	if !s.ready {
-		up.r.close(up.conn)
+		up.r.closeConn(up.conn)
 		return
 	}
 	s.idleConns = append(s.idleConns, up)
@@ -313,7 +313,7 @@
 
 func (r *Router) closeIdleConnections(s *server) {
 	for _, up := range slices.Clone(s.idleConns) {
-		r.close(up.conn)
+		r.closeConn(up.conn)
 	}
 }
 
@@ -325,23 +325,23 @@
 	for client := range r.clients {
 		switch {
 		case client.closeAfterReplies && client.mayClose():
-			r.close(client.conn)
+			r.closeConn(client.conn)
 		case !client.closeAfterReplies && client.isSilent(now):
 			client.closeWithError("nothing whole has come")
 			if client.mayClose() && client.conn != nil {
-				r.close(client.conn)
+				r.closeConn(client.conn)
 			}
 		// Some clients send one request and keep the connection. Clients can hold a limited number of connections,
 		// and would have none left for requests.
 		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.SilentClientTimeout && client.isQuiet() &&
 			client.unreadBytes() == 0 && !client.hasUnreadInput():
-			r.close(client.conn)
+			r.closeConn(client.conn)
 		}
 	}
 	r.after(r.limits.IdleSweepInterval, r.sweepConnections)
 	for _, s := range r.servers {
 		for len(s.idleConns) > 0 && now-s.idleConns[0].idleSince >= r.limits.ServerIdleTimeout {
-			r.close(s.idleConns[0].conn)
+			r.closeConn(s.idleConns[0].conn)
 		}
 	}
 }
@@ -420,7 +420,7 @@
 		return false
 	}
 	r.counts.EvictedConnections++
-	r.close(oldest.conn)
+	r.closeConn(oldest.conn)
 	return true
 }
 
@@ -444,7 +444,7 @@
 		return r.shedClient(requestersOnly)
 	}
 	r.counts.EvictedConnections++
-	r.close(candidate.conn)
+	r.closeConn(candidate.conn)
 	return true
 }
 
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -166,8 +166,8 @@
 // Listen opens a listener on an address that two processes of a router may share.
 func Listen(addr string) (net.Listener, error) {
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(e, err)
+		controlErr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
+		return errors.Join(controlErr, err)
 	}}
 	return shared.Listen(context.Background(), "tcp", addr)
 }
@@ -201,9 +201,9 @@
 	r.becomeDiscoverable()
 }
 
-// becomeDiscoverable lets the next process find this one once it serves. Until it is ready, the process holds no
-// sockets but TCP and UDP, since an environment may forbid others, and a failure must not occur before. A process
-// that is draining is not discoverable.
+// becomeDiscoverable lets the next process find this one once it serves. Some environments forbid sockets other
+// than TCP and UDP, so the Unix socket is opened only then: a failure must not keep the process from serving. A
+// process that is draining is not discoverable.
 func (r *Router) becomeDiscoverable() {
 	if t := &r.takeover; t.socketName != "" && t.accepting && r.hasUsableServer && !t.discoverable && !r.draining {
 		t.discoverable = true
@@ -376,7 +376,7 @@
 			r.requestingClients--
 		}
 		client.conn.SetContext(nil)
-		r.close(client.conn)
+		r.closeConn(client.conn)
 		client.conn = nil
 		r.connCount++
 		t.unsentFrames++
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -68,7 +68,8 @@
 	return t
 }
 
-func (r *Router) cancel(t *timer) {
+// cancelTimer cancels a timer, unless it is nil, has fired, or is canceled already.
+func (r *Router) cancelTimer(t *timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&r.timers, t.heapIndex)
 	}
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -33,10 +33,10 @@
 func (r *Router) restartWatch(addr string) {
 	if previous := r.watch; previous != nil {
 		previous.superseded = true
-		r.cancel(previous.retryTimer)
-		r.cancel(previous.timeoutTimer)
+		r.cancelTimer(previous.retryTimer)
+		r.cancelTimer(previous.timeoutTimer)
 		if previous.conn != nil {
-			r.close(previous.conn)
+			r.closeConn(previous.conn)
 		}
 		r.endpoints.Invalidate()
 	}
@@ -49,7 +49,7 @@
 	if w.superseded || w.dialing || w.callPending {
 		return
 	}
-	w.r.cancel(w.retryTimer)
+	w.r.cancelTimer(w.retryTimer)
 	if w.conn == nil {
 		w.dialing = true
 		w.r.pendingDials++
@@ -66,7 +66,7 @@
 	if wait == 0 {
 		grace = r.limits.ListTimeout
 	}
-	w.timeoutTimer = r.after(wait+grace, func() { r.close(w.conn) })
+	w.timeoutTimer = r.after(wait+grace, func() { r.closeConn(w.conn) })
 	_, _ = w.conn.Write(httpwire.AppendRequest(nil, "GET", path, w.addr, nil, nil)) // after an error, gnet has closed the connection
 }
 
@@ -74,7 +74,7 @@
 	w.dialing, w.conn = false, conn
 	w.r.pendingDials--
 	if w.superseded {
-		w.r.close(conn)
+		w.r.closeConn(conn)
 		return
 	}
 	w.startCall()
@@ -121,7 +121,7 @@
 	if isLast {
 		answer.Body = bytes.Clone(answer.Body) // the buffer ends with the connection
 		w.callPending = false                  // onClose must not read the response again
-		w.r.close(w.conn)
+		w.r.closeConn(w.conn)
 	}
 	w.handleResponse(answer)
 	if !isLast {
@@ -133,7 +133,7 @@
 // handleResponse applies a list. An invalid response leaves the last list in force.
 func (w *watch) handleResponse(answer httpwire.Response) {
 	w.callPending = false
-	w.r.cancel(w.timeoutTimer)
+	w.r.cancelTimer(w.timeoutTimer)
 	update, err := w.r.endpoints.Apply(answer.Body)
 	if answer.Status != http.StatusOK {
 		err = &rejectedError{status: answer.Status}
@@ -165,7 +165,7 @@
 	}
 	w.callPending = false
 	w.r.endpoints.Invalidate()
-	w.r.cancel(w.timeoutTimer)
+	w.r.cancelTimer(w.timeoutTimer)
 	w.r.counts.FailedDiscoveryCalls++
 	if !w.failing { // logged once per series of failures
 		w.failing = true
@@ -176,6 +176,6 @@
 		w.r.addEvent(routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: errors.As(err, &rejected)})
 		return
 	}
-	w.r.cancel(w.retryTimer)
+	w.r.cancelTimer(w.retryTimer)
 	w.retryTimer = w.r.after(w.r.limits.DiscoveryRetryDelay, w.startCall)
 }
