--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -169,24 +169,24 @@
 	r := startRouter(t)
 	id := r.newID()
 	if got, err := r.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.Req(id), []byte(got)) {
-		t.Error(got, err)
+		t.Errorf("read: got %q, %v, want a value of this request", got, err)
 	}
 	id = r.newID()
 	set, err := r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
 	if err != nil || !cacheserver.MadeFor(event.Req(id), set.GetReceipt()) || r.countEvents(id, event.Ran) != 1 {
-		t.Error(set, err, r.countEvents(id, event.Ran))
+		t.Errorf("write: got %v, %v, and it ran %d times, want a receipt of this request and one run", set, err, r.countEvents(id, event.Ran))
 	}
 	// A request that may have run and must not run twice fails, without further details.
 	r.setFault("reset", 1, false)
 	_, err = r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: r.newID(), Method: "book"}, Key: []byte("k")})
 	if status.Code(err) != codes.Aborted {
-		t.Error(err)
+		t.Errorf("a write that may have run: got %v, want %v", err, codes.Aborted)
 	}
 	// A request that may run again is rejected once its attempts are used up, with a retry delay.
 	_, err = r.get(t.Context(), r.newID(), "status")
 	if s := status.Convert(err); s.Code() != codes.Unavailable || len(s.Details()) != 1 ||
 		s.Details()[0].(*errdetails.RetryInfo).RetryDelay.AsDuration() < 100*time.Millisecond {
-		t.Error(err)
+		t.Errorf("a read with all attempts reset: got %v, %v, want %v with a delay of at least 100 ms", err, s.Details(), codes.Unavailable)
 	}
 	r.setFault("reset", 0, true)
 }
@@ -235,11 +235,11 @@
 	}()
 	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.Begun) == 1 })
 	if _, err := r.get(t.Context(), id, "status"); status.Code(err) != codes.AlreadyExists {
-		t.Error(err)
+		t.Errorf("a second call with the id of an open one: got %v, want %v", err, codes.AlreadyExists)
 	}
 	cancel()
 	if err := <-done; status.Code(err) != codes.Canceled {
-		t.Error(err)
+		t.Errorf("the canceled call: got %v, want %v", err, codes.Canceled)
 	}
 	waitUntil(t, "the attempt is canceled", func() bool { return r.countEvents(id, event.Ended) == 1 })
 	r.setFault("hang", 0, true)
@@ -259,14 +259,14 @@
 		_, err := r.get(ctx, r.newID(), "status")
 		cancel()
 		if took := time.Since(began); took > c.limit || err == nil {
-			t.Errorf("with a deadline of %v: %v after %v", c.deadline, err, took)
+			t.Errorf("with a deadline of %v: got %v after %v, want an error within %v", c.deadline, err, took, c.limit)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 	defer cancel()
 	id := r.newID()
 	if _, err := r.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || r.countEvents(id, event.Begun) != 0 {
-		t.Error(err, r.countEvents(id, event.Begun))
+		t.Errorf("with a deadline that has passed: got %v and %d attempts, want %v and none", err, r.countEvents(id, event.Begun), codes.DeadlineExceeded)
 	}
 }
 
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -460,8 +460,8 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	var late net.Error
-	if err := <-failed; !errors.As(err, &late) || !late.Timeout() {
-		t.Error(err)
+	var netErr net.Error
+	if err := <-failed; !errors.As(err, &netErr) || !netErr.Timeout() {
+		t.Errorf("the dial failed with %v, want a timeout", err)
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -473,14 +473,15 @@
 	origin.in = []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	r.OnTraffic(origin)
 	l.runQueued()
-	pings, second, third := l.open(nil), l.open(nil), l.open(nil)
+	pinging, second, third := l.open(nil), l.open(nil), l.open(nil)
 	second.sendWrites(r, "r1")
 	if first.closed {
 		t.Error("closed within the limit of requesting clients")
 	}
 	third.sendWrites(r, "r2")
-	if !first.closed || pings.closed || second.closed || third.closed || r.requestingClients != 2 {
-		t.Error(first.closed, pings.closed, second.closed, third.closed, r.requestingClients)
+	if !first.closed || pinging.closed || second.closed || third.closed || r.requestingClients != 2 {
+		t.Errorf("closed: quiet requester %v, pinging client %v, waiting clients %v and %v, want only the first; %d requesting clients, want 2",
+			first.closed, pinging.closed, second.closed, third.closed, r.requestingClients)
 	}
 }
 
