--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -397,7 +397,7 @@
 }
 
 // In mode on_request a watch may wait for 20 s. A silent one is abandoned a second later, which is a second before
-// a missed update counts against the router, and the whole list is requested.
+// a missed update counts against the router, and the full list is requested.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	const list = `{"rev":5,"all":true,"targets":[{"uid":"o","endpoint":"127.0.0.1:1","model":"origin","state":"active"}]}`
 	l, completeDial := newConfiguredRouter(t, "on_request")
--- a/internal/router/external_requests.go
+++ b/internal/router/external_requests.go
@@ -57,6 +57,9 @@
 	withdrawn bool
 }
 
+// noQueueLimit is the limit for withdrawals, which are always queued.
+const noQueueLimit = 1 << 62
+
 // Submit queues a request, from any goroutine. It returns false if too many are queued or the loop does not run
 // yet; nothing is called then.
 func (r *Router) Submit(request *ExternalRequest) bool {
@@ -67,9 +70,11 @@
 // processed the withdrawal, neither Answer nor Reject is called.
 func (r *Router) Withdraw(request *ExternalRequest) {
 	request.withdrawn.Store(true)
-	r.enqueueExternal(externalEvent{request, true}, 1<<62)
+	r.enqueueExternal(externalEvent{request, true}, noQueueLimit)
 }
 
+// enqueueExternal queues an event and wakes the loop, unless limit events are queued already or the loop does not run
+// yet; it reports whether the event was queued.
 func (r *Router) enqueueExternal(event externalEvent, limit int) bool {
 	select {
 	case <-r.ready:
@@ -111,6 +116,7 @@
 	}
 }
 
+// admitExternal admits a request, or returns why it is rejected; 0 means that it is admitted.
 func (r *Router) admitExternal(request *ExternalRequest) RejectReason {
 	method, known := r.methods[request.Method]
 	size := len(request.Key) + request.Props.Len() + len(request.Value)
--- a/internal/router/large_write.go
+++ b/internal/router/large_write.go
@@ -170,8 +170,8 @@
 	})
 }
 
-// peerHungUp reports whether the other end of a descriptor sends no more; input that arrived earlier may still be
-// unread.
+// peerHungUp reports whether the peer has closed its sending side of a connection; input that arrived earlier may
+// still be unread.
 func peerHungUp(fd int) bool {
 	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	ready, err := unix.Poll(pollFDs, 0)
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// scheduleSnapshot submits a snapshot after a random interval, so that the routers of a fleet do not do so at the
-// same time.
+// scheduleSnapshot submits a snapshot after 0.75 to 1.25 intervals, chosen at random, so that the routers of a
+// fleet do not do so at the same time.
 func (r *Router) scheduleSnapshot() {
 	learned := r.learned
 	r.after(clock.Time(float64(learned.interval)*(0.75+learned.random.Float64()/2)), func() {
--- a/internal/router/operator_control.go
+++ b/internal/router/operator_control.go
@@ -73,12 +73,12 @@
 
 // followOperatorState applies changes that operators have made through another process of this router.
 func (r *Router) followOperatorState() {
-	const every = 50 * time.Millisecond
+	const pollInterval = 50 * time.Millisecond
 	for {
 		select {
 		case <-r.done:
 			return
-		case <-time.After(every):
+		case <-time.After(pollInterval):
 		}
 		r.operator.mu.Lock()
 		if r.operator.store.Changed() {
@@ -92,8 +92,8 @@
 	}
 }
 
-// awaitOnLoop runs f on the loop and waits for it as runOnLoop does. After errBusy, f still runs, late: it applies
-// what has been persisted by then and therefore has to come into force.
+// awaitOnLoop runs f on the loop and waits for it as runOnLoop does. Unlike there, f still runs after errBusy: it
+// applies a change that has been persisted, which therefore has to come into force.
 func (r *Router) awaitOnLoop(f func()) error {
 	done := make(chan struct{})
 	r.runAsync(func() {
--- a/internal/router/takeover.go
+++ b/internal/router/takeover.go
@@ -213,7 +213,7 @@
 
 // acceptClients runs off the loop until the listener is closed or clients are handed over.
 func (r *Router) acceptClients() {
-	const pause = 5 * time.Millisecond // while no descriptors are available
+	const retryDelay = 5 * time.Millisecond // while no descriptors are available
 	var pendingEnrolls []<-chan struct{}
 	for {
 		c, err := r.takeover.listener.Accept()
@@ -221,7 +221,7 @@
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return
 		case err != nil:
-			time.Sleep(pause)
+			time.Sleep(retryDelay)
 			continue
 		}
 		r.takeover.enrolling.Add(1)
@@ -277,10 +277,12 @@
 	}
 }
 
+const helloTimeout = time.Second // for the first frame of a successor
+
 // serveSuccessor handles the connection of one successor until it ends.
 func (r *Router) serveSuccessor(conn *handover.Conn) {
 	t := &r.takeover
-	if frame, err := conn.Receive(time.Second); err != nil || frame.Kind != handover.Hello {
+	if frame, err := conn.Receive(helloTimeout); err != nil || frame.Kind != handover.Hello {
 		return
 	}
 	fd, err := duplicateDescriptor(t.listener)
