--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -75,9 +75,9 @@
 			continue // it is handed over instead
 		}
 		quietFor := now - client.lastActivity
-		mayHaveNoRequest := client.hasReceived || quietFor >= r.limits.IdleClientEvictionAge || isPastDeadline
-		if client.mayClose() && mayHaveNoRequest && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
-			r.close(client.conn)
+		connectGraceOver := client.hasReceived || quietFor >= r.limits.IdleClientEvictionAge || isPastDeadline
+		if client.mayClose() && connectGraceOver && (client.unreadBytes() == 0 || quietFor > r.limits.IdleSweepInterval) && !client.hasUnreadInput() {
+			r.closeConn(client.conn)
 		}
 	}
 	if r.closingClients && r.takeover.unsentFrames == 0 && len(r.clients) == 0 && r.detachedClients == 0 && r.external.openRequests == 0 && !r.stopped {
--- a/internal/router/large_read.go
+++ b/internal/router/large_read.go
@@ -23,15 +23,15 @@
 )
 
 // largeRead is a large value on its way from a server to a client. gnet cannot pause reading, and a large value
-// must not be held in memory as a whole. So both connections leave the loop, and a goroutine copies the value in
+// must not be held in memory completely. So both connections leave the loop, and a goroutine copies the value in
 // chunks; its blocking writes provide back-pressure.
 type largeRead struct {
 	r                *Router
 	upstream         *upstream
 	client           *client
-	serverDescriptor int // of the server's connection
-	received         []byte
-	size             int
+	serverDescriptor int    // of the server's connection
+	received         []byte // what the loop has read of the value and after it; from start on, only what follows the value
+	size             int    // of the value
 	method           routing.Method
 	closeAfter       bool // the server's connection carries nothing after the value
 
@@ -52,7 +52,7 @@
 		return false
 	}
 	client, isRESP2 := attempt.request.responder.(*client)
-	if !isRESP2 { // front ends of other protocols pass on whole values only
+	if !isRESP2 { // front ends of other protocols accept complete values only
 		up.r.answerRequest(attempt.request, wire.Answer{Kind: wire.Failed, TooLarge: true})
 		up.r.endAttempt(attempt, routing.OK, up.r.parseReport(outcome.Report))
 		return true
@@ -114,14 +114,14 @@
 	fd, err := c.conn.Dup()
 	if err != nil {
 		c.r.log.WithError(err).Warn("large value cannot be forwarded")
-		c.r.close(c.conn)
+		c.r.closeConn(c.conn)
 		return
 	}
 	c.slots = c.slots[1:]
 	c.detachedInput = append([]byte(nil), c.unreadInput()...)
 	conn := c.conn
 	c.detachFromLoop()
-	c.r.close(conn)
+	c.r.closeConn(conn)
 	go l.start(fd)
 }
 
@@ -162,6 +162,8 @@
 	c.onClose(false)
 }
 
+const responseBufferBytes = 4096 // for what a server sends after a large value, or in response to a large write
+
 var chunkPool = sync.Pool{New: func() any { return new([]byte) }}
 
 // connFromDescriptor returns a connection for a descriptor, which it closes.
@@ -178,12 +180,12 @@
 	if err != nil {
 		return -1, err
 	}
-	e := raw.Control(func(of uintptr) { fd, err = unix.FcntlInt(of, unix.F_DUPFD_CLOEXEC, 0) })
-	return fd, errors.Join(e, err)
+	controlErr := raw.Control(func(original uintptr) { fd, err = unix.FcntlInt(original, unix.F_DUPFD_CLOEXEC, 0) })
+	return fd, errors.Join(controlErr, err)
 }
 
-// start runs off the loop and copies the value. The client's connection is closed unless the whole value has been
-// written.
+// start runs off the loop and copies the value. The client's connection is closed unless the complete value has
+// been written.
 func (l *largeRead) start(clientDescriptor int) {
 	client, err := connFromDescriptor(clientDescriptor)
 	server, serverErr := connFromDescriptor(l.serverDescriptor)
@@ -352,8 +354,8 @@
 	text, err := json.Marshal(message)
 	var fds []int
 	for _, c := range []net.Conn{l.clientConn, l.serverConn} {
-		fd, e := duplicateDescriptor(c.(*net.TCPConn))
-		if err = errors.Join(err, e); e == nil {
+		fd, dupErr := duplicateDescriptor(c.(*net.TCPConn))
+		if err = errors.Join(err, dupErr); dupErr == nil {
 			fds = append(fds, fd)
 		}
 	}
@@ -381,15 +383,15 @@
 func (r *Router) adoptLargeRead(f handover.Frame) {
 	var message largeReadFrame
 	err := json.Unmarshal(f.Body, &message)
-	clientConn, err1 := connFromDescriptor(f.FDs[0])
-	serverConn, err2 := connFromDescriptor(f.FDs[1])
-	if err = errors.Join(err, err1, err2); err != nil {
+	clientConn, clientErr := connFromDescriptor(f.FDs[0])
+	serverConn, serverErr := connFromDescriptor(f.FDs[1])
+	if err = errors.Join(err, clientErr, serverErr); err != nil {
 		r.log.WithError(err).Warn("large value of the previous process cannot be adopted")
 		return // what remains of it ends with the process
 	}
 	r.runAsync(func() {
 		method := r.methods[message.Method]
-		s := &server{protocol: r.cache}
+		s := &server{protocol: r.cacheCodec}
 		if id, known := r.endpoints.ID(discovery.UID(message.Server)); known && r.servers[id] != nil {
 			s = r.servers[id]
 		}
@@ -418,7 +420,7 @@
 			_ = server.SetDeadline(time.Time{})
 			return err == nil && keep
 		}
-		buffer := make([]byte, 4096)
+		buffer := make([]byte, responseBufferBytes)
 		n, err := server.Read(buffer)
 		if l.received = append(l.received, buffer[:n]...); err != nil {
 			return false
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -83,11 +83,11 @@
 		return
 	}
 	var known []routing.ServerKnowledge
-	for _, e := range update.Endpoints {
-		uid := r.endpoints.UID(e.Server)
-		if x, ok := r.learned.unlistedServers[uid]; ok {
-			x.Server = e.Server
-			known = append(known, x)
+	for _, endpoint := range update.Endpoints {
+		uid := r.endpoints.UID(endpoint.Server)
+		if knowledge, ok := r.learned.unlistedServers[uid]; ok {
+			knowledge.Server = endpoint.Server
+			known = append(known, knowledge)
 			delete(r.learned.unlistedServers, uid)
 		}
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// scheduleSnapshot submits a snapshot after a random interval, so that the routers of a fleet do not do so at the
-// same time.
+// scheduleSnapshot submits a snapshot after 0.75 to 1.25 intervals, chosen at random, so that the routers of a
+// fleet do not do so at the same time.
 func (r *Router) scheduleSnapshot() {
 	learned := r.learned
 	r.after(clock.Time(float64(learned.interval)*(0.75+learned.random.Float64()/2)), func() {
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -98,7 +98,7 @@
 	r.dialFunc(addr, &upstream{r: r, server: s, addr: addr}, func(error) {
 		r.counts.FailedDials++
 		s.dialing--
-		if addr != s.addr { // nothing is known of the new address
+		if addr != s.addr { // the failure says nothing about the new address
 			r.dialQueue = append(r.dialQueue, s)
 		} else if len(s.waitingAttempts) > s.dialing {
 			r.endAttempt(s.waitingAttempts[0], routing.ConnectError, nil)
@@ -154,7 +154,7 @@
 	s := up.server
 	if up.addr != s.addr {
 		up.r.dialQueue = append(up.r.dialQueue, s)
-		up.r.close(up.conn)
+		up.r.closeConn(up.conn)
 		up.r.dialForWaiting()
 		return
 	}
@@ -167,7 +167,7 @@
 		return
 	}
 	if !s.ready {
-		up.r.close(up.conn)
+		up.r.closeConn(up.conn)
 		return
 	}
 	s.idleConns = append(s.idleConns, up)
@@ -289,7 +289,7 @@
 // reach the server that way, the socket is shut down first.
 //
 // An answer without a length lasts until the end of the stream. A reset is no such end: the rest of the value is
-// missing, and the client would get half a value as a whole one.
+// missing, and the client would get a truncated value as a complete one.
 func (up *upstream) onClose(endOfStream bool) {
 	s := up.server
 	up.r.serverConnCount--
@@ -315,7 +315,7 @@
 
 func (r *Router) closeIdleConnections(s *server) {
 	for _, up := range slices.Clone(s.idleConns) {
-		r.close(up.conn)
+		r.closeConn(up.conn)
 	}
 }
 
@@ -327,23 +327,23 @@
 	for client := range r.clients {
 		switch {
 		case client.closeAfterReplies && client.mayClose():
-			r.close(client.conn)
+			r.closeConn(client.conn)
 		case !client.closeAfterReplies && client.isSilent(now):
 			client.closeWithError("nothing whole has come")
 			if client.mayClose() && client.conn != nil {
-				r.close(client.conn)
+				r.closeConn(client.conn)
 			}
 		// Some clients send one request and keep the connection. Clients can hold a limited number of connections,
 		// and would have none left for requests.
 		case !client.closeAfterReplies && now-client.lastActivity >= r.limits.ClientIdleTimeout && client.isQuiet() &&
 			client.unreadBytes() == 0 && !client.hasUnreadInput():
-			r.close(client.conn)
+			r.closeConn(client.conn)
 		}
 	}
 	r.after(r.limits.IdleSweepInterval, r.sweepConnections)
 	for _, s := range r.servers {
 		for len(s.idleConns) > 0 && now-s.idleConns[0].idleSince >= r.limits.ServerIdleTimeout {
-			r.close(s.idleConns[0].conn)
+			r.closeConn(s.idleConns[0].conn)
 		}
 	}
 }
@@ -351,7 +351,7 @@
 // descriptorsInUse returns the number of descriptors held by connections, pending dials and the other processes of
 // this router.
 func (r *Router) descriptorsInUse() int {
-	return r.connCount + descriptorsPerDial*r.pendingDials + r.takeover.peerDescriptors[0] + r.takeover.peerDescriptors[1]
+	return r.connCount + descriptorsPerDial*r.pendingDials + r.takeover.peerDescriptors[predecessorPeer] + r.takeover.peerDescriptors[successorPeer]
 }
 
 // makeRoomToDial closes idle connections until there are descriptors for a dial. Servers get only part of the
@@ -382,11 +382,12 @@
 }
 
 // sharesDescriptors reports whether another process of this router is alive. Clients with admitted requests move
-// between the processes, and the descriptors of both count, so that dials may wait without an excess of clients.
+// between the processes, and the descriptors of both count, so that dials may wait even though there are not too
+// many clients.
 func (r *Router) sharesDescriptors() bool { return r.takeover.peerDescriptors != [2]int{} }
 
 // dialsBlocked reports whether attempts wait for a connection for lack of descriptors, and not because servers
-// have used up their part. Descriptors freed by clients must not go to new clients then: when many clients
+// have used up their own limit. Descriptors freed by clients must not go to new clients then: when many clients
 // reconnected at once, each was too young to be closed, and no attempt ever got a connection.
 func (r *Router) dialsBlocked() bool {
 	return len(r.dialQueue) > 0 && r.serverConnCount+descriptorsPerDial*(r.pendingDials+1) <= r.limits.ServerConnections
@@ -421,7 +422,7 @@
 		return false
 	}
 	r.counts.EvictedConnections++
-	r.close(oldest.conn)
+	r.closeConn(oldest.conn)
 	return true
 }
 
@@ -445,7 +446,7 @@
 		return r.shedClient(requestersOnly)
 	}
 	r.counts.EvictedConnections++
-	r.close(candidate.conn)
+	r.closeConn(candidate.conn)
 	return true
 }
 
@@ -455,24 +456,24 @@
 	r.restoreListedServers(update)
 	r.addEvent(update)
 	kept := map[routing.ServerID]bool{}
-	for _, e := range update.Endpoints {
-		kept[e.Server] = e.State != routing.Removed
-		s := r.servers[e.Server]
+	for _, endpoint := range update.Endpoints {
+		kept[endpoint.Server] = endpoint.State != routing.Removed
+		s := r.servers[endpoint.Server]
 		if s == nil {
-			s = &server{id: e.Server}
-			r.servers[e.Server] = s
-			uid := string(r.endpoints.UID(e.Server))
+			s = &server{id: endpoint.Server}
+			r.servers[endpoint.Server] = s
+			uid := string(r.endpoints.UID(endpoint.Server))
 			r.setBanned(s, r.isBanned(uid), clock.Time(r.operator.state.UnbannedAt[uid])) // before anything is sent to it
 		}
-		s.isOrigin = r.cfg.Settings.OriginKind != "" && e.Kind == r.cfg.Settings.OriginKind
-		if s.protocol = r.cache; s.isOrigin {
-			s.protocol = r.origin
+		s.isOrigin = r.cfg.Settings.OriginKind != "" && endpoint.Kind == r.cfg.Settings.OriginKind
+		if s.protocol = r.cacheCodec; s.isOrigin {
+			s.protocol = r.originCodec
 		}
-		if addr := r.endpoints.Address(e.Server); s.addr != addr {
+		if addr := r.endpoints.Address(endpoint.Server); s.addr != addr {
 			r.closeIdleConnections(s)
 			s.addr = addr
 		}
-		s.listed = e.State == routing.Ready
+		s.listed = endpoint.State == routing.Ready
 		if s.ready = s.listed && !s.banned; !s.ready {
 			r.stopUsing(s)
 		}
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -28,15 +28,15 @@
 	timeoutTimer *timer
 }
 
-// restartWatch starts over at an address with the whole list, since versions there need not continue those seen so
+// restartWatch starts over at an address with the full list, since versions there need not continue those seen so
 // far. Responses to the old watch are ignored, and the last list stays valid until the new one answers.
 func (r *Router) restartWatch(addr string) {
 	if previous := r.watch; previous != nil {
 		previous.superseded = true
-		r.cancel(previous.retryTimer)
-		r.cancel(previous.timeoutTimer)
+		r.cancelTimer(previous.retryTimer)
+		r.cancelTimer(previous.timeoutTimer)
 		if previous.conn != nil {
-			r.close(previous.conn)
+			r.closeConn(previous.conn)
 		}
 		r.endpoints.Invalidate()
 	}
@@ -49,7 +49,7 @@
 	if w.superseded || w.dialing || w.callPending {
 		return
 	}
-	w.r.cancel(w.retryTimer)
+	w.r.cancelTimer(w.retryTimer)
 	if w.conn == nil {
 		w.dialing = true
 		w.r.pendingDials++
@@ -66,7 +66,7 @@
 	if wait == 0 {
 		grace = r.limits.ListTimeout
 	}
-	w.timeoutTimer = r.after(wait+grace, func() { r.close(w.conn) })
+	w.timeoutTimer = r.after(wait+grace, func() { r.closeConn(w.conn) })
 	_, _ = w.conn.Write(httpwire.AppendRequest(nil, "GET", path, w.addr, nil, nil)) // after an error, gnet has closed the connection
 }
 
@@ -74,7 +74,7 @@
 	w.dialing, w.conn = false, conn
 	w.r.pendingDials--
 	if w.superseded {
-		w.r.close(conn)
+		w.r.closeConn(conn)
 		return
 	}
 	w.startCall()
@@ -121,7 +121,7 @@
 	if isLast {
 		answer.Body = bytes.Clone(answer.Body) // the buffer ends with the connection
 		w.callPending = false                  // onClose must not read the response again
-		w.r.close(w.conn)
+		w.r.closeConn(w.conn)
 	}
 	w.handleResponse(answer)
 	if !isLast {
@@ -133,10 +133,10 @@
 // handleResponse applies a list. An invalid response leaves the last list in force.
 func (w *watch) handleResponse(answer httpwire.Response) {
 	w.callPending = false
-	w.r.cancel(w.timeoutTimer)
-	l, err := w.r.endpoints.Apply(answer.Body)
+	w.r.cancelTimer(w.timeoutTimer)
+	update, err := w.r.endpoints.Apply(answer.Body)
 	if answer.Status != http.StatusOK {
-		err = &refusedError{status: answer.Status}
+		err = &rejectedError{status: answer.Status}
 	}
 	if err != nil {
 		w.handleFailure(err)
@@ -146,18 +146,18 @@
 		w.failing = false
 		w.r.log.Info("discovery answers again")
 	}
-	w.r.applyEndpoints(l)
+	w.r.applyEndpoints(update)
 	w.startCall()
 }
 
-// refusedError is a response of discovery without a list, as when it has more calls than it can handle.
-type refusedError struct{ status int }
+// rejectedError is a response of discovery with a status other than 200, as when it has more calls than it can handle.
+type rejectedError struct{ status int }
 
 // Error returns the status.
-func (e *refusedError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *rejectedError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
 // handleFailure keeps the last list in force. If package routing requests the lists, it also decides when to try
-// again. The next call requests the whole list: the server that answers then may number its versions anew, and a
+// again. The next call requests the full list: the server that answers then may number its versions anew, and a
 // response on its way has been lost.
 func (w *watch) handleFailure(err error) {
 	if w.superseded {
@@ -165,17 +165,17 @@
 	}
 	w.callPending = false
 	w.r.endpoints.Invalidate()
-	w.r.cancel(w.timeoutTimer)
+	w.r.cancelTimer(w.timeoutTimer)
 	w.r.counts.FailedDiscoveryCalls++
 	if !w.failing { // logged once per series of failures
 		w.failing = true
 		w.r.log.WithError(err).Warn("a call to discovery failed; going on with the last list")
 	}
 	if w.r.cfg.Settings.PollEndpoints {
-		var refused *refusedError
-		w.r.addEvent(routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: errors.As(err, &refused)})
+		var rejected *rejectedError
+		w.r.addEvent(routing.EndpointsUpdated{Kind: routing.FailedUpdate, Rejected: errors.As(err, &rejected)})
 		return
 	}
-	w.r.cancel(w.retryTimer)
+	w.r.cancelTimer(w.retryTimer)
 	w.retryTimer = w.r.after(w.r.limits.DiscoveryRetryDelay, w.startCall)
 }
