--- a/cmd/cache-routerctl/scalecapacity_test.go
+++ b/cmd/cache-routerctl/scalecapacity_test.go
@@ -25,8 +25,8 @@
 	for _, size := range []int{50, 100, 200, 400, 800} {
 		for seed := range 3 {
 			settled := 4 + float64(seed)
-			file.Trials = append(file.Trials, result.Trial{Topology: result.Flat, Fault: result.Rest, Seed: uint64(seed), Routers: size, Sites: size / 10,
-				PerRouter: result.Usage{BytesIn: float64(size + seed)}, Settled: &settled})
+			file.Trials = append(file.Trials, result.Trial{Topology: result.Flat, Fault: result.NoFault, Seed: uint64(seed), Routers: size, Sites: size / 10,
+				PerRouter: result.Usage{BytesIn: float64(size + seed)}, ConvergenceTime: &settled})
 		}
 	}
 	text, err := json.Marshal(file)
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -20,7 +20,7 @@
 
 var (
 	topologies = []result.Topology{result.Flat, result.Tiered}
-	faults     = []result.Fault{result.Rest, result.Loss, result.RegionCut, result.Restarts, result.RestartsX, result.SpeakerEnd}
+	faults     = []result.Fault{result.NoFault, result.PacketLoss, result.RegionPartition, result.Restarts, result.RestartsTenfold, result.RepresentativeKilled}
 )
 
 type checker struct {
@@ -90,7 +90,7 @@
 }
 
 // faultsOfReal are those under which the network itself loses nothing: the links of real processes cannot be struck.
-var faultsOfReal = []result.Fault{result.Rest, result.Restarts, result.RestartsX}
+var faultsOfReal = []result.Fault{result.NoFault, result.Restarts, result.RestartsTenfold}
 
 func (c *checker) real(s *Scenario) {
 	c.within("real", s.Real, 0, mostReal)
@@ -112,9 +112,9 @@
 	for i, f := range s.Faults {
 		field := fmt.Sprintf("faults[%d]", i)
 		oneOf(c, field, f, faults)
-		c.want(f != result.SpeakerEnd || s.Topology == result.Tiered, field, "a flat fleet has no representatives", `write topology = "tiered", or another fault`)
+		c.want(f != result.RepresentativeKilled || s.Topology == result.Tiered, field, "a flat fleet has no representatives", `write topology = "tiered", or another fault`)
 		for _, n := range s.Sizes {
-			c.want(f != result.RegionCut || s.regions(max(1, n)) > 1, field, fmt.Sprintf("%d routers are one region", n),
+			c.want(f != result.RegionPartition || s.regions(max(1, n)) > 1, field, fmt.Sprintf("%d routers are one region", n),
 				"write fewer routers_per_site or sites_per_region, or larger sizes")
 		}
 	}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -20,18 +20,18 @@
 // strike has the trial's fault strike until a time.
 func (t *trial) strike(ctx context.Context, until time.Time) error {
 	switch t.out.Fault {
-	case result.RegionCut:
+	case result.RegionPartition:
 		perRegion := t.scenario.RoutersPerSite * t.scenario.SitesPerRegion
 		if err := t.link(linkState{Cut: []int{0, perRegion}}); err != nil {
 			return err
 		}
 	case result.Restarts:
 		return t.restart(ctx, until, 1)
-	case result.RestartsX:
+	case result.RestartsTenfold:
 		return t.restart(ctx, until, herd)
-	case result.SpeakerEnd:
-		t.out.Loss = t.scenario.Loss
-		if err := t.link(linkState{Loss: t.out.Loss}); err != nil {
+	case result.RepresentativeKilled:
+		t.out.LossRate = t.scenario.Loss
+		if err := t.link(linkState{Loss: t.out.LossRate}); err != nil {
 			return err
 		}
 		return t.killRepresentatives(ctx, until)
@@ -42,11 +42,11 @@
 // heal ends what a fault left, and measures how long it takes until all agree again. A loss stays.
 func (t *trial) heal(ctx context.Context) error {
 	switch t.out.Fault {
-	case result.RegionCut:
+	case result.RegionPartition:
 		if err := t.link(linkState{}); err != nil {
 			return err
 		}
-	case result.Restarts, result.RestartsX, result.SpeakerEnd:
+	case result.Restarts, result.RestartsTenfold, result.RepresentativeKilled:
 	default:
 		return nil
 	}
@@ -105,7 +105,7 @@
 			return err
 		}
 		if end.Kind != "" && t.away.leave(end.Router) {
-			t.out.Events++
+			t.out.RouterKills++
 			t.away.Go(func() { t.away.back(end.Router, t.again(ctx, end, away)) })
 		}
 		select {
--- a/internal/lab/scale/rates.go
+++ b/internal/lab/scale/rates.go
@@ -19,7 +19,7 @@
 
 // rates makes the trial's rates of two counts.
 func (t *trial) rates(before, after []reply, span time.Duration) {
-	t.out.Measured = span.Seconds()
+	t.out.Window = span.Seconds()
 	each := float64(t.hollowRouters())
 	was := totals(before)
 	var sum, worst routerRate
@@ -36,7 +36,7 @@
 		memory += worker.Usage.Memory
 	}
 	used := result.Usage{CPU: max(0, cpu.Seconds()/span.Seconds()/each-t.out.Harness.CPU), Memory: max(0, float64(memory)/each-t.out.Harness.Memory)}
-	t.out.PerRouter, t.out.Worst = sum.usage(each, used), worst.usage(1, used)
+	t.out.PerRouter, t.out.Busiest = sum.usage(each, used), worst.usage(1, used)
 	t.out.Mechanisms = nil
 	for m := range fleet.TrafficKinds {
 		in, out := sum[m].received, sum[m].sent
--- a/internal/lab/scale/realtrial.go
+++ b/internal/lab/scale/realtrial.go
@@ -45,5 +45,5 @@
 	if t.real == nil {
 		return
 	}
-	t.out.Real = &result.Real{Routers: len(after.members), PerRouter: realMean(before.members, after.members, span), Alone: realMean(before.alone, after.alone, span)}
+	t.out.Real = &result.RealRouters{Routers: len(after.members), PerRouter: realMean(before.members, after.members, span), WithoutFleet: realMean(before.alone, after.alone, span)}
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -84,15 +84,15 @@
 func (s Scenario) Kept(trials []result.Trial) error {
 	var sizes, bytes []float64
 	for _, t := range trials {
-		if t.Fault != result.Rest || t.Incomplete != "" {
+		if t.Fault != result.NoFault || t.Incomplete != "" {
 			continue
 		}
 		b := t.PerRouter.BytesIn + t.PerRouter.BytesOut
 		if s.Bound.Bytes > 0 && b > s.Bound.Bytes {
 			return fmt.Errorf("bound.bytes_per_s: a router of %d used %.0f B/s, and %.0f were allowed", t.Routers, b, s.Bound.Bytes)
 		}
-		if most := time.Duration(s.Bound.Settled); most > 0 && (t.AllSettled == nil || *t.AllSettled > most.Seconds()) {
-			return fmt.Errorf("bound.settled: %d routers settled in: %s, and %v was allowed", t.Routers, span(t.AllSettled), most)
+		if most := time.Duration(s.Bound.Settled); most > 0 && (t.ConvergenceKnownTime == nil || *t.ConvergenceKnownTime > most.Seconds()) {
+			return fmt.Errorf("bound.settled: %d routers settled in: %s, and %v was allowed", t.Routers, span(t.ConvergenceKnownTime), most)
 		}
 		sizes, bytes = append(sizes, math.Log(float64(t.Routers))), append(bytes, math.Log(b))
 	}
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -31,11 +31,11 @@
 
 func TestRun(t *testing.T) {
 	for _, s := range []Scenario{
-		small(result.Flat, result.Rest, 5),
-		small(result.Flat, result.RegionCut, 8),
-		small(result.Flat, result.RestartsX, 4),
-		small(result.Tiered, result.Loss, 8),
-		small(result.Tiered, result.SpeakerEnd, 8),
+		small(result.Flat, result.NoFault, 5),
+		small(result.Flat, result.RegionPartition, 8),
+		small(result.Flat, result.RestartsTenfold, 4),
+		small(result.Tiered, result.PacketLoss, 8),
+		small(result.Tiered, result.RepresentativeKilled, 8),
 	} {
 		t.Run(fmt.Sprintf("%s_%s", s.Topology, s.Faults[0]), func(t *testing.T) {
 			t.Parallel()
@@ -44,14 +44,14 @@
 				t.Fatal(file, err)
 			}
 			got := file.Trials[0]
-			if got.Settled == nil || got.AllSettled == nil || got.Change == nil {
+			if got.ConvergenceTime == nil || got.ConvergenceKnownTime == nil || got.PropagationTime == nil {
 				t.Errorf("it did not settle, or a change was not known everywhere: %+v", got)
 			}
-			if got.PerRouter.BytesIn == 0 || got.PerRouter.MessagesOut == 0 || len(got.Mechanisms) == 0 || got.Measured < 2 {
+			if got.PerRouter.BytesIn == 0 || got.PerRouter.MessagesOut == 0 || len(got.Mechanisms) == 0 || got.Window < 2 {
 				t.Errorf("nothing was counted: %+v", got)
 			}
-			if restarted := got.Fault == result.RestartsX || got.Fault == result.SpeakerEnd; restarted != (got.Events > 0) {
-				t.Errorf("%d routers were ended", got.Events)
+			if restarted := got.Fault == result.RestartsTenfold || got.Fault == result.RepresentativeKilled; restarted != (got.RouterKills > 0) {
+				t.Errorf("%d routers were ended", got.RouterKills)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range []Scenario{small(result.Flat, result.Rest, 4), small(result.Tiered, result.RestartsX, 8)} {
+	for _, s := range []Scenario{small(result.Flat, result.NoFault, 4), small(result.Tiered, result.RestartsTenfold, 8)} {
 		t.Run(string(s.Topology), func(t *testing.T) {
 			s.Real = 2
 			o := options()
@@ -73,13 +73,13 @@
 				t.Fatal(file, err)
 			}
 			got := file.Trials[0]
-			if got.AllSettled == nil || got.Change == nil {
+			if got.ConvergenceKnownTime == nil || got.PropagationTime == nil {
 				t.Errorf("it did not settle, or a change was not known everywhere: %+v", got)
 			}
 			if got.Real == nil || got.Real.Routers != 2 {
 				t.Fatalf("no real routers: %+v", got)
 			}
-			if p, alone := got.Real.PerRouter, got.Real.Alone; p.BytesIn == 0 || p.BytesOut == 0 || p.Memory == 0 || alone.BytesOut != 0 || alone.Memory == 0 {
+			if p, alone := got.Real.PerRouter, got.Real.WithoutFleet; p.BytesIn == 0 || p.BytesOut == 0 || p.Memory == 0 || alone.BytesOut != 0 || alone.Memory == 0 {
 				t.Errorf("%+v", *got.Real)
 			}
 		})
@@ -91,7 +91,7 @@
 
 // A program that ends at once makes the trial an incomplete one, and leaves nothing running.
 func TestRealRouterThatEndsIsTold(t *testing.T) {
-	s := small(result.Flat, result.Rest, 3)
+	s := small(result.Flat, result.NoFault, 3)
 	s.Real = 1
 	o := options()
 	o.Router = "/bin/false"
@@ -106,7 +106,7 @@
 
 // What a router sends is what others receive.
 func TestSentIsReceived(t *testing.T) {
-	file, err := Run(t.Context(), small(result.Flat, result.Rest, 4), options())
+	file, err := Run(t.Context(), small(result.Flat, result.NoFault, 4), options())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 
 // An interrupted run keeps what is finished, and leaves no worker running.
 func TestInterruptedRunKeepsFinishedTrials(t *testing.T) {
-	s := small(result.Flat, result.Rest, 2)
+	s := small(result.Flat, result.NoFault, 2)
 	s.Sizes = []int{2, 4}
 	s.Measure = Span(time.Second)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -138,10 +138,10 @@
 func TestWorkerThatEndsLeavesNothingRunning(t *testing.T) {
 	o := options()
 	o.Program = []string{"/bin/true"}
-	if _, err := Run(t.Context(), small(result.Flat, result.Rest, 2), o); err != nil {
+	if _, err := Run(t.Context(), small(result.Flat, result.NoFault, 2), o); err != nil {
 		t.Fatal(err) // it is in the trial
 	}
-	file, _ := Run(t.Context(), small(result.Flat, result.Rest, 2), o)
+	file, _ := Run(t.Context(), small(result.Flat, result.NoFault, 2), o)
 	if len(file.Trials) != 1 || !strings.Contains(file.Trials[0].Incomplete, "a worker has ended") {
 		t.Errorf("%+v", file.Trials)
 	}
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -72,7 +72,7 @@
 // Default is a scenario before its file is read.
 func Default() Scenario {
 	return Scenario{Topology: result.Flat, Seeds: []uint64{1}, RoutersPerSite: 18, SitesPerRegion: 18, Probe: Span(time.Second),
-		Faults: []result.Fault{result.Rest}, Loss: 0.02, Settle: Span(time.Minute), Calm: Span(5 * time.Second),
+		Faults: []result.Fault{result.NoFault}, Loss: 0.02, Settle: Span(time.Minute), Calm: Span(5 * time.Second),
 		Measure: Span(20 * time.Second),
 		Change:  Span(30 * time.Second), KillEvery: Span(time.Second), BackAfter: Span(5 * time.Second), Processes: mostProcesses, Starts: 8}
 }
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -72,13 +72,13 @@
 	s := Default()
 	s.Sizes, s.Seeds = []int{12, 25}, []uint64{1, 2}
 	part, err := s.Part([]int{25}, []uint64{2}, nil)
-	if err != nil || len(part.plans()) != 1 || part.plans()[0] != (plan{result.Rest, 25, 2}) {
+	if err != nil || len(part.plans()) != 1 || part.plans()[0] != (plan{result.NoFault, 25, 2}) {
 		t.Errorf("%v, %v", part.plans(), err)
 	}
 	if _, err := s.Part([]int{26}, nil, nil); err == nil {
 		t.Error("a size that the scenario does not have was taken")
 	}
-	if _, err := s.Part(nil, nil, []result.Fault{result.Loss}); err == nil {
+	if _, err := s.Part(nil, nil, []result.Fault{result.PacketLoss}); err == nil {
 		t.Error("a fault that the scenario does not have was taken")
 	}
 }
@@ -90,7 +90,7 @@
 	settled, late := 8.0, 12.0
 	trials := func(bytes ...float64) (all []result.Trial) {
 		for i, b := range bytes {
-			all = append(all, result.Trial{Fault: result.Rest, Routers: s.Sizes[i], PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2}, AllSettled: &settled})
+			all = append(all, result.Trial{Fault: result.NoFault, Routers: s.Sizes[i], PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2}, ConvergenceKnownTime: &settled})
 		}
 		return all
 	}
@@ -98,7 +98,7 @@
 		t.Error(err)
 	}
 	unsettled, slow := trials(1000, 1000, 1000), trials(1000, 1000, 1000)
-	unsettled[1].AllSettled, slow[1].AllSettled = nil, &late
+	unsettled[1].ConvergenceKnownTime, slow[1].ConvergenceKnownTime = nil, &late
 	for _, c := range []struct {
 		trials []result.Trial
 		want   string
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -16,7 +16,7 @@
 	for _, x := range trials {
 		u := x.PerRouter
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.0f\t%.0f\t%.1f\t%.2f%%\t%.2f\t%s\t%s\t%s\t%s\t\n", x.Topology, x.Fault, x.Routers, x.Seed, u.BytesIn, u.BytesOut,
-			u.MessagesIn+u.MessagesOut, 100*u.CPU, u.Memory/1e6, span(x.Settled), span(x.AllSettled), span(x.Change), mechanisms(x)+real(x)+incomplete(x))
+			u.MessagesIn+u.MessagesOut, 100*u.CPU, u.Memory/1e6, span(x.ConvergenceTime), span(x.ConvergenceKnownTime), span(x.PropagationTime), mechanisms(x)+real(x)+incomplete(x))
 	}
 	return t.Flush()
 }
@@ -47,14 +47,14 @@
 func summary(t result.Trial) string {
 	u := t.PerRouter
 	return fmt.Sprintf("%.0f B/s (%s), %.2f%% of a core, %.2f MB, agreed %s, all settled %s, change %s%s%s", u.BytesIn+u.BytesOut, mechanisms(t),
-		100*u.CPU, u.Memory/1e6, span(t.Settled), span(t.AllSettled), span(t.Change), others(t), real(t)+incomplete(t))
+		100*u.CPU, u.Memory/1e6, span(t.ConvergenceTime), span(t.ConvergenceKnownTime), span(t.PropagationTime), others(t), real(t)+incomplete(t))
 }
 
 func real(t result.Trial) string {
 	if t.Real == nil {
 		return ""
 	}
-	p, alone := t.Real.PerRouter, t.Real.Alone
+	p, alone := t.Real.PerRouter, t.Real.WithoutFleet
 	return fmt.Sprintf("; %d real: %.0f B/s, %.2f%% of a core and %.2f MB more than alone (%.1f MB)", t.Real.Routers, p.BytesIn+p.BytesOut, 100*(p.CPU-alone.CPU),
 		(p.Memory-alone.Memory)/1e6, alone.Memory/1e6)
 }
--- a/internal/lab/scale/trial.go
+++ b/internal/lab/scale/trial.go
@@ -63,7 +63,7 @@
 	defer ws.end()
 	t := &trial{scenario: s, specs: map[int]routerSpec{}, away: away{gone: map[int]bool{}}, network: n, workers: ws, random: rand.New(rand.NewPCG(p.seed, uint64(p.size))), most: o.Machine.Memory / 2, isReal: map[int]bool{},
 		out: result.Trial{Topology: s.Topology, Fault: p.fault, Seed: p.seed, Routers: p.size, Sites: s.sites(p.size), Regions: s.regions(p.size),
-			Probe: time.Duration(s.Probe).Seconds()}}
+			ProbeInterval: time.Duration(s.Probe).Seconds()}}
 	t.order = t.random.Perm(p.size)
 	for _, index := range realIndexes(s.Real, p.size) {
 		t.isReal[index] = true
@@ -88,9 +88,9 @@
 	if err := t.measureHarness(ctx); err != nil {
 		return err
 	}
-	if t.out.Fault == result.Loss {
-		t.out.Loss = t.scenario.Loss
-		if err := t.link(linkState{Loss: t.out.Loss}); err != nil {
+	if t.out.Fault == result.PacketLoss {
+		t.out.LossRate = t.scenario.Loss
+		if err := t.link(linkState{Loss: t.out.LossRate}); err != nil {
 			return err
 		}
 	}
@@ -232,19 +232,19 @@
 
 // settle waits until all views agree, since a time.
 func (t *trial) settle(ctx context.Context, since time.Time) error {
-	t.out.Settled, t.out.AllSettled = nil, nil
+	t.out.ConvergenceTime, t.out.ConvergenceKnownTime = nil, nil
 	for time.Since(since) < time.Duration(t.scenario.Settle) {
 		agreed, settled, err := t.agreement()
 		if err != nil {
 			return err
 		}
 		if !agreed {
-			t.out.Settled = nil // they did for a moment alone
-		} else if t.out.Settled == nil {
-			t.out.Settled = seconds(since)
+			t.out.ConvergenceTime = nil // they did for a moment alone
+		} else if t.out.ConvergenceTime == nil {
+			t.out.ConvergenceTime = seconds(since)
 		}
 		if agreed && settled {
-			t.out.AllSettled = seconds(since)
+			t.out.ConvergenceKnownTime = seconds(since)
 			return nil
 		}
 		if err := sleep(ctx, statusEvery); err != nil {
@@ -353,7 +353,7 @@
 		striking.Wait()
 		t.away.Wait()
 	}()
-	if t.out.Fault == result.SpeakerEnd {
+	if t.out.Fault == result.RepresentativeKilled {
 		until := time.Now().Add(time.Duration(t.scenario.Change) + time.Duration(killsBeforeChange*t.scenario.KillEvery))
 		striking.Go(func() { _ = t.killRepresentatives(ctx, until) }) // it ends with the change
 		if err := sleep(ctx, time.Duration(killsBeforeChange*t.scenario.KillEvery)); err != nil {
@@ -376,7 +376,7 @@
 			return err
 		}
 		if known == running {
-			t.out.Change = seconds(begin)
+			t.out.PropagationTime = seconds(begin)
 			return nil
 		}
 		if err := sleep(ctx, knownEvery); err != nil {
--- a/internal/lab/scale/trial_test.go
+++ b/internal/lab/scale/trial_test.go
@@ -101,7 +101,7 @@
 	if p := tr.out.PerRouter; p.BytesOut != 200 || p.BytesIn != 200 || p.MessagesOut != 2 || p.CPU != 0.049 || p.Memory != 4000 {
 		t.Errorf("mean: %+v", p)
 	}
-	if w := tr.out.Worst; w.BytesOut != 300 || w.BytesIn != 300 {
+	if w := tr.out.Busiest; w.BytesOut != 300 || w.BytesIn != 300 {
 		t.Errorf("worst: %+v", w)
 	}
 	want := []result.Mechanism{{Name: "probe", Bytes: 200, Messages: 2}, {Name: "full_state", Bytes: 200, Messages: 2}}
--- a/internal/scale/capacity/breaks.go
+++ b/internal/scale/capacity/breaks.go
@@ -78,7 +78,7 @@
 	}
 	var all []Break
 	for _, l := range limits {
-		all = append(all, measuredBreak(e, Key{topology, result.Rest, l.figure}, l.what, l.limit))
+		all = append(all, measuredBreak(e, Key{topology, result.NoFault, l.figure}, l.what, l.limit))
 	}
 	return all
 }
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -194,9 +194,9 @@
 		for seed := 1; seed <= 3; seed++ {
 			b := bytes(float64(size), seed)
 			settled, change := 5.0, 1.0
-			all = append(all, result.Trial{Topology: topology, Fault: fault, Seed: uint64(seed), Routers: size, Sites: size / 10, Probe: 1,
-				PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2, CPU: 0.001, Memory: 1e6}, Worst: result.Usage{BytesOut: 2 * b},
-				Mechanisms: []result.Mechanism{{Name: "probe", Bytes: b}}, Settled: &settled, Change: &change})
+			all = append(all, result.Trial{Topology: topology, Fault: fault, Seed: uint64(seed), Routers: size, Sites: size / 10, ProbeInterval: 1,
+				PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2, CPU: 0.001, Memory: 1e6}, Busiest: result.Usage{BytesOut: 2 * b},
+				Mechanisms: []result.Mechanism{{Name: "probe", Bytes: b}}, ConvergenceTime: &settled, PropagationTime: &change})
 		}
 	}
 	return all
@@ -212,24 +212,24 @@
 func TestEstimatesSayWhatTheyRestOn(t *testing.T) {
 	target := ourTarget(t)
 	target.Routers = 3200
-	evidence := Gather([]Measured{{Name: "made.json", File: result.File{Trials: append(made(result.Flat, result.Rest, manySizes, linear),
-		made(result.Tiered, result.Rest, fewSizes, linear)...)}}})
+	evidence := Gather([]Measured{{Name: "made.json", File: result.File{Trials: append(made(result.Flat, result.NoFault, manySizes, linear),
+		made(result.Tiered, result.NoFault, fewSizes, linear)...)}}})
 
-	e := predicted(evidence, target, Key{result.Flat, result.Rest, FigureBytes})
+	e := predicted(evidence, target, Key{result.Flat, result.NoFault, FigureBytes})
 	if e.Basis != Extrapolated || e.Factor != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
 		t.Errorf("%+v", e)
 	}
 	target.Routers = 1000
-	if e := predicted(evidence, target, Key{result.Flat, result.Rest, FigureBytes}); e.Basis != FromRuns {
+	if e := predicted(evidence, target, Key{result.Flat, result.NoFault, FigureBytes}); e.Basis != FromRuns {
 		t.Errorf("%+v", e)
 	}
-	if e := predicted(evidence, target, Key{result.Tiered, result.Rest, FigureBytes}); e.Basis != Missing || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
+	if e := predicted(evidence, target, Key{result.Tiered, result.NoFault, FigureBytes}); e.Basis != Missing || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
 		t.Errorf("%+v", e)
 	}
-	if e := predicted(evidence, target, Key{result.Flat, result.RegionCut, FigureBytes}); e.Basis != Missing || e.Note != "no trial" {
+	if e := predicted(evidence, target, Key{result.Flat, result.RegionPartition, FigureBytes}); e.Basis != Missing || e.Note != "no trial" {
 		t.Errorf("%+v", e)
 	}
-	both := sum(counted(100, BytesPerSecond, ""), predicted(evidence, target, Key{result.Flat, result.Rest, FigureBytes}))
+	both := sum(counted(100, BytesPerSecond, ""), predicted(evidence, target, Key{result.Flat, result.NoFault, FigureBytes}))
 	if both.Basis != FromRuns || math.Abs(both.Value-2200) > 25 {
 		t.Errorf("%+v", both)
 	}
@@ -239,18 +239,18 @@
 }
 
 func TestTrialsThatCountForNothing(t *testing.T) {
-	trials := made(result.Flat, result.Rest, manySizes, linear)
-	trials[4].Settled = nil
+	trials := made(result.Flat, result.NoFault, manySizes, linear)
+	trials[4].ConvergenceTime = nil
 	trials[5].Incomplete = "it was interrupted"
 	evidence := Gather([]Measured{{File: result.File{Trials: trials}}})
 	if len(evidence.Incomplete) != 1 || evidence.Incomplete[0].Why != "it was interrupted" || evidence.Incomplete[0].Routers != 100 {
 		t.Errorf("%+v", evidence.Incomplete)
 	}
-	settled := evidence.Of(Key{result.Flat, result.Rest, FigureSettled})
+	settled := evidence.Of(Key{result.Flat, result.NoFault, FigureSettled})
 	if settled.Choice != nil || settled.Absent != 1 || settled.AbsentN != 100 {
 		t.Errorf("fitted, with a fleet left out that never settled: %+v", settled)
 	}
-	if bytes := evidence.Of(Key{result.Flat, result.Rest, FigureBytes}); len(bytes.Points) != len(trials)-1 || bytes.Choice == nil || bytes.Choice.Form != slope.Linear {
+	if bytes := evidence.Of(Key{result.Flat, result.NoFault, FigureBytes}); len(bytes.Points) != len(trials)-1 || bytes.Choice == nil || bytes.Choice.Form != slope.Linear {
 		t.Errorf("%+v", bytes)
 	}
 }
@@ -258,7 +258,7 @@
 func TestWhatBreaksFirst(t *testing.T) {
 	target := ourTarget(t)
 	steep := func(size float64, seed int) float64 { return linear(size, seed) / 2 }
-	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.Rest, manySizes, steep)}}})
+	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, steep)}}})
 	flat := breaks(target, evidence, today(target, nil), nil)[0].All
 	want := []struct {
 		what string
@@ -291,12 +291,12 @@
 		}
 		return 2001
 	}
-	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.Rest, fewSizes, steep)}}})
-	b := measuredBreak(evidence, Key{result.Flat, result.Rest, FigureBytes}, "bytes", target.Control.BytesPerSecond)
+	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.NoFault, fewSizes, steep)}}})
+	b := measuredBreak(evidence, Key{result.Flat, result.NoFault, FigureBytes}, "bytes", target.Control.BytesPerSecond)
 	if b.Size != 100 || b.Basis != FromRuns || !strings.Contains(b.From, "not fitted") {
 		t.Errorf("%+v", b)
 	}
-	if b := measuredBreak(evidence, Key{result.Flat, result.Rest, FigureMemory}, "memory", target.Control.MemoryBytes); b.Size != 0 || b.Basis != Missing {
+	if b := measuredBreak(evidence, Key{result.Flat, result.NoFault, FigureMemory}, "memory", target.Control.MemoryBytes); b.Size != 0 || b.Basis != Missing {
 		t.Errorf("%+v", b)
 	}
 }
@@ -342,7 +342,7 @@
 			return 1000
 		}, 100},
 	} {
-		report := Work(target, []Measured{{File: result.File{Trials: made(result.Flat, result.Rest, manySizes, c.bytes)}}}, nil)
+		report := Work(target, []Measured{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
 		if len(report.Held) != 1 || report.Held[0].Size != c.size || report.Held[0].Largest != 1600 {
 			t.Errorf("%+v, want %d", report.Held, c.size)
 		}
@@ -392,9 +392,9 @@
 
 // Hollow routers beside real ones are no further seed of fleets of hollow ones alone.
 func TestRealRoutersStandApart(t *testing.T) {
-	hollow := made(result.Tiered, result.Rest, manySizes, func(float64, int) float64 { return 600 })
-	beside := result.Trial{Topology: result.Tiered, Fault: result.Rest, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
-		Real: &result.Real{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, Alone: result.Usage{CPU: 0.001, Memory: 7e6}}}
+	hollow := made(result.Tiered, result.NoFault, manySizes, func(float64, int) float64 { return 600 })
+	beside := result.Trial{Topology: result.Tiered, Fault: result.NoFault, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
+		Real: &result.RealRouters{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, WithoutFleet: result.Usage{CPU: 0.001, Memory: 7e6}}}
 	target := ourTarget(t)
 	alone := Work(target, []Measured{{File: result.File{Trials: hollow}}}, nil)
 	both := Work(target, []Measured{{File: result.File{Trials: append(hollow, beside)}}}, nil)
--- a/internal/scale/capacity/measured.go
+++ b/internal/scale/capacity/measured.go
@@ -219,13 +219,13 @@
 	plain(FigureMessages, u.MessagesIn+u.MessagesOut)
 	plain(FigureCPU, u.CPU)
 	plain(FigureMemory, u.Memory)
-	plain(FigureWorst, trial.Worst.BytesIn+trial.Worst.BytesOut)
+	plain(FigureWorst, trial.Busiest.BytesIn+trial.Busiest.BytesOut)
 	for _, m := range trial.Mechanisms {
 		plain(mechanismFigure(m.Name), m.Bytes)
 	}
-	add(FigureSettled, trial.Settled)
-	add(FigureKnown, trial.AllSettled)
-	add(FigureChange, trial.Change)
+	add(FigureSettled, trial.ConvergenceTime)
+	add(FigureKnown, trial.ConvergenceKnownTime)
+	add(FigureChange, trial.PropagationTime)
 }
 
 // fit chooses a form. A series with absent figures is not fitted: what is left is the good part of it.
--- a/internal/scale/capacity/page.go
+++ b/internal/scale/capacity/page.go
@@ -108,8 +108,8 @@
 		spent += g.Chosen.Router
 	}
 	p := purging(t, t.Control.BytesPerSecond-spent)
-	membership := predicted(e, t, Key{result.Tiered, result.Rest, FigureBytes})
-	ofRepresentative := predicted(e, t, Key{result.Tiered, result.Rest, FigureWorst})
+	membership := predicted(e, t, Key{result.Tiered, result.NoFault, FigureBytes})
+	ofRepresentative := predicted(e, t, Key{result.Tiered, result.NoFault, FigureWorst})
 	r := Report{Target: t, Peak: peak(t), Sizes: sizeRows(e, atRest), Faults: sizeRows(e, func(f result.Fault) bool { return !atRest(f) }), Parts: partsRows(e), Real: realRows(e), Slopes: e.Series, Roles: roles(t, e, now, p, ofLeader), Breaks: breaks(t, e, now, ofLeader),
 		Today: now, Grants: g, Purging: p, Budget: budget(t, g, p, membership, ofRepresentative), Excluded: e.Incomplete, Leader: ofLeader}
 	for _, f := range e.Files {
@@ -123,7 +123,7 @@
 func source(f Measured) Source {
 	probes, perSite, perRegion := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, trial := range f.Trials {
-		probes[digits(trial.Probe)] = true
+		probes[digits(trial.ProbeInterval)] = true
 		if trial.Sites > 0 {
 			perSite[rounded(trial.Routers, trial.Sites)] = true
 		}
@@ -231,8 +231,8 @@
 			row.Processes += t.Real.Routers
 		}
 		row.Bytes, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.BytesIn + t.Real.PerRouter.BytesOut) })
-		row.CPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.CPU - t.Real.Alone.CPU) })
-		row.Memory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.Memory - t.Real.Alone.Memory) })
+		row.CPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.CPU - t.Real.WithoutFleet.CPU) })
+		row.Memory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.Memory - t.Real.WithoutFleet.Memory) })
 		row.HollowBytes, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.BytesIn + t.PerRouter.BytesOut) })
 		row.HollowCPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.CPU) })
 		row.HollowMemory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.Memory) })
@@ -241,7 +241,7 @@
 	return rows
 }
 
-func atRest(f result.Fault) bool { return f == result.Rest }
+func atRest(f result.Fault) bool { return f == result.NoFault }
 
 // sizeRows are by topology, fault and size.
 func sizeRows(e Evidence, wanted func(result.Fault) bool) (rows []SizeRow) {
@@ -250,12 +250,12 @@
 		all := trials[g]
 		row := SizeRow{Topology: g.topology, Fault: g.fault, Routers: g.routers, Seeds: len(all)}
 		row.Bytes, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.BytesIn + t.PerRouter.BytesOut) })
-		row.Worst, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Worst.BytesIn + t.Worst.BytesOut) })
+		row.Worst, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Busiest.BytesIn + t.Busiest.BytesOut) })
 		row.CPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.CPU) })
 		row.Memory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.Memory) })
-		row.Settled, row.Settles = spread(all, func(t result.Trial) *float64 { return t.Settled })
-		row.Known, row.Knows = spread(all, func(t result.Trial) *float64 { return t.AllSettled })
-		row.Change, row.Changes = spread(all, func(t result.Trial) *float64 { return t.Change })
+		row.Settled, row.Settles = spread(all, func(t result.Trial) *float64 { return t.ConvergenceTime })
+		row.Known, row.Knows = spread(all, func(t result.Trial) *float64 { return t.ConvergenceKnownTime })
+		row.Change, row.Changes = spread(all, func(t result.Trial) *float64 { return t.PropagationTime })
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/scale/capacity/roles.go
+++ b/internal/scale/capacity/roles.go
@@ -126,7 +126,7 @@
 // measuredRow is a figure of a topology in all three situations.
 func measuredRow(e Evidence, t Target, topology result.Topology, figure Figure, quantity, mechanism string) Row {
 	at := func(fault result.Fault) Estimate { return predicted(e, t, Key{topology, fault, figure}) }
-	return Row{Quantity: quantity, Ordinary: at(result.Rest), Herd: at(result.RestartsX), Cut: at(result.RegionCut), Mechanism: mechanism}
+	return Row{Quantity: quantity, Ordinary: at(result.NoFault), Herd: at(result.RestartsTenfold), Cut: at(result.RegionPartition), Mechanism: mechanism}
 }
 
 func roles(t Target, e Evidence, now Today, p Purging, ofLeader *LeaderSlopes) []Role {
@@ -181,8 +181,8 @@
 
 func representative(t Target, e Evidence) Role {
 	row := measuredRow(e, t, result.Tiered, FigureWorst, "bytes in and out, of the router with the most", "summaries among sites and regions, beside its own site")
-	killed := predicted(e, t, Key{result.Tiered, result.SpeakerEnd, FigureWorst})
-	change := predicted(e, t, Key{result.Tiered, result.SpeakerEnd, FigureChange})
+	killed := predicted(e, t, Key{result.Tiered, result.RepresentativeKilled, FigureWorst})
+	change := predicted(e, t, Key{result.Tiered, result.RepresentativeKilled, FigureChange})
 	return Role{Name: "Router that represents its site (tiered membership)", Note: "Processor time and memory are counted per process of many routers: as in the mean router.", Rows: []Row{
 		row.within(t.Control.BytesPerSecond, BytesPerSecond),
 		{Quantity: "the same, one representative killed each second", Ordinary: killed, Herd: missing("no trial"), Cut: missing("no trial"),
