--- a/cmd/cache-routerctl/scalecapacity.go
+++ b/cmd/cache-routerctl/scalecapacity.go
@@ -50,7 +50,7 @@
 func workCapacity(target string, files []string, ofLeader string) (capacity.Report, error) {
 	text, err := os.ReadFile(target)
 	if err != nil {
-		return capacity.Report{}, capacity.FieldError{File: target, Field: "the file", What: err.Error(), Remedy: "name the file of a fleet, as docs/scale/target.toml"}
+		return capacity.Report{}, capacity.FieldError{File: target, Field: "the file", Problem: err.Error(), Remedy: "name the file of a fleet, as docs/scale/target.toml"}
 	}
 	wanted, err := capacity.ReadTarget(target, text)
 	if err != nil {
@@ -64,17 +64,17 @@
 	if err != nil {
 		return capacity.Report{}, err
 	}
-	return capacity.Work(wanted, measured, slopes), nil
+	return capacity.NewReport(wanted, measured, slopes), nil
 }
 
 // readLeader is nil where no file is named.
-func readLeader(file string) (*capacity.LeaderSlopes, error) {
+func readLeader(file string) (*capacity.LeaderModel, error) {
 	if file == "" {
 		return nil, nil
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, capacity.FieldError{File: file, Field: "the file", What: err.Error(), Remedy: "name a file that cache-routerctl scale leader wrote"}
+		return nil, capacity.FieldError{File: file, Field: "the file", Problem: err.Error(), Remedy: "name a file that cache-routerctl scale leader wrote"}
 	}
 	f, err := capacity.DecodeLeader(file, text)
 	if err != nil {
@@ -95,7 +95,7 @@
 	case check != "":
 		has, err := os.ReadFile(check)
 		if err != nil {
-			return capacity.FieldError{File: check, Field: "the file", What: err.Error(), Remedy: "write it by --write"}
+			return capacity.FieldError{File: check, Field: "the file", Problem: err.Error(), Remedy: "write it by --write"}
 		}
 		return capacity.Check(check, string(has), page)
 	case output == "json":
@@ -108,7 +108,7 @@
 // writeWhole puts a file into place by a name beside it, so that no half of it is ever there.
 func writeWhole(file, text string) error {
 	refused := func(err error) error {
-		return capacity.FieldError{File: file, Field: "the file", What: err.Error(), Remedy: "name one in a folder that can be written"}
+		return capacity.FieldError{File: file, Field: "the file", Problem: err.Error(), Remedy: "name one in a folder that can be written"}
 	}
 	if err := replaceable(file); err != nil {
 		return refused(err)
--- a/cmd/cache-routerctl/scaleleader.go
+++ b/cmd/cache-routerctl/scaleleader.go
@@ -89,7 +89,7 @@
 	fmt.Fprintln(table, "routers\tseed\tdecode\tanswer\tpass")
 	for _, s := range file.Samples {
 		span := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
-		fmt.Fprintf(table, "%d\t%d\t%v\t%v\t%v\n", s.Routers, s.Seed, span(s.Decode), span(s.Answer), span(s.Pass))
+		fmt.Fprintf(table, "%d\t%d\t%v\t%v\t%v\n", s.Routers, s.Seed, span(s.DecodeTime), span(s.AnswerTime), span(s.PassTime))
 	}
 	return table.Flush()
 }
--- a/cmd/cache-routerctl/scaleslopes.go
+++ b/cmd/cache-routerctl/scaleslopes.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			evidence := capacity.Gather(measured)
+			evidence := capacity.FitMeasurements(measured)
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), evidence.Series)
 			}
@@ -39,21 +39,21 @@
 }
 
 // readMeasured reads files of results; each is known by its base name, wherever it lies.
-func readMeasured(files []string) ([]capacity.Measured, error) {
-	var all []capacity.Measured
+func readMeasured(files []string) ([]capacity.ResultFile, error) {
+	var all []capacity.ResultFile
 	names := map[string]string{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return nil, capacity.FieldError{File: file, Field: "the file", What: err.Error(), Remedy: "name a file that the scale run wrote"}
+			return nil, capacity.FieldError{File: file, Field: "the file", Problem: err.Error(), Remedy: "name a file that the scale run wrote"}
 		}
-		m, err := capacity.DecodeMeasured(file, text)
+		m, err := capacity.DecodeResultFile(file, text)
 		if err != nil {
 			return nil, err
 		}
 		m.Name = filepath.Base(file)
 		if before, twice := names[m.Name]; twice {
-			return nil, capacity.FieldError{File: file, Field: "the file", What: fmt.Sprintf("has the name of %s", before), Remedy: "name each file once, or give one another name"}
+			return nil, capacity.FieldError{File: file, Field: "the file", Problem: fmt.Sprintf("has the name of %s", before), Remedy: "name each file once, or give one another name"}
 		}
 		names[m.Name] = file
 		all = append(all, m)
@@ -65,17 +65,17 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "series\tpoints\tsizes\tform\tbase\tstep\tscatter\tnot ruled out")
 	for _, s := range series {
-		if s.Choice == nil {
-			fmt.Fprintf(table, "%v\t%d\t-\tnot fitted: %s\n", s.Key, len(s.Points), s.Unfit)
+		if s.Fit == nil {
+			fmt.Fprintf(table, "%v\t%d\t-\tnot fitted: %s\n", s.SeriesKey, len(s.Points), s.NotFittedReason)
 			continue
 		}
-		f := s.Choice.Fit
+		f := s.Fit.Fit
 		rivals := ""
-		for _, r := range s.Choice.Rivals {
-			rivals += r.Form.String() + " "
+		for _, r := range s.Fit.Alternatives {
+			rivals += r.Model.String() + " "
 		}
-		fmt.Fprintf(table, "%v\t%d\t%.0f to %.0f\t%v\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%.2g\t%s\n", s.Key, f.Points, f.Smallest, f.Largest, f.Form,
-			f.Base.Value, f.Base.Low, f.Base.High, f.Step.Value, f.Step.Low, f.Step.High, f.Scatter, rivals)
+		fmt.Fprintf(table, "%v\t%d\t%.0f to %.0f\t%v\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%.2g\t%s\n", s.SeriesKey, f.Points, f.Smallest, f.Largest, f.Model,
+			f.Intercept.Value, f.Intercept.Low, f.Intercept.High, f.Slope.Value, f.Slope.Low, f.Slope.High, f.ResidualDeviation, rivals)
 	}
 	return table.Flush()
 }
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -48,7 +48,7 @@
 }
 
 // ourLeader is nil where nothing was measured.
-func ourLeader(t *testing.T) *LeaderSlopes {
+func ourLeader(t *testing.T) *LeaderModel {
 	t.Helper()
 	if _, err := os.Stat(leaderFile); errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -62,16 +62,16 @@
 
 // The page in the repository is what its target and its runs give.
 func TestPageFollowsFromItsFigures(t *testing.T) {
-	var measured []Measured
+	var measured []ResultFile
 	for _, file := range runFiles {
-		m, err := DecodeMeasured(file, []byte(read(t, file)))
+		m, err := DecodeResultFile(file, []byte(read(t, file)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		m.Name = filepath.Base(file)
 		measured = append(measured, m)
 	}
-	want, err := Page(Work(ourTarget(t), measured, ourLeader(t)))
+	want, err := Page(NewReport(ourTarget(t), measured, ourLeader(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 
 func TestStalePageIsFound(t *testing.T) {
 	target := ourTarget(t)
-	before, err := Page(Work(target, nil, nil))
+	before, err := Page(NewReport(target, nil, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 		t.Error(err)
 	}
 	target.Purges.PerSecond++
-	after, err := Page(Work(target, nil, nil))
+	after, err := Page(NewReport(target, nil, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 		`{"format":1,"trials":[{"topology":"flat"}]}`:              "trials[0].routers",
 		`{"format":1,"trials":[{"topology":"ring","routers":50}]}`: "trials[0].topology",
 	} {
-		_, err := DecodeMeasured("runs.json", []byte(text))
+		_, err := DecodeResultFile("runs.json", []byte(text))
 		var wrong FieldError
 		if !errors.As(err, &wrong) || wrong.File != "runs.json" || wrong.Field != field || wrong.Remedy == "" {
 			t.Errorf("%s: %v", text, err)
@@ -167,16 +167,16 @@
 		target.Sites = float64(rapid.IntRange(1, int(target.Routers)).Draw(t, "sites"))
 		target.Zones = float64(rapid.IntRange(1, int(target.Sites)).Draw(t, "zones"))
 		target.Regions = float64(rapid.IntRange(1, int(target.Zones)).Draw(t, "regions"))
-		target.CacheServers = float64(rapid.IntRange(int(target.Assumed.Copies), 100_000).Draw(t, "cache servers"))
+		target.CacheServers = float64(rapid.IntRange(int(target.Assumptions.Replicas), 100_000).Draw(t, "cache servers"))
 		target.Purges.PerSecond = rapid.Float64Range(0.001, 1e6).Draw(t, "purges")
 		target.Changes.PerDay = rapid.Float64Range(0.001, 1e6).Draw(t, "changes")
-		target.Control.Machines = float64(rapid.IntRange(int(target.Assumed.Keepers), 1000).Draw(t, "machines"))
+		target.Budget.Machines = float64(rapid.IntRange(int(target.Assumptions.PolicyVoters), 1000).Draw(t, "machines"))
 		for _, c := range target.checks() {
-			if c.wrong {
-				t.Fatalf("%s %s", c.field, c.what)
+			if c.failed {
+				t.Fatalf("%s %s", c.field, c.problem)
 			}
 		}
-		page, err := Page(Work(target, nil, nil))
+		page, err := Page(NewReport(target, nil, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -212,28 +212,28 @@
 func TestEstimatesSayWhatTheyRestOn(t *testing.T) {
 	target := ourTarget(t)
 	target.Routers = 3200
-	evidence := Gather([]Measured{{Name: "made.json", File: result.File{Trials: append(made(result.Flat, result.NoFault, manySizes, linear),
+	evidence := FitMeasurements([]ResultFile{{Name: "made.json", File: result.File{Trials: append(made(result.Flat, result.NoFault, manySizes, linear),
 		made(result.Tiered, result.NoFault, fewSizes, linear)...)}}})
 
-	e := predicted(evidence, target, Key{result.Flat, result.NoFault, FigureBytes})
-	if e.Basis != Extrapolated || e.Factor != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
+	e := predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes})
+	if e.Basis != Extrapolated || e.SizeRatio != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
 		t.Errorf("%+v", e)
 	}
 	target.Routers = 1000
-	if e := predicted(evidence, target, Key{result.Flat, result.NoFault, FigureBytes}); e.Basis != FromRuns {
+	if e := predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}); e.Basis != Measured {
 		t.Errorf("%+v", e)
 	}
-	if e := predicted(evidence, target, Key{result.Tiered, result.NoFault, FigureBytes}); e.Basis != Missing || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
+	if e := predict(evidence, target, SeriesKey{result.Tiered, result.NoFault, MetricBytes}); e.Basis != NotMeasured || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
 		t.Errorf("%+v", e)
 	}
-	if e := predicted(evidence, target, Key{result.Flat, result.RegionPartition, FigureBytes}); e.Basis != Missing || e.Note != "no trial" {
+	if e := predict(evidence, target, SeriesKey{result.Flat, result.RegionPartition, MetricBytes}); e.Basis != NotMeasured || e.Note != "no trial" {
 		t.Errorf("%+v", e)
 	}
-	both := sum(counted(100, BytesPerSecond, ""), predicted(evidence, target, Key{result.Flat, result.NoFault, FigureBytes}))
-	if both.Basis != FromRuns || math.Abs(both.Value-2200) > 25 {
+	both := sum(calculated(100, BytesPerSecond, ""), predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}))
+	if both.Basis != Measured || math.Abs(both.Value-2200) > 25 {
 		t.Errorf("%+v", both)
 	}
-	if e := sum(counted(100, BytesPerSecond, ""), missing("")); e.Basis != Missing {
+	if e := sum(calculated(100, BytesPerSecond, ""), notMeasured("")); e.Basis != NotMeasured {
 		t.Errorf("%+v", e)
 	}
 }
@@ -242,15 +242,15 @@
 	trials := made(result.Flat, result.NoFault, manySizes, linear)
 	trials[4].ConvergenceTime = nil
 	trials[5].Incomplete = "it was interrupted"
-	evidence := Gather([]Measured{{File: result.File{Trials: trials}}})
-	if len(evidence.Incomplete) != 1 || evidence.Incomplete[0].Why != "it was interrupted" || evidence.Incomplete[0].Routers != 100 {
-		t.Errorf("%+v", evidence.Incomplete)
+	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: trials}}})
+	if len(evidence.Excluded) != 1 || evidence.Excluded[0].Reason != "it was interrupted" || evidence.Excluded[0].Routers != 100 {
+		t.Errorf("%+v", evidence.Excluded)
 	}
-	settled := evidence.Of(Key{result.Flat, result.NoFault, FigureSettled})
-	if settled.Choice != nil || settled.Absent != 1 || settled.AbsentN != 100 {
+	settled := evidence.Find(SeriesKey{result.Flat, result.NoFault, MetricConvergence})
+	if settled.Fit != nil || settled.MissingTrials != 1 || settled.MinMissingSize != 100 {
 		t.Errorf("fitted, with a fleet left out that never settled: %+v", settled)
 	}
-	if bytes := evidence.Of(Key{result.Flat, result.NoFault, FigureBytes}); len(bytes.Points) != len(trials)-1 || bytes.Choice == nil || bytes.Choice.Form != slope.Linear {
+	if bytes := evidence.Find(SeriesKey{result.Flat, result.NoFault, MetricBytes}); len(bytes.Points) != len(trials)-1 || bytes.Fit == nil || bytes.Fit.Model != slope.Linear {
 		t.Errorf("%+v", bytes)
 	}
 }
@@ -258,21 +258,21 @@
 func TestWhatBreaksFirst(t *testing.T) {
 	target := ourTarget(t)
 	steep := func(size float64, seed int) float64 { return linear(size, seed) / 2 }
-	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, steep)}}})
-	flat := breaks(target, evidence, today(target, nil), nil)[0].All
+	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, steep)}}})
+	flat := scalingLimits(target, evidence, currentCosts(target, nil), nil)[0].Limits
 	want := []struct {
 		what string
 		size float64
 	}{
 		{"bytes of the router with the most", 950}, {"bytes of a router", 1950},
-		{"a full state is longer than a router takes, and is dropped whole", mostWords + 1},
+		{"a full state is longer than a router takes, and is dropped whole", maxStateHeartbeats + 1},
 	}
 	for i, w := range want {
-		if flat[i].What != w.what || math.Abs(flat[i].Size-w.size) > w.size/50 {
+		if flat[i].Description != w.what || math.Abs(flat[i].Size-w.size) > w.size/50 {
 			t.Errorf("%d: %+v", i, flat[i])
 		}
 	}
-	if flat[1].Basis != Extrapolated || math.Abs(flat[1].Factor-1950.0/1600) > 0.05 || flat[0].Basis != FromRuns {
+	if flat[1].Basis != Extrapolated || math.Abs(flat[1].SizeRatio-1950.0/1600) > 0.05 || flat[0].Basis != Measured {
 		t.Errorf("%+v %+v", flat[0], flat[1])
 	}
 	for _, b := range flat[3:] {
@@ -291,22 +291,22 @@
 		}
 		return 2001
 	}
-	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.NoFault, fewSizes, steep)}}})
-	b := measuredBreak(evidence, Key{result.Flat, result.NoFault, FigureBytes}, "bytes", target.Control.BytesPerSecond)
-	if b.Size != 100 || b.Basis != FromRuns || !strings.Contains(b.From, "not fitted") {
+	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: made(result.Flat, result.NoFault, fewSizes, steep)}}})
+	b := measuredLimit(evidence, SeriesKey{result.Flat, result.NoFault, MetricBytes}, "bytes", target.Budget.BytesPerSecond)
+	if b.Size != 100 || b.Basis != Measured || !strings.Contains(b.Source, "not fitted") {
 		t.Errorf("%+v", b)
 	}
-	if b := measuredBreak(evidence, Key{result.Flat, result.NoFault, FigureMemory}, "memory", target.Control.MemoryBytes); b.Size != 0 || b.Basis != Missing {
+	if b := measuredLimit(evidence, SeriesKey{result.Flat, result.NoFault, MetricMemory}, "memory", target.Budget.MemoryBytes); b.Size != 0 || b.Basis != NotMeasured {
 		t.Errorf("%+v", b)
 	}
 }
 
 func TestFirstOfAllParts(t *testing.T) {
-	a := Breaks{All: []Break{{What: "c", Size: 30}, {What: "unknown"}}}
-	b := Breaks{All: []Break{{What: "a", Size: 1}, {What: "b", Size: 2}, {What: "never"}}}
+	a := ScalingLimits{Limits: []ScalingLimit{{Description: "c", Size: 30}, {Description: "unknown"}}}
+	b := ScalingLimits{Limits: []ScalingLimit{{Description: "a", Size: 1}, {Description: "b", Size: 2}, {Description: "never"}}}
 	got := ""
-	for _, x := range first(a, b) {
-		got += x.What
+	for _, x := range firstReached(a, b) {
+		got += x.Description
 	}
 	if got != "abc" {
 		t.Error(got)
@@ -314,14 +314,14 @@
 }
 
 func TestShareOfTheWorst(t *testing.T) {
-	r := Row{Ordinary: counted(10, Bytes, ""), Herd: Estimate{Basis: FromRuns, Value: 20, High: 90}, Cut: missing("")}
-	if got := share(r); got != "-" {
+	r := Row{Normal: calculated(10, Bytes, ""), RestartBurst: Estimate{Basis: Measured, Value: 20, High: 90}, RegionPartition: notMeasured("")}
+	if got := formatLimitShare(r); got != "-" {
 		t.Error(got)
 	}
-	if got := share(r.within(100, Bytes)); got != "20%, up to 90%" {
+	if got := formatLimitShare(r.withLimit(100, Bytes)); got != "20%, up to 90%" {
 		t.Error(got)
 	}
-	if got := share(Row{Ordinary: missing(""), Herd: missing(""), Cut: missing("")}.within(100, Bytes)); got != "-" {
+	if got := formatLimitShare(Row{Normal: notMeasured(""), RestartBurst: notMeasured(""), RegionPartition: notMeasured("")}.withLimit(100, Bytes)); got != "-" {
 		t.Error(got)
 	}
 }
@@ -342,23 +342,23 @@
 			return 1000
 		}, 100},
 	} {
-		report := Work(target, []Measured{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
-		if len(report.Held) != 1 || report.Held[0].Size != c.size || report.Held[0].Largest != 1600 {
-			t.Errorf("%+v, want %d", report.Held, c.size)
+		report := NewReport(target, []ResultFile{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
+		if len(report.LargestWithinBudget) != 1 || report.LargestWithinBudget[0].Size != c.size || report.LargestWithinBudget[0].LargestMeasured != 1600 {
+			t.Errorf("%+v, want %d", report.LargestWithinBudget, c.size)
 		}
 	}
 }
 
 // What is counted for mechanisms of today rests on limits that stand in their code, unexported.
-func TestLimitsStandInTheCode(t *testing.T) {
+func TestConstants_MatchTheSource(t *testing.T) {
 	for file, lines := range map[string][]string{
-		"../../controlplane/leader_loop.go":              {fmt.Sprintf(`maxQueuedRenewals += %d\b`, mostAskings), fmt.Sprintf(`leaderInterval += %d \* time\.Millisecond`, int(leaderRest*1e3)), `time\.After\(leaderInterval\)`, `>= maxQueuedRenewals\b`},
-		"../../gossip/codec.go":                          {fmt.Sprintf(`maxStateHeartbeats = %d\b`, mostWords)},
-		"../../gossip/shares.go":                         {fmt.Sprintf(`maxQueuedLeaseReplies = %d\b`, mostAnswers)},
-		"../../gossip/memberlist.go":                     {fmt.Sprintf(`handoffQueueDepth = %d\b`, handoffQueue), `HandoffQueueDepth = handoffQueueDepth\b`, `gossipsPerProbe += 5\b`},
-		"../../gossip/tick.go":                           {fmt.Sprintf(`maxTickInterval += %d \* time\.Millisecond`, int(peersStep*1e3)), `return min\(n\.gossipInterval\(\), maxTickInterval\)`},
-		"../../config/limits.go":                         {fmt.Sprintf(`watchTimeoutPolled += %d \* clock\.Second\n`, int(watchWait)), fmt.Sprintf(`watchTimeoutPushed += %d \* clock\.Second\n`, int(watchWaitPush)), `if polled \{\s+l\.WatchTimeout = watchTimeoutPolled\n`, `return\s+\}\s+l\.WatchTimeout = watchTimeoutPushed\n`},
-		"../../../docs/operating.md":                     {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
+		"../../controlplane/leader_loop.go":              {fmt.Sprintf(`maxQueuedRenewals += %d\b`, maxQueuedRenewals), fmt.Sprintf(`leaderInterval += %d \* time\.Millisecond`, int(leaderInterval*1e3)), `time\.After\(leaderInterval\)`, `>= maxQueuedRenewals\b`},
+		"../../gossip/codec.go":                          {fmt.Sprintf(`maxStateHeartbeats = %d\b`, maxStateHeartbeats)},
+		"../../gossip/shares.go":                         {fmt.Sprintf(`maxQueuedLeaseReplies = %d\b`, maxQueuedLeaseReplies)},
+		"../../gossip/memberlist.go":                     {fmt.Sprintf(`handoffQueueDepth = %d\b`, handoffQueueDepth), `HandoffQueueDepth = handoffQueueDepth\b`, `gossipsPerProbe += 5\b`},
+		"../../gossip/tick.go":                           {fmt.Sprintf(`maxTickInterval += %d \* time\.Millisecond`, int(gossipTick*1e3)), `return min\(n\.gossipInterval\(\), maxTickInterval\)`},
+		"../../config/limits.go":                         {fmt.Sprintf(`watchTimeoutPolled += %d \* clock\.Second\n`, int(watchTimeoutPolled)), fmt.Sprintf(`watchTimeoutPushed += %d \* clock\.Second\n`, int(watchTimeoutPushed)), `if polled \{\s+l\.WatchTimeout = watchTimeoutPolled\n`, `return\s+\}\s+l\.WatchTimeout = watchTimeoutPushed\n`},
+		"../../../docs/operating.md":                     {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, maxUnchunkedValue>>10, maxValue>>20)},
 		"../../../internal/controlplane/raft_replica.go": {`r\.state\.Clone\(\)`},
 	} {
 		text := read(t, file)
@@ -368,24 +368,24 @@
 			}
 		}
 	}
-	if sharelease.DefaultTiming().RetryInterval != lendingAsk*microseconds {
+	if sharelease.DefaultTiming().RetryInterval != leaseRetryInterval*microsecondsPerSecond {
 		t.Error("lending asks by another span")
 	}
 }
 
 func TestSourceTellsBuildsAndOtherLoad(t *testing.T) {
 	half, none := 0.5, 0.0
-	file := Measured{Name: "a.json", File: result.File{Build: "new", Trials: []result.Trial{
+	file := ResultFile{Name: "a.json", File: result.File{Build: "new", Trials: []result.Trial{
 		{Routers: 1, Build: "old", OtherLoad: &half}, {Routers: 2, OtherLoad: &none}, {Routers: 3, Build: "old", OtherLoad: &none}}}}
-	if s := source(file); s.Build != "old, new" || s.Others != "0.50" {
+	if s := source(file); s.Build != "old, new" || s.OtherLoad != "0.50" {
 		t.Errorf("%+v", s)
 	}
 	file.Trials[0].OtherLoad = nil
-	if s := source(file); s.Others != "0.00; not recorded in 1" {
+	if s := source(file); s.OtherLoad != "0.00; not recorded in 1" {
 		t.Errorf("%+v", s)
 	}
 	file.Trials = file.Trials[:1]
-	if s := source(file); s.Others != "not recorded" {
+	if s := source(file); s.OtherLoad != "not recorded" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -396,8 +396,8 @@
 	beside := result.Trial{Topology: result.Tiered, Fault: result.NoFault, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
 		Real: &result.RealRouters{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, WithoutFleet: result.Usage{CPU: 0.001, Memory: 7e6}}}
 	target := ourTarget(t)
-	alone := Work(target, []Measured{{File: result.File{Trials: hollow}}}, nil)
-	both := Work(target, []Measured{{File: result.File{Trials: append(hollow, beside)}}}, nil)
+	alone := NewReport(target, []ResultFile{{File: result.File{Trials: hollow}}}, nil)
+	both := NewReport(target, []ResultFile{{File: result.File{Trials: append(hollow, beside)}}}, nil)
 	if len(both.Real) != 1 || both.Real[0].Processes != 8 || both.Real[0].Bytes.Value != 620 || both.Real[0].Memory.Value != 2e6 {
 		t.Fatalf("%+v", both.Real)
 	}
@@ -422,7 +422,7 @@
 		{600_000, 6, 16, 1},   // asked again while the answer is on its way
 		{2_000_000, 5, 17, 0}, // later than the lease
 	} {
-		perSecond, covered := playAskings(c.delay)
+		perSecond, covered := simulateRenewals(c.delay)
 		if perSecond < c.least || perSecond > c.most || covered != c.covered {
 			t.Errorf("after %d us: %v askings a second, %v covered", c.delay, perSecond, covered)
 		}
@@ -431,66 +431,66 @@
 
 func TestGrantsThroughRepresentatives(t *testing.T) {
 	target := ourTarget(t)
-	now := today(target, nil)
-	g := grants(target, now)
-	if g.Chosen == nil || !g.Chosen.Fits || g.Chosen.Leader >= now.Near.Leader {
+	now := currentCosts(target, nil)
+	g := designRenewals(target, now)
+	if g.Chosen == nil || !g.Chosen.Fits || g.Chosen.LeaderRenewals >= now.SameRegion.LeaderRenewals {
 		t.Fatalf("%+v", g)
 	}
-	one, two := throughRepresentatives(target, 3, 1), throughRepresentatives(target, 3, 2)
-	if two.Busiest >= one.Busiest || two.Leader != 2*one.Leader || two.Router != one.Router {
+	one, two := representativeRenewal(target, 3, 1), representativeRenewal(target, 3, 2)
+	if two.BusiestBytes >= one.BusiestBytes || two.LeaderRenewals != 2*one.LeaderRenewals || two.RouterBytes != one.RouterBytes {
 		t.Errorf("%+v %+v", one, two)
 	}
-	target.Control.BytesPerSecond = 1
-	if g := grants(target, now); g.Chosen != nil || g.KeepsOne != nil {
+	target.Budget.BytesPerSecond = 1
+	if g := designRenewals(target, now); g.Chosen != nil || g.ChosenCurrentLease != nil {
 		t.Errorf("something fits into a byte: %+v", g)
 	}
 }
 
 func TestPurgesAreSharedOut(t *testing.T) {
 	target := ourTarget(t)
-	p := purging(target, 1800)
+	p := designPurges(target, 1800)
 	all, one := p.Options[0], *p.Chosen
-	if all.Fits || !one.Fits || all.Heard < target.Purges.PerSecond*target.Purges.Bytes {
+	if all.Fits || !one.Fits || all.ReceivedBytes < target.Purges.PerSecond*target.Purges.Bytes {
 		t.Errorf("%+v\n%+v", all, one)
 	}
-	if want := all.Heard / (target.RoutersPerSite() - membershipRepresentatives); math.Abs(one.Heard-want) > 1 {
-		t.Errorf("%v heard, want %v", one.Heard, want)
+	if want := all.ReceivedBytes / (target.RoutersPerSite() - membershipRepresentatives); math.Abs(one.ReceivedBytes-want) > 1 {
+		t.Errorf("%v heard, want %v", one.ReceivedBytes, want)
 	}
-	if one.Smallest < 2 || one.Smallest > target.RoutersPerSite() {
-		t.Errorf("smallest site %v", one.Smallest)
+	if one.MinSiteSize < 2 || one.MinSiteSize > target.RoutersPerSite() {
+		t.Errorf("smallest site %v", one.MinSiteSize)
 	}
 	total := 0.0
 	for _, s := range p.Steps {
 		total += s.Seconds
 	}
-	if p.Seconds != total || p.Within != (total <= 7.1) {
+	if p.Seconds != total || p.FitsTarget != (total <= 7.1) {
 		t.Errorf("%+v", p)
 	}
-	if p.Missed != 420*3600 || p.MissedBytes != 420*3600*20 {
-		t.Errorf("missed %v, %v bytes", p.Missed, p.MissedBytes)
+	if p.MissedPurges != 420*3600 || p.MissedBytes != 420*3600*20 {
+		t.Errorf("missed %v, %v bytes", p.MissedPurges, p.MissedBytes)
 	}
 }
 
 func TestBudgetOfARouter(t *testing.T) {
 	target := ourTarget(t)
-	g, p := grants(target, today(target, nil)), purging(target, 1800)
-	b := budget(target, g, p, counted(600, BytesPerSecond, ""), counted(1200, BytesPerSecond, ""))
-	documents := documentsOnce(target)
+	g, p := designRenewals(target, currentCosts(target, nil)), designPurges(target, 1800)
+	b := routerBudget(target, g, p, calculated(600, BytesPerSecond, ""), calculated(1200, BytesPerSecond, ""))
+	documents := documentBytes(target)
 	for _, c := range []struct {
 		name string
 		got  Estimate
 		want float64
 	}{
-		{"router", b.All.Router, 600 + g.Chosen.Router + documents + p.Chosen.Control},
-		{"membership's", b.All.Membership, 1200 + g.Chosen.Router + documents},
-		{"policy's", b.All.Policy, 600 + g.Chosen.Busiest + documents + p.Chosen.Control},
+		{"router", b.Total.Router, 600 + g.Chosen.RouterBytes + documents + p.Chosen.ControlBytes},
+		{"membership's", b.Total.MembershipRepresentative, 1200 + g.Chosen.RouterBytes + documents},
+		{"policy's", b.Total.PolicyRepresentative, 600 + g.Chosen.BusiestBytes + documents + p.Chosen.ControlBytes},
 	} {
 		if math.Abs(c.got.Value-c.want) > 0.01 {
 			t.Errorf("%s: %v, want %v", c.name, c.got.Value, c.want)
 		}
 	}
-	if b := budget(target, g, p, missing("no trial"), missing("no trial")); b.All.Router.Basis != Missing {
-		t.Errorf("%+v", b.All)
+	if b := routerBudget(target, g, p, notMeasured("no trial"), notMeasured("no trial")); b.Total.Router.Basis != NotMeasured {
+		t.Errorf("%+v", b.Total)
 	}
 }
 
@@ -514,7 +514,7 @@
 		{0.01, 0.009, 0.011, Cores, "1% of a core (0.9 to 1.1)"},
 		{14, 13, 15000, Number, "14 (13 to 15,000)"},
 	} {
-		if got := showBetween(c.value, c.low, c.high, c.unit); got != c.want {
+		if got := formatRange(c.value, c.low, c.high, c.unit); got != c.want {
 			t.Errorf("%q, want %q", got, c.want)
 		}
 	}
@@ -531,19 +531,19 @@
 		{0.00001428, Seconds, "14.3 us"}, {0.2, Seconds, "200 ms"}, {7.1, Seconds, "7.1 s"}, {3600, Seconds, "60 min"}, {86400, Seconds, "24 h"},
 		{14000, Number, "14,000"}, {195986000, Number, "196,000,000"}, {12.345, Number, "12.3"}, {70000, PerSecond, "70,000/s"},
 	} {
-		if got := show(c.value, c.unit); got != c.want {
+		if got := formatValue(c.value, c.unit); got != c.want {
 			t.Errorf("%v %s: %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
 }
 
 // madeLeader takes answer seconds for an asking, and pass seconds a router for a pass.
-func madeLeader(answer, pass float64) *LeaderSlopes {
+func madeLeader(answer, pass float64) *LeaderModel {
 	f := &leader.File{Format: leader.Format, Kind: leader.Kind}
 	for _, routers := range []int{100, 400, 1600, 6400, 25600} {
 		for seed := range 3 {
 			wobble := 1 + 0.001*float64(seed-1)
-			f.Samples = append(f.Samples, leader.Sample{Routers: routers, Decode: 1e-6 * wobble, Answer: answer * wobble, Pass: pass * float64(routers) * wobble})
+			f.Samples = append(f.Samples, leader.Sample{Routers: routers, DecodeTime: 1e-6 * wobble, AnswerTime: answer * wobble, PassTime: pass * float64(routers) * wobble})
 		}
 	}
 	return FitLeader("made.json", f)
@@ -552,23 +552,23 @@
 func TestLeaderFallsBehind(t *testing.T) {
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.01*b }
 	s := madeLeader(10e-6, 1e-6)
-	if !s.Fitted() || s.Largest != 25600 {
+	if !s.Fitted() || s.LargestSize != 25600 {
 		t.Fatalf("%+v", s)
 	}
-	l := s.load(10_000, 5, 0.03) // half of the time goes for answers; 50 ms of rest and confirming, 10 ms a pass
-	if !near(l.Busy, 0.5) || !near(l.Pass, 0.12) || !near(l.Waiting, 6000) || !near(l.Cores, 0.05+0.5+0.01/0.12) || l.fails() {
+	l := s.predictLoad(10_000, 5, 0.03) // half of the time goes for answers; 50 ms of rest and confirming, 10 ms a pass
+	if !near(l.Utilization, 0.5) || !near(l.PassInterval, 0.12) || !near(l.QueuedRenewals, 6000) || !near(l.Cores, 0.05+0.5+0.01/0.12) || l.overloaded() {
 		t.Errorf("%+v", l)
 	}
-	if l := s.load(20_001, 5, 0); l.Busy < 1 || !l.fails() || l.Pass != 0 {
+	if l := s.predictLoad(20_001, 5, 0); l.Utilization < 1 || !l.overloaded() || l.PassInterval != 0 {
 		t.Errorf("%+v", l)
 	}
-	size := s.failsAt(5, 0.03)
-	if s.load(size+1, 5, 0.03).fails() != true || s.load(size-1, 5, 0.03).fails() {
+	size := s.minOverloadedSize(5, 0.03)
+	if s.predictLoad(size+1, 5, 0.03).overloaded() != true || s.predictLoad(size-1, 5, 0.03).overloaded() {
 		t.Errorf("fails at %v", size)
 	}
 	target := ourTarget(t)
-	report := Work(target, nil, s)
-	if report.Today.NearLoad == nil || report.Today.FarLoad == nil {
+	report := NewReport(target, nil, s)
+	if report.Current.SameRegionLoad == nil || report.Current.CrossRegionLoad == nil {
 		t.Error("nothing told of the leader")
 	}
 	if text, err := Page(report); err != nil || !strings.Contains(text, "leader/answer: an asking, in the pass | constant |") {
--- a/internal/scale/capacity/leader.go
+++ b/internal/scale/capacity/leader.go
@@ -24,7 +24,7 @@
 	}
 	var wrong []error
 	for i, s := range f.Samples {
-		if s.Routers < 1 || s.Decode <= 0 || s.Answer <= 0 || s.Pass <= 0 {
+		if s.Routers < 1 || s.DecodeTime <= 0 || s.AnswerTime <= 0 || s.PassTime <= 0 {
 			wrong = append(wrong, FieldError{file, 0, fmt.Sprintf("samples[%d]", i), "has a number that is not above 0", "measure again"})
 		}
 	}
@@ -32,80 +32,82 @@
 }
 
 // LeaderSlopes are the times of the leader over sizes of the roster; a choice that is nil was not fitted.
-type LeaderSlopes struct {
-	Source  Source        `json:"source"`
-	Decode  *slope.Choice `json:"decode"`
-	Answer  *slope.Choice `json:"answer"`
-	Pass    *slope.Choice `json:"pass"`
-	Largest float64       `json:"largest"` // roster measured
-	Unfit   string        `json:"unfit"`
+type LeaderModel struct {
+	Source          SourceFile       `json:"source"`
+	DecodeTime      *slope.Selection `json:"decode"`
+	AnswerTime      *slope.Selection `json:"answer"`
+	PassTime        *slope.Selection `json:"pass"`
+	LargestSize     float64          `json:"largest"` // roster measured
+	NotFittedReason string           `json:"unfit"`
 }
 
 // Fitted tells whether all three are.
-func (s *LeaderSlopes) Fitted() bool { return s != nil && s.Unfit == "" }
+func (s *LeaderModel) Fitted() bool { return s != nil && s.NotFittedReason == "" }
 
 // FitLeader chooses a form for each time; it is nil where nothing was measured.
-func FitLeader(name string, f *leader.File) *LeaderSlopes {
+func FitLeader(name string, f *leader.File) *LeaderModel {
 	if f == nil {
 		return nil
 	}
-	s := &LeaderSlopes{Source: Source{Name: name, Build: f.Build, Cores: f.Cores, Trials: len(f.Samples)}}
-	choose := func(of func(leader.Sample) float64) *slope.Choice {
+	s := &LeaderModel{Source: SourceFile{Name: name, Build: f.Build, Cores: f.Cores, Trials: len(f.Samples)}}
+	choose := func(of func(leader.Sample) float64) *slope.Selection {
 		var points []slope.Point
 		for _, sample := range f.Samples {
 			points = append(points, slope.Point{Size: float64(sample.Routers), Value: of(sample)})
-			s.Largest = max(s.Largest, float64(sample.Routers))
+			s.LargestSize = max(s.LargestSize, float64(sample.Routers))
 		}
-		choice, err := slope.Choose(points)
+		choice, err := slope.Select(points)
 		if err != nil {
-			s.Unfit = err.Error()
+			s.NotFittedReason = err.Error()
 			return nil
 		}
 		return &choice
 	}
-	s.Decode = choose(func(x leader.Sample) float64 { return x.Decode })
-	s.Answer = choose(func(x leader.Sample) float64 { return x.Answer })
-	s.Pass = choose(func(x leader.Sample) float64 { return x.Pass })
+	s.DecodeTime = choose(func(x leader.Sample) float64 { return x.DecodeTime })
+	s.AnswerTime = choose(func(x leader.Sample) float64 { return x.AnswerTime })
+	s.PassTime = choose(func(x leader.Sample) float64 { return x.PassTime })
 	return s
 }
 
 // Load is what the leader has to do for a number of routers.
-type Load struct {
-	Cores   float64 `json:"cores"`   // without sockets and the replicated log
-	Busy    float64 `json:"busy"`    // share of the time that its one goroutine needs for answers alone; from 1 on it never keeps up
-	Pass    float64 `json:"pass_s"`  // from one pass to the next; 0: it never keeps up
-	Waiting float64 `json:"waiting"` // askings that come in a pass
+type LeaderLoad struct {
+	Cores          float64 `json:"cores"`   // without sockets and the replicated log
+	Utilization    float64 `json:"busy"`    // share of the time that its one goroutine needs for answers alone; from 1 on it never keeps up
+	PassInterval   float64 `json:"pass_s"`  // from one pass to the next; 0: it never keeps up
+	QueuedRenewals float64 `json:"waiting"` // askings that come in a pass
 }
 
 // load is by askings a second of one router, and the time that a majority takes to confirm a pass.
-func (s *LeaderSlopes) load(routers, askings, confirm float64) Load {
+func (s *LeaderModel) predictLoad(routers, askings, confirm float64) LeaderLoad {
 	rate := routers * askings
-	pass := s.Pass.Predict(routers).Value
-	l := Load{Busy: rate * s.Answer.Predict(routers).Value}
-	l.Cores = rate*s.Decode.Predict(routers).Value + l.Busy
-	if l.Busy >= 1 {
+	pass := s.PassTime.Predict(routers).Value
+	l := LeaderLoad{Utilization: rate * s.AnswerTime.Predict(routers).Value}
+	l.Cores = rate*s.DecodeTime.Predict(routers).Value + l.Utilization
+	if l.Utilization >= 1 {
 		return l
 	}
-	l.Pass = (leaderRest + confirm + pass) / (1 - l.Busy)
-	l.Cores += pass / l.Pass
-	l.Waiting = rate * l.Pass
+	l.PassInterval = (leaderInterval + confirm + pass) / (1 - l.Utilization)
+	l.Cores += pass / l.PassInterval
+	l.QueuedRenewals = rate * l.PassInterval
 	return l
 }
 
 // fails tells whether the leader drops askings.
-func (l Load) fails() bool { return l.Busy >= 1 || l.Waiting > mostAskings }
+func (l LeaderLoad) overloaded() bool {
+	return l.Utilization >= 1 || l.QueuedRenewals > maxQueuedRenewals
+}
 
 // failsAt is the least number of routers at which the leader drops askings; 0: none up to a number that no fleet has.
-func (s *LeaderSlopes) failsAt(askings, confirm float64) float64 {
-	const most = 1e9
+func (s *LeaderModel) minOverloadedSize(askings, confirm float64) float64 {
+	const maxSize = 1e9
 	low, high := 1.0, 2.0
-	for !s.load(high, askings, confirm).fails() {
-		if low, high = high, high*2; high > most {
+	for !s.predictLoad(high, askings, confirm).overloaded() {
+		if low, high = high, high*2; high > maxSize {
 			return 0
 		}
 	}
 	for high-low > 0.5 {
-		if middle := (low + high) / 2; s.load(middle, askings, confirm).fails() {
+		if middle := (low + high) / 2; s.predictLoad(middle, askings, confirm).overloaded() {
 			high = middle
 		} else {
 			low = middle
--- a/internal/scale/capacity/measured.go
+++ b/internal/scale/capacity/measured.go
@@ -13,14 +13,14 @@
 )
 
 // Measured is one file of results, by its name.
-type Measured struct {
+type ResultFile struct {
 	Name string
 	result.File
 }
 
 // DecodeMeasured reads a file of results. Errors are FieldErrors.
-func DecodeMeasured(file string, text []byte) (Measured, error) {
-	m := Measured{Name: file}
+func DecodeResultFile(file string, text []byte) (ResultFile, error) {
+	m := ResultFile{Name: file}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&m.File); err != nil {
@@ -60,32 +60,32 @@
 )
 
 // Figure is one of those that a trial gives.
-type Figure string
+type Metric string
 
 // The figures; those of one mechanism are named by mechanismFigure.
 const (
-	FigureBytes    Figure = "bytes"
-	FigureMessages Figure = "messages"
-	FigureCPU      Figure = "cpu"
-	FigureMemory   Figure = "memory"
-	FigureWorst    Figure = "worst_bytes" // of the router with the most
-	FigureSettled  Figure = "settled"     // all views agree
-	FigureKnown    Figure = "all_settled" // and all routers know it
-	FigureChange   Figure = "change"
+	MetricBytes            Metric = "bytes"
+	MetricMessages         Metric = "messages"
+	MetricCPU              Metric = "cpu"
+	MetricMemory           Metric = "memory"
+	MetricBusiestBytes     Metric = "worst_bytes" // of the router with the most
+	MetricConvergence      Metric = "settled"     // all views agree
+	MetricConvergenceKnown Metric = "all_settled" // and all routers know it
+	MetricPropagation      Metric = "change"
 )
 
-func mechanismFigure(name string) Figure { return Figure("bytes:" + name) }
+func mechanismMetric(name string) Metric { return Metric("bytes:" + name) }
 
 // Unit is what the figure is counted in.
-func (f Figure) Unit() Unit {
+func (f Metric) Unit() Unit {
 	switch f {
-	case FigureMessages:
+	case MetricMessages:
 		return PerSecond
-	case FigureCPU:
+	case MetricCPU:
 		return Cores
-	case FigureMemory:
+	case MetricMemory:
 		return Bytes
-	case FigureSettled, FigureKnown, FigureChange:
+	case MetricConvergence, MetricConvergenceKnown, MetricPropagation:
 		return Seconds
 	default:
 		return BytesPerSecond
@@ -93,30 +93,30 @@
 }
 
 // Key names a series: one figure of one kind of fleet under one fault.
-type Key struct {
+type SeriesKey struct {
 	Topology result.Topology `json:"topology"`
 	Fault    result.Fault    `json:"fault"`
-	Figure   Figure          `json:"figure"`
+	Metric   Metric          `json:"figure"`
 }
 
-func (k Key) String() string { return fmt.Sprintf("%s/%s/%s", k.Topology, k.Fault, k.Figure) }
+func (k SeriesKey) String() string { return fmt.Sprintf("%s/%s/%s", k.Topology, k.Fault, k.Metric) }
 
-func compareKeys(a, b Key) int {
-	return cmp.Or(cmp.Compare(a.Topology, b.Topology), cmp.Compare(a.Fault, b.Fault), cmp.Compare(a.Figure, b.Figure))
+func compareKeys(a, b SeriesKey) int {
+	return cmp.Or(cmp.Compare(a.Topology, b.Topology), cmp.Compare(a.Fault, b.Fault), cmp.Compare(a.Metric, b.Metric))
 }
 
 // Series is a figure over sizes and seeds.
 type Series struct {
-	Key
-	Points  []slope.Point `json:"points"`
-	Absent  int           `json:"absent"`   // trials that have no such figure: they did not settle, or not all had the change
-	AbsentN float64       `json:"absent_n"` // the smallest of their sizes; 0: there are none
-	Choice  *slope.Choice `json:"choice"`   // nil: not fitted
-	Unfit   string        `json:"unfit"`    // why not; empty: it is fitted
+	SeriesKey
+	Points          []slope.Point    `json:"points"`
+	MissingTrials   int              `json:"absent"`   // trials that have no such figure: they did not settle, or not all had the change
+	MinMissingSize  float64          `json:"absent_n"` // the smallest of their sizes; 0: there are none
+	Fit             *slope.Selection `json:"choice"`   // nil: not fitted
+	NotFittedReason string           `json:"unfit"`    // why not; empty: it is fitted
 }
 
 // Largest is the mean at the largest size measured; false: there is none.
-func (s Series) Largest() (mean, size float64, ok bool) {
+func (s Series) MeanAtLargestSize() (mean, size float64, ok bool) {
 	count := 0.0
 	for _, p := range s.Points {
 		size = max(size, p.Size)
@@ -134,7 +134,7 @@
 }
 
 // smallestOver is the smallest size measured at which no seed is within a limit.
-func (s Series) smallestOver(limit float64) (size float64, ok bool) {
+func (s Series) minSizeOver(limit float64) (size float64, ok bool) {
 	within := map[float64]bool{}
 	for _, p := range s.Points {
 		within[p.Size] = within[p.Size] || p.Value <= limit
@@ -148,24 +148,24 @@
 }
 
 // Excluded is a trial that ended early, and is left out.
-type Excluded struct {
+type ExcludedTrial struct {
 	Topology result.Topology `json:"topology"`
 	Fault    result.Fault    `json:"fault"`
 	Routers  int             `json:"routers"`
 	Seed     uint64          `json:"seed"`
-	Why      string          `json:"why"`
+	Reason   string          `json:"why"`
 }
 
 // Evidence is all that was measured.
-type Evidence struct {
-	Files      []Measured
-	Series     []Series // in order of their keys
-	Incomplete []Excluded
+type Measurements struct {
+	Files    []ResultFile
+	Series   []Series // in order of their keys
+	Excluded []ExcludedTrial
 }
 
 // Of is the series of a key; nil: nothing was measured.
-func (e Evidence) Of(k Key) *Series {
-	i, found := slices.BinarySearchFunc(e.Series, k, func(s Series, k Key) int { return compareKeys(s.Key, k) })
+func (e Measurements) Find(k SeriesKey) *Series {
+	i, found := slices.BinarySearchFunc(e.Series, k, func(s Series, k SeriesKey) int { return compareKeys(s.SeriesKey, k) })
 	if !found {
 		return nil
 	}
@@ -173,77 +173,77 @@
 }
 
 // Gather fits all that files hold.
-func Gather(files []Measured) Evidence {
-	e := Evidence{Files: slices.Clone(files)}
-	slices.SortFunc(e.Files, func(a, b Measured) int { return cmp.Compare(a.Name, b.Name) })
-	series := map[Key]*Series{}
-	for _, file := range e.Files {
+func FitMeasurements(files []ResultFile) Measurements {
+	measurements := Measurements{Files: slices.Clone(files)}
+	slices.SortFunc(measurements.Files, func(a, b ResultFile) int { return cmp.Compare(a.Name, b.Name) })
+	series := map[SeriesKey]*Series{}
+	for _, file := range measurements.Files {
 		for _, trial := range file.Trials {
 			if trial.Incomplete != "" {
-				e.Incomplete = append(e.Incomplete, Excluded{trial.Topology, trial.Fault, trial.Routers, trial.Seed, trial.Incomplete})
+				measurements.Excluded = append(measurements.Excluded, ExcludedTrial{trial.Topology, trial.Fault, trial.Routers, trial.Seed, trial.Incomplete})
 				continue
 			}
 			if trial.Real == nil { // hollow routers beside real ones are shown beside these alone
-				take(series, trial)
+				addTrial(series, trial)
 			}
 		}
 	}
 	for _, s := range series {
-		e.Series = append(e.Series, fit(*s))
+		measurements.Series = append(measurements.Series, fitSeries(*s))
 	}
-	slices.SortFunc(e.Series, func(a, b Series) int { return compareKeys(a.Key, b.Key) })
-	return e
+	slices.SortFunc(measurements.Series, func(a, b Series) int { return compareKeys(a.SeriesKey, b.SeriesKey) })
+	return measurements
 }
 
 // take adds the figures of a trial to their series.
-func take(series map[Key]*Series, trial result.Trial) {
-	add := func(figure Figure, value *float64) {
-		key := Key{trial.Topology, trial.Fault, figure}
+func addTrial(series map[SeriesKey]*Series, trial result.Trial) {
+	add := func(figure Metric, value *float64) {
+		key := SeriesKey{trial.Topology, trial.Fault, figure}
 		s := series[key]
 		if s == nil {
-			s = &Series{Key: key, Points: []slope.Point{}}
+			s = &Series{SeriesKey: key, Points: []slope.Point{}}
 			series[key] = s
 		}
 		size := float64(trial.Routers)
 		if value == nil {
-			if s.Absent++; s.AbsentN == 0 || size < s.AbsentN {
-				s.AbsentN = size
+			if s.MissingTrials++; s.MinMissingSize == 0 || size < s.MinMissingSize {
+				s.MinMissingSize = size
 			}
 			return
 		}
 		s.Points = append(s.Points, slope.Point{Size: size, Value: max(0, *value)}) // the harness's share may be the greater one
 	}
-	plain := func(figure Figure, value float64) { add(figure, &value) }
+	plain := func(figure Metric, value float64) { add(figure, &value) }
 	u := trial.PerRouter
-	plain(FigureBytes, u.BytesIn+u.BytesOut)
-	plain(FigureMessages, u.MessagesIn+u.MessagesOut)
-	plain(FigureCPU, u.CPU)
-	plain(FigureMemory, u.Memory)
-	plain(FigureWorst, trial.Busiest.BytesIn+trial.Busiest.BytesOut)
+	plain(MetricBytes, u.BytesIn+u.BytesOut)
+	plain(MetricMessages, u.MessagesIn+u.MessagesOut)
+	plain(MetricCPU, u.CPU)
+	plain(MetricMemory, u.Memory)
+	plain(MetricBusiestBytes, trial.Busiest.BytesIn+trial.Busiest.BytesOut)
 	for _, m := range trial.Mechanisms {
-		plain(mechanismFigure(m.Name), m.Bytes)
+		plain(mechanismMetric(m.Name), m.Bytes)
 	}
-	add(FigureSettled, trial.ConvergenceTime)
-	add(FigureKnown, trial.ConvergenceKnownTime)
-	add(FigureChange, trial.PropagationTime)
+	add(MetricConvergence, trial.ConvergenceTime)
+	add(MetricConvergenceKnown, trial.ConvergenceKnownTime)
+	add(MetricPropagation, trial.PropagationTime)
 }
 
 // fit chooses a form. A series with absent figures is not fitted: what is left is the good part of it.
-func fit(s Series) Series {
-	if s.Absent > 0 {
-		s.Unfit = fmt.Sprintf("absent in %d trials, from %.0f routers on", s.Absent, s.AbsentN)
+func fitSeries(s Series) Series {
+	if s.MissingTrials > 0 {
+		s.NotFittedReason = fmt.Sprintf("absent in %d trials, from %.0f routers on", s.MissingTrials, s.MinMissingSize)
 		return s
 	}
-	choice, err := slope.Choose(s.Points)
-	var few slope.RangeError
-	if errors.As(err, &few) {
-		s.Unfit = fmt.Sprintf("%d sizes over a factor of %.3g", few.Sizes, few.Factor) // what is needed stands above the table
+	choice, err := slope.Select(s.Points)
+	var rangeErr slope.RangeError
+	if errors.As(err, &rangeErr) {
+		s.NotFittedReason = fmt.Sprintf("%d sizes over a factor of %.3g", rangeErr.Sizes, rangeErr.Ratio) // what is needed stands above the table
 		return s
 	}
 	if err != nil {
-		s.Unfit = err.Error()
+		s.NotFittedReason = err.Error()
 		return s
 	}
-	s.Choice = &choice
+	s.Fit = &choice
 	return s
 }
--- a/internal/scale/capacity/page.go
+++ b/internal/scale/capacity/page.go
@@ -17,58 +17,58 @@
 
 // Report is all that the page tells.
 type Report struct {
-	Target   Target        `json:"target"`
-	Sources  []Source      `json:"sources"`
-	Peak     []Line        `json:"peak"`
-	Sizes    []SizeRow     `json:"sizes"`  // at rest
-	Faults   []SizeRow     `json:"faults"` // each but rest
-	Parts    []PartsRow    `json:"parts"`  // at rest, by mechanism
-	Slopes   []Series      `json:"slopes"`
-	Real     []RealRow     `json:"real"`
-	Held     []Held        `json:"held"`
-	Roles    []Role        `json:"roles"`
-	First    []Break       `json:"first"` // of today's fleet, all parts together
-	Breaks   []Breaks      `json:"breaks"`
-	Today    Today         `json:"today"`
-	Grants   Grants        `json:"grants"`
-	Purging  Purging       `json:"purging"`
-	Budget   Budget        `json:"budget"`
-	Leader   *LeaderSlopes `json:"leader"` // nil: not measured
-	Excluded []Excluded    `json:"excluded"`
+	Target              Target          `json:"target"`
+	Sources             []SourceFile    `json:"sources"`
+	Peak                []PeakLoad      `json:"peak"`
+	Sizes               []SizeRow       `json:"sizes"`  // at rest
+	Faults              []SizeRow       `json:"faults"` // each but rest
+	Mechanisms          []MechanismRow  `json:"parts"`  // at rest, by mechanism
+	Slopes              []Series        `json:"slopes"`
+	Real                []RealRouterRow `json:"real"`
+	LargestWithinBudget []BudgetResult  `json:"held"`
+	Roles               []Role          `json:"roles"`
+	FirstLimits         []ScalingLimit  `json:"first"` // of today's fleet, all parts together
+	Limits              []ScalingLimits `json:"breaks"`
+	Current             CurrentCosts    `json:"today"`
+	Renewals            RenewalDesign   `json:"grants"`
+	Purges              PurgeDesign     `json:"purging"`
+	Budget              Budget          `json:"budget"`
+	Leader              *LeaderModel    `json:"leader"` // nil: not measured
+	Excluded            []ExcludedTrial `json:"excluded"`
 }
 
 // Source is a file that figures come from.
-type Source struct {
-	Name    string `json:"name"`
-	Build   string `json:"build"`
-	Cores   int    `json:"cores"`
-	Trials  int    `json:"trials"`
-	Probes  string `json:"probes"`  // seconds between two probes of a router
-	Sites   string `json:"sites"`   // routers to a site
-	Regions string `json:"regions"` // sites to a region
-	Others  string `json:"others"`  // most cores that other processes used in a window
+type SourceFile struct {
+	Name           string `json:"name"`
+	Build          string `json:"build"`
+	Cores          int    `json:"cores"`
+	Trials         int    `json:"trials"`
+	ProbeIntervals string `json:"probes"`  // seconds between two probes of a router
+	RoutersPerSite string `json:"sites"`   // routers to a site
+	SitesPerRegion string `json:"regions"` // sites to a region
+	OtherLoad      string `json:"others"`  // most cores that other processes used in a window
 }
 
 // SizeRow is what was measured at one size of one kind of fleet under one fault, the mean over the seeds.
 type SizeRow struct {
-	Topology result.Topology `json:"topology"`
-	Fault    result.Fault    `json:"fault"`
-	Routers  int             `json:"routers"`
-	Seeds    int             `json:"seeds"`
-	Bytes    slope.Interval  `json:"bytes"` // the bounds are the least and the most of the seeds, here and below
-	Worst    slope.Interval  `json:"worst"`
-	CPU      slope.Interval  `json:"cpu"`
-	Memory   slope.Interval  `json:"memory"`
-	Settled  slope.Interval  `json:"settled"`
-	Known    slope.Interval  `json:"all_settled"`
-	Change   slope.Interval  `json:"change"`
-	Settles  int             `json:"settles"` // seeds in which it settled
-	Knows    int             `json:"knows"`   // seeds in which all routers knew it
-	Changes  int             `json:"changes"` // seeds in which all had the change
+	Topology              result.Topology `json:"topology"`
+	Fault                 result.Fault    `json:"fault"`
+	Routers               int             `json:"routers"`
+	Seeds                 int             `json:"seeds"`
+	Bytes                 slope.Interval  `json:"bytes"` // the bounds are the least and the most of the seeds, here and below
+	Busiest               slope.Interval  `json:"worst"`
+	CPU                   slope.Interval  `json:"cpu"`
+	Memory                slope.Interval  `json:"memory"`
+	Convergence           slope.Interval  `json:"settled"`
+	ConvergenceKnown      slope.Interval  `json:"all_settled"`
+	Propagation           slope.Interval  `json:"change"`
+	ConvergedSeeds        int             `json:"settles"` // seeds in which it settled
+	ConvergenceKnownSeeds int             `json:"knows"`   // seeds in which all routers knew it
+	PropagatedSeeds       int             `json:"changes"` // seeds in which all had the change
 }
 
 // PartsRow is what each mechanism causes at one size of one kind of fleet at rest, the mean over the seeds.
-type PartsRow struct {
+type MechanismRow struct {
 	Topology result.Topology `json:"topology"`
 	Routers  int             `json:"routers"`
 	Bytes    []float64       `json:"bytes_per_s"` // in the order of Mechanisms; 0 where it causes none
@@ -76,7 +76,7 @@
 
 // RealRow is what membership costs a process of the router's program, beside hollow routers of the same fleet at rest; the
 // mean over the seeds. CPU and memory of a process are those beyond one whose fleet is switched off.
-type RealRow struct {
+type RealRouterRow struct {
 	Topology     result.Topology `json:"topology"`
 	Routers      int             `json:"routers"`
 	Processes    int             `json:"processes"` // of all seeds
@@ -92,54 +92,54 @@
 var Mechanisms = []string{"probe", "gossip", "heartbeat", "full_state", "summary", "lending", "grant", "other"}
 
 // Held is the largest size measured at which all seeds kept to a router's budget, at rest.
-type Held struct {
-	Topology result.Topology `json:"topology"`
-	Size     int             `json:"size"`    // 0: none
-	Largest  int             `json:"largest"` // measured
+type BudgetResult struct {
+	Topology        result.Topology `json:"topology"`
+	Size            int             `json:"size"`    // 0: none
+	LargestMeasured int             `json:"largest"` // measured
 }
 
 // Work works a report out; of the leader nil where nothing was measured.
-func Work(t Target, files []Measured, ofLeader *LeaderSlopes) Report {
-	e := Gather(files)
-	now := today(t, ofLeader)
-	g := grants(t, now)
-	spent := documentsOnce(t)
+func NewReport(t Target, files []ResultFile, ofLeader *LeaderModel) Report {
+	e := FitMeasurements(files)
+	now := currentCosts(t, ofLeader)
+	g := designRenewals(t, now)
+	spent := documentBytes(t)
 	if g.Chosen != nil {
-		spent += g.Chosen.Router
+		spent += g.Chosen.RouterBytes
 	}
-	p := purging(t, t.Control.BytesPerSecond-spent)
-	membership := predicted(e, t, Key{result.Tiered, result.NoFault, FigureBytes})
-	ofRepresentative := predicted(e, t, Key{result.Tiered, result.NoFault, FigureWorst})
-	r := Report{Target: t, Peak: peak(t), Sizes: sizeRows(e, atRest), Faults: sizeRows(e, func(f result.Fault) bool { return !atRest(f) }), Parts: partsRows(e), Real: realRows(e), Slopes: e.Series, Roles: roles(t, e, now, p, ofLeader), Breaks: breaks(t, e, now, ofLeader),
-		Today: now, Grants: g, Purging: p, Budget: budget(t, g, p, membership, ofRepresentative), Excluded: e.Incomplete, Leader: ofLeader}
+	p := designPurges(t, t.Budget.BytesPerSecond-spent)
+	membership := predict(e, t, SeriesKey{result.Tiered, result.NoFault, MetricBytes})
+	ofRepresentative := predict(e, t, SeriesKey{result.Tiered, result.NoFault, MetricBusiestBytes})
+	r := Report{Target: t, Peak: peakLoads(t), Sizes: sizeRows(e, withoutFault), Faults: sizeRows(e, func(f result.Fault) bool { return !withoutFault(f) }), Mechanisms: mechanismRows(e), Real: realRouterRows(e), Slopes: e.Series, Roles: allRoles(t, e, now, p, ofLeader), Limits: scalingLimits(t, e, now, ofLeader),
+		Current: now, Renewals: g, Purges: p, Budget: routerBudget(t, g, p, membership, ofRepresentative), Excluded: e.Excluded, Leader: ofLeader}
 	for _, f := range e.Files {
 		r.Sources = append(r.Sources, source(f))
 	}
-	r.Held = held(t, r.Sizes)
-	r.First = first(r.Breaks[0], r.Breaks[2])
+	r.LargestWithinBudget = largestWithinBudget(t, r.Sizes)
+	r.FirstLimits = firstReached(r.Limits[0], r.Limits[2])
 	return r
 }
 
-func source(f Measured) Source {
+func source(f ResultFile) SourceFile {
 	probes, perSite, perRegion := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, trial := range f.Trials {
-		probes[digits(trial.ProbeInterval)] = true
+		probes[formatDigits(trial.ProbeInterval)] = true
 		if trial.Sites > 0 {
-			perSite[rounded(trial.Routers, trial.Sites)] = true
+			perSite[roundedRatio(trial.Routers, trial.Sites)] = true
 		}
 		if trial.Regions > 0 {
-			perRegion[rounded(trial.Sites, trial.Regions)] = true
+			perRegion[roundedRatio(trial.Sites, trial.Regions)] = true
 		}
 	}
 	list := func(set map[string]bool) string {
 		return strings.Join(slices.SortedFunc(maps.Keys(set), func(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) }), ", ")
 	}
-	return Source{Name: f.Name, Build: builds(f), Cores: f.Cores, Trials: len(f.Trials), Probes: list(probes), Sites: list(perSite), Regions: list(perRegion),
-		Others: mostOtherLoad(f.Trials)}
+	return SourceFile{Name: f.Name, Build: builds(f), Cores: f.Cores, Trials: len(f.Trials), ProbeIntervals: list(probes), RoutersPerSite: list(perSite), SitesPerRegion: list(perRegion),
+		OtherLoad: maxOtherLoad(f.Trials)}
 }
 
 // builds are those of all trials, in the order in which they were played.
-func builds(f Measured) string {
+func builds(f ResultFile) string {
 	var all []string
 	for _, t := range f.Trials {
 		if build := shortCommit(cmp.Or(t.Build, f.Build)); !slices.Contains(all, build) {
@@ -150,7 +150,7 @@
 }
 
 // mostOtherLoad is the most that others used of the machine while one of the trials was measured.
-func mostOtherLoad(trials []result.Trial) string {
+func maxOtherLoad(trials []result.Trial) string {
 	most, unknown := 0.0, 0
 	for _, t := range trials {
 		if t.OtherLoad == nil {
@@ -169,7 +169,7 @@
 }
 
 // rounded is a ratio as a whole number.
-func rounded(a, b int) string { return strconv.Itoa(int(math.Round(float64(a) / float64(b)))) }
+func roundedRatio(a, b int) string { return strconv.Itoa(int(math.Round(float64(a) / float64(b)))) }
 
 // group is one size of one kind of fleet under one fault.
 type group struct {
@@ -183,7 +183,7 @@
 }
 
 // groups are the trials that were not ended early, of those faults that are wanted.
-func groups(e Evidence, wanted func(result.Fault) bool) map[group][]result.Trial {
+func groups(e Measurements, wanted func(result.Fault) bool) map[group][]result.Trial {
 	trials := map[group][]result.Trial{}
 	for _, f := range e.Files {
 		for _, t := range f.Trials {
@@ -197,10 +197,10 @@
 }
 
 // partsRows are by topology and size.
-func partsRows(e Evidence) (rows []PartsRow) {
-	trials := groups(e, atRest)
+func mechanismRows(e Measurements) (rows []MechanismRow) {
+	trials := groups(e, withoutFault)
 	for _, g := range slices.SortedFunc(maps.Keys(trials), compareGroups) {
-		row := PartsRow{Topology: g.topology, Routers: g.routers, Bytes: make([]float64, len(Mechanisms))}
+		row := MechanismRow{Topology: g.topology, Routers: g.routers, Bytes: make([]float64, len(Mechanisms))}
 		for _, trial := range trials[g] {
 			for _, m := range trial.Mechanisms {
 				if i := slices.Index(Mechanisms, m.Name); i >= 0 {
@@ -214,11 +214,11 @@
 }
 
 // realRows are by topology and size.
-func realRows(e Evidence) (rows []RealRow) {
+func realRouterRows(e Measurements) (rows []RealRouterRow) {
 	trials := map[group][]result.Trial{}
 	for _, f := range e.Files {
 		for _, t := range f.Trials {
-			if t.Real != nil && t.Incomplete == "" && atRest(t.Fault) {
+			if t.Real != nil && t.Incomplete == "" && withoutFault(t.Fault) {
 				g := group{t.Topology, t.Fault, t.Routers}
 				trials[g] = append(trials[g], t)
 			}
@@ -226,36 +226,36 @@
 	}
 	for _, g := range slices.SortedFunc(maps.Keys(trials), compareGroups) {
 		all := trials[g]
-		row := RealRow{Topology: g.topology, Routers: g.routers}
+		row := RealRouterRow{Topology: g.topology, Routers: g.routers}
 		for _, t := range all {
 			row.Processes += t.Real.Routers
 		}
-		row.Bytes, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.BytesIn + t.Real.PerRouter.BytesOut) })
-		row.CPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.CPU - t.Real.WithoutFleet.CPU) })
-		row.Memory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.Memory - t.Real.WithoutFleet.Memory) })
-		row.HollowBytes, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.BytesIn + t.PerRouter.BytesOut) })
-		row.HollowCPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.CPU) })
-		row.HollowMemory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.Memory) })
+		row.Bytes, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.BytesIn + t.Real.PerRouter.BytesOut) })
+		row.CPU, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.CPU - t.Real.WithoutFleet.CPU) })
+		row.Memory, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.Real.PerRouter.Memory - t.Real.WithoutFleet.Memory) })
+		row.HollowBytes, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.BytesIn + t.PerRouter.BytesOut) })
+		row.HollowCPU, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.CPU) })
+		row.HollowMemory, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.Memory) })
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-func atRest(f result.Fault) bool { return f == result.NoFault }
+func withoutFault(f result.Fault) bool { return f == result.NoFault }
 
 // sizeRows are by topology, fault and size.
-func sizeRows(e Evidence, wanted func(result.Fault) bool) (rows []SizeRow) {
+func sizeRows(e Measurements, wanted func(result.Fault) bool) (rows []SizeRow) {
 	trials := groups(e, wanted)
 	for _, g := range slices.SortedFunc(maps.Keys(trials), compareGroups) {
 		all := trials[g]
 		row := SizeRow{Topology: g.topology, Fault: g.fault, Routers: g.routers, Seeds: len(all)}
-		row.Bytes, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.BytesIn + t.PerRouter.BytesOut) })
-		row.Worst, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.Busiest.BytesIn + t.Busiest.BytesOut) })
-		row.CPU, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.CPU) })
-		row.Memory, _ = spread(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.Memory) })
-		row.Settled, row.Settles = spread(all, func(t result.Trial) *float64 { return t.ConvergenceTime })
-		row.Known, row.Knows = spread(all, func(t result.Trial) *float64 { return t.ConvergenceKnownTime })
-		row.Change, row.Changes = spread(all, func(t result.Trial) *float64 { return t.PropagationTime })
+		row.Bytes, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.BytesIn + t.PerRouter.BytesOut) })
+		row.Busiest, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.Busiest.BytesIn + t.Busiest.BytesOut) })
+		row.CPU, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.CPU) })
+		row.Memory, _ = meanAndRange(all, func(t result.Trial) *float64 { return pointer(t.PerRouter.Memory) })
+		row.Convergence, row.ConvergedSeeds = meanAndRange(all, func(t result.Trial) *float64 { return t.ConvergenceTime })
+		row.ConvergenceKnown, row.ConvergenceKnownSeeds = meanAndRange(all, func(t result.Trial) *float64 { return t.ConvergenceKnownTime })
+		row.Propagation, row.PropagatedSeeds = meanAndRange(all, func(t result.Trial) *float64 { return t.PropagationTime })
 		rows = append(rows, row)
 	}
 	return rows
@@ -264,7 +264,7 @@
 func pointer(value float64) *float64 { return &value }
 
 // spread is mean, least and most, and in how many trials there is a value.
-func spread(all []result.Trial, of func(result.Trial) *float64) (i slope.Interval, count int) {
+func meanAndRange(all []result.Trial, of func(result.Trial) *float64) (i slope.Interval, count int) {
 	i.Low = math.Inf(1)
 	for _, t := range all {
 		v := of(t)
@@ -283,20 +283,20 @@
 }
 
 // held looks upwards from the smallest size, and ends at the first that is over a limit.
-func held(t Target, rows []SizeRow) (all []Held) {
+func largestWithinBudget(t Target, rows []SizeRow) (all []BudgetResult) {
 	for _, topology := range []result.Topology{result.Flat, result.Tiered} {
-		h, over := Held{Topology: topology}, false
+		h, over := BudgetResult{Topology: topology}, false
 		for _, r := range rows {
 			if r.Topology != topology {
 				continue
 			}
-			c := t.Control
+			c := t.Budget
 			over = over || r.Bytes.High > c.BytesPerSecond || r.CPU.High > c.CoreShare || r.Memory.High > c.MemoryBytes
-			if h.Largest = r.Routers; !over {
+			if h.LargestMeasured = r.Routers; !over {
 				h.Size = r.Routers
 			}
 		}
-		if h.Largest > 0 {
+		if h.LargestMeasured > 0 {
 			all = append(all, h)
 		}
 	}
@@ -307,35 +307,35 @@
 var page string
 
 var pageTemplate = template.Must(template.New("capacity").Funcs(template.FuncMap{
-	"cell": cell, "from": from, "share": share, "limit": limit,
-	"number":  func(v float64) string { return show(v, Number) },
-	"bytes":   func(v float64) string { return show(v, Bytes) },
-	"rate":    func(v float64) string { return show(v, BytesPerSecond) },
-	"times":   func(v float64) string { return show(v, PerSecond) },
-	"time":    func(v float64) string { return show(v, Seconds) },
-	"bits":    func(v float64) string { return show(v, BitsPerSecond) },
-	"cores":   func(v float64) string { return show(v, Cores) },
-	"percent": func(v float64) string { return digits(v*100) + "%" },
-	"value":   show,
-	"around":  func(i slope.Interval, unit Unit) string { return around(i, unit) },
-	"seen": func(i slope.Interval, count, of int) string {
+	"estimate": formatEstimate, "sources": formatSources, "limitShare": formatLimitShare, "limit": formatLimit,
+	"number":   func(v float64) string { return formatValue(v, Number) },
+	"bytes":    func(v float64) string { return formatValue(v, Bytes) },
+	"rate":     func(v float64) string { return formatValue(v, BytesPerSecond) },
+	"times":    func(v float64) string { return formatValue(v, PerSecond) },
+	"time":     func(v float64) string { return formatValue(v, Seconds) },
+	"bits":     func(v float64) string { return formatValue(v, BitsPerSecond) },
+	"cores":    func(v float64) string { return formatValue(v, Cores) },
+	"percent":  func(v float64) string { return formatDigits(v*100) + "%" },
+	"value":    formatValue,
+	"interval": func(i slope.Interval, unit Unit) string { return formatInterval(i, unit) },
+	"convergence": func(i slope.Interval, count, of int) string {
 		if count == 0 {
 			return fmt.Sprintf("in none of %d", of)
 		}
-		text := around(i, Seconds)
+		text := formatInterval(i, Seconds)
 		if count < of {
 			text += fmt.Sprintf(", in %d of %d", count, of)
 		}
 		return text
 	},
-	"rivals": func(c *slope.Choice) string {
+	"alternatives": func(c *slope.Selection) string {
 		var names []string
-		for _, f := range c.Rivals {
-			names = append(names, f.Form.String())
+		for _, f := range c.Alternatives {
+			names = append(names, f.Model.String())
 		}
 		return cmp.Or(strings.Join(names, ", "), "-")
 	},
-	"breakSize": breakSize,
+	"limitSize": formatLimitSize,
 	"yes": func(v bool) string {
 		if v {
 			return "yes"
@@ -343,44 +343,44 @@
 		return "no"
 	},
 	"mechanisms": func() []string { return Mechanisms },
-	"fitted":     func(s *LeaderSlopes) bool { return s.Fitted() },
+	"fitted":     func(s *LeaderModel) bool { return s.Fitted() },
 	"add":        func(a, b int) int { return a + b },
-	"step":       func(f slope.Fit) string { return interval(f.Step, f.Form == slope.Constant) },
-	"base":       func(f slope.Fit) string { return interval(f.Base, false) },
+	"slope":      func(f slope.Fit) string { return formatCoefficient(f.Slope, f.Model == slope.Constant) },
+	"intercept":  func(f slope.Fit) string { return formatCoefficient(f.Intercept, false) },
 	"short":      shortCommit,
 }).Parse(page))
 
-func around(i slope.Interval, unit Unit) string {
-	return showBetween(i.Value, i.Low, i.High, unit)
+func formatInterval(i slope.Interval, unit Unit) string {
+	return formatRange(i.Value, i.Low, i.High, unit)
 }
 
 // interval writes coefficients, which may be very small.
-func interval(i slope.Interval, none bool) string {
+func formatCoefficient(i slope.Interval, none bool) string {
 	if none {
 		return "-"
 	}
 	return fmt.Sprintf("%.3g (%.3g to %.3g)", i.Value, i.Low, i.High)
 }
 
-func breakSize(b Break) string {
-	if b.Early > 0 {
-		return fmt.Sprintf("%s; not ruled out: from %s on", chosenSize(b), show(math.Ceil(b.Early), Number))
+func formatLimitSize(b ScalingLimit) string {
+	if b.EarliestSize > 0 {
+		return fmt.Sprintf("%s; not ruled out: from %s on", formatFittedSize(b), formatValue(math.Ceil(b.EarliestSize), Number))
 	}
-	return chosenSize(b)
+	return formatFittedSize(b)
 }
 
-func chosenSize(b Break) string {
+func formatFittedSize(b ScalingLimit) string {
 	switch {
-	case b.Size == 0 && b.Basis == Missing:
+	case b.Size == 0 && b.Basis == NotMeasured:
 		return "not measured"
 	case b.Size == 0:
 		return "not reached"
 	case b.Basis == Extrapolated:
-		return fmt.Sprintf("%s, x%s beyond what is measured", show(math.Ceil(b.Size), Number), digits(b.Factor))
+		return fmt.Sprintf("%s, x%s beyond what is measured", formatValue(math.Ceil(b.Size), Number), formatDigits(b.SizeRatio))
 	case b.Size == 1:
 		return "any"
 	}
-	return show(math.Ceil(b.Size), Number)
+	return formatValue(math.Ceil(b.Size), Number)
 }
 
 // shortCommit leaves what is no commit alone.
@@ -405,13 +405,13 @@
 type StaleError struct {
 	Page string
 	Line int
-	Has  string
+	Got  string
 	Want string
 }
 
 func (e StaleError) Error() string {
 	return fmt.Sprintf("%s: line %d: it has %q, and its figures give %q; write it anew: cache-routerctl scale capacity --target FILE --measured FILE... --leader FILE --write %s",
-		e.Page, e.Line, e.Has, e.Want, e.Page)
+		e.Page, e.Line, e.Got, e.Want, e.Page)
 }
 
 // Check tells whether a page is what its report gives; the error is a StaleError.
--- a/internal/scale/capacity/show.go
+++ b/internal/scale/capacity/show.go
@@ -8,55 +8,55 @@
 )
 
 // show writes a value for people, with three digits. K, M, G and T are powers of ten.
-func show(value float64, unit Unit) string {
+func formatValue(value float64, unit Unit) string {
 	switch unit {
 	case BytesPerSecond:
-		return scaled(value, "B/s")
+		return formatSI(value, "B/s")
 	case BitsPerSecond:
-		return scaled(value, "bit/s")
+		return formatSI(value, "bit/s")
 	case Bytes:
-		return scaled(value, "B")
+		return formatSI(value, "B")
 	case Cores:
-		return digits(value*100) + "% of a core"
+		return formatDigits(value*100) + "% of a core"
 	case Seconds:
-		return showSeconds(value)
+		return formatSeconds(value)
 	case PerSecond:
-		return grouped(value) + "/s"
+		return formatGrouped(value) + "/s"
 	default:
-		return grouped(value)
+		return formatGrouped(value)
 	}
 }
 
-func scaled(value float64, unit string) string {
+func formatSI(value float64, unit string) string {
 	for _, prefix := range []struct {
 		factor float64
 		name   string
 	}{{1e12, "T"}, {1e9, "G"}, {1e6, "M"}, {1e3, "K"}} {
 		if math.Abs(value) >= prefix.factor*0.9995 {
-			return digits(value/prefix.factor) + " " + prefix.name + unit
+			return formatDigits(value/prefix.factor) + " " + prefix.name + unit
 		}
 	}
-	return digits(value) + " " + unit
+	return formatDigits(value) + " " + unit
 }
 
-func showSeconds(value float64) string {
+func formatSeconds(value float64) string {
 	const minute, hour = 60, 3600
 	switch {
 	case value == 0 || value >= 1 && value < 2*minute:
-		return digits(value) + " s"
+		return formatDigits(value) + " s"
 	case value >= 2*hour:
-		return digits(value/hour) + " h"
+		return formatDigits(value/hour) + " h"
 	case value >= 2*minute:
-		return digits(value/minute) + " min"
+		return formatDigits(value/minute) + " min"
 	case value >= 1e-3:
-		return digits(value*1e3) + " ms"
+		return formatDigits(value*1e3) + " ms"
 	default:
-		return digits(value*1e6) + " us"
+		return formatDigits(value*1e6) + " us"
 	}
 }
 
 // digits rounds to three of them, without an exponent.
-func digits(value float64) string {
+func formatDigits(value float64) string {
 	if value == 0 || math.IsInf(value, 0) || math.IsNaN(value) {
 		return strconv.FormatFloat(value, 'f', -1, 64)
 	}
@@ -69,9 +69,9 @@
 }
 
 // grouped rounds as digits does, and parts the thousands; whole numbers below a million keep all of their digits.
-func grouped(value float64) string {
+func formatGrouped(value float64) string {
 	if math.Abs(value) < 1000 {
-		return digits(value)
+		return formatDigits(value)
 	}
 	const whole = 1e6
 	if math.Abs(value) >= whole {
@@ -92,22 +92,22 @@
 }
 
 // cell is an estimate in a table.
-func cell(e Estimate) string {
+func formatEstimate(e Estimate) string {
 	switch e.Basis {
-	case Missing:
+	case NotMeasured:
 		return "not measured"
-	case Counted:
-		return show(e.Value, e.Unit)
+	case Calculated:
+		return formatValue(e.Value, e.Unit)
 	}
 	if e.Low == e.High {
-		return show(e.Value, e.Unit) + beyond(e)
+		return formatValue(e.Value, e.Unit) + formatExtrapolation(e)
 	}
-	return showBetween(e.Value, e.Low, e.High, e.Unit) + beyond(e)
+	return formatRange(e.Value, e.Low, e.High, e.Unit) + formatExtrapolation(e)
 }
 
 // showBetween writes a value and its bounds, the unit once where it is the same.
-func showBetween(value, low, high float64, unit Unit) string {
-	texts := [3]string{show(value, unit), show(low, unit), show(high, unit)}
+func formatRange(value, low, high float64, unit Unit) string {
+	texts := [3]string{formatValue(value, unit), formatValue(low, unit), formatValue(high, unit)}
 	suffix := strings.TrimLeft(texts[0], "0123456789.,")
 	for _, text := range texts {
 		if strings.TrimLeft(text, "0123456789.,") != suffix {
@@ -119,19 +119,19 @@
 }
 
 // beyond tells by which factor a value is extrapolated.
-func beyond(e Estimate) string {
+func formatExtrapolation(e Estimate) string {
 	if e.Basis != Extrapolated {
 		return ""
 	}
-	return fmt.Sprintf(", x%s beyond", digits(e.Factor))
+	return fmt.Sprintf(", x%s beyond", formatDigits(e.SizeRatio))
 }
 
 // from is what a row's estimates rest on.
-func from(r Row) string {
+func formatSources(r Row) string {
 	var all []string
 	seen := map[string]bool{"": true}
-	for _, e := range []Estimate{r.Ordinary, r.Herd, r.Cut} {
-		for _, text := range []string{e.From, e.Note} {
+	for _, e := range []Estimate{r.Normal, r.RestartBurst, r.RegionPartition} {
+		for _, text := range []string{e.Source, e.Note} {
 			if !seen[text] {
 				seen[text] = true
 				all = append(all, text)
@@ -141,26 +141,26 @@
 	if len(all) > 0 {
 		return strings.Join(all, "; ")
 	}
-	if r.Ordinary.Basis == Counted {
+	if r.Normal.Basis == Calculated {
 		return "counted"
 	}
 	return "-"
 }
 
-func share(r Row) string {
-	part, upTo, ok := r.Share()
+func formatLimitShare(r Row) string {
+	part, upTo, ok := r.LimitShare()
 	switch {
 	case !ok:
 		return "-"
 	case upTo > part:
-		return fmt.Sprintf("%s%%, up to %s%%", digits(part*100), digits(upTo*100))
+		return fmt.Sprintf("%s%%, up to %s%%", formatDigits(part*100), formatDigits(upTo*100))
 	}
-	return digits(part*100) + "%"
+	return formatDigits(part*100) + "%"
 }
 
-func limit(r Row) string {
+func formatLimit(r Row) string {
 	if r.Limit == nil {
 		return "-"
 	}
-	return show(r.Limit.Value, r.Limit.Unit)
+	return formatValue(r.Limit.Value, r.Limit.Unit)
 }
--- a/internal/scale/capacity/target.go
+++ b/internal/scale/capacity/target.go
@@ -15,22 +15,22 @@
 )
 
 // Span is a length of time, written as in "7.1s".
-type Span time.Duration
+type Duration time.Duration
 
 // UnmarshalText reads one.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	span, err := time.ParseDuration(string(text))
-	*s = Span(span)
+	*s = Duration(span)
 	return err
 }
 
 // MarshalText writes one.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // Seconds is the length in seconds.
-func (s Span) Seconds() float64 { return time.Duration(s).Seconds() }
+func (s Duration) Seconds() float64 { return time.Duration(s).Seconds() }
 
-func (s Span) String() string { return time.Duration(s).String() }
+func (s Duration) String() string { return time.Duration(s).String() }
 
 // Target is the fleet that is asked about.
 type Target struct {
@@ -43,28 +43,28 @@
 	Bits         float64 `toml:"bits_per_second" json:"bits_per_second"`         // at the peak
 	Objects      float64 `toml:"objects" json:"objects"`
 
-	Purges   Purges   `toml:"purges" json:"purges"`
-	Changes  Changes  `toml:"changes" json:"changes"`
-	Control  Control  `toml:"control" json:"control"`
-	Failures Failures `toml:"failures" json:"failures"`
-	Assumed  Assumed  `toml:"assumed" json:"assumed"`
+	Purges      Purges        `toml:"purges" json:"purges"`
+	Changes     Changes       `toml:"changes" json:"changes"`
+	Budget      ControlBudget `toml:"control" json:"control"`
+	Failures    Failures      `toml:"failures" json:"failures"`
+	Assumptions AssumedValues `toml:"assumed" json:"assumed"`
 }
 
 // Purges are objects that no cache server may give out any more.
 type Purges struct {
-	PerSecond float64 `toml:"per_second" json:"per_second"`
-	Bytes     float64 `toml:"bytes" json:"bytes"` // that name one
-	Within    Span    `toml:"within" json:"within"`
+	PerSecond float64  `toml:"per_second" json:"per_second"`
+	Bytes     float64  `toml:"bytes" json:"bytes"` // that name one
+	Within    Duration `toml:"within" json:"within"`
 }
 
 // Changes are those of configuration.
 type Changes struct {
-	PerDay float64 `toml:"per_day" json:"per_day"`
-	Within Span    `toml:"within" json:"within"`
+	PerDay float64  `toml:"per_day" json:"per_day"`
+	Within Duration `toml:"within" json:"within"`
 }
 
 // Control is what may be spent on control.
-type Control struct {
+type ControlBudget struct {
 	CoreShare      float64 `toml:"core_share" json:"core_share"`             // of one core, by a router
 	MemoryBytes    float64 `toml:"memory_bytes" json:"memory_bytes"`         // by a router
 	BytesPerSecond float64 `toml:"bytes_per_second" json:"bytes_per_second"` // by a router, in and out together
@@ -73,20 +73,20 @@
 
 // Failures are those of an ordinary day, and of a bad one.
 type Failures struct {
-	MachinesPerDay float64 `toml:"machines_per_day" json:"machines_per_day"`
-	RestartsPerDay float64 `toml:"restarts_per_day" json:"restarts_per_day"`
-	Herd           float64 `toml:"herd" json:"herd"` // times that pace
-	RegionCut      Span    `toml:"region_cut" json:"region_cut"`
+	MachinesPerDay     float64  `toml:"machines_per_day" json:"machines_per_day"`
+	RestartsPerDay     float64  `toml:"restarts_per_day" json:"restarts_per_day"`
+	RestartBurstFactor float64  `toml:"herd" json:"herd"` // times that pace
+	RegionPartition    Duration `toml:"region_cut" json:"region_cut"`
 }
 
 // Assumed is what is neither measured nor told.
-type Assumed struct {
-	Keepers        float64 `toml:"keepers" json:"keepers"`
-	DocumentBytes  float64 `toml:"document_bytes" json:"document_bytes"`
-	ListEntryBytes float64 `toml:"list_entry_bytes" json:"list_entry_bytes"`
-	Copies         float64 `toml:"copies" json:"copies"` // cache servers of a site that hold an object
-	LongestFetch   Span    `toml:"longest_fetch" json:"longest_fetch"`
-	NetworkDelay   Span    `toml:"network_delay" json:"network_delay"` // one way, between regions
+type AssumedValues struct {
+	PolicyVoters   float64  `toml:"keepers" json:"keepers"`
+	DocumentBytes  float64  `toml:"document_bytes" json:"document_bytes"`
+	ListEntryBytes float64  `toml:"list_entry_bytes" json:"list_entry_bytes"`
+	Replicas       float64  `toml:"copies" json:"copies"` // cache servers of a site that hold an object
+	LongestFetch   Duration `toml:"longest_fetch" json:"longest_fetch"`
+	NetworkDelay   Duration `toml:"network_delay" json:"network_delay"` // one way, between regions
 }
 
 const secondsPerDay = 24 * 60 * 60
@@ -105,18 +105,18 @@
 
 // FieldError names what is wrong in a file.
 type FieldError struct {
-	File   string
-	Line   int // 0: of the whole file
-	Field  string
-	What   string
-	Remedy string
+	File    string
+	Line    int // 0: of the whole file
+	Field   string
+	Problem string
+	Remedy  string
 }
 
 func (e FieldError) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("%s: %s: %s; %s", e.File, e.Field, e.What, e.Remedy)
+		return fmt.Sprintf("%s: %s: %s; %s", e.File, e.Field, e.Problem, e.Remedy)
 	}
-	return fmt.Sprintf("%s: line %d: %s: %s; %s", e.File, e.Line, e.Field, e.What, e.Remedy)
+	return fmt.Sprintf("%s: line %d: %s: %s; %s", e.File, e.Line, e.Field, e.Problem, e.Remedy)
 }
 
 // ReadTarget reads a target's file strictly. Errors are FieldErrors, or name line, field and remedy by themselves.
@@ -128,20 +128,20 @@
 	places := tomlfile.FieldLines(text)
 	var wrong []error
 	for _, c := range t.checks() {
-		if c.wrong {
-			wrong = append(wrong, FieldError{file, places.Line(c.field), c.field, c.what, c.remedy})
+		if c.failed {
+			wrong = append(wrong, FieldError{file, places.Line(c.field), c.field, c.problem, c.remedy})
 		}
 	}
 	return t, errors.Join(wrong...)
 }
 
-type check struct {
-	field, what, remedy string
-	wrong               bool
+type fieldCheck struct {
+	field, problem, remedy string
+	failed                 bool
 }
 
 // checks are all that a target is held to.
-func (t Target) checks() []check {
+func (t Target) checks() []fieldCheck {
 	const most = 1e18 // beyond it no fleet is, and figures lose their digits
 	positive := []struct {
 		field string
@@ -153,31 +153,31 @@
 		{"objects", t.Objects, true},
 		{"purges.per_second", t.Purges.PerSecond, false}, {"purges.bytes", t.Purges.Bytes, true}, {"purges.within", t.Purges.Within.Seconds(), false},
 		{"changes.per_day", t.Changes.PerDay, false}, {"changes.within", t.Changes.Within.Seconds(), false},
-		{"control.core_share", t.Control.CoreShare, false}, {"control.memory_bytes", t.Control.MemoryBytes, false},
-		{"control.bytes_per_second", t.Control.BytesPerSecond, false}, {"control.machines", t.Control.Machines, true},
+		{"control.core_share", t.Budget.CoreShare, false}, {"control.memory_bytes", t.Budget.MemoryBytes, false},
+		{"control.bytes_per_second", t.Budget.BytesPerSecond, false}, {"control.machines", t.Budget.Machines, true},
 		{"failures.machines_per_day", t.Failures.MachinesPerDay, false}, {"failures.restarts_per_day", t.Failures.RestartsPerDay, false},
-		{"failures.herd", t.Failures.Herd, false}, {"failures.region_cut", t.Failures.RegionCut.Seconds(), false},
-		{"assumed.keepers", t.Assumed.Keepers, true}, {"assumed.document_bytes", t.Assumed.DocumentBytes, false},
-		{"assumed.list_entry_bytes", t.Assumed.ListEntryBytes, false}, {"assumed.copies", t.Assumed.Copies, false},
-		{"assumed.longest_fetch", t.Assumed.LongestFetch.Seconds(), false}, {"assumed.network_delay", t.Assumed.NetworkDelay.Seconds(), false},
+		{"failures.herd", t.Failures.RestartBurstFactor, false}, {"failures.region_cut", t.Failures.RegionPartition.Seconds(), false},
+		{"assumed.keepers", t.Assumptions.PolicyVoters, true}, {"assumed.document_bytes", t.Assumptions.DocumentBytes, false},
+		{"assumed.list_entry_bytes", t.Assumptions.ListEntryBytes, false}, {"assumed.copies", t.Assumptions.Replicas, false},
+		{"assumed.longest_fetch", t.Assumptions.LongestFetch.Seconds(), false}, {"assumed.network_delay", t.Assumptions.NetworkDelay.Seconds(), false},
 	}
-	var all []check
+	var all []fieldCheck
 	for _, p := range positive {
 		usable := p.value > 0 && p.value < most
-		all = append(all, check{p.field, fmt.Sprintf("is %v", p.value), "give a number above 0", !usable})
-		all = append(all, check{p.field, fmt.Sprintf("is %v", p.value), "give a whole number", usable && p.whole && p.value != float64(int64(p.value))})
+		all = append(all, fieldCheck{p.field, fmt.Sprintf("is %v", p.value), "give a number above 0", !usable})
+		all = append(all, fieldCheck{p.field, fmt.Sprintf("is %v", p.value), "give a whole number", usable && p.whole && p.value != float64(int64(p.value))})
 	}
 	notOver := func(field string, value float64, other string, most float64) {
 		what := fmt.Sprintf("is %v, more than %s, %v", value, other, most)
-		all = append(all, check{field, what, "correct one of them", value > most && most > 0})
+		all = append(all, fieldCheck{field, what, "correct one of them", value > most && most > 0})
 	}
 	notOver("sites", t.Sites, "routers", t.Routers)
 	notOver("regions", t.Regions, "sites", t.Sites)
 	notOver("zones", t.Zones, "sites", t.Sites)
 	notOver("regions", t.Regions, "zones", t.Zones)
-	notOver("assumed.copies", t.Assumed.Copies, "cache_servers", t.CacheServers)
-	notOver("assumed.keepers", t.Assumed.Keepers, "control.machines", t.Control.Machines)
-	all = append(all, check{"control.core_share", fmt.Sprintf("is %v", t.Control.CoreShare), "give a share of one core, 1 at most", t.Control.CoreShare > 1})
-	all = append(all, check{"failures.herd", fmt.Sprintf("is %v", t.Failures.Herd), "give a multiple of the ordinary pace, 1 or more", t.Failures.Herd > 0 && t.Failures.Herd < 1})
+	notOver("assumed.copies", t.Assumptions.Replicas, "cache_servers", t.CacheServers)
+	notOver("assumed.keepers", t.Assumptions.PolicyVoters, "control.machines", t.Budget.Machines)
+	all = append(all, fieldCheck{"control.core_share", fmt.Sprintf("is %v", t.Budget.CoreShare), "give a share of one core, 1 at most", t.Budget.CoreShare > 1})
+	all = append(all, fieldCheck{"failures.herd", fmt.Sprintf("is %v", t.Failures.RestartBurstFactor), "give a multiple of the ordinary pace, 1 or more", t.Failures.RestartBurstFactor > 0 && t.Failures.RestartBurstFactor < 1})
 	return all
 }
--- a/internal/scale/slope/slope.go
+++ b/internal/scale/slope/slope.go
@@ -23,37 +23,37 @@
 )
 
 // Form is how a figure grows.
-type Form int
+type Model int
 
 // The forms, from the flattest to the steepest.
 const (
-	Constant Form = iota
-	Log           // logarithm of the size
+	Constant Model = iota
+	Logarithmic           // logarithm of the size
 	Linear
-	LinearLog // size times its logarithm
-	Square
+	Linearithmic // size times its logarithm
+	Quadratic
 )
 
 // Forms are all of them.
-var Forms = []Form{Constant, Log, Linear, LinearLog, Square}
+var Models = []Model{Constant, Logarithmic, Linear, Linearithmic, Quadratic}
 
-func (f Form) String() string {
+func (f Model) String() string {
 	return [...]string{"constant", "log n", "n", "n log n", "n^2"}[f]
 }
 
 // MarshalText writes a form by its name.
-func (f Form) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
+func (f Model) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 // shape is what the step is multiplied by.
-func (f Form) shape(size float64) float64 {
+func (f Model) basis(size float64) float64 {
 	switch f {
-	case Log:
+	case Logarithmic:
 		return math.Log(size)
 	case Linear:
 		return size
-	case LinearLog:
+	case Linearithmic:
 		return size * math.Log(size)
-	case Square:
+	case Quadratic:
 		return size * size
 	default:
 		return 0
@@ -61,7 +61,7 @@
 }
 
 // parameters are those of the line; the scatter is one more.
-func (f Form) parameters() int {
+func (f Model) coefficients() int {
 	if f == Constant {
 		return 1
 	}
@@ -76,19 +76,19 @@
 
 // Limits of what is fitted at all.
 const (
-	LeastSizes  = 5  // different sizes
-	LeastFactor = 16 // between the smallest and the largest
+	MinSizes  = 5  // different sizes
+	MinSizeRatio = 16 // between the smallest and the largest
 )
 
 // RangeError says that measurements are too few or too close together to tell a form.
 type RangeError struct {
 	Sizes  int     // that there are
-	Factor float64 // largest by smallest; 0: there is none
+	Ratio float64 // largest by smallest; 0: there is none
 }
 
 func (e RangeError) Error() string {
 	return fmt.Sprintf("%d sizes over a factor of %.4g; measure %d sizes or more, the largest %d times the smallest",
-		e.Sizes, e.Factor, LeastSizes, LeastFactor)
+		e.Sizes, e.Ratio, MinSizes, MinSizeRatio)
 }
 
 // ValueError says that one measurement cannot be fitted.
@@ -109,61 +109,61 @@
 
 // Fit is one form, fitted.
 type Fit struct {
-	Form     Form     `json:"form"`
-	Base     Interval `json:"base"`
-	Step     Interval `json:"step"` // all 0 where the form is constant
+	Model     Model     `json:"form"`
+	Intercept     Interval `json:"base"`
+	Slope     Interval `json:"step"` // all 0 where the form is constant
 	AICc     float64  `json:"aicc"`
-	Scatter  float64  `json:"scatter"`  // standard deviation of the residuals, as a share of the value
+	ResidualDeviation  float64  `json:"scatter"`  // standard deviation of the residuals, as a share of the value
 	Smallest float64  `json:"smallest"` // size measured
 	Largest  float64  `json:"largest"`  // size measured
 	Points   int      `json:"points"`
 
 	covariance [2][2]float64 // of base and step
-	quantile   float64       // of Student's t
-	floor      float64       // least value that the scatter is a share of
+	tQuantile   float64       // of Student's t
+	minScale      float64       // least value that the scatter is a share of
 }
 
 // Choice is the form that was chosen, and those that the measurements cannot tell from it.
-type Choice struct {
+type Selection struct {
 	Fit
-	Rivals []Fit `json:"rivals"` // by AICc, the best first
+	Alternatives []Fit `json:"rivals"` // by AICc, the best first
 }
 
 // indistinct is the difference in AICc below which two forms cannot be told apart.
-const indistinct = 2
+const maxAICcDifference = 2
 
 // Choose fits all forms and chooses one. Errors are RangeError and ValueError.
-func Choose(points []Point) (Choice, error) {
-	if err := check(points); err != nil {
-		return Choice{}, err
+func Select(points []Point) (Selection, error) {
+	if err := validate(points); err != nil {
+		return Selection{}, err
 	}
 	var fits []Fit
-	for _, form := range Forms {
-		fit, ok := fitted(form, points)
-		if ok && (form == Constant || fit.Step.Value > 0) {
+	for _, model := range Models {
+		fit, ok := fitModel(model, points)
+		if ok && (model == Constant || fit.Slope.Value > 0) {
 			fits = append(fits, fit)
 		}
 	}
 	slices.SortStableFunc(fits, func(a, b Fit) int { return cmp.Compare(a.AICc, b.AICc) })
-	return chosen(fits), nil
+	return selectModel(fits), nil
 }
 
 // chosen takes fits in order of AICc.
-func chosen(fits []Fit) Choice {
+func selectModel(fits []Fit) Selection {
 	best := fits[0]
-	var alike []Fit
+	var candidates []Fit
 	for _, fit := range fits {
-		if fit.AICc-best.AICc >= indistinct {
+		if fit.AICc-best.AICc >= maxAICcDifference {
 			continue
 		}
-		alike = append(alike, fit)
+		candidates = append(candidates, fit)
 	}
-	simplest := slices.MinFunc(alike, func(a, b Fit) int { return cmp.Compare(a.Form.parameters(), b.Form.parameters()) })
-	rivals := slices.DeleteFunc(alike, func(f Fit) bool { return f.Form == simplest.Form })
-	return Choice{Fit: simplest, Rivals: rivals}
+	simplest := slices.MinFunc(candidates, func(a, b Fit) int { return cmp.Compare(a.Model.coefficients(), b.Model.coefficients()) })
+	rivals := slices.DeleteFunc(candidates, func(f Fit) bool { return f.Model == simplest.Model })
+	return Selection{Fit: simplest, Alternatives: rivals}
 }
 
-func check(points []Point) error {
+func validate(points []Point) error {
 	sizes := map[float64]bool{}
 	smallest, largest := math.Inf(1), 0.0
 	for _, p := range points {
@@ -174,53 +174,53 @@
 		sizes[p.Size] = true
 		smallest, largest = min(smallest, p.Size), max(largest, p.Size)
 	}
-	wrong := RangeError{Sizes: len(sizes)}
+	rangeErr := RangeError{Sizes: len(sizes)}
 	if len(sizes) > 0 {
-		wrong.Factor = largest / smallest
+		rangeErr.Ratio = largest / smallest
 	}
-	if wrong.Sizes < LeastSizes || wrong.Factor < LeastFactor {
-		return wrong
+	if rangeErr.Sizes < MinSizes || rangeErr.Ratio < MinSizeRatio {
+		return rangeErr
 	}
 	return nil
 }
 
 // least is the smallest share of the largest mean that a residual is measured by: a figure that is zero at one size would
 // else outweigh all others there.
-const least = 1e-3
+const minScaleFraction = 1e-3
 
 // scales are what the residual of each point is a share of: the mean at its size.
-func scales(points []Point) (all []float64, floor float64) {
+func residualScales(points []Point) (scales []float64, minScale float64) {
 	sum, count := map[float64]float64{}, map[float64]float64{}
 	for _, p := range points {
 		sum[p.Size] += p.Value
 		count[p.Size]++
 	}
 	for size := range sum {
-		floor = max(floor, sum[size]/count[size]*least)
+		minScale = max(minScale, sum[size]/count[size]*minScaleFraction)
 	}
-	if floor == 0 {
-		floor = 1 // all values are zero
+	if minScale == 0 {
+		minScale = 1 // all values are zero
 	}
 	for _, p := range points {
-		all = append(all, max(floor, sum[p.Size]/count[p.Size]))
+		scales = append(scales, max(minScale, sum[p.Size]/count[p.Size]))
 	}
-	return all, floor
+	return scales, minScale
 }
 
 // fitted is not ok where the points do not determine the form.
-func fitted(form Form, points []Point) (fit Fit, ok bool) {
-	scale, floor := scales(points)
-	rows, columns := len(points), form.parameters()
+func fitModel(model Model, points []Point) (fit Fit, ok bool) {
+	scale, minScale := residualScales(points)
+	rows, columns := len(points), model.coefficients()
 	design, values := mat.NewDense(rows, columns, nil), mat.NewVecDense(rows, nil)
-	unit := form.shape(points[0].Size) // keeps the columns of like size
-	if unit == 0 {
-		unit = 1
+	basisUnit := model.basis(points[0].Size) // keeps the columns of like size
+	if basisUnit == 0 {
+		basisUnit = 1
 	}
-	fit = Fit{Form: form, Points: rows, Smallest: points[0].Size, floor: floor}
+	fit = Fit{Model: model, Points: rows, Smallest: points[0].Size, minScale: minScale}
 	for i, p := range points {
 		design.Set(i, 0, 1/scale[i])
 		if columns == 2 {
-			design.Set(i, 1, form.shape(p.Size)/unit/scale[i])
+			design.Set(i, 1, model.basis(p.Size)/basisUnit/scale[i])
 		}
 		values.SetVec(i, p.Value/scale[i])
 		fit.Smallest, fit.Largest = min(fit.Smallest, p.Size), max(fit.Largest, p.Size)
@@ -230,81 +230,81 @@
 	if inverse.Inverse(&normal) != nil {
 		return Fit{}, false
 	}
-	var right, coefficients, residual mat.VecDense
-	right.MulVec(design.T(), values)
-	coefficients.MulVec(&inverse, &right)
+	var projection, coefficients, residual mat.VecDense
+	projection.MulVec(design.T(), values)
+	coefficients.MulVec(&inverse, &projection)
 	residual.MulVec(design, &coefficients)
 	residual.SubVec(values, &residual)
 
-	squares := mat.Dot(&residual, &residual)
-	free := float64(rows - columns)
-	variance := squares / free
-	fit.Scatter = math.Sqrt(variance)
-	fit.AICc = aicc(squares, rows, columns+1)
-	fit.quantile = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: free}.Quantile(0.975)
-	units := [2]float64{1, unit}
+	sumOfSquares := mat.Dot(&residual, &residual)
+	degreesOfFreedom := float64(rows - columns)
+	variance := sumOfSquares / degreesOfFreedom
+	fit.ResidualDeviation = math.Sqrt(variance)
+	fit.AICc = aicc(sumOfSquares, rows, columns+1)
+	fit.tQuantile = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.975)
+	units := [2]float64{1, basisUnit}
 	for i := range columns {
 		for j := range columns {
 			fit.covariance[i][j] = inverse.At(i, j) * variance / units[i] / units[j]
 		}
 	}
-	fit.Base = fit.around(coefficients.AtVec(0), fit.covariance[0][0])
+	fit.Intercept = fit.interval(coefficients.AtVec(0), fit.covariance[0][0])
 	if columns == 2 {
-		fit.Step = fit.around(coefficients.AtVec(1)/unit, fit.covariance[1][1])
+		fit.Slope = fit.interval(coefficients.AtVec(1)/basisUnit, fit.covariance[1][1])
 	}
 	return fit, true
 }
 
 // aicc is Akaike's criterion with the correction for few points. Squares of residuals below what rounding leaves count as
 // that: exact data would else choose by noise of the last digit.
-func aicc(squares float64, points, parameters int) float64 {
-	const rounding = 1e-20
+func aicc(sumOfSquares float64, points, parameters int) float64 {
+	const minMeanSquare = 1e-20
 	n, k := float64(points), float64(parameters)
-	return n*math.Log(max(squares/n, rounding)) + 2*k + 2*k*(k+1)/(n-k-1)
+	return n*math.Log(max(sumOfSquares/n, minMeanSquare)) + 2*k + 2*k*(k+1)/(n-k-1)
 }
 
-func (f Fit) around(value, variance float64) Interval {
-	half := f.quantile * math.Sqrt(max(0, variance))
-	return Interval{value, value - half, value + half}
+func (f Fit) interval(value, variance float64) Interval {
+	margin := f.tQuantile * math.Sqrt(max(0, variance))
+	return Interval{value, value - margin, value + margin}
 }
 
 // At is the fitted value at a size.
-func (f Fit) At(size float64) float64 { return f.Base.Value + f.Step.Value*f.Form.shape(size) }
+func (f Fit) At(size float64) float64 { return f.Intercept.Value + f.Slope.Value*f.Model.basis(size) }
 
 // Prediction is what a fit says of one more measurement at a size.
 type Prediction struct {
 	Interval
-	Factor float64 `json:"factor"` // size by the largest measured; above 1: extrapolated
+	Ratio float64 `json:"factor"` // size by the largest measured; above 1: extrapolated
 }
 
 // Predict tells what one more measurement at a size would give, with 95% bounds; it is not below 0.
 func (f Fit) Predict(size float64) Prediction {
-	shape := f.Form.shape(size)
+	basis := f.Model.basis(size)
 	value := f.At(size)
 	c := f.covariance
-	scatter := f.Scatter * max(f.floor, value)
-	variance := c[0][0] + 2*shape*c[0][1] + shape*shape*c[1][1] + scatter*scatter
-	around := f.around(value, variance)
-	around.Value, around.Low = max(0, around.Value), max(0, around.Low)
-	return Prediction{Interval: around, Factor: size / f.Largest}
+	noise := f.ResidualDeviation * max(f.minScale, value)
+	variance := c[0][0] + 2*basis*c[0][1] + basis*basis*c[1][1] + noise*noise
+	bounds := f.interval(value, variance)
+	bounds.Value, bounds.Low = max(0, bounds.Value), max(0, bounds.Low)
+	return Prediction{Interval: bounds, Ratio: size / f.Largest}
 }
 
 // Predict is the chosen form's prediction, its bounds widened to those of the forms that cannot be told from it.
-func (c Choice) Predict(size float64) Prediction {
+func (c Selection) Predict(size float64) Prediction {
 	p := c.Fit.Predict(size)
-	for _, rival := range c.Rivals {
-		other := rival.Predict(size)
+	for _, alternative := range c.Alternatives {
+		other := alternative.Predict(size)
 		p.Low, p.High = min(p.Low, other.Low), max(p.High, other.High)
 	}
 	return p
 }
 
 // Earliest is the least size at which the chosen form, or one that cannot be told from it, comes to a limit.
-func (c Choice) Earliest(limit float64) (size float64, ok bool) {
-	size, ok = c.Reaches(limit)
-	for _, rival := range c.Rivals {
-		if other, reached := rival.Reaches(limit); reached && (!ok || other < size) {
-			size, ok = other, true
+func (c Selection) EarliestCrossing(limit float64) (size float64, ok bool) {
+	size, ok = c.Crossing(limit)
+	for _, alternative := range c.Alternatives {
+		if crossing, reached := alternative.Crossing(limit); reached && (!ok || crossing < size) {
+			size, ok = crossing, true
 		}
 	}
 	return size, ok
@@ -312,17 +312,17 @@
 
 // Reaches is the size at which the fitted value comes to a limit: the smallest size measured where it is over it from the
 // start, and ok false where it never is.
-func (f Fit) Reaches(limit float64) (size float64, ok bool) {
+func (f Fit) Crossing(limit float64) (size float64, ok bool) {
 	if f.At(f.Smallest) >= limit {
 		return f.Smallest, true
 	}
-	if f.Form == Constant || f.Step.Value <= 0 {
+	if f.Model == Constant || f.Slope.Value <= 0 {
 		return 0, false
 	}
 	low, high := f.Smallest, f.Smallest
-	const farthest = 1e12 // routers; log n may reach a limit beyond it
+	const maxSize = 1e12 // routers; log n may reach a limit beyond it
 	for f.At(high) < limit {
-		if high *= 2; high > farthest {
+		if high *= 2; high > maxSize {
 			return 0, false
 		}
 	}
