--- a/internal/archtest/doc.go
+++ b/internal/archtest/doc.go
@@ -1,2 +1,2 @@
-// Package archtest holds the tests of which package may import which. It has no code of its own.
+// Package archtest contains the tests that enforce the import rules between the module's packages. It has no code of its own.
 package archtest
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -19,7 +19,7 @@
 	core   = module + "/core"
 )
 
-// goPackage is what `go list -json` tells of a package, without its tests.
+// goPackage holds the fields of `go list -json` that the tests use. They do not include the package's own tests.
 type goPackage struct {
 	ImportPath string
 	Dir        string
@@ -28,7 +28,7 @@
 	Deps       []string
 }
 
-// list runs `go list` for all packages of the module.
+// list returns all packages of the module, as listed by `go list`.
 func list(t *testing.T) (all []goPackage) {
 	t.Helper()
 	command := exec.Command("go", "list", "-json=ImportPath,Dir,GoFiles,Imports,Deps", module+"/...")
@@ -48,18 +48,19 @@
 	}
 }
 
-// within tells whether a package is one of these folders or below one.
+// within reports whether a package is in one of the directories or below it.
 func within(path string, folders ...string) bool {
 	return slices.ContainsFunc(folders, func(folder string) bool {
 		return path == module+"/"+folder || strings.HasPrefix(path, module+"/"+folder+"/")
 	})
 }
 
-// pureImports are the packages of the standard library that reach neither clock nor sockets, files or goroutines.
+// pureImports lists the standard library packages that core may import: they use no clock, sockets, files or goroutines.
 var pureImports = []string{"bytes", "cmp", "encoding/binary", "errors", "fmt", "hash/crc32", "hash/crc64", "hash/fnv", "iter", "maps", "math",
 	"math/bits", "math/rand/v2", "net/netip", "slices", "strconv", "strings"}
 
-// The packages below core decide. They get time, randomness and what happened as arguments.
+// The packages below core make decisions only: they get the time, randomness and events as arguments, so they must not do I/O or
+// start goroutines.
 func TestCoreIsPure(t *testing.T) {
 	found := 0
 	for _, p := range list(t) {
@@ -77,11 +78,11 @@
 		}
 	}
 	if found == 0 {
-		t.Error("there is no package below core")
+		t.Error("no package found below core")
 	}
 }
 
-// noConcurrency finds goroutines and channels in a file.
+// noConcurrency fails the test if a file uses goroutines or channels.
 func noConcurrency(t *testing.T, file string) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -92,52 +93,52 @@
 	ast.Inspect(parsed, func(n ast.Node) bool {
 		switch n.(type) {
 		case *ast.GoStmt, *ast.SelectStmt, *ast.SendStmt, *ast.ChanType:
-			t.Errorf("%v: a deciding package has no goroutines and no channels", files.Position(n.Pos()))
+			t.Errorf("%v: packages below core must not use goroutines or channels", files.Position(n.Pos()))
 		}
 		return true
 	})
 }
 
-// Each rule says what must not be imported, and by whom.
+// Each rule lists directories whose packages must not import others.
 func TestImportsPointDownwards(t *testing.T) {
 	rules := []struct {
-		why       string
-		by        []string // folders
-		but       []string // of these none
-		forbidden []string
+		reason      string
+		directories []string
+		except      []string
+		forbidden   []string
 	}{
-		{"decisions know nothing of what carries them out", []string{"core"}, nil, []string{"internal", "cmd", "simwire"}},
-		{"the lab and the tools stand above the router", []string{"core", "internal", "simwire", "cmd"}, []string{"internal/lab", "cmd/cache-routerctl"},
+		{"decision logic must not depend on the code that executes its decisions", []string{"core"}, nil, []string{"internal", "cmd", "simwire"}},
+		{"the router must not depend on the lab or on the tools", []string{"core", "internal", "simwire", "cmd"}, []string{"internal/lab", "cmd/cache-routerctl"},
 			[]string{"internal/lab", "internal/scale"}},
-		{"scale's results and slopes are read without the harness", []string{"internal/scale"}, nil, []string{"internal/lab"}},
-		{"the router knows no fleet, no policy's log and no front but its own", []string{"internal/router"}, nil,
+		{"scale results and models must be usable without the test harness", []string{"internal/scale"}, nil, []string{"internal/lab"}},
+		{"the router must not depend on fleet membership, the replicated policy log or other client protocols", []string{"internal/router"}, nil,
 			[]string{"internal/gossip", "internal/controlplane", "internal/grpcfront", "internal/program", "internal/policy"}},
-		{"a protocol knows requests, and no router", []string{"internal/wire", "internal/resp", "internal/httpwire"}, nil,
+		{"protocol packages must not depend on the router", []string{"internal/wire", "internal/resp", "internal/httpwire"}, nil,
 			[]string{"internal/router", "internal/program", "internal/discovery"}},
-		{"protocols know nothing of one another", []string{"internal/wire/http1"}, nil, []string{"internal/wire/resp2", "internal/resp"}},
-		{"protocols know nothing of one another", []string{"internal/wire/resp2"}, nil, []string{"internal/wire/http1", "internal/httpwire"}},
+		{"protocol packages must not depend on each other", []string{"internal/wire/http1"}, nil, []string{"internal/wire/resp2", "internal/resp"}},
+		{"protocol packages must not depend on each other", []string{"internal/wire/resp2"}, nil, []string{"internal/wire/http1", "internal/httpwire"}},
 	}
 	packages := list(t)
 	for _, rule := range rules {
-		seen := 0
+		matched := 0
 		for _, p := range packages {
-			if !within(p.ImportPath, rule.by...) || within(p.ImportPath, rule.but...) || within(p.ImportPath, "internal/scale") && !slices.Contains(rule.by, "internal/scale") {
+			if !within(p.ImportPath, rule.directories...) || within(p.ImportPath, rule.except...) || within(p.ImportPath, "internal/scale") && !slices.Contains(rule.directories, "internal/scale") {
 				continue
 			}
-			seen++
+			matched++
 			for _, i := range p.Imports {
 				if within(i, rule.forbidden...) {
-					t.Errorf("%s imports %s: %s", p.ImportPath, i, rule.why)
+					t.Errorf("%s imports %s: %s", p.ImportPath, i, rule.reason)
 				}
 			}
 		}
-		if seen == 0 {
-			t.Errorf("there is no package in %v", rule.by)
+		if matched == 0 {
+			t.Errorf("no package found in %v", rule.directories)
 		}
 	}
 }
 
-// The plain program is without the fleet and its libraries: what they link in costs each start some time.
+// The plain router binary must not link fleet membership and its libraries: their initialization would slow down every start.
 func TestPlainProgramLinksNoFleet(t *testing.T) {
 	for _, p := range list(t) {
 		if p.ImportPath != module+"/cmd/cache-router" {
@@ -151,5 +152,5 @@
 		}
 		return
 	}
-	t.Error("there is no cmd/cache-router")
+	t.Error("package cmd/cache-router not found")
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,7 +1,8 @@
-// Package goldentest compares bytes that go over the wire, to disk or to operators with files in the repository. Tests call it;
+// Package goldentest compares bytes that are sent, stored or shown to operators with golden files in the repository. Tests call it;
 // it has no state.
 //
-// Nothing here writes the files. They were written by an earlier release, whose routers read and write these bytes.
+// The package never writes the files. They were written by an earlier release and hold the formats with which that release is
+// compatible.
 package goldentest
 
 import (
@@ -19,7 +20,7 @@
 	CompareFile(t, filepath.Join("testdata", "golden", name), got)
 }
 
-// CompareFile fails the test if got differs from the content of a file. It shows the first line that differs.
+// CompareFile fails the test if got differs from the content of a file. It reports the first line that differs.
 func CompareFile(t *testing.T, path string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(path)
@@ -38,7 +39,7 @@
 	t.Errorf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
 }
 
-// Messages are JSON texts by name, read from a file with a line for each: the name, a tab, the text.
+// Messages holds named JSON messages. They are read from a file with one line for each: the name, a tab and the JSON text.
 type Messages struct {
 	texts    map[string]string
 	compared map[string]bool
@@ -62,10 +63,10 @@
 	return m
 }
 
-// Text returns the message of a name; empty where there is none.
+// Text returns the message with a name, or an empty string if there is none.
 func (m *Messages) Text(name string) string { return m.texts[name] }
 
-// Compare fails the test if the JSON form of a value differs from the message of a name.
+// Compare fails the test if the JSON encoding of a value differs from the message with a name.
 func (m *Messages) Compare(t *testing.T, name string, value any) {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -78,12 +79,12 @@
 	m.compared[name] = true
 }
 
-// CheckAllCompared fails the test for each message that Compare was not called for.
+// CheckAllCompared fails the test for each message that was not passed to Compare.
 func (m *Messages) CheckAllCompared(t *testing.T) {
 	t.Helper()
 	for name := range m.texts {
 		if !m.compared[name] {
-			t.Errorf("message %q is not compared", name)
+			t.Errorf("message %q was never compared", name)
 		}
 	}
 }
--- a/internal/scale/leader/leader.go
+++ b/internal/scale/leader/leader.go
@@ -1,6 +1,6 @@
-// Package leader measures what the leader of the policy's keepers computes for each asking and in each pass, for rosters of
-// any size, without sockets and without a replicated log: decoding and answering as package controlplane does it, by package policycommit.
-// It does no I/O; the clock is an argument, and may count processor time.
+// Package leader measures the computation of the policy leader per lease renewal and per pass, for any number of routers, without
+// sockets and without a replicated log. It decodes and answers renewals as package controlplane does, with package policycommit.
+// cache-routerctl scale leader calls it. It does no I/O; the clock is an argument and may count processor time.
 package leader
 
 import (
@@ -13,82 +13,87 @@
 	"spurtrestle/core/policycommit"
 )
 
-// Format is the version of the JSON form. A file of another version is refused.
+// Format is the version of the JSON format. Readers reject files of any other version.
 const Format = 1
 
-// Kind tells this form from others.
+// Kind distinguishes this JSON format from others.
 const Kind = "policy_leader"
 
-// File is what one call measured.
+// File holds the results of one run.
 type File struct {
 	Format  int      `json:"format"`
 	Kind    string   `json:"kind"`
-	Build   string   `json:"build"` // commit of the binary
-	Cores   int      `json:"cores"` // of the machine
+	Build   string   `json:"build"` // commit that the binary was built from
+	Cores   int      `json:"cores"` // CPU cores of the machine
 	Samples []Sample `json:"samples"`
 }
 
-// Sample is one roster of one size.
+// Sample is the measurement for one number of routers and one seed.
 type Sample struct {
-	Routers int     `json:"routers"`
-	Seed    uint64  `json:"seed"`
-	DecodeTime  float64 `json:"decode_s"` // of one asking, where it comes in
-	AnswerTime  float64 `json:"answer_s"` // of one asking, and encoding of its grant, in the leader's pass
-	PassTime    float64 `json:"pass_s"`   // of one pass beside its askings
+	Routers    int     `json:"routers"`
+	Seed       uint64  `json:"seed"`
+	DecodeTime float64 `json:"decode_s"` // seconds to decode one renewal
+	AnswerTime float64 `json:"answer_s"` // seconds to answer one renewal in the leader's pass and to encode the lease
+	PassTime   float64 `json:"pass_s"`   // seconds for one pass without its renewals
 }
 
-// said is what package controlplane sends, as far as it is measured here.
+// message is the part of package controlplane's messages that is measured here.
 type message struct {
 	Renewal *policycommit.Renewal `json:"r,omitempty"`
 	Grant   *policycommit.Lease   `json:"g,omitempty"`
 }
 
 const (
-	firstIndex = 1_000_000 // of the log, so that numbers have as many digits as after some days
-	sampleBuild = "0123456789abcdef0123456789abcdef01234567"
-	routersPerSite     = 18
+	startTime      = 10e6           // microseconds
+	renewalTime    = 86_400_000_000 // microseconds: a timestamp with as many digits as after a day
+	passInterval   = 20e3           // microseconds between two passes, as in package controlplane
+	firstIndex     = 1_000_000      // a log index with as many digits as after some days of operation
+	sampleBuild    = "0123456789abcdef0123456789abcdef01234567"
+	routersPerSite = 18
 )
 
-// fleet is a leader with all routers on its roster.
+// simulatedLeader is a policy leader with all routers as members.
 type simulatedLeader struct {
-	state    *policycommit.LogState
-	leader *policycommit.Leader
+	state           *policycommit.LogState
+	leader          *policycommit.Leader
 	encodedRenewals [][]byte
-	renewals []policycommit.Renewal
-	now     clock.Time
+	renewals        []policycommit.Renewal
+	now             clock.Time
 }
 
 func newSimulatedLeader(routers int, seed uint64) *simulatedLeader {
 	random := rand.New(rand.NewPCG(seed, uint64(routers)))
-	f := &simulatedLeader{state: &policycommit.LogState{}, leader: policycommit.NewLeader(0, policycommit.DefaultTiming(), routers), now: 10e6}
+	l := &simulatedLeader{state: &policycommit.LogState{}, leader: policycommit.NewLeader(0, policycommit.DefaultTiming(), routers), now: startTime}
 	for i := range routers {
 		site := fmt.Sprintf("site-%04d", i/routersPerSite)
 		name := policycommit.RouterName(fmt.Sprintf("%s-router-%02d", site, i%routersPerSite))
 		incarnation := policycommit.Incarnation(random.Uint64() | 1)
-		f.state.Apply(policycommit.Index(firstIndex+i), policycommit.Entry{Kind: policycommit.EntryJoin, Name: name, Incarnation: incarnation, FailOpen: true, Build: sampleBuild, Site: site})
-		renewal := policycommit.Renewal{Name: name, Incarnation: incarnation, SentAt: 86_400_000_000, FailOpen: true, Build: sampleBuild, Site: site, Index: firstIndex}
-		text, _ := json.Marshal(message{Renewal: &renewal}) // plain fields: it cannot fail
-		f.encodedRenewals = append(f.encodedRenewals, text)
+		l.state.Apply(policycommit.Index(firstIndex+i), policycommit.Entry{Kind: policycommit.EntryJoin, Name: name, Incarnation: incarnation, FailOpen: true, Build: sampleBuild, Site: site})
+		renewal := policycommit.Renewal{Name: name, Incarnation: incarnation, SentAt: renewalTime, FailOpen: true, Build: sampleBuild, Site: site, Index: firstIndex}
+		text, _ := json.Marshal(message{Renewal: &renewal}) // cannot fail: all fields are plain values
+		l.encodedRenewals = append(l.encodedRenewals, text)
 	}
-	random.Shuffle(routers, func(i, j int) { f.encodedRenewals[i], f.encodedRenewals[j] = f.encodedRenewals[j], f.encodedRenewals[i] })
-	f.renewals = make([]policycommit.Renewal, routers)
-	return f
+	random.Shuffle(routers, func(i, j int) {
+		l.encodedRenewals[i], l.encodedRenewals[j] = l.encodedRenewals[j], l.encodedRenewals[i]
+	})
+	l.renewals = make([]policycommit.Renewal, routers)
+	return l
 }
 
-// decode takes in an asking of each router.
-func (f *simulatedLeader) decodeAll() {
-	for i, text := range f.encodedRenewals {
+// decodeAll decodes one renewal of each router.
+func (l *simulatedLeader) decodeAll() {
+	for i, text := range l.encodedRenewals {
 		var s message
 		if json.Unmarshal(text, &s) == nil {
-			f.renewals[i] = *s.Renewal
+			l.renewals[i] = *s.Renewal
 		}
 	}
 }
 
-// answer answers them all, and tells how many were granted.
-func (f *simulatedLeader) answerAll() (granted int) {
-	for _, renewal := range f.renewals {
-		lease := f.leader.AnswerRenewal(f.now, f.state, renewal).Lease
+// answerAll answers all renewals and returns the number of leases granted.
+func (l *simulatedLeader) answerAll() (granted int) {
+	for _, renewal := range l.renewals {
+		lease := l.leader.AnswerRenewal(l.now, l.state, renewal).Lease
 		if lease == nil {
 			continue
 		}
@@ -99,30 +104,30 @@
 	return granted
 }
 
-// pass is what each pass does beside that, with no change under way.
-func (f *simulatedLeader) runPass() {
-	f.now += 20e3
-	_ = f.state.Clone() // for the answers
-	next := f.state.Clone()
-	_ = f.leader.ResolvePending(f.now, next)
-	_ = f.leader.NextShareEntry(f.now, next)
+// runPass does the rest of a pass, with no policy change pending.
+func (l *simulatedLeader) runPass() {
+	l.now += passInterval
+	_ = l.state.Clone() // the copy that renewals are answered from
+	next := l.state.Clone()
+	_ = l.leader.ResolvePending(l.now, next)
+	_ = l.leader.NextShareEntry(l.now, next)
 }
 
-// Measure times a roster of so many routers, each part for at least the given span.
+// Measure measures a leader with the given number of routers, each operation for at least minDuration.
 func Measure(routers int, seed uint64, minDuration time.Duration, clock func() time.Duration) (Sample, error) {
-	f := newSimulatedLeader(routers, seed)
-	f.decodeAll()
-	if granted := f.answerAll(); granted != routers { // warms up, and shows that the askings are whole
-		return Sample{}, fmt.Errorf("of %d routers %d were granted", routers, granted)
+	l := newSimulatedLeader(routers, seed)
+	l.decodeAll()
+	if granted := l.answerAll(); granted != routers { // warm-up, and a check that the encoded renewals are valid
+		return Sample{}, fmt.Errorf("of %d routers, %d were granted a lease", routers, granted)
 	}
 	s := Sample{Routers: routers, Seed: seed}
-	s.DecodeTime = meanSeconds(f.decodeAll, minDuration, clock) / float64(routers)
-	s.AnswerTime = meanSeconds(func() { f.answerAll() }, minDuration, clock) / float64(routers)
-	s.PassTime = meanSeconds(f.runPass, minDuration, clock)
+	s.DecodeTime = meanSeconds(l.decodeAll, minDuration, clock) / float64(routers)
+	s.AnswerTime = meanSeconds(func() { l.answerAll() }, minDuration, clock) / float64(routers)
+	s.PassTime = meanSeconds(l.runPass, minDuration, clock)
 	return s, nil
 }
 
-// seconds is the mean time of one call, over at least a span.
+// meanSeconds calls a function for at least minDuration and returns the mean time per call.
 func meanSeconds(call func(), minDuration time.Duration, clock func() time.Duration) float64 {
 	calls, start := 0, clock()
 	for {
--- a/internal/scale/leader/leader_test.go
+++ b/internal/scale/leader/leader_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A clock that moves on by a second at each look: every part is called once and takes a second.
+// The clock advances by one second per reading, so every operation is called once and takes one second.
 func TestMeasure_TimesPerRenewalAndPerPass(t *testing.T) {
 	now := time.Duration(0)
 	clock := func() time.Duration {
@@ -17,20 +17,20 @@
 		t.Fatal(err)
 	}
 	if want := (Sample{Routers: 50, Seed: 1, DecodeTime: 0.02, AnswerTime: 0.02, PassTime: 1}); s != want {
-		t.Errorf("%+v, want %+v", s, want)
+		t.Errorf("got %+v, want %+v", s, want)
 	}
 }
 
 func TestSimulatedLeader_GrantsEveryRenewal(t *testing.T) {
-	f := newSimulatedLeader(40, 7)
-	f.decodeAll()
+	l := newSimulatedLeader(40, 7)
+	l.decodeAll()
 	for range 3 {
-		f.runPass()
-		if granted := f.answerAll(); granted != 40 {
-			t.Fatalf("%d of 40 granted", granted)
+		l.runPass()
+		if granted := l.answerAll(); granted != 40 {
+			t.Fatalf("%d of 40 renewals were granted a lease", granted)
 		}
 	}
-	if len(f.state.Members) != 40 || len(f.state.LeasedOut) != 0 {
-		t.Errorf("%d on the roster, %d lent", len(f.state.Members), len(f.state.LeasedOut))
+	if len(l.state.Members) != 40 || len(l.state.LeasedOut) != 0 {
+		t.Errorf("got %d members and %d leased shares, want 40 and 0", len(l.state.Members), len(l.state.LeasedOut))
 	}
 }
--- a/internal/scale/slope/slope.go
+++ b/internal/scale/slope/slope.go
@@ -1,15 +1,16 @@
-// Package slope fits how a figure grows with the size of a fleet, from measurements at several sizes with several seeds. It
-// does no I/O.
+// Package slope fits how a metric grows with the size of a fleet, from measurements at several sizes with several seeds. Package
+// capacity calls it. It is pure: it does no I/O and holds no state.
 //
-// Five forms are tried, each value = base + step x shape(size), by weighted least squares. Residuals count relative to the
-// mean that was measured at their size: what is measured scatters by a share of itself, and without weights the largest size
-// alone would choose the form.
+// Five growth models are fitted, each value = intercept + slope * basis(size), by weighted least squares. Residuals are taken
+// relative to the mean measured at their size: the noise is proportional to the value, and without weights the largest size
+// alone would decide the model.
 //
-// The form is chosen by AICc, Akaike's criterion with its correction for few measurements: with some fifteen of them the
-// plain criterion takes the second parameter too gladly, and the error of leaving one size out hangs on the largest size,
-// which no other one bounds. Forms within 2 of the best cannot be told from it; of them the one with the fewest parameters is
-// chosen, and the others stay named as rivals and widen each prediction. A form whose step is not above zero is no candidate, since beyond the largest size it falls below
-// zero; where all fall, the figure counts as constant.
+// The model is selected by AICc, the Akaike information criterion with its correction for small samples. With about fifteen
+// measurements the plain criterion accepts the second coefficient too readily. The error of leaving out one size is no better: it
+// depends mostly on the largest size, which no other size bounds. Models within 2 of the best AICc cannot be distinguished from
+// it. The one with the fewest coefficients among them is selected; the others are kept as alternatives and widen every
+// prediction. A model whose slope is not above zero is not a candidate, since it falls below zero beyond the largest size; a
+// metric that no growing model fits counts as constant.
 package slope
 
 import (
@@ -22,31 +23,31 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Form is how a figure grows.
+// Model is a growth model: how a metric depends on the size of a fleet.
 type Model int
 
-// The forms, from the flattest to the steepest.
+// The growth models, in increasing order of growth.
 const (
-	Constant Model = iota
-	Logarithmic           // logarithm of the size
+	Constant    Model = iota
+	Logarithmic       // logarithm of the size
 	Linear
 	Linearithmic // size times its logarithm
 	Quadratic
 )
 
-// Forms are all of them.
+// Models lists all growth models.
 var Models = []Model{Constant, Logarithmic, Linear, Linearithmic, Quadratic}
 
-func (f Model) String() string {
-	return [...]string{"constant", "log n", "n", "n log n", "n^2"}[f]
+func (m Model) String() string {
+	return [...]string{"constant", "log n", "n", "n log n", "n^2"}[m]
 }
 
-// MarshalText writes a form by its name.
-func (f Model) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
+// MarshalText encodes the model as its name.
+func (m Model) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// shape is what the step is multiplied by.
-func (f Model) basis(size float64) float64 {
-	switch f {
+// basis returns the value that the slope is multiplied by.
+func (m Model) basis(size float64) float64 {
+	switch m {
 	case Logarithmic:
 		return math.Log(size)
 	case Linear:
@@ -60,9 +61,9 @@
 	}
 }
 
-// parameters are those of the line; the scatter is one more.
-func (f Model) coefficients() int {
-	if f == Constant {
+// coefficients returns the number of fitted coefficients, without the residual variance.
+func (m Model) coefficients() int {
+	if m == Constant {
 		return 1
 	}
 	return 2
@@ -71,19 +72,19 @@
 // Point is one measurement.
 type Point struct {
 	Size  float64 `json:"size"`  // routers; above 0
-	Value float64 `json:"value"` // in the figure's own unit
+	Value float64 `json:"value"` // in the unit of the metric
 }
 
-// Limits of what is fitted at all.
+// Minimum range of sizes for a fit.
 const (
-	MinSizes  = 5  // different sizes
-	MinSizeRatio = 16 // between the smallest and the largest
+	MinSizes     = 5  // distinct sizes
+	MinSizeRatio = 16 // of the largest size to the smallest
 )
 
-// RangeError says that measurements are too few or too close together to tell a form.
+// RangeError reports that the measurements cover too few sizes, or too narrow a range, to select a model.
 type RangeError struct {
-	Sizes  int     // that there are
-	Ratio float64 // largest by smallest; 0: there is none
+	Sizes int     // number of distinct sizes
+	Ratio float64 // of the largest size to the smallest; 0 without measurements
 }
 
 func (e RangeError) Error() string {
@@ -91,7 +92,7 @@
 		e.Sizes, e.Ratio, MinSizes, MinSizeRatio)
 }
 
-// ValueError says that one measurement cannot be fitted.
+// ValueError reports a measurement that cannot be fitted.
 type ValueError struct {
 	Point Point
 }
@@ -100,39 +101,39 @@
 	return fmt.Sprintf("value %v at size %v: sizes are to be above 0 and values finite and not below 0", e.Point.Value, e.Point.Size)
 }
 
-// Interval is a value with the bounds between which it lies in 95 of 100 such measurements.
+// Interval is a value with the bounds of its 95% interval.
 type Interval struct {
 	Value float64 `json:"value"`
 	Low   float64 `json:"low"`
 	High  float64 `json:"high"`
 }
 
-// Fit is one form, fitted.
+// Fit is one model, fitted to measurements.
 type Fit struct {
-	Model     Model     `json:"form"`
-	Intercept     Interval `json:"base"`
-	Slope     Interval `json:"step"` // all 0 where the form is constant
-	AICc     float64  `json:"aicc"`
-	ResidualDeviation  float64  `json:"scatter"`  // standard deviation of the residuals, as a share of the value
-	Smallest float64  `json:"smallest"` // size measured
-	Largest  float64  `json:"largest"`  // size measured
-	Points   int      `json:"points"`
-
-	covariance [2][2]float64 // of base and step
-	tQuantile   float64       // of Student's t
-	minScale      float64       // least value that the scatter is a share of
+	Model             Model    `json:"form"`
+	Intercept         Interval `json:"base"`
+	Slope             Interval `json:"step"` // all 0 for the constant model
+	AICc              float64  `json:"aicc"`
+	ResidualDeviation float64  `json:"scatter"`  // standard deviation of the residuals, relative to the value
+	Smallest          float64  `json:"smallest"` // smallest size measured
+	Largest           float64  `json:"largest"`  // largest size measured
+	Points            int      `json:"points"`
+
+	covariance [2][2]float64 // of intercept and slope
+	tQuantile  float64       // of Student's t-distribution, for the 95% intervals
+	minScale   float64       // lower bound of the value that residuals are relative to
 }
 
-// Choice is the form that was chosen, and those that the measurements cannot tell from it.
+// Selection is the selected model, and the models that the measurements cannot distinguish from it.
 type Selection struct {
 	Fit
-	Alternatives []Fit `json:"rivals"` // by AICc, the best first
+	Alternatives []Fit `json:"rivals"` // in ascending order of AICc
 }
 
-// indistinct is the difference in AICc below which two forms cannot be told apart.
+// maxAICcDifference is the difference in AICc below which two models cannot be distinguished.
 const maxAICcDifference = 2
 
-// Choose fits all forms and chooses one. Errors are RangeError and ValueError.
+// Select fits all models and selects one. It fails with a RangeError or a ValueError.
 func Select(points []Point) (Selection, error) {
 	if err := validate(points); err != nil {
 		return Selection{}, err
@@ -148,7 +149,7 @@
 	return selectModel(fits), nil
 }
 
-// chosen takes fits in order of AICc.
+// selectModel selects one of the fits, which are in ascending order of AICc.
 func selectModel(fits []Fit) Selection {
 	best := fits[0]
 	var candidates []Fit
@@ -163,6 +164,7 @@
 	return Selection{Fit: simplest, Alternatives: rivals}
 }
 
+// validate reports points that cannot be fitted, or too small a range of sizes.
 func validate(points []Point) error {
 	sizes := map[float64]bool{}
 	smallest, largest := math.Inf(1), 0.0
@@ -184,11 +186,11 @@
 	return nil
 }
 
-// least is the smallest share of the largest mean that a residual is measured by: a figure that is zero at one size would
-// else outweigh all others there.
+// minScaleFraction bounds the scale of a residual from below, as a fraction of the largest mean: without it, a metric that is
+// zero at one size would give that size an unbounded weight.
 const minScaleFraction = 1e-3
 
-// scales are what the residual of each point is a share of: the mean at its size.
+// residualScales returns what the residual of each point is relative to: the mean at its size, bounded from below by minScale.
 func residualScales(points []Point) (scales []float64, minScale float64) {
 	sum, count := map[float64]float64{}, map[float64]float64{}
 	for _, p := range points {
@@ -199,7 +201,7 @@
 		minScale = max(minScale, sum[size]/count[size]*minScaleFraction)
 	}
 	if minScale == 0 {
-		minScale = 1 // all values are zero
+		minScale = 1 // all values are 0
 	}
 	for _, p := range points {
 		scales = append(scales, max(minScale, sum[p.Size]/count[p.Size]))
@@ -207,12 +209,12 @@
 	return scales, minScale
 }
 
-// fitted is not ok where the points do not determine the form.
+// fitModel fits one model; ok is false if the points do not determine its coefficients.
 func fitModel(model Model, points []Point) (fit Fit, ok bool) {
 	scale, minScale := residualScales(points)
 	rows, columns := len(points), model.coefficients()
 	design, values := mat.NewDense(rows, columns, nil), mat.NewVecDense(rows, nil)
-	basisUnit := model.basis(points[0].Size) // keeps the columns of like size
+	basisUnit := model.basis(points[0].Size) // keeps the columns of similar magnitude
 	if basisUnit == 0 {
 		basisUnit = 1
 	}
@@ -255,29 +257,30 @@
 	return fit, true
 }
 
-// aicc is Akaike's criterion with the correction for few points. Squares of residuals below what rounding leaves count as
-// that: exact data would else choose by noise of the last digit.
+// aicc returns the Akaike information criterion with the correction for small samples. The mean square of the residuals is
+// bounded from below by the rounding error: for exact data the noise of the last digit would otherwise select the model.
 func aicc(sumOfSquares float64, points, parameters int) float64 {
 	const minMeanSquare = 1e-20
 	n, k := float64(points), float64(parameters)
 	return n*math.Log(max(sumOfSquares/n, minMeanSquare)) + 2*k + 2*k*(k+1)/(n-k-1)
 }
 
+// interval returns the 95% interval around a value of the given variance.
 func (f Fit) interval(value, variance float64) Interval {
 	margin := f.tQuantile * math.Sqrt(max(0, variance))
 	return Interval{value, value - margin, value + margin}
 }
 
-// At is the fitted value at a size.
+// At returns the fitted value at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept.Value + f.Slope.Value*f.Model.basis(size) }
 
-// Prediction is what a fit says of one more measurement at a size.
+// Prediction is the predicted result of one more measurement at a size.
 type Prediction struct {
 	Interval
-	Ratio float64 `json:"factor"` // size by the largest measured; above 1: extrapolated
+	Ratio float64 `json:"factor"` // of the size to the largest size measured; above 1: extrapolated
 }
 
-// Predict tells what one more measurement at a size would give, with 95% bounds; it is not below 0.
+// Predict returns the predicted result of one more measurement at a size, with its 95% interval. Negative values become 0.
 func (f Fit) Predict(size float64) Prediction {
 	basis := f.Model.basis(size)
 	value := f.At(size)
@@ -289,20 +292,20 @@
 	return Prediction{Interval: bounds, Ratio: size / f.Largest}
 }
 
-// Predict is the chosen form's prediction, its bounds widened to those of the forms that cannot be told from it.
-func (c Selection) Predict(size float64) Prediction {
-	p := c.Fit.Predict(size)
-	for _, alternative := range c.Alternatives {
+// Predict returns the prediction of the selected model, its bounds widened to those of the alternatives.
+func (s Selection) Predict(size float64) Prediction {
+	p := s.Fit.Predict(size)
+	for _, alternative := range s.Alternatives {
 		other := alternative.Predict(size)
 		p.Low, p.High = min(p.Low, other.Low), max(p.High, other.High)
 	}
 	return p
 }
 
-// Earliest is the least size at which the chosen form, or one that cannot be told from it, comes to a limit.
-func (c Selection) EarliestCrossing(limit float64) (size float64, ok bool) {
-	size, ok = c.Crossing(limit)
-	for _, alternative := range c.Alternatives {
+// EarliestCrossing returns the smallest size at which the selected model or an alternative reaches a limit.
+func (s Selection) EarliestCrossing(limit float64) (size float64, ok bool) {
+	size, ok = s.Crossing(limit)
+	for _, alternative := range s.Alternatives {
 		if crossing, reached := alternative.Crossing(limit); reached && (!ok || crossing < size) {
 			size, ok = crossing, true
 		}
@@ -310,8 +313,8 @@
 	return size, ok
 }
 
-// Reaches is the size at which the fitted value comes to a limit: the smallest size measured where it is over it from the
-// start, and ok false where it never is.
+// Crossing returns the size at which the fitted value reaches a limit, or the smallest size measured if the value is above the
+// limit there already. ok is false if the value never reaches the limit.
 func (f Fit) Crossing(limit float64) (size float64, ok bool) {
 	if f.At(f.Smallest) >= limit {
 		return f.Smallest, true
@@ -320,7 +323,7 @@
 		return 0, false
 	}
 	low, high := f.Smallest, f.Smallest
-	const maxSize = 1e12 // routers; log n may reach a limit beyond it
+	const maxSize = 1e12 // routers; a logarithmic model may reach the limit only beyond it
 	for f.At(high) < limit {
 		if high *= 2; high > maxSize {
 			return 0, false
--- a/internal/scale/slope/slope_test.go
+++ b/internal/scale/slope/slope_test.go
@@ -12,7 +12,7 @@
 
 var sizes = []float64{50, 100, 200, 400, 800, 1600, 3200}
 
-// measured makes points of a form: three seeds a size, each off by a normal share of the value.
+// samplePoints returns points of a model: three seeds per size, with normally distributed relative noise.
 func samplePoints(random *rand.Rand, model Model, intercept, slope, noise float64) (points []Point) {
 	for _, size := range sizes {
 		for range 3 {
@@ -23,7 +23,7 @@
 	return points
 }
 
-// steps make each form grow by some factor of its base over the sizes.
+// slopeOf returns the slope with which a model grows by growth times its intercept over the sizes.
 func slopeOf(model Model, intercept, growth float64) float64 {
 	if model == Constant {
 		return 0
@@ -52,14 +52,14 @@
 				}
 			}
 		}
-		t.Logf("%v: chosen in %d of %d, not ruled out in %d", model, selected, rounds, candidate)
+		t.Logf("%v: selected in %d of %d rounds, selected or an alternative in %d", model, selected, rounds, candidate)
 		if selected < rounds*85/100 || candidate < rounds*95/100 {
-			t.Errorf("%v: chosen in %d, not ruled out in %d of %d", model, selected, candidate, rounds)
+			t.Errorf("%v: selected in %d rounds, selected or an alternative in %d, of %d; want 85%% and 95%%", model, selected, candidate, rounds)
 		}
 	}
 }
 
-// Without noise each form is found, whatever its coefficients, and gives them back.
+// Without noise, each model is selected and its coefficients are recovered, whatever they are.
 func TestSelect_RecoversCoefficientsOfExactData(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := Models[rapid.IntRange(0, len(Models)-1).Draw(t, "form")]
@@ -72,7 +72,7 @@
 		}
 		near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-4*math.Abs(b)+1e-12 }
 		if c.Model != model || !near(c.Intercept.Value, intercept) || !near(c.Slope.Value, slope) {
-			t.Fatalf("%v %v %v came back as %v %v %v", model, intercept, slope, c.Model, c.Intercept, c.Slope)
+			t.Fatalf("data of %v with intercept %v and slope %v fitted as %v, %v, %v", model, intercept, slope, c.Model, c.Intercept, c.Slope)
 		}
 	})
 }
@@ -85,7 +85,7 @@
 		points := samplePoints(random, Linear, 800, 2, 0.05)
 		fit, ok := fitModel(Linear, points)
 		if !ok {
-			t.Fatal("not fitted")
+			t.Fatal("the linear model was not fitted")
 		}
 		if fit.Slope.Low <= 2 && 2 <= fit.Slope.High {
 			slopeCovered++
@@ -96,30 +96,30 @@
 			predictionCovered++
 		}
 		if p.Ratio != 2 {
-			t.Fatal("factor", p.Ratio)
+			t.Fatalf("got ratio %v, want 2", p.Ratio)
 		}
 	}
 	if slopeCovered < rounds*90/100 || predictionCovered < rounds*90/100 {
-		t.Errorf("of %d intervals %d held the step and %d the next measurement", rounds, slopeCovered, predictionCovered)
+		t.Errorf("of %d intervals, %d contain the slope and %d the next measurement; want 90%% of each", rounds, slopeCovered, predictionCovered)
 	}
 }
 
 func TestSelect_RejectsUnusablePoints(t *testing.T) {
 	for name, points := range map[string][]Point{
-		"none":             nil,
-		"four sizes":       {{50, 1}, {100, 1}, {200, 1}, {3200, 1}},
-		"a factor of 15.9": {{100, 1}, {200, 1}, {400, 1}, {800, 1}, {1590, 1}},
-		"one size often":   {{100, 1}, {100, 1}, {100, 1}, {100, 1}, {1600, 1}},
+		"none":            nil,
+		"four sizes":      {{50, 1}, {100, 1}, {200, 1}, {3200, 1}},
+		"a ratio of 15.9": {{100, 1}, {200, 1}, {400, 1}, {800, 1}, {1590, 1}},
+		"two sizes":       {{100, 1}, {100, 1}, {100, 1}, {100, 1}, {1600, 1}},
 	} {
 		var target RangeError
 		if _, err := Select(points); !errors.As(err, &target) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a RangeError", name, err)
 		}
 	}
 	for _, p := range []Point{{0, 1}, {-1, 1}, {math.NaN(), 1}, {1, math.NaN()}, {1, math.Inf(1)}, {1, -1}} {
 		var target ValueError
 		if _, err := Select([]Point{p}); !errors.As(err, &target) {
-			t.Errorf("%v: %v", p, err)
+			t.Errorf("%v: got error %v, want a ValueError", p, err)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	c, err := Select(points)
 	if err != nil || c.Model != Constant {
-		t.Fatal(c.Model, err)
+		t.Fatalf("got %v, %v; want constant", c.Model, err)
 	}
 }
 
@@ -142,10 +142,10 @@
 	}
 	c, err := Select(points)
 	if err != nil || c.Model != Constant || c.Predict(1e6).High != 0 {
-		t.Fatal(c, err)
+		t.Fatalf("got %v, %v; want a constant 0", c, err)
 	}
 	if _, ok := c.Crossing(1); ok {
-		t.Fatal("zero reaches a limit")
+		t.Fatal("a constant 0 reaches a limit of 1")
 	}
 }
 
@@ -156,23 +156,23 @@
 		t.Fatal(err)
 	}
 	if size, ok := c.Crossing(2100); !ok || math.Abs(size-1000) > 0.1 {
-		t.Error(size, ok)
+		t.Errorf("got crossing at %v, %v", size, ok)
 	}
 	if size, ok := c.Crossing(150); !ok || size != 50 {
-		t.Error("over it from the start:", size, ok)
+		t.Errorf("limit exceeded at the smallest size: got crossing at %v, %v; want 50", size, ok)
 	}
 }
 
-// A form with more parameters has to be better by more than a hair.
+// A model with more coefficients is selected only if its AICc is better by maxAICcDifference.
 func TestSelectModel_PrefersFewestCoefficients(t *testing.T) {
 	fits := []Fit{{Model: Quadratic, AICc: -50}, {Model: Linear, AICc: -49.5}, {Model: Constant, AICc: -48.5}, {Model: Logarithmic, AICc: -47}}
 	c := selectModel(slices.Clone(fits))
 	if c.Model != Constant || len(c.Alternatives) != 2 || c.Alternatives[0].Model != Quadratic || c.Alternatives[1].Model != Linear {
-		t.Errorf("%v, %v", c.Model, c.Alternatives)
+		t.Errorf("got %v with alternatives %v", c.Model, c.Alternatives)
 	}
 	fits[2].AICc = -47.9
 	if c := selectModel(fits); c.Model != Quadratic || len(c.Alternatives) != 1 {
-		t.Errorf("%v, %v", c.Model, c.Alternatives)
+		t.Errorf("got %v with alternatives %v", c.Model, c.Alternatives)
 	}
 }
 
@@ -180,10 +180,10 @@
 	flat := Fit{Model: Constant, Intercept: Interval{Value: 10}, Smallest: 50}
 	steep := Fit{Model: Linear, Slope: Interval{Value: 0.01}, Smallest: 50}
 	if _, ok := (Selection{Fit: flat}).EarliestCrossing(20); ok {
-		t.Error("a constant reaches 20")
+		t.Error("a constant of 10 reaches 20")
 	}
 	if size, ok := (Selection{Fit: flat, Alternatives: []Fit{steep}}).EarliestCrossing(20); !ok || math.Abs(size-2000) > 1 {
-		t.Error(size, ok)
+		t.Errorf("got crossing at %v, %v", size, ok)
 	}
 }
 
@@ -191,6 +191,6 @@
 	c := Selection{Fit: Fit{Model: Constant, Intercept: Interval{10, 9, 11}, Largest: 100, minScale: 1},
 		Alternatives: []Fit{{Model: Linear, Intercept: Interval{9, 9, 9}, Slope: Interval{0.1, 0.1, 0.1}, Largest: 100, minScale: 1}}}
 	if p := c.Predict(1000); p.Value != 10 || p.High != 109 || p.Ratio != 10 {
-		t.Errorf("%+v", p)
+		t.Errorf("got %+v, want value 10, upper bound 109, ratio 10", p)
 	}
 }
--- a/internal/tracetest/tracetest.go
+++ b/internal/tracetest/tracetest.go
@@ -1,5 +1,6 @@
-// Package tracetest compares what scripts lead to with what is kept in the repository. A script's own lines stand at
-// the margin; below each, indented, stands what it led to.
+// Package tracetest runs scripted tests and compares their output with the expected output in the repository. Tests call it; its
+// only state is the -update flag. In a trace file, the lines of the script are not indented; the expected output of each line
+// follows it, indented.
 package tracetest
 
 import (
@@ -11,14 +12,14 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the traces anew")
+var update = flag.Bool("update", false, "rewrite the trace files with the actual output")
 
-// Run plays each script of testdata. play gets a script with what is kept of its outcome, and returns it with what it
-// leads to now.
+// Run runs each trace file of testdata as a subtest. play gets the content of the file and returns it with the actual output in
+// place of the expected output. With -update, Run rewrites the file instead of comparing.
 func Run(t *testing.T, play func(t *testing.T, script string) string) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no traces found", err)
+		t.Fatal("no trace files found in testdata", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) {
@@ -32,16 +33,17 @@
 					t.Fatal(err)
 				}
 			} else if got != string(want) {
-				t.Errorf("the trace differs; got:\n%s", got)
+				t.Errorf("%s differs from the actual output; got:\n%s", file, got)
 			}
 		})
 	}
 }
 
-// Steps walks a script. step gets each line that is neither empty nor a comment, and says below it what it led to.
-func Steps(script string, step func(line string, say func(format string, args ...any))) string {
+// Steps runs a script line by line and returns it with the output of each line below it. It calls step for each line that is
+// neither empty nor a comment; step writes its output with print. Expected output in the script is dropped.
+func Steps(script string, step func(line string, print func(format string, args ...any))) string {
 	var out strings.Builder
-	say := func(format string, args ...any) {
+	writeOutput := func(format string, args ...any) {
 		for line := range strings.Lines(fmt.Sprintf(format, args...)) {
 			fmt.Fprintf(&out, "  %s\n", strings.TrimRight(line, " \n"))
 		}
@@ -52,7 +54,7 @@
 		}
 		out.WriteString(line)
 		if line = strings.TrimSpace(line); line != "" && line[0] != '#' {
-			step(line, say)
+			step(line, writeOutput)
 		}
 	}
 	return out.String()
