--- a/internal/scale/capacity/breaks.go
+++ b/internal/scale/capacity/breaks.go
@@ -8,32 +8,32 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// Break is the size of a fleet at which a limit is reached.
+// ScalingLimit is a limit of the fleet, and the size at which the fleet reaches it.
 type ScalingLimit struct {
 	Description  string  `json:"what"`
 	Limit        float64 `json:"limit"`
 	Unit         Unit    `json:"unit"`
-	Size         float64 `json:"size"` // routers; 0: at none up to the target, or it is not known
+	Size         float64 `json:"size"` // routers; 0: not reached, or not known
 	Basis        Basis   `json:"basis"`
-	SizeRatio    float64 `json:"factor,omitempty"` // size by the largest measured
-	EarliestSize float64 `json:"early,omitempty"`  // size by a form that is not ruled out; 0: none reaches it earlier
+	SizeRatio    float64 `json:"factor,omitempty"` // of Size to the largest size measured
+	EarliestSize float64 `json:"early,omitempty"`  // smallest size by an alternative model; 0: no alternative reaches the limit earlier
 	Source       string  `json:"from"`
 }
 
-// Breaks are those of one part of the fleet, the first to break first; what is not reached or not known stands last.
+// ScalingLimits holds the limits of one part of the fleet by ascending size; those that are not reached or not known come last.
 type ScalingLimits struct {
 	Name   string         `json:"name"`
 	Limits []ScalingLimit `json:"all"`
 }
 
-func scalingLimits(t Target, e Measurements, now CurrentCosts, ofLeader *LeaderModel) []ScalingLimits {
+func scalingLimits(t Target, e Measurements, costs CurrentCosts, ofLeader *LeaderModel) []ScalingLimits {
 	flat := ScalingLimits{Name: "Flat membership, today's fleet", Limits: measuredLimits(t, e, result.Flat)}
 	flat.Limits = append(flat.Limits, calculatedLimit("a full state is longer than a router takes, and is dropped whole", maxStateHeartbeats, Number, maxStateHeartbeats+1,
 		"limit of `internal/gossip`: words of a state"))
 	all := []ScalingLimits{
 		flat,
 		{Name: "Tiered membership", Limits: measuredLimits(t, e, result.Tiered)},
-		{Name: "Policy, parts and purges as they are today", Limits: append(calculatedLimits(t, now), leaderLimits(t, now, ofLeader)...)},
+		{Name: "Policy, parts and purges as they are today", Limits: append(calculatedLimits(t, costs), leaderLimits(t, costs, ofLeader)...)},
 	}
 	for i := range all {
 		slices.SortStableFunc(all[i].Limits, compareLimits)
@@ -41,7 +41,7 @@
 	return all
 }
 
-// earlier has what is not reached, or not known, last.
+// compareLimits orders limits by size; those that are not reached or not known come last.
 func compareLimits(a, b ScalingLimit) int {
 	if (a.Size == 0) != (b.Size == 0) {
 		return cmp.Compare(b.Size, a.Size)
@@ -49,7 +49,7 @@
 	return cmp.Compare(a.Size, b.Size)
 }
 
-// first are the first to break of several parts together, a few of them.
+// firstReached returns the limits that are reached first, over several parts of the fleet.
 func firstReached(parts ...ScalingLimits) (all []ScalingLimit) {
 	const maxListed = 8
 	for _, part := range parts {
@@ -63,7 +63,7 @@
 	return all[:min(maxListed, len(all))]
 }
 
-// measuredBreaks are those of a router at rest, and of what a change takes.
+// measuredLimits returns the limits of a router without faults and of the time that a change takes.
 func measuredLimits(t Target, e Measurements, topology result.Topology) []ScalingLimit {
 	limits := []struct {
 		what   string
@@ -83,6 +83,8 @@
 	return all
 }
 
+// measuredLimit returns the size at which a measured metric reaches a limit. Without a fitted model it is the smallest size
+// measured at which no seed is within the limit.
 func measuredLimit(e Measurements, key SeriesKey, what string, limit float64) ScalingLimit {
 	b := ScalingLimit{Description: what, Limit: limit, Unit: key.Metric.Unit(), Basis: NotMeasured}
 	s := e.Find(key)
@@ -117,7 +119,8 @@
 	return ScalingLimit{Description: what, Limit: limit, Unit: unit, Size: size, Basis: Calculated, Source: from}
 }
 
-func calculatedLimits(t Target, now CurrentCosts) []ScalingLimit {
+// calculatedLimits returns the limits that follow from constants of the code and from the target.
+func calculatedLimits(t Target, costs CurrentCosts) []ScalingLimit {
 	limit := t.Budget.BytesPerSecond
 	anySize := func(value float64) float64 {
 		if value > limit {
@@ -125,37 +128,37 @@
 		}
 		return 0
 	}
-	// A pass of the leader waits for a majority, here in other regions.
+	// A pass of the leader waits for a majority of voters, here in other regions.
 	pass := leaderInterval + 2*t.Assumptions.NetworkDelay.Seconds()
 
 	return []ScalingLimit{
-		calculatedLimit("renewals of a router, leader in its region", limit, BytesPerSecond, anySize(now.SameRegion.Bytes), fmt.Sprintf("%s at any size", formatValue(now.SameRegion.Bytes, BytesPerSecond))),
-		calculatedLimit("renewals of a router, leader and majority in other regions", limit, BytesPerSecond, anySize(now.CrossRegion.Bytes), fmt.Sprintf("%s at any size; delay assumed", formatValue(now.CrossRegion.Bytes, BytesPerSecond))),
+		calculatedLimit("renewals of a router, leader in its region", limit, BytesPerSecond, anySize(costs.SameRegion.Bytes), fmt.Sprintf("%s at any size", formatValue(costs.SameRegion.Bytes, BytesPerSecond))),
+		calculatedLimit("renewals of a router, leader and majority in other regions", limit, BytesPerSecond, anySize(costs.CrossRegion.Bytes), fmt.Sprintf("%s at any size; delay assumed", formatValue(costs.CrossRegion.Bytes, BytesPerSecond))),
 		calculatedLimit("purges, if every router hears each", limit, BytesPerSecond, anySize(t.Purges.PerSecond*t.Purges.Bytes),
 			fmt.Sprintf("%s at any size; no mechanism is built", formatValue(t.Purges.PerSecond*t.Purges.Bytes, BytesPerSecond))),
-		calculatedLimit("askings dropped by the leader just after an election, majority in other regions", maxQueuedRenewals, Number, maxQueuedRenewals*now.RetryInterval/pass,
+		calculatedLimit("askings dropped by the leader just after an election, majority in other regions", maxQueuedRenewals, Number, maxQueuedRenewals*costs.RetryInterval/pass,
 			fmt.Sprintf("more come in a pass of %s than wait; delay assumed", formatValue(pass, Seconds))),
 		calculatedLimit("answers to recalls dropped at a router that begins", handoffQueueDepth, Number, handoffQueueDepth+2, "lending is by pairs: all other seats answer at once"),
 		calculatedLimit("answers dropped at a router that lends", maxQueuedLeaseReplies, Number, maxQueuedLeaseReplies*leaseRetryInterval/gossipTick+1, "all other seats ask each half second, evenly spread"),
 	}
 }
 
-// leaderBreaks are those of the leader of the policy's keepers on an ordinary day.
-func leaderLimits(t Target, now CurrentCosts, s *LeaderModel) []ScalingLimit {
-	const near, far = "askings dropped by the leader on an ordinary day, all in one region", "askings dropped by the leader on an ordinary day, majority in other regions"
-	if !s.Fitted() {
-		none := ScalingLimit{Limit: maxQueuedRenewals, Unit: Number, Basis: NotMeasured, Source: "no trial of the leader"}
-		first, second := none, none
-		first.Description, second.Description = near, far
+// leaderLimits returns the limits of the policy leader on an ordinary day.
+func leaderLimits(t Target, costs CurrentCosts, model *LeaderModel) []ScalingLimit {
+	const sameRegion, crossRegion = "askings dropped by the leader on an ordinary day, all in one region", "askings dropped by the leader on an ordinary day, majority in other regions"
+	if !model.Fitted() {
+		unknown := ScalingLimit{Limit: maxQueuedRenewals, Unit: Number, Basis: NotMeasured, Source: "no trial of the leader"}
+		first, second := unknown, unknown
+		first.Description, second.Description = sameRegion, crossRegion
 		return []ScalingLimit{first, second}
 	}
-	at := func(what string, askings, confirm float64) ScalingLimit {
-		b := ScalingLimit{Description: what, Limit: maxQueuedRenewals, Unit: Number, Size: s.minOverloadedSize(askings, confirm), Basis: Calculated,
+	at := func(what string, renewalRate, confirmTime float64) ScalingLimit {
+		b := ScalingLimit{Description: what, Limit: maxQueuedRenewals, Unit: Number, Size: model.minOverloadedSize(renewalRate, confirmTime), Basis: Calculated,
 			Source: "counted with `leader/answer` and `leader/pass`, without sockets and raft; delay assumed"}
-		if b.SizeRatio = b.Size / s.LargestSize; b.SizeRatio > 1 {
+		if b.SizeRatio = b.Size / model.LargestSize; b.SizeRatio > 1 {
 			b.Basis = Extrapolated
 		}
 		return b
 	}
-	return []ScalingLimit{at(near, now.SameRegion.Renewals, sameRegionDelay.Seconds()), at(far, now.CrossRegion.Renewals, 2*t.Assumptions.NetworkDelay.Seconds())}
+	return []ScalingLimit{at(sameRegion, costs.SameRegion.Renewals, sameRegionDelay.Seconds()), at(crossRegion, costs.CrossRegion.Renewals, 2*t.Assumptions.NetworkDelay.Seconds())}
 }
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -25,7 +25,7 @@
 	leaderFile = "../../../docs/scale/leader/leader.json"
 )
 
-// runFiles are what the page follows from; trials beside other work on the machine are not.
+// runFiles are the result files that the page is computed from. Trials that ran beside other work on the machine are not among them.
 var runFiles = []string{"../../../docs/scale/flat.json", "../../../docs/scale/tiered.json", "../../../docs/scale/tiered-faults.json",
 	"../../../docs/scale/real.json"}
 
@@ -38,7 +38,7 @@
 	return string(text)
 }
 
-func ourTarget(t *testing.T) Target {
+func readTarget(t *testing.T) Target {
 	t.Helper()
 	target, err := ReadTarget(targetFile, []byte(read(t, targetFile)))
 	if err != nil {
@@ -47,8 +47,8 @@
 	return target
 }
 
-// ourLeader is nil where nothing was measured.
-func ourLeader(t *testing.T) *LeaderModel {
+// readLeaderModel returns nil if the leader was not measured.
+func readLeaderModel(t *testing.T) *LeaderModel {
 	t.Helper()
 	if _, err := os.Stat(leaderFile); errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -60,8 +60,8 @@
 	return FitLeader(filepath.Base(leaderFile), &f)
 }
 
-// The page in the repository is what its target and its runs give.
-func TestPageFollowsFromItsFigures(t *testing.T) {
+// The page in the repository equals the page rendered from its target and its result files.
+func TestPage_MatchesItsSources(t *testing.T) {
 	var measured []ResultFile
 	for _, file := range runFiles {
 		m, err := DecodeResultFile(file, []byte(read(t, file)))
@@ -71,7 +71,7 @@
 		m.Name = filepath.Base(file)
 		measured = append(measured, m)
 	}
-	want, err := Page(NewReport(ourTarget(t), measured, ourLeader(t)))
+	want, err := Page(NewReport(readTarget(t), measured, readLeaderModel(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-func TestStalePageIsFound(t *testing.T) {
-	target := ourTarget(t)
+func TestCheck_DetectsStalePage(t *testing.T) {
+	target := readTarget(t)
 	before, err := Page(NewReport(target, nil, nil))
 	if err != nil {
 		t.Fatal(err)
@@ -96,17 +96,17 @@
 	}
 	var stale StaleError
 	if err := Check("p", before, after); !errors.As(err, &stale) || !strings.Contains(stale.Want, "421/s") {
-		t.Error("another target:", err)
+		t.Errorf("page of another target: got error %v, want a StaleError that contains 421/s", err)
 	}
 	if err := Check("p", before[:len(before)-20], before); !errors.As(err, &stale) {
-		t.Error("cut short:", err)
+		t.Errorf("truncated page: got error %v, want a StaleError", err)
 	}
 	if err := Check("p", before+"more\n", before); !errors.As(err, &stale) {
-		t.Error("longer:", err)
+		t.Errorf("page with an extra line: got error %v, want a StaleError", err)
 	}
 }
 
-func TestWrongTargetsAreRefused(t *testing.T) {
+func TestReadTarget_RejectsInvalidFields(t *testing.T) {
 	whole := read(t, targetFile)
 	for _, c := range []struct{ old, new, field, remedy string }{
 		{"routers = 14_000", "routers = 0", "routers", "give a number above 0"},
@@ -126,22 +126,22 @@
 	} {
 		text := strings.Replace(whole, c.old, c.new, 1)
 		if text == whole {
-			t.Fatalf("%q is not in the file", c.old)
+			t.Fatalf("%q is not in the target file", c.old)
 		}
 		_, err := ReadTarget("fleet.toml", []byte(text))
 		if err == nil {
-			t.Errorf("%q: taken", c.new)
+			t.Errorf("%q: got no error", c.new)
 			continue
 		}
 		for _, part := range []string{"fleet.toml", "line ", c.field, c.remedy} {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%q: %v: no %q in it", c.new, err, part)
+				t.Errorf("%q: got error %v, want one that contains %q", c.new, err, part)
 			}
 		}
 	}
 }
 
-func TestWrongResultsAreRefused(t *testing.T) {
+func TestDecodeResultFile_RejectsInvalidFiles(t *testing.T) {
 	for text, field := range map[string]string{
 		``:                           "the file",
 		`{"format":2,"trials":[{}]}`: "format",
@@ -151,18 +151,18 @@
 		`{"format":1,"trials":[{"topology":"ring","routers":50}]}`: "trials[0].topology",
 	} {
 		_, err := DecodeResultFile("runs.json", []byte(text))
-		var wrong FieldError
-		if !errors.As(err, &wrong) || wrong.File != "runs.json" || wrong.Field != field || wrong.Remedy == "" {
+		var fieldErr FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.File != "runs.json" || fieldErr.Field != field || fieldErr.Remedy == "" {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
 }
 
-// Whatever fleet is asked about, a page is written, and no figure of it is not a number.
-func TestAnyTargetHasAPage(t *testing.T) {
-	ours := ourTarget(t)
+// A page is rendered for every valid target, and it contains no invalid number or formatting error.
+func TestPage_AnyValidTarget(t *testing.T) {
+	base := readTarget(t)
 	rapid.Check(t, func(t *rapid.T) {
-		target := ours
+		target := base
 		target.Routers = float64(rapid.IntRange(1, 1_000_000).Draw(t, "routers"))
 		target.Sites = float64(rapid.IntRange(1, int(target.Routers)).Draw(t, "sites"))
 		target.Zones = float64(rapid.IntRange(1, int(target.Sites)).Draw(t, "zones"))
@@ -180,23 +180,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, odd := range []string{"NaN", "Inf", "<nil>", "%!", "<no value>"} {
-			if strings.Contains(page, odd) {
-				t.Fatalf("%q in the page", odd)
+		for _, invalid := range []string{"NaN", "Inf", "<nil>", "%!", "<no value>"} {
+			if strings.Contains(page, invalid) {
+				t.Fatalf("the page contains %q", invalid)
 			}
 		}
 	})
 }
 
-// made are trials by a rule: bytes of a router by its fleet's size.
-func made(topology result.Topology, fault result.Fault, sizes []int, bytes func(size float64, seed int) float64) (all []result.Trial) {
+// syntheticTrials returns three trials per size, in which bytes gives the traffic of a router.
+func syntheticTrials(topology result.Topology, fault result.Fault, sizes []int, bytes func(size float64, seed int) float64) (all []result.Trial) {
 	for _, size := range sizes {
 		for seed := 1; seed <= 3; seed++ {
 			b := bytes(float64(size), seed)
-			settled, change := 5.0, 1.0
+			convergence, propagation := 5.0, 1.0
 			all = append(all, result.Trial{Topology: topology, Fault: fault, Seed: uint64(seed), Routers: size, Sites: size / 10, ProbeInterval: 1,
 				PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2, CPU: 0.001, Memory: 1e6}, Busiest: result.Usage{BytesOut: 2 * b},
-				Mechanisms: []result.Mechanism{{Name: "probe", Bytes: b}}, ConvergenceTime: &settled, PropagationTime: &change})
+				Mechanisms: []result.Mechanism{{Name: "probe", Bytes: b}}, ConvergenceTime: &convergence, PropagationTime: &propagation})
 		}
 	}
 	return all
@@ -207,13 +207,13 @@
 	fewSizes  = []int{50, 100, 200}
 )
 
-func linear(size float64, seed int) float64 { return (100 + 2*size) * (1 + 0.01*float64(seed-2)) }
+func linearBytes(size float64, seed int) float64 { return (100 + 2*size) * (1 + 0.01*float64(seed-2)) }
 
-func TestEstimatesSayWhatTheyRestOn(t *testing.T) {
-	target := ourTarget(t)
+func TestPredict_StatesTheBasis(t *testing.T) {
+	target := readTarget(t)
 	target.Routers = 3200
-	evidence := FitMeasurements([]ResultFile{{Name: "made.json", File: result.File{Trials: append(made(result.Flat, result.NoFault, manySizes, linear),
-		made(result.Tiered, result.NoFault, fewSizes, linear)...)}}})
+	evidence := FitMeasurements([]ResultFile{{Name: "made.json", File: result.File{Trials: append(syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes),
+		syntheticTrials(result.Tiered, result.NoFault, fewSizes, linearBytes)...)}}})
 
 	e := predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes})
 	if e.Basis != Extrapolated || e.SizeRatio != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
@@ -238,8 +238,8 @@
 	}
 }
 
-func TestTrialsThatCountForNothing(t *testing.T) {
-	trials := made(result.Flat, result.NoFault, manySizes, linear)
+func TestFitMeasurements_IncompleteTrials(t *testing.T) {
+	trials := syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes)
 	trials[4].ConvergenceTime = nil
 	trials[5].Incomplete = "it was interrupted"
 	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: trials}}})
@@ -248,17 +248,17 @@
 	}
 	settled := evidence.Find(SeriesKey{result.Flat, result.NoFault, MetricConvergence})
 	if settled.Fit != nil || settled.MissingTrials != 1 || settled.MinMissingSize != 100 {
-		t.Errorf("fitted, with a fleet left out that never settled: %+v", settled)
+		t.Errorf("convergence was fitted although one trial never converged: %+v", settled)
 	}
 	if bytes := evidence.Find(SeriesKey{result.Flat, result.NoFault, MetricBytes}); len(bytes.Points) != len(trials)-1 || bytes.Fit == nil || bytes.Fit.Model != slope.Linear {
 		t.Errorf("%+v", bytes)
 	}
 }
 
-func TestWhatBreaksFirst(t *testing.T) {
-	target := ourTarget(t)
-	steep := func(size float64, seed int) float64 { return linear(size, seed) / 2 }
-	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, steep)}}})
+func TestScalingLimits_SortedBySize(t *testing.T) {
+	target := readTarget(t)
+	steep := func(size float64, seed int) float64 { return linearBytes(size, seed) / 2 }
+	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, steep)}}})
 	flat := scalingLimits(target, evidence, currentCosts(target, nil), nil)[0].Limits
 	want := []struct {
 		what string
@@ -277,21 +277,21 @@
 	}
 	for _, b := range flat[3:] {
 		if b.Size != 0 {
-			t.Errorf("%+v is reached", b)
+			t.Errorf("got limit %+v, want one that is not reached", b)
 		}
 	}
 }
 
-// Too few sizes for a form, and yet over the limit.
-func TestBreakWithoutAForm(t *testing.T) {
-	target := ourTarget(t)
+// With too few sizes to fit a model, the limit is the smallest size at which all seeds exceed it.
+func TestMeasuredLimit_WithoutFittedModel(t *testing.T) {
+	target := readTarget(t)
 	steep := func(size float64, seed int) float64 {
 		if size == 50 && seed == 1 {
-			return 1999 // one seed keeps within it
+			return 1999 // one seed is within the limit
 		}
 		return 2001
 	}
-	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: made(result.Flat, result.NoFault, fewSizes, steep)}}})
+	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, fewSizes, steep)}}})
 	b := measuredLimit(evidence, SeriesKey{result.Flat, result.NoFault, MetricBytes}, "bytes", target.Budget.BytesPerSecond)
 	if b.Size != 100 || b.Basis != Measured || !strings.Contains(b.Source, "not fitted") {
 		t.Errorf("%+v", b)
@@ -301,7 +301,7 @@
 	}
 }
 
-func TestFirstOfAllParts(t *testing.T) {
+func TestFirstReached(t *testing.T) {
 	a := ScalingLimits{Limits: []ScalingLimit{{Description: "c", Size: 30}, {Description: "unknown"}}}
 	b := ScalingLimits{Limits: []ScalingLimit{{Description: "a", Size: 1}, {Description: "b", Size: 2}, {Description: "never"}}}
 	got := ""
@@ -313,7 +313,7 @@
 	}
 }
 
-func TestShareOfTheWorst(t *testing.T) {
+func TestLimitShare_OfTheLargestEstimate(t *testing.T) {
 	r := Row{Normal: calculated(10, Bytes, ""), RestartBurst: Estimate{Basis: Measured, Value: 20, High: 90}, RegionPartition: notMeasured("")}
 	if got := formatLimitShare(r); got != "-" {
 		t.Error(got)
@@ -326,30 +326,30 @@
 	}
 }
 
-func TestLargestSizeHeld(t *testing.T) {
-	target := ourTarget(t)
+func TestLargestWithinBudget(t *testing.T) {
+	target := readTarget(t)
 	for _, c := range []struct {
 		bytes func(float64, int) float64
 		size  int
 	}{
-		{linear, 800}, // 1700 there, and 3300 at the next
+		{linearBytes, 800}, // 1700 at this size, 3300 at the next
 		{func(float64, int) float64 { return 3000 }, 0},
 		{func(float64, int) float64 { return 1000 }, 1600},
-		{func(size float64, seed int) float64 { // one seed of one size is over
+		{func(size float64, seed int) float64 { // one seed of one size exceeds the budget
 			if size == 200 && seed == 2 {
 				return 2001
 			}
 			return 1000
 		}, 100},
 	} {
-		report := NewReport(target, []ResultFile{{File: result.File{Trials: made(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
+		report := NewReport(target, []ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
 		if len(report.LargestWithinBudget) != 1 || report.LargestWithinBudget[0].Size != c.size || report.LargestWithinBudget[0].LargestMeasured != 1600 {
 			t.Errorf("%+v, want %d", report.LargestWithinBudget, c.size)
 		}
 	}
 }
 
-// What is counted for mechanisms of today rests on limits that stand in their code, unexported.
+// The calculated costs use unexported constants of other packages. The test fails if one of these constants changes.
 func TestConstants_MatchTheSource(t *testing.T) {
 	for file, lines := range map[string][]string{
 		"../../controlplane/leader_loop.go":              {fmt.Sprintf(`maxQueuedRenewals += %d\b`, maxQueuedRenewals), fmt.Sprintf(`leaderInterval += %d \* time\.Millisecond`, int(leaderInterval*1e3)), `time\.After\(leaderInterval\)`, `>= maxQueuedRenewals\b`},
@@ -364,16 +364,16 @@
 		text := read(t, file)
 		for _, line := range lines {
 			if !regexp.MustCompile(line).MatchString(text) {
-				t.Errorf("%s has no %s any more: count its mechanism anew", file, line)
+				t.Errorf("%s no longer matches %s: update the constant and the calculation that uses it", file, line)
 			}
 		}
 	}
 	if sharelease.DefaultTiming().RetryInterval != leaseRetryInterval*microsecondsPerSecond {
-		t.Error("lending asks by another span")
+		t.Errorf("got sharelease RetryInterval %v, want %v seconds", sharelease.DefaultTiming().RetryInterval, leaseRetryInterval)
 	}
 }
 
-func TestSourceTellsBuildsAndOtherLoad(t *testing.T) {
+func TestSource_BuildsAndOtherLoad(t *testing.T) {
 	half, none := 0.5, 0.0
 	file := ResultFile{Name: "a.json", File: result.File{Build: "new", Trials: []result.Trial{
 		{Routers: 1, Build: "old", OtherLoad: &half}, {Routers: 2, OtherLoad: &none}, {Routers: 3, Build: "old", OtherLoad: &none}}}}
@@ -390,12 +390,12 @@
 	}
 }
 
-// Hollow routers beside real ones are no further seed of fleets of hollow ones alone.
-func TestRealRoutersStandApart(t *testing.T) {
-	hollow := made(result.Tiered, result.NoFault, manySizes, func(float64, int) float64 { return 600 })
+// A trial with real routers is shown separately and does not count as another seed of the trials with simulated routers only.
+func TestRealRouters_NotCountedAsSeeds(t *testing.T) {
+	hollow := syntheticTrials(result.Tiered, result.NoFault, manySizes, func(float64, int) float64 { return 600 })
 	beside := result.Trial{Topology: result.Tiered, Fault: result.NoFault, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
 		Real: &result.RealRouters{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, WithoutFleet: result.Usage{CPU: 0.001, Memory: 7e6}}}
-	target := ourTarget(t)
+	target := readTarget(t)
 	alone := NewReport(target, []ResultFile{{File: result.File{Trials: hollow}}}, nil)
 	both := NewReport(target, []ResultFile{{File: result.File{Trials: append(hollow, beside)}}}, nil)
 	if len(both.Real) != 1 || both.Real[0].Processes != 8 || both.Real[0].Bytes.Value != 620 || both.Real[0].Memory.Value != 2e6 {
@@ -403,7 +403,7 @@
 	}
 	for i, row := range alone.Sizes {
 		if both.Sizes[i] != row {
-			t.Errorf("%+v became %+v", row, both.Sizes[i])
+			t.Errorf("got row %+v, want %+v", both.Sizes[i], row)
 		}
 	}
 	page, err := Page(both)
@@ -412,25 +412,25 @@
 	}
 }
 
-func TestAskingsOfAHolder(t *testing.T) {
+func TestSimulateRenewals(t *testing.T) {
 	for _, c := range []struct {
 		delay                clock.Time
 		least, most, covered float64
 	}{
-		{1_000, 5, 5, 1},      // each 0.2 s, as it should
-		{40_000, 5, 5, 1},     // answered before it is asked again
-		{600_000, 6, 16, 1},   // asked again while the answer is on its way
-		{2_000_000, 5, 17, 0}, // later than the lease
+		{1_000, 5, 5, 1},      // one renewal per 0.2 s, the renewal interval
+		{40_000, 5, 5, 1},     // the lease arrives before the retry
+		{600_000, 6, 16, 1},   // retries while the lease is on its way
+		{2_000_000, 5, 17, 0}, // the delay is longer than the lease
 	} {
 		perSecond, covered := simulateRenewals(c.delay)
 		if perSecond < c.least || perSecond > c.most || covered != c.covered {
-			t.Errorf("after %d us: %v askings a second, %v covered", c.delay, perSecond, covered)
+			t.Errorf("delay %d us: got %v renewals per second and coverage %v", c.delay, perSecond, covered)
 		}
 	}
 }
 
-func TestGrantsThroughRepresentatives(t *testing.T) {
-	target := ourTarget(t)
+func TestDesignRenewals_Representatives(t *testing.T) {
+	target := readTarget(t)
 	now := currentCosts(target, nil)
 	g := designRenewals(target, now)
 	if g.Chosen == nil || !g.Chosen.Fits || g.Chosen.LeaderRenewals >= now.SameRegion.LeaderRenewals {
@@ -442,22 +442,22 @@
 	}
 	target.Budget.BytesPerSecond = 1
 	if g := designRenewals(target, now); g.Chosen != nil || g.ChosenCurrentLease != nil {
-		t.Errorf("something fits into a byte: %+v", g)
+		t.Errorf("got an option that fits into 1 byte per second: %+v", g)
 	}
 }
 
-func TestPurgesAreSharedOut(t *testing.T) {
-	target := ourTarget(t)
+func TestDesignPurges(t *testing.T) {
+	target := readTarget(t)
 	p := designPurges(target, 1800)
 	all, one := p.Options[0], *p.Chosen
 	if all.Fits || !one.Fits || all.ReceivedBytes < target.Purges.PerSecond*target.Purges.Bytes {
 		t.Errorf("%+v\n%+v", all, one)
 	}
 	if want := all.ReceivedBytes / (target.RoutersPerSite() - membershipRepresentatives); math.Abs(one.ReceivedBytes-want) > 1 {
-		t.Errorf("%v heard, want %v", one.ReceivedBytes, want)
+		t.Errorf("got %v bytes received per second, want %v", one.ReceivedBytes, want)
 	}
 	if one.MinSiteSize < 2 || one.MinSiteSize > target.RoutersPerSite() {
-		t.Errorf("smallest site %v", one.MinSiteSize)
+		t.Errorf("got smallest site of %v routers, want 2 to %v", one.MinSiteSize, target.RoutersPerSite())
 	}
 	total := 0.0
 	for _, s := range p.Steps {
@@ -467,12 +467,12 @@
 		t.Errorf("%+v", p)
 	}
 	if p.MissedPurges != 420*3600 || p.MissedBytes != 420*3600*20 {
-		t.Errorf("missed %v, %v bytes", p.MissedPurges, p.MissedBytes)
+		t.Errorf("got %v missed purges of %v bytes", p.MissedPurges, p.MissedBytes)
 	}
 }
 
-func TestBudgetOfARouter(t *testing.T) {
-	target := ourTarget(t)
+func TestRouterBudget(t *testing.T) {
+	target := readTarget(t)
 	g, p := designRenewals(target, currentCosts(target, nil)), designPurges(target, 1800)
 	b := routerBudget(target, g, p, calculated(600, BytesPerSecond, ""), calculated(1200, BytesPerSecond, ""))
 	documents := documentBytes(target)
@@ -482,8 +482,8 @@
 		want float64
 	}{
 		{"router", b.Total.Router, 600 + g.Chosen.RouterBytes + documents + p.Chosen.ControlBytes},
-		{"membership's", b.Total.MembershipRepresentative, 1200 + g.Chosen.RouterBytes + documents},
-		{"policy's", b.Total.PolicyRepresentative, 600 + g.Chosen.BusiestBytes + documents + p.Chosen.ControlBytes},
+		{"membership representative", b.Total.MembershipRepresentative, 1200 + g.Chosen.RouterBytes + documents},
+		{"policy representative", b.Total.PolicyRepresentative, 600 + g.Chosen.BusiestBytes + documents + p.Chosen.ControlBytes},
 	} {
 		if math.Abs(c.got.Value-c.want) > 0.01 {
 			t.Errorf("%s: %v, want %v", c.name, c.got.Value, c.want)
@@ -495,7 +495,7 @@
 }
 
 func TestTimeInQueue(t *testing.T) {
-	if got := timeInQueue(2, 0.25); got != 3 { // half busy: the wait is half of the service
+	if got := timeInQueue(2, 0.25); got != 3 { // utilization 0.5: the mean wait is half the service time
 		t.Error(got)
 	}
 	if got := timeInQueue(5, 0.2); got != -1 {
@@ -503,7 +503,7 @@
 	}
 }
 
-func TestShowBetween(t *testing.T) {
+func TestFormatRange(t *testing.T) {
 	for _, c := range []struct {
 		value, low, high float64
 		unit             Unit
@@ -515,12 +515,12 @@
 		{14, 13, 15000, Number, "14 (13 to 15,000)"},
 	} {
 		if got := formatRange(c.value, c.low, c.high, c.unit); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("got %q, want %q", got, c.want)
 		}
 	}
 }
 
-func TestShow(t *testing.T) {
+func TestFormatValue(t *testing.T) {
 	for _, c := range []struct {
 		value float64
 		unit  Unit
@@ -537,25 +537,25 @@
 	}
 }
 
-// madeLeader takes answer seconds for an asking, and pass seconds a router for a pass.
-func madeLeader(answer, pass float64) *LeaderModel {
+// syntheticLeader returns a model with answer seconds per renewal and passPerRouter seconds per router and pass.
+func syntheticLeader(answer, passPerRouter float64) *LeaderModel {
 	f := &leader.File{Format: leader.Format, Kind: leader.Kind}
 	for _, routers := range []int{100, 400, 1600, 6400, 25600} {
 		for seed := range 3 {
-			wobble := 1 + 0.001*float64(seed-1)
-			f.Samples = append(f.Samples, leader.Sample{Routers: routers, DecodeTime: 1e-6 * wobble, AnswerTime: answer * wobble, PassTime: pass * float64(routers) * wobble})
+			noise := 1 + 0.001*float64(seed-1)
+			f.Samples = append(f.Samples, leader.Sample{Routers: routers, DecodeTime: 1e-6 * noise, AnswerTime: answer * noise, PassTime: passPerRouter * float64(routers) * noise})
 		}
 	}
 	return FitLeader("made.json", f)
 }
 
-func TestLeaderFallsBehind(t *testing.T) {
+func TestLeaderModel_Overload(t *testing.T) {
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.01*b }
-	s := madeLeader(10e-6, 1e-6)
+	s := syntheticLeader(10e-6, 1e-6)
 	if !s.Fitted() || s.LargestSize != 25600 {
 		t.Fatalf("%+v", s)
 	}
-	l := s.predictLoad(10_000, 5, 0.03) // half of the time goes for answers; 50 ms of rest and confirming, 10 ms a pass
+	l := s.predictLoad(10_000, 5, 0.03) // utilization 0.5; 50 ms for the interval and the confirmation, 10 ms per pass
 	if !near(l.Utilization, 0.5) || !near(l.PassInterval, 0.12) || !near(l.QueuedRenewals, 6000) || !near(l.Cores, 0.05+0.5+0.01/0.12) || l.overloaded() {
 		t.Errorf("%+v", l)
 	}
@@ -564,19 +564,19 @@
 	}
 	size := s.minOverloadedSize(5, 0.03)
 	if s.predictLoad(size+1, 5, 0.03).overloaded() != true || s.predictLoad(size-1, 5, 0.03).overloaded() {
-		t.Errorf("fails at %v", size)
+		t.Errorf("got smallest overloaded size %v, but the load there says otherwise", size)
 	}
-	target := ourTarget(t)
+	target := readTarget(t)
 	report := NewReport(target, nil, s)
 	if report.Current.SameRegionLoad == nil || report.Current.CrossRegionLoad == nil {
-		t.Error("nothing told of the leader")
+		t.Error("the report has no load of the leader")
 	}
 	if text, err := Page(report); err != nil || !strings.Contains(text, "leader/answer: an asking, in the pass | constant |") {
 		t.Error(err)
 	}
 }
 
-func TestWrongLeaderFilesAreRefused(t *testing.T) {
+func TestDecodeLeader_RejectsInvalidFiles(t *testing.T) {
 	for text, field := range map[string]string{
 		`[`:                                   "the file",
 		`{"format":1,"trials":[]}`:            "the file",
@@ -585,8 +585,8 @@
 		`{"format":1,"kind":"policy_leader","samples":[{"routers":5,"decode_s":1,"pass_s":1}]}`: "samples[0]",
 	} {
 		_, err := DecodeLeader("l.json", []byte(text))
-		var wrong FieldError
-		if !errors.As(err, &wrong) || wrong.Field != field || wrong.File != "l.json" || wrong.Remedy == "" {
+		var fieldErr FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.Field != field || fieldErr.File != "l.json" || fieldErr.Remedy == "" {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/scale/capacity/design.go
+++ b/internal/scale/capacity/design.go
@@ -6,73 +6,73 @@
 	"spurtrestle/core/policycommit"
 )
 
-// Sizes of the compact messages that are designed, in bytes.
+// Sizes of the compact messages of the design, in bytes.
 const (
-	datagramHeader = 20 + 8  // IPv4 and UDP; with them, since small messages are mostly that
+	datagramHeader = 20 + 8  // IPv4 and UDP; counted because they are most of a small message
 	streamHeader   = 20 + 20 // IPv4 and TCP
 
-	compactRenewal = 8 + 2 + 4 + 4 + 4 + 1 // process, count, revision, index, token's digest, flags
-	compactGrant   = 2 + 4 + 4 + 2 + 4 + 1 // count, revision, index, span, token's digest, flags
-	groupRenewal   = compactRenewal + 4    // of several routers: their number beside it, and two bits for each
-	bitsPerRouter  = 2                     // holds what is in force, has prepared what is pending
-	purgeAck       = 4 + 8 + 4             // stream, last number done, purges not done
-	tombstone      = 8 + 8 + 8 + 8         // digest of the key, count, end, link
+	compactRenewal = 8 + 2 + 4 + 4 + 4 + 1 // incarnation, count, revision, index, digest of the token, flags
+	compactGrant   = 2 + 4 + 4 + 2 + 4 + 1 // count, revision, index, duration, digest of the token, flags
+	groupRenewal   = compactRenewal + 4    // for several routers: also their number, and bitsPerRouter for each
+	bitsPerRouter  = 2                     // whether it holds the revision in force, whether it has prepared the pending one
+	purgeAck       = 4 + 8 + 4             // stream, last sequence number done, number of purges not done
+	tombstone      = 8 + 8 + 8 + 8         // digest of the key, count, expiry, link
 )
 
-// Spans of what is designed, in seconds.
+// Durations of the design, in seconds.
 const (
-	extendedLease      = 2.5  // of a grant, in the variant that gives up the window of a second
-	renewalsPerLease   = 3    // so that two in a row may be lost
-	groupingDelay      = 0.05 // a representative waits so long for the askings of its routers
-	relayInterval      = 0.05 // a relay on a control machine asks the leader
-	purgeBatchInterval = 0.5  // a stream sends what has come, and a router what it has heard to its cache servers
-	purgeAckInterval   = 1.0  // a router tells its counts
-	takeoverTimeout    = 2.0  // the next router by rank gets a stream whose router has told no counts for so long
-	sameSiteRoundTrip  = 0.01 // there and back
+	extendedLease      = 2.5  // lease duration of the variant that gives up the one-second bound
+	renewalsPerLease   = 3    // not a duration; two consecutive renewals may be lost
+	groupingDelay      = 0.05 // a representative collects the renewals of its routers for this long
+	relayInterval      = 0.05 // between two renewals of a relay on a control machine
+	purgeBatchInterval = 0.5  // between two batches of a stream, and of a router to its cache servers
+	purgeAckInterval   = 1.0  // between two acknowledgements of a router
+	takeoverTimeout    = 2.0  // without acknowledgements for this long, a stream moves to the next router by rank
+	sameSiteRoundTrip  = 0.01
 )
 
-// membershipRepresentatives are those that a site has at rest (tiered membership).
+// membershipRepresentatives is the number of representatives of a site without failures (tiered membership).
 const membershipRepresentatives = 2
 
-// budgetForGrants is the share of a router's bytes that renewals may take: membership, purges and documents have the rest.
+// renewalBudgetShare is the fraction of a router's byte budget for renewals; the rest is for membership, purges and documents.
 const renewalBudgetShare = 0.25
 
-// GrantOption is one way by which routers are granted their leases.
+// RenewalOption is one design of lease renewals, and what it costs.
 type RenewalOption struct {
 	Name                 string  `json:"name"`
-	Representatives      float64 `json:"representatives"` // of a site; 0: none
+	Representatives      float64 `json:"representatives"` // per site; 0: none
 	Lease                float64 `json:"lease_s"`
-	Interval             float64 `json:"every_s"` // between two askings
+	Interval             float64 `json:"every_s"` // between two renewals
 	RouterBytes          float64 `json:"router_bytes_per_s"`
-	BusiestBytes         float64 `json:"busiest_bytes_per_s"` // of the router that speaks for others
+	BusiestBytes         float64 `json:"busiest_bytes_per_s"` // of the router with the most traffic: the representative, if there is one
 	LeaderRenewals       float64 `json:"leader_askings_per_s"`
 	LeaderBytes          float64 `json:"leader_bytes_per_s"`
 	ChangeTime           float64 `json:"change_s"`             // from a proposal until it is in force everywhere
-	ChangeTimeRouterLost float64 `json:"change_router_lost_s"` // the same, where a router dies just after it was granted
-	Fits                 bool    `json:"fits"`                 // the busiest router keeps to the share of its budget, and a change to its time, also with one lost
+	ChangeTimeRouterLost float64 `json:"change_router_lost_s"` // the same if a router dies just after it was granted a lease
+	Fits                 bool    `json:"fits"`                 // BusiestBytes is within the budget and ChangeTimeRouterLost within the target
 }
 
-// Grants are the ways that were weighed, in the page's order.
+// RenewalDesign compares designs of lease renewals, in the order of the page.
 type RenewalDesign struct {
-	Share              float64         `json:"share"` // of a router's bytes
+	Share              float64         `json:"share"` // of a router's byte budget
 	Budget             float64         `json:"budget_bytes_per_s"`
-	RenewalBytes       float64         `json:"asking_bytes"` // compact, without headers
+	RenewalBytes       float64         `json:"asking_bytes"` // compact message, without headers
 	GrantBytes         float64         `json:"grant_bytes"`
 	Options            []RenewalOption `json:"options"`
-	Chosen             *RenewalOption  `json:"chosen"`    // least at the leader of those that fit
-	ChosenCurrentLease *RenewalOption  `json:"keeps_one"` // the same of those that keep today's lease
+	Chosen             *RenewalOption  `json:"chosen"`    // fewest renewals at the leader, of the options through representatives that fit
+	ChosenCurrentLease *RenewalOption  `json:"keeps_one"` // the same, of the options with the current lease duration
 }
 
-func designRenewals(t Target, now CurrentCosts) RenewalDesign {
+func designRenewals(t Target, costs CurrentCosts) RenewalDesign {
 	g := RenewalDesign{Share: renewalBudgetShare, Budget: t.Budget.BytesPerSecond * renewalBudgetShare, RenewalBytes: compactRenewal, GrantBytes: compactGrant}
-	lease := now.Lease
+	lease := costs.Lease
 	add := func(o RenewalOption) {
 		o.ChangeTimeRouterLost = o.ChangeTime + lostRouterDelay(o.Lease)
 		o.Fits = o.BusiestBytes <= g.Budget && o.ChangeTimeRouterLost <= t.Changes.Within.Seconds()
 		g.Options = append(g.Options, o)
 	}
-	add(RenewalOption{Name: "today: each asks the leader", Lease: lease, Interval: now.RenewInterval, RouterBytes: now.SameRegion.Bytes, BusiestBytes: now.SameRegion.Bytes,
-		LeaderRenewals: now.SameRegion.LeaderRenewals, LeaderBytes: now.SameRegion.LeaderBytes, ChangeTime: now.ChangeTime})
+	add(RenewalOption{Name: "today: each asks the leader", Lease: lease, Interval: costs.RenewInterval, RouterBytes: costs.SameRegion.Bytes, BusiestBytes: costs.SameRegion.Bytes,
+		LeaderRenewals: costs.SameRegion.LeaderRenewals, LeaderBytes: costs.SameRegion.LeaderBytes, ChangeTime: costs.ChangeTime})
 	add(directRenewal(t, lease))
 	add(relayedRenewal(t, lease))
 	for _, span := range []float64{lease, extendedLease} {
@@ -94,7 +94,7 @@
 	return g
 }
 
-// exchange is one compact asking and its grant.
+// compactExchange is the size of one compact renewal and its lease.
 const compactExchange = compactRenewal + compactGrant + 2*datagramHeader
 
 func directRenewal(t Target, lease float64) RenewalOption {
@@ -103,7 +103,7 @@
 		LeaderRenewals: t.Routers / every, LeaderBytes: t.Routers * compactExchange / every, ChangeTime: changeTime(t, every, 0)}
 }
 
-// throughRelays has the control machines that keep no log gather the askings of all sites.
+// relayedRenewal returns the design in which the control machines that hold no log collect the renewals of all sites.
 func relayedRenewal(t Target, lease float64) RenewalOption {
 	o := directRenewal(t, lease)
 	relays := max(1, t.Budget.Machines-t.Assumptions.PolicyVoters)
@@ -114,6 +114,7 @@
 	return o
 }
 
+// representativeRenewal returns the design in which representatives of a site collect the renewals of its routers.
 func representativeRenewal(t Target, lease, representatives float64) RenewalOption {
 	every := lease / renewalsPerLease
 	group := t.RoutersPerSite() / representatives
@@ -126,12 +127,13 @@
 	return o
 }
 
-// groupExchange is one asking for a group of routers and its grant.
+// groupExchange returns the size of one renewal for a group of routers and its lease.
 func groupExchange(group float64) float64 {
 	return groupRenewal + math.Ceil(group*bitsPerRouter/8) + compactGrant + 2*datagramHeader
 }
 
-// fewestRepresentatives is the least number of a site that keeps each within a budget; all of its routers where none does.
+// minRepresentatives returns the smallest number of representatives of a site that keeps each of them within a byte budget, or
+// the number of all its routers if none does.
 func minRepresentatives(t Target, lease, budget float64) float64 {
 	all := math.Ceil(t.RoutersPerSite())
 	for n := 1.0; n < all; n++ {
@@ -142,57 +144,57 @@
 	return all
 }
 
-// changeTime is as Today.Change has it, by other spans.
+// changeTime returns the time of a change as CurrentCosts.ChangeTime does, for another renewal interval and grouping delay.
 func changeTime(t Target, every, groupingDelay float64) float64 {
 	delay := t.Assumptions.NetworkDelay.Seconds()
 	return 2 * (every + groupingDelay + leaderInterval + 2*delay + 4*delay)
 }
 
-// waitedFor is how long a router that does not answer holds a change up, by policycommit.Leader: its lease by a clock that runs a
-// hundredth slow, and a slack.
+// lostRouterDelay returns how long a router that does not reply delays a change, as policycommit.Leader defines it: its lease, for a
+// clock that runs slow by 1%, plus the clock slack.
 func lostRouterDelay(lease float64) float64 {
 	return lease*1.01 + seconds(policycommit.DefaultTiming().ClockSlack)
 }
 
-// PurgeOption is one way by which purges reach the cache servers of a site.
+// PurgeOption is one design of how purges reach the cache servers of a site, and what it costs.
 type PurgeOption struct {
 	Name          string  `json:"name"`
-	Receivers     float64 `json:"hear"`                  // routers of a site that hear each purge
-	CacheServers  float64 `json:"reach"`                 // cache servers of the site at which it is done
+	Receivers     float64 `json:"hear"`                  // routers of a site that receive each purge
+	CacheServers  float64 `json:"reach"`                 // cache servers of the site that execute each purge
 	ReceivedBytes float64 `json:"heard_bytes_per_s"`     // of one router
 	AckBytes      float64 `json:"told_back_bytes_per_s"` // of one router
 	DeletionBytes float64 `json:"deletions_bytes_per_s"` // of one router, to its cache servers and back
-	ControlBytes  float64 `json:"control_bytes_per_s"`   // heard and told back
-	Fits          bool    `json:"fits"`                  // control stays within the budget that grants and documents leave
-	MinSiteSize   float64 `json:"smallest_site"`         // routers of the smallest site in which it fits; 0: in none
+	ControlBytes  float64 `json:"control_bytes_per_s"`   // ReceivedBytes and AckBytes
+	Fits          bool    `json:"fits"`                  // ControlBytes is within the budget that renewals and documents leave
+	MinSiteSize   float64 `json:"smallest_site"`         // routers of the smallest site in which the option fits; 0: none
 }
 
-// Step is one of those that a purge takes.
+// PurgeStep is one step of a purge and its maximum duration.
 type PurgeStep struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
 }
 
-// Purging is how purges are designed.
+// PurgeDesign is the design of purges, and what it costs.
 type PurgeDesign struct {
-	AvailableBytes float64       `json:"left_bytes_per_s"` // of a router's budget for purges and membership
+	AvailableBytes float64       `json:"left_bytes_per_s"` // of a router's byte budget, for purges and membership
 	Options        []PurgeOption `json:"options"`
 	Chosen         *PurgeOption  `json:"chosen"`
 
 	Steps      []PurgeStep `json:"steps"`
-	Seconds    float64     `json:"seconds"` // of all steps
+	Seconds    float64     `json:"seconds"` // sum of all steps
 	FitsTarget bool        `json:"within"`
 
-	Streams         float64 `json:"streams"`                 // one for each router of a site
-	Machines        float64 `json:"machines"`                // that send them
-	MachineBytesOut float64 `json:"machine_out_bytes_per_s"` // of each
+	Streams         float64 `json:"streams"`                 // one per router of a site that receives purges
+	Machines        float64 `json:"machines"`                // that send the streams
+	MachineBytesOut float64 `json:"machine_out_bytes_per_s"` // of each machine
 	MachineAcksIn   float64 `json:"machine_back_messages_per_s"`
 
-	MissedPurges   float64 `json:"missed"`          // purges while a region is cut off
-	MissedBytes    float64 `json:"missed_bytes"`    // for each of its sites
-	CatchUpTime    float64 `json:"catch_up_s"`      // at the pace of the streams again
-	PurgesPerCache float64 `json:"per_cache_per_s"` // purges done at a cache server
-	Tombstones     float64 `json:"tombstones"`      // that a cache server keeps
+	MissedPurges   float64 `json:"missed"`          // purges during a region partition
+	MissedBytes    float64 `json:"missed_bytes"`    // per site of the region
+	CatchUpTime    float64 `json:"catch_up_s"`      // at the ordinary rate of the streams
+	PurgesPerCache float64 `json:"per_cache_per_s"` // purges executed at one cache server
+	Tombstones     float64 `json:"tombstones"`      // held by one cache server
 	TombstoneBytes float64 `json:"tombstone_bytes"`
 }
 
@@ -207,7 +209,7 @@
 		purgeOption(t, "one router of a site, the owners", 1, owners, available),
 		purgeOption(t, "two routers of a site, the owners", second, owners, available),
 	}
-	p.Chosen = &p.Options[2] // a second router need not hear what it can ask for
+	p.Chosen = &p.Options[2] // a second router need not receive what it can request
 	p.Steps = purgeSteps(t)
 	for _, s := range p.Steps {
 		p.Seconds += s.Seconds
@@ -219,32 +221,33 @@
 	p.MachineAcksIn = receiverCount / purgeAckInterval / p.Machines
 	p.MissedPurges = t.Purges.PerSecond * t.Failures.RegionPartition.Seconds()
 	p.MissedBytes = p.MissedPurges * t.Purges.Bytes
-	p.CatchUpTime = t.Failures.RegionPartition.Seconds() // the budget of the streams, once more
+	p.CatchUpTime = t.Failures.RegionPartition.Seconds() // the missed purges take as long again, in addition to the new ones
 	p.PurgesPerCache = t.Purges.PerSecond * owners / caches
 	p.Tombstones = p.PurgesPerCache * (t.Assumptions.LongestFetch.Seconds() + t.Purges.Within.Seconds())
 	p.TombstoneBytes = p.Tombstones * tombstone
 	return p
 }
 
-// sharers are the routers of a site that hear purges: all but membership's representatives, which have enough to do.
+// purgeReceivers returns the number of routers of a site that receive purges: all but the membership representatives, whose byte
+// budget is already used.
 func purgeReceivers(t Target) float64 { return max(1, t.RoutersPerSite()-membershipRepresentatives) }
 
 func purgeOption(t Target, name string, receivers, cacheServers, available float64) PurgeOption {
-	streams := receivers // a router hears its own stream, and those for which it stands by
-	share := t.Purges.PerSecond / purgeReceivers(t)
+	streams := receivers // a router receives its own stream and those for which it is the standby
+	purgesPerRouter := t.Purges.PerSecond / purgeReceivers(t)
 	o := PurgeOption{Name: name, Receivers: receivers, CacheServers: cacheServers}
-	o.ReceivedBytes = share*receivers*t.Purges.Bytes + streams*datagramHeader/purgeBatchInterval
+	o.ReceivedBytes = purgesPerRouter*receivers*t.Purges.Bytes + streams*datagramHeader/purgeBatchInterval
 	o.AckBytes = (purgeAck + datagramHeader) / purgeAckInterval
 	connections := max(1, t.CachesPerSite())
-	o.DeletionBytes = share*cacheServers*t.Purges.Bytes + connections*2*streamHeader/purgeBatchInterval
+	o.DeletionBytes = purgesPerRouter*cacheServers*t.Purges.Bytes + connections*2*streamHeader/purgeBatchInterval
 	o.ControlBytes = o.ReceivedBytes + o.AckBytes
 	o.Fits = o.ControlBytes <= available
-	perStream := streams*datagramHeader/purgeBatchInterval + o.AckBytes
-	if rest := available - perStream; rest > 0 {
-		o.MinSiteSize = math.Ceil(t.Purges.PerSecond*receivers*t.Purges.Bytes/rest) + membershipRepresentatives
+	fixedBytes := streams*datagramHeader/purgeBatchInterval + o.AckBytes
+	if remaining := available - fixedBytes; remaining > 0 {
+		o.MinSiteSize = math.Ceil(t.Purges.PerSecond*receivers*t.Purges.Bytes/remaining) + membershipRepresentatives
 	}
 	if receivers == purgeReceivers(t) {
-		o.MinSiteSize = 0 // each hears all, in a site of any size
+		o.MinSiteSize = 0 // every router receives every purge, whatever the size of the site
 	}
 	return o
 }
@@ -263,7 +266,7 @@
 	}
 }
 
-// BudgetLine is one part of what a router spends by the design. No router bears two of the three roles.
+// BudgetLine is the traffic of one mechanism of the design, by role of the router. No router has two of the three roles.
 type BudgetLine struct {
 	Name                     string   `json:"name"`
 	Router                   Estimate `json:"router"`
@@ -271,14 +274,14 @@
 	PolicyRepresentative     Estimate `json:"policy_representative"`
 }
 
-// Budget is a router's bytes by the design, all parts together.
+// Budget is the traffic of a router by the design, over all mechanisms.
 type Budget struct {
 	Lines []BudgetLine `json:"lines"`
 	Total BudgetLine   `json:"all"`
 	Limit float64      `json:"limit_bytes_per_s"`
 }
 
-// documentsOnce is each change's document told once, with its preparation.
+// documentBytes returns the bytes per second of change documents if each is sent once, when the change is prepared.
 func documentBytes(t Target) float64 { return t.ChangesPerSecond() * t.Assumptions.DocumentBytes }
 
 func routerBudget(t Target, g RenewalDesign, p PurgeDesign, membership, ofRepresentative Estimate) Budget {
--- a/internal/scale/capacity/leader.go
+++ b/internal/scale/capacity/leader.go
@@ -10,7 +10,7 @@
 	"spurtrestle/internal/scale/slope"
 )
 
-// DecodeLeader reads what was measured of the leader of the policy's keepers. Errors are FieldErrors.
+// DecodeLeader decodes and validates the text of a result file of cache-routerctl scale leader. Each error is a FieldError.
 func DecodeLeader(file string, text []byte) (leader.File, error) {
 	var f leader.File
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -31,20 +31,20 @@
 	return f, errors.Join(wrong...)
 }
 
-// LeaderSlopes are the times of the leader over sizes of the roster; a choice that is nil was not fitted.
+// LeaderModel models the processor time of the policy leader by the number of routers. A time that could not be fitted is nil.
 type LeaderModel struct {
 	Source          SourceFile       `json:"source"`
 	DecodeTime      *slope.Selection `json:"decode"`
 	AnswerTime      *slope.Selection `json:"answer"`
 	PassTime        *slope.Selection `json:"pass"`
-	LargestSize     float64          `json:"largest"` // roster measured
+	LargestSize     float64          `json:"largest"` // largest number of routers measured
 	NotFittedReason string           `json:"unfit"`
 }
 
-// Fitted tells whether all three are.
-func (s *LeaderModel) Fitted() bool { return s != nil && s.NotFittedReason == "" }
+// Fitted reports whether all three times were fitted. A nil model is not.
+func (m *LeaderModel) Fitted() bool { return m != nil && m.NotFittedReason == "" }
 
-// FitLeader chooses a form for each time; it is nil where nothing was measured.
+// FitLeader fits a growth model to each time; it returns nil if f is nil.
 func FitLeader(name string, f *leader.File) *LeaderModel {
 	if f == nil {
 		return nil
@@ -69,45 +69,47 @@
 	return s
 }
 
-// Load is what the leader has to do for a number of routers.
+// LeaderLoad is the load of the policy leader for a number of routers.
 type LeaderLoad struct {
 	Cores          float64 `json:"cores"`   // without sockets and the replicated log
-	Utilization    float64 `json:"busy"`    // share of the time that its one goroutine needs for answers alone; from 1 on it never keeps up
-	PassInterval   float64 `json:"pass_s"`  // from one pass to the next; 0: it never keeps up
-	QueuedRenewals float64 `json:"waiting"` // askings that come in a pass
+	Utilization    float64 `json:"busy"`    // fraction of the time that its single goroutine spends on answers; from 1 on it falls behind without bound
+	PassInterval   float64 `json:"pass_s"`  // seconds from one pass to the next; 0: it falls behind without bound
+	QueuedRenewals float64 `json:"waiting"` // renewals that arrive during a pass
 }
 
-// load is by askings a second of one router, and the time that a majority takes to confirm a pass.
-func (s *LeaderModel) predictLoad(routers, askings, confirm float64) LeaderLoad {
-	rate := routers * askings
-	pass := s.PassTime.Predict(routers).Value
-	l := LeaderLoad{Utilization: rate * s.AnswerTime.Predict(routers).Value}
-	l.Cores = rate*s.DecodeTime.Predict(routers).Value + l.Utilization
+// predictLoad returns the load for a number of routers, by the renewals per second of one router and the seconds that a majority
+// takes to confirm a pass.
+func (m *LeaderModel) predictLoad(routers, renewalRate, confirmTime float64) LeaderLoad {
+	rate := routers * renewalRate
+	pass := m.PassTime.Predict(routers).Value
+	l := LeaderLoad{Utilization: rate * m.AnswerTime.Predict(routers).Value}
+	l.Cores = rate*m.DecodeTime.Predict(routers).Value + l.Utilization
 	if l.Utilization >= 1 {
 		return l
 	}
-	l.PassInterval = (leaderInterval + confirm + pass) / (1 - l.Utilization)
+	l.PassInterval = (leaderInterval + confirmTime + pass) / (1 - l.Utilization)
 	l.Cores += pass / l.PassInterval
 	l.QueuedRenewals = rate * l.PassInterval
 	return l
 }
 
-// fails tells whether the leader drops askings.
+// overloaded reports whether the leader drops renewals.
 func (l LeaderLoad) overloaded() bool {
 	return l.Utilization >= 1 || l.QueuedRenewals > maxQueuedRenewals
 }
 
-// failsAt is the least number of routers at which the leader drops askings; 0: none up to a number that no fleet has.
-func (s *LeaderModel) minOverloadedSize(askings, confirm float64) float64 {
+// minOverloadedSize returns the smallest number of routers for which the leader drops renewals, or 0 if there is none up to
+// maxSize, which no fleet reaches.
+func (m *LeaderModel) minOverloadedSize(renewalRate, confirmTime float64) float64 {
 	const maxSize = 1e9
 	low, high := 1.0, 2.0
-	for !s.predictLoad(high, askings, confirm).overloaded() {
+	for !m.predictLoad(high, renewalRate, confirmTime).overloaded() {
 		if low, high = high, high*2; high > maxSize {
 			return 0
 		}
 	}
 	for high-low > 0.5 {
-		if middle := (low + high) / 2; s.predictLoad(middle, askings, confirm).overloaded() {
+		if middle := (low + high) / 2; m.predictLoad(middle, renewalRate, confirmTime).overloaded() {
 			high = middle
 		} else {
 			low = middle
--- a/internal/scale/capacity/measured.go
+++ b/internal/scale/capacity/measured.go
@@ -12,13 +12,13 @@
 	"spurtrestle/internal/scale/slope"
 )
 
-// Measured is one file of results, by its name.
+// ResultFile is a named result file of a scale run.
 type ResultFile struct {
 	Name string
 	result.File
 }
 
-// DecodeMeasured reads a file of results. Errors are FieldErrors.
+// DecodeResultFile decodes and validates the text of a result file; unknown fields are errors. Each error is a FieldError.
 func DecodeResultFile(file string, text []byte) (ResultFile, error) {
 	m := ResultFile{Name: file}
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -45,7 +45,7 @@
 	return m, errors.Join(wrong...)
 }
 
-// Unit is what a value is counted in.
+// Unit is the unit of a value.
 type Unit string
 
 // The units.
@@ -59,26 +59,26 @@
 	BitsPerSecond  Unit = "bits/s"
 )
 
-// Figure is one of those that a trial gives.
+// Metric is the name of a value that each trial measures.
 type Metric string
 
-// The figures; those of one mechanism are named by mechanismFigure.
+// The metrics. mechanismMetric returns the metrics of single protocol mechanisms.
 const (
 	MetricBytes            Metric = "bytes"
 	MetricMessages         Metric = "messages"
 	MetricCPU              Metric = "cpu"
 	MetricMemory           Metric = "memory"
-	MetricBusiestBytes     Metric = "worst_bytes" // of the router with the most
-	MetricConvergence      Metric = "settled"     // all views agree
-	MetricConvergenceKnown Metric = "all_settled" // and all routers know it
+	MetricBusiestBytes     Metric = "worst_bytes" // bytes of the router with the most traffic
+	MetricConvergence      Metric = "settled"     // time until all views agree
+	MetricConvergenceKnown Metric = "all_settled" // time until all routers know that all views agree
 	MetricPropagation      Metric = "change"
 )
 
 func mechanismMetric(name string) Metric { return Metric("bytes:" + name) }
 
-// Unit is what the figure is counted in.
-func (f Metric) Unit() Unit {
-	switch f {
+// Unit returns the unit of the metric.
+func (m Metric) Unit() Unit {
+	switch m {
 	case MetricMessages:
 		return PerSecond
 	case MetricCPU:
@@ -92,7 +92,7 @@
 	}
 }
 
-// Key names a series: one figure of one kind of fleet under one fault.
+// SeriesKey identifies a series: one metric for one topology under one fault.
 type SeriesKey struct {
 	Topology result.Topology `json:"topology"`
 	Fault    result.Fault    `json:"fault"`
@@ -105,17 +105,17 @@
 	return cmp.Or(cmp.Compare(a.Topology, b.Topology), cmp.Compare(a.Fault, b.Fault), cmp.Compare(a.Metric, b.Metric))
 }
 
-// Series is a figure over sizes and seeds.
+// Series holds the measurements of one metric over all sizes and seeds, and the fitted growth model.
 type Series struct {
 	SeriesKey
 	Points          []slope.Point    `json:"points"`
-	MissingTrials   int              `json:"absent"`   // trials that have no such figure: they did not settle, or not all had the change
-	MinMissingSize  float64          `json:"absent_n"` // the smallest of their sizes; 0: there are none
-	Fit             *slope.Selection `json:"choice"`   // nil: not fitted
-	NotFittedReason string           `json:"unfit"`    // why not; empty: it is fitted
+	MissingTrials   int              `json:"absent"`   // trials without this metric: the views did not converge, or a change did not reach all routers
+	MinMissingSize  float64          `json:"absent_n"` // the smallest size of these trials; 0: there are none
+	Fit             *slope.Selection `json:"choice"`   // nil: no model was fitted
+	NotFittedReason string           `json:"unfit"`    // why no model was fitted; empty: Fit is set
 }
 
-// Largest is the mean at the largest size measured; false: there is none.
+// MeanAtLargestSize returns the mean at the largest size measured; ok is false without measurements.
 func (s Series) MeanAtLargestSize() (mean, size float64, ok bool) {
 	count := 0.0
 	for _, p := range s.Points {
@@ -133,21 +133,21 @@
 	return mean / count, size, true
 }
 
-// smallestOver is the smallest size measured at which no seed is within a limit.
+// minSizeOver returns the smallest size measured at which no seed is within a limit; ok is false if there is none.
 func (s Series) minSizeOver(limit float64) (size float64, ok bool) {
 	within := map[float64]bool{}
 	for _, p := range s.Points {
 		within[p.Size] = within[p.Size] || p.Value <= limit
 	}
-	for at, kept := range within {
-		if !kept && (!ok || at < size) {
-			size, ok = at, true
+	for candidate, anyWithin := range within {
+		if !anyWithin && (!ok || candidate < size) {
+			size, ok = candidate, true
 		}
 	}
 	return size, ok
 }
 
-// Excluded is a trial that ended early, and is left out.
+// ExcludedTrial is a trial that ended early and does not count.
 type ExcludedTrial struct {
 	Topology result.Topology `json:"topology"`
 	Fault    result.Fault    `json:"fault"`
@@ -156,23 +156,23 @@
 	Reason   string          `json:"why"`
 }
 
-// Evidence is all that was measured.
+// Measurements holds all results of scale runs, and the models fitted to them.
 type Measurements struct {
 	Files    []ResultFile
-	Series   []Series // in order of their keys
+	Series   []Series // sorted by key
 	Excluded []ExcludedTrial
 }
 
-// Of is the series of a key; nil: nothing was measured.
-func (e Measurements) Find(k SeriesKey) *Series {
-	i, found := slices.BinarySearchFunc(e.Series, k, func(s Series, k SeriesKey) int { return compareKeys(s.SeriesKey, k) })
+// Find returns the series with a key, or nil if nothing was measured.
+func (m Measurements) Find(k SeriesKey) *Series {
+	i, found := slices.BinarySearchFunc(m.Series, k, func(s Series, k SeriesKey) int { return compareKeys(s.SeriesKey, k) })
 	if !found {
 		return nil
 	}
-	return &e.Series[i]
+	return &m.Series[i]
 }
 
-// Gather fits all that files hold.
+// FitMeasurements collects the trials of all files and fits a growth model to each series.
 func FitMeasurements(files []ResultFile) Measurements {
 	measurements := Measurements{Files: slices.Clone(files)}
 	slices.SortFunc(measurements.Files, func(a, b ResultFile) int { return cmp.Compare(a.Name, b.Name) })
@@ -183,7 +183,7 @@
 				measurements.Excluded = append(measurements.Excluded, ExcludedTrial{trial.Topology, trial.Fault, trial.Routers, trial.Seed, trial.Incomplete})
 				continue
 			}
-			if trial.Real == nil { // hollow routers beside real ones are shown beside these alone
+			if trial.Real == nil { // simulated routers of fleets with real ones are shown only in comparison with those
 				addTrial(series, trial)
 			}
 		}
@@ -195,7 +195,7 @@
 	return measurements
 }
 
-// take adds the figures of a trial to their series.
+// addTrial adds the measurements of a trial to their series.
 func addTrial(series map[SeriesKey]*Series, trial result.Trial) {
 	add := func(figure Metric, value *float64) {
 		key := SeriesKey{trial.Topology, trial.Fault, figure}
@@ -211,7 +211,7 @@
 			}
 			return
 		}
-		s.Points = append(s.Points, slope.Point{Size: size, Value: max(0, *value)}) // the harness's share may be the greater one
+		s.Points = append(s.Points, slope.Point{Size: size, Value: max(0, *value)}) // subtracting the harness's usage may give a negative value
 	}
 	plain := func(figure Metric, value float64) { add(figure, &value) }
 	u := trial.PerRouter
@@ -228,7 +228,8 @@
 	add(MetricPropagation, trial.PropagationTime)
 }
 
-// fit chooses a form. A series with absent figures is not fitted: what is left is the good part of it.
+// fitSeries fits a growth model to a series. A series with missing values is not fitted: the remaining ones are biased towards
+// trials that succeeded.
 func fitSeries(s Series) Series {
 	if s.MissingTrials > 0 {
 		s.NotFittedReason = fmt.Sprintf("absent in %d trials, from %.0f routers on", s.MissingTrials, s.MinMissingSize)
@@ -237,7 +238,7 @@
 	choice, err := slope.Select(s.Points)
 	var rangeErr slope.RangeError
 	if errors.As(err, &rangeErr) {
-		s.NotFittedReason = fmt.Sprintf("%d sizes over a factor of %.3g", rangeErr.Sizes, rangeErr.Ratio) // what is needed stands above the table
+		s.NotFittedReason = fmt.Sprintf("%d sizes over a factor of %.3g", rangeErr.Sizes, rangeErr.Ratio) // the page states the required range above its table
 		return s
 	}
 	if err != nil {
--- a/internal/scale/capacity/page.go
+++ b/internal/scale/capacity/page.go
@@ -15,19 +15,19 @@
 	"spurtrestle/internal/scale/slope"
 )
 
-// Report is all that the page tells.
+// Report holds all content of the page.
 type Report struct {
 	Target              Target          `json:"target"`
 	Sources             []SourceFile    `json:"sources"`
 	Peak                []PeakLoad      `json:"peak"`
-	Sizes               []SizeRow       `json:"sizes"`  // at rest
-	Faults              []SizeRow       `json:"faults"` // each but rest
-	Mechanisms          []MechanismRow  `json:"parts"`  // at rest, by mechanism
+	Sizes               []SizeRow       `json:"sizes"`  // without faults
+	Faults              []SizeRow       `json:"faults"` // with each fault
+	Mechanisms          []MechanismRow  `json:"parts"`  // without faults, by mechanism
 	Slopes              []Series        `json:"slopes"`
 	Real                []RealRouterRow `json:"real"`
 	LargestWithinBudget []BudgetResult  `json:"held"`
 	Roles               []Role          `json:"roles"`
-	FirstLimits         []ScalingLimit  `json:"first"` // of today's fleet, all parts together
+	FirstLimits         []ScalingLimit  `json:"first"` // of the current fleet, over all parts
 	Limits              []ScalingLimits `json:"breaks"`
 	Current             CurrentCosts    `json:"today"`
 	Renewals            RenewalDesign   `json:"grants"`
@@ -37,50 +37,50 @@
 	Excluded            []ExcludedTrial `json:"excluded"`
 }
 
-// Source is a file that figures come from.
+// SourceFile describes a file that measurements come from.
 type SourceFile struct {
 	Name           string `json:"name"`
 	Build          string `json:"build"`
 	Cores          int    `json:"cores"`
 	Trials         int    `json:"trials"`
-	ProbeIntervals string `json:"probes"`  // seconds between two probes of a router
-	RoutersPerSite string `json:"sites"`   // routers to a site
-	SitesPerRegion string `json:"regions"` // sites to a region
-	OtherLoad      string `json:"others"`  // most cores that other processes used in a window
+	ProbeIntervals string `json:"probes"`  // seconds between two probes by a router
+	RoutersPerSite string `json:"sites"`   // routers per site
+	SitesPerRegion string `json:"regions"` // sites per region
+	OtherLoad      string `json:"others"`  // maximum number of cores that other processes used during a trial
 }
 
-// SizeRow is what was measured at one size of one kind of fleet under one fault, the mean over the seeds.
+// SizeRow holds the measurements for one size, topology and fault, as means over the seeds.
 type SizeRow struct {
 	Topology              result.Topology `json:"topology"`
 	Fault                 result.Fault    `json:"fault"`
 	Routers               int             `json:"routers"`
 	Seeds                 int             `json:"seeds"`
-	Bytes                 slope.Interval  `json:"bytes"` // the bounds are the least and the most of the seeds, here and below
+	Bytes                 slope.Interval  `json:"bytes"` // bounds: minimum and maximum over the seeds, here and below
 	Busiest               slope.Interval  `json:"worst"`
 	CPU                   slope.Interval  `json:"cpu"`
 	Memory                slope.Interval  `json:"memory"`
 	Convergence           slope.Interval  `json:"settled"`
 	ConvergenceKnown      slope.Interval  `json:"all_settled"`
 	Propagation           slope.Interval  `json:"change"`
-	ConvergedSeeds        int             `json:"settles"` // seeds in which it settled
-	ConvergenceKnownSeeds int             `json:"knows"`   // seeds in which all routers knew it
-	PropagatedSeeds       int             `json:"changes"` // seeds in which all had the change
+	ConvergedSeeds        int             `json:"settles"` // seeds in which all views agreed
+	ConvergenceKnownSeeds int             `json:"knows"`   // seeds in which all routers knew that the views agreed
+	PropagatedSeeds       int             `json:"changes"` // seeds in which all routers had the change
 }
 
-// PartsRow is what each mechanism causes at one size of one kind of fleet at rest, the mean over the seeds.
+// MechanismRow holds the traffic of each mechanism for one size and topology without faults, as means over the seeds.
 type MechanismRow struct {
 	Topology result.Topology `json:"topology"`
 	Routers  int             `json:"routers"`
-	Bytes    []float64       `json:"bytes_per_s"` // in the order of Mechanisms; 0 where it causes none
+	Bytes    []float64       `json:"bytes_per_s"` // in the order of the variable Mechanisms; 0: no traffic
 }
 
-// RealRow is what membership costs a process of the router's program, beside hollow routers of the same fleet at rest; the
-// mean over the seeds. CPU and memory of a process are those beyond one whose fleet is switched off.
+// RealRouterRow holds the cost of membership for a real router process, compared to the simulated ("hollow") routers of the same
+// fleet, without faults, as means over the seeds. CPU and memory are relative to a process with fleet membership disabled.
 type RealRouterRow struct {
 	Topology     result.Topology `json:"topology"`
 	Routers      int             `json:"routers"`
-	Processes    int             `json:"processes"` // of all seeds
-	Bytes        slope.Interval  `json:"bytes"`     // of a process; the bounds are the least and the most of the seeds, here and below
+	Processes    int             `json:"processes"` // over all seeds
+	Bytes        slope.Interval  `json:"bytes"`     // of a process; bounds: minimum and maximum over the seeds, here and below
 	CPU          slope.Interval  `json:"cpu"`
 	Memory       slope.Interval  `json:"memory"`
 	HollowBytes  slope.Interval  `json:"hollow_bytes"`
@@ -88,31 +88,31 @@
 	HollowMemory slope.Interval  `json:"hollow_memory"`
 }
 
-// Mechanisms are those that a scale run tells apart.
+// Mechanisms lists the protocol mechanisms that a scale run measures separately.
 var Mechanisms = []string{"probe", "gossip", "heartbeat", "full_state", "summary", "lending", "grant", "other"}
 
-// Held is the largest size measured at which all seeds kept to a router's budget, at rest.
+// BudgetResult is the largest size measured up to which all seeds were within a router's budget, without faults.
 type BudgetResult struct {
 	Topology        result.Topology `json:"topology"`
-	Size            int             `json:"size"`    // 0: none
-	LargestMeasured int             `json:"largest"` // measured
+	Size            int             `json:"size"`    // 0: at no size
+	LargestMeasured int             `json:"largest"` // largest size measured
 }
 
-// Work works a report out; of the leader nil where nothing was measured.
+// NewReport computes the report for a target. ofLeader is nil if the leader was not measured.
 func NewReport(t Target, files []ResultFile, ofLeader *LeaderModel) Report {
-	e := FitMeasurements(files)
-	now := currentCosts(t, ofLeader)
-	g := designRenewals(t, now)
-	spent := documentBytes(t)
+	measurements := FitMeasurements(files)
+	costs := currentCosts(t, ofLeader)
+	g := designRenewals(t, costs)
+	usedBytes := documentBytes(t)
 	if g.Chosen != nil {
-		spent += g.Chosen.RouterBytes
+		usedBytes += g.Chosen.RouterBytes
 	}
-	p := designPurges(t, t.Budget.BytesPerSecond-spent)
-	membership := predict(e, t, SeriesKey{result.Tiered, result.NoFault, MetricBytes})
-	ofRepresentative := predict(e, t, SeriesKey{result.Tiered, result.NoFault, MetricBusiestBytes})
-	r := Report{Target: t, Peak: peakLoads(t), Sizes: sizeRows(e, withoutFault), Faults: sizeRows(e, func(f result.Fault) bool { return !withoutFault(f) }), Mechanisms: mechanismRows(e), Real: realRouterRows(e), Slopes: e.Series, Roles: allRoles(t, e, now, p, ofLeader), Limits: scalingLimits(t, e, now, ofLeader),
-		Current: now, Renewals: g, Purges: p, Budget: routerBudget(t, g, p, membership, ofRepresentative), Excluded: e.Excluded, Leader: ofLeader}
-	for _, f := range e.Files {
+	p := designPurges(t, t.Budget.BytesPerSecond-usedBytes)
+	membership := predict(measurements, t, SeriesKey{result.Tiered, result.NoFault, MetricBytes})
+	ofRepresentative := predict(measurements, t, SeriesKey{result.Tiered, result.NoFault, MetricBusiestBytes})
+	r := Report{Target: t, Peak: peakLoads(t), Sizes: sizeRows(measurements, withoutFault), Faults: sizeRows(measurements, func(f result.Fault) bool { return !withoutFault(f) }), Mechanisms: mechanismRows(measurements), Real: realRouterRows(measurements), Slopes: measurements.Series, Roles: allRoles(t, measurements, costs, p, ofLeader), Limits: scalingLimits(t, measurements, costs, ofLeader),
+		Current: costs, Renewals: g, Purges: p, Budget: routerBudget(t, g, p, membership, ofRepresentative), Excluded: measurements.Excluded, Leader: ofLeader}
+	for _, f := range measurements.Files {
 		r.Sources = append(r.Sources, source(f))
 	}
 	r.LargestWithinBudget = largestWithinBudget(t, r.Sizes)
@@ -138,7 +138,7 @@
 		OtherLoad: maxOtherLoad(f.Trials)}
 }
 
-// builds are those of all trials, in the order in which they were played.
+// builds lists the builds of all trials in execution order, each once.
 func builds(f ResultFile) string {
 	var all []string
 	for _, t := range f.Trials {
@@ -149,7 +149,7 @@
 	return strings.Join(all, ", ")
 }
 
-// mostOtherLoad is the most that others used of the machine while one of the trials was measured.
+// maxOtherLoad formats the maximum number of cores that other processes used during one of the trials.
 func maxOtherLoad(trials []result.Trial) string {
 	most, unknown := 0.0, 0
 	for _, t := range trials {
@@ -168,10 +168,10 @@
 	return fmt.Sprintf("%.2f; not recorded in %d", most, unknown)
 }
 
-// rounded is a ratio as a whole number.
+// roundedRatio formats a ratio as a whole number.
 func roundedRatio(a, b int) string { return strconv.Itoa(int(math.Round(float64(a) / float64(b)))) }
 
-// group is one size of one kind of fleet under one fault.
+// group identifies the trials of one size, topology and fault.
 type group struct {
 	topology result.Topology
 	fault    result.Fault
@@ -182,7 +182,7 @@
 	return cmp.Or(cmp.Compare(a.topology, b.topology), cmp.Compare(a.fault, b.fault), cmp.Compare(a.routers, b.routers))
 }
 
-// groups are the trials that were not ended early, of those faults that are wanted.
+// groups returns the complete trials without real routers under the wanted faults, by group.
 func groups(e Measurements, wanted func(result.Fault) bool) map[group][]result.Trial {
 	trials := map[group][]result.Trial{}
 	for _, f := range e.Files {
@@ -196,7 +196,7 @@
 	return trials
 }
 
-// partsRows are by topology and size.
+// mechanismRows returns the rows sorted by topology and size.
 func mechanismRows(e Measurements) (rows []MechanismRow) {
 	trials := groups(e, withoutFault)
 	for _, g := range slices.SortedFunc(maps.Keys(trials), compareGroups) {
@@ -213,7 +213,7 @@
 	return rows
 }
 
-// realRows are by topology and size.
+// realRouterRows returns the rows sorted by topology and size.
 func realRouterRows(e Measurements) (rows []RealRouterRow) {
 	trials := map[group][]result.Trial{}
 	for _, f := range e.Files {
@@ -243,7 +243,7 @@
 
 func withoutFault(f result.Fault) bool { return f == result.NoFault }
 
-// sizeRows are by topology, fault and size.
+// sizeRows returns the rows sorted by topology, fault and size.
 func sizeRows(e Measurements, wanted func(result.Fault) bool) (rows []SizeRow) {
 	trials := groups(e, wanted)
 	for _, g := range slices.SortedFunc(maps.Keys(trials), compareGroups) {
@@ -263,11 +263,11 @@
 
 func pointer(value float64) *float64 { return &value }
 
-// spread is mean, least and most, and in how many trials there is a value.
-func meanAndRange(all []result.Trial, of func(result.Trial) *float64) (i slope.Interval, count int) {
+// meanAndRange returns the mean, minimum and maximum of a value over trials, and the number of trials that have the value.
+func meanAndRange(all []result.Trial, value func(result.Trial) *float64) (i slope.Interval, count int) {
 	i.Low = math.Inf(1)
 	for _, t := range all {
-		v := of(t)
+		v := value(t)
 		if v == nil {
 			continue
 		}
@@ -282,22 +282,22 @@
 	return i, count
 }
 
-// held looks upwards from the smallest size, and ends at the first that is over a limit.
+// largestWithinBudget goes through the sizes in ascending order and stops at the first that exceeds a limit.
 func largestWithinBudget(t Target, rows []SizeRow) (all []BudgetResult) {
 	for _, topology := range []result.Topology{result.Flat, result.Tiered} {
-		h, over := BudgetResult{Topology: topology}, false
+		budgetResult, exceeded := BudgetResult{Topology: topology}, false
 		for _, r := range rows {
 			if r.Topology != topology {
 				continue
 			}
 			c := t.Budget
-			over = over || r.Bytes.High > c.BytesPerSecond || r.CPU.High > c.CoreShare || r.Memory.High > c.MemoryBytes
-			if h.LargestMeasured = r.Routers; !over {
-				h.Size = r.Routers
+			exceeded = exceeded || r.Bytes.High > c.BytesPerSecond || r.CPU.High > c.CoreShare || r.Memory.High > c.MemoryBytes
+			if budgetResult.LargestMeasured = r.Routers; !exceeded {
+				budgetResult.Size = r.Routers
 			}
 		}
-		if h.LargestMeasured > 0 {
-			all = append(all, h)
+		if budgetResult.LargestMeasured > 0 {
+			all = append(all, budgetResult)
 		}
 	}
 	return all
@@ -354,7 +354,7 @@
 	return formatRange(i.Value, i.Low, i.High, unit)
 }
 
-// interval writes coefficients, which may be very small.
+// formatCoefficient formats a coefficient, which may be very small; none formats it as "-".
 func formatCoefficient(i slope.Interval, none bool) string {
 	if none {
 		return "-"
@@ -383,16 +383,16 @@
 	return formatValue(math.Ceil(b.Size), Number)
 }
 
-// shortCommit leaves what is no commit alone.
+// shortCommit abbreviates a commit hash and returns any other text as it is.
 func shortCommit(build string) string {
-	const whole, enough = 40, 10
-	if len(build) != whole {
+	const commitLength, shortLength = 40, 10
+	if len(build) != commitLength {
 		return build
 	}
-	return build[:enough]
+	return build[:shortLength]
 }
 
-// Page writes the report as markdown.
+// Page renders the report as Markdown.
 func Page(r Report) (string, error) {
 	var out strings.Builder
 	if err := pageTemplate.Execute(&out, r); err != nil {
@@ -401,7 +401,7 @@
 	return out.String(), nil
 }
 
-// StaleError says that a page does not follow from its figures.
+// StaleError reports that a page differs from the page rendered from its sources.
 type StaleError struct {
 	Page string
 	Line int
@@ -414,7 +414,7 @@
 		e.Page, e.Line, e.Got, e.Want, e.Page)
 }
 
-// Check tells whether a page is what its report gives; the error is a StaleError.
+// Check compares a page with the expected one and reports the first line that differs as a StaleError.
 func Check(name, has, want string) error {
 	if has == want {
 		return nil
--- a/internal/scale/capacity/roles.go
+++ b/internal/scale/capacity/roles.go
@@ -7,27 +7,27 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// Basis is what a value rests on.
+// Basis states how a value was obtained.
 type Basis string
 
-// From the best to none.
+// The bases, from the most to the least reliable.
 const (
-	Measured     Basis = "measured"     // within the sizes measured
-	Extrapolated Basis = "extrapolated" // beyond them
-	Calculated   Basis = "counted"      // spans and sizes of the code or design, times the target's numbers
+	Measured     Basis = "measured"     // predicted within the sizes measured
+	Extrapolated Basis = "extrapolated" // predicted beyond the sizes measured
+	Calculated   Basis = "counted"      // from durations and message sizes of the code or the design, and the numbers of the target
 	NotMeasured  Basis = "not measured"
 )
 
-// Estimate is a value at the target.
+// Estimate is the estimated value of a quantity for the target fleet.
 type Estimate struct {
 	Basis     Basis   `json:"basis"`
 	Value     float64 `json:"value"`
 	Low       float64 `json:"low"`
 	High      float64 `json:"high"`
 	Unit      Unit    `json:"unit"`
-	SizeRatio float64 `json:"factor,omitempty"` // target's routers by the largest size measured
-	Source    string  `json:"from"`             // a slope, or a count
-	Note      string  `json:"note,omitempty"`   // where it is not measured: what there is
+	SizeRatio float64 `json:"factor,omitempty"` // of the target's routers to the largest size measured
+	Source    string  `json:"from"`             // the series, or the calculation
+	Note      string  `json:"note,omitempty"`   // if not measured: what is known
 }
 
 func calculated(value float64, unit Unit, from string) Estimate {
@@ -36,7 +36,7 @@
 
 func notMeasured(note string) Estimate { return Estimate{Basis: NotMeasured, Note: note} }
 
-// sum is not measured where either part is not.
+// sum adds two estimates. It is not measured if either part is not.
 func sum(a, b Estimate) Estimate {
 	if a.Basis == NotMeasured || b.Basis == NotMeasured {
 		return notMeasured("a part is not measured")
@@ -50,7 +50,7 @@
 	return s
 }
 
-// predicted is a series at the target's number of routers.
+// predict returns the prediction of a series for the target's number of routers.
 func predict(e Measurements, t Target, key SeriesKey) Estimate {
 	s := e.Find(key)
 	if s == nil {
@@ -75,24 +75,24 @@
 	return Estimate{Basis: basis, Value: p.Value, Low: p.Low, High: p.High, Unit: key.Metric.Unit(), SizeRatio: p.Ratio, Source: from}
 }
 
-// Limit is what a quantity is to stay within.
+// Limit is the upper limit of a quantity.
 type Limit struct {
 	Value float64 `json:"value"`
 	Unit  Unit    `json:"unit"`
 }
 
-// Row is one quantity of a role in three situations.
+// Row holds the estimates of one quantity of a role in three situations.
 type Row struct {
 	Quantity        string   `json:"quantity"`
 	Normal          Estimate `json:"ordinary"`
 	RestartBurst    Estimate `json:"herd"`
 	RegionPartition Estimate `json:"region_cut"`
 	Mechanism       string   `json:"mechanism"`
-	Limit           *Limit   `json:"limit"` // nil: the target sets none
+	Limit           *Limit   `json:"limit"` // nil: the target sets no limit
 }
 
-// Share is the greatest of the three by the limit, and the greatest of their upper bounds; not ok: there is no limit, or
-// nothing is known.
+// LimitShare returns the largest of the three estimates, and the largest of their upper bounds, as fractions of the limit. ok is
+// false if there is no limit or no estimate.
 func (r Row) LimitShare() (share, upTo float64, ok bool) {
 	if r.Limit == nil {
 		return 0, 0, false
@@ -106,14 +106,14 @@
 	return share, upTo, ok
 }
 
-// Role is what one kind of machine needs.
+// Role holds what one kind of machine or router needs.
 type Role struct {
 	Name string `json:"name"`
 	Note string `json:"note"`
 	Rows []Row  `json:"rows"`
 }
 
-// always is a row whose three situations are alike.
+// constantRow returns a row with the same estimate in all three situations.
 func constantRow(quantity string, e Estimate, mechanism string) Row {
 	return Row{Quantity: quantity, Normal: e, RestartBurst: e, RegionPartition: e, Mechanism: mechanism}
 }
@@ -123,23 +123,23 @@
 	return r
 }
 
-// measuredRow is a figure of a topology in all three situations.
+// measuredRow returns the predictions of a metric for a topology in all three situations.
 func measuredRow(e Measurements, t Target, topology result.Topology, figure Metric, quantity, mechanism string) Row {
 	at := func(fault result.Fault) Estimate { return predict(e, t, SeriesKey{topology, fault, figure}) }
 	return Row{Quantity: quantity, Normal: at(result.NoFault), RestartBurst: at(result.RestartsTenfold), RegionPartition: at(result.RegionPartition), Mechanism: mechanism}
 }
 
-func allRoles(t Target, e Measurements, now CurrentCosts, p PurgeDesign, ofLeader *LeaderModel) []Role {
+func allRoles(t Target, measurements Measurements, costs CurrentCosts, p PurgeDesign, ofLeader *LeaderModel) []Role {
 	return []Role{
-		routerRole(t, e, result.Flat, "Router, flat membership", "Every router knows every other: today's fleet."),
-		routerRole(t, e, result.Tiered, "Router, tiered membership", "Full membership within its site; off by default."),
-		currentPolicyRole(t, now),
-		representativeRole(t, e),
-		policyVoterRole(t, now, ofLeader),
+		routerRole(t, measurements, result.Flat, "Router, flat membership", "Every router knows every other: today's fleet."),
+		routerRole(t, measurements, result.Tiered, "Router, tiered membership", "Full membership within its site; off by default."),
+		currentPolicyRole(t, costs),
+		representativeRole(t, measurements),
+		policyVoterRole(t, costs, ofLeader),
 		controlMachineRole(t, p),
 		cacheServerRole(t, p),
 		originRole(t),
-		discoveryRole(t, now),
+		discoveryRole(t, costs),
 	}
 }
 
@@ -160,21 +160,21 @@
 	}}
 }
 
-func currentPolicyRole(t Target, now CurrentCosts) Role {
+func currentPolicyRole(t Target, costs CurrentCosts) Role {
 	limit := t.Budget.BytesPerSecond
-	unanswered := now.RenewalBytes / now.RetryInterval
-	herd := t.Failures.RestartBurstFactor
+	unansweredBytes := costs.RenewalBytes / costs.RetryInterval
+	restartBurst := t.Failures.RestartBurstFactor
 	return Role{Name: "Router, policy, parts and list of today", Note: "Beside either membership; by count. Leader, keepers and router each in another region.", Rows: []Row{
-		{Quantity: "renewals, bytes", Normal: calculated(now.CrossRegion.Bytes, BytesPerSecond, "askings of `policycommit.Follower`, played"),
-			RestartBurst: calculated(now.CrossRegion.Bytes, BytesPerSecond, ""), RegionPartition: calculated(unanswered, BytesPerSecond, "asked in vain, until the leader counts as lost"),
+		{Quantity: "renewals, bytes", Normal: calculated(costs.CrossRegion.Bytes, BytesPerSecond, "askings of `policycommit.Follower`, played"),
+			RestartBurst: calculated(costs.CrossRegion.Bytes, BytesPerSecond, ""), RegionPartition: calculated(unansweredBytes, BytesPerSecond, "asked in vain, until the leader counts as lost"),
 			Mechanism: "each asks the keepers' leader by itself", Limit: &Limit{limit, BytesPerSecond}},
-		{Quantity: "renewals, messages", Normal: calculated(now.CrossRegion.Messages(), PerSecond, ""), RestartBurst: calculated(now.CrossRegion.Messages(), PerSecond, ""),
-			RegionPartition: calculated(1/now.RetryInterval, PerSecond, ""), Mechanism: "the same"},
-		constantRow("documents of changes", calculated(now.DocumentBytes, BytesPerSecond, "each twice: prepared, then in force; its size is assumed"), "grants").withLimit(limit, BytesPerSecond),
-		{Quantity: "lending, bytes in the mean", Normal: calculated(now.LeaseBytesMean, BytesPerSecond, "a recall and its answer for each restart of another, at least"),
-			RestartBurst: calculated(now.LeaseBytesMean*herd, BytesPerSecond, ""), RegionPartition: notMeasured("hangs on which parts were lent"), Mechanism: "one piece to each other seat", Limit: &Limit{limit, BytesPerSecond}},
-		constantRow("lending, messages at its own start", calculated(now.LeaseBurstMessages, Number, "a recall to each other seat at once"), "the same").withLimit(handoffQueueDepth, Number),
-		constantRow("discovery's list, bytes of state", calculated(now.ListBytes, Bytes, "all cache servers; an entry's size is assumed"), "watch of discovery").withLimit(t.Budget.MemoryBytes, Bytes),
+		{Quantity: "renewals, messages", Normal: calculated(costs.CrossRegion.Messages(), PerSecond, ""), RestartBurst: calculated(costs.CrossRegion.Messages(), PerSecond, ""),
+			RegionPartition: calculated(1/costs.RetryInterval, PerSecond, ""), Mechanism: "the same"},
+		constantRow("documents of changes", calculated(costs.DocumentBytes, BytesPerSecond, "each twice: prepared, then in force; its size is assumed"), "grants").withLimit(limit, BytesPerSecond),
+		{Quantity: "lending, bytes in the mean", Normal: calculated(costs.LeaseBytesMean, BytesPerSecond, "a recall and its answer for each restart of another, at least"),
+			RestartBurst: calculated(costs.LeaseBytesMean*restartBurst, BytesPerSecond, ""), RegionPartition: notMeasured("hangs on which parts were lent"), Mechanism: "one piece to each other seat", Limit: &Limit{limit, BytesPerSecond}},
+		constantRow("lending, messages at its own start", calculated(costs.LeaseBurstMessages, Number, "a recall to each other seat at once"), "the same").withLimit(handoffQueueDepth, Number),
+		constantRow("discovery's list, bytes of state", calculated(costs.ListBytes, Bytes, "all cache servers; an entry's size is assumed"), "watch of discovery").withLimit(t.Budget.MemoryBytes, Bytes),
 		constantRow("processor time", notMeasured("no run tells it from serving"), ""),
 	}}
 }
@@ -193,37 +193,37 @@
 	}}
 }
 
-func policyVoterRole(t Target, now CurrentCosts, ofLeader *LeaderModel) Role {
-	herd, perRegion := t.Failures.RestartBurstFactor, t.Routers/t.Regions
+func policyVoterRole(t Target, costs CurrentCosts, ofLeader *LeaderModel) Role {
+	restartBurst, perRegion := t.Failures.RestartBurstFactor, t.Routers/t.Regions
 	entries := 2 * (t.RestartsPerSecond() + t.ChangesPerSecond())
 	return Role{Name: "Keeper: control machine that holds the policy's log", Note: "The leader of them; the others hold the same state and answer nobody.", Rows: []Row{
-		{Quantity: "askings", Normal: calculated(now.CrossRegion.LeaderRenewals, PerSecond, fmt.Sprintf("%s were all routers in its region; further away they ask again before the grant is back", formatValue(now.SameRegion.LeaderRenewals, PerSecond))),
-			RestartBurst: calculated(now.CrossRegion.LeaderRenewals, PerSecond, ""), RegionPartition: calculated(now.PostElectionRenewals, PerSecond, "just after an election: all ask again and again"),
+		{Quantity: "askings", Normal: calculated(costs.CrossRegion.LeaderRenewals, PerSecond, fmt.Sprintf("%s were all routers in its region; further away they ask again before the grant is back", formatValue(costs.SameRegion.LeaderRenewals, PerSecond))),
+			RestartBurst: calculated(costs.CrossRegion.LeaderRenewals, PerSecond, ""), RegionPartition: calculated(costs.PostElectionRenewals, PerSecond, "just after an election: all ask again and again"),
 			Mechanism: "each router asks by itself"},
-		{Quantity: "bytes in and out", Normal: calculated(now.CrossRegion.LeaderBytes, BytesPerSecond, ""), RestartBurst: calculated(now.CrossRegion.LeaderBytes, BytesPerSecond, ""),
-			RegionPartition: calculated(now.PostElectionRenewals*now.RenewalBytes, BytesPerSecond, "in alone"), Mechanism: "the same"},
-		constantRow("processor time, without sockets and raft", leaderCPU(t, now, ofLeader), "one goroutine answers all askings, one decodes them"),
-		constantRow("state", calculated(now.MemberListBytes, Bytes, "roster; the documents of a hundred changes beside it"), "`policycommit.LogState`"),
-		constantRow("roster's entries copied", calculated(now.MembersCopied, PerSecond, "two copies of the book a pass, at most"), "`Book.Clone`"),
+		{Quantity: "bytes in and out", Normal: calculated(costs.CrossRegion.LeaderBytes, BytesPerSecond, ""), RestartBurst: calculated(costs.CrossRegion.LeaderBytes, BytesPerSecond, ""),
+			RegionPartition: calculated(costs.PostElectionRenewals*costs.RenewalBytes, BytesPerSecond, "in alone"), Mechanism: "the same"},
+		constantRow("processor time, without sockets and raft", leaderCPU(t, costs, ofLeader), "one goroutine answers all askings, one decodes them"),
+		constantRow("state", calculated(costs.MemberListBytes, Bytes, "roster; the documents of a hundred changes beside it"), "`policycommit.LogState`"),
+		constantRow("roster's entries copied", calculated(costs.MembersCopied, PerSecond, "two copies of the book a pass, at most"), "`Book.Clone`"),
 		{Quantity: "entries of the log", Normal: calculated(entries, PerSecond, "a leave and an enter a restart, two a change"),
-			RestartBurst:    calculated(2*(t.RestartsPerSecond()*herd+t.ChangesPerSecond()), PerSecond, ""),
+			RestartBurst:    calculated(2*(t.RestartsPerSecond()*restartBurst+t.ChangesPerSecond()), PerSecond, ""),
 			RegionPartition: calculated(perRegion, Number, "the parts of a region's routers are lent one by one, and taken back"), Mechanism: "raft"},
 		constantRow("machines", calculated(t.Assumptions.PolicyVoters, Number, "assumed"), "").withLimit(t.Budget.Machines, Number),
 	}}
 }
 
-// leaderCores is for a fleet in which the leader is another region's for all.
-func leaderCPU(t Target, now CurrentCosts, s *LeaderModel) Estimate {
-	if now.CrossRegionLoad == nil {
-		return notMeasured(fmt.Sprintf("one core leaves %s for an asking", formatValue(now.SecondsPerRenewal, Seconds)))
+// leaderCPU estimates the processor time of the policy leader if every router is in another region.
+func leaderCPU(t Target, costs CurrentCosts, model *LeaderModel) Estimate {
+	if costs.CrossRegionLoad == nil {
+		return notMeasured(fmt.Sprintf("one core leaves %s for an asking", formatValue(costs.SecondsPerRenewal, Seconds)))
 	}
-	factor := t.Routers / s.LargestSize
+	factor := t.Routers / model.LargestSize
 	basis := Measured
 	if factor > 1 {
 		basis = Extrapolated
 	}
-	// The bounds of its parts are narrow beside the machine's own; no interval is made of them.
-	value := now.CrossRegionLoad.Cores
+	// The intervals of the parts are narrow compared to the variation between machines, so no interval is given.
+	value := costs.CrossRegionLoad.Cores
 	return Estimate{Basis: basis, Value: value, Low: value, High: value, Unit: Cores, SizeRatio: factor, Source: "`leader/decode`, `leader/answer`, `leader/pass`"}
 }
 
@@ -264,23 +264,23 @@
 	}}
 }
 
-func discoveryRole(t Target, now CurrentCosts) Role {
-	herd := t.Failures.RestartBurstFactor
+func discoveryRole(t Target, costs CurrentCosts) Role {
+	restartBurst := t.Failures.RestartBurstFactor
 	perRegion := t.Routers / t.Regions
 	return Role{Name: "Discovery and its agent", Note: "An entry's size is assumed.", Rows: []Row{
-		constantRow("watches at the one service, lists on request", calculated(now.WatchesPolled, PerSecond, "one each 20 s and router"), "long polls"),
-		constantRow("watches at each router's agent, lists pushed", calculated(now.WatchesPushed/t.Routers, PerSecond, "one each 4 s"), "the same, on the machine"),
-		{Quantity: "whole lists", Normal: calculated(now.ListTransferBytes, BytesPerSecond, "one for each restart"), RestartBurst: calculated(now.ListTransferBytes*herd, BytesPerSecond, ""),
-			RegionPartition: calculated(perRegion*now.ListBytes, Bytes, "once, for a region's routers, if each asks for it anew"), Mechanism: "the whole list at a start"},
+		constantRow("watches at the one service, lists on request", calculated(costs.WatchesPolled, PerSecond, "one each 20 s and router"), "long polls"),
+		constantRow("watches at each router's agent, lists pushed", calculated(costs.WatchesPushed/t.Routers, PerSecond, "one each 4 s"), "the same, on the machine"),
+		{Quantity: "whole lists", Normal: calculated(costs.ListTransferBytes, BytesPerSecond, "one for each restart"), RestartBurst: calculated(costs.ListTransferBytes*restartBurst, BytesPerSecond, ""),
+			RegionPartition: calculated(perRegion*costs.ListBytes, Bytes, "once, for a region's routers, if each asks for it anew"), Mechanism: "the whole list at a start"},
 		constantRow("a change of one server, to all routers", calculated(t.Routers*t.Assumptions.ListEntryBytes, Bytes, ""), "watches"),
 		{Quantity: "changes of servers", Normal: calculated(2*t.Failures.MachinesPerDay/secondsPerDay, PerSecond, "a failure and a return, if all machines that fail were cache servers"),
 			RestartBurst: notMeasured("the target tells of routers' restarts alone"), RegionPartition: calculated(t.CacheServers/t.Regions, Number, "a region's cache servers, twice"), Mechanism: "the same"},
-		constantRow("state", calculated(now.ListBytes, Bytes, ""), "the list"),
+		constantRow("state", calculated(costs.ListBytes, Bytes, ""), "the list"),
 		constantRow("processor time", notMeasured("not part of this project"), ""),
 	}}
 }
 
-// Line is a figure with what it means.
+// PeakLoad is one quantity at the peak load, with its meaning.
 type PeakLoad struct {
 	Name    string  `json:"name"`
 	Value   float64 `json:"value"`
@@ -288,7 +288,7 @@
 	Meaning string  `json:"means"`
 }
 
-// requestSeconds is a stated guess of how long a value takes to pass, for what is in hand at once.
+// assumedRequestSeconds is the assumed time of one request. It determines the number of requests in progress.
 const assumedRequestSeconds = 0.1
 
 func peakLoads(t Target) []PeakLoad {
--- a/internal/scale/capacity/show.go
+++ b/internal/scale/capacity/show.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// show writes a value for people, with three digits. K, M, G and T are powers of ten.
+// formatValue formats a value with three digits and its unit. K, M, G and T are powers of ten.
 func formatValue(value float64, unit Unit) string {
 	switch unit {
 	case BytesPerSecond:
@@ -27,6 +27,7 @@
 	}
 }
 
+// formatSI formats a value with an SI prefix.
 func formatSI(value float64, unit string) string {
 	for _, prefix := range []struct {
 		factor float64
@@ -55,7 +56,7 @@
 	}
 }
 
-// digits rounds to three of them, without an exponent.
+// formatDigits rounds to three significant digits, without an exponent.
 func formatDigits(value float64) string {
 	if value == 0 || math.IsInf(value, 0) || math.IsNaN(value) {
 		return strconv.FormatFloat(value, 'f', -1, 64)
@@ -68,13 +69,14 @@
 	return text
 }
 
-// grouped rounds as digits does, and parts the thousands; whole numbers below a million keep all of their digits.
+// formatGrouped rounds as formatDigits does and separates thousands by commas. Numbers from 1,000 to a million keep all digits
+// before the decimal point.
 func formatGrouped(value float64) string {
 	if math.Abs(value) < 1000 {
 		return formatDigits(value)
 	}
-	const whole = 1e6
-	if math.Abs(value) >= whole {
+	const maxExact = 1e6
+	if math.Abs(value) >= maxExact {
 		magnitude := math.Pow(10, math.Floor(math.Log10(math.Abs(value)))-2)
 		value = math.Round(value/magnitude) * magnitude
 	}
@@ -91,7 +93,7 @@
 	return text
 }
 
-// cell is an estimate in a table.
+// formatEstimate formats an estimate for a table cell.
 func formatEstimate(e Estimate) string {
 	switch e.Basis {
 	case NotMeasured:
@@ -105,7 +107,7 @@
 	return formatRange(e.Value, e.Low, e.High, e.Unit) + formatExtrapolation(e)
 }
 
-// showBetween writes a value and its bounds, the unit once where it is the same.
+// formatRange formats a value and its bounds. The unit is written once if all three have the same.
 func formatRange(value, low, high float64, unit Unit) string {
 	texts := [3]string{formatValue(value, unit), formatValue(low, unit), formatValue(high, unit)}
 	suffix := strings.TrimLeft(texts[0], "0123456789.,")
@@ -118,7 +120,7 @@
 	return fmt.Sprintf("%s (%s to %s)", texts[0], bare(texts[1]), bare(texts[2]))
 }
 
-// beyond tells by which factor a value is extrapolated.
+// formatExtrapolation formats the factor by which an estimate is extrapolated; empty if it is not.
 func formatExtrapolation(e Estimate) string {
 	if e.Basis != Extrapolated {
 		return ""
@@ -126,7 +128,7 @@
 	return fmt.Sprintf(", x%s beyond", formatDigits(e.SizeRatio))
 }
 
-// from is what a row's estimates rest on.
+// formatSources lists the sources and notes of a row's estimates, each once.
 func formatSources(r Row) string {
 	var all []string
 	seen := map[string]bool{"": true}
--- a/internal/scale/capacity/target.go
+++ b/internal/scale/capacity/target.go
@@ -1,9 +1,11 @@
-// Package capacity works out what a fleet of a given size needs and what breaks first, from what scale runs measured, and
-// writes it as a page. It does no I/O.
+// Package capacity estimates what a fleet of a given size needs and which limit it reaches first, from the results of scale runs,
+// and renders the estimate as a Markdown page. cache-routerctl scale capacity and scale slopes call it. It does no I/O and keeps
+// no state between calls.
 //
-// The files: target.go the fleet that is asked about; measured.go the figures of scale runs and their slopes; wire.go the
-// sizes of today's messages; today.go what today's mechanisms cost by count; design.go the mechanisms that are designed and
-// not built; roles.go what each role needs; breaks.go what breaks first; page.go the page.
+// The files: target.go defines the target fleet; measured.go reads the results of scale runs and fits growth models; leader.go
+// does the same for the policy leader; wire.go computes the sizes of the current messages; today.go calculates what the current
+// mechanisms cost; design.go calculates mechanisms that are designed but not built; roles.go estimates what each role needs;
+// breaks.go finds the limits that are reached first; page.go and show.go render the page.
 package capacity
 
 import (
@@ -14,25 +16,25 @@
 	"spurtrestle/internal/tomlfile"
 )
 
-// Span is a length of time, written as in "7.1s".
+// Duration is a duration with the text format of time.ParseDuration, such as "7.1s".
 type Duration time.Duration
 
-// UnmarshalText reads one.
-func (s *Duration) UnmarshalText(text []byte) error {
-	span, err := time.ParseDuration(string(text))
-	*s = Duration(span)
+// UnmarshalText decodes a duration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	duration, err := time.ParseDuration(string(text))
+	*d = Duration(duration)
 	return err
 }
 
-// MarshalText writes one.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText encodes the duration.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Seconds is the length in seconds.
-func (s Duration) Seconds() float64 { return time.Duration(s).Seconds() }
+// Seconds returns the duration in seconds.
+func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
-func (s Duration) String() string { return time.Duration(s).String() }
+func (d Duration) String() string { return time.Duration(d).String() }
 
-// Target is the fleet that is asked about.
+// Target describes the fleet whose capacity is estimated.
 type Target struct {
 	Routers      float64 `toml:"routers" json:"routers"`
 	Sites        float64 `toml:"sites" json:"sites"`
@@ -50,63 +52,63 @@
 	Assumptions AssumedValues `toml:"assumed" json:"assumed"`
 }
 
-// Purges are objects that no cache server may give out any more.
+// Purges describes the load of purges: objects that no cache server may serve any more.
 type Purges struct {
 	PerSecond float64  `toml:"per_second" json:"per_second"`
-	Bytes     float64  `toml:"bytes" json:"bytes"` // that name one
+	Bytes     float64  `toml:"bytes" json:"bytes"` // of the name of one object
 	Within    Duration `toml:"within" json:"within"`
 }
 
-// Changes are those of configuration.
+// Changes describes the load of configuration changes.
 type Changes struct {
 	PerDay float64  `toml:"per_day" json:"per_day"`
 	Within Duration `toml:"within" json:"within"`
 }
 
-// Control is what may be spent on control.
+// ControlBudget limits the resources for control traffic and its processing.
 type ControlBudget struct {
-	CoreShare      float64 `toml:"core_share" json:"core_share"`             // of one core, by a router
-	MemoryBytes    float64 `toml:"memory_bytes" json:"memory_bytes"`         // by a router
-	BytesPerSecond float64 `toml:"bytes_per_second" json:"bytes_per_second"` // by a router, in and out together
-	Machines       float64 `toml:"machines" json:"machines"`                 // set aside
+	CoreShare      float64 `toml:"core_share" json:"core_share"`             // cores of one router
+	MemoryBytes    float64 `toml:"memory_bytes" json:"memory_bytes"`         // of one router
+	BytesPerSecond float64 `toml:"bytes_per_second" json:"bytes_per_second"` // of one router, received and sent
+	Machines       float64 `toml:"machines" json:"machines"`                 // reserved for control
 }
 
-// Failures are those of an ordinary day, and of a bad one.
+// Failures describes the failures of an ordinary day and of the worst cases.
 type Failures struct {
 	MachinesPerDay     float64  `toml:"machines_per_day" json:"machines_per_day"`
 	RestartsPerDay     float64  `toml:"restarts_per_day" json:"restarts_per_day"`
-	RestartBurstFactor float64  `toml:"herd" json:"herd"` // times that pace
+	RestartBurstFactor float64  `toml:"herd" json:"herd"` // multiple of the ordinary restart rate
 	RegionPartition    Duration `toml:"region_cut" json:"region_cut"`
 }
 
-// Assumed is what is neither measured nor told.
+// AssumedValues holds values that are neither measured nor part of the requirements.
 type AssumedValues struct {
 	PolicyVoters   float64  `toml:"keepers" json:"keepers"`
 	DocumentBytes  float64  `toml:"document_bytes" json:"document_bytes"`
 	ListEntryBytes float64  `toml:"list_entry_bytes" json:"list_entry_bytes"`
-	Replicas       float64  `toml:"copies" json:"copies"` // cache servers of a site that hold an object
+	Replicas       float64  `toml:"copies" json:"copies"` // cache servers of a site that hold each object
 	LongestFetch   Duration `toml:"longest_fetch" json:"longest_fetch"`
 	NetworkDelay   Duration `toml:"network_delay" json:"network_delay"` // one way, between regions
 }
 
 const secondsPerDay = 24 * 60 * 60
 
-// RoutersPerSite is the mean.
+// RoutersPerSite returns the mean number of routers per site.
 func (t Target) RoutersPerSite() float64 { return t.Routers / t.Sites }
 
-// CachesPerSite is the mean.
+// CachesPerSite returns the mean number of cache servers per site.
 func (t Target) CachesPerSite() float64 { return t.CacheServers / t.Sites }
 
-// ChangesPerSecond is the mean over a day.
+// ChangesPerSecond returns the mean rate of configuration changes.
 func (t Target) ChangesPerSecond() float64 { return t.Changes.PerDay / secondsPerDay }
 
-// RestartsPerSecond is the mean over an ordinary day.
+// RestartsPerSecond returns the mean rate of router restarts on an ordinary day.
 func (t Target) RestartsPerSecond() float64 { return t.Failures.RestartsPerDay / secondsPerDay }
 
-// FieldError names what is wrong in a file.
+// FieldError reports an invalid field of a file, and how to correct it.
 type FieldError struct {
 	File    string
-	Line    int // 0: of the whole file
+	Line    int // 0: the error concerns the whole file
 	Field   string
 	Problem string
 	Remedy  string
@@ -119,30 +121,32 @@
 	return fmt.Sprintf("%s: line %d: %s: %s; %s", e.File, e.Line, e.Field, e.Problem, e.Remedy)
 }
 
-// ReadTarget reads a target's file strictly. Errors are FieldErrors, or name line, field and remedy by themselves.
+// ReadTarget decodes and validates the text of a target file; unknown fields are errors. Each error is a FieldError, or an error of
+// package tomlfile that names the line, the field and the remedy.
 func ReadTarget(file string, text []byte) (Target, error) {
 	var t Target
 	if err := tomlfile.Decode(text, &t, "docs/scale/target.toml"); err != nil {
 		return Target{}, fmt.Errorf("%s: %w", file, err)
 	}
-	places := tomlfile.FieldLines(text)
+	fieldLines := tomlfile.FieldLines(text)
 	var wrong []error
 	for _, c := range t.checks() {
 		if c.failed {
-			wrong = append(wrong, FieldError{file, places.Line(c.field), c.field, c.problem, c.remedy})
+			wrong = append(wrong, FieldError{file, fieldLines.Line(c.field), c.field, c.problem, c.remedy})
 		}
 	}
 	return t, errors.Join(wrong...)
 }
 
+// fieldCheck is the result of one check of a field.
 type fieldCheck struct {
 	field, problem, remedy string
 	failed                 bool
 }
 
-// checks are all that a target is held to.
+// checks returns the results of all checks of the target.
 func (t Target) checks() []fieldCheck {
-	const most = 1e18 // beyond it no fleet is, and figures lose their digits
+	const most = 1e18 // larger values lose precision as a float64, and no fleet reaches them
 	positive := []struct {
 		field string
 		value float64
--- a/internal/scale/capacity/wire.go
+++ b/internal/scale/capacity/wire.go
@@ -8,27 +8,27 @@
 	"spurtrestle/core/sharelease"
 )
 
-// Sizes of the messages that routers send today, in bytes with the headers of IPv4 and UDP, as scale runs count them; of
-// samples with names of a large fleet, whose numbers have as many digits as after some days. Words and members are parts of
-// larger messages, and have no headers of their own.
+// messageSizes holds the sizes of the current messages in bytes, with the headers of IPv4 and UDP, as scale runs count them. They
+// are computed from sample messages with the names of a large fleet and numbers with as many digits as after some days of
+// operation. Heartbeats and members are parts of larger messages and have no headers of their own.
 type messageSizes struct {
-	Renewal       float64 // a router asks the keepers' leader
-	Grant         float64 // it is answered, and holds what is in force
-	LeaseExchange float64 // two messages of the lending of parts: one is asked, one answered
-	Heartbeat     float64 // what a router says of itself, in a full state
-	Member        float64 // of the roster in the keepers' log
+	Renewal       float64 // a router's renewal to the policy leader
+	Grant         float64 // the lease in reply; the router holds the revision in force
+	LeaseExchange float64 // request and reply of a share lease
+	Heartbeat     float64 // the heartbeat of one router, in a full state
+	Member        float64 // one member in the replicated policy log
 }
 
 const (
 	sampleName        = "site-0760-router-18"
 	sampleSite        = "site-0760"
-	sampleIncarnation = 1 << 63 // drawn at random: mostly as many digits
+	sampleIncarnation = 1 << 63 // incarnations are random, and most have this many digits
 	sampleBuild       = "0123456789abcdef0123456789abcdef01234567"
 	sampleTime        = 86_400_000_000 // a day, in microseconds
-	sampleCount       = 1_000_000      // of a log's entries
+	sampleCount       = 1_000_000      // log entries
 
-	// talkFrame is around each message of the policy: its kind and process (internal/gossip), and the key of its field
-	// (internal/controlplane).
+	// policyOverhead is added to each policy message: its type and incarnation (internal/gossip), and the JSON key of its field
+	// (internal/controlplane). messageOverhead is added to other messages: their type.
 	policyOverhead  = datagramHeader + 1 + 8 + len(`{"r":}`)
 	messageOverhead = datagramHeader + 1
 )
@@ -50,6 +50,6 @@
 }
 
 func jsonSize(value any) float64 {
-	text, _ := json.Marshal(value) // plain fields: it cannot fail
+	text, _ := json.Marshal(value) // cannot fail: all fields are plain values
 	return float64(len(text))
 }
