--- a/cmd/cache-routerctl/bench.go
+++ b/cmd/cache-routerctl/bench.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/lab/bench"
 )
 
-func (a *app) bench() *cobra.Command {
+func (*cli) labBenchCommand() *cobra.Command {
 	var o struct {
 		router, output string
 		values, depths []int
@@ -27,22 +27,22 @@
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.conns < 1 || o.conns > 300 || o.servers < 1 || o.servers > 100 || o.length < 100*time.Millisecond || o.length > time.Minute {
-				return usage("--conns is from 1 to 300, --servers from 1 to 100, --length from 100ms to 1m")
+				return usageErrorf("--conns is from 1 to 300, --servers from 1 to 100, --length from 100ms to 1m")
 			}
 			for _, v := range o.values {
 				if v < 1 || v > 65536 {
-					return usage("--values: %d is not from 1 to 65536", v)
+					return usageErrorf("--values: %d is not from 1 to 65536", v)
 				}
 			}
 			for _, d := range o.depths {
 				if d < 1 || d > 256 {
-					return usage("--depths: %d is not from 1 to 256", d)
+					return usageErrorf("--depths: %d is not from 1 to 256", d)
 				}
 			}
 			if o.self {
-				return self(c, o.values[0], o.conns, o.rate, o.length, o.output)
+				return measureGenerator(c, o.values[0], o.conns, o.rate, o.length, o.output)
 			}
-			program, err := routerProgram(o.router, "cache-router")
+			program, err := routerBinary(o.router, "cache-router")
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 					f, err := bench.Router(c.Context(), program, dir,
 						bench.Case{Value: value, Depth: depth, Conns: o.conns, Rate: o.rate, Servers: o.servers}, o.length)
 					if err != nil {
-						return err // the folder stays: it has the log
+						return err // keep the directory: it has the log
 					}
 					if err := os.RemoveAll(dir); err != nil {
 						return err
@@ -85,12 +85,12 @@
 	f.Float64Var(&o.rate, "rate", 0, "reqs a second by schedule; 0: each answer brings the next req")
 	f.DurationVar(&o.length, "length", 5*time.Second, "of each measurement")
 	f.BoolVar(&o.self, "self", false, "measure the generator itself")
-	outputFlag(c, &o.output)
+	addOutputFlag(c, &o.output)
 	return c
 }
 
-// self measures what the generator adds, against a router that costs nothing.
-func self(c *cobra.Command, value, conns int, rate float64, length time.Duration, output string) error {
+// measureGenerator measures the overhead of the load generator against a null router, which replies immediately.
+func measureGenerator(c *cobra.Command, value, conns int, rate float64, length time.Duration, output string) error {
 	if rate <= 0 {
 		rate = 50000
 	}
--- a/cmd/cache-routerctl/fleet.go
+++ b/cmd/cache-routerctl/fleet.go
@@ -20,76 +20,76 @@
 	"spurtrestle/core/membership"
 )
 
-func (a *app) fleet() *cobra.Command {
+func (*cli) fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "See which routers are there, as they see one another",
 		Long: "Every command asks the operators' doors of one router or of several, by their addresses; those of several are compared.\n" +
 			"Exit codes: 0 settled, 1 bad input, 2 wrong usage, 6 not settled or at odds, 7 a router cannot be reached. See docs/fleet.md.",
 		Example: "  cache-routerctl fleet status 10.1.2.3:8400", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.AddCommand(fleetStatus(), fleetWatch(), fleetWait(), fleetSite())
+	c.AddCommand(fleetStatusCommand(), fleetWatchCommand(), fleetWaitCommand(), siteCommand())
 	return c
 }
 
-// answer is what a router's door said.
-type answer struct {
-	Door  string               `json:"door"`
-	View  *membership.Snapshot `json:"view"`
-	Tiers *hierarchy.Status    `json:"tiers,omitempty"` // of a tiered fleet, whose view is of the site alone
-	Error string               `json:"error,omitempty"`
+// routerReply is the reply of one router's admin endpoint, or the error.
+type routerReply struct {
+	Endpoint string               `json:"door"`
+	View     *membership.Snapshot `json:"view"`
+	Tiers    *hierarchy.Status    `json:"tiers,omitempty"` // only in a tiered fleet, where View covers only the router's site
+	Error    string               `json:"error,omitempty"`
 }
 
-// askFleet asks all admin endpoints at once.
-func askFleet(ctx context.Context, doors []string) []answer {
-	all := make([]answer, len(doors))
+// queryRouters queries all admin endpoints concurrently. The replies are in the order of the endpoints.
+func queryRouters(ctx context.Context, endpoints []string) []routerReply {
+	all := make([]routerReply, len(endpoints))
 	var wg sync.WaitGroup
-	for i, door := range doors {
+	for i, endpoint := range endpoints {
 		wg.Go(func() {
-			all[i].Door = door
-			w, err := askView(ctx, door)
+			all[i].Endpoint = endpoint
+			view, err := queryRouter(ctx, endpoint)
 			if err != nil {
 				all[i].Error = err.Error()
 				return
 			}
-			all[i].View, all[i].Tiers = &w.Snapshot, w.Tiers
+			all[i].View, all[i].Tiers = &view.Snapshot, view.Tiers
 		})
 	}
 	wg.Wait()
 	return all
 }
 
-// seen is what an admin endpoint shows.
-type seen struct {
+// fleetView is the reply body of an admin endpoint.
+type fleetView struct {
 	membership.Snapshot
 	Tiers *hierarchy.Status `json:"tiers"`
 }
 
-func askView(ctx context.Context, door string) (w seen, err error) {
+func queryRouter(ctx context.Context, endpoint string) (view fleetView, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+door+"/ops/fleet", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+endpoint+"/ops/fleet", nil)
 	if err != nil {
-		return w, err
+		return view, err
 	}
-	a, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return w, err
+		return view, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, 64<<20)) // thousands of routers
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, 64<<20)) // a fleet may have thousands of routers
 	if err != nil {
-		return w, err
+		return view, err
 	}
-	if a.StatusCode != http.StatusOK {
-		return w, fmt.Errorf("%s", strings.TrimSpace(string(text)))
+	if response.StatusCode != http.StatusOK {
+		return view, fmt.Errorf("%s", strings.TrimSpace(string(body)))
 	}
-	if err := json.Unmarshal(text, &w); err != nil {
-		return w, fmt.Errorf("what it says is no view: %w", err)
+	if err := json.Unmarshal(body, &view); err != nil {
+		return view, fmt.Errorf("what it says is no view: %w", err)
 	}
-	return w, nil
+	return view, nil
 }
 
-// admin endpoints checks the addresses given.
-func doors(c *cobra.Command, args []string) error {
+// validateEndpoints checks that all arguments are addresses of admin endpoints, and that there is at least one.
+func validateEndpoints(_ *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return errors.New("name the door of one router at least")
 	}
@@ -101,52 +101,52 @@
 	return nil
 }
 
-// fleetVerdict is the error that a look ends with; nil: all are settled on one view.
-func fleetVerdict(all []answer) error {
+// checkSettled returns nil if all routers are settled on one view, or else an error with its exit code.
+func checkSettled(all []routerReply) error {
 	for _, a := range all {
 		if a.View == nil {
-			return coded{exitUnreachable, fmt.Errorf("%s cannot be asked: %s", a.Door, a.Error)}
+			return exitError{exitUnreachable, fmt.Errorf("%s cannot be asked: %s", a.Endpoint, a.Error)}
 		}
 	}
 	for i, a := range all {
 		switch {
 		case !a.View.Settled:
-			return coded{exitUnsettled, fmt.Errorf("%s is not settled; at odds with %v", a.View.ReportedBy, a.View.Disagreeing)}
+			return exitError{exitUnsettled, fmt.Errorf("%s is not settled; at odds with %v", a.View.ReportedBy, a.View.Disagreeing)}
 		case a.Tiers != nil && !a.Tiers.Settled:
-			return coded{exitUnsettled, fmt.Errorf("%s is not settled on the other sites and regions", a.View.ReportedBy)}
+			return exitError{exitUnsettled, fmt.Errorf("%s is not settled on the other sites and regions", a.View.ReportedBy)}
 		}
 		for _, b := range all[:i] {
-			if !sameViews(a, b) {
-				return coded{exitUnsettled, fmt.Errorf("%s and %s are settled on different views", b.View.ReportedBy, a.View.ReportedBy)}
+			if !viewsAgree(a, b) {
+				return exitError{exitUnsettled, fmt.Errorf("%s and %s are settled on different views", b.View.ReportedBy, a.View.ReportedBy)}
 			}
 		}
 	}
 	return nil
 }
 
-func spanOf(m clock.Time) string {
-	d := time.Duration(m) * time.Microsecond
+func formatDuration(duration clock.Time) string {
+	d := time.Duration(duration) * time.Microsecond
 	if d > 10*time.Second {
 		return d.Round(time.Second).String()
 	}
 	return d.Round(100 * time.Millisecond).String()
 }
 
-func printView(out io.Writer, w membership.Snapshot) error {
+func printView(out io.Writer, view membership.Snapshot) error {
 	state := "not settled"
-	if w.Settled {
+	if view.Settled {
 		state = "settled"
 	}
-	fmt.Fprintf(out, "fleet %s by %s: %s for %s, digest %s\n", w.Fleet, w.ReportedBy, state, spanOf(w.SettledFor), w.Digest)
-	if w.YieldReason != "" {
-		fmt.Fprintf(out, "%s is out of service: %s\n", w.ReportedBy, w.YieldReason)
+	fmt.Fprintf(out, "fleet %s by %s: %s for %s, digest %s\n", view.Fleet, view.ReportedBy, state, formatDuration(view.SettledFor), view.Digest)
+	if view.YieldReason != "" {
+		fmt.Fprintf(out, "%s is out of service: %s\n", view.ReportedBy, view.YieldReason)
 	}
-	for _, s := range w.Sites {
+	for _, s := range view.Sites {
 		fmt.Fprintf(out, "site %s: %d of %d alive, %d take clients\n", s.Site, s.Alive, s.Known, s.Accepting)
 	}
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "router\tsite\tstate\tfor\tclients\tpolicy\tincarnation\tbuild\theard\taddress")
-	for _, r := range w.Routers {
+	for _, r := range view.Routers {
 		clients := "no"
 		switch {
 		case r.State > membership.Suspect:
@@ -160,23 +160,23 @@
 		if r.NameConflict {
 			state += ", two of the name"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s ago\t%s\n", r.Name, r.Site, state, spanOf(r.InStateFor), clients, r.PolicyRevision, r.Incarnation,
-			r.Build, spanOf(r.ContactAge), r.Addr)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s ago\t%s\n", r.Name, r.Site, state, formatDuration(r.InStateFor), clients, r.PolicyRevision, r.Incarnation,
+			r.Build, formatDuration(r.ContactAge), r.Addr)
 	}
 	return t.Flush()
 }
 
-func fleetStatus() *cobra.Command {
+func fleetStatusCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "status DOOR...", Short: "Show the view of one router, and where others differ from it",
-		Example: "  cache-routerctl fleet status 10.1.2.3:8400 10.1.2.4:8400\n  cache-routerctl fleet status 10.1.2.3:8400 --output json", Args: doors,
+		Example: "  cache-routerctl fleet status 10.1.2.3:8400 10.1.2.4:8400\n  cache-routerctl fleet status 10.1.2.3:8400 --output json", Args: validateEndpoints,
 		RunE: func(c *cobra.Command, args []string) error {
-			all, out := askFleet(c.Context(), args), c.OutOrStdout()
+			all, out := queryRouters(c.Context(), args), c.OutOrStdout()
 			if output == "json" {
 				if err := writeJSON(out, all); err != nil {
 					return err
 				}
-				return fleetVerdict(all)
+				return checkSettled(all)
 			}
 			var first *membership.Snapshot
 			var tiers *hierarchy.Status
@@ -189,39 +189,39 @@
 						return err
 					}
 					tiers = a.Tiers
-				case otherSite(tiers, a.Tiers): // it knows other routers, and the same summaries
+				case differentSites(tiers, a.Tiers): // it tracks other routers, but the same summaries
 				default:
 					for _, line := range membership.Diff(*first, *a.View) {
 						fmt.Fprintln(out, line)
 					}
 				}
 			}
-			return fleetVerdict(all)
+			return checkSettled(all)
 		}}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func fleetWatch() *cobra.Command {
+func fleetWatchCommand() *cobra.Command {
 	var every time.Duration
 	c := &cobra.Command{Use: "watch DOOR...", Short: "Print a line for each change, until it is stopped",
-		Example: "  cache-routerctl fleet watch 10.1.2.3:8400", Args: doors,
+		Example: "  cache-routerctl fleet watch 10.1.2.3:8400", Args: validateEndpoints,
 		RunE: func(c *cobra.Command, args []string) error {
 			if every < 100*time.Millisecond || every > time.Hour {
-				return usage("--every: %v is not from 100ms to 1h", every)
+				return usageErrorf("--every: %v is not from 100ms to 1h", every)
 			}
-			was := make([]answer, len(args))
+			previous := make([]routerReply, len(args))
 			for t := time.NewTicker(every); ; {
-				all := askFleet(c.Context(), args)
+				all := queryRouters(c.Context(), args)
 				if c.Context().Err() != nil {
 					return nil
 				}
 				for i, a := range all {
-					for _, line := range changes(was[i], a) {
-						fmt.Fprintln(c.OutOrStdout(), time.Now().UTC().Format("15:04:05.000"), a.Door, line)
+					for _, line := range viewChanges(previous[i], a) {
+						fmt.Fprintln(c.OutOrStdout(), time.Now().UTC().Format("15:04:05.000"), a.Endpoint, line)
 					}
 				}
-				was = all
+				previous = all
 				select {
 				case <-c.Context().Done():
 					t.Stop()
@@ -234,73 +234,73 @@
 	return c
 }
 
-// changes are the lines of what a router shows otherwise than before.
-func changes(was, now answer) (lines []string) {
+// viewChanges returns a line for each difference between two successive replies of a router.
+func viewChanges(previous, current routerReply) (lines []string) {
 	switch {
-	case now.View == nil && was.Error != now.Error:
-		return []string{"cannot be asked: " + now.Error}
-	case now.View == nil:
+	case current.View == nil && previous.Error != current.Error:
+		return []string{"cannot be asked: " + current.Error}
+	case current.View == nil:
 		return nil
 	}
-	w, before := *now.View, membership.Snapshot{}
-	if was.View != nil {
-		before = *was.View
+	view, before := *current.View, membership.Snapshot{}
+	if previous.View != nil {
+		before = *previous.View
 	}
-	rows := map[membership.Name]membership.RouterStatus{}
+	previousRouters := map[membership.Name]membership.RouterStatus{}
 	for _, r := range before.Routers {
-		rows[r.Name] = r
+		previousRouters[r.Name] = r
 	}
-	for _, r := range w.Routers {
-		b := rows[r.Name]
-		delete(rows, r.Name)
-		if b.State != r.State || b.Incarnation != r.Incarnation || b.Accepting != r.Accepting || b.Draining != r.Draining || b.NameConflict != r.NameConflict ||
-			b.PolicyRevision != r.PolicyRevision {
+	for _, r := range view.Routers {
+		before := previousRouters[r.Name]
+		delete(previousRouters, r.Name)
+		if before.State != r.State || before.Incarnation != r.Incarnation || before.Accepting != r.Accepting || before.Draining != r.Draining || before.NameConflict != r.NameConflict ||
+			before.PolicyRevision != r.PolicyRevision {
 			lines = append(lines, fmt.Sprintf("%s: %v, process %s, takes clients: %v, draining: %v, two of the name: %v, policy %d", r.Name, r.State,
 				r.Incarnation, r.Accepting, r.Draining, r.NameConflict, r.PolicyRevision))
 		}
 	}
-	for name := range rows {
+	for name := range previousRouters {
 		lines = append(lines, fmt.Sprintf("%s: forgotten", name))
 	}
-	if was.View == nil || before.Settled != w.Settled {
-		lines = append(lines, fmt.Sprintf("%s: settled: %v, at odds with %v", w.ReportedBy, w.Settled, w.Disagreeing))
+	if previous.View == nil || before.Settled != view.Settled {
+		lines = append(lines, fmt.Sprintf("%s: settled: %v, at odds with %v", view.ReportedBy, view.Settled, view.Disagreeing))
 	}
-	return append(lines, tierChanges(was.Tiers, now.Tiers)...)
+	return append(lines, tierChanges(previous.Tiers, current.Tiers)...)
 }
 
-func fleetWait() *cobra.Command {
+func fleetWaitCommand() *cobra.Command {
 	var settled bool
-	var forSpan, within time.Duration
+	var minSettled, within time.Duration
 	c := &cobra.Command{Use: "wait DOOR... --settled", Short: "Wait until the routers asked are settled on one view",
-		Example: "  cache-routerctl fleet wait 10.1.2.3:8400 10.1.2.4:8400 --settled --for 10s --within 2m", Args: doors,
+		Example: "  cache-routerctl fleet wait 10.1.2.3:8400 10.1.2.4:8400 --settled --for 10s --within 2m", Args: validateEndpoints,
 		RunE: func(c *cobra.Command, args []string) error {
 			if !settled {
-				return usage("say what to wait for: --settled")
+				return usageErrorf("say what to wait for: --settled")
 			}
-			if forSpan < 0 || within < forSpan {
-				return usage("--within: %v is shorter than --for, %v", within, forSpan)
+			if minSettled < 0 || within < minSettled {
+				return usageErrorf("--within: %v is shorter than --for, %v", within, minSettled)
 			}
-			end := time.Now().Add(within)
+			deadline := time.Now().Add(within)
 			var since time.Time
 			for {
-				all := askFleet(c.Context(), args)
-				err := fleetVerdict(all)
+				all := queryRouters(c.Context(), args)
+				err := checkSettled(all)
 				now := time.Now()
 				if err != nil {
 					since = time.Time{}
 				} else if since.IsZero() {
 					since = now
 				}
-				if err == nil && now.Sub(since) >= forSpan {
+				if err == nil && now.Sub(since) >= minSettled {
 					_, err := fmt.Fprintf(c.OutOrStdout(), "settled for %v, digest %s\n", now.Sub(since).Round(time.Millisecond), all[0].View.Digest)
 					return err
 				}
 				if c.Context().Err() != nil {
 					return errors.New("stopped before it was settled")
 				}
-				if now.After(end) {
+				if now.After(deadline) {
 					if err == nil {
-						err = coded{exitUnsettled, fmt.Errorf("settled for %v only", now.Sub(since).Round(time.Millisecond))}
+						err = exitError{exitUnsettled, fmt.Errorf("settled for %v only", now.Sub(since).Round(time.Millisecond))}
 					}
 					return err
 				}
@@ -311,7 +311,7 @@
 			}
 		}}
 	c.Flags().BoolVar(&settled, "settled", false, "wait for one settled view")
-	c.Flags().DurationVar(&forSpan, "for", 0, "so long without a break")
+	c.Flags().DurationVar(&minSettled, "for", 0, "so long without a break")
 	c.Flags().DurationVar(&within, "within", time.Minute, "give up after this")
 	return c
 }
--- a/cmd/cache-routerctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -17,29 +17,29 @@
 	"spurtrestle/internal/policy"
 )
 
-func fleetSite() *cobra.Command {
+func siteCommand() *cobra.Command {
 	c := &cobra.Command{Use: "site", Short: "See and steer what the fleet does about the loss of a whole site",
 		Long: "Every command but plan asks by the operators' door of any router, which asks the keepers of the policy.\n" +
 			"Exit codes: 0 done, 1 bad input, 2 wrong usage, 7 the router or the keepers cannot be reached. See docs/site.md.",
 		Example: "  cache-routerctl fleet site status 10.1.2.3:8400", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.AddCommand(siteStatus(), sitePlan(),
-		siteWord("lost", "Say that a site is lost: its servers get nothing until it is said to be back"),
-		siteWord("back", "Have a site come back, step by step, without waiting for the evidence"),
-		siteWord("hold", "Have a lost or returning site stay as it is"),
-		siteWord("go", "Let a site that is held go on by the evidence"))
+	c.AddCommand(siteStatusCommand(), sitePlanCommand(),
+		siteActionCommand("lost", "Say that a site is lost: its servers get nothing until it is said to be back"),
+		siteActionCommand("back", "Have a site come back, step by step, without waiting for the evidence"),
+		siteActionCommand("hold", "Have a lost or returning site stay as it is"),
+		siteActionCommand("go", "Let a site that is held go on by the evidence"))
 	return c
 }
 
-func siteWord(word, short string) *cobra.Command {
-	var x statement
-	c := &cobra.Command{Use: word + " SITE DOOR", Short: short, Args: lastArg(2),
+func siteActionCommand(word, short string) *cobra.Command {
+	var x auditInfo
+	c := &cobra.Command{Use: word + " SITE DOOR", Short: short, Args: endpointAsLastArg(2),
 		Example: "  cache-routerctl fleet site " + word + " coast 10.1.2.3:8400 --reason 'the carrier says so'",
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := x.check(); err != nil {
+			if err := x.validate(); err != nil {
 				return err
 			}
-			s, _, err := askPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: policycommit.RequestSiteAction, Name: args[0], SiteAction: sitefailover.Action(word)}))
+			s, _, err := queryPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: policycommit.RequestSiteAction, Name: args[0], SiteAction: sitefailover.Action(word)}))
 			if err != nil {
 				return err
 			}
@@ -49,9 +49,9 @@
 	return c
 }
 
-func siteStatus() *cobra.Command {
-	return keeperQuery{use: "status DOOR", short: "Tell what each site counts as, what is refused, and what the next step waits for",
-		example: "  cache-routerctl fleet site status 10.1.2.3:8400", what: policycommit.RequestSites, show: showSites}.command()
+func siteStatusCommand() *cobra.Command {
+	return policyQuery{use: "status DOOR", short: "Tell what each site counts as, what is refused, and what the next step waits for",
+		example: "  cache-routerctl fleet site status 10.1.2.3:8400", requestType: policycommit.RequestSites, show: showSites}.command()
 }
 
 func showSites(w io.Writer, s policycommit.Reply) error {
@@ -89,8 +89,8 @@
 	return err
 }
 
-func sitePlan() *cobra.Command {
-	var file, door string
+func sitePlanCommand() *cobra.Command {
+	var configFile, endpoint string
 	var lose []string
 	c := &cobra.Command{Use: "plan FILE", Short: "Tell beforehand what the loss of a site would be like", Args: cobra.ExactArgs(1),
 		Long: "What would be refused, by method and tenant, if sites were lost: from what a policy's [sites] tells of loads and of what each\n" +
@@ -101,7 +101,7 @@
 			if err != nil {
 				return err
 			}
-			cfg, err := config.Load(func(name string) string { return map[string]string{"EDGE_CONFIG": file}[name] })
+			cfg, err := config.Load(func(name string) string { return map[string]string{"EDGE_CONFIG": configFile}[name] })
 			if err != nil {
 				return err
 			}
@@ -117,28 +117,28 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			var seen *sitefailover.Status
-			if door != "" {
-				r, _, err := askPolicy(c.Context(), door, policycommit.Request{Type: policycommit.RequestSites})
+			var status *sitefailover.Status
+			if endpoint != "" {
+				r, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestSites})
 				if err != nil {
 					return err
 				}
-				if seen = r.Sites; seen == nil {
-					return fmt.Errorf("%s: nothing is planned there, and so nothing is measured; tell bears and loads in %s", door, args[0])
+				if status = r.Sites; status == nil {
+					return fmt.Errorf("%s: nothing is planned there, and so nothing is measured; tell bears and loads in %s", endpoint, args[0])
 				}
 			}
-			return rehearse(c.OutOrStdout(), plan, s, seen, lose)
+			return forecastSiteLoss(c.OutOrStdout(), plan, s, status, lose)
 		}}
-	c.Flags().StringVar(&file, "config", os.Getenv("EDGE_CONFIG"), "a router's configuration")
-	c.Flags().StringVar(&door, "door", "", "of a router, to take loads and what sites bear as measured")
+	c.Flags().StringVar(&configFile, "config", os.Getenv("EDGE_CONFIG"), "a router's configuration")
+	c.Flags().StringVar(&endpoint, "door", "", "of a router, to take loads and what sites bear as measured")
 	c.Flags().StringSliceVar(&lose, "lose", nil, "the sites that are lost")
-	_ = c.MarkFlagRequired("lose") // it is there
+	_ = c.MarkFlagRequired("lose") // fails only for an undefined flag
 	return c
 }
 
-func rehearse(w io.Writer, plan sitefailover.Plan, s routing.Settings, seen *sitefailover.Status, lose []string) error {
+func forecastSiteLoss(w io.Writer, plan sitefailover.Plan, s routing.Settings, status *sitefailover.Status, lostNames []string) error {
 	var lost []sitefailover.Site
-	for _, name := range lose {
+	for _, name := range lostNames {
 		known := false
 		for _, x := range plan.Sites {
 			known = known || string(x.Name) == name
@@ -151,49 +151,49 @@
 	if len(lost) >= len(plan.Sites) {
 		return errors.New("--lose: no site is left; leave one out")
 	}
-	bearing := make([]sitefailover.SiteCapacity, len(plan.Sites))
+	capacities := make([]sitefailover.SiteCapacity, len(plan.Sites))
 	for i, x := range plan.Sites {
-		bearing[i] = sitefailover.SiteCapacity{Site: x.Name, Capacity: x.Capacity, PreferredTargets: x.PreferredTargets}
-		for _, y := range siteRows(seen) {
+		capacities[i] = sitefailover.SiteCapacity{Site: x.Name, Capacity: x.Capacity, PreferredTargets: x.PreferredTargets}
+		for _, y := range siteStatuses(status) {
 			if y.Name == x.Name && x.Capacity == 0 {
-				bearing[i].Capacity = y.Capacity
+				capacities[i].Capacity = y.Capacity
 			}
 		}
-		if seen != nil {
-			bearing[i].Capacity *= max(1, seen.MeasuredCapacityRatio)
+		if status != nil {
+			capacities[i].Capacity *= max(1, status.MeasuredCapacityRatio)
 		}
-		if bearing[i].Capacity == 0 {
+		if capacities[i].Capacity == 0 {
 			return fmt.Errorf("sites.site: what %s bears is not told; write bears, or ask a router with --door", x.Name)
 		}
 	}
-	top, worth, shares := 0.0, map[string]float64{}, map[string]float64{}
+	maxCriticality, weights, shares := 0.0, map[string]float64{}, map[string]float64{}
 	for _, m := range s.Methods {
-		top = max(top, m.Criticality)
+		maxCriticality = max(maxCriticality, m.Criticality)
 	}
 	for _, m := range s.Methods {
-		worth[m.Name] = m.Criticality / max(top, 1e-9)
+		weights[m.Name] = m.Criticality / max(maxCriticality, 1e-9)
 	}
 	for _, t := range s.Tenants {
 		shares[string(t.Name)] = t.Share
 	}
-	asked := sitefailover.DistributeLoads(plan.ExpectedLoads, worth, shares, s.OverShareWeight)
-	if seen != nil {
-		asked = measured(seen, s.Methods, worth)
+	loads := sitefailover.DistributeLoads(plan.ExpectedLoads, weights, shares, s.OverShareWeight)
+	if status != nil {
+		loads = measuredLoads(status, s.Methods, weights)
 	}
-	if len(asked) == 0 {
+	if len(loads) == 0 {
 		return errors.New("sites.load: none is told; add a [[sites.load]] with method and rate for each method, or ask a router with --door")
 	}
-	o := sitefailover.ForecastLoss(bearing, asked, lost)
+	forecast := sitefailover.ForecastLoss(capacities, loads, lost)
 	verdict := "the rest bears it"
-	if o.OfferedRate > o.Capacity {
-		verdict = fmt.Sprintf("%.0f/s are refused", o.OfferedRate-o.Capacity)
+	if forecast.OfferedRate > forecast.Capacity {
+		verdict = fmt.Sprintf("%.0f/s are refused", forecast.OfferedRate-forecast.Capacity)
 	}
-	fmt.Fprintf(w, "without %s: asked %.0f/s, borne %.0f/s (%s binds): %s\n", strings.Join(lose, ", "), o.OfferedRate, o.Capacity, o.LimitingSite, verdict)
+	fmt.Fprintf(w, "without %s: asked %.0f/s, borne %.0f/s (%s binds): %s\n", strings.Join(lostNames, ", "), forecast.OfferedRate, forecast.Capacity, forecast.LimitingSite, verdict)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, x := range []struct {
 		title string
 		rows  []sitefailover.ShedLoad
-	}{{"method", o.ByMethod}, {"tenant", o.ByTenant}} {
+	}{{"method", forecast.ByMethod}, {"tenant", forecast.ByTenant}} {
 		if len(x.rows) > 0 {
 			fmt.Fprintf(t, "%s\tasked\trefused\t\t\n", x.title)
 		}
@@ -204,19 +204,20 @@
 	return t.Flush()
 }
 
-func siteRows(s *sitefailover.Status) []sitefailover.SiteStatus {
+func siteStatuses(s *sitefailover.Status) []sitefailover.SiteStatus {
 	if s == nil {
 		return nil
 	}
 	return s.Sites
 }
 
-// measured names what the routers count by rank: of methods of one worth they cannot tell, and they are named together.
-func measured(s *sitefailover.Status, methods []routing.MethodSettings, worth map[string]float64) (all []sitefailover.RequestLoad) {
+// measuredLoads returns the loads that the routers measured. Routers count requests by rank, so methods of equal weight cannot be
+// distinguished and share one entry.
+func measuredLoads(s *sitefailover.Status, methods []routing.MethodSettings, weights map[string]float64) (all []sitefailover.RequestLoad) {
 	for _, o := range s.Offered {
 		var names []string
 		for _, m := range methods {
-			if sitefailover.RankOf(worth[m.Name]) == o.Rank {
+			if sitefailover.RankOf(weights[m.Name]) == o.Rank {
 				names = append(names, m.Name)
 			}
 		}
--- a/cmd/cache-routerctl/fleetsite_test.go
+++ b/cmd/cache-routerctl/fleetsite_test.go
@@ -10,8 +10,8 @@
 	"spurtrestle/internal/policy"
 )
 
-// A rehearsal says what a loss would be like, from told figures and from measured ones, and what it lacks.
-func TestRehearsal(t *testing.T) {
+// The forecast of a site loss uses configured and measured loads and capacities. If one is missing, the error names it.
+func TestForecastSiteLoss(t *testing.T) {
 	s := routing.Settings{OverShareWeight: 0.1, Tenants: []routing.TenantSettings{{Name: "grain", Share: 0.7}, {Name: "dairy", Share: 0.3}},
 		Methods: []routing.MethodSettings{{Name: "alert", Criticality: 5}, {Name: "status", Criticality: 3}, {Name: "report", Criticality: 1}}}
 	const sites = "schema = 1\n[[sites.site]]\nname = \"hill\"\nbears = 320.0\n[[sites.site]]\nname = \"coast\"\nbears = 320.0\n[[sites.site]]\nname = \"valley\"\n"
@@ -45,13 +45,13 @@
 			t.Fatal(err)
 		}
 		var out bytes.Buffer
-		if err := rehearse(&out, plan, s, x.seen, strings.Split(x.lose, ",")); err != nil {
+		if err := forecastSiteLoss(&out, plan, s, x.seen, strings.Split(x.lose, ",")); err != nil {
 			out.WriteString(err.Error())
 		}
 		text := strings.Join(strings.Fields(out.String()), " ")
 		for _, want := range x.want {
 			if !strings.Contains(text, want) {
-				t.Errorf("%s: no %q in\n%s", x.lose, want, out.String())
+				t.Errorf("lost %s: output does not contain %q:\n%s", x.lose, want, out.String())
 			}
 		}
 	}
--- a/cmd/cache-routerctl/fleettiers.go
+++ b/cmd/cache-routerctl/fleettiers.go
@@ -9,24 +9,24 @@
 	"spurtrestle/core/hierarchy"
 )
 
-// sameViews tells whether two routers hold the same, as far as both know it: the routers of a site, the sites of a region, the
-// regions of a fleet. In a flat fleet that is everything.
-func sameViews(a, b answer) bool {
+// viewsAgree reports whether two routers agree on everything that both track: the routers of a common site, the sites of a common
+// region, and the regions. In a flat fleet both track all routers.
+func viewsAgree(a, b routerReply) bool {
 	if a.Tiers == nil || b.Tiers == nil {
 		return a.Tiers == b.Tiers && a.View.Digest == b.View.Digest
 	}
-	near := a.Tiers.Region == b.Tiers.Region
+	sameRegion := a.Tiers.Region == b.Tiers.Region
 	return a.Tiers.RegionsDigest == b.Tiers.RegionsDigest &&
-		(!near || a.Tiers.SitesDigest == b.Tiers.SitesDigest) &&
-		(otherSite(a.Tiers, b.Tiers) || a.View.Digest == b.View.Digest)
+		(!sameRegion || a.Tiers.SitesDigest == b.Tiers.SitesDigest) &&
+		(differentSites(a.Tiers, b.Tiers) || a.View.Digest == b.View.Digest)
 }
 
-// otherSite tells whether two routers of a tiered fleet are of different sites.
-func otherSite(a, b *hierarchy.Status) bool {
+// differentSites reports whether two routers of a tiered fleet are in different sites.
+func differentSites(a, b *hierarchy.Status) bool {
 	return a != nil && b != nil && (a.Region != b.Region || a.Site != b.Site)
 }
 
-// printTiers shows what a router knows of other sites and regions, a line each; nothing for a flat fleet.
+// printTiers prints one line for each site and region that a router has a summary of. It prints nothing for a flat fleet.
 func printTiers(out io.Writer, s *hierarchy.Status) error {
 	if s == nil {
 		return nil
@@ -50,41 +50,41 @@
 		groups []hierarchy.GroupStatus
 	}{{"site", s.Sites}, {"region", s.Regions}} {
 		for _, g := range x.groups {
-			fmt.Fprintf(t, "%s %s\t%v\t%s\t%d of %d\t%d\t%d-%d\t%s ago\n", x.kind, g.Name, g.State, sitesOf(g), g.Alive, g.Total, g.Accepting, g.MinRevision, g.MaxRevision,
-				spanOf(clock.Time(g.Age)))
+			fmt.Fprintf(t, "%s %s\t%v\t%s\t%d of %d\t%d\t%d-%d\t%s ago\n", x.kind, g.Name, g.State, formatSiteCount(g), g.Alive, g.Total, g.Accepting, g.MinRevision, g.MaxRevision,
+				formatDuration(clock.Time(g.Age)))
 		}
 	}
 	return t.Flush()
 }
 
-func sitesOf(g hierarchy.GroupStatus) string {
+func formatSiteCount(g hierarchy.GroupStatus) string {
 	if g.SiteCount == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%d of %d", g.SiteCount-g.LostSites, g.SiteCount)
 }
 
-// tierChanges are the lines of what is shown of sites and regions otherwise than before.
-func tierChanges(was, now *hierarchy.Status) (lines []string) {
-	if now == nil {
+// tierChanges returns a line for each difference in the summaries of sites and regions.
+func tierChanges(previous, current *hierarchy.Status) (lines []string) {
+	if current == nil {
 		return nil
 	}
-	if was == nil {
-		was = &hierarchy.Status{}
+	if previous == nil {
+		previous = &hierarchy.Status{}
 	}
-	lines = append(groupChanges("site", was.Sites, now.Sites), groupChanges("region", was.Regions, now.Regions)...)
-	if was.RepresentsSite != now.RepresentsSite || was.RepresentsRegion != now.RepresentsRegion {
-		lines = append(lines, fmt.Sprintf("represents its site: %v, its region: %v", now.RepresentsSite, now.RepresentsRegion))
+	lines = append(groupChanges("site", previous.Sites, current.Sites), groupChanges("region", previous.Regions, current.Regions)...)
+	if previous.RepresentsSite != current.RepresentsSite || previous.RepresentsRegion != current.RepresentsRegion {
+		lines = append(lines, fmt.Sprintf("represents its site: %v, its region: %v", current.RepresentsSite, current.RepresentsRegion))
 	}
 	return lines
 }
 
-func groupChanges(kind string, was, now []hierarchy.GroupStatus) (lines []string) {
+func groupChanges(kind string, previous, current []hierarchy.GroupStatus) (lines []string) {
 	before := map[string]hierarchy.GroupStatus{}
-	for _, g := range was {
+	for _, g := range previous {
 		before[g.Name] = g
 	}
-	for _, g := range now {
+	for _, g := range current {
 		if b, known := before[g.Name]; !known || b.State != g.State || b.Counts != g.Counts || b.LostSites != g.LostSites {
 			lines = append(lines, fmt.Sprintf("%s %s: %v, %d of %d alive, %d take clients", kind, g.Name, g.State, g.Alive, g.Total, g.Accepting))
 		}
--- a/cmd/cache-routerctl/keeperquery.go
+++ b/cmd/cache-routerctl/keeperquery.go
@@ -10,41 +10,41 @@
 	"spurtrestle/core/policycommit"
 )
 
-// statement is who says something to the keepers and why. Both are kept in their log.
-type statement struct{ author, reason string }
+// auditInfo is the author and the reason of a request to the policy voters, which keep both in their log.
+type auditInfo struct{ author, reason string }
 
-// flags adds --author and --reason to a command, with what they mean to it.
-func (s *statement) flags(c *cobra.Command, author, reason string) {
+// flags adds --author and --reason to a command, with the given help texts.
+func (s *auditInfo) flags(c *cobra.Command, author, reason string) {
 	c.Flags().StringVar(&s.author, "author", os.Getenv("USER"), author)
 	c.Flags().StringVar(&s.reason, "reason", "", reason)
 }
 
-// check refuses a statement that does not say both.
-func (s statement) check() error {
+// validate reports a missing author or reason.
+func (s auditInfo) validate() error {
 	if s.author == "" || s.reason == "" {
-		return usage("say --author and --reason: they are kept")
+		return usageErrorf("say --author and --reason: they are kept")
 	}
 	return nil
 }
 
-// sign puts a statement, and the time of the clock on the wall, into a request.
-func (s statement) sign(r policycommit.Request) policycommit.Request {
+// sign adds the author, the reason and the wall clock time to a request.
+func (s auditInfo) sign(r policycommit.Request) policycommit.Request {
 	r.Author, r.Reason, r.RequestedAt = s.author, s.reason, time.Now().UnixMicro()
 	return r
 }
 
-// keeperQuery is a command that asks the keepers, by any router, and shows their reply as text or as JSON.
-type keeperQuery struct {
+// policyQuery describes a command that sends a query through any router to the policy voters and prints the reply as text or JSON.
+type policyQuery struct {
 	use, short, example string
-	what                policycommit.RequestType
+	requestType         policycommit.RequestType
 	show                func(io.Writer, policycommit.Reply) error
 }
 
-func (q keeperQuery) command() *cobra.Command {
+func (q policyQuery) command() *cobra.Command {
 	var output string
-	c := &cobra.Command{Use: q.use, Short: q.short, Example: q.example, Args: lastArg(1),
+	c := &cobra.Command{Use: q.use, Short: q.short, Example: q.example, Args: endpointAsLastArg(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			reply, text, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: q.what})
+			reply, text, err := queryPolicy(c.Context(), args[0], policycommit.Request{Type: q.requestType})
 			if err != nil {
 				return err
 			}
@@ -54,6 +54,6 @@
 			}
 			return q.show(c.OutOrStdout(), reply)
 		}}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -18,7 +18,7 @@
 	"spurtrestle/internal/lab/trace"
 )
 
-func (a *app) lab() *cobra.Command {
+func (a *cli) labCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "lab",
 		Short: "Play a fleet on loopback: stand-in servers, load, faults and a referee",
@@ -28,11 +28,11 @@
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(a.initLab(), a.check(), a.plan(), a.run(), a.compare(), a.recovery(), a.show(), a.record(), a.bench(), a.views(), a.policies(), a.sites())
+	c.AddCommand(a.labInitCommand(), a.labCheckCommand(), a.labPlanCommand(), a.labRunCommand(), a.labCompareCommand(), a.labRecoveryCommand(), a.labShowCommand(), a.labRecordCommand(), a.labBenchCommand(), a.labViewsCommand(), a.labPoliciesCommand(), a.labSitesCommand())
 	return c
 }
 
-func (a *app) initLab() *cobra.Command {
+func (*cli) labInitCommand() *cobra.Command {
 	return &cobra.Command{Use: "init", Short: "Write a commented scenario to standard output",
 		Example: "  cache-routerctl lab init > day.toml", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -41,7 +41,7 @@
 		}}
 }
 
-func (a *app) check() *cobra.Command {
+func (*cli) labCheckCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE...", Short: "Tell what is wrong in scenario files",
 		Example: "  cache-routerctl lab check lab/scenarios/*.toml", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -58,7 +58,7 @@
 		}}
 }
 
-func (a *app) plan() *cobra.Command {
+func (*cli) labPlanCommand() *cobra.Command {
 	var seed uint64
 	var output string
 	c := &cobra.Command{Use: "plan FILE", Short: "Show what a seed makes of a scenario: faults, and a digest of all arrivals",
@@ -68,7 +68,7 @@
 			if err != nil {
 				return err
 			}
-			seed = orSeed(c, seed, s)
+			seed = seedOrDefault(c, seed, s)
 			all := arrivals.Make(s, seed)
 			acts := fleet.Timeline(s, seed)
 			type line struct {
@@ -105,23 +105,23 @@
 			return nil
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 0, "instead of the scenario's own")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func orSeed(c *cobra.Command, seed uint64, s scenario.Scenario) uint64 {
+func seedOrDefault(c *cobra.Command, seed uint64, s scenario.Scenario) uint64 {
 	if c.Flags().Changed("seed") {
 		return seed
 	}
 	return s.Seed
 }
 
-func outputFlag(c *cobra.Command, output *string) {
+func addOutputFlag(c *cobra.Command, output *string) {
 	c.Flags().StringVar(output, "output", "table", "table or json")
 	before := c.PreRunE
 	c.PreRunE = func(c *cobra.Command, args []string) error {
 		if *output != "table" && *output != "json" {
-			return usage("--output: %q is neither table nor json", *output)
+			return usageErrorf("--output: %q is neither table nor json", *output)
 		}
 		if before != nil {
 			return before(c, args)
@@ -136,7 +136,7 @@
 	return e.Encode(x)
 }
 
-func readSet(file string) (report.Set, error) {
+func readReport(file string) (report.Set, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return report.Set{}, err
@@ -151,19 +151,19 @@
 	return s, nil
 }
 
-func readSets(files []string) (a, b report.Set, err error) {
-	if a, err = readSet(files[0]); err == nil {
-		b, err = readSet(files[1])
+func readReports(files []string) (a, b report.Set, err error) {
+	if a, err = readReport(files[0]); err == nil {
+		b, err = readReport(files[1])
 	}
 	return a, b, err
 }
 
-func (a *app) compare() *cobra.Command {
+func (*cli) labCompareCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "compare A B", Short: "Set two report.json side by side, by pairs of runs with the same seed",
 		Example: "  cache-routerctl lab compare lab-reports/before/report.json lab-reports/after/report.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
-			before, after, err := readSets(files)
+			before, after, err := readReports(files)
 			if err != nil {
 				return err
 			}
@@ -176,16 +176,16 @@
 			}
 			return report.CompareTable(c.OutOrStdout(), "A", "B", rows, pairs)
 		}}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func (a *app) recovery() *cobra.Command {
+func (*cli) labRecoveryCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "recovery A B", Short: "Compare how two sets of runs come back from a restart of routers",
 		Example: "  cache-routerctl lab recovery without/report.json with/report.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
-			before, after, err := readSets(files)
+			before, after, err := readReports(files)
 			if err != nil {
 				return err
 			}
@@ -198,16 +198,16 @@
 			}
 			return report.RecoveryTable(c.OutOrStdout(), rows, pairs)
 		}}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func (a *app) show() *cobra.Command {
+func (*cli) labShowCommand() *cobra.Command {
 	var output, pages string
 	c := &cobra.Command{Use: "show FILE", Short: "Show the runs of a report.json again",
 		Example: "  cache-routerctl lab show lab-reports/calm-20261201T120000/report.json", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			set, err := readSet(files[0])
+			set, err := readReport(files[0])
 			if err != nil {
 				return err
 			}
@@ -227,11 +227,11 @@
 			return report.SetTable(c.OutOrStdout(), set)
 		}}
 	c.Flags().StringVar(&pages, "pages", "", "folder to write the HTML pages to")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func (a *app) record() *cobra.Command {
+func (*cli) labRecordCommand() *cobra.Command {
 	var seed uint64
 	c := &cobra.Command{Use: "record SCENARIO TRACE", Short: "Write the traffic of a scenario to a trace file, for `run --trace`",
 		Example: "  cache-routerctl lab record lab/scenarios/demo.toml demo.trace", Args: cobra.ExactArgs(2),
@@ -240,12 +240,12 @@
 			if err != nil {
 				return err
 			}
-			all := arrivals.Make(s, orSeed(c, seed, s))
+			all := arrivals.Make(s, seedOrDefault(c, seed, s))
 			f, err := os.Create(args[1])
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(trace.Write(f, namesOf(s), all), f.Sync(), f.Close()); err != nil {
+			if err := errors.Join(trace.Write(f, traceNames(s), all), f.Sync(), f.Close()); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "%d arrivals, digest %s\n", len(all), arrivals.Digest(all))
@@ -255,7 +255,7 @@
 	return c
 }
 
-func namesOf(s scenario.Scenario) trace.Names {
+func traceNames(s scenario.Scenario) trace.Names {
 	n := trace.Names{Title: s.Title, Sites: s.Sites}
 	for _, m := range s.Methods {
 		n.Methods = append(n.Methods, m.Name)
@@ -266,7 +266,7 @@
 	return n
 }
 
-// readTrace reads recorded traffic for a scenario: its names must be the scenario's.
+// readTrace reads recorded traffic. The names of its sites, methods and tenants must match the scenario.
 func readTrace(file string, s scenario.Scenario) ([]arrivals.Arrival, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -277,7 +277,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	want := namesOf(s)
+	want := traceNames(s)
 	for _, x := range []struct {
 		what      string
 		has, want []string
--- a/cmd/cache-routerctl/labpolicies.go
+++ b/cmd/cache-routerctl/labpolicies.go
@@ -14,8 +14,8 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// policies plays changes of policy under faults.
-func (a *app) policies() *cobra.Command {
+// labPoliciesCommand returns the command that tests policy changes under faults.
+func (a *cli) labPoliciesCommand() *cobra.Command {
 	var router, out, output string
 	var routers, rounds, acts, parallel, changes int
 	var measure, serve bool
@@ -29,9 +29,9 @@
 		Example: "  cache-routerctl lab policies --rounds 200\n  cache-routerctl lab policies --measure --routers 60", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if routers < 3 || routers > 250 || changes < 1 || rounds < 1 || acts < 1 || parallel < 1 {
-				return usage("--routers is from 3 to 250; --rounds, --acts, --parallel and --changes are 1 at least")
+				return usageErrorf("--routers is from 3 to 250; --rounds, --acts, --parallel and --changes are 1 at least")
 			}
-			program, err := routerProgram(router, "cache-router-fleet")
+			program, err := routerBinary(router, "cache-router-fleet")
 			if err == nil {
 				err = os.MkdirAll(out, 0o755)
 			}
@@ -80,7 +80,7 @@
 				took[o.CutOff] = append(took[o.CutOff], o.Took...)
 				sum[o.CutOff] = [3]int{s[0] + o.Everywhere, s[1] + o.Nowhere, s[2] + o.Unknown}
 				if len(o.Broken) > 0 && err == nil {
-					err = coded{exitBroken, fmt.Errorf("seed %d: %s; its files are in %s", o.Seed, o.Broken[0], out)}
+					err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %s; its files are in %s", o.Seed, o.Broken[0], out)}
 				}
 			}
 			if output != "json" {
@@ -104,7 +104,7 @@
 	f.BoolVar(&serve, "serve", false, "with --measure, routers go on where they are cut off")
 	f.DurationVar(&probe, "probe", 200*time.Millisecond, "of the view, with --measure")
 	f.Uint64Var(&seed, "seed", 1, "of the first round")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
--- a/cmd/cache-routerctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -18,7 +18,7 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-func (a *app) run() *cobra.Command {
+func (a *cli) labRunCommand() *cobra.Command {
 	var o runOptions
 	c := &cobra.Command{Use: "run FILE...", Short: "Play scenarios on real router processes and judge them",
 		Long: "Plays each scenario, prints its figures, and leaves report.json and a page a run in --out.\n" +
@@ -28,10 +28,10 @@
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			if o.seeds < 1 || o.seeds > 100 {
-				return usage("--seeds: %d is not from 1 to 100", o.seeds)
+				return usageErrorf("--seeds: %d is not from 1 to 100", o.seeds)
 			}
 			if o.protocol != "" && !slices.Contains([]string{scenario.RESP2, scenario.GRPC, scenario.Mixed}, o.protocol) {
-				return usage("--protocol: %q is none of resp2, grpc, mixed", o.protocol)
+				return usageErrorf("--protocol: %q is none of resp2, grpc, mixed", o.protocol)
 			}
 			usual := "cache-router"
 			var all []scenario.Scenario
@@ -45,18 +45,18 @@
 				case "":
 				case "on":
 					s.Routers.Fleet = true
-				case "off": // and nothing between the routers to be struck
+				case "off": // without links between routers, their faults cannot occur
 					s.Routers.Fleet = false
 					s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.Kinds[f.Kind].Strikes() == "links" })
 				default:
-					return usage("--fleet: %q is neither on nor off", o.fleet)
+					return usageErrorf("--fleet: %q is neither on nor off", o.fleet)
 				}
 				switch o.plan {
 				case "":
 				case "off":
 					s.Routers.Plan = ""
 				default:
-					return usage("--plan: %q is not off", o.plan)
+					return usageErrorf("--plan: %q is not off", o.plan)
 				}
 				if o.protocol != "" {
 					s.Clients.Protocol = o.protocol
@@ -66,19 +66,19 @@
 				}
 				all = append(all, s)
 			}
-			program, err := routerProgram(o.router, usual)
+			program, err := routerBinary(o.router, usual)
 			if err != nil {
 				return err
 			}
 			var worst error
 			var sets []report.Set
 			for i, s := range all {
-				set, err := a.playSeeds(c, s, files[i], program, o)
+				set, err := a.runSeeds(c, s, files[i], program, o)
 				if err != nil {
 					return err
 				}
 				sets = append(sets, set)
-				if bad := verdict(s, set); bad != nil && (worst == nil || bad.(coded).code < worst.(coded).code) {
+				if bad := checkRuns(s, set); bad != nil && (worst == nil || bad.(exitError).code < worst.(exitError).code) {
 					worst = bad
 				}
 			}
@@ -101,18 +101,18 @@
 	f.BoolVar(&o.noPage, "no-page", false, "leave out the HTML pages")
 	f.StringVar(&o.fleet, "fleet", "", "on: the routers keep a view of one another, whatever the scenario says; off: they do not, and links are not struck")
 	f.StringVar(&o.plan, "plan", "", "off: nothing is planned for the loss of a site, whatever the scenario says")
-	outputFlag(c, &o.output)
+	addOutputFlag(c, &o.output)
 	return c
 }
 
-// routerProgram is the path given, or a program beside this one.
-func routerProgram(path, usual string) (string, error) {
+// routerBinary returns the absolute path of the router program: the given path, or the default program next to this one.
+func routerBinary(path, defaultName string) (string, error) {
 	if path == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return "", err
 		}
-		path = filepath.Join(filepath.Dir(self), usual)
+		path = filepath.Join(filepath.Dir(self), defaultName)
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
 		return "", fmt.Errorf("%s is no program; run `make build`, or name the router with --router", path)
@@ -120,30 +120,31 @@
 	return filepath.Abs(path)
 }
 
-// verdict is the error that a set of runs ends with, nil where all is well.
-func verdict(s scenario.Scenario, set report.Set) error {
-	void := 0
+// checkRuns returns nil if all runs of a scenario are valid and meet its rules and expectation, or else an error with its exit
+// code.
+func checkRuns(s scenario.Scenario, set report.Set) error {
+	invalid := 0
 	sum, counted := 0.0, 0
 	for _, r := range set.Runs {
 		if len(r.Broken) > 0 {
-			return coded{exitBroken, fmt.Errorf("%s, seed %d: %s", s.Title, r.Seed, r.Broken[0])}
+			return exitError{exitRuleViolated, fmt.Errorf("%s, seed %d: %s", s.Title, r.Seed, r.Broken[0])}
 		}
 		if r.Void != "" {
-			void++
+			invalid++
 			continue
 		}
 		sum, counted = sum+r.Service.Whole, counted+1
 	}
-	if void > 0 {
-		return coded{exitVoid, fmt.Errorf("%s: %d of %d runs do not count", s.Title, void, len(set.Runs))}
+	if invalid > 0 {
+		return exitError{exitInvalidRun, fmt.Errorf("%s: %d of %d runs do not count", s.Title, invalid, len(set.Runs))}
 	}
 	if mean := sum / float64(max(1, counted)); mean < s.Expect.Service {
-		return coded{exitMissed, fmt.Errorf("%s: service is %.4f, expected is %.4f", s.Title, mean, s.Expect.Service)}
+		return exitError{exitExpectationMissed, fmt.Errorf("%s: service is %.4f, expected is %.4f", s.Title, mean, s.Expect.Service)}
 	}
 	return nil
 }
 
-// runOptions are the flags of run.
+// runOptions holds the flags of lab run.
 type runOptions struct {
 	seed                               uint64
 	protocol                           string
@@ -153,9 +154,9 @@
 	fleet, plan                        string
 }
 
-// playSeeds plays one scenario with each seed, and leaves its report and pages in a folder of its own.
-func (a *app) playSeeds(c *cobra.Command, s scenario.Scenario, file, program string, o runOptions) (report.Set, error) {
-	label, quiet, seed := o.label, o.output == "json", orSeed(c, o.seed, s)
+// runSeeds runs a scenario with each seed and writes its report and pages to a new directory.
+func (a *cli) runSeeds(c *cobra.Command, s scenario.Scenario, file, program string, o runOptions) (report.Set, error) {
+	label, quiet, seed := o.label, o.output == "json", seedOrDefault(c, o.seed, s)
 	if label == "" {
 		label = program
 	}
@@ -173,7 +174,7 @@
 				return set, err
 			}
 		}
-		r, err := a.playOne(c, s, seed+uint64(i), program, folder, recorded)
+		r, err := a.runSeed(c, s, seed+uint64(i), program, folder, recorded)
 		if err != nil {
 			return set, err
 		}
@@ -215,8 +216,8 @@
 	return errors.Join(report.Page(f, r), f.Close())
 }
 
-// playOne plays one seed; logs of routers stay in the folder where something was wrong.
-func (a *app) playOne(c *cobra.Command, s scenario.Scenario, seed uint64, program, folder string, recorded []arrivals.Arrival) (report.Report, error) {
+// runSeed runs a scenario with one seed. It deletes the logs of the routers unless a rule was violated.
+func (a *cli) runSeed(c *cobra.Command, s scenario.Scenario, seed uint64, program, folder string, recorded []arrivals.Arrival) (report.Report, error) {
 	dir := filepath.Join(folder, fmt.Sprintf("seed-%d-routers", seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return report.Report{}, err
@@ -225,12 +226,12 @@
 	if err != nil {
 		return report.Report{}, err
 	}
-	show, done := progress(c.ErrOrStderr(), s.Title)
+	show, done := progressWriter(c.ErrOrStderr(), s.Title)
 	res, err := fleet.Play(c.Context(), s, fleet.Options{Seed: seed, Start: fleet.Program(program), Dir: dir, Arrivals: recorded,
 		Progress: show, Log: a.log})
 	done()
 	if err != nil {
-		if c.Context().Err() != nil { // stopped by hand: nothing is left behind, but what other runs have left
+		if c.Context().Err() != nil { // interrupted: delete the directories, except those that hold files of other runs
 			_ = os.RemoveAll(dir)
 			_ = os.Remove(folder)
 			_ = os.Remove(filepath.Dir(folder))
@@ -246,8 +247,9 @@
 	return r, nil
 }
 
-// progress shows how far a run is: on a terminal in one line, else a line every five seconds.
-func progress(w io.Writer, title string) (show func(fleet.Progress), done func()) {
+// progressWriter returns functions that report the progress of a run: on a terminal in a line that is overwritten, elsewhere as
+// one line for every five calls.
+func progressWriter(w io.Writer, title string) (show func(fleet.Progress), done func()) {
 	terminal := false
 	if f, ok := w.(*os.File); ok {
 		info, err := f.Stat()
--- a/cmd/cache-routerctl/labsites.go
+++ b/cmd/cache-routerctl/labsites.go
@@ -13,8 +13,8 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// sites plays losses of whole sites.
-func (a *app) sites() *cobra.Command {
+// labSitesCommand returns the command that tests failover after the loss of whole sites.
+func (a *cli) labSitesCommand() *cobra.Command {
 	var router, out, output string
 	var rounds, acts, parallel int
 	var seed uint64
@@ -27,9 +27,9 @@
 		Example: "  cache-routerctl lab sites --rounds 50", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if rounds < 1 || acts < 1 || parallel < 1 {
-				return usage("--rounds, --acts and --parallel are 1 at least")
+				return usageErrorf("--rounds, --acts and --parallel are 1 at least")
 			}
-			program, err := routerProgram(router, "cache-router-fleet")
+			program, err := routerBinary(router, "cache-router-fleet")
 			if err == nil {
 				out, err = filepath.Abs(out)
 			}
@@ -75,7 +75,7 @@
 			for _, o := range all {
 				settled, rulings = append(settled, o.Settled), rulings+o.Rulings
 				if len(o.Broken) > 0 && err == nil {
-					err = coded{exitBroken, fmt.Errorf("seed %d: %s; its files are in %s", o.Seed, o.Broken[0], out)}
+					err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %s; its files are in %s", o.Seed, o.Broken[0], out)}
 				}
 			}
 			if output == "json" {
@@ -95,6 +95,6 @@
 	f.IntVar(&acts, "acts", 6, "troubles of a round")
 	f.IntVar(&parallel, "parallel", 4, "rounds at a time")
 	f.Uint64Var(&seed, "seed", 1, "of the first round")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
--- a/cmd/cache-routerctl/labviews.go
+++ b/cmd/cache-routerctl/labviews.go
@@ -19,6 +19,7 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
+// viewsOptions holds the flags of lab views.
 type viewsOptions struct {
 	router, out, output             string
 	routers, rounds, acts, parallel int
@@ -28,8 +29,8 @@
 	measure                         bool
 }
 
-// views plays fleets without load.
-func (a *app) views() *cobra.Command {
+// labViewsCommand returns the command that tests membership views under faults, without load.
+func (a *cli) labViewsCommand() *cobra.Command {
 	var o viewsOptions
 	c := &cobra.Command{Use: "views", Short: "Play random faults between many routers, and judge what they show of one another",
 		Long: "Each round starts routers, has faults strike at random (crashes, restarts, stalls, cuts, one-way cuts, lost packets),\n" +
@@ -39,15 +40,15 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
 			case o.routers < 2 || o.routers > 100:
-				return usage("--routers: %d is not from 2 to 100", o.routers)
+				return usageErrorf("--routers: %d is not from 2 to 100", o.routers)
 			case o.rounds < 1 || o.acts < 1 || o.parallel < 1:
-				return usage("--rounds, --acts and --parallel are 1 at least")
+				return usageErrorf("--rounds, --acts and --parallel are 1 at least")
 			case o.drop < 0 || o.drop >= 1:
-				return usage("--drop: %v is no share below one", o.drop)
+				return usageErrorf("--drop: %v is no share below one", o.drop)
 			case o.probe < 100*time.Millisecond || o.probe > 10*time.Second:
-				return usage("--probe: %v is not from 100ms to 10s", o.probe)
+				return usageErrorf("--probe: %v is not from 100ms to 10s", o.probe)
 			}
-			program, err := routerProgram(o.router, "cache-router-fleet")
+			program, err := routerBinary(o.router, "cache-router-fleet")
 			if err != nil {
 				return err
 			}
@@ -57,7 +58,7 @@
 			if o.out, err = filepath.Abs(o.out); err != nil {
 				return err
 			}
-			all, err := a.playViews(c.Context(), program, o)
+			all, err := a.runViewRounds(c.Context(), program, o)
 			if err != nil {
 				return err
 			}
@@ -68,7 +69,7 @@
 			}
 			for _, x := range all {
 				if len(x.Broken) > 0 && err == nil {
-					err = coded{exitBroken, fmt.Errorf("seed %d: %v; its files are in %s", x.Seed, x.Broken[0], o.out)}
+					err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %v; its files are in %s", x.Seed, x.Broken[0], o.out)}
 				}
 			}
 			return err
@@ -85,11 +86,11 @@
 	f.BoolVar(&o.measure, "measure", false, "play each event once, and measure a calm while")
 	f.Float64Var(&o.drop, "drop", 0, "share of packets lost while measuring")
 	f.DurationVar(&o.calm, "calm", 10*time.Second, "length of the calm while")
-	outputFlag(c, &o.output)
+	addOutputFlag(c, &o.output)
 	return c
 }
 
-func (a *app) playViews(ctx context.Context, program string, o viewsOptions) (all []rig.Outcome, err error) {
+func (a *cli) runViewRounds(ctx context.Context, program string, o viewsOptions) (all []rig.Outcome, err error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	room := make(chan struct{}, o.parallel)
--- a/cmd/cache-routerctl/main.go
+++ b/cmd/cache-routerctl/main.go
@@ -1,4 +1,6 @@
-// Command cache-routerctl is everything around the router: the lab that plays a fleet on loopback, and what looks at its runs.
+// Command cache-routerctl is the command line tool for operators and developers of the router. It queries and changes running
+// fleets through the admin endpoints of their routers, inspects state files, runs the lab and scale tests on loopback, and
+// evaluates their results.
 package main
 
 import (
@@ -14,52 +16,54 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes. They stay as they are.
+// Exit codes. Scripts depend on them, so they must not change.
 const (
-	exitFailed = 1 // bad input, or something could not be done
-	exitUsage  = 2 // wrong usage
-	exitBroken = 3 // a rule was broken
-	exitVoid   = 4 // the run does not count
-	exitMissed = 5 // what the scenario expects was not reached
+	exitFailed            = 1 // invalid input, or the operation failed
+	exitUsage             = 2 // invalid command line
+	exitRuleViolated      = 3 // a run violated a rule
+	exitInvalidRun        = 4 // a run is not valid
+	exitExpectationMissed = 5 // a run missed the expectation of its scenario
 
-	exitUnsettled   = 6 // routers are not settled on one view, or not for long enough
-	exitUnreachable = 7 // a router cannot be asked
-	exitNowhere     = 8 // a change of policy was refused everywhere
+	exitUnsettled    = 6 // the routers do not agree on one view, or not for long enough
+	exitUnreachable  = 7 // a router cannot be reached
+	exitNotCommitted = 8 // a policy change was not committed
 )
 
-// coded is an error with an exit code of its own.
-type coded struct {
+// exitError is an error with a specific exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (c coded) Error() string { return c.err.Error() }
-func (c coded) Unwrap() error { return c.err }
+func (c exitError) Error() string { return c.err.Error() }
+func (c exitError) Unwrap() error { return c.err }
 
-func usage(format string, args ...any) error { return coded{exitUsage, fmt.Errorf(format, args...)} }
+func usageErrorf(format string, args ...any) error {
+	return exitError{exitUsage, fmt.Errorf(format, args...)}
+}
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := command().ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	stop()
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, "cache-routerctl:", err)
-	var c coded
+	var c exitError
 	if errors.As(err, &c) {
 		os.Exit(c.code)
 	}
 	os.Exit(exitFailed)
 }
 
-// app is what all commands share.
-type app struct {
+// cli holds the state that all commands share.
+type cli struct {
 	log *logrus.Logger
 }
 
-func command() *cobra.Command {
-	a := &app{log: logrus.New()}
+func rootCommand() *cobra.Command {
+	a := &cli{log: logrus.New()}
 	var level, format string
 	root := &cobra.Command{
 		Use:           "cache-routerctl",
@@ -71,7 +75,7 @@
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			l, err := logrus.ParseLevel(level)
 			if err != nil {
-				return usage("--log-level: %q is none of debug, info, warning, error", level)
+				return usageErrorf("--log-level: %q is none of debug, info, warning, error", level)
 			}
 			a.log.SetLevel(l)
 			switch format {
@@ -79,7 +83,7 @@
 			case "json":
 				a.log.SetFormatter(&logrus.JSONFormatter{})
 			default:
-				return usage("--log-format: %q is neither text nor json", format)
+				return usageErrorf("--log-format: %q is neither text nor json", format)
 			}
 			return nil
 		},
@@ -87,37 +91,37 @@
 	}
 	root.PersistentFlags().StringVar(&level, "log-level", "info", "debug, info, warning or error")
 	root.PersistentFlags().StringVar(&format, "log-format", "text", "text or json")
-	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return usage("%v; see %s --help", err, c.CommandPath()) })
-	root.AddCommand(a.lab(), a.state(), a.fleet(), a.policy(), a.scale(), version())
-	wrongUsage(root)
+	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return usageErrorf("%v; see %s --help", err, c.CommandPath()) })
+	root.AddCommand(a.labCommand(), a.stateCommand(), a.fleetCommand(), a.policyCommand(), a.scaleCommand(), versionCommand())
+	wrapArgumentErrors(root)
 	return root
 }
 
-// wrongUsage makes errors about arguments end with the code for wrong usage.
-func wrongUsage(c *cobra.Command) {
+// wrapArgumentErrors makes invalid arguments of a command and its subcommands exit with exitUsage.
+func wrapArgumentErrors(c *cobra.Command) {
 	if args := c.Args; args != nil {
 		c.Args = func(c *cobra.Command, given []string) error {
 			if err := args(c, given); err != nil {
-				return usage("%v; see %s --help", err, c.CommandPath())
+				return usageErrorf("%v; see %s --help", err, c.CommandPath())
 			}
 			return nil
 		}
 	}
 	for _, sub := range c.Commands() {
-		wrongUsage(sub)
+		wrapArgumentErrors(sub)
 	}
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Tell what this program was built from", Example: "  cache-routerctl version",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintln(c.OutOrStdout(), "cache-routerctl", builtFrom())
+			_, err := fmt.Fprintln(c.OutOrStdout(), "cache-routerctl", buildRevision())
 			return err
 		}}
 }
 
-// builtFrom is the commit that this program was built from.
-func builtFrom() string {
+// buildRevision returns the commit that this program was built from.
+func buildRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
--- a/cmd/cache-routerctl/policy.go
+++ b/cmd/cache-routerctl/policy.go
@@ -21,7 +21,7 @@
 	"spurtrestle/internal/policy"
 )
 
-func (a *app) policy() *cobra.Command {
+func (*cli) policyCommand() *cobra.Command {
 	c := &cobra.Command{Use: "policy", Short: "See and change the policy that all routers of a fleet hold",
 		Long: "Every command but check asks by the operators' door of any router, which asks the keepers.\n" +
 			"Exit codes: 0 done, 1 bad input, 2 wrong usage, 7 the router or the keepers cannot be reached, 8 nowhere. See docs/policy.md.",
@@ -29,61 +29,61 @@
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	keeper := &cobra.Command{Use: "keeper", Short: "Change who keeps the policy", Example: "  cache-routerctl policy keeper replace r2 10.1.2.3:8400",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	keeper.AddCommand(policyWord("replace NAME DOOR", "Let a keeper's lost folder count no more; its new one is taken up", policycommit.RequestReplaceVoter))
-	c.AddCommand(policyCheck(), policyApply(), policyUndo(), policyShow(), policyDiff(), policyHistory(), policyStatus(), policyFound(),
-		policyWord("dead NAME DOOR", "Say that a router is dead, and cannot be serving under what it had", policycommit.RequestMarkDead), keeper)
+	keeper.AddCommand(policyActionCommand("replace NAME DOOR", "Let a keeper's lost folder count no more; its new one is taken up", policycommit.RequestReplaceVoter))
+	c.AddCommand(policyCheckCommand(), policyApplyCommand(), policyUndoCommand(), policyShowCommand(), policyDiffCommand(), policyHistoryCommand(), policyStatusCommand(), policyBootstrapCommand(),
+		policyActionCommand("dead NAME DOOR", "Say that a router is dead, and cannot be serving under what it had", policycommit.RequestMarkDead), keeper)
 	return c
 }
 
-func askPolicy(ctx context.Context, door string, q policycommit.Request) (s policycommit.Reply, text string, err error) {
-	body, err := json.Marshal(q)
+func queryPolicy(ctx context.Context, endpoint string, request policycommit.Request) (reply policycommit.Reply, text string, err error) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return s, "", err
+		return reply, "", err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+door+"/ops/policy/ask", bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpoint+"/ops/policy/ask", bytes.NewReader(body))
 	if err != nil {
-		return s, "", err
+		return reply, "", err
 	}
-	a, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(httpRequest)
 	if err != nil {
-		return s, "", coded{exitUnreachable, err}
+		return reply, "", exitError{exitUnreachable, err}
 	}
-	defer a.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(a.Body, 16<<20))
+	defer response.Body.Close()
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, 16<<20))
 	if err != nil {
-		return s, "", coded{exitUnreachable, err}
+		return reply, "", exitError{exitUnreachable, err}
 	}
 	switch {
-	case a.StatusCode != http.StatusOK && strings.Contains(string(out), "line "):
-		return s, "", errors.New(strings.TrimSpace(string(out)))
-	case a.StatusCode != http.StatusOK:
-		return s, "", coded{exitUnreachable, errors.New(strings.TrimSpace(string(out)))}
+	case response.StatusCode != http.StatusOK && strings.Contains(string(responseBody), "line "):
+		return reply, "", errors.New(strings.TrimSpace(string(responseBody)))
+	case response.StatusCode != http.StatusOK:
+		return reply, "", exitError{exitUnreachable, errors.New(strings.TrimSpace(string(responseBody)))}
 	}
-	if q.Type == policycommit.RequestBootstrap {
-		return s, string(out), nil
+	if request.Type == policycommit.RequestBootstrap {
+		return reply, string(responseBody), nil
 	}
-	if err := json.Unmarshal(out, &s); err != nil {
-		return s, "", fmt.Errorf("what %s says cannot be read: %w", door, err)
+	if err := json.Unmarshal(responseBody, &reply); err != nil {
+		return reply, "", fmt.Errorf("what %s says cannot be read: %w", endpoint, err)
 	}
-	if s.Error != "" {
-		return s, "", errors.New(s.Error)
+	if reply.Error != "" {
+		return reply, "", errors.New(reply.Error)
 	}
-	return s, string(out), nil
+	return reply, string(responseBody), nil
 }
 
-// lastArg checks that the last argument is an admin endpoint.
-func lastArg(n int) cobra.PositionalArgs {
+// endpointAsLastArg checks that there are n arguments and that the last is the address of an admin endpoint.
+func endpointAsLastArg(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
 			return fmt.Errorf("%d arguments are wanted, the last of them a router's door", n)
 		}
-		return doors(c, args[n-1:])
+		return validateEndpoints(c, args[n-1:])
 	}
 }
 
-func policyCheck() *cobra.Command {
+func policyCheckCommand() *cobra.Command {
 	var file string
 	c := &cobra.Command{Use: "check FILE", Short: "Tell what is wrong in a policy, by the configuration of a router", Args: cobra.ExactArgs(1),
 		Example: "  cache-routerctl policy check policy.toml --config router.json",
@@ -132,57 +132,57 @@
 	return string(text), nil
 }
 
-// change is what apply and undo share.
-type change struct {
-	statement
+// policyChange holds the flags that apply and undo share.
+type policyChange struct {
+	auditInfo
 	base  uint64
 	token string
 }
 
-func (x *change) flags(c *cobra.Command) {
+func (x *policyChange) flags(c *cobra.Command) {
 	c.Flags().Uint64Var(&x.base, "base", 0, "the revision that it was made for; it is refused if another is in force")
 	c.Flags().StringVar(&x.token, "token", "", "of an earlier try whose answer was lost: the same verdict is told again")
-	x.statement.flags(c, "who makes the change", "why, for those who look at it later")
+	x.auditInfo.flags(c, "who makes the change", "why, for those who look at it later")
 }
 
-func (x *change) apply(c *cobra.Command, door, doc string) error {
+func (ch *policyChange) apply(c *cobra.Command, endpoint, document string) error {
 	out := c.OutOrStdout()
-	if err := x.check(); err != nil {
+	if err := ch.validate(); err != nil {
 		return err
 	}
-	if x.token == "" {
-		x.token = crand.Text()
+	if ch.token == "" {
+		ch.token = crand.Text()
 	}
-	before, _, err := askPolicy(c.Context(), door, policycommit.Request{Type: policycommit.RequestStatus})
+	before, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestStatus})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", x.token, x.base, x.base+1, len(before.Followers))
-	if uint64(before.Current) != x.base {
-		h, _, err := askPolicy(c.Context(), door, policycommit.Request{Type: policycommit.RequestHistory})
-		if err == nil && len(h.History) > 0 && uint64(before.Current) > x.base {
+	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", ch.token, ch.base, ch.base+1, len(before.Followers))
+	if uint64(before.Current) != ch.base {
+		h, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestHistory})
+		if err == nil && len(h.History) > 0 && uint64(before.Current) > ch.base {
 			last := h.History[len(h.History)-1]
-			fmt.Fprintf(out, "revision %d is in force, by %s at %s: %s\n%s", last.Revision, last.Author, stampOf(last.RequestedAt), last.Reason,
-				lineDiff(last.Document, doc))
+			fmt.Fprintf(out, "revision %d is in force, by %s at %s: %s\n%s", last.Revision, last.Author, formatMicros(last.RequestedAt), last.Reason,
+				lineDiff(last.Document, document))
 		}
 	}
-	s, _, err := askPolicy(c.Context(), door, x.sign(policycommit.Request{Type: policycommit.RequestApply, Document: doc, Base: policycommit.Revision(x.base), Token: policycommit.Token(x.token)}))
+	s, _, err := queryPolicy(c.Context(), endpoint, ch.sign(policycommit.Request{Type: policycommit.RequestApply, Document: document, Base: policycommit.Revision(ch.base), Token: policycommit.Token(ch.token)}))
 	if err != nil {
-		return fmt.Errorf("%w; to learn what became of it ask again with --token %s", err, x.token)
+		return fmt.Errorf("%w; to learn what became of it ask again with --token %s", err, ch.token)
 	}
 	if s.Verdict == nil {
-		return fmt.Errorf("no verdict was told; ask again with --token %s", x.token)
+		return fmt.Errorf("no verdict was told; ask again with --token %s", ch.token)
 	}
 	if !s.Verdict.Committed {
-		return coded{exitNowhere, fmt.Errorf("nowhere: %s; revision %d stays in force", s.Verdict.Reason, s.Verdict.Revision)}
+		return exitError{exitNotCommitted, fmt.Errorf("nowhere: %s; revision %d stays in force", s.Verdict.Reason, s.Verdict.Revision)}
 	}
 	_, err = fmt.Fprintf(out, "everywhere: revision %d is in force\n", s.Verdict.Revision)
 	return err
 }
 
-func policyApply() *cobra.Command {
-	var x change
-	c := &cobra.Command{Use: "apply FILE DOOR", Short: "Change the policy, everywhere or nowhere", Args: lastArg(2),
+func policyApplyCommand() *cobra.Command {
+	var x policyChange
+	c := &cobra.Command{Use: "apply FILE DOOR", Short: "Change the policy, everywhere or nowhere", Args: endpointAsLastArg(2),
 		Example: "  cache-routerctl policy apply policy.toml 10.1.2.3:8400 --base 3 --reason 'less for the importers'",
 		RunE: func(c *cobra.Command, args []string) error {
 			doc, err := readPolicy(args[0])
@@ -190,7 +190,7 @@
 				return err
 			}
 			if !c.Flags().Changed("base") {
-				return usage("--base is missing: say which revision the change was made for; cache-routerctl policy status tells the one in force")
+				return usageErrorf("--base is missing: say which revision the change was made for; cache-routerctl policy status tells the one in force")
 			}
 			return x.apply(c, args[1], doc)
 		}}
@@ -198,22 +198,22 @@
 	return c
 }
 
-func policyUndo() *cobra.Command {
-	var x change
+func policyUndoCommand() *cobra.Command {
+	var x policyChange
 	var to uint64
-	c := &cobra.Command{Use: "undo DOOR", Short: "Put an earlier revision into force again, as a new one", Args: lastArg(1),
+	c := &cobra.Command{Use: "undo DOOR", Short: "Put an earlier revision into force again, as a new one", Args: endpointAsLastArg(1),
 		Example: "  cache-routerctl policy undo 10.1.2.3:8400 --to 2 --reason 'the last one shed too much'",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestStatus})
+			s, _, err := queryPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestStatus})
 			if err != nil {
 				return err
 			}
 			if !c.Flags().Changed("to") && s.Current > 0 {
 				to = uint64(s.Current) - 1
 			}
-			doc := "schema = 1\n" // each router's own settings
+			doc := "schema = 1\n" // an empty policy: each router uses its own settings
 			if to > 0 {
-				if doc, err = revision(c.Context(), args[0], to); err != nil {
+				if doc, err = fetchDocument(c.Context(), args[0], to); err != nil {
 					return err
 				}
 			}
@@ -227,25 +227,25 @@
 	return c
 }
 
-// revision is the document of one.
-func revision(ctx context.Context, door string, n uint64) (string, error) {
-	h, _, err := askPolicy(ctx, door, policycommit.Request{Type: policycommit.RequestHistory, Base: policycommit.Revision(n)})
+// fetchDocument returns the document of a policy revision.
+func fetchDocument(ctx context.Context, endpoint string, number uint64) (string, error) {
+	h, _, err := queryPolicy(ctx, endpoint, policycommit.Request{Type: policycommit.RequestHistory, Base: policycommit.Revision(number)})
 	if err != nil {
 		return "", err
 	}
 	if len(h.History) != 1 {
-		return "", fmt.Errorf("revision %d is not kept any more, or never was; cache-routerctl policy history lists them", n)
+		return "", fmt.Errorf("revision %d is not kept any more, or never was; cache-routerctl policy history lists them", number)
 	}
 	return h.History[0].Document, nil
 }
 
-func policyShow() *cobra.Command {
+func policyShowCommand() *cobra.Command {
 	var n uint64
-	c := &cobra.Command{Use: "show DOOR", Short: "Print the document in force, or that of a revision", Args: lastArg(1),
+	c := &cobra.Command{Use: "show DOOR", Short: "Print the document in force, or that of a revision", Args: endpointAsLastArg(1),
 		Example: "  cache-routerctl policy show 10.1.2.3:8400 --revision 2",
 		RunE: func(c *cobra.Command, args []string) error {
 			if !c.Flags().Changed("revision") {
-				s, _, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestStatus})
+				s, _, err := queryPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestStatus})
 				if err != nil {
 					return err
 				}
@@ -254,7 +254,7 @@
 					return err
 				}
 			}
-			doc, err := revision(c.Context(), args[0], n)
+			doc, err := fetchDocument(c.Context(), args[0], n)
 			if err != nil {
 				return err
 			}
@@ -265,18 +265,18 @@
 	return c
 }
 
-func policyDiff() *cobra.Command {
-	return &cobra.Command{Use: "diff FILE DOOR", Short: "Compare a file with the document in force", Args: lastArg(2),
+func policyDiffCommand() *cobra.Command {
+	return &cobra.Command{Use: "diff FILE DOOR", Short: "Compare a file with the document in force", Args: endpointAsLastArg(2),
 		Example: "  cache-routerctl policy diff policy.toml 10.1.2.3:8400",
 		RunE: func(c *cobra.Command, args []string) error {
 			doc, err := readPolicy(args[0])
 			if err != nil {
 				return err
 			}
-			s, _, err := askPolicy(c.Context(), args[1], policycommit.Request{Type: policycommit.RequestStatus})
+			s, _, err := queryPolicy(c.Context(), args[1], policycommit.Request{Type: policycommit.RequestStatus})
 			was := ""
 			if err == nil && s.Current > 0 {
-				was, err = revision(c.Context(), args[1], uint64(s.Current))
+				was, err = fetchDocument(c.Context(), args[1], uint64(s.Current))
 			}
 			if err != nil {
 				return err
@@ -286,7 +286,7 @@
 		}}
 }
 
-// lineDiff shows which lines only one of two texts has.
+// lineDiff returns the lines that only one of two texts has, as multisets: removed lines first, then added lines.
 func lineDiff(a, b string) string {
 	count := map[string]int{}
 	for line := range strings.Lines(b) {
@@ -309,28 +309,28 @@
 	return out.String()
 }
 
-func stampOf(at int64) string { return time.UnixMicro(at).UTC().Format(time.RFC3339) }
+func formatMicros(at int64) string { return time.UnixMicro(at).UTC().Format(time.RFC3339) }
 
-func policyHistory() *cobra.Command {
-	return keeperQuery{use: "history DOOR", short: "List the last changes, with who made them and why",
-		example: "  cache-routerctl policy history 10.1.2.3:8400", what: policycommit.RequestHistory, show: showHistory}.command()
+func policyHistoryCommand() *cobra.Command {
+	return policyQuery{use: "history DOOR", short: "List the last changes, with who made them and why",
+		example: "  cache-routerctl policy history 10.1.2.3:8400", requestType: policycommit.RequestHistory, show: showHistory}.command()
 }
 
 func showHistory(w io.Writer, s policycommit.Reply) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "revision\tat\tby\twhy")
 	for _, h := range s.History {
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", h.Revision, stampOf(h.RequestedAt), h.Author, h.Reason)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", h.Revision, formatMicros(h.RequestedAt), h.Author, h.Reason)
 	}
 	for _, e := range s.DeathReports {
-		fmt.Fprintf(t, "-\t%s\t%s\tsaid that %s is dead: %s\n", stampOf(e.RequestedAt), e.Author, e.Name, e.Reason)
+		fmt.Fprintf(t, "-\t%s\t%s\tsaid that %s is dead: %s\n", formatMicros(e.RequestedAt), e.Author, e.Name, e.Reason)
 	}
 	return t.Flush()
 }
 
-func policyStatus() *cobra.Command {
-	return keeperQuery{use: "status DOOR", short: "Show the revision in force, and how each router stands to it",
-		example: "  cache-routerctl policy status 10.1.2.3:8400", what: policycommit.RequestStatus, show: showPolicyStatus}.command()
+func policyStatusCommand() *cobra.Command {
+	return policyQuery{use: "status DOOR", short: "Show the revision in force, and how each router stands to it",
+		example: "  cache-routerctl policy status 10.1.2.3:8400", requestType: policycommit.RequestStatus, show: showPolicyStatus}.command()
 }
 
 func showPolicyStatus(w io.Writer, s policycommit.Reply) error {
@@ -356,11 +356,11 @@
 	return t.Flush()
 }
 
-func policyFound() *cobra.Command {
-	return &cobra.Command{Use: "found DOOR", Short: "Begin the policy of a fleet at a keeper, once", Args: lastArg(1),
+func policyBootstrapCommand() *cobra.Command {
+	return &cobra.Command{Use: "found DOOR", Short: "Begin the policy of a fleet at a keeper, once", Args: endpointAsLastArg(1),
 		Example: "  cache-routerctl policy found 10.1.2.3:8400",
 		RunE: func(c *cobra.Command, args []string) error {
-			_, text, err := askPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestBootstrap})
+			_, text, err := queryPolicy(c.Context(), args[0], policycommit.Request{Type: policycommit.RequestBootstrap})
 			if err != nil {
 				return err
 			}
@@ -369,15 +369,15 @@
 		}}
 }
 
-// policyWord is an operator's word on a router.
-func policyWord(use, short string, requestType policycommit.RequestType) *cobra.Command {
-	var x statement
-	c := &cobra.Command{Use: use, Short: short, Args: lastArg(2), Example: "  cache-routerctl policy " + strings.NewReplacer("NAME", "r2", "DOOR", "10.1.2.3:8400").Replace(use),
+// policyActionCommand returns a command that submits an operator's request about a router.
+func policyActionCommand(use, short string, requestType policycommit.RequestType) *cobra.Command {
+	var x auditInfo
+	c := &cobra.Command{Use: use, Short: short, Args: endpointAsLastArg(2), Example: "  cache-routerctl policy " + strings.NewReplacer("NAME", "r2", "DOOR", "10.1.2.3:8400").Replace(use),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := x.check(); err != nil {
+			if err := x.validate(); err != nil {
 				return err
 			}
-			if _, _, err := askPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: requestType, Name: args[0]})); err != nil {
+			if _, _, err := queryPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: requestType, Name: args[0]})); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintln(c.OutOrStdout(), "done")
--- a/cmd/cache-routerctl/scale.go
+++ b/cmd/cache-routerctl/scale.go
@@ -4,8 +4,8 @@
 	"github.com/spf13/cobra"
 )
 
-// scale is all that measures and plans how large a fleet can be.
-func (a *app) scale() *cobra.Command {
+// scaleCommand returns the commands that measure and estimate how large a fleet can be.
+func (a *cli) scaleCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "scale",
 		Short: "Measure what a fleet's size costs its routers",
@@ -15,6 +15,6 @@
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(a.scaleRun(), a.scaleWorker(), a.scaleSlopes(), a.scaleCapacity(), a.scaleLeader())
+	c.AddCommand(a.scaleRunCommand(), a.scaleWorkerCommand(), a.scaleSlopesCommand(), a.scaleCapacityCommand(), a.scaleLeaderCommand())
 	return c
 }
--- a/cmd/cache-routerctl/scalecapacity.go
+++ b/cmd/cache-routerctl/scalecapacity.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/scale/capacity"
 )
 
-func (a *app) scaleCapacity() *cobra.Command {
+func (*cli) scaleCapacityCommand() *cobra.Command {
 	var target, ofLeader, write, check, output string
 	var measured []string
 	c := &cobra.Command{
@@ -23,19 +23,19 @@
 			"  cache-routerctl scale capacity --target docs/scale/target.toml --measured docs/scale/flat.json docs/scale/tiered.json --leader docs/scale/leader/leader.json --check docs/CAPACITY.md",
 		RunE: func(c *cobra.Command, more []string) error {
 			if target == "" {
-				return usage("--target: names no file; give that of the fleet, as docs/scale/target.toml")
+				return usageErrorf("--target: names no file; give that of the fleet, as docs/scale/target.toml")
 			}
 			if len(more) > 0 && len(measured) == 0 {
-				return usage("%q is no argument; name results by --measured", more[0])
+				return usageErrorf("%q is no argument; name results by --measured", more[0])
 			}
 			if write != "" && check != "" {
-				return usage("--write and --check are both given; use one of them")
+				return usageErrorf("--write and --check are both given; use one of them")
 			}
-			report, err := workCapacity(target, append(measured, more...), ofLeader) // a shell gives more files after the first
+			report, err := newCapacityReport(target, append(measured, more...), ofLeader) // a shell pattern after --measured gives more files as arguments
 			if err != nil {
 				return err
 			}
-			return putCapacity(c.OutOrStdout(), report, write, check, output)
+			return outputCapacity(c.OutOrStdout(), report, write, check, output)
 		},
 	}
 	c.Flags().StringVar(&target, "target", "", "file of the fleet that is asked about")
@@ -43,11 +43,11 @@
 	c.Flags().StringVar(&ofLeader, "leader", "", "what cache-routerctl scale leader measured")
 	c.Flags().StringVar(&write, "write", "", "write the page into this file")
 	c.Flags().StringVar(&check, "check", "", "tell whether this page follows from its figures")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func workCapacity(target string, files []string, ofLeader string) (capacity.Report, error) {
+func newCapacityReport(target string, files []string, ofLeader string) (capacity.Report, error) {
 	text, err := os.ReadFile(target)
 	if err != nil {
 		return capacity.Report{}, capacity.FieldError{File: target, Field: "the file", Problem: err.Error(), Remedy: "name the file of a fleet, as docs/scale/target.toml"}
@@ -60,15 +60,15 @@
 	if err != nil {
 		return capacity.Report{}, err
 	}
-	slopes, err := readLeader(ofLeader)
+	slopes, err := readLeaderModel(ofLeader)
 	if err != nil {
 		return capacity.Report{}, err
 	}
 	return capacity.NewReport(wanted, measured, slopes), nil
 }
 
-// readLeader is nil where no file is named.
-func readLeader(file string) (*capacity.LeaderModel, error) {
+// readLeaderModel reads and fits the results of scale leader; it returns nil without a file name.
+func readLeaderModel(file string) (*capacity.LeaderModel, error) {
 	if file == "" {
 		return nil, nil
 	}
@@ -83,15 +83,15 @@
 	return capacity.FitLeader(filepath.Base(file), &f), nil
 }
 
-// putCapacity prints, writes or checks the page.
-func putCapacity(w io.Writer, report capacity.Report, write, check, output string) error {
+// outputCapacity prints, writes or checks the page.
+func outputCapacity(w io.Writer, report capacity.Report, write, check, output string) error {
 	page, err := capacity.Page(report)
 	if err != nil {
 		return err
 	}
 	switch {
 	case write != "":
-		return writeWhole(write, page)
+		return writeFileAtomically(write, page)
 	case check != "":
 		has, err := os.ReadFile(check)
 		if err != nil {
@@ -105,38 +105,38 @@
 	return err
 }
 
-// writeWhole puts a file into place by a name beside it, so that no half of it is ever there.
-func writeWhole(file, text string) error {
-	refused := func(err error) error {
+// writeFileAtomically replaces a file by renaming a temporary file of the same directory, so that it is never partially written.
+func writeFileAtomically(file, text string) error {
+	fieldErr := func(err error) error {
 		return capacity.FieldError{File: file, Field: "the file", Problem: err.Error(), Remedy: "name one in a folder that can be written"}
 	}
-	if err := replaceable(file); err != nil {
-		return refused(err)
+	if err := checkReplaceable(file); err != nil {
+		return fieldErr(err)
 	}
-	beside, err := os.CreateTemp(filepath.Dir(file), "."+filepath.Base(file)+"-*")
+	temp, err := os.CreateTemp(filepath.Dir(file), "."+filepath.Base(file)+"-*")
 	if err != nil {
-		return refused(err)
+		return fieldErr(err)
 	}
-	defer os.Remove(beside.Name()) // gone already where it took its place
+	defer os.Remove(temp.Name()) // has no effect after the rename
 	const readable = 0o644
-	_, err = io.WriteString(beside, text)
+	_, err = io.WriteString(temp, text)
 	if err == nil {
-		err = beside.Chmod(readable)
+		err = temp.Chmod(readable)
 	}
-	if closed := beside.Close(); err == nil {
+	if closed := temp.Close(); err == nil {
 		err = closed
 	}
 	if err == nil {
-		err = os.Rename(beside.Name(), file)
+		err = os.Rename(temp.Name(), file)
 	}
 	if err != nil {
-		return refused(fmt.Errorf("it was not written: %w", err))
+		return fieldErr(fmt.Errorf("it was not written: %w", err))
 	}
 	return nil
 }
 
-// replaceable tells why a file may not be put in place of what has its name: a device or a folder is not to be replaced.
-func replaceable(file string) error {
+// checkReplaceable reports an existing file that is not a regular file, such as a device or a directory: it must not be replaced.
+func checkReplaceable(file string) error {
 	info, err := os.Stat(file)
 	if err == nil && !info.Mode().IsRegular() {
 		return fmt.Errorf("%s is no regular file", file)
--- a/cmd/cache-routerctl/scalecapacity_test.go
+++ b/cmd/cache-routerctl/scalecapacity_test.go
@@ -16,10 +16,10 @@
 	"spurtrestle/internal/scale/result"
 )
 
-const ourFleet = "../../docs/scale/target.toml"
+const targetFile = "../../docs/scale/target.toml"
 
-// madeRuns writes a file of made-up results, a line through all sizes.
-func madeRuns(t *testing.T, name string) string {
+// writeSyntheticResults writes a result file in which the bytes per router grow linearly with the size.
+func writeSyntheticResults(t *testing.T, name string) string {
 	t.Helper()
 	file := result.File{Format: result.Format, Build: "made", Cores: 1}
 	for _, size := range []int{50, 100, 200, 400, 800} {
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), name)
-	write(t, path, text)
+	writeFile(t, path, text)
 	return path
 }
 
-func execute(c *cobra.Command, args ...string) (string, error) {
+func executeCommand(c *cobra.Command, args ...string) (string, error) {
 	var out bytes.Buffer
 	c.SilenceErrors, c.SilenceUsage = true, true
 	c.SetArgs(args)
@@ -48,9 +48,9 @@
 	return out.String(), err
 }
 
-func TestScaleSlopes(t *testing.T) {
-	runs := madeRuns(t, "flat.json")
-	text, err := execute((&app{}).scaleSlopes(), runs)
+func TestScaleSlopes_FitsLinearGrowth(t *testing.T) {
+	runs := writeSyntheticResults(t, "flat.json")
+	text, err := executeCommand((&cli{}).scaleSlopesCommand(), runs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,9 +61,9 @@
 		}
 	}
 	if !strings.HasPrefix(line, "flat/rest/bytes 15 50 to 800 n ") {
-		t.Errorf("%q in\n%s", line, text)
+		t.Errorf("got line %q in\n%s", line, text)
 	}
-	text, err = execute((&app{}).scaleSlopes(), "--output", "json", runs)
+	text, err = executeCommand((&cli{}).scaleSlopesCommand(), "--output", "json", runs)
 	var series []struct {
 		Figure string
 		Choice struct {
@@ -81,91 +81,91 @@
 		}
 	}
 	if !found {
-		t.Errorf("no slope of 1 byte a router in\n%s", text)
+		t.Errorf("no linear model with a slope of 1 byte per router in\n%s", text)
 	}
 }
 
-func TestScaleCapacityWritesAndChecks(t *testing.T) {
-	runs, page := madeRuns(t, "flat.json"), filepath.Join(t.TempDir(), "page.md")
-	if _, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--measured", runs, "--write", page); err != nil {
+func TestScaleCapacity_WritesAndChecksPage(t *testing.T) {
+	runs, page := writeSyntheticResults(t, "flat.json"), filepath.Join(t.TempDir(), "page.md")
+	if _, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--measured", runs, "--write", page); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--measured", runs, "--check", page); err != nil {
+	if _, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--measured", runs, "--check", page); err != nil {
 		t.Fatal(err)
 	}
-	_, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--check", page)
+	_, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--check", page)
 	var stale capacity.StaleError
 	if !errors.As(err, &stale) || stale.Page != page || !strings.Contains(err.Error(), "write it anew") {
-		t.Error("without its runs it is not the same page:", err)
+		t.Errorf("page checked without its results: got error %v, want a StaleError", err)
 	}
 	beside, err := os.ReadDir(filepath.Dir(page))
 	if err != nil || len(beside) != 1 {
-		t.Error(err, beside)
+		t.Errorf("got files %v and error %v, want only the page", beside, err)
 	}
-	text, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--measured", runs, "--output", "json")
+	text, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--measured", runs, "--output", "json")
 	var report map[string]any
 	if err != nil || json.Unmarshal([]byte(text), &report) != nil || report["breaks"] == nil {
 		t.Error(err)
 	}
 }
 
-func TestScaleCapacityRefuses(t *testing.T) {
+func TestScaleCapacity_RejectsInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	empty, page := filepath.Join(dir, "empty.toml"), filepath.Join(dir, "page.md")
-	write(t, empty, []byte("routers = 0\n"))
+	writeFile(t, empty, []byte("routers = 0\n"))
 	broken := filepath.Join(dir, "broken.json")
-	write(t, broken, []byte("{"))
-	runs := madeRuns(t, "flat.json")
+	writeFile(t, broken, []byte("{"))
+	runs := writeSyntheticResults(t, "flat.json")
 	for _, c := range []struct {
 		args  []string
 		parts string
 		code  int
 	}{
 		{[]string{"--write", page}, "--target", exitUsage},
-		{[]string{"--target", ourFleet, "--write", page, "--check", page}, "--check", exitUsage},
-		{[]string{"--target", ourFleet, runs}, "--measured", exitUsage},
-		{[]string{"--target", ourFleet, "--output", "xml"}, "--output", exitUsage},
+		{[]string{"--target", targetFile, "--write", page, "--check", page}, "--check", exitUsage},
+		{[]string{"--target", targetFile, runs}, "--measured", exitUsage},
+		{[]string{"--target", targetFile, "--output", "xml"}, "--output", exitUsage},
 		{[]string{"--target", empty, "--write", page}, "empty.toml: line 1: routers: is 0; give a number above 0", exitFailed},
 		{[]string{"--target", filepath.Join(dir, "none"), "--write", page}, "none: the file", exitFailed},
-		{[]string{"--target", ourFleet, "--measured", broken, "--write", page}, "broken.json: the file", exitFailed},
-		{[]string{"--target", ourFleet, "--measured", runs, runs, "--write", page}, "name each file once", exitFailed},
-		{[]string{"--target", ourFleet, "--write", filepath.Join(dir, "none", "page.md")}, "page.md: the file", exitFailed},
-		{[]string{"--target", ourFleet, "--check", page}, "write it by --write", exitFailed},
+		{[]string{"--target", targetFile, "--measured", broken, "--write", page}, "broken.json: the file", exitFailed},
+		{[]string{"--target", targetFile, "--measured", runs, runs, "--write", page}, "name each file once", exitFailed},
+		{[]string{"--target", targetFile, "--write", filepath.Join(dir, "none", "page.md")}, "page.md: the file", exitFailed},
+		{[]string{"--target", targetFile, "--check", page}, "write it by --write", exitFailed},
 	} {
-		_, err := execute((&app{}).scaleCapacity(), c.args...)
+		_, err := executeCommand((&cli{}).scaleCapacityCommand(), c.args...)
 		if err == nil || !strings.Contains(err.Error(), c.parts) {
-			t.Errorf("%v: %v", c.args, err)
+			t.Errorf("%v: got error %v, want one that contains %q", c.args, err, c.parts)
 			continue
 		}
 		code := exitFailed
-		var own coded
+		var own exitError
 		if errors.As(err, &own) {
 			code = own.code
 		}
 		if code != c.code {
-			t.Errorf("%v: exit %d, want %d", c.args, code, c.code)
+			t.Errorf("%v: got exit code %d, want %d", c.args, code, c.code)
 		}
 		if _, err := os.Stat(page); err == nil {
-			t.Fatalf("%v: a page is there", c.args)
+			t.Fatalf("%v: a page was written", c.args)
 		}
 	}
 }
 
-func TestScaleLeader(t *testing.T) {
+func TestScaleLeader_WritesReadableResults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "leader.json")
-	c := (&app{}).scaleLeader()
+	c := (&cli{}).scaleLeaderCommand()
 	c.SetContext(t.Context())
-	if text, err := execute(c, "--sizes", "5,10", "--seeds", "2", "--span", "1ms", "--write", file); err != nil {
+	if text, err := executeCommand(c, "--sizes", "5,10", "--seeds", "2", "--span", "1ms", "--write", file); err != nil {
 		t.Fatal(text, err)
 	}
-	page, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--leader", file)
+	page, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--leader", file)
 	if err != nil || !strings.Contains(page, "not fitted") && !strings.Contains(page, "no trial of the leader") {
-		t.Error("two sizes tell no slope:", err)
+		t.Errorf("results of only two sizes: got error %v and a page that does not say that the leader was not fitted", err)
 	}
-	if _, err := execute((&app{}).scaleCapacity(), "--target", ourFleet, "--leader", ourFleet); err == nil || !strings.Contains(err.Error(), "cache-routerctl scale leader") {
+	if _, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--leader", targetFile); err == nil || !strings.Contains(err.Error(), "cache-routerctl scale leader") {
 		t.Error(err)
 	}
-	if _, err := execute((&app{}).scaleLeader(), "--sizes", "0"); err == nil {
-		t.Error("a roster of nobody")
+	if _, err := executeCommand((&cli{}).scaleLeaderCommand(), "--sizes", "0"); err == nil {
+		t.Error("--sizes 0: got no error")
 	}
 }
--- a/cmd/cache-routerctl/scaleleader.go
+++ b/cmd/cache-routerctl/scaleleader.go
@@ -13,7 +13,7 @@
 	"spurtrestle/internal/scale/leader"
 )
 
-func (a *app) scaleLeader() *cobra.Command {
+func (*cli) scaleLeaderCommand() *cobra.Command {
 	var output, write string
 	var sizes []int
 	var seeds int
@@ -29,7 +29,7 @@
 			if err := checkLeaderFlags(sizes, seeds, span); err != nil {
 				return err
 			}
-			file := leader.File{Format: leader.Format, Kind: leader.Kind, Build: builtFrom(), Cores: runtime.NumCPU()}
+			file := leader.File{Format: leader.Format, Kind: leader.Kind, Build: buildRevision(), Cores: runtime.NumCPU()}
 			var stopped error
 			for seed := 1; seed <= seeds && stopped == nil; seed++ {
 				for _, routers := range sizes {
@@ -44,7 +44,7 @@
 					fmt.Fprintf(c.ErrOrStderr(), "%d routers, seed %d\n", routers, seed)
 				}
 			}
-			if err := putLeader(c, file, write, output); err != nil {
+			if err := outputLeader(c, file, write, output); err != nil {
 				return err
 			}
 			if stopped != nil {
@@ -57,30 +57,30 @@
 	c.Flags().IntVar(&seeds, "seeds", 3, "rosters of each size")
 	c.Flags().DurationVar(&span, "span", 300*time.Millisecond, "for which each part is timed at least")
 	c.Flags().StringVar(&write, "write", "", "write the results into this file, as JSON")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
 func checkLeaderFlags(sizes []int, seeds int, span time.Duration) error {
-	const most = 200_000 // some hundred MB
+	const most = 200_000 // uses several hundred MB
 	for _, n := range sizes {
 		if n < 1 || n > most {
-			return usage("--sizes: %d is not within 1 to %d", n, most)
+			return usageErrorf("--sizes: %d is not within 1 to %d", n, most)
 		}
 	}
 	if len(sizes) == 0 || seeds < 1 || span <= 0 {
-		return usage("--sizes, --seeds and --span: give one or more of each, and a span above 0")
+		return usageErrorf("--sizes, --seeds and --span: give one or more of each, and a span above 0")
 	}
 	return nil
 }
 
-func putLeader(c *cobra.Command, file leader.File, write, output string) error {
+func outputLeader(c *cobra.Command, file leader.File, write, output string) error {
 	if write != "" {
 		text, err := json.MarshalIndent(file, "", " ")
 		if err != nil {
 			return err
 		}
-		return writeWhole(write, string(text)+"\n")
+		return writeFileAtomically(write, string(text)+"\n")
 	}
 	if output == "json" {
 		return writeJSON(c.OutOrStdout(), file)
@@ -94,11 +94,11 @@
 	return table.Flush()
 }
 
-// processorTime is what this process has used, of all cores: what others on the machine use is not in it.
+// processorTime returns the CPU time of this process over all cores. Other load on the machine does not affect it.
 func processorTime() time.Duration {
 	var used unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &used) != nil {
-		return 0 // it cannot fail for the own process
+		return 0 // cannot fail for the calling process
 	}
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
--- a/cmd/cache-routerctl/scalerun.go
+++ b/cmd/cache-routerctl/scalerun.go
@@ -15,8 +15,8 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// scaleRun plays a scale scenario.
-func (a *app) scaleRun() *cobra.Command {
+// scaleRunCommand returns the command that runs a scale scenario.
+func (a *cli) scaleRunCommand() *cobra.Command {
 	var into string
 	var sizes []int
 	var seeds []uint
@@ -33,16 +33,16 @@
 			if err != nil {
 				return err
 			}
-			part, err := s.Part(sizes, wide(seeds), named(faults))
+			part, err := s.Part(sizes, toUint64(seeds), toFaults(faults))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			options, err := a.scaleOptions(into, more)
+			options, err := a.scaleRunOptions(into, more)
 			if err != nil {
 				return err
 			}
 			if part.Real > 0 {
-				if options.Router, err = routerProgram(router, "cache-router-fleet"); err != nil {
+				if options.Router, err = routerBinary(router, "cache-router-fleet"); err != nil {
 					return err
 				}
 			}
@@ -57,7 +57,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			return scaleVerdict(part, file.Trials)
+			return checkTrials(part, file.Trials)
 		}}
 	c.Flags().StringVar(&into, "json", "", "file for the result as JSON, written after each trial")
 	c.Flags().StringVar(&router, "router", "", "program of the real routers (default: cache-router-fleet beside this program)")
@@ -68,26 +68,26 @@
 	return c
 }
 
-func named(faults []string) (all []result.Fault) {
+func toFaults(faults []string) (all []result.Fault) {
 	for _, f := range faults {
 		all = append(all, result.Fault(f))
 	}
 	return all
 }
 
-func wide(seeds []uint) (all []uint64) {
+func toUint64(seeds []uint) (all []uint64) {
 	for _, s := range seeds {
 		all = append(all, uint64(s))
 	}
 	return all
 }
 
-func (a *app) scaleOptions(into string, more bool) (o scale.Options, err error) {
+func (a *cli) scaleRunOptions(into string, more bool) (o scale.Options, err error) {
 	var before result.File
 	if more && into == "" {
-		return o, usage("--append: there is no file to add to; name it by --json")
+		return o, usageErrorf("--append: there is no file to add to; name it by --json")
 	}
-	if err := writable(into); err != nil {
+	if err := checkWritable(into); err != nil {
 		return o, err
 	}
 	if more {
@@ -103,12 +103,12 @@
 	if err != nil {
 		return o, err
 	}
-	return scale.Options{Program: []string{program, "scale", "worker"}, Build: builtFrom(), Cores: runtime.NumCPU(), Machine: machine, Before: before.Trials,
+	return scale.Options{Program: []string{program, "scale", "worker"}, Build: buildRevision(), Cores: runtime.NumCPU(), Machine: machine, Before: before.Trials,
 		Progress: func(line string) { a.log.Info(line) },
 		Finished: func(file result.File) error { return writeResult(into, file) }}, nil
 }
 
-// readResult reads a result that is added to; there may be none yet.
+// readResult reads the result file that new trials are appended to. It returns an empty result if there is no file.
 func readResult(name string) (file result.File, err error) {
 	text, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -123,12 +123,12 @@
 	if err != nil {
 		return file, fmt.Errorf("--append: %w; name a file that scale run has written", err)
 	}
-	keepBuild(&file)
+	fillTrialBuilds(&file)
 	return file, nil
 }
 
-// keepBuild notes with each trial which build it is of, since the file's own becomes that of the last run.
-func keepBuild(file *result.File) {
+// fillTrialBuilds sets the build of each trial that has none, because the build of the file will become that of the new run.
+func fillTrialBuilds(file *result.File) {
 	for i := range file.Trials {
 		if file.Trials[i].Build == "" {
 			file.Trials[i].Build = file.Build
@@ -136,35 +136,35 @@
 	}
 }
 
-// writable tells before a long run whether its result can be written; an empty name means that nobody wants it.
-func writable(name string) error {
+// checkWritable checks before a long run that its result can be written. An empty name means that no result is written.
+func checkWritable(name string) error {
 	if name == "" {
 		return nil
 	}
-	f, err := os.Create(name + partSuffix)
+	f, err := os.Create(name + tempSuffix)
 	if err != nil {
 		return fmt.Errorf("--json: %w; name a file in a folder that can be written", err)
 	}
 	return errors.Join(f.Close(), os.Remove(f.Name()))
 }
 
-// partSuffix is that of a result which is not whole yet.
-const partSuffix = ".new"
+// tempSuffix is appended to the name of a result file while it is written.
+const tempSuffix = ".new"
 
-// writeResult writes the file whole or not at all; an empty name means that nobody wants it.
+// writeResult writes a result file atomically. An empty name means that no result is written.
 func writeResult(name string, file result.File) error {
 	if name == "" {
 		return nil
 	}
 	text, err := json.MarshalIndent(file, "", " ")
 	if err == nil {
-		err = replaceable(name)
+		err = checkReplaceable(name)
 	}
 	if err == nil {
-		err = os.WriteFile(name+partSuffix, append(text, '\n'), 0o644)
+		err = os.WriteFile(name+tempSuffix, append(text, '\n'), 0o644)
 	}
 	if err == nil {
-		err = os.Rename(name+partSuffix, name)
+		err = os.Rename(name+tempSuffix, name)
 	}
 	if err != nil {
 		return fmt.Errorf("--json: %w; name a file in a folder that can be written", err)
@@ -172,20 +172,20 @@
 	return nil
 }
 
-func scaleVerdict(s scale.Scenario, trials []result.Trial) error {
+func checkTrials(s scale.Scenario, trials []result.Trial) error {
 	for _, t := range trials {
 		if t.Incomplete != "" {
-			return coded{exitVoid, fmt.Errorf("%d routers, seed %d: incomplete: %s", t.Routers, t.Seed, t.Incomplete)}
+			return exitError{exitInvalidRun, fmt.Errorf("%d routers, seed %d: incomplete: %s", t.Routers, t.Seed, t.Incomplete)}
 		}
 	}
 	if err := s.Kept(trials); err != nil {
-		return coded{exitMissed, err}
+		return exitError{exitExpectationMissed, err}
 	}
 	return nil
 }
 
-// scaleWorker holds hollow routers for scale run.
-func (a *app) scaleWorker() *cobra.Command {
+// scaleWorkerCommand returns the command that runs simulated ("hollow") routers for scale run.
+func (*cli) scaleWorkerCommand() *cobra.Command {
 	return &cobra.Command{Use: "worker", Hidden: true, Short: "Hold hollow routers for cache-routerctl scale run, steered by standard input",
 		Example: "  cache-routerctl scale worker < requests", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return scale.Work(c.InOrStdin(), c.OutOrStdout()) }}
--- a/cmd/cache-routerctl/scalerun_test.go
+++ b/cmd/cache-routerctl/scalerun_test.go
@@ -8,8 +8,8 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// A file that is added to gets the build of the new trials; those that it had keep theirs.
-func TestAddedTrialsKeepTheirBuild(t *testing.T) {
+// With --append, the file gets the build of the new trials. Earlier trials must keep the build that they were measured with.
+func TestReadResult_KeepsBuildOfEarlierTrials(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "old.json")
 	old := result.File{Format: result.Format, Build: "first", Trials: []result.Trial{{Routers: 1}, {Routers: 2, Build: "earlier"}}}
 	if err := writeResult(name, old); err != nil {
@@ -26,6 +26,6 @@
 		t.Fatal(err)
 	}
 	if _, err := readResult(name); err == nil {
-		t.Error("half a file was read")
+		t.Error("a truncated file was read without an error")
 	}
 }
--- a/cmd/cache-routerctl/scaleslopes.go
+++ b/cmd/cache-routerctl/scaleslopes.go
@@ -12,7 +12,7 @@
 	"spurtrestle/internal/scale/capacity"
 )
 
-func (a *app) scaleSlopes() *cobra.Command {
+func (*cli) scaleSlopesCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{
 		Use:   "slopes FILE.json...",
@@ -34,11 +34,11 @@
 			return slopesTable(c.OutOrStdout(), evidence.Series)
 		},
 	}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-// readMeasured reads files of results; each is known by its base name, wherever it lies.
+// readMeasured reads result files. They are identified by their base names, which must be distinct.
 func readMeasured(files []string) ([]capacity.ResultFile, error) {
 	var all []capacity.ResultFile
 	names := map[string]string{}
--- a/cmd/cache-routerctl/scalewrite_test.go
+++ b/cmd/cache-routerctl/scalewrite_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A result takes the place of a file alone, never of a device or a folder that has the name.
-func TestResultReplacesFilesAlone(t *testing.T) {
+// Output replaces only regular files, never a device or a directory of the same name.
+func TestWriteFileAtomically_ReplacesRegularFilesOnly(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "folder")
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -19,11 +19,11 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{folder, device} {
-		if err := writeWhole(name, "text"); err == nil || !strings.Contains(err.Error(), "is no regular file") {
-			t.Errorf("%s: %v", name, err)
+		if err := writeFileAtomically(name, "text"); err == nil || !strings.Contains(err.Error(), "is no regular file") {
+			t.Errorf("%s: got error %v, want one that names it as no regular file", name, err)
 		}
 	}
-	if err := writeWhole(filepath.Join(dir, "page.md"), "text"); err != nil {
+	if err := writeFileAtomically(filepath.Join(dir, "page.md"), "text"); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -17,18 +17,18 @@
 	"spurtrestle/internal/snapshot"
 )
 
-func (a *app) state() *cobra.Command {
+func (a *cli) stateCommand() *cobra.Command {
 	c := &cobra.Command{Use: "state", Short: "Look at what a router has kept of what it learned",
 		Long: "Every command takes a state file, or the folder of a router, of which it reads the newest generation that is good.\n" +
 			"None of them changes anything but `upgrade`. See docs/state.md.",
 		Example: "  cache-routerctl state show /var/lib/spurtrestle/n1", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.AddCommand(a.showState(), a.verifyState(), a.diffState(), a.upgradeState())
+	c.AddCommand(a.stateShowCommand(), a.stateVerifyCommand(), a.stateDiffCommand(), a.stateUpgradeCommand())
 	return c
 }
 
-// readState reads a file, or the newest good generation of a folder.
-func readState(path string) (s snapshot.State, from string, passed []error, err error) {
+// readState reads a state file, or the newest valid generation of a directory. skipped holds the errors of newer generations.
+func readState(path string) (s snapshot.State, from string, skipped []error, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return s, path, nil, err
@@ -53,88 +53,89 @@
 	return s, path, nil, nil
 }
 
-// shownServer is a server as it was written and as it would be restored now.
-type shownServer struct {
-	UID      string  `json:"uid"`
-	Age      string  `json:"evidence_age"`
-	TimeMs   float64 `json:"time_ms"`
-	QuickMs  float64 `json:"quickest_ms"`
-	Answers  int     `json:"answers"`
-	Restored int     `json:"restored_answers"`
-	Rate     float64 `json:"answers_per_second"`
-	Aside    bool    `json:"aside"`
-	AsideNow bool    `json:"restored_aside"`
-	Started  string  `json:"started,omitempty"`
+// serverSummary is the learned state of a server as it was written, and as it would be restored now.
+type serverSummary struct {
+	UID             string  `json:"uid"`
+	Age             string  `json:"evidence_age"`
+	LatencyMs       float64 `json:"time_ms"`
+	FastestMs       float64 `json:"quickest_ms"`
+	Answers         int     `json:"answers"`
+	RestoredAnswers int     `json:"restored_answers"`
+	Rate            float64 `json:"answers_per_second"`
+	Ejected         bool    `json:"aside"`
+	EjectedNow      bool    `json:"restored_aside"`
+	Started         string  `json:"started,omitempty"`
 }
 
-type shown struct {
-	File     string             `json:"file"`
-	Version  int                `json:"version"`
-	Router   string             `json:"router"`
-	Written  string             `json:"written"`
-	Age      string             `json:"age"`
-	Weights  map[string]float64 `json:"weights"`
-	SeenMs   float64            `json:"usual_ms"`
-	QuickMs  float64            `json:"quickest_ms"`
-	Traffic  float64            `json:"reqs_per_second"`
-	Watched  string             `json:"restored_watched_for"`
-	Budget   float64            `json:"retry_budget"`
-	BudgetIs float64            `json:"restored_retry_budget"`
-	Methods  map[string]float64 `json:"methods_ms"`
-	HotKeys  int                `json:"keys"`
-	KeysNow  int                `json:"restored_keys"`
-	Servers  []shownServer      `json:"servers"`
+// stateSummary is the content of a state file, and what a router would restore from it now.
+type stateSummary struct {
+	File           string             `json:"file"`
+	Version        int                `json:"version"`
+	Router         string             `json:"router"`
+	Written        string             `json:"written"`
+	Age            string             `json:"age"`
+	Weights        map[string]float64 `json:"weights"`
+	LatencyMs      float64            `json:"usual_ms"`
+	FastestMs      float64            `json:"quickest_ms"`
+	RequestRate    float64            `json:"reqs_per_second"`
+	ObservedFor    string             `json:"restored_watched_for"`
+	RetryBudget    float64            `json:"retry_budget"`
+	RetryBudgetNow float64            `json:"restored_retry_budget"`
+	Methods        map[string]float64 `json:"methods_ms"`
+	HotKeys        int                `json:"keys"`
+	HotKeysNow     int                `json:"restored_keys"`
+	Servers        []serverSummary    `json:"servers"`
 }
 
-func ms(t clock.Time) float64 { return float64(t) / 1e3 }
+func milliseconds(t clock.Time) float64 { return float64(t) / 1e3 }
 
-func since(now, at clock.Time) string {
+func formatAge(now, at clock.Time) string {
 	if at > now {
 		return "in the future"
 	}
 	return (time.Duration(now-at) * time.Microsecond).Round(time.Second).String()
 }
 
-func stamp(at clock.Time) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
+func formatTime(at clock.Time) string { return time.UnixMicro(int64(at)).UTC().Format(time.RFC3339) }
 
-// explain tells what a state holds, and what of it would be restored at a time.
-func explain(s snapshot.State, file string, now clock.Time) shown {
-	k := s.Knowledge
-	age := staleness.Age(now, k.CapturedAt)
-	out := shown{File: file, Version: s.Version, Router: s.Router, Written: stamp(k.CapturedAt), Age: since(now, k.CapturedAt), SeenMs: ms(k.CacheLatency.Recent),
-		QuickMs: ms(k.CacheLatency.Fastest), Traffic: k.RequestRate, Budget: k.RetryBudget, HotKeys: len(k.Keys), Methods: map[string]float64{},
-		Servers: []shownServer{}, Weights: map[string]float64{}}
-	for name, half := range map[string]clock.Time{"times": staleness.LatencyHalfLife, "quickest": staleness.FastestLatencyHalfLife, "rates": staleness.RateHalfLife,
+// summarizeState summarizes a state, and what a router would restore from it at a given time.
+func summarizeState(s snapshot.State, file string, now clock.Time) stateSummary {
+	knowledge := s.Knowledge
+	age := staleness.Age(now, knowledge.CapturedAt)
+	out := stateSummary{File: file, Version: s.Version, Router: s.Router, Written: formatTime(knowledge.CapturedAt), Age: formatAge(now, knowledge.CapturedAt), LatencyMs: milliseconds(knowledge.CacheLatency.Recent),
+		FastestMs: milliseconds(knowledge.CacheLatency.Fastest), RequestRate: knowledge.RequestRate, RetryBudget: knowledge.RetryBudget, HotKeys: len(knowledge.Keys), Methods: map[string]float64{},
+		Servers: []serverSummary{}, Weights: map[string]float64{}}
+	for name, halfLife := range map[string]clock.Time{"times": staleness.LatencyHalfLife, "quickest": staleness.FastestLatencyHalfLife, "rates": staleness.RateHalfLife,
 		"health": staleness.HealthHalfLife, "hot keys": staleness.HotKeyHalfLife, "retry budget": staleness.RetryBudgetHalfLife} {
-		out.Weights[name] = math.Round(1000*staleness.Weight(age, half)) / 1000
+		out.Weights[name] = math.Round(1000*staleness.Weight(age, halfLife)) / 1000
 	}
 	for _, m := range s.Methods {
-		out.Methods[m.Name] = ms(m.Latency)
+		out.Methods[m.Name] = milliseconds(m.Latency)
 	}
 	for i, x := range s.Servers {
 		x.Server = routing.ServerID(i)
-		k.Servers = append(k.Servers, x.ServerKnowledge)
+		knowledge.Servers = append(knowledge.Servers, x.ServerKnowledge)
 	}
-	left := staleness.Decay(k, now)
-	out.Watched = (time.Duration(left.ObservedFor) * time.Microsecond).Round(time.Millisecond).String()
-	out.BudgetIs, out.KeysNow = left.RetryBudget, len(left.Keys)
+	decayed := staleness.Decay(knowledge, now)
+	out.ObservedFor = (time.Duration(decayed.ObservedFor) * time.Microsecond).Round(time.Millisecond).String()
+	out.RetryBudgetNow, out.HotKeysNow = decayed.RetryBudget, len(decayed.Keys)
 	restored := map[routing.ServerID]routing.ServerKnowledge{}
-	for _, x := range left.Servers {
+	for _, x := range decayed.Servers {
 		restored[x.Server] = x
 	}
 	for i, x := range s.Servers {
 		r := restored[routing.ServerID(i)]
-		row := shownServer{UID: x.UID, Age: since(now, x.ObservedAt), TimeMs: ms(x.Latency.Recent), QuickMs: ms(x.Latency.Fastest), Answers: x.Latency.Samples,
-			Restored: min(r.Latency.Samples, routing.MaxRestoredSamples), Rate: x.AnswerRate, Aside: x.Ejected, AsideNow: r.Ejected}
+		row := serverSummary{UID: x.UID, Age: formatAge(now, x.ObservedAt), LatencyMs: milliseconds(x.Latency.Recent), FastestMs: milliseconds(x.Latency.Fastest), Answers: x.Latency.Samples,
+			RestoredAnswers: min(r.Latency.Samples, routing.MaxRestoredSamples), Rate: x.AnswerRate, Ejected: x.Ejected, EjectedNow: r.Ejected}
 		if x.StartedAt > 0 {
-			row.Started = stamp(x.StartedAt)
+			row.Started = formatTime(x.StartedAt)
 		}
 		out.Servers = append(out.Servers, row)
 	}
 	return out
 }
 
-func (a *app) showState() *cobra.Command {
+func (a *cli) stateShowCommand() *cobra.Command {
 	var output, at string
 	c := &cobra.Command{Use: "show FILE|FOLDER", Short: "Show a state, and what of it a router would begin with now",
 		Example: "  cache-routerctl state show /var/lib/spurtrestle/n1\n  cache-routerctl state show state.7 --at 2026-12-01T08:00:00Z --output json",
@@ -144,7 +145,7 @@
 			if at != "" {
 				var err error
 				if now, err = time.Parse(time.RFC3339, at); err != nil {
-					return usage("--at: %q is no time; write it as 2026-12-01T08:00:00Z", at)
+					return usageErrorf("--at: %q is no time; write it as 2026-12-01T08:00:00Z", at)
 				}
 			}
 			s, from, passed, err := readState(args[0])
@@ -154,14 +155,14 @@
 			for _, p := range passed {
 				a.log.WithError(p).Warn("passed over")
 			}
-			x := explain(s, from, clock.Time(now.UnixMicro()))
+			x := summarizeState(s, from, clock.Time(now.UnixMicro()))
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), x)
 			}
 			w := c.OutOrStdout()
 			fmt.Fprintf(w, "%s: version %d, of router %s, written %s (%s ago)\n", x.File, x.Version, x.Router, x.Written, x.Age)
 			fmt.Fprintf(w, "usual answer %.2f ms, quickest %.2f ms; %.1f reqs a second; retry budget %.1f, %.1f now; %d keys, %d now\n",
-				x.SeenMs, x.QuickMs, x.Traffic, x.Budget, x.BudgetIs, x.HotKeys, x.KeysNow)
+				x.LatencyMs, x.FastestMs, x.RequestRate, x.RetryBudget, x.RetryBudgetNow, x.HotKeys, x.HotKeysNow)
 			fmt.Fprint(w, "weights now:")
 			for _, name := range []string{"times", "quickest", "rates", "health", "hot keys", "retry budget"} {
 				fmt.Fprintf(w, "  %s %.3f", name, x.Weights[name])
@@ -170,16 +171,16 @@
 			t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "server\tevidence is old\ttime ms\tquickest ms\tanswers a second\tanswers\trestored as\taside\trestored")
 			for _, r := range x.Servers {
-				fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.1f\t%d\t%d\t%v\t%v\n", r.UID, r.Age, r.TimeMs, r.QuickMs, r.Rate, r.Answers, r.Restored, r.Aside, r.AsideNow)
+				fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.1f\t%d\t%d\t%v\t%v\n", r.UID, r.Age, r.LatencyMs, r.FastestMs, r.Rate, r.Answers, r.RestoredAnswers, r.Ejected, r.EjectedNow)
 			}
 			return t.Flush()
 		}}
 	c.Flags().StringVar(&at, "at", "", "as of another time than now")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func (a *app) verifyState() *cobra.Command {
+func (*cli) stateVerifyCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "verify FILE|FOLDER...", Short: "Tell whether states are whole; exit 1 where one is not",
 		Example: "  cache-routerctl state verify /var/lib/spurtrestle/*", Args: cobra.MinimumNArgs(1),
@@ -223,11 +224,11 @@
 			}
 			return nil
 		}}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func (a *app) diffState() *cobra.Command {
+func (*cli) stateDiffCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "diff A B", Short: "Show in what two states differ, of one router at two times or of two routers",
 		Example: "  cache-routerctl state diff n1/state.7 n1/state.8\n  cache-routerctl state diff n1 n2", Args: cobra.ExactArgs(2),
@@ -237,7 +238,7 @@
 			if err := errors.Join(errA, errB); err != nil {
 				return err
 			}
-			rows := differences(explain(a, fromA, a.Knowledge.CapturedAt), explain(b, fromB, b.Knowledge.CapturedAt))
+			rows := diffSummaries(summarizeState(a, fromA, a.Knowledge.CapturedAt), summarizeState(b, fromB, b.Knowledge.CapturedAt))
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), rows)
 			}
@@ -248,62 +249,64 @@
 			}
 			return t.Flush()
 		}}
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
+// difference is one value that differs between two states.
 type difference struct {
 	What string `json:"what"`
 	A    string `json:"a"`
 	B    string `json:"b"`
 }
 
-// differences leaves out times within a tenth of each other: they are never the same.
-func differences(a, b shown) (rows []difference) {
+// diffSummaries lists the differences between two states. Numbers within 10% of each other count as equal: measured values never
+// match exactly.
+func diffSummaries(a, b stateSummary) (rows []difference) {
 	rows = []difference{}
-	plain := func(what, x, y string) {
+	compareText := func(what, x, y string) {
 		if x != y {
 			rows = append(rows, difference{what, x, y})
 		}
 	}
-	number := func(what string, x, y float64) {
+	compareNumber := func(what string, x, y float64) {
 		if math.Abs(x-y) > 0.1*max(math.Abs(x), math.Abs(y)) {
 			rows = append(rows, difference{what, fmt.Sprintf("%.2f", x), fmt.Sprintf("%.2f", y)})
 		}
 	}
-	plain("router", a.Router, b.Router)
-	plain("written", a.Written, b.Written)
-	number("usual ms", a.SeenMs, b.SeenMs)
-	number("quickest ms", a.QuickMs, b.QuickMs)
-	number("reqs a second", a.Traffic, b.Traffic)
-	number("retry budget", a.Budget, b.Budget)
-	number("keys", float64(a.HotKeys), float64(b.HotKeys))
-	of := map[string]shownServer{}
+	compareText("router", a.Router, b.Router)
+	compareText("written", a.Written, b.Written)
+	compareNumber("usual ms", a.LatencyMs, b.LatencyMs)
+	compareNumber("quickest ms", a.FastestMs, b.FastestMs)
+	compareNumber("reqs a second", a.RequestRate, b.RequestRate)
+	compareNumber("retry budget", a.RetryBudget, b.RetryBudget)
+	compareNumber("keys", float64(a.HotKeys), float64(b.HotKeys))
+	serversOfB := map[string]serverSummary{}
 	for _, s := range b.Servers {
-		of[s.UID] = s
+		serversOfB[s.UID] = s
 	}
 	for _, s := range a.Servers {
-		other, there := of[s.UID]
-		delete(of, s.UID)
+		other, there := serversOfB[s.UID]
+		delete(serversOfB, s.UID)
 		if !there {
-			plain(s.UID, "known", "not known")
+			compareText(s.UID, "known", "not known")
 			continue
 		}
-		number(s.UID+" time ms", s.TimeMs, other.TimeMs)
-		number(s.UID+" quickest ms", s.QuickMs, other.QuickMs)
-		number(s.UID+" answers", float64(s.Answers), float64(other.Answers))
-		plain(s.UID+" aside", fmt.Sprint(s.Aside), fmt.Sprint(other.Aside))
-		plain(s.UID+" started", s.Started, other.Started)
+		compareNumber(s.UID+" time ms", s.LatencyMs, other.LatencyMs)
+		compareNumber(s.UID+" quickest ms", s.FastestMs, other.FastestMs)
+		compareNumber(s.UID+" answers", float64(s.Answers), float64(other.Answers))
+		compareText(s.UID+" aside", fmt.Sprint(s.Ejected), fmt.Sprint(other.Ejected))
+		compareText(s.UID+" started", s.Started, other.Started)
 	}
 	for _, s := range b.Servers {
-		if _, only := of[s.UID]; only {
-			plain(s.UID, "not known", "known")
+		if _, only := serversOfB[s.UID]; only {
+			compareText(s.UID, "not known", "known")
 		}
 	}
 	return rows
 }
 
-func (a *app) upgradeState() *cobra.Command {
+func (*cli) stateUpgradeCommand() *cobra.Command {
 	return &cobra.Command{Use: "upgrade FOLDER", Short: "Write a folder's state as a new generation in the newest version",
 		Long: "A router reads older versions by itself and writes the newest. This is for looking at it before, with no router running\n" +
 			"on the folder: the lock is taken, and the older generation stays until the next one is written.",
