--- a/cmd/cache-routerctl/bench.go
+++ b/cmd/cache-routerctl/bench.go
@@ -11,71 +11,24 @@
 	"spurtrestle/internal/lab/bench"
 )
 
+// benchOptions holds the flags of lab bench.
+type benchOptions struct {
+	router, output string
+	values, depths []int
+	conns, servers int
+	rate           float64
+	length         time.Duration
+	self           bool
+}
+
 func (*cli) labBenchCommand() *cobra.Command {
-	var o struct {
-		router, output string
-		values, depths []int
-		conns, servers int
-		rate           float64
-		length         time.Duration
-		self           bool
-	}
+	var o benchOptions
 	c := &cobra.Command{Use: "bench", Short: "Measure the router's ordinary path: one key, one server, a hit",
 		Long: "Puts one router process on one core between a load generator and servers that answer at once, and tells\n" +
 			"answers a second, latency, CPU and allocations a req. --self measures the generator against a null router.",
 		Example: "  cache-routerctl lab bench\n  cache-routerctl lab bench --values 64,8192 --depths 1,8 --length 3s\n  cache-routerctl lab bench --self --rate 50000",
 		Args:    cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if o.conns < 1 || o.conns > 300 || o.servers < 1 || o.servers > 100 || o.length < 100*time.Millisecond || o.length > time.Minute {
-				return usageErrorf("--conns is from 1 to 300, --servers from 1 to 100, --length from 100ms to 1m")
-			}
-			for _, v := range o.values {
-				if v < 1 || v > 65536 {
-					return usageErrorf("--values: %d is not from 1 to 65536", v)
-				}
-			}
-			for _, d := range o.depths {
-				if d < 1 || d > 256 {
-					return usageErrorf("--depths: %d is not from 1 to 256", d)
-				}
-			}
-			if o.self {
-				return measureGenerator(c, o.values[0], o.conns, o.rate, o.length, o.output)
-			}
-			program, err := routerBinary(o.router, "cache-router")
-			if err != nil {
-				return err
-			}
-			all := []bench.Figures{}
-			for _, value := range o.values {
-				for _, depth := range o.depths {
-					fmt.Fprintf(c.ErrOrStderr(), "%d B, depth %d: %v\n", value, depth, o.length)
-					dir, err := os.MkdirTemp("", "spurlab-")
-					if err != nil {
-						return err
-					}
-					f, err := bench.Router(c.Context(), program, dir,
-						bench.Case{Value: value, Depth: depth, Conns: o.conns, Rate: o.rate, Servers: o.servers}, o.length)
-					if err != nil {
-						return err // keep the directory: it has the log
-					}
-					if err := os.RemoveAll(dir); err != nil {
-						return err
-					}
-					all = append(all, f)
-				}
-			}
-			if o.output == "json" {
-				return writeJSON(c.OutOrStdout(), all)
-			}
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintln(t, "value\tdepth\tconns\tanswers/s\tp50 ms\tp99 ms\tCPU us/req\tallocs/req\tbytes/req\topened\tnacked\tfailed\t")
-			for _, f := range all {
-				fmt.Fprintf(t, "%d\t%d\t%d\t%.0f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%d\t%d\t%d\t\n", f.Value, f.Depth, f.Conns, f.PerSecond, f.P50, f.P99, f.CPU,
-					f.Allocs, f.Bytes, f.Opened, f.Nacked, f.Failed)
-			}
-			return t.Flush()
-		}}
+		RunE:    func(c *cobra.Command, _ []string) error { return o.run(c) }}
 	f := c.Flags()
 	f.StringVar(&o.router, "router", "", "program of the router (default: cache-router beside this program)")
 	f.IntSliceVar(&o.values, "values", []int{512, 65536}, "bytes of a value")
@@ -89,6 +42,83 @@
 	return c
 }
 
+// check reports options that are out of range.
+func (o benchOptions) check() error {
+	if o.conns < 1 || o.conns > 300 || o.servers < 1 || o.servers > 100 || o.length < 100*time.Millisecond || o.length > time.Minute {
+		return usageErrorf("--conns is from 1 to 300, --servers from 1 to 100, --length from 100ms to 1m")
+	}
+	for _, v := range o.values {
+		if v < 1 || v > 65536 {
+			return usageErrorf("--values: %d is not from 1 to 65536", v)
+		}
+	}
+	for _, d := range o.depths {
+		if d < 1 || d > 256 {
+			return usageErrorf("--depths: %d is not from 1 to 256", d)
+		}
+	}
+	return nil
+}
+
+func (o benchOptions) run(c *cobra.Command) error {
+	if err := o.check(); err != nil {
+		return err
+	}
+	if o.self {
+		return measureGenerator(c, o.values[0], o.conns, o.rate, o.length, o.output)
+	}
+	program, err := routerBinary(o.router, "cache-router")
+	if err != nil {
+		return err
+	}
+	all, err := o.measure(c, program)
+	if err != nil {
+		return err
+	}
+	if o.output == "json" {
+		return writeJSON(c.OutOrStdout(), all)
+	}
+	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(t, "value\tdepth\tconns\tanswers/s\tp50 ms\tp99 ms\tCPU us/req\tallocs/req\tbytes/req\topened\tnacked\tfailed\t")
+	for _, f := range all {
+		fmt.Fprintf(t, "%d\t%d\t%d\t%.0f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%d\t%d\t%d\t\n", f.Value, f.Depth, f.Conns, f.PerSecond, f.P50, f.P99, f.CPU,
+			f.Allocs, f.Bytes, f.Opened, f.Nacked, f.Failed)
+	}
+	return t.Flush()
+}
+
+// measure measures the router for each size of values and each pipeline depth.
+func (o benchOptions) measure(c *cobra.Command, program string) ([]bench.Figures, error) {
+	all := []bench.Figures{}
+	for _, value := range o.values {
+		for _, depth := range o.depths {
+			fmt.Fprintf(c.ErrOrStderr(), "%d B, depth %d: %v\n", value, depth, o.length)
+			f, err := o.measureCase(c, program, bench.Case{Value: value, Depth: depth, Conns: o.conns, Rate: o.rate, Servers: o.servers})
+			if err != nil {
+				return nil, err
+			}
+			all = append(all, f)
+		}
+	}
+	return all, nil
+}
+
+// measureCase measures the router for one case, in a temporary directory.
+func (o benchOptions) measureCase(c *cobra.Command, program string, benchCase bench.Case) (bench.Figures, error) {
+	dir, err := os.MkdirTemp("", "spurlab-")
+	if err != nil {
+		return bench.Figures{}, err
+	}
+	f, err := bench.Router(c.Context(), program, dir, benchCase, o.length)
+	if err != nil {
+		return bench.Figures{}, err // keep the directory: it has the log
+	}
+	if err := os.RemoveAll(dir); err != nil {
+		return bench.Figures{}, err
+	}
+	return f, nil
+}
+
 // measureGenerator measures the overhead of the load generator against a null router, which replies immediately.
 func measureGenerator(c *cobra.Command, value, conns int, rate float64, length time.Duration, output string) error {
 	if rate <= 0 {
--- a/cmd/cache-routerctl/fleet.go
+++ b/cmd/cache-routerctl/fleet.go
@@ -280,38 +280,43 @@
 			if minSettled < 0 || within < minSettled {
 				return usageErrorf("--within: %v is shorter than --for, %v", within, minSettled)
 			}
-			deadline := time.Now().Add(within)
-			var since time.Time
-			for {
-				all := queryRouters(c.Context(), args)
-				err := checkSettled(all)
-				now := time.Now()
-				if err != nil {
-					since = time.Time{}
-				} else if since.IsZero() {
-					since = now
-				}
-				if err == nil && now.Sub(since) >= minSettled {
-					_, err := fmt.Fprintf(c.OutOrStdout(), "settled for %v, digest %s\n", now.Sub(since).Round(time.Millisecond), all[0].View.Digest)
-					return err
-				}
-				if c.Context().Err() != nil {
-					return errors.New("stopped before it was settled")
-				}
-				if now.After(deadline) {
-					if err == nil {
-						err = exitError{exitUnsettled, fmt.Errorf("settled for %v only", now.Sub(since).Round(time.Millisecond))}
-					}
-					return err
-				}
-				select {
-				case <-c.Context().Done():
-				case <-time.After(200 * time.Millisecond):
-				}
-			}
+			return waitUntilSettled(c, args, minSettled, within)
 		}}
 	c.Flags().BoolVar(&settled, "settled", false, "wait for one settled view")
 	c.Flags().DurationVar(&minSettled, "for", 0, "so long without a break")
 	c.Flags().DurationVar(&within, "within", time.Minute, "give up after this")
 	return c
 }
+
+// waitUntilSettled queries the routers until they are settled on one view for minSettled, and fails after within.
+func waitUntilSettled(c *cobra.Command, args []string, minSettled, within time.Duration) error {
+	deadline := time.Now().Add(within)
+	var since time.Time
+	for {
+		all := queryRouters(c.Context(), args)
+		err := checkSettled(all)
+		now := time.Now()
+		if err != nil {
+			since = time.Time{}
+		} else if since.IsZero() {
+			since = now
+		}
+		if err == nil && now.Sub(since) >= minSettled {
+			_, err := fmt.Fprintf(c.OutOrStdout(), "settled for %v, digest %s\n", now.Sub(since).Round(time.Millisecond), all[0].View.Digest)
+			return err
+		}
+		if c.Context().Err() != nil {
+			return errors.New("stopped before it was settled")
+		}
+		if now.After(deadline) {
+			if err == nil {
+				err = exitError{exitUnsettled, fmt.Errorf("settled for %v only", now.Sub(since).Round(time.Millisecond))}
+			}
+			return err
+		}
+		select {
+		case <-c.Context().Done():
+		case <-time.After(200 * time.Millisecond):
+		}
+	}
+}
--- a/cmd/cache-routerctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -136,21 +136,26 @@
 	return c
 }
 
-func forecastSiteLoss(w io.Writer, plan sitefailover.Plan, s routing.Settings, status *sitefailover.Status, lostNames []string) error {
-	var lost []sitefailover.Site
+// lostSites returns the named sites. They must be in the plan, and at least one other site must remain.
+func lostSites(plan sitefailover.Plan, lostNames []string) (lost []sitefailover.Site, err error) {
 	for _, name := range lostNames {
 		known := false
 		for _, x := range plan.Sites {
 			known = known || string(x.Name) == name
 		}
 		if !known {
-			return fmt.Errorf("--lose: %q is no site of the plan, which has %q", name, plan.SiteNames())
+			return nil, fmt.Errorf("--lose: %q is no site of the plan, which has %q", name, plan.SiteNames())
 		}
 		lost = append(lost, sitefailover.Site(name))
 	}
 	if len(lost) >= len(plan.Sites) {
-		return errors.New("--lose: no site is left; leave one out")
+		return nil, errors.New("--lose: no site is left; leave one out")
 	}
+	return lost, nil
+}
+
+// siteCapacities returns the capacity of each site of the plan: as configured, or as measured if it is not configured.
+func siteCapacities(plan sitefailover.Plan, status *sitefailover.Status) ([]sitefailover.SiteCapacity, error) {
 	capacities := make([]sitefailover.SiteCapacity, len(plan.Sites))
 	for i, x := range plan.Sites {
 		capacities[i] = sitefailover.SiteCapacity{Site: x.Name, Capacity: x.Capacity, PreferredTargets: x.PreferredTargets}
@@ -163,9 +168,14 @@
 			capacities[i].Capacity *= max(1, status.MeasuredCapacityRatio)
 		}
 		if capacities[i].Capacity == 0 {
-			return fmt.Errorf("sites.site: what %s bears is not told; write bears, or ask a router with --door", x.Name)
+			return nil, fmt.Errorf("sites.site: what %s bears is not told; write bears, or ask a router with --door", x.Name)
 		}
 	}
+	return capacities, nil
+}
+
+// siteLoads returns the measured loads, or without a status those that the plan expects.
+func siteLoads(plan sitefailover.Plan, s routing.Settings, status *sitefailover.Status) []sitefailover.RequestLoad {
 	maxCriticality, weights, shares := 0.0, map[string]float64{}, map[string]float64{}
 	for _, m := range s.Methods {
 		maxCriticality = max(maxCriticality, m.Criticality)
@@ -180,6 +190,20 @@
 	if status != nil {
 		loads = measuredLoads(status, s.Methods, weights)
 	}
+	return loads
+}
+
+// forecastSiteLoss prints which requests would be rejected if the named sites were lost.
+func forecastSiteLoss(w io.Writer, plan sitefailover.Plan, s routing.Settings, status *sitefailover.Status, lostNames []string) error {
+	lost, err := lostSites(plan, lostNames)
+	if err != nil {
+		return err
+	}
+	capacities, err := siteCapacities(plan, status)
+	if err != nil {
+		return err
+	}
+	loads := siteLoads(plan, s, status)
 	if len(loads) == 0 {
 		return errors.New("sites.load: none is told; add a [[sites.load]] with method and rate for each method, or ask a router with --door")
 	}
--- a/cmd/cache-routerctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -26,69 +26,7 @@
 			"not count, 5 the scenario's expectation was missed.",
 		Example: "  cache-routerctl lab run lab/scenarios/calm.toml --seeds 3\n  cache-routerctl lab run day.toml --output json > day.json",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, files []string) error {
-			if o.seeds < 1 || o.seeds > 100 {
-				return usageErrorf("--seeds: %d is not from 1 to 100", o.seeds)
-			}
-			if o.protocol != "" && !slices.Contains([]string{scenario.RESP2, scenario.GRPC, scenario.Mixed}, o.protocol) {
-				return usageErrorf("--protocol: %q is none of resp2, grpc, mixed", o.protocol)
-			}
-			usual := "cache-router"
-			var all []scenario.Scenario
-			for _, file := range files {
-				s, err := scenario.Read(file)
-				if err != nil {
-					return err
-				}
-				s.Routers.State = s.Routers.State || o.state
-				switch o.fleet {
-				case "":
-				case "on":
-					s.Routers.Fleet = true
-				case "off": // without links between routers, their faults cannot occur
-					s.Routers.Fleet = false
-					s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.Kinds[f.Kind].Strikes() == "links" })
-				default:
-					return usageErrorf("--fleet: %q is neither on nor off", o.fleet)
-				}
-				switch o.plan {
-				case "":
-				case "off":
-					s.Routers.Plan = ""
-				default:
-					return usageErrorf("--plan: %q is not off", o.plan)
-				}
-				if o.protocol != "" {
-					s.Clients.Protocol = o.protocol
-				}
-				if s.Routers.Fleet {
-					usual = "cache-router-fleet"
-				}
-				all = append(all, s)
-			}
-			program, err := routerBinary(o.router, usual)
-			if err != nil {
-				return err
-			}
-			var worst error
-			var sets []report.Set
-			for i, s := range all {
-				set, err := a.runSeeds(c, s, files[i], program, o)
-				if err != nil {
-					return err
-				}
-				sets = append(sets, set)
-				if bad := checkRuns(s, set); bad != nil && (worst == nil || bad.(exitError).code < worst.(exitError).code) {
-					worst = bad
-				}
-			}
-			if o.output == "json" {
-				if err := writeJSON(c.OutOrStdout(), sets); err != nil {
-					return err
-				}
-			}
-			return worst
-		}}
+		RunE:    func(c *cobra.Command, files []string) error { return a.runScenarios(c, files, o) }}
 	f := c.Flags()
 	f.Uint64Var(&o.seed, "seed", 0, "of the first run, instead of the scenario's own")
 	f.IntVar(&o.seeds, "seeds", 1, "runs, with seeds that follow each other")
@@ -105,6 +43,87 @@
 	return c
 }
 
+// runScenarios runs each scenario with each seed, and returns the most severe violation.
+func (a *cli) runScenarios(c *cobra.Command, files []string, o runOptions) error {
+	if o.seeds < 1 || o.seeds > 100 {
+		return usageErrorf("--seeds: %d is not from 1 to 100", o.seeds)
+	}
+	if o.protocol != "" && !slices.Contains([]string{scenario.RESP2, scenario.GRPC, scenario.Mixed}, o.protocol) {
+		return usageErrorf("--protocol: %q is none of resp2, grpc, mixed", o.protocol)
+	}
+	all, usual, err := readScenarios(files, o)
+	if err != nil {
+		return err
+	}
+	program, err := routerBinary(o.router, usual)
+	if err != nil {
+		return err
+	}
+	var worst error
+	var sets []report.Set
+	for i, s := range all {
+		set, err := a.runSeeds(c, s, files[i], program, o)
+		if err != nil {
+			return err
+		}
+		sets = append(sets, set)
+		if bad := checkRuns(s, set); bad != nil && (worst == nil || bad.(exitError).code < worst.(exitError).code) {
+			worst = bad
+		}
+	}
+	if o.output == "json" {
+		if err := writeJSON(c.OutOrStdout(), sets); err != nil {
+			return err
+		}
+	}
+	return worst
+}
+
+// readScenarios reads the scenarios with the overrides of the options. usual is the router program that they need by default.
+func readScenarios(files []string, o runOptions) (all []scenario.Scenario, usual string, err error) {
+	usual = "cache-router"
+	for _, file := range files {
+		s, err := scenario.Read(file)
+		if err != nil {
+			return nil, "", err
+		}
+		if err := o.override(&s); err != nil {
+			return nil, "", err
+		}
+		if s.Routers.Fleet {
+			usual = "cache-router-fleet"
+		}
+		all = append(all, s)
+	}
+	return all, usual, nil
+}
+
+// override replaces settings of a scenario by those that flags set.
+func (o runOptions) override(s *scenario.Scenario) error {
+	s.Routers.State = s.Routers.State || o.state
+	switch o.fleet {
+	case "":
+	case "on":
+		s.Routers.Fleet = true
+	case "off": // without links between routers, their faults cannot occur
+		s.Routers.Fleet = false
+		s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.Kinds[f.Kind].Strikes() == "links" })
+	default:
+		return usageErrorf("--fleet: %q is neither on nor off", o.fleet)
+	}
+	switch o.plan {
+	case "":
+	case "off":
+		s.Routers.Plan = ""
+	default:
+		return usageErrorf("--plan: %q is not off", o.plan)
+	}
+	if o.protocol != "" {
+		s.Clients.Protocol = o.protocol
+	}
+	return nil
+}
+
 // routerBinary returns the absolute path of the router program: the given path, or the default program next to this one.
 func routerBinary(path, defaultName string) (string, error) {
 	if path == "" {
@@ -167,27 +186,17 @@
 		return set, err
 	}
 	for i := range o.seeds {
-		var recorded []arrivals.Arrival
-		if o.replay != "" {
-			var err error
-			if recorded, err = readTrace(o.replay, s); err != nil {
-				return set, err
-			}
+		recorded, err := readReplay(o.replay, s)
+		if err != nil {
+			return set, err
 		}
 		r, err := a.runSeed(c, s, seed+uint64(i), program, folder, recorded)
 		if err != nil {
 			return set, err
 		}
 		set.Runs = append(set.Runs, r)
-		if !quiet {
-			if err := report.Table(c.OutOrStdout(), r); err != nil {
-				return set, err
-			}
-		}
-		if !o.noPage {
-			if err := writePage(filepath.Join(folder, fmt.Sprintf("seed-%d.html", r.Seed)), r); err != nil {
-				return set, err
-			}
+		if err := o.showRun(c, r, folder); err != nil {
+			return set, err
 		}
 	}
 	if o.seeds > 1 && !quiet {
@@ -195,11 +204,7 @@
 			return set, err
 		}
 	}
-	f, err := os.Create(filepath.Join(folder, "report.json"))
-	if err != nil {
-		return set, err
-	}
-	if err := errors.Join(writeJSON(f, set), f.Close()); err != nil {
+	if err := writeReport(filepath.Join(folder, "report.json"), set); err != nil {
 		return set, err
 	}
 	if !quiet {
@@ -208,6 +213,35 @@
 	return set, nil
 }
 
+// showRun prints the report of one run and writes its page.
+func (o runOptions) showRun(c *cobra.Command, r report.Report, folder string) error {
+	if o.output != "json" {
+		if err := report.Table(c.OutOrStdout(), r); err != nil {
+			return err
+		}
+	}
+	if o.noPage {
+		return nil
+	}
+	return writePage(filepath.Join(folder, fmt.Sprintf("seed-%d.html", r.Seed)), r)
+}
+
+// readReplay reads the recorded traffic to replay; nil if no file is named.
+func readReplay(file string, s scenario.Scenario) ([]arrivals.Arrival, error) {
+	if file == "" {
+		return nil, nil
+	}
+	return readTrace(file, s)
+}
+
+func writeReport(file string, set report.Set) error {
+	f, err := os.Create(file)
+	if err != nil {
+		return err
+	}
+	return errors.Join(writeJSON(f, set), f.Close())
+}
+
 func writePage(file string, r report.Report) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/cmd/cache-routerctl/labsites.go
+++ b/cmd/cache-routerctl/labsites.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"sync"
@@ -14,10 +15,15 @@
 )
 
 // labSitesCommand returns the command that tests failover after the loss of whole sites.
+// sitesOptions holds the flags of lab sites.
+type sitesOptions struct {
+	router, out, output    string
+	rounds, acts, parallel int
+	seed                   uint64
+}
+
 func (a *cli) labSitesCommand() *cobra.Command {
-	var router, out, output string
-	var rounds, acts, parallel int
-	var seed uint64
+	var o sitesOptions
 	c := &cobra.Command{Use: "sites", Short: "Lose, cut off and flap whole sites of a fleet that plans for it, and judge",
 		Long: "Each round has three sites of two routers and four listed cache servers, a keeper at each, and no load. Sites are lost and come\n" +
 			"back, are cut off from all or from one, flap, stand still, lose servers, and operators speak, in any order; at the end all is put\n" +
@@ -25,76 +31,93 @@
 			"with orders keep to the same shares, and in the end every site is up.\n" +
 			"Exit codes: 0 all kept, 1 it could not be played, 2 wrong usage, 3 a rule was broken.",
 		Example: "  cache-routerctl lab sites --rounds 50", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if rounds < 1 || acts < 1 || parallel < 1 {
-				return usageErrorf("--rounds, --acts and --parallel are 1 at least")
-			}
-			program, err := routerBinary(router, "cache-router-fleet")
-			if err == nil {
-				out, err = filepath.Abs(out)
-			}
-			if err != nil {
-				return err
-			}
-			var mu sync.Mutex
-			var wg sync.WaitGroup
-			var all []rig.SiteOutcome
-			room := make(chan struct{}, parallel)
-			for n := range rounds {
-				room <- struct{}{}
-				if c.Context() != nil && c.Context().Err() != nil {
-					break
-				}
-				wg.Go(func() {
-					defer func() { <-room }()
-					mine := seed + uint64(n)
-					dir := filepath.Join(out, fmt.Sprintf("seed-%d", mine))
-					bad := os.MkdirAll(dir, 0o755)
-					var o rig.SiteOutcome
-					if bad == nil {
-						o, bad = rig.SiteRound(rig.Options{Program: program, Dir: dir, Routers: 6, Seed: mine, Probe: 200 * time.Millisecond}, acts)
-					}
-					if bad == nil && len(o.Broken) == 0 {
-						bad = os.RemoveAll(dir)
-					}
-					mu.Lock()
-					defer mu.Unlock()
-					if bad != nil && err == nil {
-						err = fmt.Errorf("seed %d: %w; its files are in %s", mine, bad, dir)
-					}
-					all = append(all, o)
-					a.log.Infof("seed %d: %d rulings, all up %v after all was in order, %d broken", mine, o.Rulings, o.Settled.Round(time.Millisecond), len(o.Broken))
-				})
-			}
-			wg.Wait()
-			if err != nil {
-				return err
-			}
-			var settled []time.Duration
-			rulings := 0
-			for _, o := range all {
-				settled, rulings = append(settled, o.Settled), rulings+o.Rulings
-				if len(o.Broken) > 0 && err == nil {
-					err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %s; its files are in %s", o.Seed, o.Broken[0], out)}
-				}
-			}
-			if output == "json" {
-				if bad := writeJSON(c.OutOrStdout(), all); bad != nil {
-					return bad
-				}
-				return err
-			}
-			q := func(at float64) time.Duration { return viewref.Quantile(settled, at).Round(10 * time.Millisecond) }
-			fmt.Fprintf(c.OutOrStdout(), "%d rounds, %d rulings; all sites up after all was in order: p50 %v, most %v\n", len(all), rulings, q(0.5), q(1))
-			return err
-		}}
+		RunE: func(c *cobra.Command, _ []string) error { return a.testSites(c, o) }}
 	f := c.Flags()
-	f.StringVar(&router, "router", "", "program of the router (default: cache-router-fleet beside this program)")
-	f.StringVar(&out, "out", "lab-sites", "folder for the files of what went wrong")
-	f.IntVar(&rounds, "rounds", 1, "with seeds that follow each other")
-	f.IntVar(&acts, "acts", 6, "troubles of a round")
-	f.IntVar(&parallel, "parallel", 4, "rounds at a time")
-	f.Uint64Var(&seed, "seed", 1, "of the first round")
-	addOutputFlag(c, &output)
+	f.StringVar(&o.router, "router", "", "program of the router (default: cache-router-fleet beside this program)")
+	f.StringVar(&o.out, "out", "lab-sites", "folder for the files of what went wrong")
+	f.IntVar(&o.rounds, "rounds", 1, "with seeds that follow each other")
+	f.IntVar(&o.acts, "acts", 6, "troubles of a round")
+	f.IntVar(&o.parallel, "parallel", 4, "rounds at a time")
+	f.Uint64Var(&o.seed, "seed", 1, "of the first round")
+	addOutputFlag(c, &o.output)
 	return c
 }
+
+func (a *cli) testSites(c *cobra.Command, o sitesOptions) error {
+	if o.rounds < 1 || o.acts < 1 || o.parallel < 1 {
+		return usageErrorf("--rounds, --acts and --parallel are 1 at least")
+	}
+	program, err := routerBinary(o.router, "cache-router-fleet")
+	if err == nil {
+		o.out, err = filepath.Abs(o.out)
+	}
+	if err != nil {
+		return err
+	}
+	all, err := a.runSiteRounds(c, program, o)
+	if err != nil {
+		return err
+	}
+	return printSiteRounds(c.OutOrStdout(), all, o)
+}
+
+// runSiteRounds runs the rounds, some of them in parallel. The outcomes are in the order in which the rounds ended.
+func (a *cli) runSiteRounds(c *cobra.Command, program string, o sitesOptions) (all []rig.SiteOutcome, err error) {
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	room := make(chan struct{}, o.parallel)
+	for n := range o.rounds {
+		room <- struct{}{}
+		if c.Context() != nil && c.Context().Err() != nil {
+			break
+		}
+		wg.Go(func() {
+			defer func() { <-room }()
+			roundSeed := o.seed + uint64(n)
+			outcome, dir, bad := runSiteRound(program, roundSeed, o)
+			mu.Lock()
+			defer mu.Unlock()
+			if bad != nil && err == nil {
+				err = fmt.Errorf("seed %d: %w; its files are in %s", roundSeed, bad, dir)
+			}
+			all = append(all, outcome)
+			a.log.Infof("seed %d: %d rulings, all up %v after all was in order, %d broken", roundSeed, outcome.Rulings, outcome.Settled.Round(time.Millisecond), len(outcome.Broken))
+		})
+	}
+	wg.Wait()
+	return all, err
+}
+
+// runSiteRound runs one round in its own directory, which it deletes if the round succeeded without a violation.
+func runSiteRound(program string, seed uint64, o sitesOptions) (outcome rig.SiteOutcome, dir string, bad error) {
+	dir = filepath.Join(o.out, fmt.Sprintf("seed-%d", seed))
+	bad = os.MkdirAll(dir, 0o755)
+	if bad == nil {
+		outcome, bad = rig.SiteRound(rig.Options{Program: program, Dir: dir, Routers: 6, Seed: seed, Probe: 200 * time.Millisecond}, o.acts)
+	}
+	if bad == nil && len(outcome.Broken) == 0 {
+		bad = os.RemoveAll(dir)
+	}
+	return outcome, dir, bad
+}
+
+// printSiteRounds prints a summary of the rounds; it returns the first violation.
+func printSiteRounds(w io.Writer, all []rig.SiteOutcome, o sitesOptions) (err error) {
+	var settled []time.Duration
+	rulings := 0
+	for _, outcome := range all {
+		settled, rulings = append(settled, outcome.Settled), rulings+outcome.Rulings
+		if len(outcome.Broken) > 0 && err == nil {
+			err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %s; its files are in %s", outcome.Seed, outcome.Broken[0], o.out)}
+		}
+	}
+	if o.output == "json" {
+		if bad := writeJSON(w, all); bad != nil {
+			return bad
+		}
+		return err
+	}
+	q := func(at float64) time.Duration { return viewref.Quantile(settled, at).Round(10 * time.Millisecond) }
+	fmt.Fprintf(w, "%d rounds, %d rulings; all sites up after all was in order: p50 %v, most %v\n", len(all), rulings, q(0.5), q(1))
+	return err
+}
--- a/cmd/cache-routerctl/labviews.go
+++ b/cmd/cache-routerctl/labviews.go
@@ -37,43 +37,7 @@
 			"puts all in order and judges every view that was shown. With --measure one fleet goes through each event once.\n" +
 			"Exit codes: 0 all kept, 1 it could not be played, 2 wrong usage, 3 a rule was broken.",
 		Example: "  cache-routerctl lab views --rounds 100 --routers 12\n  cache-routerctl lab views --measure --routers 60 --drop 0.05", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			switch {
-			case o.routers < 2 || o.routers > 100:
-				return usageErrorf("--routers: %d is not from 2 to 100", o.routers)
-			case o.rounds < 1 || o.acts < 1 || o.parallel < 1:
-				return usageErrorf("--rounds, --acts and --parallel are 1 at least")
-			case o.drop < 0 || o.drop >= 1:
-				return usageErrorf("--drop: %v is no share below one", o.drop)
-			case o.probe < 100*time.Millisecond || o.probe > 10*time.Second:
-				return usageErrorf("--probe: %v is not from 100ms to 10s", o.probe)
-			}
-			program, err := routerBinary(o.router, "cache-router-fleet")
-			if err != nil {
-				return err
-			}
-			if err := os.MkdirAll(o.out, 0o755); err != nil {
-				return err
-			}
-			if o.out, err = filepath.Abs(o.out); err != nil {
-				return err
-			}
-			all, err := a.runViewRounds(c.Context(), program, o)
-			if err != nil {
-				return err
-			}
-			if o.output == "json" {
-				err = writeJSON(c.OutOrStdout(), all)
-			} else {
-				err = printViews(c.OutOrStdout(), all)
-			}
-			for _, x := range all {
-				if len(x.Broken) > 0 && err == nil {
-					err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %v; its files are in %s", x.Seed, x.Broken[0], o.out)}
-				}
-			}
-			return err
-		}}
+		RunE: func(c *cobra.Command, _ []string) error { return a.testViews(c, o) }}
 	f := c.Flags()
 	f.StringVar(&o.router, "router", "", "program of the router (default: cache-router-fleet beside this program)")
 	f.StringVar(&o.out, "out", "lab-views", "folder for the files of what went wrong")
@@ -90,6 +54,52 @@
 	return c
 }
 
+// check reports options that are out of range.
+func (o viewsOptions) check() error {
+	switch {
+	case o.routers < 2 || o.routers > 100:
+		return usageErrorf("--routers: %d is not from 2 to 100", o.routers)
+	case o.rounds < 1 || o.acts < 1 || o.parallel < 1:
+		return usageErrorf("--rounds, --acts and --parallel are 1 at least")
+	case o.drop < 0 || o.drop >= 1:
+		return usageErrorf("--drop: %v is no share below one", o.drop)
+	case o.probe < 100*time.Millisecond || o.probe > 10*time.Second:
+		return usageErrorf("--probe: %v is not from 100ms to 10s", o.probe)
+	}
+	return nil
+}
+
+func (a *cli) testViews(c *cobra.Command, o viewsOptions) error {
+	if err := o.check(); err != nil {
+		return err
+	}
+	program, err := routerBinary(o.router, "cache-router-fleet")
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(o.out, 0o755); err != nil {
+		return err
+	}
+	if o.out, err = filepath.Abs(o.out); err != nil {
+		return err
+	}
+	all, err := a.runViewRounds(c.Context(), program, o)
+	if err != nil {
+		return err
+	}
+	if o.output == "json" {
+		err = writeJSON(c.OutOrStdout(), all)
+	} else {
+		err = printViews(c.OutOrStdout(), all)
+	}
+	for _, x := range all {
+		if len(x.Broken) > 0 && err == nil {
+			err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %v; its files are in %s", x.Seed, x.Broken[0], o.out)}
+		}
+	}
+	return err
+}
+
 func (a *cli) runViewRounds(ctx context.Context, program string, o viewsOptions) (all []rig.Outcome, err error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/cmd/cache-routerctl/policy.go
+++ b/cmd/cache-routerctl/policy.go
@@ -145,33 +145,33 @@
 	x.auditInfo.flags(c, "who makes the change", "why, for those who look at it later")
 }
 
-func (ch *policyChange) apply(c *cobra.Command, endpoint, document string) error {
+func (x *policyChange) apply(c *cobra.Command, endpoint, document string) error {
 	out := c.OutOrStdout()
-	if err := ch.validate(); err != nil {
+	if err := x.validate(); err != nil {
 		return err
 	}
-	if ch.token == "" {
-		ch.token = crand.Text()
+	if x.token == "" {
+		x.token = crand.Text()
 	}
 	before, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestStatus})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", ch.token, ch.base, ch.base+1, len(before.Followers))
-	if uint64(before.Current) != ch.base {
+	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", x.token, x.base, x.base+1, len(before.Followers))
+	if uint64(before.Current) != x.base {
 		h, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestHistory})
-		if err == nil && len(h.History) > 0 && uint64(before.Current) > ch.base {
+		if err == nil && len(h.History) > 0 && uint64(before.Current) > x.base {
 			last := h.History[len(h.History)-1]
 			fmt.Fprintf(out, "revision %d is in force, by %s at %s: %s\n%s", last.Revision, last.Author, formatMicros(last.RequestedAt), last.Reason,
 				lineDiff(last.Document, document))
 		}
 	}
-	s, _, err := queryPolicy(c.Context(), endpoint, ch.sign(policycommit.Request{Type: policycommit.RequestApply, Document: document, Base: policycommit.Revision(ch.base), Token: policycommit.Token(ch.token)}))
+	s, _, err := queryPolicy(c.Context(), endpoint, x.sign(policycommit.Request{Type: policycommit.RequestApply, Document: document, Base: policycommit.Revision(x.base), Token: policycommit.Token(x.token)}))
 	if err != nil {
-		return fmt.Errorf("%w; to learn what became of it ask again with --token %s", err, ch.token)
+		return fmt.Errorf("%w; to learn what became of it ask again with --token %s", err, x.token)
 	}
 	if s.Verdict == nil {
-		return fmt.Errorf("no verdict was told; ask again with --token %s", ch.token)
+		return fmt.Errorf("no verdict was told; ask again with --token %s", x.token)
 	}
 	if !s.Verdict.Committed {
 		return exitError{exitNotCommitted, fmt.Errorf("nowhere: %s; revision %d stays in force", s.Verdict.Reason, s.Verdict.Revision)}
--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"math"
 	"os"
 	"path/filepath"
@@ -180,44 +181,56 @@
 	return c
 }
 
+// verifiedFile is the result of verifying one state file.
+type verifiedFile struct {
+	Path    string `json:"path"`
+	Good    bool   `json:"good"`
+	Version int    `json:"version,omitempty"`
+	Servers int    `json:"servers,omitempty"`
+	Wrong   string `json:"wrong,omitempty"`
+}
+
+// verifyFiles verifies the state at each path, and returns how many files are unusable.
+func verifyFiles(paths []string) (rows []verifiedFile, bad int) {
+	rows = []verifiedFile{}
+	for _, path := range paths {
+		s, from, passed, err := readState(path)
+		for _, p := range passed {
+			if err == nil {
+				rows, bad = append(rows, verifiedFile{Path: path, Wrong: p.Error()}), bad+1
+			}
+		}
+		if err != nil {
+			rows, bad = append(rows, verifiedFile{Path: path, Wrong: err.Error()}), bad+1
+			continue
+		}
+		rows = append(rows, verifiedFile{from, true, s.Version, len(s.Servers), ""})
+	}
+	return rows, bad
+}
+
+func printVerification(w io.Writer, rows []verifiedFile, output string) error {
+	if output == "json" {
+		return writeJSON(w, rows)
+	}
+	for _, r := range rows {
+		if r.Good {
+			fmt.Fprintf(w, "%s: good, version %d, %d servers\n", r.Path, r.Version, r.Servers)
+		} else {
+			fmt.Fprintf(w, "%s\n", r.Wrong)
+		}
+	}
+	return nil
+}
+
 func (*cli) stateVerifyCommand() *cobra.Command {
 	var output string
 	c := &cobra.Command{Use: "verify FILE|FOLDER...", Short: "Tell whether states are whole; exit 1 where one is not",
 		Example: "  cache-routerctl state verify /var/lib/spurtrestle/*", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			type row struct {
-				Path    string `json:"path"`
-				Good    bool   `json:"good"`
-				Version int    `json:"version,omitempty"`
-				Servers int    `json:"servers,omitempty"`
-				Wrong   string `json:"wrong,omitempty"`
-			}
-			rows, bad := []row{}, 0
-			for _, path := range paths {
-				s, from, passed, err := readState(path)
-				for _, p := range passed {
-					if err == nil {
-						rows, bad = append(rows, row{Path: path, Wrong: p.Error()}), bad+1
-					}
-				}
-				if err != nil {
-					rows, bad = append(rows, row{Path: path, Wrong: err.Error()}), bad+1
-					continue
-				}
-				rows = append(rows, row{from, true, s.Version, len(s.Servers), ""})
-			}
-			if output == "json" {
-				if err := writeJSON(c.OutOrStdout(), rows); err != nil {
-					return err
-				}
-			} else {
-				for _, r := range rows {
-					if r.Good {
-						fmt.Fprintf(c.OutOrStdout(), "%s: good, version %d, %d servers\n", r.Path, r.Version, r.Servers)
-					} else {
-						fmt.Fprintf(c.OutOrStdout(), "%s\n", r.Wrong)
-					}
-				}
+			rows, bad := verifyFiles(paths)
+			if err := printVerification(c.OutOrStdout(), rows, output); err != nil {
+				return err
 			}
 			if bad > 0 {
 				return fmt.Errorf("%d cannot be used; a router begins with the generation before, or anew", bad)
