--- a/cmd/cache-routerctl/fleet.go
+++ b/cmd/cache-routerctl/fleet.go
@@ -291,18 +291,18 @@
 // waitUntilSettled queries the routers until they are settled on one view for minSettled, and fails after within.
 func waitUntilSettled(c *cobra.Command, args []string, minSettled, within time.Duration) error {
 	deadline := time.Now().Add(within)
-	var since time.Time
+	var settledSince time.Time
 	for {
 		all := queryRouters(c.Context(), args)
 		err := checkSettled(all)
 		now := time.Now()
 		if err != nil {
-			since = time.Time{}
-		} else if since.IsZero() {
-			since = now
+			settledSince = time.Time{}
+		} else if settledSince.IsZero() {
+			settledSince = now
 		}
-		if err == nil && now.Sub(since) >= minSettled {
-			_, err := fmt.Fprintf(c.OutOrStdout(), "settled for %v, digest %s\n", now.Sub(since).Round(time.Millisecond), all[0].View.Digest)
+		if err == nil && now.Sub(settledSince) >= minSettled {
+			_, err := fmt.Fprintf(c.OutOrStdout(), "settled for %v, digest %s\n", now.Sub(settledSince).Round(time.Millisecond), all[0].View.Digest)
 			return err
 		}
 		if c.Context().Err() != nil {
@@ -310,7 +310,7 @@
 		}
 		if now.After(deadline) {
 			if err == nil {
-				err = exitError{exitUnsettled, fmt.Errorf("settled for %v only", now.Sub(since).Round(time.Millisecond))}
+				err = exitError{exitUnsettled, fmt.Errorf("settled for %v only", now.Sub(settledSince).Round(time.Millisecond))}
 			}
 			return err
 		}
--- a/cmd/cache-routerctl/fleetsite.go
+++ b/cmd/cache-routerctl/fleetsite.go
@@ -31,21 +31,21 @@
 	return c
 }
 
-func siteActionCommand(word, short string) *cobra.Command {
-	var x auditInfo
-	c := &cobra.Command{Use: word + " SITE DOOR", Short: short, Args: endpointAsLastArg(2),
-		Example: "  cache-routerctl fleet site " + word + " coast 10.1.2.3:8400 --reason 'the carrier says so'",
+func siteActionCommand(action, short string) *cobra.Command {
+	var audit auditInfo
+	c := &cobra.Command{Use: action + " SITE DOOR", Short: short, Args: endpointAsLastArg(2),
+		Example: "  cache-routerctl fleet site " + action + " coast 10.1.2.3:8400 --reason 'the carrier says so'",
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := x.validate(); err != nil {
+			if err := audit.validate(); err != nil {
 				return err
 			}
-			s, _, err := queryPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: policycommit.RequestSiteAction, Name: args[0], SiteAction: sitefailover.Action(word)}))
+			reply, _, err := queryPolicy(c.Context(), args[1], audit.sign(policycommit.Request{Type: policycommit.RequestSiteAction, Name: args[0], SiteAction: sitefailover.Action(action)}))
 			if err != nil {
 				return err
 			}
-			return showSites(c.OutOrStdout(), s)
+			return showSites(c.OutOrStdout(), reply)
 		}}
-	x.flags(c, "who says so", "how that is known")
+	audit.flags(c, "who says so", "how that is known")
 	return c
 }
 
@@ -54,38 +54,38 @@
 		example: "  cache-routerctl fleet site status 10.1.2.3:8400", requestType: policycommit.RequestSites, show: showSites}.command()
 }
 
-func showSites(w io.Writer, s policycommit.Reply) error {
-	if s.Sites == nil {
+func showSites(w io.Writer, reply policycommit.Reply) error {
+	if reply.Sites == nil {
 		return errors.New("nothing is planned for sites: the policy in force has no [sites]; see docs/site.md")
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "site\tstage\tkeys\tservers\trouters\tbears\tby\twhy\twaits for\t")
-	for _, x := range s.Sites.Sites {
+	for _, site := range reply.Sites.Sites {
 		source := "seen"
-		if x.CapacityPlanned {
+		if site.CapacityPlanned {
 			source = "told"
 		}
 		held := ""
-		if x.Paused {
+		if site.Paused {
 			held = ", held"
 		}
-		fmt.Fprintf(t, "%s\t%s%s\t%.0f%%\t%.0f%%\t%d of %d\t%.0f/s (%s)\t%s\t%s\t%s\t\n", x.Name, x.DisplayStage(), held, 100*x.KeyShare, 100*x.Responding, x.ReportingRouters, x.Routers,
-			x.Capacity, source, x.DecidedBy, x.Reason, x.WaitingFor)
+		fmt.Fprintf(t, "%s\t%s%s\t%.0f%%\t%.0f%%\t%d of %d\t%.0f/s (%s)\t%s\t%s\t%s\t\n", site.Name, site.DisplayStage(), held, 100*site.KeyShare, 100*site.Responding, site.ReportingRouters, site.Routers,
+			site.Capacity, source, site.DecidedBy, site.Reason, site.WaitingFor)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	asked := 0.0
-	for _, o := range s.Sites.Offered {
-		asked += o.Rate
+	offeredRate := 0.0
+	for _, orders := range reply.Sites.Offered {
+		offeredRate += orders.Rate
 	}
-	o := s.Sites.Orders
-	if o.AdmissionTarget == 0 {
-		_, err := fmt.Fprintf(w, "asked %.0f/s; nothing is refused by plan\n", asked)
+	orders := reply.Sites.Orders
+	if orders.AdmissionTarget == 0 {
+		_, err := fmt.Fprintf(w, "asked %.0f/s; nothing is refused by plan\n", offeredRate)
 		return err
 	}
 	_, err := fmt.Fprintf(w, "asked %.0f/s, let in %.0f/s (%s binds, at %.0f/s); given up of what is let in: %.0f/s\nrefused: all below worth %.3f of the highest, and %.0f%% of what has just that\n",
-		asked, o.AdmissionTarget, s.Sites.LimitingSite, s.Sites.Capacity, s.Sites.FailedRate, float64(o.MinRank)/1e6, 100*(1-o.MinRankFraction))
+		offeredRate, orders.AdmissionTarget, reply.Sites.LimitingSite, reply.Sites.Capacity, reply.Sites.FailedRate, float64(orders.MinRank)/1e6, 100*(1-orders.MinRankFraction))
 	return err
 }
 
@@ -208,11 +208,11 @@
 		return errors.New("sites.load: none is told; add a [[sites.load]] with method and rate for each method, or ask a router with --door")
 	}
 	forecast := sitefailover.ForecastLoss(capacities, loads, lost)
-	verdict := "the rest bears it"
+	summary := "the rest bears it"
 	if forecast.OfferedRate > forecast.Capacity {
-		verdict = fmt.Sprintf("%.0f/s are refused", forecast.OfferedRate-forecast.Capacity)
+		summary = fmt.Sprintf("%.0f/s are refused", forecast.OfferedRate-forecast.Capacity)
 	}
-	fmt.Fprintf(w, "without %s: asked %.0f/s, borne %.0f/s (%s binds): %s\n", strings.Join(lostNames, ", "), forecast.OfferedRate, forecast.Capacity, forecast.LimitingSite, verdict)
+	fmt.Fprintf(w, "without %s: asked %.0f/s, borne %.0f/s (%s binds): %s\n", strings.Join(lostNames, ", "), forecast.OfferedRate, forecast.Capacity, forecast.LimitingSite, summary)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, x := range []struct {
 		title string
@@ -238,18 +238,18 @@
 // measuredLoads returns the loads that the routers measured. Routers count requests by rank, so methods of equal weight cannot be
 // distinguished and share one entry.
 func measuredLoads(s *sitefailover.Status, methods []routing.MethodSettings, weights map[string]float64) (all []sitefailover.RequestLoad) {
-	for _, o := range s.Offered {
+	for _, offered := range s.Offered {
 		var names []string
 		for _, m := range methods {
-			if sitefailover.RankOf(weights[m.Name]) == o.Rank {
+			if sitefailover.RankOf(weights[m.Name]) == offered.Rank {
 				names = append(names, m.Name)
 			}
 		}
 		name := strings.Join(names, " and ")
 		if name == "" {
-			name = fmt.Sprintf("over share or asked again, worth %.3f", float64(o.Rank)/1e6)
+			name = fmt.Sprintf("over share or asked again, worth %.3f", float64(offered.Rank)/1e6)
 		}
-		all = append(all, sitefailover.RequestLoad{Method: name, Rank: o.Rank, Rate: o.Rate})
+		all = append(all, sitefailover.RequestLoad{Method: name, Rank: offered.Rank, Rate: offered.Rate})
 	}
 	return all
 }
--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -45,16 +45,16 @@
 	return &cobra.Command{Use: "check FILE...", Short: "Tell what is wrong in scenario files",
 		Example: "  cache-routerctl lab check lab/scenarios/*.toml", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			var wrong []error
+			var errs []error
 			for _, file := range files {
 				s, err := scenario.Read(file)
 				if err != nil {
-					wrong = append(wrong, err)
+					errs = append(errs, err)
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d faults\n", file, s.Title, s.Length, len(s.Faults))
 			}
-			return errors.Join(wrong...)
+			return errors.Join(errs...)
 		}}
 }
 
@@ -70,7 +70,7 @@
 			}
 			seed = seedOrDefault(c, seed, s)
 			all := arrivals.Make(s, seed)
-			acts := fleet.Timeline(s, seed)
+			timeline := fleet.Timeline(s, seed)
 			type line struct {
 				At    string `json:"at"`
 				Fault string `json:"fault"`
@@ -79,7 +79,7 @@
 				End   bool   `json:"end"`
 			}
 			lines := []line{}
-			for _, x := range acts {
+			for _, x := range timeline {
 				lines = append(lines, line{x.At.Duration().String(), s.Faults[x.Fault].Kind, x.Who, x.Stage, x.End})
 			}
 			digest := arrivals.Digest(all)
--- a/cmd/cache-routerctl/labpolicies.go
+++ b/cmd/cache-routerctl/labpolicies.go
@@ -78,20 +78,20 @@
 func (a *cli) runPolicyRounds(c *cobra.Command, program string, o policiesOptions) (all []rig.PolicyOutcome, err error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, o.parallel)
+	semaphore := make(chan struct{}, o.parallel)
 	for n := range o.rounds {
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		if c.Context() != nil && c.Context().Err() != nil {
 			break
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
-			outcome, bad := rig.PolicyRound(rig.Options{Program: program, Dir: o.out, Routers: o.routers, Sites: []string{"north", "south"},
+			defer func() { <-semaphore }()
+			outcome, roundErr := rig.PolicyRound(rig.Options{Program: program, Dir: o.out, Routers: o.routers, Sites: []string{"north", "south"},
 				Seed: o.seed + uint64(n), Probe: 200 * time.Millisecond}, o.acts)
 			mu.Lock()
 			defer mu.Unlock()
-			if bad != nil && err == nil {
-				err = fmt.Errorf("seed %d: %w", o.seed+uint64(n), bad)
+			if roundErr != nil && err == nil {
+				err = fmt.Errorf("seed %d: %w", o.seed+uint64(n), roundErr)
 			}
 			all = append(all, outcome)
 			a.log.Infof("seed %d, %s: %d everywhere, %d nowhere, %d broken", outcome.Seed, outcome.CutOff, outcome.Everywhere, outcome.Nowhere, len(outcome.Broken))
@@ -106,38 +106,40 @@
 	if o.output == "json" {
 		err = writeJSON(w, all)
 	}
-	took, sum := map[string][]time.Duration{}, map[string][3]int{}
+	verdictTimes, counts := map[string][]time.Duration{}, map[string][3]int{}
 	for _, outcome := range all {
-		s := sum[outcome.CutOff]
-		took[outcome.CutOff] = append(took[outcome.CutOff], outcome.Took...)
-		sum[outcome.CutOff] = [3]int{s[0] + outcome.Everywhere, s[1] + outcome.Nowhere, s[2] + outcome.Unknown}
+		s := counts[outcome.CutOff]
+		verdictTimes[outcome.CutOff] = append(verdictTimes[outcome.CutOff], outcome.Took...)
+		counts[outcome.CutOff] = [3]int{s[0] + outcome.Everywhere, s[1] + outcome.Nowhere, s[2] + outcome.Unknown}
 		if len(outcome.Broken) > 0 && err == nil {
 			err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %s; its files are in %s", outcome.Seed, outcome.Broken[0], o.out)}
 		}
 	}
 	if o.output != "json" {
 		for _, mode := range []string{"refuse", "serve"} {
-			q := func(at float64) time.Duration { return viewref.Quantile(took[mode], at).Round(time.Millisecond) }
-			fmt.Fprintf(w, "%s: %d everywhere (verdict after p50 %v, p99 %v), %d nowhere, %d never answered\n", mode, sum[mode][0],
-				q(0.5), q(0.99), sum[mode][1], sum[mode][2])
+			quantile := func(at float64) time.Duration {
+				return viewref.Quantile(verdictTimes[mode], at).Round(time.Millisecond)
+			}
+			fmt.Fprintf(w, "%s: %d everywhere (verdict after p50 %v, p99 %v), %d nowhere, %d never answered\n", mode, counts[mode][0],
+				quantile(0.5), quantile(0.99), counts[mode][1], counts[mode][2])
 		}
 	}
 	return err
 }
 
 func measurePolicy(w io.Writer, o rig.Options, changes int) error {
-	x, err := rig.MeasurePolicy(o, changes, 10*time.Second)
+	measurement, err := rig.MeasurePolicy(o, changes, 10*time.Second)
 	if err != nil {
 		return err
 	}
-	for _, row := range x.Rows {
-		q := func(all []time.Duration, at float64) time.Duration {
+	for _, row := range measurement.Rows {
+		quantile := func(all []time.Duration, at float64) time.Duration {
 			return viewref.Quantile(all, at).Round(10 * time.Millisecond)
 		}
-		fmt.Fprintf(w, "%d routers, %s, %s: %d of %d everywhere, verdict p50 %v p99 %v, held by all p50 %v p99 %v\n", x.Routers, x.CutOff, row.What,
-			row.Through, row.Changes, q(row.Verdict, 0.5), q(row.Verdict, 0.99), q(row.Effect, 0.5), q(row.Effect, 0.99))
+		fmt.Fprintf(w, "%d routers, %s, %s: %d of %d everywhere, verdict p50 %v p99 %v, held by all p50 %v p99 %v\n", measurement.Routers, measurement.CutOff, row.What,
+			row.Through, row.Changes, quantile(row.Verdict, 0.5), quantile(row.Verdict, 0.99), quantile(row.Effect, 0.5), quantile(row.Effect, 0.99))
 	}
-	_, err = fmt.Fprintf(w, "%d routers, a calm one: %.1f packets/s, %.0f bytes/s sent, %.2f%% of a core, %.1f MB\n", x.Routers, x.Idle.Packets, x.Idle.Bytes,
-		100*x.Idle.CPU, x.Idle.Memory)
+	_, err = fmt.Fprintf(w, "%d routers, a calm one: %.1f packets/s, %.0f bytes/s sent, %.2f%% of a core, %.1f MB\n", measurement.Routers, measurement.Idle.Packets, measurement.Idle.Bytes,
+		100*measurement.Idle.CPU, measurement.Idle.Memory)
 	return err
 }
--- a/cmd/cache-routerctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -51,15 +51,15 @@
 	if o.protocol != "" && !slices.Contains([]string{scenario.RESP2, scenario.GRPC, scenario.Mixed}, o.protocol) {
 		return usageErrorf("--protocol: %q is none of resp2, grpc, mixed", o.protocol)
 	}
-	all, usual, err := readScenarios(files, o)
+	all, defaultProgram, err := readScenarios(files, o)
 	if err != nil {
 		return err
 	}
-	program, err := routerBinary(o.router, usual)
+	program, err := routerBinary(o.router, defaultProgram)
 	if err != nil {
 		return err
 	}
-	var worst error
+	var mostSevere error
 	var sets []report.Set
 	for i, s := range all {
 		set, err := a.runSeeds(c, s, files[i], program, o)
@@ -67,8 +67,8 @@
 			return err
 		}
 		sets = append(sets, set)
-		if bad := checkRuns(s, set); bad != nil && (worst == nil || bad.(exitError).code < worst.(exitError).code) {
-			worst = bad
+		if runErr := checkRuns(s, set); runErr != nil && (mostSevere == nil || runErr.(exitError).code < mostSevere.(exitError).code) {
+			mostSevere = runErr
 		}
 	}
 	if o.output == "json" {
@@ -76,12 +76,12 @@
 			return err
 		}
 	}
-	return worst
+	return mostSevere
 }
 
 // readScenarios reads the scenarios with the overrides of the options. usual is the router program that they need by default.
-func readScenarios(files []string, o runOptions) (all []scenario.Scenario, usual string, err error) {
-	usual = "cache-router"
+func readScenarios(files []string, o runOptions) (all []scenario.Scenario, defaultProgram string, err error) {
+	defaultProgram = "cache-router"
 	for _, file := range files {
 		s, err := scenario.Read(file)
 		if err != nil {
@@ -91,11 +91,11 @@
 			return nil, "", err
 		}
 		if s.Routers.Fleet {
-			usual = "cache-router-fleet"
+			defaultProgram = "cache-router-fleet"
 		}
 		all = append(all, s)
 	}
-	return all, usual, nil
+	return all, defaultProgram, nil
 }
 
 // override replaces settings of a scenario by those that flags set.
@@ -181,8 +181,8 @@
 	}
 	set := report.Set{Version: report.Version, Label: label}
 	name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
-	folder := filepath.Join(o.out, name+"-"+time.Now().UTC().Format("20060102T150405"))
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	directory := filepath.Join(o.out, name+"-"+time.Now().UTC().Format("20060102T150405"))
+	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return set, err
 	}
 	for i := range o.seeds {
@@ -190,12 +190,12 @@
 		if err != nil {
 			return set, err
 		}
-		r, err := a.runSeed(c, s, seed+uint64(i), program, folder, recorded)
+		r, err := a.runSeed(c, s, seed+uint64(i), program, directory, recorded)
 		if err != nil {
 			return set, err
 		}
 		set.Runs = append(set.Runs, r)
-		if err := o.showRun(c, r, folder); err != nil {
+		if err := o.showRun(c, r, directory); err != nil {
 			return set, err
 		}
 	}
@@ -204,17 +204,17 @@
 			return set, err
 		}
 	}
-	if err := writeReport(filepath.Join(folder, "report.json"), set); err != nil {
+	if err := writeReport(filepath.Join(directory, "report.json"), set); err != nil {
 		return set, err
 	}
 	if !quiet {
-		fmt.Fprintf(c.OutOrStdout(), "reports are in %s\n", folder)
+		fmt.Fprintf(c.OutOrStdout(), "reports are in %s\n", directory)
 	}
 	return set, nil
 }
 
 // showRun prints the report of one run and writes its page.
-func (o runOptions) showRun(c *cobra.Command, r report.Report, folder string) error {
+func (o runOptions) showRun(c *cobra.Command, r report.Report, directory string) error {
 	if o.output != "json" {
 		if err := report.Table(c.OutOrStdout(), r); err != nil {
 			return err
@@ -223,7 +223,7 @@
 	if o.noPage {
 		return nil
 	}
-	return writePage(filepath.Join(folder, fmt.Sprintf("seed-%d.html", r.Seed)), r)
+	return writePage(filepath.Join(directory, fmt.Sprintf("seed-%d.html", r.Seed)), r)
 }
 
 // readReplay reads the recorded traffic to replay; nil if no file is named.
@@ -251,8 +251,8 @@
 }
 
 // runSeed runs a scenario with one seed. It deletes the logs of the routers unless a rule was violated.
-func (a *cli) runSeed(c *cobra.Command, s scenario.Scenario, seed uint64, program, folder string, recorded []arrivals.Arrival) (report.Report, error) {
-	dir := filepath.Join(folder, fmt.Sprintf("seed-%d-routers", seed))
+func (a *cli) runSeed(c *cobra.Command, s scenario.Scenario, seed uint64, program, directory string, recorded []arrivals.Arrival) (report.Report, error) {
+	dir := filepath.Join(directory, fmt.Sprintf("seed-%d-routers", seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return report.Report{}, err
 	}
@@ -267,8 +267,8 @@
 	if err != nil {
 		if c.Context().Err() != nil { // interrupted: delete the directories, except those that hold files of other runs
 			_ = os.RemoveAll(dir)
-			_ = os.Remove(folder)
-			_ = os.Remove(filepath.Dir(folder))
+			_ = os.Remove(directory)
+			_ = os.Remove(filepath.Dir(directory))
 		}
 		return report.Report{}, err
 	}
--- a/cmd/cache-routerctl/labsites.go
+++ b/cmd/cache-routerctl/labsites.go
@@ -65,20 +65,20 @@
 func (a *cli) runSiteRounds(c *cobra.Command, program string, o sitesOptions) (all []rig.SiteOutcome, err error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, o.parallel)
+	semaphore := make(chan struct{}, o.parallel)
 	for n := range o.rounds {
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		if c.Context() != nil && c.Context().Err() != nil {
 			break
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-semaphore }()
 			roundSeed := o.seed + uint64(n)
-			outcome, dir, bad := runSiteRound(program, roundSeed, o)
+			outcome, dir, roundErr := runSiteRound(program, roundSeed, o)
 			mu.Lock()
 			defer mu.Unlock()
-			if bad != nil && err == nil {
-				err = fmt.Errorf("seed %d: %w; its files are in %s", roundSeed, bad, dir)
+			if roundErr != nil && err == nil {
+				err = fmt.Errorf("seed %d: %w; its files are in %s", roundSeed, roundErr, dir)
 			}
 			all = append(all, outcome)
 			a.log.Infof("seed %d: %d rulings, all up %v after all was in order, %d broken", roundSeed, outcome.Rulings, outcome.Settled.Round(time.Millisecond), len(outcome.Broken))
@@ -89,35 +89,37 @@
 }
 
 // runSiteRound runs one round in its own directory, which it deletes if the round succeeded without a violation.
-func runSiteRound(program string, seed uint64, o sitesOptions) (outcome rig.SiteOutcome, dir string, bad error) {
+func runSiteRound(program string, seed uint64, o sitesOptions) (outcome rig.SiteOutcome, dir string, err error) {
 	dir = filepath.Join(o.out, fmt.Sprintf("seed-%d", seed))
-	bad = os.MkdirAll(dir, 0o755)
-	if bad == nil {
-		outcome, bad = rig.SiteRound(rig.Options{Program: program, Dir: dir, Routers: 6, Seed: seed, Probe: 200 * time.Millisecond}, o.acts)
+	err = os.MkdirAll(dir, 0o755)
+	if err == nil {
+		outcome, err = rig.SiteRound(rig.Options{Program: program, Dir: dir, Routers: 6, Seed: seed, Probe: 200 * time.Millisecond}, o.acts)
 	}
-	if bad == nil && len(outcome.Broken) == 0 {
-		bad = os.RemoveAll(dir)
+	if err == nil && len(outcome.Broken) == 0 {
+		err = os.RemoveAll(dir)
 	}
-	return outcome, dir, bad
+	return outcome, dir, err
 }
 
 // printSiteRounds prints a summary of the rounds; it returns the first violation.
 func printSiteRounds(w io.Writer, all []rig.SiteOutcome, o sitesOptions) (err error) {
-	var settled []time.Duration
+	var convergenceTimes []time.Duration
 	rulings := 0
 	for _, outcome := range all {
-		settled, rulings = append(settled, outcome.Settled), rulings+outcome.Rulings
+		convergenceTimes, rulings = append(convergenceTimes, outcome.Settled), rulings+outcome.Rulings
 		if len(outcome.Broken) > 0 && err == nil {
 			err = exitError{exitRuleViolated, fmt.Errorf("seed %d: %s; its files are in %s", outcome.Seed, outcome.Broken[0], o.out)}
 		}
 	}
 	if o.output == "json" {
-		if bad := writeJSON(w, all); bad != nil {
-			return bad
+		if writeErr := writeJSON(w, all); writeErr != nil {
+			return writeErr
 		}
 		return err
 	}
-	q := func(at float64) time.Duration { return viewref.Quantile(settled, at).Round(10 * time.Millisecond) }
-	fmt.Fprintf(w, "%d rounds, %d rulings; all sites up after all was in order: p50 %v, most %v\n", len(all), rulings, q(0.5), q(1))
+	quantile := func(at float64) time.Duration {
+		return viewref.Quantile(convergenceTimes, at).Round(10 * time.Millisecond)
+	}
+	fmt.Fprintf(w, "%d rounds, %d rulings; all sites up after all was in order: p50 %v, most %v\n", len(all), rulings, quantile(0.5), quantile(1))
 	return err
 }
--- a/cmd/cache-routerctl/labviews.go
+++ b/cmd/cache-routerctl/labviews.go
@@ -103,9 +103,9 @@
 func (a *cli) runViewRounds(ctx context.Context, program string, o viewsOptions) (all []rig.Outcome, err error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, o.parallel)
+	semaphore := make(chan struct{}, o.parallel)
 	for n := range o.rounds {
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		mu.Lock()
 		stop := err != nil || ctx.Err() != nil
 		mu.Unlock()
@@ -113,20 +113,20 @@
 			break
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-semaphore }()
 			ro := rig.Options{Program: program, Dir: o.out, Routers: o.routers, Sites: []string{"north", "south", "east"}, Seed: o.seed + uint64(n),
 				Probe: o.probe, Poll: max(100*time.Millisecond, time.Duration(o.routers)*15*time.Millisecond)}
 			var out rig.Outcome
-			var bad error
+			var roundErr error
 			if o.measure {
-				out, bad = rig.Measure(ro, o.drop, o.calm)
+				out, roundErr = rig.Measure(ro, o.drop, o.calm)
 			} else {
-				out, bad = rig.Round(ro, o.acts)
+				out, roundErr = rig.Round(ro, o.acts)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if bad != nil && err == nil {
-				err = fmt.Errorf("seed %d: %w", ro.Seed, bad)
+			if roundErr != nil && err == nil {
+				err = fmt.Errorf("seed %d: %w", ro.Seed, roundErr)
 			}
 			all = append(all, out)
 			a.log.Infof("seed %d: %d broken, %d false losses", out.Seed, len(out.Broken), out.False)
@@ -141,14 +141,14 @@
 }
 
 func printViews(out io.Writer, all []rig.Outcome) error {
-	took, open := map[string][]time.Duration{}, map[string]int{}
+	settleTimes, unsettled := map[string][]time.Duration{}, map[string]int{}
 	broken, losses, hours := 0, 0, 0.0
 	for _, x := range all {
 		for _, e := range x.Events {
 			if e.Settled < 0 {
-				open[e.What]++
+				unsettled[e.What]++
 			} else {
-				took[e.What] = append(took[e.What], e.Settled)
+				settleTimes[e.What] = append(settleTimes[e.What], e.Settled)
 			}
 		}
 		broken, losses, hours = broken+len(x.Broken), losses+x.False, hours+x.Hours
@@ -159,14 +159,14 @@
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "event\ttimes\tsettled after, p50\tp99\tworst\tnot before the next")
 	var names []string
-	for name := range took {
+	for name := range settleTimes {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		x := took[name]
-		q := func(at float64) time.Duration { return viewref.Quantile(x, at).Round(10 * time.Millisecond) }
-		fmt.Fprintf(t, "%s\t%d\t%v\t%v\t%v\t%d\n", name, len(x), q(0.5), q(0.99), q(1), open[name])
+		x := settleTimes[name]
+		quantile := func(at float64) time.Duration { return viewref.Quantile(x, at).Round(10 * time.Millisecond) }
+		fmt.Fprintf(t, "%s\t%d\t%v\t%v\t%v\t%d\n", name, len(x), quantile(0.5), quantile(0.99), quantile(1), unsettled[name])
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/cmd/cache-routerctl/policy.go
+++ b/cmd/cache-routerctl/policy.go
@@ -153,30 +153,30 @@
 	if x.token == "" {
 		x.token = crand.Text()
 	}
-	before, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestStatus})
+	status, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestStatus})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", x.token, x.base, x.base+1, len(before.Followers))
-	if uint64(before.Current) != x.base {
+	fmt.Fprintf(out, "token %s: revision %d to %d, at %d routers\n", x.token, x.base, x.base+1, len(status.Followers))
+	if uint64(status.Current) != x.base {
 		h, _, err := queryPolicy(c.Context(), endpoint, policycommit.Request{Type: policycommit.RequestHistory})
-		if err == nil && len(h.History) > 0 && uint64(before.Current) > x.base {
+		if err == nil && len(h.History) > 0 && uint64(status.Current) > x.base {
 			last := h.History[len(h.History)-1]
 			fmt.Fprintf(out, "revision %d is in force, by %s at %s: %s\n%s", last.Revision, last.Author, formatMicros(last.RequestedAt), last.Reason,
 				lineDiff(last.Document, document))
 		}
 	}
-	s, _, err := queryPolicy(c.Context(), endpoint, x.sign(policycommit.Request{Type: policycommit.RequestApply, Document: document, Base: policycommit.Revision(x.base), Token: policycommit.Token(x.token)}))
+	reply, _, err := queryPolicy(c.Context(), endpoint, x.sign(policycommit.Request{Type: policycommit.RequestApply, Document: document, Base: policycommit.Revision(x.base), Token: policycommit.Token(x.token)}))
 	if err != nil {
 		return fmt.Errorf("%w; to learn what became of it ask again with --token %s", err, x.token)
 	}
-	if s.Verdict == nil {
+	if reply.Verdict == nil {
 		return fmt.Errorf("no verdict was told; ask again with --token %s", x.token)
 	}
-	if !s.Verdict.Committed {
-		return exitError{exitNotCommitted, fmt.Errorf("nowhere: %s; revision %d stays in force", s.Verdict.Reason, s.Verdict.Revision)}
+	if !reply.Verdict.Committed {
+		return exitError{exitNotCommitted, fmt.Errorf("nowhere: %s; revision %d stays in force", reply.Verdict.Reason, reply.Verdict.Revision)}
 	}
-	_, err = fmt.Fprintf(out, "everywhere: revision %d is in force\n", s.Verdict.Revision)
+	_, err = fmt.Fprintf(out, "everywhere: revision %d is in force\n", reply.Verdict.Revision)
 	return err
 }
 
@@ -229,14 +229,14 @@
 
 // fetchDocument returns the document of a policy revision.
 func fetchDocument(ctx context.Context, endpoint string, number uint64) (string, error) {
-	h, _, err := queryPolicy(ctx, endpoint, policycommit.Request{Type: policycommit.RequestHistory, Base: policycommit.Revision(number)})
+	reply, _, err := queryPolicy(ctx, endpoint, policycommit.Request{Type: policycommit.RequestHistory, Base: policycommit.Revision(number)})
 	if err != nil {
 		return "", err
 	}
-	if len(h.History) != 1 {
+	if len(reply.History) != 1 {
 		return "", fmt.Errorf("revision %d is not kept any more, or never was; cache-routerctl policy history lists them", number)
 	}
-	return h.History[0].Document, nil
+	return reply.History[0].Document, nil
 }
 
 func policyShowCommand() *cobra.Command {
@@ -316,13 +316,13 @@
 		example: "  cache-routerctl policy history 10.1.2.3:8400", requestType: policycommit.RequestHistory, show: showHistory}.command()
 }
 
-func showHistory(w io.Writer, s policycommit.Reply) error {
+func showHistory(w io.Writer, reply policycommit.Reply) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "revision\tat\tby\twhy")
-	for _, h := range s.History {
+	for _, h := range reply.History {
 		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", h.Revision, formatMicros(h.RequestedAt), h.Author, h.Reason)
 	}
-	for _, e := range s.DeathReports {
+	for _, e := range reply.DeathReports {
 		fmt.Fprintf(t, "-\t%s\t%s\tsaid that %s is dead: %s\n", formatMicros(e.RequestedAt), e.Author, e.Name, e.Reason)
 	}
 	return t.Flush()
@@ -333,25 +333,25 @@
 		example: "  cache-routerctl policy status 10.1.2.3:8400", requestType: policycommit.RequestStatus, show: showPolicyStatus}.command()
 }
 
-func showPolicyStatus(w io.Writer, s policycommit.Reply) error {
-	fmt.Fprintf(w, "revision %d is in force\n", s.Current)
-	if p := s.Pending; p != nil {
+func showPolicyStatus(w io.Writer, reply policycommit.Reply) error {
+	fmt.Fprintf(w, "revision %d is in force\n", reply.Current)
+	if p := reply.Pending; p != nil {
 		fmt.Fprintf(w, "revision %d is pending, by %s: %s\n", p.Revision, p.Author, p.Reason)
 	}
-	for _, k := range s.Voters {
+	for _, k := range reply.Voters {
 		fmt.Fprintf(w, "keeper %s\n", k)
 	}
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "router\tholds\tprepared\theard\tcut off\tbuild")
-	for _, r := range s.Followers {
-		heard, cut := "not by this leader", "refuses"
+	for _, r := range reply.Followers {
+		renewalAge, disconnected := "not by this leader", "refuses"
 		if r.RenewalAge >= 0 {
-			heard = (time.Duration(r.RenewalAge) * time.Microsecond).Round(10*time.Millisecond).String() + " ago"
+			renewalAge = (time.Duration(r.RenewalAge) * time.Microsecond).Round(10*time.Millisecond).String() + " ago"
 		}
 		if r.FailOpen {
-			cut = "serves"
+			disconnected = "serves"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%v\t%s\t%s\t%s\n", r.Name, r.ActiveRevision, r.Prepared, heard, cut, r.Build)
+		fmt.Fprintf(t, "%s\t%d\t%v\t%s\t%s\t%s\n", r.Name, r.ActiveRevision, r.Prepared, renewalAge, disconnected, r.Build)
 	}
 	return t.Flush()
 }
@@ -371,18 +371,18 @@
 
 // policyActionCommand returns a command that submits an operator's request about a router.
 func policyActionCommand(use, short string, requestType policycommit.RequestType) *cobra.Command {
-	var x auditInfo
+	var audit auditInfo
 	c := &cobra.Command{Use: use, Short: short, Args: endpointAsLastArg(2), Example: "  cache-routerctl policy " + strings.NewReplacer("NAME", "r2", "DOOR", "10.1.2.3:8400").Replace(use),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := x.validate(); err != nil {
+			if err := audit.validate(); err != nil {
 				return err
 			}
-			if _, _, err := queryPolicy(c.Context(), args[1], x.sign(policycommit.Request{Type: requestType, Name: args[0]})); err != nil {
+			if _, _, err := queryPolicy(c.Context(), args[1], audit.sign(policycommit.Request{Type: requestType, Name: args[0]})); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintln(c.OutOrStdout(), "done")
 			return err
 		}}
-	x.flags(c, "who says so", "how that is known")
+	audit.flags(c, "who says so", "how that is known")
 	return c
 }
--- a/cmd/cache-routerctl/scalecapacity.go
+++ b/cmd/cache-routerctl/scalecapacity.go
@@ -47,12 +47,12 @@
 	return c
 }
 
-func newCapacityReport(target string, files []string, ofLeader string) (capacity.Report, error) {
+func newCapacityReport(target string, files []string, leaderFile string) (capacity.Report, error) {
 	text, err := os.ReadFile(target)
 	if err != nil {
 		return capacity.Report{}, capacity.FieldError{File: target, Field: "the file", Problem: err.Error(), Remedy: "name the file of a fleet, as docs/scale/target.toml"}
 	}
-	wanted, err := capacity.ReadTarget(target, text)
+	parsedTarget, err := capacity.ReadTarget(target, text)
 	if err != nil {
 		return capacity.Report{}, err
 	}
@@ -60,11 +60,11 @@
 	if err != nil {
 		return capacity.Report{}, err
 	}
-	slopes, err := readLeaderModel(ofLeader)
+	leaderModel, err := readLeaderModel(leaderFile)
 	if err != nil {
 		return capacity.Report{}, err
 	}
-	return capacity.NewReport(wanted, measured, slopes), nil
+	return capacity.NewReport(parsedTarget, measured, leaderModel), nil
 }
 
 // readLeaderModel reads and fits the results of scale leader; it returns nil without a file name.
@@ -93,11 +93,11 @@
 	case write != "":
 		return writeFileAtomically(write, page)
 	case check != "":
-		has, err := os.ReadFile(check)
+		content, err := os.ReadFile(check)
 		if err != nil {
 			return capacity.FieldError{File: check, Field: "the file", Problem: err.Error(), Remedy: "write it by --write"}
 		}
-		return capacity.Check(check, string(has), page)
+		return capacity.Check(check, string(content), page)
 	case output == "json":
 		return writeJSON(w, report)
 	}
--- a/cmd/cache-routerctl/scalecapacity_test.go
+++ b/cmd/cache-routerctl/scalecapacity_test.go
@@ -98,9 +98,9 @@
 	if !errors.As(err, &stale) || stale.Page != page || !strings.Contains(err.Error(), "write it anew") {
 		t.Errorf("page checked without its results: got error %v, want a StaleError", err)
 	}
-	beside, err := os.ReadDir(filepath.Dir(page))
-	if err != nil || len(beside) != 1 {
-		t.Errorf("got files %v and error %v, want only the page", beside, err)
+	entries, err := os.ReadDir(filepath.Dir(page))
+	if err != nil || len(entries) != 1 {
+		t.Errorf("got files %v and error %v, want only the page", entries, err)
 	}
 	text, err := executeCommand((&cli{}).scaleCapacityCommand(), "--target", targetFile, "--measured", runs, "--output", "json")
 	var report map[string]any
--- a/cmd/cache-routerctl/scaleleader.go
+++ b/cmd/cache-routerctl/scaleleader.go
@@ -17,7 +17,7 @@
 	var output, write string
 	var sizes []int
 	var seeds int
-	var span time.Duration
+	var minDuration time.Duration
 	c := &cobra.Command{
 		Use:   "leader",
 		Short: "Measure what the leader of the policy's keepers computes, by the size of the roster",
@@ -26,17 +26,17 @@
 		Example: "  cache-routerctl scale leader --write docs/scale/leader/leader.json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := checkLeaderFlags(sizes, seeds, span); err != nil {
+			if err := checkLeaderFlags(sizes, seeds, minDuration); err != nil {
 				return err
 			}
 			file := leader.File{Format: leader.Format, Kind: leader.Kind, Build: buildRevision(), Cores: runtime.NumCPU()}
-			var stopped error
-			for seed := 1; seed <= seeds && stopped == nil; seed++ {
+			var interrupted error
+			for seed := 1; seed <= seeds && interrupted == nil; seed++ {
 				for _, routers := range sizes {
-					if stopped = c.Context().Err(); stopped != nil {
+					if interrupted = c.Context().Err(); interrupted != nil {
 						break
 					}
-					sample, err := leader.Measure(routers, uint64(seed), span, processorTime)
+					sample, err := leader.Measure(routers, uint64(seed), minDuration, processorTime)
 					if err != nil {
 						return err
 					}
@@ -47,7 +47,7 @@
 			if err := outputLeader(c, file, write, output); err != nil {
 				return err
 			}
-			if stopped != nil {
+			if interrupted != nil {
 				return fmt.Errorf("interrupted after %d of %d rosters", len(file.Samples), seeds*len(sizes))
 			}
 			return nil
@@ -55,20 +55,20 @@
 	}
 	c.Flags().IntSliceVar(&sizes, "sizes", []int{200, 400, 800, 1600, 3200, 6400, 14000}, "routers on the roster")
 	c.Flags().IntVar(&seeds, "seeds", 3, "rosters of each size")
-	c.Flags().DurationVar(&span, "span", 300*time.Millisecond, "for which each part is timed at least")
+	c.Flags().DurationVar(&minDuration, "span", 300*time.Millisecond, "for which each part is timed at least")
 	c.Flags().StringVar(&write, "write", "", "write the results into this file, as JSON")
 	addOutputFlag(c, &output)
 	return c
 }
 
-func checkLeaderFlags(sizes []int, seeds int, span time.Duration) error {
-	const most = 200_000 // uses several hundred MB
+func checkLeaderFlags(sizes []int, seeds int, minDuration time.Duration) error {
+	const maxRouters = 200_000 // uses several hundred MB
 	for _, n := range sizes {
-		if n < 1 || n > most {
-			return usageErrorf("--sizes: %d is not within 1 to %d", n, most)
+		if n < 1 || n > maxRouters {
+			return usageErrorf("--sizes: %d is not within 1 to %d", n, maxRouters)
 		}
 	}
-	if len(sizes) == 0 || seeds < 1 || span <= 0 {
+	if len(sizes) == 0 || seeds < 1 || minDuration <= 0 {
 		return usageErrorf("--sizes, --seeds and --span: give one or more of each, and a span above 0")
 	}
 	return nil
--- a/cmd/cache-routerctl/scalerun.go
+++ b/cmd/cache-routerctl/scalerun.go
@@ -17,11 +17,11 @@
 
 // scaleRunCommand returns the command that runs a scale scenario.
 func (a *cli) scaleRunCommand() *cobra.Command {
-	var into string
+	var resultFile string
 	var sizes []int
 	var seeds []uint
 	var faults []string
-	var more bool
+	var appendTrials bool
 	var router string
 	c := &cobra.Command{Use: "run FILE", Short: "Play a scale scenario and count what each router uses",
 		Long: "Plays a trial for each fault, seed and size of the scenario. Ctrl-C ends it and keeps the trials that are finished.\n" +
@@ -37,7 +37,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			options, err := a.scaleRunOptions(into, more)
+			options, err := a.scaleRunOptions(resultFile, appendTrials)
 			if err != nil {
 				return err
 			}
@@ -48,8 +48,8 @@
 			}
 			file, err := scale.Run(c.Context(), part, options)
 			file.Trials = file.Trials[len(options.Before):]
-			if bad := scale.Table(c.OutOrStdout(), file.Trials); bad != nil {
-				return bad
+			if tableErr := scale.Table(c.OutOrStdout(), file.Trials); tableErr != nil {
+				return tableErr
 			}
 			if errors.Is(err, context.Canceled) {
 				return fmt.Errorf("interrupted: %d trials are finished, and kept", len(file.Trials))
@@ -59,9 +59,9 @@
 			}
 			return checkTrials(part, file.Trials)
 		}}
-	c.Flags().StringVar(&into, "json", "", "file for the result as JSON, written after each trial")
+	c.Flags().StringVar(&resultFile, "json", "", "file for the result as JSON, written after each trial")
 	c.Flags().StringVar(&router, "router", "", "program of the real routers (default: cache-router-fleet beside this program)")
-	c.Flags().BoolVar(&more, "append", false, "keep the trials that the file of --json has, and add to them")
+	c.Flags().BoolVar(&appendTrials, "append", false, "keep the trials that the file of --json has, and add to them")
 	c.Flags().IntSliceVar(&sizes, "sizes", nil, "these of the scenario's sizes alone")
 	c.Flags().UintSliceVar(&seeds, "seeds", nil, "these of the scenario's seeds alone")
 	c.Flags().StringSliceVar(&faults, "faults", nil, "these of the scenario's faults alone")
@@ -82,16 +82,16 @@
 	return all
 }
 
-func (a *cli) scaleRunOptions(into string, more bool) (o scale.Options, err error) {
-	var before result.File
-	if more && into == "" {
+func (a *cli) scaleRunOptions(resultFile string, appendTrials bool) (o scale.Options, err error) {
+	var previous result.File
+	if appendTrials && resultFile == "" {
 		return o, usageErrorf("--append: there is no file to add to; name it by --json")
 	}
-	if err := checkWritable(into); err != nil {
+	if err := checkWritable(resultFile); err != nil {
 		return o, err
 	}
-	if more {
-		if before, err = readResult(into); err != nil {
+	if appendTrials {
+		if previous, err = readResult(resultFile); err != nil {
 			return o, err
 		}
 	}
@@ -103,9 +103,9 @@
 	if err != nil {
 		return o, err
 	}
-	return scale.Options{Program: []string{program, "scale", "worker"}, Build: buildRevision(), Cores: runtime.NumCPU(), Machine: machine, Before: before.Trials,
+	return scale.Options{Program: []string{program, "scale", "worker"}, Build: buildRevision(), Cores: runtime.NumCPU(), Machine: machine, Before: previous.Trials,
 		Progress: func(line string) { a.log.Info(line) },
-		Finished: func(file result.File) error { return writeResult(into, file) }}, nil
+		Finished: func(file result.File) error { return writeResult(resultFile, file) }}, nil
 }
 
 // readResult reads the result file that new trials are appended to. It returns an empty result if there is no file.
--- a/cmd/cache-routerctl/state.go
+++ b/cmd/cache-routerctl/state.go
@@ -191,22 +191,22 @@
 }
 
 // verifyFiles verifies the state at each path, and returns how many files are unusable.
-func verifyFiles(paths []string) (rows []verifiedFile, bad int) {
-	rows = []verifiedFile{}
+func verifyFiles(paths []string) (files []verifiedFile, unusable int) {
+	files = []verifiedFile{}
 	for _, path := range paths {
 		s, from, passed, err := readState(path)
 		for _, p := range passed {
 			if err == nil {
-				rows, bad = append(rows, verifiedFile{Path: path, Wrong: p.Error()}), bad+1
+				files, unusable = append(files, verifiedFile{Path: path, Wrong: p.Error()}), unusable+1
 			}
 		}
 		if err != nil {
-			rows, bad = append(rows, verifiedFile{Path: path, Wrong: err.Error()}), bad+1
+			files, unusable = append(files, verifiedFile{Path: path, Wrong: err.Error()}), unusable+1
 			continue
 		}
-		rows = append(rows, verifiedFile{from, true, s.Version, len(s.Servers), ""})
+		files = append(files, verifiedFile{from, true, s.Version, len(s.Servers), ""})
 	}
-	return rows, bad
+	return files, unusable
 }
 
 func printVerification(w io.Writer, rows []verifiedFile, output string) error {
@@ -228,12 +228,12 @@
 	c := &cobra.Command{Use: "verify FILE|FOLDER...", Short: "Tell whether states are whole; exit 1 where one is not",
 		Example: "  cache-routerctl state verify /var/lib/spurtrestle/*", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			rows, bad := verifyFiles(paths)
+			rows, unusable := verifyFiles(paths)
 			if err := printVerification(c.OutOrStdout(), rows, output); err != nil {
 				return err
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d cannot be used; a router begins with the generation before, or anew", bad)
+			if unusable > 0 {
+				return fmt.Errorf("%d cannot be used; a router begins with the generation before, or anew", unusable)
 			}
 			return nil
 		}}
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -153,7 +153,7 @@
 		_, err := DecodeResultFile("runs.json", []byte(text))
 		var fieldErr FieldError
 		if !errors.As(err, &fieldErr) || fieldErr.File != "runs.json" || fieldErr.Field != field || fieldErr.Remedy == "" {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got error %v, want a FieldError of %q", text, err, field)
 		}
 	}
 }
@@ -212,29 +212,29 @@
 func TestPredict_StatesTheBasis(t *testing.T) {
 	target := readTarget(t)
 	target.Routers = 3200
-	evidence := FitMeasurements([]ResultFile{{Name: "made.json", File: result.File{Trials: append(syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes),
+	measurements := FitMeasurements([]ResultFile{{Name: "made.json", File: result.File{Trials: append(syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes),
 		syntheticTrials(result.Tiered, result.NoFault, fewSizes, linearBytes)...)}}})
 
-	e := predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes})
+	e := predict(measurements, target, SeriesKey{result.Flat, result.NoFault, MetricBytes})
 	if e.Basis != Extrapolated || e.SizeRatio != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
-		t.Errorf("%+v", e)
+		t.Errorf("got %+v", e)
 	}
 	target.Routers = 1000
-	if e := predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}); e.Basis != Measured {
-		t.Errorf("%+v", e)
+	if e := predict(measurements, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}); e.Basis != Measured {
+		t.Errorf("got %+v", e)
 	}
-	if e := predict(evidence, target, SeriesKey{result.Tiered, result.NoFault, MetricBytes}); e.Basis != NotMeasured || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
-		t.Errorf("%+v", e)
+	if e := predict(measurements, target, SeriesKey{result.Tiered, result.NoFault, MetricBytes}); e.Basis != NotMeasured || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
+		t.Errorf("got %+v", e)
 	}
-	if e := predict(evidence, target, SeriesKey{result.Flat, result.RegionPartition, MetricBytes}); e.Basis != NotMeasured || e.Note != "no trial" {
-		t.Errorf("%+v", e)
+	if e := predict(measurements, target, SeriesKey{result.Flat, result.RegionPartition, MetricBytes}); e.Basis != NotMeasured || e.Note != "no trial" {
+		t.Errorf("got %+v", e)
 	}
-	both := sum(calculated(100, BytesPerSecond, ""), predict(evidence, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}))
+	both := sum(calculated(100, BytesPerSecond, ""), predict(measurements, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}))
 	if both.Basis != Measured || math.Abs(both.Value-2200) > 25 {
-		t.Errorf("%+v", both)
+		t.Errorf("got %+v", both)
 	}
 	if e := sum(calculated(100, BytesPerSecond, ""), notMeasured("")); e.Basis != NotMeasured {
-		t.Errorf("%+v", e)
+		t.Errorf("got %+v", e)
 	}
 }
 
@@ -242,24 +242,24 @@
 	trials := syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes)
 	trials[4].ConvergenceTime = nil
 	trials[5].Incomplete = "it was interrupted"
-	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: trials}}})
-	if len(evidence.Excluded) != 1 || evidence.Excluded[0].Reason != "it was interrupted" || evidence.Excluded[0].Routers != 100 {
-		t.Errorf("%+v", evidence.Excluded)
+	measurements := FitMeasurements([]ResultFile{{File: result.File{Trials: trials}}})
+	if len(measurements.Excluded) != 1 || measurements.Excluded[0].Reason != "it was interrupted" || measurements.Excluded[0].Routers != 100 {
+		t.Errorf("got %+v", measurements.Excluded)
 	}
-	settled := evidence.Find(SeriesKey{result.Flat, result.NoFault, MetricConvergence})
-	if settled.Fit != nil || settled.MissingTrials != 1 || settled.MinMissingSize != 100 {
-		t.Errorf("convergence was fitted although one trial never converged: %+v", settled)
+	convergence := measurements.Find(SeriesKey{result.Flat, result.NoFault, MetricConvergence})
+	if convergence.Fit != nil || convergence.MissingTrials != 1 || convergence.MinMissingSize != 100 {
+		t.Errorf("convergence was fitted although one trial never converged: %+v", convergence)
 	}
-	if bytes := evidence.Find(SeriesKey{result.Flat, result.NoFault, MetricBytes}); len(bytes.Points) != len(trials)-1 || bytes.Fit == nil || bytes.Fit.Model != slope.Linear {
-		t.Errorf("%+v", bytes)
+	if bytes := measurements.Find(SeriesKey{result.Flat, result.NoFault, MetricBytes}); len(bytes.Points) != len(trials)-1 || bytes.Fit == nil || bytes.Fit.Model != slope.Linear {
+		t.Errorf("got %+v", bytes)
 	}
 }
 
 func TestScalingLimits_SortedBySize(t *testing.T) {
 	target := readTarget(t)
 	steep := func(size float64, seed int) float64 { return linearBytes(size, seed) / 2 }
-	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, steep)}}})
-	flat := scalingLimits(target, evidence, currentCosts(target, nil), nil)[0].Limits
+	measurements := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, steep)}}})
+	flat := scalingLimits(target, measurements, currentCosts(target, nil), nil)[0].Limits
 	want := []struct {
 		what string
 		size float64
@@ -269,11 +269,11 @@
 	}
 	for i, w := range want {
 		if flat[i].Description != w.what || math.Abs(flat[i].Size-w.size) > w.size/50 {
-			t.Errorf("%d: %+v", i, flat[i])
+			t.Errorf("limit %d: got %+v", i, flat[i])
 		}
 	}
 	if flat[1].Basis != Extrapolated || math.Abs(flat[1].SizeRatio-1950.0/1600) > 0.05 || flat[0].Basis != Measured {
-		t.Errorf("%+v %+v", flat[0], flat[1])
+		t.Errorf("got %+v and %+v", flat[0], flat[1])
 	}
 	for _, b := range flat[3:] {
 		if b.Size != 0 {
@@ -291,13 +291,13 @@
 		}
 		return 2001
 	}
-	evidence := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, fewSizes, steep)}}})
-	b := measuredLimit(evidence, SeriesKey{result.Flat, result.NoFault, MetricBytes}, "bytes", target.Budget.BytesPerSecond)
+	measurements := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, fewSizes, steep)}}})
+	b := measuredLimit(measurements, SeriesKey{result.Flat, result.NoFault, MetricBytes}, "bytes", target.Budget.BytesPerSecond)
 	if b.Size != 100 || b.Basis != Measured || !strings.Contains(b.Source, "not fitted") {
-		t.Errorf("%+v", b)
+		t.Errorf("got %+v", b)
 	}
-	if b := measuredLimit(evidence, SeriesKey{result.Flat, result.NoFault, MetricMemory}, "memory", target.Budget.MemoryBytes); b.Size != 0 || b.Basis != NotMeasured {
-		t.Errorf("%+v", b)
+	if b := measuredLimit(measurements, SeriesKey{result.Flat, result.NoFault, MetricMemory}, "memory", target.Budget.MemoryBytes); b.Size != 0 || b.Basis != NotMeasured {
+		t.Errorf("got %+v", b)
 	}
 }
 
@@ -309,20 +309,20 @@
 		got += x.Description
 	}
 	if got != "abc" {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 }
 
 func TestLimitShare_OfTheLargestEstimate(t *testing.T) {
 	r := Row{Normal: calculated(10, Bytes, ""), RestartBurst: Estimate{Basis: Measured, Value: 20, High: 90}, RegionPartition: notMeasured("")}
 	if got := formatLimitShare(r); got != "-" {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 	if got := formatLimitShare(r.withLimit(100, Bytes)); got != "20%, up to 90%" {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 	if got := formatLimitShare(Row{Normal: notMeasured(""), RestartBurst: notMeasured(""), RegionPartition: notMeasured("")}.withLimit(100, Bytes)); got != "-" {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 }
 
@@ -344,7 +344,7 @@
 	} {
 		report := NewReport(target, []ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
 		if len(report.LargestWithinBudget) != 1 || report.LargestWithinBudget[0].Size != c.size || report.LargestWithinBudget[0].LargestMeasured != 1600 {
-			t.Errorf("%+v, want %d", report.LargestWithinBudget, c.size)
+			t.Errorf("got %+v, want %d", report.LargestWithinBudget, c.size)
 		}
 	}
 }
@@ -378,37 +378,37 @@
 	file := ResultFile{Name: "a.json", File: result.File{Build: "new", Trials: []result.Trial{
 		{Routers: 1, Build: "old", OtherLoad: &half}, {Routers: 2, OtherLoad: &none}, {Routers: 3, Build: "old", OtherLoad: &none}}}}
 	if s := source(file); s.Build != "old, new" || s.OtherLoad != "0.50" {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v", s)
 	}
 	file.Trials[0].OtherLoad = nil
 	if s := source(file); s.OtherLoad != "0.00; not recorded in 1" {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v", s)
 	}
 	file.Trials = file.Trials[:1]
 	if s := source(file); s.OtherLoad != "not recorded" {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v", s)
 	}
 }
 
 // A trial with real routers is shown separately and does not count as another seed of the trials with simulated routers only.
 func TestRealRouters_NotCountedAsSeeds(t *testing.T) {
 	hollow := syntheticTrials(result.Tiered, result.NoFault, manySizes, func(float64, int) float64 { return 600 })
-	beside := result.Trial{Topology: result.Tiered, Fault: result.NoFault, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
+	mixed := result.Trial{Topology: result.Tiered, Fault: result.NoFault, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
 		Real: &result.RealRouters{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, WithoutFleet: result.Usage{CPU: 0.001, Memory: 7e6}}}
 	target := readTarget(t)
-	alone := NewReport(target, []ResultFile{{File: result.File{Trials: hollow}}}, nil)
-	both := NewReport(target, []ResultFile{{File: result.File{Trials: append(hollow, beside)}}}, nil)
+	hollowOnly := NewReport(target, []ResultFile{{File: result.File{Trials: hollow}}}, nil)
+	both := NewReport(target, []ResultFile{{File: result.File{Trials: append(hollow, mixed)}}}, nil)
 	if len(both.Real) != 1 || both.Real[0].Processes != 8 || both.Real[0].Bytes.Value != 620 || both.Real[0].Memory.Value != 2e6 {
-		t.Fatalf("%+v", both.Real)
+		t.Fatalf("got %+v", both.Real)
 	}
-	for i, row := range alone.Sizes {
+	for i, row := range hollowOnly.Sizes {
 		if both.Sizes[i] != row {
 			t.Errorf("got row %+v, want %+v", both.Sizes[i], row)
 		}
 	}
 	page, err := Page(both)
 	if err != nil || !strings.Contains(page, "| tiered | 100 | 8 | 620 B/s") {
-		t.Errorf("%v, %s", err, page)
+		t.Errorf("got error %v and page %s", err, page)
 	}
 }
 
@@ -434,11 +434,11 @@
 	now := currentCosts(target, nil)
 	g := designRenewals(target, now)
 	if g.Chosen == nil || !g.Chosen.Fits || g.Chosen.LeaderRenewals >= now.SameRegion.LeaderRenewals {
-		t.Fatalf("%+v", g)
+		t.Fatalf("got %+v", g)
 	}
 	one, two := representativeRenewal(target, 3, 1), representativeRenewal(target, 3, 2)
 	if two.BusiestBytes >= one.BusiestBytes || two.LeaderRenewals != 2*one.LeaderRenewals || two.RouterBytes != one.RouterBytes {
-		t.Errorf("%+v %+v", one, two)
+		t.Errorf("got %+v and %+v", one, two)
 	}
 	target.Budget.BytesPerSecond = 1
 	if g := designRenewals(target, now); g.Chosen != nil || g.ChosenCurrentLease != nil {
@@ -451,7 +451,7 @@
 	p := designPurges(target, 1800)
 	all, one := p.Options[0], *p.Chosen
 	if all.Fits || !one.Fits || all.ReceivedBytes < target.Purges.PerSecond*target.Purges.Bytes {
-		t.Errorf("%+v\n%+v", all, one)
+		t.Errorf("got %+v\nand %+v", all, one)
 	}
 	if want := all.ReceivedBytes / (target.RoutersPerSite() - membershipRepresentatives); math.Abs(one.ReceivedBytes-want) > 1 {
 		t.Errorf("got %v bytes received per second, want %v", one.ReceivedBytes, want)
@@ -464,7 +464,7 @@
 		total += s.Seconds
 	}
 	if p.Seconds != total || p.FitsTarget != (total <= 7.1) {
-		t.Errorf("%+v", p)
+		t.Errorf("got %+v", p)
 	}
 	if p.MissedPurges != 420*3600 || p.MissedBytes != 420*3600*20 {
 		t.Errorf("got %v missed purges of %v bytes", p.MissedPurges, p.MissedBytes)
@@ -486,20 +486,20 @@
 		{"policy representative", b.Total.PolicyRepresentative, 600 + g.Chosen.BusiestBytes + documents + p.Chosen.ControlBytes},
 	} {
 		if math.Abs(c.got.Value-c.want) > 0.01 {
-			t.Errorf("%s: %v, want %v", c.name, c.got.Value, c.want)
+			t.Errorf("%s: got %v, want %v", c.name, c.got.Value, c.want)
 		}
 	}
 	if b := routerBudget(target, g, p, notMeasured("no trial"), notMeasured("no trial")); b.Total.Router.Basis != NotMeasured {
-		t.Errorf("%+v", b.Total)
+		t.Errorf("got %+v", b.Total)
 	}
 }
 
 func TestTimeInQueue(t *testing.T) {
 	if got := timeInQueue(2, 0.25); got != 3 { // utilization 0.5: the mean wait is half the service time
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 	if got := timeInQueue(5, 0.2); got != -1 {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 }
 
@@ -532,7 +532,7 @@
 		{14000, Number, "14,000"}, {195986000, Number, "196,000,000"}, {12.345, Number, "12.3"}, {70000, PerSecond, "70,000/s"},
 	} {
 		if got := formatValue(c.value, c.unit); got != c.want {
-			t.Errorf("%v %s: %q, want %q", c.value, c.unit, got, c.want)
+			t.Errorf("%v %s: got %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
 }
@@ -553,14 +553,14 @@
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.01*b }
 	s := syntheticLeader(10e-6, 1e-6)
 	if !s.Fitted() || s.LargestSize != 25600 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("got %+v", s)
 	}
 	l := s.predictLoad(10_000, 5, 0.03) // utilization 0.5; 50 ms for the interval and the confirmation, 10 ms per pass
 	if !near(l.Utilization, 0.5) || !near(l.PassInterval, 0.12) || !near(l.QueuedRenewals, 6000) || !near(l.Cores, 0.05+0.5+0.01/0.12) || l.overloaded() {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v", l)
 	}
 	if l := s.predictLoad(20_001, 5, 0); l.Utilization < 1 || !l.overloaded() || l.PassInterval != 0 {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v", l)
 	}
 	size := s.minOverloadedSize(5, 0.03)
 	if s.predictLoad(size+1, 5, 0.03).overloaded() != true || s.predictLoad(size-1, 5, 0.03).overloaded() {
@@ -587,7 +587,7 @@
 		_, err := DecodeLeader("l.json", []byte(text))
 		var fieldErr FieldError
 		if !errors.As(err, &fieldErr) || fieldErr.Field != field || fieldErr.File != "l.json" || fieldErr.Remedy == "" {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got error %v, want a FieldError of %q", text, err, field)
 		}
 	}
 }
--- a/internal/scale/capacity/measured.go
+++ b/internal/scale/capacity/measured.go
@@ -135,11 +135,11 @@
 
 // minSizeOver returns the smallest size measured at which no seed is within a limit; ok is false if there is none.
 func (s Series) minSizeOver(limit float64) (size float64, ok bool) {
-	within := map[float64]bool{}
+	anyWithinLimit := map[float64]bool{}
 	for _, p := range s.Points {
-		within[p.Size] = within[p.Size] || p.Value <= limit
+		anyWithinLimit[p.Size] = anyWithinLimit[p.Size] || p.Value <= limit
 	}
-	for candidate, anyWithin := range within {
+	for candidate, anyWithin := range anyWithinLimit {
 		if !anyWithin && (!ok || candidate < size) {
 			size, ok = candidate, true
 		}
