--- a/internal/scale/capacity/page.go
+++ b/internal/scale/capacity/page.go
@@ -308,16 +308,16 @@
 
 var pageTemplate = template.Must(template.New("capacity").Funcs(template.FuncMap{
 	"estimate": formatEstimate, "sources": formatSources, "limitShare": formatLimitShare, "limit": formatLimit,
-	"number":   func(v float64) string { return formatValue(v, Number) },
-	"bytes":    func(v float64) string { return formatValue(v, Bytes) },
-	"rate":     func(v float64) string { return formatValue(v, BytesPerSecond) },
-	"times":    func(v float64) string { return formatValue(v, PerSecond) },
-	"time":     func(v float64) string { return formatValue(v, Seconds) },
-	"bits":     func(v float64) string { return formatValue(v, BitsPerSecond) },
-	"cores":    func(v float64) string { return formatValue(v, Cores) },
-	"percent":  func(v float64) string { return formatDigits(v*100) + "%" },
-	"value":    formatValue,
-	"interval": func(i slope.Interval, unit Unit) string { return formatInterval(i, unit) },
+	"number":  func(v float64) string { return formatValue(v, Number) },
+	"bytes":   func(v float64) string { return formatValue(v, Bytes) },
+	"rate":    func(v float64) string { return formatValue(v, BytesPerSecond) },
+	"times":   func(v float64) string { return formatValue(v, PerSecond) },
+	"time":    func(v float64) string { return formatValue(v, Seconds) },
+	"bits":    func(v float64) string { return formatValue(v, BitsPerSecond) },
+	"cores":   func(v float64) string { return formatValue(v, Cores) },
+	"percent": func(v float64) string { return formatDigits(v*100) + "%" },
+	"value":   formatValue,
+	"around":  func(i slope.Interval, unit Unit) string { return formatInterval(i, unit) },
 	"convergence": func(i slope.Interval, count, of int) string {
 		if count == 0 {
 			return fmt.Sprintf("in none of %d", of)
@@ -335,7 +335,7 @@
 		}
 		return cmp.Or(strings.Join(names, ", "), "-")
 	},
-	"limitSize": formatLimitSize,
+	"breakSize": formatLimitSize,
 	"yes": func(v bool) string {
 		if v {
 			return "yes"
