--- a/cmd/cache-routerctl/scaleleader.go
+++ b/cmd/cache-routerctl/scaleleader.go
@@ -13,11 +13,11 @@
 	"spurtrestle/internal/scale/leader"
 )
 
-func (a *app) scaleLeader() *cobra.Command {
+func (*cli) scaleLeaderCommand() *cobra.Command {
 	var output, write string
 	var sizes []int
 	var seeds int
-	var span time.Duration
+	var minDuration time.Duration
 	c := &cobra.Command{
 		Use:   "leader",
 		Short: "Measure what the leader of the policy's keepers computes, by the size of the roster",
@@ -26,17 +26,17 @@
 		Example: "  cache-routerctl scale leader --write docs/scale/leader/leader.json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := checkLeaderFlags(sizes, seeds, span); err != nil {
+			if err := checkLeaderFlags(sizes, seeds, minDuration); err != nil {
 				return err
 			}
-			file := leader.File{Format: leader.Format, Kind: leader.Kind, Build: builtFrom(), Cores: runtime.NumCPU()}
-			var stopped error
-			for seed := 1; seed <= seeds && stopped == nil; seed++ {
+			file := leader.File{Format: leader.Format, Kind: leader.Kind, Build: buildRevision(), Cores: runtime.NumCPU()}
+			var interrupted error
+			for seed := 1; seed <= seeds && interrupted == nil; seed++ {
 				for _, routers := range sizes {
-					if stopped = c.Context().Err(); stopped != nil {
+					if interrupted = c.Context().Err(); interrupted != nil {
 						break
 					}
-					sample, err := leader.Measure(routers, uint64(seed), span, processorTime)
+					sample, err := leader.Measure(routers, uint64(seed), minDuration, processorTime)
 					if err != nil {
 						return err
 					}
@@ -44,10 +44,10 @@
 					fmt.Fprintf(c.ErrOrStderr(), "%d routers, seed %d\n", routers, seed)
 				}
 			}
-			if err := putLeader(c, file, write, output); err != nil {
+			if err := outputLeader(c, file, write, output); err != nil {
 				return err
 			}
-			if stopped != nil {
+			if interrupted != nil {
 				return fmt.Errorf("interrupted after %d of %d rosters", len(file.Samples), seeds*len(sizes))
 			}
 			return nil
@@ -55,32 +55,32 @@
 	}
 	c.Flags().IntSliceVar(&sizes, "sizes", []int{200, 400, 800, 1600, 3200, 6400, 14000}, "routers on the roster")
 	c.Flags().IntVar(&seeds, "seeds", 3, "rosters of each size")
-	c.Flags().DurationVar(&span, "span", 300*time.Millisecond, "for which each part is timed at least")
+	c.Flags().DurationVar(&minDuration, "span", 300*time.Millisecond, "for which each part is timed at least")
 	c.Flags().StringVar(&write, "write", "", "write the results into this file, as JSON")
-	outputFlag(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
-func checkLeaderFlags(sizes []int, seeds int, span time.Duration) error {
-	const most = 200_000 // some hundred MB
+func checkLeaderFlags(sizes []int, seeds int, minDuration time.Duration) error {
+	const maxRouters = 200_000 // uses several hundred MB
 	for _, n := range sizes {
-		if n < 1 || n > most {
-			return usage("--sizes: %d is not within 1 to %d", n, most)
+		if n < 1 || n > maxRouters {
+			return usageErrorf("--sizes: %d is not within 1 to %d", n, maxRouters)
 		}
 	}
-	if len(sizes) == 0 || seeds < 1 || span <= 0 {
-		return usage("--sizes, --seeds and --span: give one or more of each, and a span above 0")
+	if len(sizes) == 0 || seeds < 1 || minDuration <= 0 {
+		return usageErrorf("--sizes, --seeds and --span: give one or more of each, and a span above 0")
 	}
 	return nil
 }
 
-func putLeader(c *cobra.Command, file leader.File, write, output string) error {
+func outputLeader(c *cobra.Command, file leader.File, write, output string) error {
 	if write != "" {
 		text, err := json.MarshalIndent(file, "", " ")
 		if err != nil {
 			return err
 		}
-		return writeWhole(write, string(text)+"\n")
+		return writeFileAtomically(write, string(text)+"\n")
 	}
 	if output == "json" {
 		return writeJSON(c.OutOrStdout(), file)
@@ -89,16 +89,16 @@
 	fmt.Fprintln(table, "routers\tseed\tdecode\tanswer\tpass")
 	for _, s := range file.Samples {
 		span := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
-		fmt.Fprintf(table, "%d\t%d\t%v\t%v\t%v\n", s.Routers, s.Seed, span(s.Decode), span(s.Answer), span(s.Pass))
+		fmt.Fprintf(table, "%d\t%d\t%v\t%v\t%v\n", s.Routers, s.Seed, span(s.DecodeTime), span(s.AnswerTime), span(s.PassTime))
 	}
 	return table.Flush()
 }
 
-// processorTime is what this process has used, of all cores: what others on the machine use is not in it.
+// processorTime returns the CPU time of this process over all cores. Other load on the machine does not affect it.
 func processorTime() time.Duration {
 	var used unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &used) != nil {
-		return 0 // it cannot fail for the own process
+		return 0 // cannot fail for the calling process
 	}
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -25,7 +25,7 @@
 	leaderFile = "../../../docs/scale/leader/leader.json"
 )
 
-// runFiles are what the page follows from; trials beside other work on the machine are not.
+// runFiles are the result files that the page is computed from. Trials that ran beside other work on the machine are not among them.
 var runFiles = []string{"../../../docs/scale/flat.json", "../../../docs/scale/tiered.json", "../../../docs/scale/tiered-faults.json",
 	"../../../docs/scale/real.json"}
 
@@ -38,7 +38,7 @@
 	return string(text)
 }
 
-func ourTarget(t *testing.T) Target {
+func readTarget(t *testing.T) Target {
 	t.Helper()
 	target, err := ReadTarget(targetFile, []byte(read(t, targetFile)))
 	if err != nil {
@@ -47,8 +47,8 @@
 	return target
 }
 
-// ourLeader is nil where nothing was measured.
-func ourLeader(t *testing.T) *LeaderSlopes {
+// readLeaderModel returns nil if the leader was not measured.
+func readLeaderModel(t *testing.T) *LeaderModel {
 	t.Helper()
 	if _, err := os.Stat(leaderFile); errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -60,18 +60,18 @@
 	return FitLeader(filepath.Base(leaderFile), &f)
 }
 
-// The page in the repository is what its target and its runs give.
-func TestPageFollowsFromItsFigures(t *testing.T) {
-	var measured []Measured
+// The page in the repository equals the page rendered from its target and its result files.
+func TestPage_MatchesItsSources(t *testing.T) {
+	var measured []ResultFile
 	for _, file := range runFiles {
-		m, err := DecodeMeasured(file, []byte(read(t, file)))
+		m, err := DecodeResultFile(file, []byte(read(t, file)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		m.Name = filepath.Base(file)
 		measured = append(measured, m)
 	}
-	want, err := Page(Work(ourTarget(t), measured, ourLeader(t)))
+	want, err := Page(NewReport(readTarget(t), measured, readLeaderModel(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,9 +80,9 @@
 	}
 }
 
-func TestStalePageIsFound(t *testing.T) {
-	target := ourTarget(t)
-	before, err := Page(Work(target, nil, nil))
+func TestCheck_DetectsStalePage(t *testing.T) {
+	target := readTarget(t)
+	before, err := Page(NewReport(target, nil, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,23 +90,23 @@
 		t.Error(err)
 	}
 	target.Purges.PerSecond++
-	after, err := Page(Work(target, nil, nil))
+	after, err := Page(NewReport(target, nil, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var stale StaleError
 	if err := Check("p", before, after); !errors.As(err, &stale) || !strings.Contains(stale.Want, "421/s") {
-		t.Error("another target:", err)
+		t.Errorf("page of another target: got error %v, want a StaleError that contains 421/s", err)
 	}
 	if err := Check("p", before[:len(before)-20], before); !errors.As(err, &stale) {
-		t.Error("cut short:", err)
+		t.Errorf("truncated page: got error %v, want a StaleError", err)
 	}
 	if err := Check("p", before+"more\n", before); !errors.As(err, &stale) {
-		t.Error("longer:", err)
+		t.Errorf("page with an extra line: got error %v, want a StaleError", err)
 	}
 }
 
-func TestWrongTargetsAreRefused(t *testing.T) {
+func TestReadTarget_RejectsInvalidFields(t *testing.T) {
 	whole := read(t, targetFile)
 	for _, c := range []struct{ old, new, field, remedy string }{
 		{"routers = 14_000", "routers = 0", "routers", "give a number above 0"},
@@ -126,22 +126,22 @@
 	} {
 		text := strings.Replace(whole, c.old, c.new, 1)
 		if text == whole {
-			t.Fatalf("%q is not in the file", c.old)
+			t.Fatalf("%q is not in the target file", c.old)
 		}
 		_, err := ReadTarget("fleet.toml", []byte(text))
 		if err == nil {
-			t.Errorf("%q: taken", c.new)
+			t.Errorf("%q: got no error", c.new)
 			continue
 		}
 		for _, part := range []string{"fleet.toml", "line ", c.field, c.remedy} {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%q: %v: no %q in it", c.new, err, part)
+				t.Errorf("%q: got error %v, want one that contains %q", c.new, err, part)
 			}
 		}
 	}
 }
 
-func TestWrongResultsAreRefused(t *testing.T) {
+func TestDecodeResultFile_RejectsInvalidFiles(t *testing.T) {
 	for text, field := range map[string]string{
 		``:                           "the file",
 		`{"format":2,"trials":[{}]}`: "format",
@@ -150,53 +150,53 @@
 		`{"format":1,"trials":[{"topology":"flat"}]}`:              "trials[0].routers",
 		`{"format":1,"trials":[{"topology":"ring","routers":50}]}`: "trials[0].topology",
 	} {
-		_, err := DecodeMeasured("runs.json", []byte(text))
-		var wrong FieldError
-		if !errors.As(err, &wrong) || wrong.File != "runs.json" || wrong.Field != field || wrong.Remedy == "" {
-			t.Errorf("%s: %v", text, err)
+		_, err := DecodeResultFile("runs.json", []byte(text))
+		var fieldErr FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.File != "runs.json" || fieldErr.Field != field || fieldErr.Remedy == "" {
+			t.Errorf("%s: got error %v, want a FieldError of %q", text, err, field)
 		}
 	}
 }
 
-// Whatever fleet is asked about, a page is written, and no figure of it is not a number.
-func TestAnyTargetHasAPage(t *testing.T) {
-	ours := ourTarget(t)
+// A page is rendered for every valid target, and it contains no invalid number or formatting error.
+func TestPage_AnyValidTarget(t *testing.T) {
+	base := readTarget(t)
 	rapid.Check(t, func(t *rapid.T) {
-		target := ours
+		target := base
 		target.Routers = float64(rapid.IntRange(1, 1_000_000).Draw(t, "routers"))
 		target.Sites = float64(rapid.IntRange(1, int(target.Routers)).Draw(t, "sites"))
 		target.Zones = float64(rapid.IntRange(1, int(target.Sites)).Draw(t, "zones"))
 		target.Regions = float64(rapid.IntRange(1, int(target.Zones)).Draw(t, "regions"))
-		target.CacheServers = float64(rapid.IntRange(int(target.Assumed.Copies), 100_000).Draw(t, "cache servers"))
+		target.CacheServers = float64(rapid.IntRange(int(target.Assumptions.Replicas), 100_000).Draw(t, "cache servers"))
 		target.Purges.PerSecond = rapid.Float64Range(0.001, 1e6).Draw(t, "purges")
 		target.Changes.PerDay = rapid.Float64Range(0.001, 1e6).Draw(t, "changes")
-		target.Control.Machines = float64(rapid.IntRange(int(target.Assumed.Keepers), 1000).Draw(t, "machines"))
+		target.Budget.Machines = float64(rapid.IntRange(int(target.Assumptions.PolicyVoters), 1000).Draw(t, "machines"))
 		for _, c := range target.checks() {
-			if c.wrong {
-				t.Fatalf("%s %s", c.field, c.what)
+			if c.failed {
+				t.Fatalf("%s %s", c.field, c.problem)
 			}
 		}
-		page, err := Page(Work(target, nil, nil))
+		page, err := Page(NewReport(target, nil, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, odd := range []string{"NaN", "Inf", "<nil>", "%!", "<no value>"} {
-			if strings.Contains(page, odd) {
-				t.Fatalf("%q in the page", odd)
+		for _, invalid := range []string{"NaN", "Inf", "<nil>", "%!", "<no value>"} {
+			if strings.Contains(page, invalid) {
+				t.Fatalf("the page contains %q", invalid)
 			}
 		}
 	})
 }
 
-// made are trials by a rule: bytes of a router by its fleet's size.
-func made(topology result.Topology, fault result.Fault, sizes []int, bytes func(size float64, seed int) float64) (all []result.Trial) {
+// syntheticTrials returns three trials per size, in which bytes gives the traffic of a router.
+func syntheticTrials(topology result.Topology, fault result.Fault, sizes []int, bytes func(size float64, seed int) float64) (all []result.Trial) {
 	for _, size := range sizes {
 		for seed := 1; seed <= 3; seed++ {
 			b := bytes(float64(size), seed)
-			settled, change := 5.0, 1.0
-			all = append(all, result.Trial{Topology: topology, Fault: fault, Seed: uint64(seed), Routers: size, Sites: size / 10, Probe: 1,
-				PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2, CPU: 0.001, Memory: 1e6}, Worst: result.Usage{BytesOut: 2 * b},
-				Mechanisms: []result.Mechanism{{Name: "probe", Bytes: b}}, Settled: &settled, Change: &change})
+			convergence, propagation := 5.0, 1.0
+			all = append(all, result.Trial{Topology: topology, Fault: fault, Seed: uint64(seed), Routers: size, Sites: size / 10, ProbeInterval: 1,
+				PerRouter: result.Usage{BytesIn: b / 2, BytesOut: b / 2, CPU: 0.001, Memory: 1e6}, Busiest: result.Usage{BytesOut: 2 * b},
+				Mechanisms: []result.Mechanism{{Name: "probe", Bytes: b}}, ConvergenceTime: &convergence, PropagationTime: &propagation})
 		}
 	}
 	return all
@@ -207,303 +207,303 @@
 	fewSizes  = []int{50, 100, 200}
 )
 
-func linear(size float64, seed int) float64 { return (100 + 2*size) * (1 + 0.01*float64(seed-2)) }
+func linearBytes(size float64, seed int) float64 { return (100 + 2*size) * (1 + 0.01*float64(seed-2)) }
 
-func TestEstimatesSayWhatTheyRestOn(t *testing.T) {
-	target := ourTarget(t)
+func TestPredict_StatesTheBasis(t *testing.T) {
+	target := readTarget(t)
 	target.Routers = 3200
-	evidence := Gather([]Measured{{Name: "made.json", File: result.File{Trials: append(made(result.Flat, result.Rest, manySizes, linear),
-		made(result.Tiered, result.Rest, fewSizes, linear)...)}}})
+	measurements := FitMeasurements([]ResultFile{{Name: "made.json", File: result.File{Trials: append(syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes),
+		syntheticTrials(result.Tiered, result.NoFault, fewSizes, linearBytes)...)}}})
 
-	e := predicted(evidence, target, Key{result.Flat, result.Rest, FigureBytes})
-	if e.Basis != Extrapolated || e.Factor != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
-		t.Errorf("%+v", e)
+	e := predict(measurements, target, SeriesKey{result.Flat, result.NoFault, MetricBytes})
+	if e.Basis != Extrapolated || e.SizeRatio != 2 || math.Abs(e.Value-6500) > 65 || e.Low >= 6500 || e.High <= 6500 {
+		t.Errorf("got %+v", e)
 	}
 	target.Routers = 1000
-	if e := predicted(evidence, target, Key{result.Flat, result.Rest, FigureBytes}); e.Basis != FromRuns {
-		t.Errorf("%+v", e)
+	if e := predict(measurements, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}); e.Basis != Measured {
+		t.Errorf("got %+v", e)
 	}
-	if e := predicted(evidence, target, Key{result.Tiered, result.Rest, FigureBytes}); e.Basis != Missing || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
-		t.Errorf("%+v", e)
+	if e := predict(measurements, target, SeriesKey{result.Tiered, result.NoFault, MetricBytes}); e.Basis != NotMeasured || !strings.Contains(e.Note, "3 sizes over a factor of 4") {
+		t.Errorf("got %+v", e)
 	}
-	if e := predicted(evidence, target, Key{result.Flat, result.RegionCut, FigureBytes}); e.Basis != Missing || e.Note != "no trial" {
-		t.Errorf("%+v", e)
+	if e := predict(measurements, target, SeriesKey{result.Flat, result.RegionPartition, MetricBytes}); e.Basis != NotMeasured || e.Note != "no trial" {
+		t.Errorf("got %+v", e)
 	}
-	both := sum(counted(100, BytesPerSecond, ""), predicted(evidence, target, Key{result.Flat, result.Rest, FigureBytes}))
-	if both.Basis != FromRuns || math.Abs(both.Value-2200) > 25 {
-		t.Errorf("%+v", both)
+	both := sum(calculated(100, BytesPerSecond, ""), predict(measurements, target, SeriesKey{result.Flat, result.NoFault, MetricBytes}))
+	if both.Basis != Measured || math.Abs(both.Value-2200) > 25 {
+		t.Errorf("got %+v", both)
 	}
-	if e := sum(counted(100, BytesPerSecond, ""), missing("")); e.Basis != Missing {
-		t.Errorf("%+v", e)
+	if e := sum(calculated(100, BytesPerSecond, ""), notMeasured("")); e.Basis != NotMeasured {
+		t.Errorf("got %+v", e)
 	}
 }
 
-func TestTrialsThatCountForNothing(t *testing.T) {
-	trials := made(result.Flat, result.Rest, manySizes, linear)
-	trials[4].Settled = nil
+func TestFitMeasurements_IncompleteTrials(t *testing.T) {
+	trials := syntheticTrials(result.Flat, result.NoFault, manySizes, linearBytes)
+	trials[4].ConvergenceTime = nil
 	trials[5].Incomplete = "it was interrupted"
-	evidence := Gather([]Measured{{File: result.File{Trials: trials}}})
-	if len(evidence.Incomplete) != 1 || evidence.Incomplete[0].Why != "it was interrupted" || evidence.Incomplete[0].Routers != 100 {
-		t.Errorf("%+v", evidence.Incomplete)
+	measurements := FitMeasurements([]ResultFile{{File: result.File{Trials: trials}}})
+	if len(measurements.Excluded) != 1 || measurements.Excluded[0].Reason != "it was interrupted" || measurements.Excluded[0].Routers != 100 {
+		t.Errorf("got %+v", measurements.Excluded)
 	}
-	settled := evidence.Of(Key{result.Flat, result.Rest, FigureSettled})
-	if settled.Choice != nil || settled.Absent != 1 || settled.AbsentN != 100 {
-		t.Errorf("fitted, with a fleet left out that never settled: %+v", settled)
+	convergence := measurements.Find(SeriesKey{result.Flat, result.NoFault, MetricConvergence})
+	if convergence.Fit != nil || convergence.MissingTrials != 1 || convergence.MinMissingSize != 100 {
+		t.Errorf("convergence was fitted although one trial never converged: %+v", convergence)
 	}
-	if bytes := evidence.Of(Key{result.Flat, result.Rest, FigureBytes}); len(bytes.Points) != len(trials)-1 || bytes.Choice == nil || bytes.Choice.Form != slope.Linear {
-		t.Errorf("%+v", bytes)
+	if bytes := measurements.Find(SeriesKey{result.Flat, result.NoFault, MetricBytes}); len(bytes.Points) != len(trials)-1 || bytes.Fit == nil || bytes.Fit.Model != slope.Linear {
+		t.Errorf("got %+v", bytes)
 	}
 }
 
-func TestWhatBreaksFirst(t *testing.T) {
-	target := ourTarget(t)
-	steep := func(size float64, seed int) float64 { return linear(size, seed) / 2 }
-	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.Rest, manySizes, steep)}}})
-	flat := breaks(target, evidence, today(target, nil), nil)[0].All
+func TestScalingLimits_SortedBySize(t *testing.T) {
+	target := readTarget(t)
+	steep := func(size float64, seed int) float64 { return linearBytes(size, seed) / 2 }
+	measurements := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, steep)}}})
+	flat := scalingLimits(target, measurements, currentCosts(target, nil), nil)[0].Limits
 	want := []struct {
 		what string
 		size float64
 	}{
 		{"bytes of the router with the most", 950}, {"bytes of a router", 1950},
-		{"a full state is longer than a router takes, and is dropped whole", mostWords + 1},
+		{"a full state is longer than a router takes, and is dropped whole", maxStateHeartbeats + 1},
 	}
 	for i, w := range want {
-		if flat[i].What != w.what || math.Abs(flat[i].Size-w.size) > w.size/50 {
-			t.Errorf("%d: %+v", i, flat[i])
+		if flat[i].Description != w.what || math.Abs(flat[i].Size-w.size) > w.size/50 {
+			t.Errorf("limit %d: got %+v", i, flat[i])
 		}
 	}
-	if flat[1].Basis != Extrapolated || math.Abs(flat[1].Factor-1950.0/1600) > 0.05 || flat[0].Basis != FromRuns {
-		t.Errorf("%+v %+v", flat[0], flat[1])
+	if flat[1].Basis != Extrapolated || math.Abs(flat[1].SizeRatio-1950.0/1600) > 0.05 || flat[0].Basis != Measured {
+		t.Errorf("got %+v and %+v", flat[0], flat[1])
 	}
 	for _, b := range flat[3:] {
 		if b.Size != 0 {
-			t.Errorf("%+v is reached", b)
+			t.Errorf("got limit %+v, want one that is not reached", b)
 		}
 	}
 }
 
-// Too few sizes for a form, and yet over the limit.
-func TestBreakWithoutAForm(t *testing.T) {
-	target := ourTarget(t)
+// With too few sizes to fit a model, the limit is the smallest size at which all seeds exceed it.
+func TestMeasuredLimit_WithoutFittedModel(t *testing.T) {
+	target := readTarget(t)
 	steep := func(size float64, seed int) float64 {
 		if size == 50 && seed == 1 {
-			return 1999 // one seed keeps within it
+			return 1999 // one seed is within the limit
 		}
 		return 2001
 	}
-	evidence := Gather([]Measured{{File: result.File{Trials: made(result.Flat, result.Rest, fewSizes, steep)}}})
-	b := measuredBreak(evidence, Key{result.Flat, result.Rest, FigureBytes}, "bytes", target.Control.BytesPerSecond)
-	if b.Size != 100 || b.Basis != FromRuns || !strings.Contains(b.From, "not fitted") {
-		t.Errorf("%+v", b)
+	measurements := FitMeasurements([]ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, fewSizes, steep)}}})
+	b := measuredLimit(measurements, SeriesKey{result.Flat, result.NoFault, MetricBytes}, "bytes", target.Budget.BytesPerSecond)
+	if b.Size != 100 || b.Basis != Measured || !strings.Contains(b.Source, "not fitted") {
+		t.Errorf("got %+v", b)
 	}
-	if b := measuredBreak(evidence, Key{result.Flat, result.Rest, FigureMemory}, "memory", target.Control.MemoryBytes); b.Size != 0 || b.Basis != Missing {
-		t.Errorf("%+v", b)
+	if b := measuredLimit(measurements, SeriesKey{result.Flat, result.NoFault, MetricMemory}, "memory", target.Budget.MemoryBytes); b.Size != 0 || b.Basis != NotMeasured {
+		t.Errorf("got %+v", b)
 	}
 }
 
-func TestFirstOfAllParts(t *testing.T) {
-	a := Breaks{All: []Break{{What: "c", Size: 30}, {What: "unknown"}}}
-	b := Breaks{All: []Break{{What: "a", Size: 1}, {What: "b", Size: 2}, {What: "never"}}}
+func TestFirstReached(t *testing.T) {
+	a := ScalingLimits{Limits: []ScalingLimit{{Description: "c", Size: 30}, {Description: "unknown"}}}
+	b := ScalingLimits{Limits: []ScalingLimit{{Description: "a", Size: 1}, {Description: "b", Size: 2}, {Description: "never"}}}
 	got := ""
-	for _, x := range first(a, b) {
-		got += x.What
+	for _, x := range firstReached(a, b) {
+		got += x.Description
 	}
 	if got != "abc" {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 }
 
-func TestShareOfTheWorst(t *testing.T) {
-	r := Row{Ordinary: counted(10, Bytes, ""), Herd: Estimate{Basis: FromRuns, Value: 20, High: 90}, Cut: missing("")}
-	if got := share(r); got != "-" {
-		t.Error(got)
+func TestLimitShare_OfTheLargestEstimate(t *testing.T) {
+	r := Row{Normal: calculated(10, Bytes, ""), RestartBurst: Estimate{Basis: Measured, Value: 20, High: 90}, RegionPartition: notMeasured("")}
+	if got := formatLimitShare(r); got != "-" {
+		t.Errorf("got %v", got)
 	}
-	if got := share(r.within(100, Bytes)); got != "20%, up to 90%" {
-		t.Error(got)
+	if got := formatLimitShare(r.withLimit(100, Bytes)); got != "20%, up to 90%" {
+		t.Errorf("got %v", got)
 	}
-	if got := share(Row{Ordinary: missing(""), Herd: missing(""), Cut: missing("")}.within(100, Bytes)); got != "-" {
-		t.Error(got)
+	if got := formatLimitShare(Row{Normal: notMeasured(""), RestartBurst: notMeasured(""), RegionPartition: notMeasured("")}.withLimit(100, Bytes)); got != "-" {
+		t.Errorf("got %v", got)
 	}
 }
 
-func TestLargestSizeHeld(t *testing.T) {
-	target := ourTarget(t)
+func TestLargestWithinBudget(t *testing.T) {
+	target := readTarget(t)
 	for _, c := range []struct {
 		bytes func(float64, int) float64
 		size  int
 	}{
-		{linear, 800}, // 1700 there, and 3300 at the next
+		{linearBytes, 800}, // 1700 at this size, 3300 at the next
 		{func(float64, int) float64 { return 3000 }, 0},
 		{func(float64, int) float64 { return 1000 }, 1600},
-		{func(size float64, seed int) float64 { // one seed of one size is over
+		{func(size float64, seed int) float64 { // one seed of one size exceeds the budget
 			if size == 200 && seed == 2 {
 				return 2001
 			}
 			return 1000
 		}, 100},
 	} {
-		report := Work(target, []Measured{{File: result.File{Trials: made(result.Flat, result.Rest, manySizes, c.bytes)}}}, nil)
-		if len(report.Held) != 1 || report.Held[0].Size != c.size || report.Held[0].Largest != 1600 {
-			t.Errorf("%+v, want %d", report.Held, c.size)
+		report := NewReport(target, []ResultFile{{File: result.File{Trials: syntheticTrials(result.Flat, result.NoFault, manySizes, c.bytes)}}}, nil)
+		if len(report.LargestWithinBudget) != 1 || report.LargestWithinBudget[0].Size != c.size || report.LargestWithinBudget[0].LargestMeasured != 1600 {
+			t.Errorf("got %+v, want %d", report.LargestWithinBudget, c.size)
 		}
 	}
 }
 
-// What is counted for mechanisms of today rests on limits that stand in their code, unexported.
-func TestLimitsStandInTheCode(t *testing.T) {
+// The calculated costs use unexported constants of other packages. The test fails if one of these constants changes.
+func TestConstants_MatchTheSource(t *testing.T) {
 	for file, lines := range map[string][]string{
-		"../../controlplane/leader_loop.go":              {fmt.Sprintf(`maxQueuedRenewals += %d\b`, mostAskings), fmt.Sprintf(`leaderInterval += %d \* time\.Millisecond`, int(leaderRest*1e3)), `time\.After\(leaderInterval\)`, `>= maxQueuedRenewals\b`},
-		"../../gossip/codec.go":                          {fmt.Sprintf(`maxStateHeartbeats = %d\b`, mostWords)},
-		"../../gossip/shares.go":                         {fmt.Sprintf(`maxQueuedLeaseReplies = %d\b`, mostAnswers)},
-		"../../gossip/memberlist.go":                     {fmt.Sprintf(`handoffQueueDepth = %d\b`, handoffQueue), `HandoffQueueDepth = handoffQueueDepth\b`, `gossipsPerProbe += 5\b`},
-		"../../gossip/tick.go":                           {fmt.Sprintf(`maxTickInterval += %d \* time\.Millisecond`, int(peersStep*1e3)), `return min\(n\.gossipInterval\(\), maxTickInterval\)`},
-		"../../config/limits.go":                         {fmt.Sprintf(`watchTimeoutPolled += %d \* clock\.Second\n`, int(watchWait)), fmt.Sprintf(`watchTimeoutPushed += %d \* clock\.Second\n`, int(watchWaitPush)), `if polled \{\s+l\.WatchTimeout = watchTimeoutPolled\n`, `return\s+\}\s+l\.WatchTimeout = watchTimeoutPushed\n`},
-		"../../../docs/operating.md":                     {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, bigValue>>10, largestValue>>20)},
+		"../../controlplane/leader_loop.go":              {fmt.Sprintf(`maxQueuedRenewals += %d\b`, maxQueuedRenewals), fmt.Sprintf(`leaderInterval += %d \* time\.Millisecond`, int(leaderInterval*1e3)), `time\.After\(leaderInterval\)`, `>= maxQueuedRenewals\b`},
+		"../../gossip/codec.go":                          {fmt.Sprintf(`maxStateHeartbeats = %d\b`, maxStateHeartbeats)},
+		"../../gossip/shares.go":                         {fmt.Sprintf(`maxQueuedLeaseReplies = %d\b`, maxQueuedLeaseReplies)},
+		"../../gossip/memberlist.go":                     {fmt.Sprintf(`handoffQueueDepth = %d\b`, handoffQueueDepth), `HandoffQueueDepth = handoffQueueDepth\b`, `gossipsPerProbe += 5\b`},
+		"../../gossip/tick.go":                           {fmt.Sprintf(`maxTickInterval += %d \* time\.Millisecond`, int(gossipTick*1e3)), `return min\(n\.gossipInterval\(\), maxTickInterval\)`},
+		"../../config/limits.go":                         {fmt.Sprintf(`watchTimeoutPolled += %d \* clock\.Second\n`, int(watchTimeoutPolled)), fmt.Sprintf(`watchTimeoutPushed += %d \* clock\.Second\n`, int(watchTimeoutPushed)), `if polled \{\s+l\.WatchTimeout = watchTimeoutPolled\n`, `return\s+\}\s+l\.WatchTimeout = watchTimeoutPushed\n`},
+		"../../../docs/operating.md":                     {fmt.Sprintf(`Values over %d KiB, up to %d MiB`, maxUnchunkedValue>>10, maxValue>>20)},
 		"../../../internal/controlplane/raft_replica.go": {`r\.state\.Clone\(\)`},
 	} {
 		text := read(t, file)
 		for _, line := range lines {
 			if !regexp.MustCompile(line).MatchString(text) {
-				t.Errorf("%s has no %s any more: count its mechanism anew", file, line)
+				t.Errorf("%s no longer matches %s: update the constant and the calculation that uses it", file, line)
 			}
 		}
 	}
-	if sharelease.DefaultTiming().RetryInterval != lendingAsk*microseconds {
-		t.Error("lending asks by another span")
+	if sharelease.DefaultTiming().RetryInterval != leaseRetryInterval*microsecondsPerSecond {
+		t.Errorf("got sharelease RetryInterval %v, want %v seconds", sharelease.DefaultTiming().RetryInterval, leaseRetryInterval)
 	}
 }
 
-func TestSourceTellsBuildsAndOtherLoad(t *testing.T) {
+func TestSource_BuildsAndOtherLoad(t *testing.T) {
 	half, none := 0.5, 0.0
-	file := Measured{Name: "a.json", File: result.File{Build: "new", Trials: []result.Trial{
+	file := ResultFile{Name: "a.json", File: result.File{Build: "new", Trials: []result.Trial{
 		{Routers: 1, Build: "old", OtherLoad: &half}, {Routers: 2, OtherLoad: &none}, {Routers: 3, Build: "old", OtherLoad: &none}}}}
-	if s := source(file); s.Build != "old, new" || s.Others != "0.50" {
-		t.Errorf("%+v", s)
+	if s := source(file); s.Build != "old, new" || s.OtherLoad != "0.50" {
+		t.Errorf("got %+v", s)
 	}
 	file.Trials[0].OtherLoad = nil
-	if s := source(file); s.Others != "0.00; not recorded in 1" {
-		t.Errorf("%+v", s)
+	if s := source(file); s.OtherLoad != "0.00; not recorded in 1" {
+		t.Errorf("got %+v", s)
 	}
 	file.Trials = file.Trials[:1]
-	if s := source(file); s.Others != "not recorded" {
-		t.Errorf("%+v", s)
+	if s := source(file); s.OtherLoad != "not recorded" {
+		t.Errorf("got %+v", s)
 	}
 }
 
-// Hollow routers beside real ones are no further seed of fleets of hollow ones alone.
-func TestRealRoutersStandApart(t *testing.T) {
-	hollow := made(result.Tiered, result.Rest, manySizes, func(float64, int) float64 { return 600 })
-	beside := result.Trial{Topology: result.Tiered, Fault: result.Rest, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
-		Real: &result.Real{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, Alone: result.Usage{CPU: 0.001, Memory: 7e6}}}
-	target := ourTarget(t)
-	alone := Work(target, []Measured{{File: result.File{Trials: hollow}}}, nil)
-	both := Work(target, []Measured{{File: result.File{Trials: append(hollow, beside)}}}, nil)
+// A trial with real routers is shown separately and does not count as another seed of the trials with simulated routers only.
+func TestRealRouters_NotCountedAsSeeds(t *testing.T) {
+	hollow := syntheticTrials(result.Tiered, result.NoFault, manySizes, func(float64, int) float64 { return 600 })
+	mixed := result.Trial{Topology: result.Tiered, Fault: result.NoFault, Routers: 100, PerRouter: result.Usage{BytesIn: 300, BytesOut: 300},
+		Real: &result.RealRouters{Routers: 8, PerRouter: result.Usage{BytesIn: 310, BytesOut: 310, CPU: 0.004, Memory: 9e6}, WithoutFleet: result.Usage{CPU: 0.001, Memory: 7e6}}}
+	target := readTarget(t)
+	hollowOnly := NewReport(target, []ResultFile{{File: result.File{Trials: hollow}}}, nil)
+	both := NewReport(target, []ResultFile{{File: result.File{Trials: append(hollow, mixed)}}}, nil)
 	if len(both.Real) != 1 || both.Real[0].Processes != 8 || both.Real[0].Bytes.Value != 620 || both.Real[0].Memory.Value != 2e6 {
-		t.Fatalf("%+v", both.Real)
+		t.Fatalf("got %+v", both.Real)
 	}
-	for i, row := range alone.Sizes {
+	for i, row := range hollowOnly.Sizes {
 		if both.Sizes[i] != row {
-			t.Errorf("%+v became %+v", row, both.Sizes[i])
+			t.Errorf("got row %+v, want %+v", both.Sizes[i], row)
 		}
 	}
 	page, err := Page(both)
 	if err != nil || !strings.Contains(page, "| tiered | 100 | 8 | 620 B/s") {
-		t.Errorf("%v, %s", err, page)
+		t.Errorf("got error %v and page %s", err, page)
 	}
 }
 
-func TestAskingsOfAHolder(t *testing.T) {
+func TestSimulateRenewals(t *testing.T) {
 	for _, c := range []struct {
 		delay                clock.Time
 		least, most, covered float64
 	}{
-		{1_000, 5, 5, 1},      // each 0.2 s, as it should
-		{40_000, 5, 5, 1},     // answered before it is asked again
-		{600_000, 6, 16, 1},   // asked again while the answer is on its way
-		{2_000_000, 5, 17, 0}, // later than the lease
+		{1_000, 5, 5, 1},      // one renewal per 0.2 s, the renewal interval
+		{40_000, 5, 5, 1},     // the lease arrives before the retry
+		{600_000, 6, 16, 1},   // retries while the lease is on its way
+		{2_000_000, 5, 17, 0}, // the delay is longer than the lease
 	} {
-		perSecond, covered := playAskings(c.delay)
+		perSecond, covered := simulateRenewals(c.delay)
 		if perSecond < c.least || perSecond > c.most || covered != c.covered {
-			t.Errorf("after %d us: %v askings a second, %v covered", c.delay, perSecond, covered)
+			t.Errorf("delay %d us: got %v renewals per second and coverage %v", c.delay, perSecond, covered)
 		}
 	}
 }
 
-func TestGrantsThroughRepresentatives(t *testing.T) {
-	target := ourTarget(t)
-	now := today(target, nil)
-	g := grants(target, now)
-	if g.Chosen == nil || !g.Chosen.Fits || g.Chosen.Leader >= now.Near.Leader {
-		t.Fatalf("%+v", g)
+func TestDesignRenewals_Representatives(t *testing.T) {
+	target := readTarget(t)
+	now := currentCosts(target, nil)
+	g := designRenewals(target, now)
+	if g.Chosen == nil || !g.Chosen.Fits || g.Chosen.LeaderRenewals >= now.SameRegion.LeaderRenewals {
+		t.Fatalf("got %+v", g)
 	}
-	one, two := throughRepresentatives(target, 3, 1), throughRepresentatives(target, 3, 2)
-	if two.Busiest >= one.Busiest || two.Leader != 2*one.Leader || two.Router != one.Router {
-		t.Errorf("%+v %+v", one, two)
+	one, two := representativeRenewal(target, 3, 1), representativeRenewal(target, 3, 2)
+	if two.BusiestBytes >= one.BusiestBytes || two.LeaderRenewals != 2*one.LeaderRenewals || two.RouterBytes != one.RouterBytes {
+		t.Errorf("got %+v and %+v", one, two)
 	}
-	target.Control.BytesPerSecond = 1
-	if g := grants(target, now); g.Chosen != nil || g.KeepsOne != nil {
-		t.Errorf("something fits into a byte: %+v", g)
+	target.Budget.BytesPerSecond = 1
+	if g := designRenewals(target, now); g.Chosen != nil || g.ChosenCurrentLease != nil {
+		t.Errorf("got an option that fits into 1 byte per second: %+v", g)
 	}
 }
 
-func TestPurgesAreSharedOut(t *testing.T) {
-	target := ourTarget(t)
-	p := purging(target, 1800)
+func TestDesignPurges(t *testing.T) {
+	target := readTarget(t)
+	p := designPurges(target, 1800)
 	all, one := p.Options[0], *p.Chosen
-	if all.Fits || !one.Fits || all.Heard < target.Purges.PerSecond*target.Purges.Bytes {
-		t.Errorf("%+v\n%+v", all, one)
+	if all.Fits || !one.Fits || all.ReceivedBytes < target.Purges.PerSecond*target.Purges.Bytes {
+		t.Errorf("got %+v\nand %+v", all, one)
 	}
-	if want := all.Heard / (target.RoutersPerSite() - membershipRepresentatives); math.Abs(one.Heard-want) > 1 {
-		t.Errorf("%v heard, want %v", one.Heard, want)
+	if want := all.ReceivedBytes / (target.RoutersPerSite() - membershipRepresentatives); math.Abs(one.ReceivedBytes-want) > 1 {
+		t.Errorf("got %v bytes received per second, want %v", one.ReceivedBytes, want)
 	}
-	if one.Smallest < 2 || one.Smallest > target.RoutersPerSite() {
-		t.Errorf("smallest site %v", one.Smallest)
+	if one.MinSiteSize < 2 || one.MinSiteSize > target.RoutersPerSite() {
+		t.Errorf("got smallest site of %v routers, want 2 to %v", one.MinSiteSize, target.RoutersPerSite())
 	}
 	total := 0.0
 	for _, s := range p.Steps {
 		total += s.Seconds
 	}
-	if p.Seconds != total || p.Within != (total <= 7.1) {
-		t.Errorf("%+v", p)
+	if p.Seconds != total || p.FitsTarget != (total <= 7.1) {
+		t.Errorf("got %+v", p)
 	}
-	if p.Missed != 420*3600 || p.MissedBytes != 420*3600*20 {
-		t.Errorf("missed %v, %v bytes", p.Missed, p.MissedBytes)
+	if p.MissedPurges != 420*3600 || p.MissedBytes != 420*3600*20 {
+		t.Errorf("got %v missed purges of %v bytes", p.MissedPurges, p.MissedBytes)
 	}
 }
 
-func TestBudgetOfARouter(t *testing.T) {
-	target := ourTarget(t)
-	g, p := grants(target, today(target, nil)), purging(target, 1800)
-	b := budget(target, g, p, counted(600, BytesPerSecond, ""), counted(1200, BytesPerSecond, ""))
-	documents := documentsOnce(target)
+func TestRouterBudget(t *testing.T) {
+	target := readTarget(t)
+	g, p := designRenewals(target, currentCosts(target, nil)), designPurges(target, 1800)
+	b := routerBudget(target, g, p, calculated(600, BytesPerSecond, ""), calculated(1200, BytesPerSecond, ""))
+	documents := documentBytes(target)
 	for _, c := range []struct {
 		name string
 		got  Estimate
 		want float64
 	}{
-		{"router", b.All.Router, 600 + g.Chosen.Router + documents + p.Chosen.Control},
-		{"membership's", b.All.Membership, 1200 + g.Chosen.Router + documents},
-		{"policy's", b.All.Policy, 600 + g.Chosen.Busiest + documents + p.Chosen.Control},
+		{"router", b.Total.Router, 600 + g.Chosen.RouterBytes + documents + p.Chosen.ControlBytes},
+		{"membership representative", b.Total.MembershipRepresentative, 1200 + g.Chosen.RouterBytes + documents},
+		{"policy representative", b.Total.PolicyRepresentative, 600 + g.Chosen.BusiestBytes + documents + p.Chosen.ControlBytes},
 	} {
 		if math.Abs(c.got.Value-c.want) > 0.01 {
-			t.Errorf("%s: %v, want %v", c.name, c.got.Value, c.want)
+			t.Errorf("%s: got %v, want %v", c.name, c.got.Value, c.want)
 		}
 	}
-	if b := budget(target, g, p, missing("no trial"), missing("no trial")); b.All.Router.Basis != Missing {
-		t.Errorf("%+v", b.All)
+	if b := routerBudget(target, g, p, notMeasured("no trial"), notMeasured("no trial")); b.Total.Router.Basis != NotMeasured {
+		t.Errorf("got %+v", b.Total)
 	}
 }
 
 func TestTimeInQueue(t *testing.T) {
-	if got := timeInQueue(2, 0.25); got != 3 { // half busy: the wait is half of the service
-		t.Error(got)
+	if got := timeInQueue(2, 0.25); got != 3 { // utilization 0.5: the mean wait is half the service time
+		t.Errorf("got %v", got)
 	}
 	if got := timeInQueue(5, 0.2); got != -1 {
-		t.Error(got)
+		t.Errorf("got %v", got)
 	}
 }
 
-func TestShowBetween(t *testing.T) {
+func TestFormatRange(t *testing.T) {
 	for _, c := range []struct {
 		value, low, high float64
 		unit             Unit
@@ -514,13 +514,13 @@
 		{0.01, 0.009, 0.011, Cores, "1% of a core (0.9 to 1.1)"},
 		{14, 13, 15000, Number, "14 (13 to 15,000)"},
 	} {
-		if got := showBetween(c.value, c.low, c.high, c.unit); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+		if got := formatRange(c.value, c.low, c.high, c.unit); got != c.want {
+			t.Errorf("got %q, want %q", got, c.want)
 		}
 	}
 }
 
-func TestShow(t *testing.T) {
+func TestFormatValue(t *testing.T) {
 	for _, c := range []struct {
 		value float64
 		unit  Unit
@@ -531,52 +531,52 @@
 		{0.00001428, Seconds, "14.3 us"}, {0.2, Seconds, "200 ms"}, {7.1, Seconds, "7.1 s"}, {3600, Seconds, "60 min"}, {86400, Seconds, "24 h"},
 		{14000, Number, "14,000"}, {195986000, Number, "196,000,000"}, {12.345, Number, "12.3"}, {70000, PerSecond, "70,000/s"},
 	} {
-		if got := show(c.value, c.unit); got != c.want {
-			t.Errorf("%v %s: %q, want %q", c.value, c.unit, got, c.want)
+		if got := formatValue(c.value, c.unit); got != c.want {
+			t.Errorf("%v %s: got %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
 }
 
-// madeLeader takes answer seconds for an asking, and pass seconds a router for a pass.
-func madeLeader(answer, pass float64) *LeaderSlopes {
+// syntheticLeader returns a model with answer seconds per renewal and passPerRouter seconds per router and pass.
+func syntheticLeader(answer, passPerRouter float64) *LeaderModel {
 	f := &leader.File{Format: leader.Format, Kind: leader.Kind}
 	for _, routers := range []int{100, 400, 1600, 6400, 25600} {
 		for seed := range 3 {
-			wobble := 1 + 0.001*float64(seed-1)
-			f.Samples = append(f.Samples, leader.Sample{Routers: routers, Decode: 1e-6 * wobble, Answer: answer * wobble, Pass: pass * float64(routers) * wobble})
+			noise := 1 + 0.001*float64(seed-1)
+			f.Samples = append(f.Samples, leader.Sample{Routers: routers, DecodeTime: 1e-6 * noise, AnswerTime: answer * noise, PassTime: passPerRouter * float64(routers) * noise})
 		}
 	}
 	return FitLeader("made.json", f)
 }
 
-func TestLeaderFallsBehind(t *testing.T) {
+func TestLeaderModel_Overload(t *testing.T) {
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.01*b }
-	s := madeLeader(10e-6, 1e-6)
-	if !s.Fitted() || s.Largest != 25600 {
-		t.Fatalf("%+v", s)
+	s := syntheticLeader(10e-6, 1e-6)
+	if !s.Fitted() || s.LargestSize != 25600 {
+		t.Fatalf("got %+v", s)
 	}
-	l := s.load(10_000, 5, 0.03) // half of the time goes for answers; 50 ms of rest and confirming, 10 ms a pass
-	if !near(l.Busy, 0.5) || !near(l.Pass, 0.12) || !near(l.Waiting, 6000) || !near(l.Cores, 0.05+0.5+0.01/0.12) || l.fails() {
-		t.Errorf("%+v", l)
+	l := s.predictLoad(10_000, 5, 0.03) // utilization 0.5; 50 ms for the interval and the confirmation, 10 ms per pass
+	if !near(l.Utilization, 0.5) || !near(l.PassInterval, 0.12) || !near(l.QueuedRenewals, 6000) || !near(l.Cores, 0.05+0.5+0.01/0.12) || l.overloaded() {
+		t.Errorf("got %+v", l)
 	}
-	if l := s.load(20_001, 5, 0); l.Busy < 1 || !l.fails() || l.Pass != 0 {
-		t.Errorf("%+v", l)
+	if l := s.predictLoad(20_001, 5, 0); l.Utilization < 1 || !l.overloaded() || l.PassInterval != 0 {
+		t.Errorf("got %+v", l)
 	}
-	size := s.failsAt(5, 0.03)
-	if s.load(size+1, 5, 0.03).fails() != true || s.load(size-1, 5, 0.03).fails() {
-		t.Errorf("fails at %v", size)
+	size := s.minOverloadedSize(5, 0.03)
+	if s.predictLoad(size+1, 5, 0.03).overloaded() != true || s.predictLoad(size-1, 5, 0.03).overloaded() {
+		t.Errorf("got smallest overloaded size %v, but the load there says otherwise", size)
 	}
-	target := ourTarget(t)
-	report := Work(target, nil, s)
-	if report.Today.NearLoad == nil || report.Today.FarLoad == nil {
-		t.Error("nothing told of the leader")
+	target := readTarget(t)
+	report := NewReport(target, nil, s)
+	if report.Current.SameRegionLoad == nil || report.Current.CrossRegionLoad == nil {
+		t.Error("the report has no load of the leader")
 	}
 	if text, err := Page(report); err != nil || !strings.Contains(text, "leader/answer: an asking, in the pass | constant |") {
 		t.Error(err)
 	}
 }
 
-func TestWrongLeaderFilesAreRefused(t *testing.T) {
+func TestDecodeLeader_RejectsInvalidFiles(t *testing.T) {
 	for text, field := range map[string]string{
 		`[`:                                   "the file",
 		`{"format":1,"trials":[]}`:            "the file",
@@ -585,9 +585,9 @@
 		`{"format":1,"kind":"policy_leader","samples":[{"routers":5,"decode_s":1,"pass_s":1}]}`: "samples[0]",
 	} {
 		_, err := DecodeLeader("l.json", []byte(text))
-		var wrong FieldError
-		if !errors.As(err, &wrong) || wrong.Field != field || wrong.File != "l.json" || wrong.Remedy == "" {
-			t.Errorf("%s: %v", text, err)
+		var fieldErr FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.Field != field || fieldErr.File != "l.json" || fieldErr.Remedy == "" {
+			t.Errorf("%s: got error %v, want a FieldError of %q", text, err, field)
 		}
 	}
 }
--- a/internal/scale/capacity/leader.go
+++ b/internal/scale/capacity/leader.go
@@ -10,7 +10,7 @@
 	"spurtrestle/internal/scale/slope"
 )
 
-// DecodeLeader reads what was measured of the leader of the policy's keepers. Errors are FieldErrors.
+// DecodeLeader decodes and validates the text of a result file of cache-routerctl scale leader. Each error is a FieldError.
 func DecodeLeader(file string, text []byte) (leader.File, error) {
 	var f leader.File
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -24,88 +24,92 @@
 	}
 	var wrong []error
 	for i, s := range f.Samples {
-		if s.Routers < 1 || s.Decode <= 0 || s.Answer <= 0 || s.Pass <= 0 {
+		if s.Routers < 1 || s.DecodeTime <= 0 || s.AnswerTime <= 0 || s.PassTime <= 0 {
 			wrong = append(wrong, FieldError{file, 0, fmt.Sprintf("samples[%d]", i), "has a number that is not above 0", "measure again"})
 		}
 	}
 	return f, errors.Join(wrong...)
 }
 
-// LeaderSlopes are the times of the leader over sizes of the roster; a choice that is nil was not fitted.
-type LeaderSlopes struct {
-	Source  Source        `json:"source"`
-	Decode  *slope.Choice `json:"decode"`
-	Answer  *slope.Choice `json:"answer"`
-	Pass    *slope.Choice `json:"pass"`
-	Largest float64       `json:"largest"` // roster measured
-	Unfit   string        `json:"unfit"`
+// LeaderModel models the processor time of the policy leader by the number of routers. A time that could not be fitted is nil.
+type LeaderModel struct {
+	Source          SourceFile       `json:"source"`
+	DecodeTime      *slope.Selection `json:"decode"`
+	AnswerTime      *slope.Selection `json:"answer"`
+	PassTime        *slope.Selection `json:"pass"`
+	LargestSize     float64          `json:"largest"` // largest number of routers measured
+	NotFittedReason string           `json:"unfit"`
 }
 
-// Fitted tells whether all three are.
-func (s *LeaderSlopes) Fitted() bool { return s != nil && s.Unfit == "" }
+// Fitted reports whether all three times were fitted. A nil model is not.
+func (m *LeaderModel) Fitted() bool { return m != nil && m.NotFittedReason == "" }
 
-// FitLeader chooses a form for each time; it is nil where nothing was measured.
-func FitLeader(name string, f *leader.File) *LeaderSlopes {
+// FitLeader fits a growth model to each time; it returns nil if f is nil.
+func FitLeader(name string, f *leader.File) *LeaderModel {
 	if f == nil {
 		return nil
 	}
-	s := &LeaderSlopes{Source: Source{Name: name, Build: f.Build, Cores: f.Cores, Trials: len(f.Samples)}}
-	choose := func(of func(leader.Sample) float64) *slope.Choice {
+	s := &LeaderModel{Source: SourceFile{Name: name, Build: f.Build, Cores: f.Cores, Trials: len(f.Samples)}}
+	choose := func(of func(leader.Sample) float64) *slope.Selection {
 		var points []slope.Point
 		for _, sample := range f.Samples {
 			points = append(points, slope.Point{Size: float64(sample.Routers), Value: of(sample)})
-			s.Largest = max(s.Largest, float64(sample.Routers))
+			s.LargestSize = max(s.LargestSize, float64(sample.Routers))
 		}
-		choice, err := slope.Choose(points)
+		choice, err := slope.Select(points)
 		if err != nil {
-			s.Unfit = err.Error()
+			s.NotFittedReason = err.Error()
 			return nil
 		}
 		return &choice
 	}
-	s.Decode = choose(func(x leader.Sample) float64 { return x.Decode })
-	s.Answer = choose(func(x leader.Sample) float64 { return x.Answer })
-	s.Pass = choose(func(x leader.Sample) float64 { return x.Pass })
+	s.DecodeTime = choose(func(x leader.Sample) float64 { return x.DecodeTime })
+	s.AnswerTime = choose(func(x leader.Sample) float64 { return x.AnswerTime })
+	s.PassTime = choose(func(x leader.Sample) float64 { return x.PassTime })
 	return s
 }
 
-// Load is what the leader has to do for a number of routers.
-type Load struct {
-	Cores   float64 `json:"cores"`   // without sockets and the replicated log
-	Busy    float64 `json:"busy"`    // share of the time that its one goroutine needs for answers alone; from 1 on it never keeps up
-	Pass    float64 `json:"pass_s"`  // from one pass to the next; 0: it never keeps up
-	Waiting float64 `json:"waiting"` // askings that come in a pass
+// LeaderLoad is the load of the policy leader for a number of routers.
+type LeaderLoad struct {
+	Cores          float64 `json:"cores"`   // without sockets and the replicated log
+	Utilization    float64 `json:"busy"`    // fraction of the time that its single goroutine spends on answers; from 1 on it falls behind without bound
+	PassInterval   float64 `json:"pass_s"`  // seconds from one pass to the next; 0: it falls behind without bound
+	QueuedRenewals float64 `json:"waiting"` // renewals that arrive during a pass
 }
 
-// load is by askings a second of one router, and the time that a majority takes to confirm a pass.
-func (s *LeaderSlopes) load(routers, askings, confirm float64) Load {
-	rate := routers * askings
-	pass := s.Pass.Predict(routers).Value
-	l := Load{Busy: rate * s.Answer.Predict(routers).Value}
-	l.Cores = rate*s.Decode.Predict(routers).Value + l.Busy
-	if l.Busy >= 1 {
+// predictLoad returns the load for a number of routers, by the renewals per second of one router and the seconds that a majority
+// takes to confirm a pass.
+func (m *LeaderModel) predictLoad(routers, renewalRate, confirmTime float64) LeaderLoad {
+	rate := routers * renewalRate
+	pass := m.PassTime.Predict(routers).Value
+	l := LeaderLoad{Utilization: rate * m.AnswerTime.Predict(routers).Value}
+	l.Cores = rate*m.DecodeTime.Predict(routers).Value + l.Utilization
+	if l.Utilization >= 1 {
 		return l
 	}
-	l.Pass = (leaderRest + confirm + pass) / (1 - l.Busy)
-	l.Cores += pass / l.Pass
-	l.Waiting = rate * l.Pass
+	l.PassInterval = (leaderInterval + confirmTime + pass) / (1 - l.Utilization)
+	l.Cores += pass / l.PassInterval
+	l.QueuedRenewals = rate * l.PassInterval
 	return l
 }
 
-// fails tells whether the leader drops askings.
-func (l Load) fails() bool { return l.Busy >= 1 || l.Waiting > mostAskings }
+// overloaded reports whether the leader drops renewals.
+func (l LeaderLoad) overloaded() bool {
+	return l.Utilization >= 1 || l.QueuedRenewals > maxQueuedRenewals
+}
 
-// failsAt is the least number of routers at which the leader drops askings; 0: none up to a number that no fleet has.
-func (s *LeaderSlopes) failsAt(askings, confirm float64) float64 {
-	const most = 1e9
+// minOverloadedSize returns the smallest number of routers for which the leader drops renewals, or 0 if there is none up to
+// maxSize, which no fleet reaches.
+func (m *LeaderModel) minOverloadedSize(renewalRate, confirmTime float64) float64 {
+	const maxSize = 1e9
 	low, high := 1.0, 2.0
-	for !s.load(high, askings, confirm).fails() {
-		if low, high = high, high*2; high > most {
+	for !m.predictLoad(high, renewalRate, confirmTime).overloaded() {
+		if low, high = high, high*2; high > maxSize {
 			return 0
 		}
 	}
 	for high-low > 0.5 {
-		if middle := (low + high) / 2; s.load(middle, askings, confirm).fails() {
+		if middle := (low + high) / 2; m.predictLoad(middle, renewalRate, confirmTime).overloaded() {
 			high = middle
 		} else {
 			low = middle
--- a/internal/scale/capacity/target.go
+++ b/internal/scale/capacity/target.go
@@ -1,9 +1,11 @@
-// Package capacity works out what a fleet of a given size needs and what breaks first, from what scale runs measured, and
-// writes it as a page. It does no I/O.
+// Package capacity estimates what a fleet of a given size needs and which limit it reaches first, from the results of scale runs,
+// and renders the estimate as a Markdown page. cache-routerctl scale capacity and scale slopes call it. It does no I/O and keeps
+// no state between calls.
 //
-// The files: target.go the fleet that is asked about; measured.go the figures of scale runs and their slopes; wire.go the
-// sizes of today's messages; today.go what today's mechanisms cost by count; design.go the mechanisms that are designed and
-// not built; roles.go what each role needs; breaks.go what breaks first; page.go the page.
+// The files: target.go defines the target fleet; measured.go reads the results of scale runs and fits growth models; leader.go
+// does the same for the policy leader; wire.go computes the sizes of the current messages; today.go calculates what the current
+// mechanisms cost; design.go calculates mechanisms that are designed but not built; roles.go estimates what each role needs;
+// breaks.go finds the limits that are reached first; page.go and show.go render the page.
 package capacity
 
 import (
@@ -14,25 +16,25 @@
 	"spurtrestle/internal/tomlfile"
 )
 
-// Span is a length of time, written as in "7.1s".
-type Span time.Duration
+// Duration is a duration with the text format of time.ParseDuration, such as "7.1s".
+type Duration time.Duration
 
-// UnmarshalText reads one.
-func (s *Span) UnmarshalText(text []byte) error {
-	span, err := time.ParseDuration(string(text))
-	*s = Span(span)
+// UnmarshalText decodes a duration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	duration, err := time.ParseDuration(string(text))
+	*d = Duration(duration)
 	return err
 }
 
-// MarshalText writes one.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText encodes the duration.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Seconds is the length in seconds.
-func (s Span) Seconds() float64 { return time.Duration(s).Seconds() }
+// Seconds returns the duration in seconds.
+func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
-func (s Span) String() string { return time.Duration(s).String() }
+func (d Duration) String() string { return time.Duration(d).String() }
 
-// Target is the fleet that is asked about.
+// Target describes the fleet whose capacity is estimated.
 type Target struct {
 	Routers      float64 `toml:"routers" json:"routers"`
 	Sites        float64 `toml:"sites" json:"sites"`
@@ -43,106 +45,108 @@
 	Bits         float64 `toml:"bits_per_second" json:"bits_per_second"`         // at the peak
 	Objects      float64 `toml:"objects" json:"objects"`
 
-	Purges   Purges   `toml:"purges" json:"purges"`
-	Changes  Changes  `toml:"changes" json:"changes"`
-	Control  Control  `toml:"control" json:"control"`
-	Failures Failures `toml:"failures" json:"failures"`
-	Assumed  Assumed  `toml:"assumed" json:"assumed"`
+	Purges      Purges        `toml:"purges" json:"purges"`
+	Changes     Changes       `toml:"changes" json:"changes"`
+	Budget      ControlBudget `toml:"control" json:"control"`
+	Failures    Failures      `toml:"failures" json:"failures"`
+	Assumptions AssumedValues `toml:"assumed" json:"assumed"`
 }
 
-// Purges are objects that no cache server may give out any more.
+// Purges describes the load of purges: objects that no cache server may serve any more.
 type Purges struct {
-	PerSecond float64 `toml:"per_second" json:"per_second"`
-	Bytes     float64 `toml:"bytes" json:"bytes"` // that name one
-	Within    Span    `toml:"within" json:"within"`
+	PerSecond float64  `toml:"per_second" json:"per_second"`
+	Bytes     float64  `toml:"bytes" json:"bytes"` // of the name of one object
+	Within    Duration `toml:"within" json:"within"`
 }
 
-// Changes are those of configuration.
+// Changes describes the load of configuration changes.
 type Changes struct {
-	PerDay float64 `toml:"per_day" json:"per_day"`
-	Within Span    `toml:"within" json:"within"`
+	PerDay float64  `toml:"per_day" json:"per_day"`
+	Within Duration `toml:"within" json:"within"`
 }
 
-// Control is what may be spent on control.
-type Control struct {
-	CoreShare      float64 `toml:"core_share" json:"core_share"`             // of one core, by a router
-	MemoryBytes    float64 `toml:"memory_bytes" json:"memory_bytes"`         // by a router
-	BytesPerSecond float64 `toml:"bytes_per_second" json:"bytes_per_second"` // by a router, in and out together
-	Machines       float64 `toml:"machines" json:"machines"`                 // set aside
+// ControlBudget limits the resources for control traffic and its processing.
+type ControlBudget struct {
+	CoreShare      float64 `toml:"core_share" json:"core_share"`             // cores of one router
+	MemoryBytes    float64 `toml:"memory_bytes" json:"memory_bytes"`         // of one router
+	BytesPerSecond float64 `toml:"bytes_per_second" json:"bytes_per_second"` // of one router, received and sent
+	Machines       float64 `toml:"machines" json:"machines"`                 // reserved for control
 }
 
-// Failures are those of an ordinary day, and of a bad one.
+// Failures describes the failures of an ordinary day and of the worst cases.
 type Failures struct {
-	MachinesPerDay float64 `toml:"machines_per_day" json:"machines_per_day"`
-	RestartsPerDay float64 `toml:"restarts_per_day" json:"restarts_per_day"`
-	Herd           float64 `toml:"herd" json:"herd"` // times that pace
-	RegionCut      Span    `toml:"region_cut" json:"region_cut"`
+	MachinesPerDay     float64  `toml:"machines_per_day" json:"machines_per_day"`
+	RestartsPerDay     float64  `toml:"restarts_per_day" json:"restarts_per_day"`
+	RestartBurstFactor float64  `toml:"herd" json:"herd"` // multiple of the ordinary restart rate
+	RegionPartition    Duration `toml:"region_cut" json:"region_cut"`
 }
 
-// Assumed is what is neither measured nor told.
-type Assumed struct {
-	Keepers        float64 `toml:"keepers" json:"keepers"`
-	DocumentBytes  float64 `toml:"document_bytes" json:"document_bytes"`
-	ListEntryBytes float64 `toml:"list_entry_bytes" json:"list_entry_bytes"`
-	Copies         float64 `toml:"copies" json:"copies"` // cache servers of a site that hold an object
-	LongestFetch   Span    `toml:"longest_fetch" json:"longest_fetch"`
-	NetworkDelay   Span    `toml:"network_delay" json:"network_delay"` // one way, between regions
+// AssumedValues holds values that are neither measured nor part of the requirements.
+type AssumedValues struct {
+	PolicyVoters   float64  `toml:"keepers" json:"keepers"`
+	DocumentBytes  float64  `toml:"document_bytes" json:"document_bytes"`
+	ListEntryBytes float64  `toml:"list_entry_bytes" json:"list_entry_bytes"`
+	Replicas       float64  `toml:"copies" json:"copies"` // cache servers of a site that hold each object
+	LongestFetch   Duration `toml:"longest_fetch" json:"longest_fetch"`
+	NetworkDelay   Duration `toml:"network_delay" json:"network_delay"` // one way, between regions
 }
 
 const secondsPerDay = 24 * 60 * 60
 
-// RoutersPerSite is the mean.
+// RoutersPerSite returns the mean number of routers per site.
 func (t Target) RoutersPerSite() float64 { return t.Routers / t.Sites }
 
-// CachesPerSite is the mean.
+// CachesPerSite returns the mean number of cache servers per site.
 func (t Target) CachesPerSite() float64 { return t.CacheServers / t.Sites }
 
-// ChangesPerSecond is the mean over a day.
+// ChangesPerSecond returns the mean rate of configuration changes.
 func (t Target) ChangesPerSecond() float64 { return t.Changes.PerDay / secondsPerDay }
 
-// RestartsPerSecond is the mean over an ordinary day.
+// RestartsPerSecond returns the mean rate of router restarts on an ordinary day.
 func (t Target) RestartsPerSecond() float64 { return t.Failures.RestartsPerDay / secondsPerDay }
 
-// FieldError names what is wrong in a file.
+// FieldError reports an invalid field of a file, and how to correct it.
 type FieldError struct {
-	File   string
-	Line   int // 0: of the whole file
-	Field  string
-	What   string
-	Remedy string
+	File    string
+	Line    int // 0: the error concerns the whole file
+	Field   string
+	Problem string
+	Remedy  string
 }
 
 func (e FieldError) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("%s: %s: %s; %s", e.File, e.Field, e.What, e.Remedy)
+		return fmt.Sprintf("%s: %s: %s; %s", e.File, e.Field, e.Problem, e.Remedy)
 	}
-	return fmt.Sprintf("%s: line %d: %s: %s; %s", e.File, e.Line, e.Field, e.What, e.Remedy)
+	return fmt.Sprintf("%s: line %d: %s: %s; %s", e.File, e.Line, e.Field, e.Problem, e.Remedy)
 }
 
-// ReadTarget reads a target's file strictly. Errors are FieldErrors, or name line, field and remedy by themselves.
+// ReadTarget decodes and validates the text of a target file; unknown fields are errors. Each error is a FieldError, or an error of
+// package tomlfile that names the line, the field and the remedy.
 func ReadTarget(file string, text []byte) (Target, error) {
 	var t Target
 	if err := tomlfile.Decode(text, &t, "docs/scale/target.toml"); err != nil {
 		return Target{}, fmt.Errorf("%s: %w", file, err)
 	}
-	places := tomlfile.FieldLines(text)
+	fieldLines := tomlfile.FieldLines(text)
 	var wrong []error
 	for _, c := range t.checks() {
-		if c.wrong {
-			wrong = append(wrong, FieldError{file, places.Line(c.field), c.field, c.what, c.remedy})
+		if c.failed {
+			wrong = append(wrong, FieldError{file, fieldLines.Line(c.field), c.field, c.problem, c.remedy})
 		}
 	}
 	return t, errors.Join(wrong...)
 }
 
-type check struct {
-	field, what, remedy string
-	wrong               bool
+// fieldCheck is the result of one check of a field.
+type fieldCheck struct {
+	field, problem, remedy string
+	failed                 bool
 }
 
-// checks are all that a target is held to.
-func (t Target) checks() []check {
-	const most = 1e18 // beyond it no fleet is, and figures lose their digits
+// checks returns the results of all checks of the target.
+func (t Target) checks() []fieldCheck {
+	const most = 1e18 // larger values lose precision as a float64, and no fleet reaches them
 	positive := []struct {
 		field string
 		value float64
@@ -153,31 +157,31 @@
 		{"objects", t.Objects, true},
 		{"purges.per_second", t.Purges.PerSecond, false}, {"purges.bytes", t.Purges.Bytes, true}, {"purges.within", t.Purges.Within.Seconds(), false},
 		{"changes.per_day", t.Changes.PerDay, false}, {"changes.within", t.Changes.Within.Seconds(), false},
-		{"control.core_share", t.Control.CoreShare, false}, {"control.memory_bytes", t.Control.MemoryBytes, false},
-		{"control.bytes_per_second", t.Control.BytesPerSecond, false}, {"control.machines", t.Control.Machines, true},
+		{"control.core_share", t.Budget.CoreShare, false}, {"control.memory_bytes", t.Budget.MemoryBytes, false},
+		{"control.bytes_per_second", t.Budget.BytesPerSecond, false}, {"control.machines", t.Budget.Machines, true},
 		{"failures.machines_per_day", t.Failures.MachinesPerDay, false}, {"failures.restarts_per_day", t.Failures.RestartsPerDay, false},
-		{"failures.herd", t.Failures.Herd, false}, {"failures.region_cut", t.Failures.RegionCut.Seconds(), false},
-		{"assumed.keepers", t.Assumed.Keepers, true}, {"assumed.document_bytes", t.Assumed.DocumentBytes, false},
-		{"assumed.list_entry_bytes", t.Assumed.ListEntryBytes, false}, {"assumed.copies", t.Assumed.Copies, false},
-		{"assumed.longest_fetch", t.Assumed.LongestFetch.Seconds(), false}, {"assumed.network_delay", t.Assumed.NetworkDelay.Seconds(), false},
+		{"failures.herd", t.Failures.RestartBurstFactor, false}, {"failures.region_cut", t.Failures.RegionPartition.Seconds(), false},
+		{"assumed.keepers", t.Assumptions.PolicyVoters, true}, {"assumed.document_bytes", t.Assumptions.DocumentBytes, false},
+		{"assumed.list_entry_bytes", t.Assumptions.ListEntryBytes, false}, {"assumed.copies", t.Assumptions.Replicas, false},
+		{"assumed.longest_fetch", t.Assumptions.LongestFetch.Seconds(), false}, {"assumed.network_delay", t.Assumptions.NetworkDelay.Seconds(), false},
 	}
-	var all []check
+	var all []fieldCheck
 	for _, p := range positive {
 		usable := p.value > 0 && p.value < most
-		all = append(all, check{p.field, fmt.Sprintf("is %v", p.value), "give a number above 0", !usable})
-		all = append(all, check{p.field, fmt.Sprintf("is %v", p.value), "give a whole number", usable && p.whole && p.value != float64(int64(p.value))})
+		all = append(all, fieldCheck{p.field, fmt.Sprintf("is %v", p.value), "give a number above 0", !usable})
+		all = append(all, fieldCheck{p.field, fmt.Sprintf("is %v", p.value), "give a whole number", usable && p.whole && p.value != float64(int64(p.value))})
 	}
 	notOver := func(field string, value float64, other string, most float64) {
 		what := fmt.Sprintf("is %v, more than %s, %v", value, other, most)
-		all = append(all, check{field, what, "correct one of them", value > most && most > 0})
+		all = append(all, fieldCheck{field, what, "correct one of them", value > most && most > 0})
 	}
 	notOver("sites", t.Sites, "routers", t.Routers)
 	notOver("regions", t.Regions, "sites", t.Sites)
 	notOver("zones", t.Zones, "sites", t.Sites)
 	notOver("regions", t.Regions, "zones", t.Zones)
-	notOver("assumed.copies", t.Assumed.Copies, "cache_servers", t.CacheServers)
-	notOver("assumed.keepers", t.Assumed.Keepers, "control.machines", t.Control.Machines)
-	all = append(all, check{"control.core_share", fmt.Sprintf("is %v", t.Control.CoreShare), "give a share of one core, 1 at most", t.Control.CoreShare > 1})
-	all = append(all, check{"failures.herd", fmt.Sprintf("is %v", t.Failures.Herd), "give a multiple of the ordinary pace, 1 or more", t.Failures.Herd > 0 && t.Failures.Herd < 1})
+	notOver("assumed.copies", t.Assumptions.Replicas, "cache_servers", t.CacheServers)
+	notOver("assumed.keepers", t.Assumptions.PolicyVoters, "control.machines", t.Budget.Machines)
+	all = append(all, fieldCheck{"control.core_share", fmt.Sprintf("is %v", t.Budget.CoreShare), "give a share of one core, 1 at most", t.Budget.CoreShare > 1})
+	all = append(all, fieldCheck{"failures.herd", fmt.Sprintf("is %v", t.Failures.RestartBurstFactor), "give a multiple of the ordinary pace, 1 or more", t.Failures.RestartBurstFactor > 0 && t.Failures.RestartBurstFactor < 1})
 	return all
 }
