--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -80,7 +80,7 @@
 			}
 			lines := []line{}
 			for _, x := range acts {
-				lines = append(lines, line{x.At.Duration().String(), s.Faults[x.Fault].Kind, x.Who, x.Stage, x.End})
+				lines = append(lines, line{x.At.Duration().String(), s.Faults[x.Fault].Kind, x.Target, x.Stage, x.End})
 			}
 			digest := arrivals.Digest(all)
 			if output == "json" {
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -146,7 +146,7 @@
 // seen counts what the server saw of a request.
 func (x *site) seen(id string, kind event.Kind) (n int) {
 	for _, e := range x.log.Events() {
-		if e.Kind == kind && string(e.Req) == id {
+		if e.Kind == kind && string(e.Request) == id {
 			n++
 		}
 	}
@@ -165,13 +165,13 @@
 func TestAnswers(t *testing.T) {
 	x := start(t)
 	id := x.id()
-	if got, err := x.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.Req(id), []byte(got)) {
+	if got, err := x.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.RequestID(id), []byte(got)) {
 		t.Error(got, err)
 	}
 	id = x.id()
 	set, err := x.c.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
-	if err != nil || !cacheserver.MadeFor(event.Req(id), set.GetReceipt()) || x.seen(id, event.Ran) != 1 {
-		t.Error(set, err, x.seen(id, event.Ran))
+	if err != nil || !cacheserver.MadeFor(event.RequestID(id), set.GetReceipt()) || x.seen(id, event.EffectExecuted) != 1 {
+		t.Error(set, err, x.seen(id, event.EffectExecuted))
 	}
 	// What may have run and must not run again fails, and nothing more is said of it.
 	x.strike("reset", 1, false)
@@ -230,7 +230,7 @@
 		_, err := x.get(ctx, id, "status")
 		done <- err
 	}()
-	within(t, "the write-out came", func() bool { return x.seen(id, event.Begun) == 1 })
+	within(t, "the write-out came", func() bool { return x.seen(id, event.AttemptReceived) == 1 })
 	if _, err := x.get(t.Context(), id, "status"); status.Code(err) != codes.AlreadyExists {
 		t.Error(err)
 	}
@@ -238,7 +238,7 @@
 	if err := <-done; status.Code(err) != codes.Canceled {
 		t.Error(err)
 	}
-	within(t, "the write-out was called off", func() bool { return x.seen(id, event.Ended) == 1 })
+	within(t, "the write-out was called off", func() bool { return x.seen(id, event.AttemptEnded) == 1 })
 	x.strike("hang", 0, true)
 }
 
@@ -263,8 +263,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 	defer cancel()
 	id := x.id()
-	if _, err := x.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || x.seen(id, event.Begun) != 0 {
-		t.Error(err, x.seen(id, event.Begun))
+	if _, err := x.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || x.seen(id, event.AttemptReceived) != 0 {
+		t.Error(err, x.seen(id, event.AttemptReceived))
 	}
 }
 
@@ -281,7 +281,7 @@
 		_, err := x.get(t.Context(), id, "status")
 		done <- err
 	}()
-	within(t, "the write-out came", func() bool { return x.seen(id, event.Begun) == 1 })
+	within(t, "the write-out came", func() bool { return x.seen(id, event.AttemptReceived) == 1 })
 	x.r.Drain()
 	h := healthv1.NewHealthClient(x.conn)
 	within(t, "it tells of its end", func() bool {
--- a/internal/lab/cacheserver/answer.go
+++ b/internal/lab/cacheserver/answer.go
@@ -29,13 +29,13 @@
 	case "CACHE.GET", "CACHE.SET":
 		c, ok := parse(words)
 		if _, known := s.fleet.Methods[methodOf(c)]; !ok || !known {
-			s.fleet.Log.Add(event.Event{Kind: event.Odd, Server: s.UID, Router: k.router, Note: "a command no client sent"})
+			s.fleet.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: s.UID, Router: k.router, Note: "a command no client sent"})
 			plain("-SYNTAX\r\n")
 			return
 		}
 		c.on, c.began = k, now
 		k.slots = append(k.slots, c)
-		s.fleet.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: c.req, Server: s.UID, Router: k.router, Since: since,
+		s.fleet.Log.AddAt(event.Event{At: now, Kind: event.AttemptReceived, Request: c.req, Server: s.UID, Router: k.router, Since: since,
 			Write: c.write, DeadlineSent: c.sent})
 		s.take(c, now)
 	case "PING":
@@ -62,7 +62,7 @@
 	c := &command{on: k, cut: -1, probe: true, pong: text}
 	k.slots = append(k.slots, c)
 	c.job = &machine.Job{Work: max(1, s.fleet.Set.ProbeWork.Micros())}
-	if !s.machine.Take(now, c.job) {
+	if !s.machine.Submit(now, c.job) {
 		k.put(c, []byte("-ERR busy\r\n"), 0)
 		return
 	}
@@ -83,14 +83,14 @@
 func (s *Server) take(c *command, now event.Micros) {
 	k, m := c.on, s.fleet.Methods[c.method]
 	if k.full || s.draining && s.trouble.late {
-		k.put(c, busy, event.TurnedAway)
+		k.put(c, busy, event.Refused)
 		return
 	}
 	work := float64(m.Work)
 	if m.Spread == "exp" {
 		work *= s.rand.ExpFloat64()
 	}
-	c.missed = !c.write && !s.fleet.Through && !s.store.Has(c.key)
+	c.missed = !c.write && !s.fleet.Through && !s.store.Contains(c.key)
 	if c.missed {
 		work = float64(s.fleet.Set.MissWork)
 	}
@@ -100,13 +100,13 @@
 	}
 	s.ids++
 	c.job = &machine.Job{ID: s.ids, Work: max(1, event.Micros(work))}
-	took := s.machine.Take(now, c.job)
-	if s.machine.Fallen() {
+	took := s.machine.Submit(now, c.job)
+	if s.machine.Collapsed() {
 		s.fall()
 		return
 	}
 	if !took {
-		k.put(c, busy, event.TurnedAway)
+		k.put(c, busy, event.Refused)
 		return
 	}
 	s.jobs[c.job] = c
@@ -115,7 +115,7 @@
 
 // fall: pushed over while cold, it stays down.
 func (s *Server) fall() {
-	s.fleet.Log.Add(event.Event{Kind: event.Fell, Server: s.UID, Router: event.Nobody,
+	s.fleet.Log.Add(event.Event{Kind: event.ServerCollapsed, Server: s.UID, Router: event.NoRouter,
 		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.fleet.Set.FallMultiple, s.fleet.Set.FallSpan)})
 	s.down = true
 	s.closeListeners()
@@ -146,9 +146,9 @@
 	if c.write {
 		group := map[string]string{"zone": "z " + s.Zone, "cell": "c " + strconv.Itoa(s.Cell)}[m.Group]
 		if m.Effect != "deduplicated" || !s.fleet.Repeats.Known(group, c.req, now, m.Window.Micros()) {
-			s.fleet.Log.Add(event.Event{Kind: event.Ran, Req: c.req, Server: s.UID, Router: c.on.router})
+			s.fleet.Log.Add(event.Event{Kind: event.EffectExecuted, Request: c.req, Server: s.UID, Router: c.on.router})
 		}
-		s.store.Drop(c.key)
+		s.store.Remove(c.key)
 	} else {
 		s.hits += (1 - s.hits) / 50
 		s.store.Put(c.key)
@@ -157,7 +157,7 @@
 }
 
 // Made is the value or receipt that a server makes for one request.
-func Made(req event.Req, by event.Server, size int) []byte {
+func Made(req event.RequestID, by event.Server, size int) []byte {
 	v := append([]byte(req), ' ')
 	v = append(append(v, by...), ' ')
 	for len(v) < size {
@@ -167,7 +167,7 @@
 }
 
 // MadeFor tells whether a value was made for a request.
-func MadeFor(req event.Req, value []byte) bool {
+func MadeFor(req event.RequestID, value []byte) bool {
 	return len(value) > len(req) && string(value[:len(req)]) == string(req) && value[len(req)] == ' '
 }
 
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -27,7 +27,7 @@
 	Service scenario.Service
 	Methods map[string]scenario.Method
 	Through bool
-	Missed  func(req event.Req, s *Server, cold bool) // aside: the origin's answer is to fill it
+	Missed  func(req event.RequestID, s *Server, cold bool) // aside: the origin's answer is to fill it
 	Repeats *Repeats
 }
 
@@ -38,7 +38,7 @@
 }
 
 // Known tells whether a request ran in a group within a window, and remembers it otherwise.
-func (r *Repeats) Known(group string, req event.Req, now, window event.Micros) bool {
+func (r *Repeats) Known(group string, req event.RequestID, now, window event.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
@@ -95,13 +95,13 @@
 		s.Boot = time.Now()
 		cold = f.Set.ColdSpan.Micros()
 	}
-	s.machine = machine.New(machine.Settings{Cores: f.Set.Cores, Queue: f.Set.Queue, ColdShare: f.Set.ColdShare,
-		ColdSpan: f.Set.ColdSpan.Micros(), FallMultiple: f.Set.FallMultiple, FallSpan: f.Set.FallSpan.Micros()}, now, warm)
+	s.machine = machine.New(machine.Settings{Cores: f.Set.Cores, QueueLimit: f.Set.Queue, ColdCapacityShare: f.Set.ColdShare,
+		WarmupDuration: f.Set.ColdSpan.Micros(), CollapseMultiple: f.Set.FallMultiple, CollapseWindow: f.Set.FallSpan.Micros()}, now, warm)
 	s.alarm = time.AfterFunc(time.Hour, s.ring)
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	f.Log.Add(event.Event{Kind: event.Came, Server: uid, Router: event.Nobody, Limit: cold})
+	f.Log.Add(event.Event{Kind: event.ServerUp, Server: uid, Router: event.NoRouter, Limit: cold})
 	return s, nil
 }
 
@@ -154,7 +154,7 @@
 		k := newConn(s, c, r, len(s.conns) >= s.fleet.Set.Connections)
 		s.conns[k] = struct{}{}
 		s.mu.Unlock()
-		s.fleet.Log.Add(event.Event{Kind: event.Conn, Server: s.UID, Router: r})
+		s.fleet.Log.Add(event.Event{Kind: event.ConnectionAccepted, Server: s.UID, Router: r})
 		s.wg.Add(2)
 		go k.read()
 		go k.write()
@@ -174,7 +174,7 @@
 func (s *Server) Drop(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store.Drop(key)
+	s.store.Remove(key)
 }
 
 // Drain has the server finish its requests, and reject what arrives after the grace.
@@ -198,7 +198,7 @@
 	}
 	s.alarm.Stop()
 	s.mu.Unlock()
-	s.fleet.Log.Add(event.Event{Kind: event.Went, Server: s.UID, Router: event.Nobody})
+	s.fleet.Log.Add(event.Event{Kind: event.ServerDown, Server: s.UID, Router: event.NoRouter})
 }
 
 // Wait returns once nothing of it runs any more; call it after Kill.
@@ -234,14 +234,14 @@
 		return
 	}
 	now := s.fleet.Log.Now()
-	for _, j := range s.machine.Ended(now) {
+	for _, j := range s.machine.Completed(now) {
 		k := s.jobs[j]
 		delete(s.jobs, j)
 		if k != nil {
 			s.done(k, now)
 		}
 	}
-	if next, ok := s.machine.Next(); ok {
+	if next, ok := s.machine.NextCompletion(); ok {
 		s.alarm.Reset(max(0, next-s.fleet.Log.Now()).Duration())
 	}
 }
--- a/internal/lab/cacheserver/cacheserver_test.go
+++ b/internal/lab/cacheserver/cacheserver_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	f := &Fleet{Log: event.NewLog(), Set: s.Servers, Service: s.Service, Methods: map[string]scenario.Method{}, Repeats: &Repeats{},
-		Missed: func(event.Req, *Server, bool) {}}
+		Missed: func(event.RequestID, *Server, bool) {}}
 	for _, m := range s.Methods {
 		m.Work, m.Spread = 1000, "none"
 		f.Methods[m.Name] = m
@@ -129,9 +129,9 @@
 	odd, ran := 0, 0
 	for _, e := range f.Log.Events() {
 		switch e.Kind {
-		case event.Odd:
+		case event.ProtocolViolation:
 			odd++
-		case event.Ran:
+		case event.EffectExecuted:
 			ran++
 		}
 	}
@@ -156,7 +156,7 @@
 	c.Close() // a probe that is given up is no attempt
 	time.Sleep(50 * time.Millisecond)
 	for _, e := range f.Log.Events() {
-		if e.Kind == event.Ended || e.Kind == event.Begun {
+		if e.Kind == event.AttemptEnded || e.Kind == event.AttemptReceived {
 			t.Error("a probe was noted as a write-out")
 		}
 	}
@@ -171,15 +171,15 @@
 	if got := ask(t, c, "CACHE.SET k id2 c=order,d=0.5 v"); got != "id2" {
 		t.Error(got)
 	}
-	want := map[event.Req]event.Micros{"id1": 480e3, "id2": 500}
+	want := map[event.RequestID]event.Micros{"id1": 480e3, "id2": 500}
 	for _, e := range f.Log.Events() {
-		if e.Kind != event.Begun {
+		if e.Kind != event.AttemptReceived {
 			continue
 		}
-		if e.DeadlineSent != want[e.Req] {
-			t.Errorf("%s was noted as %v", e.Req, e.DeadlineSent)
+		if e.DeadlineSent != want[e.Request] {
+			t.Errorf("%s was noted as %v", e.Request, e.DeadlineSent)
 		}
-		delete(want, e.Req)
+		delete(want, e.Request)
 	}
 	if len(want) > 0 {
 		t.Error("not noted: ", want)
@@ -203,10 +203,10 @@
 			t.Error(got)
 		}
 	}
-	ran := map[event.Req]int{}
+	ran := map[event.RequestID]int{}
 	for _, e := range f.Log.Events() {
-		if e.Kind == event.Ran {
-			ran[e.Req]++
+		if e.Kind == event.EffectExecuted {
+			ran[e.Request]++
 		}
 	}
 	if ran["id1"] != 1 || ran["id2"] != 2 {
@@ -333,7 +333,7 @@
 		}
 	}
 	for _, e := range f.Log.Events() {
-		if e.Req == "lost" {
+		if e.Request == "lost" {
 			t.Error("a silent machine took a req")
 		}
 	}
@@ -374,7 +374,7 @@
 	s.Kill()
 	s.Wait()
 	for _, e := range f.Log.Events() {
-		if e.Kind == event.Ended && e.At > read {
+		if e.Kind == event.AttemptEnded && e.At > read {
 			t.Errorf("told %v after it was read", (e.At - read).Duration())
 		}
 	}
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -18,7 +18,7 @@
 // command is one attempt from its last byte on.
 type command struct {
 	on     *conn
-	req    event.Req
+	req    event.RequestID
 	method string
 	key    string
 	size   int
@@ -125,7 +125,7 @@
 }
 
 func (k *conn) odd(what string) {
-	k.s.fleet.Log.Add(event.Event{Kind: event.Odd, Server: k.s.UID, Router: k.router, Note: what})
+	k.s.fleet.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: k.s.UID, Router: k.router, Note: what})
 }
 
 // gone: the router ended the connection, or the server did. What was in hand there has no answer.
@@ -143,7 +143,7 @@
 		}
 		c.over = true
 		if c.req != "" {
-			s.fleet.Log.AddAt(event.Event{At: read, Kind: event.Ended, Req: c.req, Server: s.UID, Router: k.router, Reply: event.Lost})
+			s.fleet.Log.AddAt(event.Event{At: read, Kind: event.AttemptEnded, Request: c.req, Server: s.UID, Router: k.router, Reply: event.ConnectionLost})
 		}
 		if c.job != nil && s.fleet.Set.CancelStops && s.machine.Cancel(now, c.job) {
 			delete(s.jobs, c.job)
@@ -164,7 +164,7 @@
 			for {
 				select {
 				case c := <-k.out:
-					k.tell(c, k.s.fleet.Log.Now(), event.Lost)
+					k.tell(c, k.s.fleet.Log.Now(), event.ConnectionLost)
 				default:
 					return
 				}
@@ -179,7 +179,7 @@
 			_, err := k.c.Write(text)
 			reply := c.reply
 			if err != nil || c.cut >= 0 {
-				reply = event.Lost
+				reply = event.ConnectionLost
 			}
 			k.tell(c, at, reply)
 			if err != nil || c.cut >= 0 {
@@ -194,7 +194,7 @@
 	if c.req == "" {
 		return
 	}
-	k.s.fleet.Log.AddAt(event.Event{At: at, Kind: event.Ended, Req: c.req, Server: k.s.UID, Router: k.router, Reply: reply})
+	k.s.fleet.Log.AddAt(event.Event{At: at, Kind: event.AttemptEnded, Request: c.req, Server: k.s.UID, Router: k.router, Reply: reply})
 }
 
 // put gives a command its answer; what is in order goes out. The server's lock is held.
@@ -207,7 +207,7 @@
 		first := k.slots[0]
 		k.slots = k.slots[1:]
 		if !k.hand(first) {
-			k.tell(first, k.s.fleet.Log.Now(), event.Lost)
+			k.tell(first, k.s.fleet.Log.Now(), event.ConnectionLost)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		return nil, false
 	}
 	props := ReadProps(string(words[3]))
-	c = &command{key: string(words[1]), req: event.Req(words[2]), method: props.Method, size: props.Size,
+	c = &command{key: string(words[1]), req: event.RequestID(words[2]), method: props.Method, size: props.Size,
 		write: verb == "CACHE.SET", sent: props.DeadlineSent, cut: -1}
 	return c, c.key != "" && c.req != "" && c.method != "" && c.sent > 0 && !props.BadDeadline
 }
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -39,13 +39,13 @@
 func (t *trouble) spoil(r *rand.Rand, text []byte, reply event.Reply) ([]byte, event.Reply, int) {
 	switch x := r.Float64(); {
 	case x < t.resets:
-		return text, event.Lost, r.IntN(len(text))
+		return text, event.ConnectionLost, r.IntN(len(text))
 	case x < t.resets+t.spoilt:
 		forms := t.forms
 		if len(forms) == 0 {
 			forms = []string{"endless", "huge", "length", "nested", "noise"}
 		}
-		return Forms[forms[r.IntN(len(forms))]](text), event.Spoilt, -1
+		return Forms[forms[r.IntN(len(forms))]](text), event.Malformed, -1
 	case x < t.resets+t.spoilt+t.surplus:
 		return append(text, []string{"+surplus\r\n", "$-1\r\n", "\x00\x01"}[r.IntN(3)]...), reply, -1
 	}
@@ -69,11 +69,11 @@
 	}
 	switch f.Kind {
 	case "hang":
-		s.machine.Freeze(now, on)
+		s.machine.SetFrozen(now, on)
 		s.turn()
 	case "slow":
-		if s.machine.Slow(f.Factor); end {
-			s.machine.Slow(1)
+		if s.machine.SetSlowdown(f.Factor); end {
+			s.machine.SetSlowdown(1)
 		}
 	case "refuse":
 		if on {
@@ -111,7 +111,7 @@
 func (s *Server) vanish(now event.Micros, on bool) error {
 	if !on {
 		s.vanished = false
-		s.machine.Freeze(now, false)
+		s.machine.SetFrozen(now, false)
 		for k := range s.conns {
 			k.reset()
 		}
@@ -119,7 +119,7 @@
 		return s.listen()
 	}
 	s.vanished = true
-	s.machine.Freeze(now, true)
+	s.machine.SetFrozen(now, true)
 	for _, ln := range s.ln {
 		fillers, err := silence(ln)
 		if s.fillers = append(s.fillers, fillers...); err != nil {
--- a/internal/lab/client/bad.go
+++ b/internal/lab/client/bad.go
@@ -84,7 +84,7 @@
 		what = fmt.Sprintf("%.40q got neither an error nor a close", text)
 	}
 	if what != "" {
-		f.log.Add(event.Event{Kind: event.Owed, Router: router, Note: what})
+		f.log.Add(event.Event{Kind: event.BadInputAccepted, Router: router, Note: what})
 	}
 	for got > 0 && err == nil { // it takes what it is sent
 		_, err = c.Read(buf)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -124,7 +124,7 @@
 	start := f.log.Start().Add(from.Duration())
 	pacer.Run(ctx, start, len(all), func(i int) time.Duration { return all[i].At.Duration() }, func(i int, by time.Duration) {
 		if by > late {
-			f.log.Add(event.Event{Kind: event.Late, Router: event.Nobody, Limit: event.Micros(by / time.Microsecond)})
+			f.log.Add(event.Event{Kind: event.LabDelayed, Router: event.NoRouter, Limit: event.Micros(by / time.Microsecond)})
 		}
 		f.ops.Add(1)
 		go func() {
@@ -144,15 +144,15 @@
 }
 
 // id is that of a try: new for each, the same in each run of a seed.
-func (f *Front) id(op event.Op, try int) event.Req {
-	return event.Req(fmt.Sprintf("%08x%06x%02x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", f.seed, op, try)), op, try))
+func (f *Front) id(op event.Op, try int) event.RequestID {
+	return event.RequestID(fmt.Sprintf("%08x%06x%02x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", f.seed, op, try)), op, try))
 }
 
 // op asks until it is satisfied, has used up its retries, or may not ask again.
 func (f *Front) op(ctx context.Context, op event.Op, a arrivals.Arrival, from event.Micros) {
 	m := f.s.Methods[a.Method]
-	f.log.AddAt(event.Event{At: from + a.At, Kind: event.Wanted, Op: op, Method: a.Method, Tenant: a.Tenant, Site: a.Site,
-		Router: event.Nobody})
+	f.log.AddAt(event.Event{At: from + a.At, Kind: event.OperationDue, Op: op, Method: a.Method, Tenant: a.Tenant, Site: a.Site,
+		Router: event.NoRouter})
 	r := rand.New(rand.NewPCG(f.seed, uint64(op)+1<<32))
 	leaves := event.Micros(0)
 	if a.Leaves > 0 {
@@ -219,7 +219,7 @@
 		ways := f.ways(op)
 		r, ok := f.pick(a.Site, ways, q.fresh)
 		if !ok {
-			f.log.Add(event.Event{Kind: event.Unreached, Req: q.req, Op: op, Router: event.Nobody})
+			f.log.Add(event.Event{Kind: event.ConnectFailed, Request: q.req, Op: op, Router: event.NoRouter})
 			return result{how: unreached}
 		}
 		res, kept := ways[r].ask(q)
--- a/internal/lab/client/conn.go
+++ b/internal/lab/client/conn.go
@@ -20,7 +20,7 @@
 
 // pending is a request that has no answer yet.
 type pending struct {
-	req    event.Req
+	req    event.RequestID
 	op     event.Op
 	a      arrivals.Arrival
 	write  bool
@@ -54,7 +54,7 @@
 	due   int        // that have a place, and are about to be written
 	used  bool
 	ended bool
-	last  event.Req
+	last  event.RequestID
 	prior event.Micros // when the answer before came
 }
 
@@ -108,12 +108,12 @@
 
 // ask sends a request and waits for what becomes of it; kept: the connection had carried others before.
 func (p *pool) ask(q *pending) (res result, kept bool) {
-	note := event.Event{Req: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
+	note := event.Event{Request: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
 	var c *conn
 	var err error
 	for {
 		if c, kept, err = p.take(q.fresh); err != nil {
-			note.Kind, note.Note = event.Unreached, err.Error()
+			note.Kind, note.Note = event.ConnectFailed, err.Error()
 			p.f.log.Add(note)
 			return result{how: unreached}, false
 		}
@@ -126,7 +126,7 @@
 	}
 	// Under the lock, so that the order on the wire is the order of those who wait.
 	c.waits = append(c.waits, q)
-	note.Kind, note.DeadlineSent = event.Asked, q.sent
+	note.Kind, note.DeadlineSent = event.RequestSent, q.sent
 	if !kept {
 		note.Note = event.NewConnection
 	}
@@ -187,7 +187,7 @@
 	}
 	c.waits = nil
 	c.ended = true
-	c.p.f.log.Add(event.Event{Kind: event.Left, Req: q.req, Op: q.op, Router: c.p.router})
+	c.p.f.log.Add(event.Event{Kind: event.ClientLeft, Request: q.req, Op: q.op, Router: c.p.router})
 	c.mu.Unlock()
 	c.c.Close()
 	return true
@@ -234,7 +234,7 @@
 func (c *conn) odd(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.p.f.log.Add(event.Event{Kind: event.Surplus, Req: c.last, Router: c.p.router, Note: what})
+	c.p.f.log.Add(event.Event{Kind: event.UnexpectedAnswer, Request: c.last, Router: c.p.router, Note: what})
 }
 
 // took gives an answer to the first that waits; false where nobody does.
@@ -244,7 +244,7 @@
 	now := c.p.f.log.Now()
 	if len(c.waits) == 0 {
 		if !c.ended {
-			c.p.f.log.Add(event.Event{Kind: event.Surplus, Req: c.last, Router: c.p.router, Note: "an answer that nobody asked for"})
+			c.p.f.log.Add(event.Event{Kind: event.UnexpectedAnswer, Request: c.last, Router: c.p.router, Note: "an answer that nobody asked for"})
 		}
 		return false
 	}
@@ -259,15 +259,15 @@
 	word, rest, _ := bytes.Cut(r.Text, []byte(" "))
 	switch {
 	case r.Kind == '$' && !r.Null && cacheserver.MadeFor(q.req, value):
-		res.how, out = satisfied, event.Satisfied
+		res.how, out = satisfied, event.Succeeded
 	case r.Kind == '$' && !r.Null:
-		out = event.Foreign
+		out = event.WrongValue
 	case r.Kind == '-' && string(word) == "BUSY":
-		res.how, out = nacked, event.Nacked
+		res.how, out = nacked, event.Rejected
 		ms, _ := strconv.Atoi(string(rest)) // 0 where there is no hint
 		res.hint = event.Micros(ms) * 1000
 	}
-	c.p.f.log.AddAt(event.Event{At: now, Kind: event.Answered, Req: q.req, Op: q.op, Router: c.p.router, Outcome: out,
+	c.p.f.log.AddAt(event.Event{At: now, Kind: event.Answered, Request: q.req, Op: q.op, Router: c.p.router, Outcome: out,
 		Limit: res.hint, Since: c.prior, Method: q.a.Method})
 	c.prior = now
 	q.answer <- res
@@ -289,13 +289,13 @@
 	p.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kind, ended := event.Cut, cut
+	kind, ended := event.ConnectionClosed, cut
 	if c.ended { // by the client itself, for one that waited too long: it does not send again what it has given up
-		kind, ended = event.Left, failed
+		kind, ended = event.ClientLeft, failed
 	}
 	c.ended = true
 	for _, q := range c.waits {
-		p.f.log.Add(event.Event{Kind: kind, Req: q.req, Op: q.op, Router: p.router})
+		p.f.log.Add(event.Event{Kind: kind, Request: q.req, Op: q.op, Router: p.router})
 		q.answer <- result{how: ended}
 	}
 	c.waits = nil
--- a/internal/lab/client/grpc.go
+++ b/internal/lab/client/grpc.go
@@ -46,17 +46,17 @@
 
 // ask makes one call and notes what became of it.
 func (p *calls) ask(q *pending) (res result, kept bool) {
-	note := event.Event{Req: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
+	note := event.Event{Request: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
 	say := func(kind event.Kind, outcome event.Outcome, hint event.Micros) {
 		note.Kind, note.Outcome = kind, outcome
-		if kind != event.Asked {
+		if kind != event.RequestSent {
 			note.Limit = hint
 		}
 		p.f.log.Add(note)
 	}
 	c, err := p.client()
 	if err != nil {
-		say(event.Unreached, 0, 0)
+		say(event.ConnectFailed, 0, 0)
 		return result{how: unreached}, false
 	}
 	m := p.f.s.Methods[q.a.Method]
@@ -73,7 +73,7 @@
 		t := time.AfterFunc(max(0, q.gives-p.f.log.Now()).Duration(), func() { close(goes); cancel() })
 		defer t.Stop()
 	}
-	say(event.Asked, 0, 0)
+	say(event.RequestSent, 0, 0)
 	var value []byte
 	if q.write {
 		var got *cachev1.SetResponse
@@ -87,10 +87,10 @@
 	s := status.Convert(err)
 	switch ours := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
 	case s.Code() == codes.OK && cacheserver.MadeFor(q.req, value):
-		say(event.Answered, event.Satisfied, 0)
+		say(event.Answered, event.Succeeded, 0)
 		return result{how: satisfied}, false
 	case s.Code() == codes.OK:
-		say(event.Answered, event.Foreign, 0)
+		say(event.Answered, event.WrongValue, 0)
 	case s.Code() == codes.Unavailable && ours:
 		hint := event.Micros(0)
 		for _, d := range s.Details() {
@@ -98,22 +98,22 @@
 				hint = event.Micros(r.GetRetryDelay().AsDuration() / time.Microsecond)
 			}
 		}
-		say(event.Answered, event.Nacked, hint)
+		say(event.Answered, event.Rejected, hint)
 		return result{how: nacked, hint: hint}, false
 	case s.Code() == codes.Canceled:
 		select {
 		case <-goes:
-			say(event.Left, 0, 0)
+			say(event.ClientLeft, 0, 0)
 			return result{how: left}, false
 		default:
 		}
-		say(event.Cut, 0, 0)
+		say(event.ConnectionClosed, 0, 0)
 		return result{how: cut}, true
 	case s.Code() == codes.Unavailable && strings.Contains(s.Message(), "connection error"): // nothing was sent
-		say(event.Unreached, 0, 0)
+		say(event.ConnectFailed, 0, 0)
 		return result{how: unreached}, false
 	case s.Code() == codes.Unavailable: // the library's: no connection, or one that ended under the call
-		say(event.Cut, 0, 0)
+		say(event.ConnectionClosed, 0, 0)
 		return result{how: cut}, true
 	case s.Code() == codes.DeadlineExceeded: // noted as nothing: the referee finds a request that was never answered
 		return result{how: failed}, false
--- a/internal/lab/event/event.go
+++ b/internal/lab/event/event.go
@@ -17,87 +17,87 @@
 
 // The ids are types of their own, so that one cannot stand for another.
 type (
-	Req    string // one try, as it goes over the wire
-	Op     int32  // what a client wants, over all of its tries; the place in the schedule
-	Server string // the uid of one life of a cache server, or of the origin
-	Router int    // place among the run's routers
-	Method int    // index into the scenario's methods
-	Tenant int    // index into the scenario's tenants
-	Site   int    // index into the scenario's sites
+	RequestID string // one try, as it goes over the wire
+	Op        int32  // what a client wants, over all of its tries; the place in the schedule
+	Server    string // the uid of one life of a cache server, or of the origin
+	Router    int    // place among the run's routers
+	Method    int    // index into the scenario's methods
+	Tenant    int    // index into the scenario's tenants
+	Site      int    // index into the scenario's sites
 )
 
-// Nobody stands where an event concerns no router.
-const Nobody Router = -1
+// NoRouter stands where an event concerns no router.
+const NoRouter Router = -1
 
 // Kind says what happened, and which fields of an Event count.
 type Kind uint8
 
 // What a client saw.
 const (
-	Wanted    Kind = iota + 1 // an op came up: Op, Method, Tenant, Site; At is its intended time
-	Asked                     // the last byte of a request went out: Request, Op, Router, Method, Limit, DeadlineSent; Note may be NewConnection
-	Answered                  // the last byte of its answer came: Request, Router, Outcome, Limit (the hint)
-	Cut                       // the router ended the connection with no answer: Request, Router
-	Left                      // the client gave up or went: Request, Router
-	Unreached                 // no connection to the router: Request, Router
-	Surplus                   // bytes that no request asked for: Router, Request (the last one answered there)
-	Owed                      // a bad client got neither an error nor a close in time: Router, Note
+	OperationDue     Kind = iota + 1 // an op came up: Op, Method, Tenant, Site; At is its intended time
+	RequestSent                      // the last byte of a request went out: Request, Op, Router, Method, Limit, DeadlineSent; Note may be NewConnection
+	Answered                         // the last byte of its answer came: Request, Router, Outcome, Limit (the hint)
+	ConnectionClosed                 // the router ended the connection with no answer: Request, Router
+	ClientLeft                       // the client gave up or went: Request, Router
+	ConnectFailed                    // no connection to the router: Request, Router
+	UnexpectedAnswer                 // bytes that no request asked for: Router, Request (the last one answered there)
+	BadInputAccepted                 // a bad client got neither an error nor a close in time: Router, Note
 )
 
 // What a cache server or the origin saw.
 const (
-	Begun   Kind = iota + 20 // an attempt came whole: Request, Server, Router, Write, DeadlineSent; Since is its first byte
-	Ended                    // it ended there: Request, Server, Router, Reply
-	Ran                      // its effect ran: Request, Server
-	Fell                     // the server was pushed over while cold: Server, Note
-	Stopped                  // the origin was pushed over: Server, Limit (share of cold misses in parts of 1000)
-	Conn                     // a connection was accepted: Server, Router
-	Came                     // a server is up: Server; Limit is the span that it counts as cold, 0 for none
-	Went                     // it is down: Server
-	Odd                      // a router sent what is not of the protocol: Server, Router, Note
+	AttemptReceived    Kind = iota + 20 // an attempt came whole: Request, Server, Router, Write, DeadlineSent; Since is its first byte
+	AttemptEnded                        // it ended there: Request, Server, Router, Reply
+	EffectExecuted                      // its effect ran: Request, Server
+	ServerCollapsed                     // the server was pushed over while cold: Server, Note
+	OriginCollapsed                     // the origin was pushed over: Server, Limit (share of cold misses in parts of 1000)
+	ConnectionAccepted                  // a connection was accepted: Server, Router
+	ServerUp                            // a server is up: Server; Limit is the span that it counts as cold, 0 for none
+	ServerDown                          // it is down: Server
+	ProtocolViolation                   // a router sent what is not of the protocol: Server, Router, Note
 )
 
 // What happened to routers, and what they were told.
 const (
-	Told     Kind = iota + 40 // discovery wrote to a router that a server is draining or gone: Server, Router
-	Due                       // the same has reached the agent that tells this router: Server, Router
-	Up                        // a router answers PING: Router
-	Term                      // SIGTERM was sent: Router
-	Down                      // a router's process ended: Router, Outcome (Satisfied: as it should)
-	Killed                    // SIGKILL was sent: Router
-	Fault                     // a fault begins, or ends where Limit is 1: Note
-	Sample                    // a router's CPU in microseconds (Limit) and memory in bytes (Size) so far: Router
-	Late                      // the lab itself was late by Limit
-	Barred                    // a router said yes to leaving a server alone: Server, Router
-	Unbarred                  // it was told to use it again: Server, Router
-	Policied                  // a change of policy has its verdict: Note (the servers that it has out), Limit (1: everywhere), Since (when asked for)
-	Stalled                   // its process stands still, or goes on where Limit is 1: Router
+	RemovalDelivered Kind = iota + 40 // discovery wrote to a router that a server is draining or gone: Server, Router
+	RemovalAnnounced                  // the same has reached the agent that tells this router: Server, Router
+	RouterUp                          // a router answers PING: Router
+	SIGTERMSent                       // SIGTERM was sent: Router
+	RouterExited                      // a router's process ended: Router, Outcome (Satisfied: as it should)
+	SIGKILLSent                       // SIGKILL was sent: Router
+	Fault                             // a fault begins, or ends where Limit is 1: Note
+	ResourceSample                    // a router's CPU in microseconds (Limit) and memory in bytes (Size) so far: Router
+	LabDelayed                        // the lab itself was late by Limit
+	ServerBanned                      // a router said yes to leaving a server alone: Server, Router
+	ServerUnbanned                    // it was told to use it again: Server, Router
+	PolicyChanged                     // a change of policy has its verdict: Note (the servers that it has out), Limit (1: everywhere), Since (when asked for)
+	RouterStalled                     // its process stands still, or goes on where Limit is 1: Router
 )
 
 // Outcome is a final answer as a client reads it.
 type Outcome uint8
 
 const (
-	Satisfied Outcome = iota + 1 // with the value made for this request
-	Nacked
+	Succeeded Outcome = iota + 1 // with the value made for this request
+	Rejected
 	Failed
-	Foreign // a value that was not made for this request
+	WrongValue // a value that was not made for this request
 )
 
 // Reply is how an attempt ended at the server.
 type Reply uint8
 
 const (
-	Value      Reply = iota + 1 // the value or receipt was written whole
-	Miss                        // it lacks the key
-	TurnedAway                  // it never ran, and the router was told so
-	Error                       // an error was written: it may have run
-	Lost                        // the connection was over before an answer: it may have run
-	Spoilt                      // what was written could not be read: it may have run
+	Value          Reply = iota + 1 // the value or receipt was written whole
+	Miss                            // it lacks the key
+	Refused                         // it never ran, and the router was told so
+	Error                           // an error was written: it may have run
+	ConnectionLost                  // the connection was over before an answer: it may have run
+	Malformed                       // what was written could not be read: it may have run
 )
 
 // NeverRan tells whether the router knows by this reply that nothing ran.
-func (r Reply) NeverRan() bool { return r == Miss || r == TurnedAway }
+func (r Reply) NeverRan() bool { return r == Miss || r == Refused }
 
 // NewConnection is the note of a request that is the first on its connection.
 const NewConnection = "new-connection"
@@ -106,7 +106,7 @@
 type Event struct {
 	At      Micros
 	Kind    Kind
-	Req     Req
+	Request RequestID
 	Op      Op
 	Server  Server
 	Router  Router
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -13,24 +13,24 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Act is one thing to do at a time.
-type Act struct {
-	At    event.Micros
-	Fault int  // which fault of the scenario
-	End   bool // it takes the fault back
-	Who   int  // place of the server or router struck; -1: all that there are of the kind
+// Action is one thing to do at a time.
+type Action struct {
+	At     event.Micros
+	Fault  int  // which fault of the scenario
+	End    bool // it takes the fault back
+	Target int  // place of the server or router struck; -1: all that there are of the kind
 	// Stage of a drain or deploy: 0 it drains, 1 it is gone, 2 its successor starts.
 	Stage int
 }
 
 // String is one line of the timeline.
-func (a Act) String() string {
-	return fmt.Sprintf("%v fault=%d who=%d stage=%d end=%v", a.At.Duration(), a.Fault, a.Who, a.Stage, a.End)
+func (a Action) String() string {
+	return fmt.Sprintf("%v fault=%d who=%d stage=%d end=%v", a.At.Duration(), a.Fault, a.Target, a.Stage, a.End)
 }
 
 // Timeline orders all acts of a scenario.
-func Timeline(s scenario.Scenario, seed uint64) []Act {
-	var all []Act
+func Timeline(s scenario.Scenario, seed uint64) []Action {
+	var all []Action
 	for i, f := range s.Faults {
 		r := rand.New(rand.NewPCG(seed, 100+uint64(i)))
 		kind := scenario.Kinds[f.Kind]
@@ -65,13 +65,13 @@
 			}
 		default:
 			at, until := drawn()
-			all = append(all, Act{At: at, Fault: i, Who: -1})
+			all = append(all, Action{At: at, Fault: i, Target: -1})
 			if until > at {
-				all = append(all, Act{At: until, Fault: i, Who: -1, End: true})
+				all = append(all, Action{At: until, Fault: i, Target: -1, End: true})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
@@ -87,30 +87,30 @@
 }
 
 // strike is one fault at one server or router.
-func strike(f scenario.Fault, i, who int, at, until event.Micros, s scenario.Scenario) []Act {
+func strike(f scenario.Fault, i, who int, at, until event.Micros, s scenario.Scenario) []Action {
 	if f.Kind == "drain" {
 		return retire(i, who, at, until, s)
 	}
-	acts := []Act{{At: at, Fault: i, Who: who}}
+	acts := []Action{{At: at, Fault: i, Target: who}}
 	if until > at {
-		acts = append(acts, Act{At: until, Fault: i, Who: who, End: true})
+		acts = append(acts, Action{At: until, Fault: i, Target: who, End: true})
 	}
 	return acts
 }
 
 // retire drains a server, takes it away once what it holds is over, and starts a successor at the end.
-func retire(i, who int, at, until event.Micros, s scenario.Scenario) []Act {
+func retire(i, who int, at, until event.Micros, s scenario.Scenario) []Action {
 	longest := event.Micros(0)
 	for _, m := range s.Methods {
 		longest = max(longest, m.Deadline.Micros())
 	}
 	gone := at + s.Discovery.Delay.Micros() + s.Service.DrainGrace.Micros() + longest
-	return []Act{{At: at, Fault: i, Who: who}, {At: gone, Fault: i, Who: who, Stage: 1},
-		{At: max(until, gone+1), Fault: i, Who: who, Stage: 2, End: true}}
+	return []Action{{At: at, Fault: i, Target: who}, {At: gone, Fault: i, Target: who, Stage: 1},
+		{At: max(until, gone+1), Fault: i, Target: who, Stage: 2, End: true}}
 }
 
 // rolling strikes batch after batch, evenly over the fault's time.
-func rolling(f scenario.Fault, i int, struck []int, among int, s scenario.Scenario) (acts []Act) {
+func rolling(f scenario.Fault, i int, struck []int, among int, s scenario.Scenario) (acts []Action) {
 	size := max(1, int(math.Round(f.Batch*float64(among))))
 	batches := (len(struck) + size - 1) / size
 	step := f.For.Micros() / event.Micros(max(1, batches))
--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -28,7 +28,7 @@
 			end = 1
 		}
 		if a.Stage != 1 {
-			r.log.Add(event.Event{Kind: event.Fault, Router: event.Nobody, Note: f.Kind, Limit: end})
+			r.log.Add(event.Event{Kind: event.Fault, Router: event.NoRouter, Note: f.Kind, Limit: end})
 		}
 		r.o.Log.WithField("at", a.At.Duration()).Debugf("%s (%v)", f.Kind, a)
 		if err := r.act(ctx, f, a, struck); err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (r *run) act(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
+func (r *run) act(ctx context.Context, f scenario.Fault, a faults.Action, struck map[[2]int]*life) error {
 	switch scenario.Kinds[f.Kind].Strikes() {
 	case "servers":
 		return r.actServer(ctx, f, a, struck)
@@ -79,10 +79,10 @@
 	return nil
 }
 
-func (r *run) actServer(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
-	at := [2]int{a.Fault, a.Who}
+func (r *run) actServer(ctx context.Context, f scenario.Fault, a faults.Action, struck map[[2]int]*life) error {
+	at := [2]int{a.Fault, a.Target}
 	r.mu.Lock()
-	l := r.lives[a.Who]
+	l := r.lives[a.Target]
 	r.mu.Unlock()
 	if !a.End && a.Stage == 0 {
 		struck[at] = l
@@ -130,13 +130,13 @@
 
 // loseSite takes all of a site down at once, its cache servers and its routers; or has it come back cold, all at once. Who
 // asks there goes to routers elsewhere once the front has noticed.
-func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
+func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Action, struck map[[2]int]*life) error {
 	for place := range r.s.Servers.Count {
 		if r.s.SiteOf(place) != f.Site {
 			continue
 		}
 		b := a
-		b.Who = place
+		b.Target = place
 		lost := f
 		if lost.Kind = "zone_lost"; f.Share > 0 && float64(place/len(r.s.Sites)) >= f.Share*float64(r.s.Servers.Count/len(r.s.Sites)) {
 			continue
@@ -148,7 +148,7 @@
 	for n := range r.s.Routers.Count {
 		if r.s.SiteOf(n) == f.Site && f.Share == 0 {
 			b := a
-			b.Who = n
+			b.Target = n
 			down := f
 			down.Kind = "router_kill"
 			r.actRouter(ctx, down, b)
@@ -205,9 +205,9 @@
 }
 
 // actRouter does what takes its time beside the timeline.
-func (r *run) actRouter(ctx context.Context, f scenario.Fault, a faults.Act) {
-	p := r.routers[a.Who]
-	draws := r.draws(a.Fault, a.Who)
+func (r *run) actRouter(ctx context.Context, f scenario.Fault, a faults.Action) {
+	p := r.routers[a.Target]
+	draws := r.draws(a.Fault, a.Target)
 	again := func() {
 		if ctx.Err() != nil {
 			return
@@ -296,7 +296,7 @@
 	change := func(rule *links.Rule) {
 		switch f.Kind {
 		case "link_drop":
-			rule.Drop = f.Share
+			rule.LossShare = f.Share
 		case "link_cut":
 			rule.Cut = true
 		case "link_delay":
@@ -306,9 +306,9 @@
 			*rule = links.Rule{}
 		}
 	}
-	r.links.Change(groups[0], groups[1], change)
+	r.links.UpdateRules(groups[0], groups[1], change)
 	if !f.OneWay {
-		r.links.Change(groups[1], groups[0], change)
+		r.links.UpdateRules(groups[1], groups[0], change)
 	}
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -68,7 +68,7 @@
 	From     event.Micros // when the clients began
 	Arrivals []arrivals.Arrival
 	Events   []event.Event
-	Broken   []referee.Broken
+	Broken   []referee.Violation
 }
 
 // run is one scenario being played.
@@ -81,16 +81,16 @@
 	origin   *origin.Origin
 	registry *registry.Registry
 	front    *client.Front
-	links    *links.Rig // nil: the routers tell one another nothing
+	links    *links.Network // nil: the routers tell one another nothing
 	routers  []*router
 
 	mu     sync.Mutex
 	lives  []*life // by place
 	all    []*life
-	places map[event.Server]referee.Place
+	places map[event.Server]referee.Location
 	cut    map[string]bool // sites that are cut off now
-	missed map[event.Req][]*cacheserver.Server
-	cold   map[event.Req]bool
+	missed map[event.RequestID][]*cacheserver.Server
+	cold   map[event.RequestID]bool
 	failed error
 	policy int // the revision in force
 	bad    sync.WaitGroup
@@ -103,8 +103,8 @@
 		o.Log = logrus.New()
 		o.Log.SetLevel(logrus.PanicLevel)
 	}
-	r := &run{s: s, o: o, log: event.NewLog(), places: map[event.Server]referee.Place{}, cut: map[string]bool{},
-		missed: map[event.Req][]*cacheserver.Server{}, cold: map[event.Req]bool{}}
+	r := &run{s: s, o: o, log: event.NewLog(), places: map[event.Server]referee.Location{}, cut: map[string]bool{},
+		missed: map[event.RequestID][]*cacheserver.Server{}, cold: map[event.RequestID]bool{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer r.end()
@@ -143,7 +143,7 @@
 	}
 	events := r.log.Events()
 	return Result{Scenario: s, Seed: o.Seed, From: from, Arrivals: schedule, Events: events,
-		Broken: referee.Judge(rules(s, r.places), events)}, nil
+		Broken: referee.Check(rules(s, r.places), events)}, nil
 }
 
 // lateNote: an op begun later than this is noted. A busy machine is late by a few milliseconds now and then.
@@ -234,7 +234,7 @@
 	zone := r.s.SiteOf(place)
 	cell := place / 4
 	uid := event.Server(fmt.Sprintf("s%d.%d", place, l.n))
-	r.places[uid] = referee.Place{Zone: zone, Cell: fmt.Sprint(cell)}
+	r.places[uid] = referee.Location{Zone: zone, Cell: fmt.Sprint(cell)}
 	r.mu.Unlock()
 	server, err := cacheserver.Start(r.servers, uid, zone, cell, r.net.server(place, l.moves), warm,
 		r.o.Seed+uint64(place)<<16+uint64(l.n))
@@ -269,20 +269,20 @@
 }
 
 // noteMiss: the origin's answer is to fill the servers that missed for a request.
-func (r *run) noteMiss(req event.Req, s *cacheserver.Server, cold bool) {
+func (r *run) noteMiss(req event.RequestID, s *cacheserver.Server, cold bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.missed[req] = append(r.missed[req], s)
 	r.cold[req] = cold
 }
 
-func (r *run) wasCold(req event.Req) bool {
+func (r *run) wasCold(req event.RequestID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cold[req]
 }
 
-func (r *run) fill(req event.Req, key string) {
+func (r *run) fill(req event.RequestID, key string) {
 	r.mu.Lock()
 	servers := r.missed[req]
 	delete(r.missed, req)
@@ -326,7 +326,7 @@
 		case <-t.C:
 		}
 		if late := time.Since(last) - every; late > note {
-			r.log.Add(event.Event{Kind: event.Late, Router: event.Nobody, Limit: event.Micros(late / time.Microsecond), Note: "heartbeat"})
+			r.log.Add(event.Event{Kind: event.LabDelayed, Router: event.NoRouter, Limit: event.Micros(late / time.Microsecond), Note: "heartbeat"})
 		}
 		last = time.Now()
 		r.registry.Tick()
@@ -400,4 +400,4 @@
 }
 
 // Timeline is what would strike when; for showing.
-func Timeline(s scenario.Scenario, seed uint64) []faults.Act { return faults.Timeline(s, seed) }
+func Timeline(s scenario.Scenario, seed uint64) []faults.Action { return faults.Timeline(s, seed) }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -111,7 +111,7 @@
 		if e.Kind != event.Answered {
 			continue
 		}
-		if all[e.Method]++; e.Outcome == event.Nacked {
+		if all[e.Method]++; e.Outcome == event.Rejected {
 			nacked[e.Method]++
 		}
 	}
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -38,9 +38,9 @@
 
 // ban has operators take a server out at every router, or give it back. A second passes at most until it holds.
 func (r *run) ban(ctx context.Context, uid event.Server, out bool) {
-	kind, path := event.Barred, "/ops/cache-servers/down"
+	kind, path := event.ServerBanned, "/ops/cache-servers/down"
 	if !out {
-		kind, path = event.Unbarred, "/ops/cache-servers/up"
+		kind, path = event.ServerUnbanned, "/ops/cache-servers/up"
 	}
 	for _, p := range r.routers {
 		r.acts.Go(func() {
--- a/internal/lab/fleet/operatorstate.go
+++ b/internal/lab/fleet/operatorstate.go
@@ -68,7 +68,7 @@
 			problem = p.checkBanned()
 		}
 		if problem != "" {
-			r.log.Add(event.Event{Kind: event.Owed, Router: p.n, Note: problem})
+			r.log.Add(event.Event{Kind: event.BadInputAccepted, Router: p.n, Note: problem})
 		}
 	}
 }
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -108,7 +108,7 @@
 			}
 			continue
 		}
-		e := event.Event{Kind: event.Policied, Router: event.Nobody, Since: began, Note: strings.Join(out, " ")}
+		e := event.Event{Kind: event.PolicyChanged, Router: event.NoRouter, Since: began, Note: strings.Join(out, " ")}
 		if v.Committed {
 			e.Limit = 1
 			r.mu.Lock()
--- a/internal/lab/fleet/routers.go
+++ b/internal/lab/fleet/routers.go
@@ -183,7 +183,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.at == at && !p.ending {
-		p.run.log.Add(event.Event{Kind: event.Down, Router: p.n, Outcome: event.Failed, Note: fmt.Sprint(at.Err(), "; see ", p.spec().Log)})
+		p.run.log.Add(event.Event{Kind: event.RouterExited, Router: p.n, Outcome: event.Failed, Note: fmt.Sprint(at.Err(), "; see ", p.spec().Log)})
 		p.run.front.Believe(p.n, false)
 	}
 }
@@ -204,7 +204,7 @@
 		default:
 		}
 		if p.ping() {
-			p.run.log.Add(event.Event{Kind: event.Up, Router: p.n})
+			p.run.log.Add(event.Event{Kind: event.RouterUp, Router: p.n})
 			p.run.front.Believe(p.n, true)
 			p.allowSignals(at)
 			return nil
@@ -252,9 +252,9 @@
 	if at == nil {
 		return
 	}
-	p.run.log.Add(event.Event{Kind: event.Killed, Router: p.n})
+	p.run.log.Add(event.Event{Kind: event.SIGKILLSent, Router: p.n})
 	at.End()
-	p.run.log.Add(event.Event{Kind: event.Down, Router: p.n, Outcome: event.Satisfied})
+	p.run.log.Add(event.Event{Kind: event.RouterExited, Router: p.n, Outcome: event.Succeeded})
 }
 
 // stop ends it in order: SIGTERM, and SIGKILL once it has had its time. beside sends further signals meanwhile; nil: none.
@@ -271,7 +271,7 @@
 		return // it was killed before, or ended by itself, which was noted
 	default:
 	}
-	p.run.log.Add(event.Event{Kind: event.Term, Router: p.n})
+	p.run.log.Add(event.Event{Kind: event.SIGTERMSent, Router: p.n})
 	_ = at.Signal(syscall.SIGTERM) // an error: it has just ended, which Done tells
 	if beside != nil {
 		p.run.acts.Go(func() { beside(at) })
@@ -288,7 +288,7 @@
 			p.run.front.Believe(p.n, false)
 		}
 	})
-	how := event.Event{Kind: event.Down, Router: p.n, Outcome: event.Satisfied}
+	how := event.Event{Kind: event.RouterExited, Router: p.n, Outcome: event.Succeeded}
 	select {
 	case <-at.Done():
 		if err := at.Err(); err != nil {
@@ -318,7 +318,7 @@
 		sig, limit = syscall.SIGCONT, 1
 	}
 	if at != nil && at.Signal(sig) == nil { // an error: it has just ended
-		p.run.log.Add(event.Event{Kind: event.Stalled, Router: p.n, Limit: limit})
+		p.run.log.Add(event.Event{Kind: event.RouterStalled, Router: p.n, Limit: limit})
 	}
 }
 
@@ -361,6 +361,6 @@
 		return
 	}
 	if cpu, rss, ok := at.Usage(); ok {
-		p.run.log.Add(event.Event{Kind: event.Sample, Router: p.n, Limit: event.Micros(cpu / time.Microsecond), Size: rss})
+		p.run.log.Add(event.Event{Kind: event.ResourceSample, Router: p.n, Limit: event.Micros(cpu / time.Microsecond), Size: rss})
 	}
 }
--- a/internal/lab/fleet/settings.go
+++ b/internal/lab/fleet/settings.go
@@ -54,9 +54,9 @@
 }
 
 // rules are the figures that the referee judges by.
-func rules(s scenario.Scenario, places map[event.Server]referee.Place) referee.Rules {
-	r := referee.Rules{Places: places, MaxWriteOuts: s.Service.MaxWriteOuts, Grace: s.Service.DrainGrace.Micros(),
-		Slack: referee.DefaultSlack, ToldAfter: referee.DefaultToldAfter, MostCold: referee.DefaultMostCold}
+func rules(s scenario.Scenario, places map[event.Server]referee.Location) referee.Rules {
+	r := referee.Rules{Locations: places, MaxAttempts: s.Service.MaxWriteOuts, DrainGrace: s.Service.DrainGrace.Micros(),
+		Slack: referee.DefaultSlack, NotifyDelay: referee.DefaultNotifyDelay, MaxColdMissShare: referee.DefaultMaxColdMissShare}
 	for _, m := range s.Methods {
 		r.Methods = append(r.Methods, referee.Method{Name: m.Name, Effect: m.Effect, Group: m.Group, Window: m.Window.Micros()})
 	}
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -147,10 +147,10 @@
 		return nil
 	}
 	if draws.IntN(2) == 0 {
-		p.run.log.Add(event.Event{Kind: event.Killed, Router: p.n}) // clients may be with it by then
+		p.run.log.Add(event.Event{Kind: event.SIGKILLSent, Router: p.n}) // clients may be with it by then
 		dud.End()
 		if p.ping() {
-			p.run.log.Add(event.Event{Kind: event.Up, Router: p.n})
+			p.run.log.Add(event.Event{Kind: event.RouterUp, Router: p.n})
 		}
 		return p.replace(ctx)
 	}
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -15,23 +15,23 @@
 
 // Rule is what happens on the way from one router to another. The zero value passes all on at once.
 type Rule struct {
-	Drop   float64       // share of packets lost; TCP's come later, as often as they would be sent again
-	Cut    bool          // nothing passes
-	Reset  bool          // with Cut: connections are reset, in place of falling silent
-	Delay  time.Duration // of each packet
-	Jitter time.Duration // more, evenly from nothing to this
-	Twice  float64       // share that comes twice
-	Late   float64       // share that comes after others that were sent later
+	LossShare      float64       // share of packets lost; TCP's come later, as often as they would be sent again
+	Cut            bool          // nothing passes
+	Reset          bool          // with Cut: connections are reset, in place of falling silent
+	Delay          time.Duration // of each packet
+	Jitter         time.Duration // more, evenly from nothing to this
+	DuplicateShare float64       // share that comes twice
+	ReorderShare   float64       // share that comes after others that were sent later
 }
 
 // late is how much later a packet that changes places comes: behind some turns of gossip.
 const late = 150 * time.Millisecond
 
-// Count is what passed on a way.
-type Count struct{ Packets, Bytes, Lost int64 }
+// Traffic is what passed on a way.
+type Traffic struct{ Packets, Bytes, Lost int64 }
 
-// Rig is the network. Routers count from 0.
-type Rig struct {
+// Network is the network. Routers count from 0.
+type Network struct {
 	at    []netip.AddrPort // where the routers listen, each on an address of its own
 	front []netip.AddrPort // where they are reached
 	seed  uint64
@@ -49,12 +49,12 @@
 type pair struct {
 	rule  Rule
 	rand  *rand.Rand
-	count Count
+	count Traffic
 }
 
 // New begins to pass on. at and front have one address for each router; of TCP so many ports from there on pass.
-func New(at, front []netip.AddrPort, seed uint64, ports int) (*Rig, error) {
-	r := &Rig{at: at, front: front, seed: seed, pairs: map[[2]int]*pair{}, conns: map[*conn]struct{}{}}
+func New(at, front []netip.AddrPort, seed uint64, ports int) (*Network, error) {
+	r := &Network{at: at, front: front, seed: seed, pairs: map[[2]int]*pair{}, conns: map[*conn]struct{}{}}
 	for to := range at {
 		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(front[to]))
 		if err == nil {
@@ -81,7 +81,7 @@
 }
 
 // Close ends all. Routers hear nothing of one another then.
-func (r *Rig) Close() {
+func (r *Network) Close() {
 	r.mu.Lock()
 	r.closed = true
 	for c := range r.conns {
@@ -97,8 +97,8 @@
 	r.running.Wait()
 }
 
-// Set gives a way a rule; what is on it already still comes, but for connections that are cut.
-func (r *Rig) Set(from, to int, rule Rule) {
+// SetRule gives a way a rule; what is on it already still comes, but for connections that are cut.
+func (r *Network) SetRule(from, to int, rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pair(from, to).rule = rule
@@ -109,28 +109,28 @@
 	}
 }
 
-// Change changes the rule of each way from one of a group to one of another, whoever is in both.
-func (r *Rig) Change(from, to []int, change func(*Rule)) {
+// UpdateRules changes the rule of each way from one of a group to one of another, whoever is in both.
+func (r *Network) UpdateRules(from, to []int, change func(*Rule)) {
 	for _, f := range from {
 		for _, t := range to {
 			if f != t {
 				rule := r.Rule(f, t)
 				change(&rule)
-				r.Set(f, t, rule)
+				r.SetRule(f, t, rule)
 			}
 		}
 	}
 }
 
 // Rule is that of a way.
-func (r *Rig) Rule(from, to int) Rule {
+func (r *Network) Rule(from, to int) Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pair(from, to).rule
 }
 
 // Sent is what a router has sent, to all.
-func (r *Rig) Sent(from int) (all Count) {
+func (r *Network) Sent(from int) (all Traffic) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, x := range r.pairs {
@@ -141,7 +141,7 @@
 	return all
 }
 
-func (r *Rig) pair(from, to int) *pair {
+func (r *Network) pair(from, to int) *pair {
 	p := r.pairs[[2]int{from, to}]
 	if p == nil {
 		p = &pair{rand: rand.New(rand.NewPCG(r.seed, uint64(from)<<32|uint64(to)))}
@@ -151,7 +151,7 @@
 }
 
 // who tells which router an address is that of.
-func (r *Rig) who(addr netip.Addr) int {
+func (r *Network) who(addr netip.Addr) int {
 	for i, a := range r.at {
 		if a.Addr() == addr.Unmap() {
 			return i
@@ -161,7 +161,7 @@
 }
 
 // packets passes on UDP to one router.
-func (r *Rig) packets(to int) {
+func (r *Network) packets(to int) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, source, err := r.udp[to].ReadFromUDPAddrPort(buf)
@@ -185,21 +185,21 @@
 }
 
 // fate is when a packet comes, and how often.
-func (r *Rig) fate(from, to, size int) (after []time.Duration) {
+func (r *Network) fate(from, to, size int) (after []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pair(from, to)
 	// All draws are made for each packet, so that a rule does not shift those of the next.
 	lost, twice, behind, more := p.rand.Float64(), p.rand.Float64(), p.rand.Float64(), p.rand.Float64()
-	if p.count.Packets, p.count.Bytes = p.count.Packets+1, p.count.Bytes+int64(size); p.rule.Cut || lost < p.rule.Drop {
+	if p.count.Packets, p.count.Bytes = p.count.Packets+1, p.count.Bytes+int64(size); p.rule.Cut || lost < p.rule.LossShare {
 		p.count.Lost++
 		return nil
 	}
 	d := p.rule.Delay + time.Duration(more*float64(p.rule.Jitter))
-	if behind < p.rule.Late {
+	if behind < p.rule.ReorderShare {
 		d += late
 	}
-	if after = []time.Duration{d}; twice < p.rule.Twice {
+	if after = []time.Duration{d}; twice < p.rule.DuplicateShare {
 		after = append(after, d+time.Millisecond)
 	}
 	return after
@@ -229,7 +229,7 @@
 	return netip.AddrPortFrom(a.Addr(), a.Port()+more)
 }
 
-func (r *Rig) accept(l net.Listener, to int, at netip.AddrPort) {
+func (r *Network) accept(l net.Listener, to int, at netip.AddrPort) {
 	for {
 		a, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -242,7 +242,7 @@
 	}
 }
 
-func (r *Rig) connect(to int, at netip.AddrPort, a *net.TCPConn) {
+func (r *Network) connect(to int, at netip.AddrPort, a *net.TCPConn) {
 	source, err := netip.ParseAddrPort(a.RemoteAddr().String())
 	c := &conn{from: r.who(source.Addr()), to: to, a: a}
 	if err != nil || c.from < 0 {
@@ -276,7 +276,7 @@
 }
 
 // pump passes on one direction. A way that is cut takes what comes and passes nothing on, until one side gives up.
-func (r *Rig) pump(c *conn, in, out *net.TCPConn, from, to int) {
+func (r *Network) pump(c *conn, in, out *net.TCPConn, from, to int) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
@@ -305,7 +305,7 @@
 }
 
 // passes tells what becomes of a piece of a connection.
-func (r *Rig) passes(from, to, size int) (wait time.Duration, cut, reset bool) {
+func (r *Network) passes(from, to, size int) (wait time.Duration, cut, reset bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pair(from, to)
@@ -315,7 +315,7 @@
 		return 0, !p.rule.Reset, p.rule.Reset
 	}
 	wait = p.rule.Delay + time.Duration(p.rand.Float64()*float64(p.rule.Jitter))
-	for again := 200 * time.Millisecond; p.rand.Float64() < p.rule.Drop; again *= 2 { // as the kernel sends again
+	for again := 200 * time.Millisecond; p.rand.Float64() < p.rule.LossShare; again *= 2 { // as the kernel sends again
 		if p.count.Lost++; again > 3*time.Second {
 			return wait, true, false
 		}
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		defer b.Close()
-		r.Set(0, 1, rule)
+		r.SetRule(0, 1, rule)
 		for i := range 40 {
 			if _, err := a.WriteToUDPAddrPort([]byte{byte('A' + i)}, front[1]); err != nil {
 				t.Fatal(err)
@@ -60,20 +60,20 @@
 	if len(all) != 40 {
 		t.Errorf("%d of 40 came with no rule", len(all))
 	}
-	lossy := came(1, Rule{Drop: 0.3})
-	if again := came(1, Rule{Drop: 0.3}); again != lossy || len(lossy) < 20 || len(lossy) > 36 {
+	lossy := came(1, Rule{LossShare: 0.3})
+	if again := came(1, Rule{LossShare: 0.3}); again != lossy || len(lossy) < 20 || len(lossy) > 36 {
 		t.Errorf("lost by the same seed: %q and %q", lossy, again)
 	}
-	if other := came(2, Rule{Drop: 0.3}); other == lossy {
+	if other := came(2, Rule{LossShare: 0.3}); other == lossy {
 		t.Error("another seed loses the same")
 	}
 	if cut := came(1, Rule{Cut: true}); cut != "" {
 		t.Errorf("%q came over a cut way", cut)
 	}
-	if twice := came(1, Rule{Twice: 1}); len(twice) != 80 {
+	if twice := came(1, Rule{DuplicateShare: 1}); len(twice) != 80 {
 		t.Errorf("%d came of 40 sent, each doubled", len(twice))
 	}
-	if late := came(1, Rule{Late: 0.5}); late == all || len(late) != 40 {
+	if late := came(1, Rule{ReorderShare: 0.5}); late == all || len(late) != 40 {
 		t.Errorf("in order: %q", late)
 	}
 }
@@ -135,8 +135,8 @@
 		want        string
 	}{{Rule{}, Rule{}, "hello"}, {Rule{Cut: true}, Rule{}, "silence"}, {Rule{}, Rule{Cut: true}, "silence"},
 		{Rule{Cut: true, Reset: true}, Rule{}, "cut off"}, {Rule{Delay: 50 * time.Millisecond}, Rule{}, "hello"}, {Rule{}, Rule{}, "hello"}} {
-		r.Set(0, 1, c.there)
-		r.Set(1, 0, c.back)
+		r.SetRule(0, 1, c.there)
+		r.SetRule(1, 0, c.back)
 		if got := say(); got != c.want {
 			t.Errorf("%+v, back %+v: %s, not %s", c.there, c.back, got, c.want)
 		}
--- a/internal/lab/machine/lru.go
+++ b/internal/lab/machine/lru.go
@@ -14,8 +14,8 @@
 	return &LRU{most: max(1, most), at: map[string]*list.Element{}, order: list.New()}
 }
 
-// Has tells whether the key is there, and counts as a use.
-func (l *LRU) Has(key string) bool {
+// Contains tells whether the key is there, and counts as a use.
+func (l *LRU) Contains(key string) bool {
 	e, ok := l.at[key]
 	if ok {
 		l.order.MoveToFront(e)
@@ -25,7 +25,7 @@
 
 // Put adds a key, or counts as a use.
 func (l *LRU) Put(key string) {
-	if l.Has(key) {
+	if l.Contains(key) {
 		return
 	}
 	if l.order.Len() >= l.most {
@@ -35,8 +35,8 @@
 	l.at[key] = l.order.PushFront(key)
 }
 
-// Drop takes a key out.
-func (l *LRU) Drop(key string) {
+// Remove takes a key out.
+func (l *LRU) Remove(key string) {
 	if e, ok := l.at[key]; ok {
 		l.order.Remove(e)
 		delete(l.at, key)
--- a/internal/lab/machine/machine.go
+++ b/internal/lab/machine/machine.go
@@ -19,15 +19,15 @@
 
 // Settings describe a machine. They are fixed for its life.
 type Settings struct {
-	Cores     int
-	Queue     int          // jobs that wait at most; one more is turned away
-	ColdShare float64      // of its capacity at the start; 1: it is never cold
-	ColdSpan  event.Micros // until it is warm
-	// A machine that is asked more than FallMultiple times what it can do over FallSpan falls over: while cold, or
+	Cores             int
+	QueueLimit        int          // jobs that wait at most; one more is turned away
+	ColdCapacityShare float64      // of its capacity at the start; 1: it is never cold
+	WarmupDuration    event.Micros // until it is warm
+	// A machine that is asked more than CollapseMultiple times what it can do over FallSpan falls over: while cold, or
 	// at any time where FallsWarm says so. 0: never.
-	FallMultiple float64
-	FallSpan     event.Micros
-	FallsWarm    bool
+	CollapseMultiple float64
+	CollapseWindow   event.Micros
+	CollapseWhenWarm bool
 }
 
 const buckets = 10 // of the window of FallSpan: coarse enough to be cheap, fine enough for a limit three times over
@@ -52,32 +52,32 @@
 func New(set Settings, now event.Micros, warm bool) *Machine {
 	m := &Machine{set: set, started: now, slow: 1}
 	if warm {
-		m.started = now - set.ColdSpan
+		m.started = now - set.WarmupDuration
 	}
 	m.bucket = m.part(now)
 	return m
 }
 
-// Share is the part of its capacity that the machine has at a time.
-func (m *Machine) Share(now event.Micros) float64 {
+// CapacityShare is the part of its capacity that the machine has at a time.
+func (m *Machine) CapacityShare(now event.Micros) float64 {
 	age := now - m.started
-	if m.set.ColdSpan <= 0 || age >= m.set.ColdSpan {
+	if m.set.WarmupDuration <= 0 || age >= m.set.WarmupDuration {
 		return 1
 	}
-	return m.set.ColdShare + (1-m.set.ColdShare)*max(0, float64(age))/float64(m.set.ColdSpan)
+	return m.set.ColdCapacityShare + (1-m.set.ColdCapacityShare)*max(0, float64(age))/float64(m.set.WarmupDuration)
 }
 
 // Cold tells whether it is still warming up.
-func (m *Machine) Cold(now event.Micros) bool { return now-m.started < m.set.ColdSpan }
+func (m *Machine) Cold(now event.Micros) bool { return now-m.started < m.set.WarmupDuration }
 
-// Fallen tells whether it was pushed over.
-func (m *Machine) Fallen() bool { return m.fallen }
+// Collapsed tells whether it was pushed over.
+func (m *Machine) Collapsed() bool { return m.fallen }
 
-// Slow makes jobs that begin from now on take so many times as long.
-func (m *Machine) Slow(times float64) { m.slow = max(times, 0.01) }
+// SetSlowdown makes jobs that begin from now on take so many times as long.
+func (m *Machine) SetSlowdown(times float64) { m.slow = max(times, 0.01) }
 
-// Freeze stops all work, or lets it go on with what was left of it.
-func (m *Machine) Freeze(now event.Micros, on bool) {
+// SetFrozen stops all work, or lets it go on with what was left of it.
+func (m *Machine) SetFrozen(now event.Micros, on bool) {
 	if on && !m.frozen {
 		m.since = now
 	}
@@ -90,20 +90,20 @@
 }
 
 func (m *Machine) part(now event.Micros) int64 {
-	if m.set.FallSpan <= 0 {
+	if m.set.CollapseWindow <= 0 {
 		return 0
 	}
-	return int64(now) * buckets / int64(m.set.FallSpan)
+	return int64(now) * buckets / int64(m.set.CollapseWindow)
 }
 
 // tip counts work asked for, and falls over where a whole window was too much.
 func (m *Machine) tip(now, work event.Micros) {
-	if m.set.FallMultiple <= 0 || m.set.FallSpan <= 0 {
+	if m.set.CollapseMultiple <= 0 || m.set.CollapseWindow <= 0 {
 		return
 	}
 	for at := m.part(now); m.bucket < at; {
 		i := m.bucket % buckets
-		m.can[i] = m.Share(now) * float64(m.set.Cores) * float64(m.set.FallSpan) / buckets
+		m.can[i] = m.CapacityShare(now) * float64(m.set.Cores) * float64(m.set.CollapseWindow) / buckets
 		m.seen++
 		m.judge(now)
 		m.bucket++
@@ -113,18 +113,18 @@
 }
 
 func (m *Machine) judge(now event.Micros) {
-	if m.seen < buckets || !m.set.FallsWarm && !m.Cold(now) {
+	if m.seen < buckets || !m.set.CollapseWhenWarm && !m.Cold(now) {
 		return
 	}
 	asked, can := 0.0, 0.0
 	for i := range buckets {
 		asked, can = asked+m.asked[i], can+m.can[i]
 	}
-	m.fallen = m.fallen || asked > m.set.FallMultiple*can
+	m.fallen = m.fallen || asked > m.set.CollapseMultiple*can
 }
 
-// Take takes a job, or tells that there is no room for it.
-func (m *Machine) Take(now event.Micros, j *Job) bool {
+// Submit takes a job, or tells that there is no room for it.
+func (m *Machine) Submit(now event.Micros, j *Job) bool {
 	m.tip(now, j.Work)
 	if m.fallen {
 		return false
@@ -133,7 +133,7 @@
 		m.begin(now, j)
 		return true
 	}
-	if len(m.waiting) >= m.set.Queue {
+	if len(m.waiting) >= m.set.QueueLimit {
 		return false
 	}
 	m.waiting = append(m.waiting, j)
@@ -142,7 +142,7 @@
 
 func (m *Machine) begin(now event.Micros, j *Job) {
 	j.began = now
-	j.ends = now + max(1, event.Micros(float64(j.Work)*m.slow/m.Share(now)))
+	j.ends = now + max(1, event.Micros(float64(j.Work)*m.slow/m.CapacityShare(now)))
 	m.running = append(m.running, j)
 }
 
@@ -167,8 +167,8 @@
 	}
 }
 
-// Ended returns the jobs that are done by now, in their order, and begins those that waited.
-func (m *Machine) Ended(now event.Micros) (done []*Job) {
+// Completed returns the jobs that are done by now, in their order, and begins those that waited.
+func (m *Machine) Completed(now event.Micros) (done []*Job) {
 	for !m.frozen {
 		first := m.first()
 		if first < 0 || m.running[first].ends > now {
@@ -192,8 +192,8 @@
 	return first
 }
 
-// Next is when the next job ends; false where none will by itself.
-func (m *Machine) Next() (event.Micros, bool) {
+// NextCompletion is when the next job ends; false where none will by itself.
+func (m *Machine) NextCompletion() (event.Micros, bool) {
 	i := m.first()
 	if m.frozen || i < 0 {
 		return 0, false
--- a/internal/lab/machine/machine_test.go
+++ b/internal/lab/machine/machine_test.go
@@ -21,11 +21,11 @@
 			if words[0] == "new" {
 				var s Settings
 				warm := 0
-				if _, err := fmt.Sscanf(line, "new cores=%d queue=%d cold=%g over=%d falls=%g within=%d warm=%d", &s.Cores, &s.Queue, &s.ColdShare,
-					&s.ColdSpan, &s.FallMultiple, &s.FallSpan, &warm); err != nil {
+				if _, err := fmt.Sscanf(line, "new cores=%d queue=%d cold=%g over=%d falls=%g within=%d warm=%d", &s.Cores, &s.QueueLimit, &s.ColdCapacityShare,
+					&s.WarmupDuration, &s.CollapseMultiple, &s.CollapseWindow, &warm); err != nil {
 					t.Fatal(line, err)
 				}
-				s.ColdSpan, s.FallSpan = s.ColdSpan*1000, s.FallSpan*1000
+				s.WarmupDuration, s.CollapseWindow = s.WarmupDuration*1000, s.CollapseWindow*1000
 				m, jobs = New(s, 0, warm == 1), map[string]*Job{}
 				return
 			}
@@ -36,7 +36,7 @@
 				t.Fatal(line)
 			}
 			now := event.Micros(ms) * 1000
-			for _, j := range m.Ended(now) {
+			for _, j := range m.Completed(now) {
 				for name, x := range jobs {
 					if x == j {
 						say("%s ended at %d", name, j.ends/1000)
@@ -46,26 +46,26 @@
 			switch what {
 			case "take":
 				jobs[name] = &Job{Work: event.Micros(work) * 1000}
-				if !m.Take(now, jobs[name]) {
-					say("no room; fallen=%v", m.Fallen())
+				if !m.Submit(now, jobs[name]) {
+					say("no room; fallen=%v", m.Collapsed())
 				}
 			case "flood": // so many jobs of 1 ms
 				n := 0
 				for range work {
-					if m.Take(now, &Job{Work: 1000}) {
+					if m.Submit(now, &Job{Work: 1000}) {
 						n++
 					}
 				}
-				say("took %d; fallen=%v", n, m.Fallen())
+				say("took %d; fallen=%v", n, m.Collapsed())
 			case "cancel":
 				say("there: %v", m.Cancel(now, jobs[name]))
 			case "freeze", "thaw":
-				m.Freeze(now, what == "freeze")
+				m.SetFrozen(now, what == "freeze")
 			case "slow":
-				m.Slow(float64(work))
+				m.SetSlowdown(float64(work))
 			case "look":
 				running, waiting := m.Load()
-				say("%d run, %d wait, share %.2f", running, waiting, m.Share(now))
+				say("%d run, %d wait, share %.2f", running, waiting, m.CapacityShare(now))
 			default:
 				t.Fatalf("%s is nothing to do", what)
 			}
@@ -76,13 +76,13 @@
 // No job is lost or ended twice, whatever happens to the machine.
 func TestJobsAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), ColdShare: 0.2,
-			ColdSpan: 1e6}, 0, rapid.Bool().Draw(t, "warm"))
+		m := New(Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), QueueLimit: rapid.IntRange(0, 4).Draw(t, "queue"), ColdCapacityShare: 0.2,
+			WarmupDuration: 1e6}, 0, rapid.Bool().Draw(t, "warm"))
 		in := map[*Job]bool{}
 		now := event.Micros(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += event.Micros(rapid.IntRange(0, 20000).Draw(t, "wait"))
-			for _, j := range m.Ended(now) {
+			for _, j := range m.Completed(now) {
 				if !in[j] {
 					t.Fatal("a job ended that was not there")
 				}
@@ -91,7 +91,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				j := &Job{Work: event.Micros(rapid.IntRange(1, 30000).Draw(t, "work"))}
-				if m.Take(now, j) {
+				if m.Submit(now, j) {
 					in[j] = true
 				}
 			case 2:
@@ -103,16 +103,16 @@
 					break
 				}
 			case 3:
-				m.Freeze(now, rapid.Bool().Draw(t, "on"))
+				m.SetFrozen(now, rapid.Bool().Draw(t, "on"))
 			case 4:
-				m.Slow(float64(rapid.IntRange(1, 5).Draw(t, "times")))
+				m.SetSlowdown(float64(rapid.IntRange(1, 5).Draw(t, "times")))
 			}
 			if running, waiting := m.Load(); running+waiting != len(in) {
 				t.Fatalf("%d run and %d wait of %d", running, waiting, len(in))
 			}
 		}
-		m.Freeze(now, false)
-		if n := len(m.Ended(now + 1e9)); n != len(in) {
+		m.SetFrozen(now, false)
+		if n := len(m.Completed(now + 1e9)); n != len(in) {
 			t.Fatalf("%d of %d ended", n, len(in))
 		}
 	})
@@ -122,14 +122,14 @@
 	l := NewLRU(2)
 	l.Put("a")
 	l.Put("b")
-	l.Has("a")
+	l.Contains("a")
 	l.Put("c")
-	if l.Has("b") || !l.Has("a") || !l.Has("c") || l.Len() != 2 {
+	if l.Contains("b") || !l.Contains("a") || !l.Contains("c") || l.Len() != 2 {
 		t.Error("the key used longest ago must go")
 	}
-	l.Drop("a")
-	l.Drop("a")
-	if l.Has("a") || l.Len() != 1 {
+	l.Remove("a")
+	l.Remove("a")
+	if l.Contains("a") || l.Len() != 1 {
 		t.Error("a dropped key is there")
 	}
 }
--- a/internal/lab/origin/conn_test.go
+++ b/internal/lab/origin/conn_test.go
@@ -17,7 +17,7 @@
 	log := event.NewLog()
 	methods := map[string]scenario.Method{"book": {Name: "book", Effect: "non-retryable"}}
 	o, err := Start(&Fleet{Log: log, Set: scenario.Origin{Cores: 1, Work: 1}, Methods: methods, Repeats: &cacheserver.Repeats{},
-		Cold: func(event.Req) bool { return false }, Dropped: func(string) {}}, []string{"127.15.0.2:18080"}, 1)
+		Cold: func(event.RequestID) bool { return false }, Dropped: func(string) {}}, []string{"127.15.0.2:18080"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		answer.Body.Close()
-		begun := attemptOf(log, event.Req(attempt.id))
+		begun := attemptOf(log, event.RequestID(attempt.id))
 		if begun.Since < before || begun.Since >= body || begun.At < body {
 			t.Errorf("%s: first byte at %v, whole at %v, not from %v and from %v", attempt.id, begun.Since, begun.At, before, body)
 		}
@@ -70,9 +70,9 @@
 	}
 }
 
-func attemptOf(log *event.Log, id event.Req) event.Event {
+func attemptOf(log *event.Log, id event.RequestID) event.Event {
 	for _, e := range log.Events() {
-		if e.Kind == event.Begun && e.Req == id {
+		if e.Kind == event.AttemptReceived && e.Request == id {
 			return e
 		}
 	}
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -30,9 +30,9 @@
 	Log     *event.Log
 	Set     scenario.Origin
 	Methods map[string]scenario.Method
-	Filled  func(req event.Req, key string) // its answer fills the servers that missed
-	Dropped func(key string)                // a write drops all copies
-	Cold    func(req event.Req) bool        // the miss was at a cold server
+	Filled  func(req event.RequestID, key string) // its answer fills the servers that missed
+	Dropped func(key string)                      // a write drops all copies
+	Cold    func(req event.RequestID) bool        // the miss was at a cold server
 	Repeats *cacheserver.Repeats
 }
 
@@ -75,7 +75,7 @@
 		r := event.Router(i)
 		srv := &http.Server{Handler: o, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second,
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-				f.Log.Add(event.Event{Kind: event.Conn, Server: UID, Router: r})
+				f.Log.Add(event.Event{Kind: event.ConnectionAccepted, Server: UID, Router: r})
 				return context.WithValue(ctx, connKey{}, c)
 			}}
 		o.servers = append(o.servers, srv)
@@ -85,7 +85,7 @@
 			_ = srv.Serve(listener{ln, r, f.Log}) // ends with Close
 		}()
 	}
-	f.Log.Add(event.Event{Kind: event.Came, Server: UID, Router: event.Nobody})
+	f.Log.Add(event.Event{Kind: event.ServerUp, Server: UID, Router: event.NoRouter})
 	return o, nil
 }
 
@@ -105,18 +105,18 @@
 
 func (o *Origin) renew() {
 	s := o.fleet.Set
-	o.machine = machine.New(machine.Settings{Cores: s.Cores, Queue: s.Queue, ColdShare: 1,
-		FallMultiple: s.FallMultiple, FallSpan: s.FallSpan.Micros(), FallsWarm: true}, o.fleet.Log.Now(), true)
+	o.machine = machine.New(machine.Settings{Cores: s.Cores, QueueLimit: s.Queue, ColdCapacityShare: 1,
+		CollapseMultiple: s.FallMultiple, CollapseWindow: s.FallSpan.Micros(), CollapseWhenWarm: true}, o.fleet.Log.Now(), true)
 }
 
 func (o *Origin) turn() {
-	for _, j := range o.machine.Ended(o.fleet.Log.Now()) {
+	for _, j := range o.machine.Completed(o.fleet.Log.Now()) {
 		if done := o.jobs[j]; done != nil {
 			delete(o.jobs, j)
 			close(done)
 		}
 	}
-	if next, ok := o.machine.Next(); ok {
+	if next, ok := o.machine.NextCompletion(); ok {
 		o.alarm.Reset(max(0, next-o.fleet.Log.Now()).Duration())
 	}
 }
@@ -127,11 +127,11 @@
 	defer o.mu.Unlock()
 	switch {
 	case f.Kind == "origin_slow" && end:
-		o.machine.Slow(1)
+		o.machine.SetSlowdown(1)
 	case f.Kind == "origin_slow":
-		o.machine.Slow(f.Factor)
+		o.machine.SetSlowdown(f.Factor)
 	case f.Kind == "origin_stop":
-		o.machine.Freeze(o.fleet.Log.Now(), !end)
+		o.machine.SetFrozen(o.fleet.Log.Now(), !end)
 	}
 	o.turn()
 }
@@ -165,7 +165,7 @@
 		return
 	}
 	o.stopped = true
-	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Stopped, Server: UID, Router: event.Nobody,
+	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.OriginCollapsed, Server: UID, Router: event.NoRouter,
 		Limit: event.Micros(1000 * o.cold / max(1, o.asked))})
 	time.AfterFunc(o.fleet.Set.StopFor.Micros().Duration(), func() {
 		o.mu.Lock()
@@ -186,7 +186,7 @@
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	since := conn.nextRequest()
 	odd := func(what string) {
-		o.fleet.Log.Add(event.Event{Kind: event.Odd, Server: UID, Router: router, Note: what})
+		o.fleet.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: UID, Router: router, Note: what})
 		w.WriteHeader(http.StatusBadRequest)
 	}
 	if err != nil {
@@ -200,7 +200,7 @@
 		return
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
-	req := event.Req(r.Header.Get("X-Trace-Id"))
+	req := event.RequestID(r.Header.Get("X-Trace-Id"))
 	props := cacheserver.ReadProps(r.Header.Get("X-Props"))
 	m, known := o.fleet.Methods[props.Method]
 	write := r.Method == http.MethodPut
@@ -210,16 +210,16 @@
 	}
 	now := o.fleet.Log.Now()
 	tell := func(reply event.Reply) {
-		o.fleet.Log.Add(event.Event{Kind: event.Ended, Req: req, Server: UID, Router: router, Reply: reply})
+		o.fleet.Log.Add(event.Event{Kind: event.AttemptEnded, Request: req, Server: UID, Router: router, Reply: reply})
 	}
-	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: req, Server: UID, Router: router, Since: since, Write: write,
+	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.AttemptReceived, Request: req, Server: UID, Router: router, Since: since, Write: write,
 		DeadlineSent: props.DeadlineSent})
 	o.mu.Lock()
 	work := float64(o.fleet.Set.Work) * o.rand.ExpFloat64()
 	o.count(now, work, !write && o.fleet.Cold(req))
 	job, done := &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
-	took := !o.stopped && o.machine.Take(now, job)
-	if o.machine.Fallen() {
+	took := !o.stopped && o.machine.Submit(now, job)
+	if o.machine.Collapsed() {
 		o.stop(now)
 	}
 	if took {
@@ -230,11 +230,11 @@
 	o.mu.Unlock()
 	if !took && dark {
 		<-r.Context().Done() // it says nothing while it is down
-		tell(event.Lost)
+		tell(event.ConnectionLost)
 		return
 	}
 	if !took {
-		tell(event.TurnedAway)
+		tell(event.Refused)
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -244,8 +244,8 @@
 	case <-done:
 	case <-r.Context().Done():
 		lost = true
-		tell(event.Lost) // before it waits for anybody
-		if !write {      // a read is called off, a write that has begun goes on
+		tell(event.ConnectionLost) // before it waits for anybody
+		if !write {                // a read is called off, a write that has begun goes on
 			o.mu.Lock()
 			if o.machine.Cancel(o.fleet.Log.Now(), job) {
 				delete(o.jobs, job)
@@ -262,7 +262,7 @@
 	}
 	if write {
 		if m.Effect != "deduplicated" || !o.fleet.Repeats.Known("", req, o.fleet.Log.Now(), m.Window.Micros()) {
-			o.fleet.Log.Add(event.Event{Kind: event.Ran, Req: req, Server: UID, Router: router})
+			o.fleet.Log.Add(event.Event{Kind: event.EffectExecuted, Request: req, Server: UID, Router: router})
 		}
 		o.fleet.Dropped(key)
 	} else {
@@ -273,7 +273,7 @@
 	}
 	if o.isCut(router) {
 		<-r.Context().Done()
-		tell(event.Lost)
+		tell(event.ConnectionLost)
 		return
 	}
 	value := cacheserver.Made(req, UID, max(props.Size, len(body)/8))
--- a/internal/lab/origin/origin_test.go
+++ b/internal/lab/origin/origin_test.go
@@ -49,8 +49,8 @@
 	methods := map[string]scenario.Method{"read": {Name: "read", Effect: "retryable"}, "book": {Name: "book", Effect: "non-retryable"},
 		"hold": {Name: "hold", Effect: "deduplicated", Window: 60e6}}
 	set := scenario.Origin{Cores: 1, Queue: 0, Work: 1000}
-	o, err := Start(&Fleet{Log: log, Set: set, Methods: methods, Repeats: &cacheserver.Repeats{}, Cold: func(event.Req) bool { return false },
-		Filled: func(r event.Req, k string) { note(&filled, string(r)+" "+k+";") }, Dropped: func(k string) { note(&dropped, k+";") }},
+	o, err := Start(&Fleet{Log: log, Set: set, Methods: methods, Repeats: &cacheserver.Repeats{}, Cold: func(event.RequestID) bool { return false },
+		Filled: func(r event.RequestID, k string) { note(&filled, string(r)+" "+k+";") }, Dropped: func(k string) { note(&dropped, k+";") }},
 		[]string{"127.15.0.1:18080"}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -85,8 +85,8 @@
 	}
 	ran := ""
 	for _, e := range log.Events() {
-		if e.Kind == event.Ran {
-			ran += string(e.Req) + ";"
+		if e.Kind == event.EffectExecuted {
+			ran += string(e.Request) + ";"
 		}
 	}
 	// What nobody waits for any more runs all the same, once.
--- a/internal/lab/referee/line.go
+++ b/internal/lab/referee/line.go
@@ -6,34 +6,34 @@
 	"spurtrestle/internal/lab/event"
 )
 
-var kinds = map[event.Kind]string{event.Wanted: "wanted", event.Asked: "asked", event.Answered: "answered", event.Cut: "cut off",
-	event.Left: "client left", event.Unreached: "unreached", event.Surplus: "surplus", event.Owed: "owed", event.Begun: "write-out came",
-	event.Ended: "write-out ended", event.Ran: "effect ran", event.Fell: "fell over", event.Stopped: "origin stopped", event.Conn: "connected",
-	event.Came: "server up", event.Went: "server down", event.Odd: "odd", event.Told: "told", event.Due: "due", event.Up: "router up",
-	event.Term: "SIGTERM", event.Down: "router ended", event.Killed: "SIGKILL", event.Fault: "fault", event.Sample: "sample", event.Late: "late",
-	event.Stalled: "stalled", event.Policied: "policied"}
+var kinds = map[event.Kind]string{event.OperationDue: "wanted", event.RequestSent: "asked", event.Answered: "answered", event.ConnectionClosed: "cut off",
+	event.ClientLeft: "client left", event.ConnectFailed: "unreached", event.UnexpectedAnswer: "surplus", event.BadInputAccepted: "owed", event.AttemptReceived: "write-out came",
+	event.AttemptEnded: "write-out ended", event.EffectExecuted: "effect ran", event.ServerCollapsed: "fell over", event.OriginCollapsed: "origin stopped", event.ConnectionAccepted: "connected",
+	event.ServerUp: "server up", event.ServerDown: "server down", event.ProtocolViolation: "odd", event.RemovalDelivered: "told", event.RemovalAnnounced: "due", event.RouterUp: "router up",
+	event.SIGTERMSent: "SIGTERM", event.RouterExited: "router ended", event.SIGKILLSent: "SIGKILL", event.Fault: "fault", event.ResourceSample: "sample", event.LabDelayed: "late",
+	event.RouterStalled: "stalled", event.PolicyChanged: "policied"}
 
-var outcomes = map[event.Outcome]string{event.Satisfied: "satisfied", event.Nacked: "nacked", event.Failed: "failed", event.Foreign: "foreign value"}
+var outcomes = map[event.Outcome]string{event.Succeeded: "satisfied", event.Rejected: "nacked", event.Failed: "failed", event.WrongValue: "foreign value"}
 
-var replies = map[event.Reply]string{event.Value: "value", event.Miss: "miss", event.TurnedAway: "turned away", event.Error: "error",
-	event.Lost: "connection over", event.Spoilt: "spoilt answer"}
+var replies = map[event.Reply]string{event.Value: "value", event.Miss: "miss", event.Refused: "turned away", event.Error: "error",
+	event.ConnectionLost: "connection over", event.Malformed: "spoilt answer"}
 
-// Line is one event as evidence.
-func Line(e event.Event) string {
+// FormatEvent is one event as evidence.
+func FormatEvent(e event.Event) string {
 	s := fmt.Sprintf("%10.3f ms  %s", float64(e.At)/1e3, kinds[e.Kind])
-	if e.Router != event.Nobody {
+	if e.Router != event.NoRouter {
 		s += fmt.Sprintf(" router=%d", e.Router)
 	}
 	if e.Server != "" {
 		s += " server=" + string(e.Server)
 	}
-	if e.Kind == event.Begun {
+	if e.Kind == event.AttemptReceived {
 		s += fmt.Sprintf(" first-byte=%.3fms", float64(e.Since)/1e3)
 	}
-	if e.Kind == event.Asked || e.Kind == event.Late {
+	if e.Kind == event.RequestSent || e.Kind == event.LabDelayed {
 		s += fmt.Sprintf(" limit=%v", e.Limit.Duration())
 	}
-	if e.Kind == event.Asked || e.Kind == event.Begun {
+	if e.Kind == event.RequestSent || e.Kind == event.AttemptReceived {
 		s += fmt.Sprintf(" deadline-sent=%v", e.DeadlineSent.Duration())
 	}
 	if o := outcomes[e.Outcome]; o != "" && e.Kind == event.Answered {
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -28,41 +28,41 @@
 	Window event.Micros
 }
 
-// Place is where a server stands, for groups that drop repeats.
-type Place struct{ Zone, Cell string }
+// Location is where a server stands, for groups that drop repeats.
+type Location struct{ Zone, Cell string }
 
 // Rules are the figures that the rules are judged by.
 type Rules struct {
-	Methods      []Method
-	Places       map[event.Server]Place
-	MaxWriteOuts int          // of one request
-	Grace        event.Micros // of a drain
-	Slack        event.Micros // each limit is longer by this on sockets
-	ToldAfter    event.Micros // what has reached a router's agent counts as told after this, whether it asked or not
-	MostCold     float64      // part of the load of an origin pushed over that misses at cold servers may be
+	Methods          []Method
+	Locations        map[event.Server]Location
+	MaxAttempts      int          // of one request
+	DrainGrace       event.Micros // of a drain
+	Slack            event.Micros // each limit is longer by this on sockets
+	NotifyDelay      event.Micros // what has reached a router's agent counts as told after this, whether it asked or not
+	MaxColdMissShare float64      // part of the load of an origin pushed over that misses at cold servers may be
 }
 
-// DefaultSlack, DefaultToldAfter and DefaultMostCold are the published figures; half of a load is "much of it".
+// DefaultSlack, DefaultNotifyDelay and DefaultMaxColdMissShare are the published figures; half of a load is "much of it".
 const (
-	DefaultSlack     event.Micros = 50e3
-	DefaultToldAfter event.Micros = 6e6
-	DefaultMostCold               = 0.5
+	DefaultSlack            event.Micros = 50e3
+	DefaultNotifyDelay      event.Micros = 6e6
+	DefaultMaxColdMissShare              = 0.5
 )
 
-// Broken is one broken rule with its evidence.
-type Broken struct {
-	Rule     int          `json:"rule"`
-	What     string       `json:"what"`
-	At       event.Micros `json:"at_us"`
-	Req      event.Req    `json:"req,omitempty"`
-	Router   event.Router `json:"router"`
-	Evidence []string     `json:"evidence"`
+// Violation is one broken rule with its evidence.
+type Violation struct {
+	Rule     int             `json:"rule"`
+	What     string          `json:"what"`
+	At       event.Micros    `json:"at_us"`
+	Request  event.RequestID `json:"req,omitempty"`
+	Router   event.Router    `json:"router"`
+	Evidence []string        `json:"evidence"`
 }
 
-func (b Broken) String() string {
+func (b Violation) String() string {
 	s := fmt.Sprintf("rule %d: %s", b.Rule, b.What)
-	if b.Req != "" {
-		s += fmt.Sprintf(" (req %s, router %d)", b.Req, b.Router)
+	if b.Request != "" {
+		s += fmt.Sprintf(" (req %s, router %d)", b.Request, b.Router)
 	}
 	return s
 }
@@ -75,7 +75,7 @@
 
 // request is one try.
 type req struct {
-	id       event.Req
+	id       event.RequestID
 	asked    []event.Event // twice where a kept connection ended under the first
 	answers  []event.Event
 	cuts     []event.Event
@@ -93,17 +93,17 @@
 type judge struct {
 	rules  Rules
 	events []event.Event
-	reqs   map[event.Req]*req
-	order  []event.Req
+	reqs   map[event.RequestID]*req
+	order  []event.RequestID
 	late   []event.Event
 	killed map[event.Router][]span // from SIGKILL until its successor is up, or standing still
 	crowds []span                  // idle clients fill the routers' descriptors
-	broken []Broken
+	broken []Violation
 }
 
-// Judge reads a run's record, in order of time, and returns what was broken, in order of time.
-func Judge(rules Rules, events []event.Event) []Broken {
-	j := &judge{rules: rules, events: events, reqs: map[event.Req]*req{}, killed: map[event.Router][]span{}}
+// Check reads a run's record, in order of time, and returns what was broken, in order of time.
+func Check(rules Rules, events []event.Event) []Violation {
+	j := &judge{rules: rules, events: events, reqs: map[event.RequestID]*req{}, killed: map[event.Router][]span{}}
 	j.gather()
 	for _, id := range j.order {
 		if q := j.reqs[id]; q.hasAsked {
@@ -118,11 +118,11 @@
 	j.drains()
 	j.policies()
 	j.others()
-	slices.SortStableFunc(j.broken, func(a, b Broken) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(j.broken, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return j.broken
 }
 
-func (j *judge) req(id event.Req) *req {
+func (j *judge) req(id event.RequestID) *req {
 	q := j.reqs[id]
 	if q == nil {
 		q = &req{id: id, op: -1}
@@ -135,52 +135,52 @@
 func (j *judge) gather() {
 	for _, e := range j.events {
 		switch e.Kind {
-		case event.Late:
+		case event.LabDelayed:
 			j.late = append(j.late, e)
 		case event.Fault:
 			j.gatherCrowd(e)
-		case event.Killed:
+		case event.SIGKILLSent:
 			j.killed[e.Router] = append(j.killed[e.Router], span{e.At, math.MaxInt64})
-		case event.Stalled: // what a process that stands still owes is judged as if it were dead
+		case event.RouterStalled: // what a process that stands still owes is judged as if it were dead
 			if n := len(j.killed[e.Router]); e.Limit == 0 {
 				j.killed[e.Router] = append(j.killed[e.Router], span{e.At, math.MaxInt64})
 			} else if n > 0 {
 				j.killed[e.Router][n-1].until = min(e.At, j.killed[e.Router][n-1].until)
 			}
-		case event.Up:
+		case event.RouterUp:
 			if n := len(j.killed[e.Router]); n > 0 && e.At < j.killed[e.Router][n-1].until {
 				j.killed[e.Router][n-1].until = e.At
 			}
 		}
-		if e.Req == "" || e.Kind == event.Surplus {
+		if e.Request == "" || e.Kind == event.UnexpectedAnswer {
 			continue
 		}
-		q := j.req(e.Req)
+		q := j.req(e.Request)
 		q.all = append(q.all, e)
 		switch e.Kind {
-		case event.Asked:
+		case event.RequestSent:
 			q.asked, q.op, q.hasAsked = append(q.asked, e), e.Op, true
-		case event.Unreached: // a library had taken it, and never had a connection to send it on
+		case event.ConnectFailed: // a library had taken it, and never had a connection to send it on
 			// Not where the last asking ended by a cut: it was sent, and this is the next, to a router that is not there.
 			if n := len(q.asked); n > len(q.cuts) {
 				q.asked, q.hasAsked = q.asked[:n-1], n > 1
 			}
 		case event.Answered:
 			q.answers = append(q.answers, e)
-		case event.Cut:
+		case event.ConnectionClosed:
 			q.cuts = append(q.cuts, e)
-		case event.Left:
+		case event.ClientLeft:
 			q.left = &e
-		case event.Begun:
+		case event.AttemptReceived:
 			q.sent = append(q.sent, &writeOut{begun: e})
-		case event.Ended:
+		case event.AttemptEnded:
 			for _, w := range q.sent {
 				if w.ended == nil && w.begun.Server == e.Server && w.begun.Router == e.Router {
 					w.ended = &e
 					break
 				}
 			}
-		case event.Ran:
+		case event.EffectExecuted:
 			q.ran = append(q.ran, e)
 		}
 	}
@@ -215,12 +215,12 @@
 }
 
 func (j *judge) add(rule int, q *req, at event.Micros, what string) {
-	b := Broken{Rule: rule, What: what, At: at, Router: event.Nobody}
+	b := Violation{Rule: rule, What: what, At: at, Router: event.NoRouter}
 	if q != nil {
-		b.Req = q.id
+		b.Request = q.id
 		for _, e := range q.all {
-			b.Evidence = append(b.Evidence, Line(e))
-			if e.Router != event.Nobody {
+			b.Evidence = append(b.Evidence, FormatEvent(e))
+			if e.Router != event.NoRouter {
 				b.Router = e.Router
 			}
 		}
@@ -240,7 +240,7 @@
 	case len(q.answers) > 0:
 		a := q.answers[0]
 		over = a.At
-		if a.Outcome == event.Foreign {
+		if a.Outcome == event.WrongValue {
 			j.add(1, q, a.At, "satisfied with a value that was not made for it")
 		}
 		// Behind others on its connection an answer has to wait for theirs, which does not count.
@@ -312,8 +312,8 @@
 	sent := make([]int, len(q.asked)) // by asking: another router knows nothing of what the first had sent
 	for _, w := range q.sent {
 		i := q.asking(w.begun.Router, w.begun.Since)
-		if sent[i]++; sent[i] == j.rules.MaxWriteOuts+1 {
-			j.add(2, q, w.begun.At, fmt.Sprintf("more than the %d write-outs that are allowed", j.rules.MaxWriteOuts))
+		if sent[i]++; sent[i] == j.rules.MaxAttempts+1 {
+			j.add(2, q, w.begun.At, fmt.Sprintf("more than the %d write-outs that are allowed", j.rules.MaxAttempts))
 		}
 	}
 	var may *writeOut // the first that may have run
@@ -338,7 +338,7 @@
 			may = w
 		}
 	}
-	if may != nil && m.Effect != "retryable" && len(q.answers) > 0 && q.answers[0].Outcome == event.Nacked {
+	if may != nil && m.Effect != "retryable" && len(q.answers) > 0 && q.answers[0].Outcome == event.Rejected {
 		j.add(2, q, q.answers[0].At, fmt.Sprintf("nacked though it may have run at %s", may.begun.Server))
 	}
 }
@@ -352,7 +352,7 @@
 }
 
 func (j *judge) sameGroup(m Method, a, b event.Server) bool {
-	x, y := j.rules.Places[a], j.rules.Places[b]
+	x, y := j.rules.Locations[a], j.rules.Locations[b]
 	switch m.Group {
 	case "zone":
 		return x.Zone == y.Zone
@@ -386,44 +386,44 @@
 	for _, e := range j.events {
 		p := pair{e.Router, e.Server}
 		switch e.Kind {
-		case event.Told, event.Due:
+		case event.RemovalDelivered, event.RemovalAnnounced:
 			at := e.At
-			if e.Kind == event.Due {
-				at += j.rules.ToldAfter
+			if e.Kind == event.RemovalAnnounced {
+				at += j.rules.NotifyDelay
 			}
 			if have, known := told[p]; !known || at < have {
 				told[p] = at
 			}
-		case event.Barred:
+		case event.ServerBanned:
 			barred[p] = e.At
-		case event.Unbarred:
+		case event.ServerUnbanned:
 			delete(barred, p)
-		case event.Down, event.Killed: // its successor knows nothing of this
+		case event.RouterExited, event.SIGKILLSent: // its successor knows nothing of this
 			for k := range told {
 				if k.r == e.Router {
 					delete(told, k)
 				}
 			}
-		case event.Stalled: // what came meanwhile is read when it wakes
+		case event.RouterStalled: // what came meanwhile is read when it wakes
 			for k, at := range told {
 				if k.r == e.Router && e.Limit == 1 && j.died(k.r, at, at) {
-					told[k] = e.At + j.rules.ToldAfter
+					told[k] = e.At + j.rules.NotifyDelay
 				}
 			}
-		case event.Begun:
-			if at, known := barred[p]; known && e.Since > at+j.rules.Grace+j.slack(e.Since) {
-				j.add(3, j.reqs[e.Req], e.Since, fmt.Sprintf("a write-out to %s %v after operators had taken it out", e.Server, (e.Since-at).Duration()))
+		case event.AttemptReceived:
+			if at, known := barred[p]; known && e.Since > at+j.rules.DrainGrace+j.slack(e.Since) {
+				j.add(3, j.reqs[e.Request], e.Since, fmt.Sprintf("a write-out to %s %v after operators had taken it out", e.Server, (e.Since-at).Duration()))
 			}
-			if at, known := told[p]; known && e.Since > at+j.rules.Grace+j.slack(e.Since) {
-				j.add(3, j.reqs[e.Req], e.Since, fmt.Sprintf("a write-out to %s %v after the router was told that it drains or is gone",
+			if at, known := told[p]; known && e.Since > at+j.rules.DrainGrace+j.slack(e.Since) {
+				j.add(3, j.reqs[e.Request], e.Since, fmt.Sprintf("a write-out to %s %v after the router was told that it drains or is gone",
 					e.Server, (e.Since-at).Duration()))
 			}
 		}
 	}
 }
 
-// MixedFor is how long two policies may be served at once.
-const MixedFor event.Micros = 1e6
+// MaxPolicyOverlap is how long two policies may be served at once.
+const MaxPolicyOverlap event.Micros = 1e6
 
 // policies judges by what servers saw that two policies are never served at once for longer than that: a policy is told by
 // the servers that it leaves alone.
@@ -435,31 +435,31 @@
 	var all []period
 	var was []string
 	for i, e := range j.events {
-		if e.Kind != event.Policied || e.Limit != 1 {
+		if e.Kind != event.PolicyChanged || e.Limit != 1 {
 			continue
 		}
 		out := strings.Fields(e.Note)
 		held := e.At // or as soon as a server is used that only the next one uses
 		for _, x := range j.events[:i] {
-			if x.Kind == event.Begun && x.Since >= e.Since && slices.Contains(was, string(x.Server)) && !slices.Contains(out, string(x.Server)) {
+			if x.Kind == event.AttemptReceived && x.Since >= e.Since && slices.Contains(was, string(x.Server)) && !slices.Contains(out, string(x.Server)) {
 				held = min(held, x.Since)
 			}
 		}
 		if n := len(all); n > 0 {
 			all[n-1].until = e.Since
 		}
-		all = append(all, period{held + MixedFor, math.MaxInt64, out})
+		all = append(all, period{held + MaxPolicyOverlap, math.MaxInt64, out})
 		was = out
 	}
 	for _, e := range j.events {
-		q := j.reqs[e.Req]
-		if e.Kind != event.Begun || q == nil || !q.hasAsked {
+		q := j.reqs[e.Request]
+		if e.Kind != event.AttemptReceived || q == nil || !q.hasAsked {
 			continue
 		}
 		at := q.asked[q.asking(e.Router, e.Since)].At
 		for _, p := range all {
 			if at > p.from+j.slack(at) && at < p.until && slices.Contains(p.out, string(e.Server)) {
-				j.add(3, q, e.Since, fmt.Sprintf("a req taken %v after a policy was held was sent to %s, which it leaves alone", (at-p.from+MixedFor).Duration(), e.Server))
+				j.add(3, q, e.Since, fmt.Sprintf("a req taken %v after a policy was held was sent to %s, which it leaves alone", (at-p.from+MaxPolicyOverlap).Duration(), e.Server))
 			}
 		}
 	}
@@ -470,33 +470,33 @@
 	ends := map[event.Router]event.Micros{} // when it was told to end
 	for _, e := range j.events {
 		plain := func(rule int, what string) {
-			j.broken = append(j.broken, Broken{Rule: rule, What: what, At: e.At, Router: e.Router, Evidence: []string{Line(e)}})
+			j.broken = append(j.broken, Violation{Rule: rule, What: what, At: e.At, Router: e.Router, Evidence: []string{FormatEvent(e)}})
 		}
 		switch e.Kind {
-		case event.Fell:
+		case event.ServerCollapsed:
 			plain(4, fmt.Sprintf("%s was pushed over while cold: %s", e.Server, e.Note))
-		case event.Stopped:
-			if share := float64(e.Limit) / 1000; share >= j.rules.MostCold {
+		case event.OriginCollapsed:
+			if share := float64(e.Limit) / 1000; share >= j.rules.MaxColdMissShare {
 				plain(4, fmt.Sprintf("the origin was pushed over, %.0f%% of its load by misses at cold servers", 100*share))
 			}
-		case event.Odd:
+		case event.ProtocolViolation:
 			plain(0, fmt.Sprintf("router %d sent %s %s", e.Router, e.Server, e.Note))
-		case event.Surplus:
-			plain(1, fmt.Sprintf("router %d answered what nobody asked (%s), after req %s", e.Router, e.Note, e.Req))
-		case event.Owed:
+		case event.UnexpectedAnswer:
+			plain(1, fmt.Sprintf("router %d answered what nobody asked (%s), after req %s", e.Router, e.Note, e.Request))
+		case event.BadInputAccepted:
 			rule := 0
 			if len(e.Note) > 6 && e.Note[len(e.Note)-5:] == "value" {
 				rule = 1
 			}
 			plain(rule, fmt.Sprintf("router %d: %s", e.Router, e.Note))
-		case event.Term, event.Killed:
+		case event.SIGTERMSent, event.SIGKILLSent:
 			ends[e.Router] = e.At
-		case event.Up:
+		case event.RouterUp:
 			delete(ends, e.Router)
-		case event.Down:
+		case event.RouterExited:
 			if _, told := ends[e.Router]; !told {
 				plain(0, fmt.Sprintf("router %d ended by itself: %s", e.Router, e.Note))
-			} else if e.Outcome != event.Satisfied {
+			} else if e.Outcome != event.Succeeded {
 				plain(0, fmt.Sprintf("router %d did not end in order: %s", e.Router, e.Note))
 			}
 		}
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -22,7 +22,7 @@
 			switch words[0] {
 			case "judge":
 				slices.SortStableFunc(events, func(a, b event.Event) int { return cmp.Compare(a.At, b.At) })
-				broken := Judge(testRules, events)
+				broken := Check(testRules, events)
 				for _, b := range broken {
 					say("%v", b)
 				}
@@ -37,13 +37,13 @@
 	})
 }
 
-var testRules = Rules{MaxWriteOuts: 3, Grace: 2e6, Slack: DefaultSlack, ToldAfter: DefaultToldAfter, MostCold: DefaultMostCold,
-	Places: map[event.Server]Place{"a1": {"a", "1"}, "a2": {"a", "1"}, "b1": {"b", "1"}},
+var testRules = Rules{MaxAttempts: 3, DrainGrace: 2e6, Slack: DefaultSlack, NotifyDelay: DefaultNotifyDelay, MaxColdMissShare: DefaultMaxColdMissShare,
+	Locations: map[event.Server]Location{"a1": {"a", "1"}, "a2": {"a", "1"}, "b1": {"b", "1"}},
 	Methods: []Method{{Name: "read", Effect: "retryable"}, {Name: "hold", Effect: "deduplicated", Group: "zone", Window: 1e6},
 		{Name: "book", Effect: "non-retryable"}}}
 
 func read(t *testing.T, words []string) event.Event {
-	e := event.Event{Router: event.Nobody, Since: -1, Op: -1}
+	e := event.Event{Router: event.NoRouter, Since: -1, Op: -1}
 	ms, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
 		t.Fatal(words, err)
@@ -65,7 +65,7 @@
 		}
 		switch name {
 		case "req":
-			e.Req = event.Req(value)
+			e.Request = event.RequestID(value)
 		case "op":
 			e.Op = event.Op(n)
 		case "router":
@@ -101,7 +101,7 @@
 			t.Fatalf("%q is no field", name)
 		}
 	}
-	if e.Since < 0 && e.Kind == event.Begun {
+	if e.Since < 0 && e.Kind == event.AttemptReceived {
 		e.Since = e.At
 	}
 	return e
@@ -112,15 +112,15 @@
 	var events []event.Event
 	const ops = 100000
 	for i := range ops {
-		at, id := event.Micros(i*1000), event.Req(strconv.Itoa(i))
-		events = append(events, event.Event{At: at, Kind: event.Asked, Req: id, Op: event.Op(i), Limit: 1e6},
-			event.Event{At: at + 300, Kind: event.Begun, Req: id, Server: "a1", Since: at + 250},
-			event.Event{At: at + 700, Kind: event.Ended, Req: id, Server: "a1", Reply: event.Value},
-			event.Event{At: at + 900, Kind: event.Answered, Req: id, Op: event.Op(i), Outcome: event.Satisfied})
+		at, id := event.Micros(i*1000), event.RequestID(strconv.Itoa(i))
+		events = append(events, event.Event{At: at, Kind: event.RequestSent, Request: id, Op: event.Op(i), Limit: 1e6},
+			event.Event{At: at + 300, Kind: event.AttemptReceived, Request: id, Server: "a1", Since: at + 250},
+			event.Event{At: at + 700, Kind: event.AttemptEnded, Request: id, Server: "a1", Reply: event.Value},
+			event.Event{At: at + 900, Kind: event.Answered, Request: id, Op: event.Op(i), Outcome: event.Succeeded})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if broken := Judge(testRules, events); len(broken) > 0 {
+		if broken := Check(testRules, events); len(broken) > 0 {
 			b.Fatal(broken[0])
 		}
 	}
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -288,7 +288,7 @@
 func (r *Registry) tell(router event.Router, upto int) {
 	for ; r.told[router] < upto; r.told[router]++ {
 		if e := r.changes[r.told[router]].entry; e.State != "active" {
-			r.log.Add(event.Event{Kind: event.Told, Server: e.UID, Router: router})
+			r.log.Add(event.Event{Kind: event.RemovalDelivered, Server: e.UID, Router: router})
 		}
 	}
 }
@@ -301,7 +301,7 @@
 	for router := range r.due {
 		for ; !r.cut[event.Router(router)] && r.due[router] < n; r.due[router]++ {
 			if e := r.changes[r.due[router]].entry; e.State != "active" {
-				r.log.Add(event.Event{Kind: event.Due, Server: e.UID, Router: event.Router(router)})
+				r.log.Add(event.Event{Kind: event.RemovalAnnounced, Server: e.UID, Router: event.Router(router)})
 			}
 		}
 	}
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/registry/registry_test.go
@@ -87,7 +87,7 @@
 	// Only what wants nothing new is noted as told, and only to the router that asked.
 	told := ""
 	for _, e := range log.Events() {
-		if e.Kind == event.Told {
+		if e.Kind == event.RemovalDelivered {
 			told += fmt.Sprint(e.Server, " to ", e.Router, "; ")
 		}
 	}
@@ -97,7 +97,7 @@
 	r.Tick()
 	due := 0
 	for _, e := range log.Events() {
-		if e.Kind == event.Due {
+		if e.Kind == event.RemovalAnnounced {
 			due++
 		}
 	}
--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -69,13 +69,13 @@
 	if from < 0 || until < 0 {
 		return nil
 	}
-	tries, byReq := map[event.Op]*firstTry{}, map[event.Req]event.Event{}
+	tries, byReq := map[event.Op]*firstTry{}, map[event.RequestID]event.Event{}
 	for _, e := range r.Events {
 		switch e.Kind {
-		case event.Wanted:
+		case event.OperationDue:
 			tries[e.Op] = &firstTry{wanted: e}
-		case event.Asked:
-			byReq[e.Req] = e
+		case event.RequestSent:
+			byReq[e.Request] = e
 			if t := tries[e.Op]; t != nil && t.asked == 0 {
 				t.asked = e.At
 			}
@@ -84,10 +84,10 @@
 			if t == nil {
 				continue
 			}
-			if byReq[e.Req].At == t.asked {
+			if byReq[e.Request].At == t.asked {
 				t.out = e.Outcome
 			}
-			if e.Outcome == event.Satisfied && t.at == 0 {
+			if e.Outcome == event.Succeeded && t.at == 0 {
 				t.at = e.At
 			}
 		}
@@ -99,7 +99,7 @@
 	nacked, all := 0, 0
 	for _, t := range tries {
 		if t.wanted.At >= from+onsetSpan && t.wanted.At < until && t.asked > 0 {
-			if all++; t.out == event.Nacked {
+			if all++; t.out == event.Rejected {
 				nacked++
 			}
 		}
@@ -117,7 +117,7 @@
 	return l
 }
 
-func phase(r fleet.Result, tries map[event.Op]*firstTry, byReq map[event.Req]event.Event, from, until event.Micros) Phase {
+func phase(r fleet.Result, tries map[event.Op]*firstTry, byReq map[event.RequestID]event.Event, from, until event.Micros) Phase {
 	s := r.Scenario
 	p := Phase{Seconds: float64(until-from) / 1e6}
 	var whole worth
@@ -154,10 +154,10 @@
 			buckets[t.asked/bucketSpan] = b
 		}
 		no := 0.0
-		if t.out == event.Nacked {
+		if t.out == event.Rejected {
 			no = 1
 			b.nacked[m.Criticality]++
-		} else if t.out == event.Satisfied {
+		} else if t.out == event.Succeeded {
 			b.served[m.Criticality]++
 		}
 		refused[t.wanted.Method].add(1, no)
@@ -197,11 +197,11 @@
 }
 
 // worstP99 is over the tries that were asked in a span and satisfied, from the last byte asked to the last one answered.
-func worstP99(r fleet.Result, byReq map[event.Req]event.Event, from, until event.Micros) (worst float64) {
+func worstP99(r fleet.Result, byReq map[event.RequestID]event.Event, from, until event.Micros) (worst float64) {
 	each := make([]*hdrhistogram.Histogram, len(r.Scenario.Methods))
 	for _, e := range r.Events {
-		asked, known := byReq[e.Req]
-		if e.Kind != event.Answered || e.Outcome != event.Satisfied || !known || asked.At < from || asked.At >= until {
+		asked, known := byReq[e.Request]
+		if e.Kind != event.Answered || e.Outcome != event.Succeeded || !known || asked.At < from || asked.At >= until {
 			continue
 		}
 		if each[asked.Method] == nil {
--- a/internal/lab/report/loss_test.go
+++ b/internal/lab/report/loss_test.go
@@ -36,17 +36,17 @@
 	op := event.Op(0)
 	ask := func(at event.Micros, m event.Method, out event.Outcome, took event.Micros) {
 		op++
-		id := event.Req(fmt.Sprint(op))
-		r.Events = append(r.Events, event.Event{At: at, Kind: event.Wanted, Op: op, Method: m, Tenant: -1},
-			event.Event{At: at, Kind: event.Asked, Op: op, Req: id, Method: m}, event.Event{At: at + took, Kind: event.Answered, Op: op, Req: id, Outcome: out})
+		id := event.RequestID(fmt.Sprint(op))
+		r.Events = append(r.Events, event.Event{At: at, Kind: event.OperationDue, Op: op, Method: m, Tenant: -1},
+			event.Event{At: at, Kind: event.RequestSent, Op: op, Request: id, Method: m}, event.Event{At: at + took, Kind: event.Answered, Op: op, Request: id, Outcome: out})
 	}
 	for at := event.Micros(2e6); at < 30e6; at += 1e5 {
 		lost := at >= 10e6 && at < 18e6
-		ask(at, 0, event.Satisfied, 50e3)
+		ask(at, 0, event.Succeeded, 50e3)
 		if lost {
-			ask(at, 1, event.Nacked, 1e3)
+			ask(at, 1, event.Rejected, 1e3)
 		} else {
-			ask(at, 1, event.Satisfied, 250e3) // late
+			ask(at, 1, event.Succeeded, 250e3) // late
 		}
 	}
 	l := lossOf(r)
--- a/internal/lab/report/recovery.go
+++ b/internal/lab/report/recovery.go
@@ -39,9 +39,9 @@
 	down, up := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		switch {
-		case (e.Kind == event.Term || e.Kind == event.Killed) && down < 0 && e.At < r.From+r.Scenario.Length.Micros():
+		case (e.Kind == event.SIGTERMSent || e.Kind == event.SIGKILLSent) && down < 0 && e.At < r.From+r.Scenario.Length.Micros():
 			down = e.At
-		case e.Kind == event.Up && down >= 0:
+		case e.Kind == event.RouterUp && down >= 0:
 			up = e.At
 		}
 	}
@@ -51,12 +51,12 @@
 	a := &Around{PartMs: partSpan / 1e3, Before: make([]Part, beforeParts), After: make([]Part, afterParts)}
 	took := map[event.Op]event.Micros{}
 	for _, e := range r.Events {
-		if _, known := took[e.Op]; e.Kind == event.Answered && e.Outcome == event.Satisfied && !known {
+		if _, known := took[e.Op]; e.Kind == event.Answered && e.Outcome == event.Succeeded && !known {
 			took[e.Op] = e.At
 		}
 	}
 	for _, e := range r.Events {
-		if e.Kind != event.Wanted {
+		if e.Kind != event.OperationDue {
 			continue
 		}
 		var p *Part
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -22,25 +22,25 @@
 // Report is one run in figures. Service is criticality answered within the latency budget over criticality asked for,
 // where an op's retries count with its first try.
 type Report struct {
-	Version  int              `json:"version"`
-	Scenario string           `json:"scenario"`
-	Seed     uint64           `json:"seed"`
-	Void     string           `json:"void,omitempty"` // why the figures are not to be trusted
-	Broken   []referee.Broken `json:"broken"`
-	Service  Service          `json:"service"`
-	Ops      Ops              `json:"ops"`
-	Latency  Latency          `json:"latency_ms"`
-	WriteOut Outs             `json:"write_outs"`
-	Nacks    []Bucket         `json:"nacks_by_hint"`
-	Opened   int              `json:"connections_opened"`
-	Routers  []RouterUse      `json:"routers"`
-	Seconds  []Second         `json:"seconds"`
-	Servers  []ServerLoad     `json:"servers"`
-	Faults   []FaultMark      `json:"faults"`
-	LateMs   float64          `json:"lab_late_ms"`
-	Around   *Around          `json:"around_restart,omitempty"`
-	Loss     *Loss            `json:"loss,omitempty"`
-	Top      []string         `json:"most_critical"` // methods
+	Version  int                 `json:"version"`
+	Scenario string              `json:"scenario"`
+	Seed     uint64              `json:"seed"`
+	Void     string              `json:"void,omitempty"` // why the figures are not to be trusted
+	Broken   []referee.Violation `json:"broken"`
+	Service  Service             `json:"service"`
+	Ops      Ops                 `json:"ops"`
+	Latency  Latency             `json:"latency_ms"`
+	WriteOut Outs                `json:"write_outs"`
+	Nacks    []Bucket            `json:"nacks_by_hint"`
+	Opened   int                 `json:"connections_opened"`
+	Routers  []RouterUse         `json:"routers"`
+	Seconds  []Second            `json:"seconds"`
+	Servers  []ServerLoad        `json:"servers"`
+	Faults   []FaultMark         `json:"faults"`
+	LateMs   float64             `json:"lab_late_ms"`
+	Around   *Around             `json:"around_restart,omitempty"`
+	Loss     *Loss               `json:"loss,omitempty"`
+	Top      []string            `json:"most_critical"` // methods
 }
 
 // Service is the share of criticality answered in time.
@@ -156,10 +156,10 @@
 	rep := Report{Version: Version, Scenario: s.Title, Seed: r.Seed, Broken: r.Broken, Seconds: make([]Second, n),
 		Routers: make([]RouterUse, s.Routers.Count), Faults: []FaultMark{}, Servers: []ServerLoad{}}
 	if rep.Broken == nil {
-		rep.Broken = []referee.Broken{}
+		rep.Broken = []referee.Violation{}
 	}
 	m := maker{rep: &rep, s: s, from: r.From, n: n, ops: map[event.Op]*op{}, servers: map[event.Server]int{},
-		routerOf: map[event.Req]event.Router{}, cpu: make([]event.Micros, s.Routers.Count), hints: make([]int, len(hintBounds)+2)}
+		routerOf: map[event.RequestID]event.Router{}, cpu: make([]event.Micros, s.Routers.Count), hints: make([]int, len(hintBounds)+2)}
 	for i := range rep.Routers {
 		rep.Routers[i] = RouterUse{Router: i, CPU: make([]float64, n), MemoryMB: make([]float64, n)}
 	}
@@ -186,7 +186,7 @@
 	n        int
 	ops      map[event.Op]*op
 	servers  map[event.Server]int
-	routerOf map[event.Req]event.Router
+	routerOf map[event.RequestID]event.Router
 	cpu      []event.Micros
 	hints    []int
 	lateOps  int
@@ -198,28 +198,28 @@
 func (m *maker) take(e event.Event) {
 	rep, sec := m.rep, &m.rep.Seconds[m.second(e.At)]
 	switch e.Kind {
-	case event.Wanted:
+	case event.OperationDue:
 		m.ops[e.Op] = &op{wanted: e}
 		rep.Ops.Wanted++
 		sec.Wanted++
-	case event.Asked:
+	case event.RequestSent:
 		rep.Ops.Tries++
 		rep.Routers[e.Router].Tries++
-	case event.Unreached:
+	case event.ConnectFailed:
 		rep.Ops.Unreached++
-	case event.Cut:
+	case event.ConnectionClosed:
 		rep.Ops.Cut++
 		sec.Failed++
-	case event.Left:
+	case event.ClientLeft:
 		rep.Ops.Left++
 	case event.Answered:
 		switch e.Outcome {
-		case event.Satisfied:
+		case event.Succeeded:
 			sec.Satisfied++
 			if o := m.ops[e.Op]; o != nil && !o.served {
 				o.served, o.answered = true, e.At
 			}
-		case event.Nacked:
+		case event.Rejected:
 			rep.Ops.Nacked++
 			sec.Nacked++
 			i, _ := slices.BinarySearch(hintBounds, e.Limit)
@@ -231,14 +231,14 @@
 			rep.Ops.Failed++
 			sec.Failed++
 		}
-	case event.Conn:
+	case event.ConnectionAccepted:
 		rep.Opened++
 		sec.Opened++
-	case event.Came:
+	case event.ServerUp:
 		if e.Server != "" {
 			m.server(e.Server).Cold = e.Limit > 0
 		}
-	case event.Begun:
+	case event.AttemptReceived:
 		rep.WriteOut.All++
 		l := m.server(e.Server)
 		l.All++
@@ -246,23 +246,23 @@
 		if e.Server == "origin" {
 			rep.WriteOut.Origin++
 		}
-	case event.Ended:
+	case event.AttemptEnded:
 		switch e.Reply {
 		case event.Miss:
 			rep.WriteOut.Misses++
-		case event.TurnedAway:
+		case event.Refused:
 			rep.WriteOut.Refused++
-		case event.Lost, event.Spoilt, event.Error:
+		case event.ConnectionLost, event.Malformed, event.Error:
 			rep.WriteOut.Wasted++
 		}
 	case event.Fault:
 		rep.Faults = append(rep.Faults, FaultMark{float64(e.At-m.from) / 1e6, e.Note, e.Limit == 1})
-	case event.Late:
+	case event.LabDelayed:
 		m.stall = max(m.stall, e.Limit)
 		if e.Note == "" {
 			m.lateOps++
 		}
-	case event.Sample:
+	case event.ResourceSample:
 		m.sample(e)
 	}
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -26,23 +26,23 @@
 	for i := range 2000 {
 		at := r.From + event.Micros(i)*10e3
 		if i == 1000 {
-			add(event.Event{At: at, Kind: event.Term})
-			add(event.Event{At: at + 1e6, Kind: event.Up})
+			add(event.Event{At: at, Kind: event.SIGTERMSent})
+			add(event.Event{At: at + 1e6, Kind: event.RouterUp})
 		}
-		q := event.Req(rune('a' + i))
-		add(event.Event{At: at, Kind: event.Wanted, Op: event.Op(i)})
-		add(event.Event{At: at, Kind: event.Asked, Op: event.Op(i), Req: q, Limit: 500e3})
+		q := event.RequestID(rune('a' + i))
+		add(event.Event{At: at, Kind: event.OperationDue, Op: event.Op(i)})
+		add(event.Event{At: at, Kind: event.RequestSent, Op: event.Op(i), Request: q, Limit: 500e3})
 		took := event.Micros(10e3)
 		switch {
 		case i%100 == 0:
-			add(event.Event{At: at + 1e3, Kind: event.Answered, Op: event.Op(i), Req: q, Outcome: event.Nacked, Limit: 250e3})
+			add(event.Event{At: at + 1e3, Kind: event.Answered, Op: event.Op(i), Request: q, Outcome: event.Rejected, Limit: 250e3})
 			continue
 		case i%10 == 0, at >= r.From+10e6 && at < r.From+11e6+bad:
 			took = 100e3
 		}
-		add(event.Event{At: at + 1e3, Kind: event.Begun, Req: q, Server: "s"})
-		add(event.Event{At: at + took, Kind: event.Ended, Req: q, Server: "s", Reply: event.Value})
-		add(event.Event{At: at + took, Kind: event.Answered, Op: event.Op(i), Req: q, Outcome: event.Satisfied})
+		add(event.Event{At: at + 1e3, Kind: event.AttemptReceived, Request: q, Server: "s"})
+		add(event.Event{At: at + took, Kind: event.AttemptEnded, Request: q, Server: "s", Reply: event.Value})
+		add(event.Event{At: at + took, Kind: event.Answered, Op: event.Op(i), Request: q, Outcome: event.Succeeded})
 		r.Arrivals = append(r.Arrivals, arrivals.Arrival{})
 	}
 	return r
@@ -74,13 +74,13 @@
 
 func TestLateLabVoids(t *testing.T) {
 	run := played(1, 0)
-	run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.Late, Limit: 300e3, Note: "heartbeat"})
+	run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.LabDelayed, Limit: 300e3, Note: "heartbeat"})
 	if r := Make(run); !strings.Contains(r.Void, "stood still for 300ms") {
 		t.Error(r.Void)
 	}
 	run = played(1, 0)
 	for range 50 {
-		run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.Late, Limit: 30e3})
+		run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.LabDelayed, Limit: 30e3})
 	}
 	if r := Make(run); !strings.Contains(r.Void, "50 of 1980 ops began over 20 ms late") {
 		t.Error(r.Void)
@@ -144,7 +144,7 @@
 
 func TestTableAndPageTellWhatBroke(t *testing.T) {
 	r := Make(played(1, 0))
-	r.Broken = []referee.Broken{{Rule: 2, What: "sent <again>", Req: "q7", Evidence: []string{"seen & noted"}}}
+	r.Broken = []referee.Violation{{Rule: 2, What: "sent <again>", Request: "q7", Evidence: []string{"seen & noted"}}}
 	r.Faults = []FaultMark{{At: 3, Kind: "kill"}, {At: 5, Kind: "kill", End: true}}
 	var table, page bytes.Buffer
 	if err := Table(&table, r); err != nil || !strings.Contains(table.String(), "rule 2: sent <again> (req q7, router 0)\n    seen & noted") {
--- a/internal/lab/rig/policies.go
+++ b/internal/lab/rig/policies.go
@@ -235,7 +235,7 @@
 			r.Cut(what, false, all, all, true, false)
 		case 5:
 			what = "30% lost, a fifth doubled and late"
-			r.Links.Change(all, all, func(x *links.Rule) { x.Drop, x.Twice, x.Late = 0.3, 0.2, 0.2 })
+			r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.2, 0.2 })
 		case 6:
 			what = fmt.Sprintf("%d heard by none", i)
 			r.Cut(what, true, []int{i}, all, false, false)
@@ -250,8 +250,8 @@
 	if err != nil {
 		return out, err
 	}
-	r.Links.Change(all, all, func(x *links.Rule) { *x = links.Rule{} })
-	r.did("all in order", viewref.Word, 0, 0)
+	r.Links.UpdateRules(all, all, func(x *links.Rule) { *x = links.Rule{} })
+	r.did("all in order", viewref.StatusChange, 0, 0)
 	if err := r.order("all in order", all); err != nil {
 		return out, err
 	}
@@ -407,7 +407,7 @@
 				}
 			}
 			there = all
-			r.Links.Change(all, all, func(x *links.Rule) { x.Drop = 0.3 })
+			r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare = 0.3 })
 		}},
 	} {
 		if step.do(); err != nil {
--- a/internal/lab/rig/policy_test.go
+++ b/internal/lab/rig/policy_test.go
@@ -336,7 +336,7 @@
 	current := 0
 	for n := 0; ; n++ {
 		token := fmt.Sprint("in the roll ", n)
-		for end := time.Now().Add(bounds.Settle); ; {
+		for end := time.Now().Add(bounds.SettleWithin); ; {
 			if v, err = r.apply(3, current, token, docOut(token)); err == nil || time.Now().After(end) {
 				break
 			}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -49,7 +49,7 @@
 
 // Rig is a running one. Close ends all that it started.
 type Rig struct {
-	Links *links.Rig
+	Links *links.Network
 	o     Options
 	net   fleet.Network
 	reg   *registry.Registry
@@ -63,7 +63,7 @@
 	deadlines map[int]time.Duration // of those whose settings are others
 	files     map[int]int           // the most blocks of a file, of those that have a bound
 	homes     []int                 // whose addresses a router uses; its own, but in trials
-	truth     []viewref.Truth
+	truth     []viewref.Change
 	samples   []viewref.Sample
 	stopped   []bool
 	doors     []string
@@ -160,12 +160,12 @@
 
 func (r *Rig) did(note string, kind viewref.Kind, who, to int) {
 	r.mu.Lock()
-	r.truth = append(r.truth, viewref.Truth{At: r.Now(), Kind: kind, Who: who, To: to, Note: note})
+	r.truth = append(r.truth, viewref.Change{At: r.Now(), Kind: kind, Router: who, To: to, Note: note})
 	r.mu.Unlock()
 }
 
 // Did notes something done to a router's word, such as a drain.
-func (r *Rig) Did(who int, note string) { r.did(note, viewref.Word, who, 0) }
+func (r *Rig) Did(who int, note string) { r.did(note, viewref.StatusChange, who, 0) }
 
 // Log is where a router's log goes.
 func (r *Rig) Log(i int) string { return filepath.Join(r.o.Dir, fmt.Sprintf("p%d.log", i)) }
@@ -446,7 +446,7 @@
 					continue
 				}
 				rule.Cut, rule.Reset = on, reset
-				r.Links.Set(way[0], way[1], rule)
+				r.Links.SetRule(way[0], way[1], rule)
 				r.did(note, kind, way[0], way[1])
 			}
 		}
@@ -518,7 +518,7 @@
 		if w, err := r.View(i); err == nil {
 			r.mu.Lock()
 			// As of when it was asked: what is done while the answer is on its way is not in it.
-			r.samples = append(r.samples, viewref.Sample{At: asked, By: i, View: w})
+			r.samples = append(r.samples, viewref.Sample{At: asked, Router: i, View: w})
 			r.mu.Unlock()
 		}
 	}
@@ -531,7 +531,7 @@
 func (r *Rig) Record() viewref.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := viewref.Record{End: r.Now(), Truth: append([]viewref.Truth(nil), r.truth...),
+	rec := viewref.Record{End: r.Now(), Changes: append([]viewref.Change(nil), r.truth...),
 		Samples: append([]viewref.Sample(nil), r.samples...)}
 	for _, n := range r.names {
 		rec.Names = append(rec.Names, membership.Name(n))
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -20,7 +20,7 @@
 // what was measured without.
 const probe = 200 * time.Millisecond
 
-var bounds = viewref.Bounds{Settle: 12 * time.Second, Gone: 12 * time.Second, Back: 8 * time.Second}
+var bounds = viewref.Bounds{SettleWithin: 12 * time.Second, RemoveWithin: 12 * time.Second, RestoreWithin: 8 * time.Second}
 
 // trial is a rig and a test.
 type trial struct {
@@ -76,18 +76,18 @@
 // settle waits for one view, and for it to be judged.
 func (t trial) settle() {
 	t.t.Helper()
-	t.must(t.Settle(bounds.Settle))
+	t.must(t.Settle(bounds.SettleWithin))
 }
 
 func (t trial) judge(b viewref.Bounds) viewref.Record {
 	t.t.Helper()
 	rec := t.Record()
-	for i, x := range rec.Judge(b) {
+	for i, x := range rec.Check(b) {
 		if i < 5 {
 			t.t.Error(x)
 		}
 	}
-	for _, e := range rec.Events() {
+	for _, e := range rec.Convergences() {
 		t.t.Logf("%v %s: settled after %v", e.At.Round(time.Millisecond), e.What, e.Settled.Round(time.Millisecond))
 	}
 	return rec
@@ -197,14 +197,14 @@
 		rec := honest
 		rec.Samples = nil
 		for _, s := range honest.Samples {
-			if s.By == 0 {
+			if s.Router == 0 {
 				s.View.Routers = append([]membership.RouterStatus(nil), s.View.Routers...)
 				c.cheat(&s.View)
 			}
 			rec.Samples = append(rec.Samples, s)
 		}
 		caught := false
-		for _, b := range rec.Judge(viewref.Bounds{Settle: 3 * time.Second, Gone: 3 * time.Second, Back: 3 * time.Second}) {
+		for _, b := range rec.Check(viewref.Bounds{SettleWithin: 3 * time.Second, RemoveWithin: 3 * time.Second, RestoreWithin: 3 * time.Second}) {
 			caught = caught || b.Rule == c.rule && (strings.HasPrefix(b.What, "r0 ") || c.rule == "digest")
 		}
 		if !caught {
@@ -219,15 +219,15 @@
 	all := upTo(6)
 	r.start("start of all", all...)
 	r.settle()
-	r.Links.Change(all, all, func(x *links.Rule) { x.Drop, x.Twice, x.Late = 0.3, 0.2, 0.2 })
+	r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.2, 0.2 })
 	r.Did(0, "30% lost")
 	time.Sleep(12 * time.Second)
 	r.Kill("crash at 30% lost", 2)
 	time.Sleep(10 * time.Second)
-	r.Links.Change(all, all, func(x *links.Rule) { *x = links.Rule{} })
+	r.Links.UpdateRules(all, all, func(x *links.Rule) { *x = links.Rule{} })
 	r.Did(0, "whole again")
 	r.settle()
-	r.judge(viewref.Bounds{Settle: 60 * time.Second, Gone: 20 * time.Second, Back: 12 * time.Second})
+	r.judge(viewref.Bounds{SettleWithin: 60 * time.Second, RemoveWithin: 20 * time.Second, RestoreWithin: 12 * time.Second})
 }
 
 // One way of one link is dead; then a router hears all and is heard by none.
@@ -379,9 +379,9 @@
 
 func (t trial) until(what string, ok func() bool) {
 	t.t.Helper()
-	for end := time.Now().Add(bounds.Settle); !ok(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(bounds.SettleWithin); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.t.Fatalf("not within %v: %s", bounds.Settle, what)
+			t.t.Fatalf("not within %v: %s", bounds.SettleWithin, what)
 		}
 	}
 }
--- a/internal/lab/rig/rounds.go
+++ b/internal/lab/rig/rounds.go
@@ -12,15 +12,15 @@
 
 // Outcome is a round or a measurement of one size.
 type Outcome struct {
-	Seed    uint64           `json:"seed"`
-	Routers int              `json:"routers"`
-	Drop    float64          `json:"drop"`
-	Did     []string         `json:"did"`
-	Events  []viewref.Event  `json:"events"`
-	Broken  []viewref.Broken `json:"broken"`
-	False   int              `json:"false_losses"`
-	Hours   float64          `json:"router_hours"` // that all routers were there, together
-	Idle    *Idle            `json:"idle,omitempty"`
+	Seed    uint64                `json:"seed"`
+	Routers int                   `json:"routers"`
+	Drop    float64               `json:"drop"`
+	Did     []string              `json:"did"`
+	Events  []viewref.Convergence `json:"events"`
+	Broken  []viewref.Violation   `json:"broken"`
+	False   int                   `json:"false_losses"`
+	Hours   float64               `json:"router_hours"` // that all routers were there, together
+	Idle    *Idle                 `json:"idle,omitempty"`
 }
 
 // Idle is what a router of a calm fleet uses, the mean over all of them.
@@ -34,7 +34,7 @@
 // RoundBounds are for a probe and a size: what was measured on a machine with nothing else to do, and half as much again.
 func RoundBounds(probe time.Duration, routers int) viewref.Bounds {
 	b := time.Duration(60+routers)*probe + 3*time.Second
-	return viewref.Bounds{Settle: b, Gone: b, Back: b}
+	return viewref.Bounds{SettleWithin: b, RemoveWithin: b, RestoreWithin: b}
 }
 
 // Round plays random faults on a fleet, puts all in order again and judges. The error is of the machine, not of the fleet.
@@ -100,7 +100,7 @@
 			r.Cut("one way", true, []int{i}, all, false, false)
 		case 6:
 			what = "30% lost"
-			r.Links.Change(all, all, func(x *links.Rule) { x.Drop, x.Twice, x.Late = 0.3, 0.1, 0.1 })
+			r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.1, 0.1 })
 			r.Did(0, what)
 		case 7:
 			what = "ways healed"
@@ -114,18 +114,18 @@
 			return out, fmt.Errorf("%s: %w", what, err)
 		}
 	}
-	r.Links.Change(all, all, func(x *links.Rule) { cut := x.Cut; *x = links.Rule{Cut: cut} })
+	r.Links.UpdateRules(all, all, func(x *links.Rule) { cut := x.Cut; *x = links.Rule{Cut: cut} })
 	r.Cut("all in order", false, all, all, true, false)
 	if err := r.order("all in order", all); err != nil {
 		return out, err
 	}
 	b := RoundBounds(o.Probe, o.Routers)
-	if err := r.Settle(b.Settle); err != nil {
-		out.Broken = append(out.Broken, viewref.Broken{At: r.Now(), Rule: "settles", What: err.Error()})
+	if err := r.Settle(b.SettleWithin); err != nil {
+		out.Broken = append(out.Broken, viewref.Violation{At: r.Now(), Rule: "settles", What: err.Error()})
 	}
 	rec := r.Record()
-	out.Broken = append(out.Broken, rec.Judge(b)...)
-	out.Events, out.False = rec.Events(), rec.FalseLosses()
+	out.Broken = append(out.Broken, rec.Check(b)...)
+	out.Events, out.False = rec.Convergences(), rec.FalseLosses()
 	out.Hours = float64(o.Routers) * rec.End.Hours()
 	if len(out.Broken) == 0 {
 		return out, os.RemoveAll(o.Dir)
@@ -167,7 +167,7 @@
 	b := RoundBounds(o.Probe, n)
 	then := func(err error) error {
 		if err == nil {
-			err = r.Settle(b.Settle)
+			err = r.Settle(b.SettleWithin)
 			time.Sleep(5 * o.Probe)
 		}
 		return err
@@ -176,7 +176,7 @@
 		return out, err
 	}
 	if drop > 0 {
-		r.Links.Change(all, all, func(x *links.Rule) { x.Drop = drop })
+		r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare = drop })
 		r.Did(0, fmt.Sprintf("%.0f%% lost", 100*drop))
 	}
 	var packets, bytes int64
@@ -216,31 +216,31 @@
 		if err := step(); err != nil {
 			return out, err
 		}
-		end := time.Now().Add(b.Settle)
+		end := time.Now().Add(b.SettleWithin)
 		for time.Sleep(2 * o.Probe); time.Now().Before(end) && r.unsettled() >= 0; time.Sleep(100 * time.Millisecond) {
 		}
 		time.Sleep(5 * o.Probe)
 	}
 	rec := r.Record()
 	out.Seed, out.Routers, out.Drop = o.Seed, n, drop
-	out.Events, out.False, out.Hours = rec.Events(), rec.FalseLosses(), float64(n)*rec.End.Hours()
-	out.Broken = rec.Judge(b)
+	out.Events, out.False, out.Hours = rec.Convergences(), rec.FalseLosses(), float64(n)*rec.End.Hours()
+	out.Broken = rec.Check(b)
 	return out, nil
 }
 
 // unsettled is a running router that is not settled, or does not see what is in its reach; -1: there is none.
 func (r *Rig) unsettled() int {
 	rec := r.Record()
-	if len(rec.Truth) == 0 {
+	if len(rec.Changes) == 0 {
 		return 0
 	}
-	last := rec.Truth[len(rec.Truth)-1].At
+	last := rec.Changes[len(rec.Changes)-1].At
 	seen := map[int]bool{}
 	for i := len(rec.Samples) - 1; i >= 0 && rec.Samples[i].At > last; i-- {
 		s := rec.Samples[i]
-		if !seen[s.By] {
-			if seen[s.By] = true; !rec.Right(s) {
-				return s.By
+		if !seen[s.Router] {
+			if seen[s.Router] = true; !rec.Converged(s) {
+				return s.Router
 			}
 		}
 	}
--- a/internal/lab/rig/site_test.go
+++ b/internal/lab/rig/site_test.go
@@ -109,9 +109,9 @@
 		}
 	}
 	all := upTo(6)
-	r.Links.Change(all, all, func(rule *links.Rule) { rule.Drop = 0.3 })
+	r.Links.UpdateRules(all, all, func(rule *links.Rule) { rule.LossShare = 0.3 })
 	never("lossy", 3*time.Second)
-	r.Links.Change(all, all, func(rule *links.Rule) { rule.Drop = 0 })
+	r.Links.UpdateRules(all, all, func(rule *links.Rule) { rule.LossShare = 0 })
 	r.Cut("one other", true, []int{1, 4}, []int{2, 5}, true, false)
 	never("out of reach of one", 3*time.Second)
 	r.Cut("healed", false, []int{1, 4}, []int{2, 5}, true, false)
--- a/internal/lab/viewref/viewref.go
+++ b/internal/lab/viewref/viewref.go
@@ -12,19 +12,19 @@
 	"spurtrestle/core/membership"
 )
 
-// Truth is one thing that was done, by the rig's own word.
-type Truth struct {
-	At   time.Duration // since the rig's start
-	Kind Kind
-	Who  int    // router, from 0
-	To   int    // Cut and Heal: the way from Who to this one
-	Note string // what it is part of, for figures
+// Change is one thing that was done, by the rig's own word.
+type Change struct {
+	At     time.Duration // since the rig's start
+	Kind   Kind
+	Router int    // router, from 0
+	To     int    // Cut and Heal: the way from Who to this one
+	Note   string // what it is part of, for figures
 }
 
 // Kind says what was done.
 type Kind uint8
 
-// Up is told once the process answers, Down when it has ended. Word: what it says of itself changed.
+// Up is told once the process answers, Down when it has ended. StatusChange: what it says of itself changed.
 const (
 	Up Kind = iota + 1
 	Down
@@ -32,7 +32,7 @@
 	Wake
 	Cut
 	Heal
-	Word
+	StatusChange
 	Leave // it was told to end
 )
 
@@ -42,34 +42,34 @@
 
 // Sample is a view as a router showed it.
 type Sample struct {
-	At   time.Duration
-	By   int
-	View membership.Snapshot
+	At     time.Duration
+	Router int
+	View   membership.Snapshot
 }
 
 // Record is a run.
 type Record struct {
 	Names   []membership.Name
 	End     time.Duration
-	Truth   []Truth
+	Changes []Change
 	Samples []Sample // in order of time
 }
 
 // Bounds are the times after which what has not become true is a broken rule.
 type Bounds struct {
-	Settle time.Duration // after the last thing done
-	Gone   time.Duration // a router that is dead or out of reach counts as alive no longer than this
-	Back   time.Duration // one that is there and in reach does not count as gone for longer than this
+	SettleWithin  time.Duration // after the last thing done
+	RemoveWithin  time.Duration // a router that is dead or out of reach counts as alive no longer than this
+	RestoreWithin time.Duration // one that is there and in reach does not count as gone for longer than this
 }
 
-// Broken is a rule that did not hold.
-type Broken struct {
+// Violation is a rule that did not hold.
+type Violation struct {
 	At   time.Duration
 	Rule string // settles, dead, living, digest
 	What string
 }
 
-func (b Broken) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%v %s: %s", b.At.Round(time.Millisecond), b.Rule, b.What)
 }
 
@@ -86,16 +86,16 @@
 
 func (w *world) does(i int) bool { return w.up[i] && !w.stalled[i] }
 
-func (w *world) take(t Truth) {
+func (w *world) take(t Change) {
 	switch t.Kind {
 	case Up, Down:
-		w.up[t.Who], w.stalled[t.Who], w.leaving[t.Who] = t.Kind == Up, false, false
+		w.up[t.Router], w.stalled[t.Router], w.leaving[t.Router] = t.Kind == Up, false, false
 	case Leave:
-		w.leaving[t.Who] = true
+		w.leaving[t.Router] = true
 	case Stall, Wake:
-		w.stalled[t.Who] = t.Kind == Stall
+		w.stalled[t.Router] = t.Kind == Stall
 	case Cut, Heal:
-		w.cut[[2]int{t.Who, t.To}] = t.Kind == Cut
+		w.cut[[2]int{t.Router, t.To}] = t.Kind == Cut
 	}
 	w.since = t.At
 }
@@ -117,8 +117,8 @@
 	return seen
 }
 
-// Judge tells what did not hold; the first of each kind, router and state of things.
-func (r Record) Judge(b Bounds) (broken []Broken) {
+// Check tells what did not hold; the first of each kind, router and state of things.
+func (r Record) Check(b Bounds) (broken []Violation) {
 	n := len(r.Names)
 	w := newWorld(n)
 	// together and apart: since when j is certainly in reach of i, or certainly not.
@@ -129,33 +129,33 @@
 	tell := func(at time.Duration, rule, key, format string, args ...any) {
 		if key = fmt.Sprint(rule, key, w.since); !said[key] {
 			said[key] = true
-			broken = append(broken, Broken{at, rule, fmt.Sprintf(format, args...)})
+			broken = append(broken, Violation{at, rule, fmt.Sprintf(format, args...)})
 		}
 	}
-	todo := r.Truth
+	todo := r.Changes
 	for _, s := range r.Samples {
 		for len(todo) > 0 && todo[0].At <= s.At {
 			t := todo[0]
 			todo = todo[1:]
 			w.take(t)
 			if t.Kind == Up {
-				delete(own, t.Who)
+				delete(own, t.Router)
 			}
 			for i := range n {
 				tight, loose := w.reach(i, false), w.reach(i, true)
 				for j := range n {
 					mark(together[i], j, w.does(i) && tight[j] && !w.leaving[j], t.At)
 					mark(apart[i], j, w.does(i) && !loose[j], t.At)
-					if t.Kind == Up && (t.Who == j || t.Who == i) && tight[j] && w.does(i) {
+					if t.Kind == Up && (t.Router == j || t.Router == i) && tight[j] && w.does(i) {
 						together[i][j] = t.At // another process: all is to be learned anew
 					}
 				}
 			}
 		}
-		if !w.does(s.By) {
+		if !w.does(s.Router) {
 			continue
 		}
-		i, living := s.By, map[membership.Name]membership.RouterStatus{}
+		i, living := s.Router, map[membership.Name]membership.RouterStatus{}
 		for _, row := range s.View.Routers {
 			if row.State <= membership.Suspect {
 				living[row.Name] = row
@@ -172,7 +172,7 @@
 		for j, name := range r.Names {
 			row, there := living[name]
 			mark(wrong[i], j, !there || own[j] != "" && row.Incarnation != own[j], s.At)
-			if since := max(together[i][j], wrong[i][j]); together[i][j] >= 0 && wrong[i][j] >= 0 && s.At-since > b.Back {
+			if since := max(together[i][j], wrong[i][j]); together[i][j] >= 0 && wrong[i][j] >= 0 && s.At-since > b.RestoreWithin {
 				switch {
 				case !there:
 					tell(s.At, "living", fmt.Sprint(i, " ", j), "%s holds %s for gone, which has been there and in reach, for %v", r.Names[i], name, s.At-since)
@@ -180,11 +180,11 @@
 					tell(s.At, "living", fmt.Sprint(i, " ", j), "%s takes process %s for %s, which is %s", r.Names[i], row.Incarnation, name, own[j])
 				}
 			}
-			if since := apart[i][j]; since >= 0 && s.At-since > b.Gone && there {
+			if since := apart[i][j]; since >= 0 && s.At-since > b.RemoveWithin && there {
 				tell(s.At, "dead", fmt.Sprint(i, " ", j), "%s holds %s for %v, which has been dead or out of reach for %v", r.Names[i], name, row.State, s.At-since)
 			}
 		}
-		if s.At-w.since > b.Settle && !s.View.Settled && w.even() {
+		if s.At-w.since > b.SettleWithin && !s.View.Settled && w.even() {
 			tell(s.At, "settles", fmt.Sprint(i), "%s is not settled %v after the last event; at odds with %v", r.Names[i], s.At-w.since, s.View.Disagreeing)
 		}
 	}
@@ -229,31 +229,31 @@
 	return strings.Join(rows, "\n")
 }
 
-// Event is one state of things, and how long the views took to follow.
-type Event struct {
+// Convergence is one state of things, and how long the views took to follow.
+type Convergence struct {
 	At      time.Duration
 	What    string
 	Settled time.Duration // after it; negative: not before the next, or the end
 }
 
-// Events are the times that the views took to settle after each group of things done, done less than a tenth of a second
+// Convergences are the times that the views took to settle after each group of things done, done less than a tenth of a second
 // apart: until every living router shows what is true and says that it is settled, and goes on to.
-func (r Record) Events() (all []Event) {
-	for at := 0; at < len(r.Truth); {
+func (r Record) Convergences() (all []Convergence) {
+	for at := 0; at < len(r.Changes); {
 		next := at + 1
-		for next < len(r.Truth) && r.Truth[next].At-r.Truth[next-1].At < 100*time.Millisecond {
+		for next < len(r.Changes) && r.Changes[next].At-r.Changes[next-1].At < 100*time.Millisecond {
 			next++
 		}
-		last := r.Truth[next-1]
+		last := r.Changes[next-1]
 		end := r.End
-		if next < len(r.Truth) {
-			end = r.Truth[next].At
+		if next < len(r.Changes) {
+			end = r.Changes[next].At
 		}
 		what := last.Note
 		if what == "" {
 			what = last.Kind.String()
 		}
-		all = append(all, Event{last.At, what, r.settled(last.At, end)})
+		all = append(all, Convergence{last.At, what, r.settled(last.At, end)})
 		at = next
 	}
 	return all
@@ -262,7 +262,7 @@
 // at is the truth at a time.
 func (r Record) at(now time.Duration) *world {
 	w := newWorld(len(r.Names))
-	for _, t := range r.Truth {
+	for _, t := range r.Changes {
 		if t.At <= now {
 			w.take(t)
 		}
@@ -270,8 +270,8 @@
 	return w
 }
 
-// Right tells whether a view is settled and shows as alive whom is in reach, and nobody else.
-func (r Record) Right(s Sample) bool { return r.right(s, r.at(s.At).reach(s.By, false)) }
+// Converged tells whether a view is settled and shows as alive whom is in reach, and nobody else.
+func (r Record) Converged(s Sample) bool { return r.right(s, r.at(s.At).reach(s.Router, false)) }
 
 func (r Record) right(s Sample, want []bool) bool {
 	living := map[membership.Name]bool{}
@@ -294,10 +294,10 @@
 		right[i] = -1
 	}
 	for _, s := range r.Samples {
-		if s.At < from || s.At >= until || !w.does(s.By) {
+		if s.At < from || s.At >= until || !w.does(s.Router) {
 			continue
 		}
-		mark(right, s.By, r.right(s, w.reach(s.By, false)), s.At)
+		mark(right, s.Router, r.right(s, w.reach(s.Router, false)), s.At)
 	}
 	last := time.Duration(0)
 	for i := range n {
@@ -316,26 +316,26 @@
 func (r Record) FalseLosses() (count int) {
 	n := len(r.Names)
 	w := newWorld(n)
-	was, todo := map[[2]int]bool{}, r.Truth
+	was, todo := map[[2]int]bool{}, r.Changes
 	for _, s := range r.Samples {
 		for len(todo) > 0 && todo[0].At <= s.At {
 			w.take(todo[0])
 			todo = todo[1:]
 		}
-		if !w.does(s.By) {
+		if !w.does(s.Router) {
 			continue
 		}
-		reach := w.reach(s.By, false)
+		reach := w.reach(s.Router, false)
 		for _, row := range s.View.Routers {
 			j := slices.Index(r.Names, row.Name)
 			if j < 0 {
 				continue
 			}
 			lost := row.State == membership.Lost && reach[j] && !w.leaving[j]
-			if lost && !was[[2]int{s.By, j}] && s.At-w.since > time.Second {
+			if lost && !was[[2]int{s.Router, j}] && s.At-w.since > time.Second {
 				count++
 			}
-			was[[2]int{s.By, j}] = lost
+			was[[2]int{s.Router, j}] = lost
 		}
 	}
 	return count
@@ -353,6 +353,6 @@
 
 // Sort puts a record into the order of time.
 func (r *Record) Sort() {
-	slices.SortStableFunc(r.Truth, func(a, b Truth) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(r.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
 	slices.SortStableFunc(r.Samples, func(a, b Sample) int { return cmp.Compare(a.At, b.At) })
 }
