--- a/internal/lab/event/event.go
+++ b/internal/lab/event/event.go
@@ -1,5 +1,5 @@
-// Package event holds what the stand-ins of a lab run saw: who did what, and when. The referee and the report are made
-// from this record alone, never from what a router says of itself.
+// Package event is the record of a lab run: what the simulated clients, cache servers, origin and discovery observed, and
+// when. The referee and the report are computed from this record alone, never from what a router reports about itself.
 package event
 
 import (
@@ -9,100 +9,109 @@
 	"time"
 )
 
-// Micros is a time since the run's start, or a span, in whole microseconds.
+// Micros is a time since the start of the run, or a duration, in whole microseconds.
 type Micros int64
 
-// Duration is the span in the standard library's form.
+// Duration converts m to the type of the standard library.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// The ids are types of their own, so that one cannot stand for another.
+// Ids and indexes of a run. Each has its own type, so that the compiler rejects one in place of another.
 type (
-	RequestID string // one try, as it goes over the wire
-	Op        int32  // what a client wants, over all of its tries; the place in the schedule
-	Server    string // the uid of one life of a cache server, or of the origin
-	Router    int    // place among the run's routers
-	Method    int    // index into the scenario's methods
-	Tenant    int    // index into the scenario's tenants
-	Site      int    // index into the scenario's sites
+	// RequestID is one request of a client, as sent over the wire; a retry of an operation is a new request.
+	RequestID string
+	// Op is an operation that a client wants done, over all of its retries; its index in the schedule.
+	Op int32
+	// Server is the uid of one process of a cache server, or of the origin.
+	Server string
+	// Router is an index among the routers of the run.
+	Router int
+	// Method is an index into the scenario's methods.
+	Method int
+	// Tenant is an index into the scenario's tenants.
+	Tenant int
+	// Site is an index into the scenario's sites.
+	Site int
 )
 
-// NoRouter stands where an event concerns no router.
+// NoRouter is the router of an event that concerns none.
 const NoRouter Router = -1
 
-// Kind says what happened, and which fields of an Event count.
+// Kind says what happened, and which fields of an Event are set.
 type Kind uint8
 
-// What a client saw.
+// Events that a client observes.
 const (
-	OperationDue     Kind = iota + 1 // an op came up: Op, Method, Tenant, Site; At is its intended time
-	RequestSent                      // the last byte of a request went out: Request, Op, Router, Method, Limit, DeadlineSent; Note may be NewConnection
-	Answered                         // the last byte of its answer came: Request, Router, Outcome, Limit (the hint)
-	ConnectionClosed                 // the router ended the connection with no answer: Request, Router
-	ClientLeft                       // the client gave up or went: Request, Router
-	ConnectFailed                    // no connection to the router: Request, Router
-	UnexpectedAnswer                 // bytes that no request asked for: Router, Request (the last one answered there)
-	BadInputAccepted                 // a bad client got neither an error nor a close in time: Router, Note
+	OperationDue     Kind = iota + 1 // an operation is due: Op, Method, Tenant, Site; At is its scheduled time
+	RequestSent                      // the last byte of a request was sent: Request, Op, Router, Method, Limit, DeadlineSent; Note may be NewConnection
+	Answered                         // the last byte of its answer was received: Request, Router, Outcome, Limit (the retry-after hint)
+	ConnectionClosed                 // the router closed the connection without an answer: Request, Router
+	ClientLeft                       // the client gave up or disconnected: Request, Router
+	ConnectFailed                    // the router did not accept a connection: Request, Router
+	UnexpectedAnswer                 // bytes that belong to no request: Router, Request (the last one answered on the connection)
+	BadInputAccepted                 // malformed input got neither an error nor a close in time: Router, Note
 )
 
-// What a cache server or the origin saw.
+// Events that a cache server or the origin observes.
 const (
-	AttemptReceived    Kind = iota + 20 // an attempt came whole: Request, Server, Router, Write, DeadlineSent; Since is its first byte
-	AttemptEnded                        // it ended there: Request, Server, Router, Reply
-	EffectExecuted                      // its effect ran: Request, Server
-	ServerCollapsed                     // the server was pushed over while cold: Server, Note
-	OriginCollapsed                     // the origin was pushed over: Server, Limit (share of cold misses in parts of 1000)
+	AttemptReceived    Kind = iota + 20 // an attempt was received completely: Request, Server, Router, Write, DeadlineSent; Since is the time of its first byte
+	AttemptEnded                        // the attempt ended at the server: Request, Server, Router, Reply
+	EffectExecuted                      // the effect of the attempt was executed: Request, Server
+	ServerCollapsed                     // overload made the server collapse while cold: Server, Note
+	OriginCollapsed                     // overload made the origin collapse: Server, Limit (per mille of its load that were misses at cold servers)
 	ConnectionAccepted                  // a connection was accepted: Server, Router
-	ServerUp                            // a server is up: Server; Limit is the span that it counts as cold, 0 for none
-	ServerDown                          // it is down: Server
-	ProtocolViolation                   // a router sent what is not of the protocol: Server, Router, Note
+	ServerUp                            // a server has started: Server; Limit is how long it counts as cold, 0 for not at all
+	ServerDown                          // a server has stopped: Server
+	ProtocolViolation                   // a router sent something that the protocol does not allow: Server, Router, Note
 )
 
-// What happened to routers, and what they were told.
+// Events that concern routers, and what they were notified of.
 const (
-	RemovalDelivered Kind = iota + 40 // discovery wrote to a router that a server is draining or gone: Server, Router
-	RemovalAnnounced                  // the same has reached the agent that tells this router: Server, Router
+	RemovalDelivered Kind = iota + 40 // discovery told a router that a server is draining or gone: Server, Router
+	RemovalAnnounced                  // the same has reached the discovery agent of the router: Server, Router
 	RouterUp                          // a router answers PING: Router
 	SIGTERMSent                       // SIGTERM was sent: Router
-	RouterExited                      // a router's process ended: Router, Outcome (Satisfied: as it should)
+	RouterExited                      // the process of a router exited: Router, Outcome (Succeeded for an orderly exit)
 	SIGKILLSent                       // SIGKILL was sent: Router
-	Fault                             // a fault begins, or ends where Limit is 1: Note
-	ResourceSample                    // a router's CPU in microseconds (Limit) and memory in bytes (Size) so far: Router
-	LabDelayed                        // the lab itself was late by Limit
-	ServerBanned                      // a router said yes to leaving a server alone: Server, Router
-	ServerUnbanned                    // it was told to use it again: Server, Router
-	PolicyChanged                     // a change of policy has its verdict: Note (the servers that it has out), Limit (1: everywhere), Since (when asked for)
-	RouterStalled                     // its process stands still, or goes on where Limit is 1: Router
+	Fault                             // a fault begins, or ends if Limit is 1: Note
+	ResourceSample                    // CPU time in microseconds (Limit) and memory in bytes (Size) of a router so far: Router
+	LabDelayed                        // the lab itself was delayed by Limit
+	ServerBanned                      // a router confirmed an operator's command not to use a server: Server, Router
+	ServerUnbanned                    // a router was told to use the server again: Server, Router
+	PolicyChanged                     // a policy change was decided: Note (the servers it excludes), Limit (1 if in force everywhere), Since (when it was requested)
+	RouterStalled                     // the process of a router is stopped, or continues if Limit is 1: Router
 )
 
-// Outcome is a final answer as a client reads it.
+// Outcome is the final answer to a request as the client reads it.
 type Outcome uint8
 
+// The outcomes.
 const (
-	Succeeded Outcome = iota + 1 // with the value made for this request
+	Succeeded Outcome = iota + 1 // with the value that belongs to this request
 	Rejected
 	Failed
-	WrongValue // a value that was not made for this request
+	WrongValue // with a value that belongs to another request
 )
 
-// Reply is how an attempt ended at the server.
+// Reply says how an attempt ended at the server.
 type Reply uint8
 
+// The replies.
 const (
-	Value          Reply = iota + 1 // the value or receipt was written whole
-	Miss                            // it lacks the key
-	Refused                         // it never ran, and the router was told so
-	Error                           // an error was written: it may have run
-	ConnectionLost                  // the connection was over before an answer: it may have run
-	Malformed                       // what was written could not be read: it may have run
+	Value          Reply = iota + 1 // the value or receipt was written completely
+	Miss                            // the server does not hold the key
+	Refused                         // the attempt was not executed, and the router was told so
+	Error                           // an error was written; the attempt may have been executed
+	ConnectionLost                  // the connection ended before the reply; the attempt may have been executed
+	Malformed                       // the reply was unreadable; the attempt may have been executed
 )
 
-// NeverRan tells whether the router knows by this reply that nothing ran.
+// NeverRan reports whether this reply tells the router that the attempt was not executed.
 func (r Reply) NeverRan() bool { return r == Miss || r == Refused }
 
-// NewConnection is the note of a request that is the first on its connection.
+// NewConnection is the Note of a request that is the first on its connection.
 const NewConnection = "new-connection"
 
-// Event is one thing seen.
+// Event is one observation. Kind says which of the other fields are set.
 type Event struct {
 	At      Micros
 	Kind    Kind
@@ -120,30 +129,30 @@
 	Reply   Reply
 	Write   bool
 	Note    string
-	// DeadlineSent is the time that its sender allows, told with the request or the attempt. 0: none was told.
+	// DeadlineSent is the remaining time that was sent with the request or attempt, 0 if none was sent.
 	DeadlineSent Micros
 }
 
-// Log gathers events from many goroutines, in chunks: a slice that grows would be copied whole under the lock, which
-// was seen as a dip of service some seconds into every run.
+// Log collects events from many goroutines. It stores them in chunks, because growing a single slice copies it under the
+// lock, which was visible as a dip of service some seconds into every run.
 type Log struct {
 	start  time.Time
 	mu     sync.Mutex
 	chunks [][]Event // all but the last are full
 }
 
-const chunk = 1 << 13
+const chunkSize = 1 << 13 // events
 
-// NewLog begins a record; times count from now.
+// NewLog returns an empty log whose times count from now.
 func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Now is the time since the start, by the monotonic clock.
+// Now returns the time since the start, by the monotonic clock.
 func (l *Log) Now() Micros { return Micros(time.Since(l.start) / time.Microsecond) }
 
-// Start is the wall clock's time of the start.
+// Start returns the wall-clock time of the start.
 func (l *Log) Start() time.Time { return l.start }
 
-// Add notes an event that happens now.
+// Add records an event that happens now; it sets e.At.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	e.At = l.Now()
@@ -151,7 +160,7 @@
 	l.mu.Unlock()
 }
 
-// AddAt notes one whose time is known.
+// AddAt records an event whose time the caller has set.
 func (l *Log) AddAt(e Event) {
 	l.mu.Lock()
 	l.add(e)
@@ -160,14 +169,14 @@
 
 func (l *Log) add(e Event) {
 	n := len(l.chunks)
-	if n == 0 || len(l.chunks[n-1]) == chunk {
-		l.chunks = append(l.chunks, make([]Event, 0, chunk))
+	if n == 0 || len(l.chunks[n-1]) == chunkSize {
+		l.chunks = append(l.chunks, make([]Event, 0, chunkSize))
 		n++
 	}
 	l.chunks[n-1] = append(l.chunks[n-1], e)
 }
 
-// Events returns what was noted so far, in order of time.
+// Events returns a copy of all events recorded so far, in order of time.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults turns the faults of a scenario into a timeline of single acts. It does no I/O; the same scenario and
-// seed give the same timeline.
+// Package faults expands the faults of a scenario into a timeline of single actions, which the lab's fleet carries out. It
+// does no I/O and keeps no state: the same scenario and seed give the same timeline.
 package faults
 
 import (
@@ -13,114 +13,121 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Action is one thing to do at a time.
+// Action is one step of a fault: it starts or ends the fault at one target.
 type Action struct {
 	At     event.Micros
-	Fault  int  // which fault of the scenario
-	End    bool // it takes the fault back
-	Target int  // place of the server or router struck; -1: all that there are of the kind
-	// Stage of a drain or deploy: 0 it drains, 1 it is gone, 2 its successor starts.
+	Fault  int  // index into the scenario's faults
+	End    bool // the action ends the fault
+	Target int  // index of the affected server or router; -1 for all of the kind
+	// Stage of a drain or deploy: 0 the server drains, 1 it is removed, 2 its replacement starts.
 	Stage int
 }
 
-// String is one line of the timeline.
+// String formats the action as one line of the printed timeline.
 func (a Action) String() string {
 	return fmt.Sprintf("%v fault=%d who=%d stage=%d end=%v", a.At.Duration(), a.Fault, a.Target, a.Stage, a.End)
 }
 
-// Timeline orders all acts of a scenario.
+// Timeline returns all actions of a scenario in order of time.
 func Timeline(s scenario.Scenario, seed uint64) []Action {
-	var all []Action
+	var timeline []Action
 	for i, f := range s.Faults {
 		r := rand.New(rand.NewPCG(seed, 100+uint64(i)))
-		kind := scenario.Kinds[f.Kind]
 		if f.Chance > 0 && r.Float64() >= f.Chance {
 			continue
 		}
-		drawn := func() (at, until event.Micros) {
-			at = f.At.Micros()
-			if f.Spread > 0 {
-				at += event.Micros(r.Int64N(int64(f.Spread)))
-			}
-			return at, at + f.For.Micros()
+		timeline = append(timeline, faultActions(f, i, s, r)...)
+	}
+	slices.SortStableFunc(timeline, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+	return timeline
+}
+
+// faultActions returns the actions of the scenario's fault i at all of its targets.
+func faultActions(f scenario.Fault, i int, s scenario.Scenario, r *rand.Rand) (actions []Action) {
+	kind := scenario.Kinds[f.Kind]
+	switch kind.Strikes() {
+	case "servers", "routers":
+		count := s.Servers.Count
+		if kind.Strikes() == "routers" {
+			count = s.Routers.Count
+		}
+		targets := pick(f, count, r)
+		if f.Kind == "zone_lost" {
+			targets = slices.DeleteFunc(r.Perm(count), func(place int) bool { return s.SiteOf(place) != f.Site })
+			slices.Sort(targets)
+		}
+		if f.Kind == "deploy" || f.Batch > 0 {
+			return rolling(f, i, targets, count, s)
 		}
-		switch kind.Strikes() {
-		case "servers", "routers":
-			among := s.Servers.Count
-			if kind.Strikes() == "routers" {
-				among = s.Routers.Count
-			}
-			struck := pick(f, among, r)
-			if f.Kind == "zone_lost" {
-				struck = slices.DeleteFunc(r.Perm(among), func(place int) bool { return s.SiteOf(place) != f.Site })
-				slices.Sort(struck)
-			}
-			if f.Kind == "deploy" || f.Batch > 0 {
-				all = append(all, rolling(f, i, struck, among, s)...)
-				break
-			}
-			for _, who := range struck {
-				at, until := drawn()
-				all = append(all, strike(f, i, who, at, until, s)...)
-			}
-		default:
-			at, until := drawn()
-			all = append(all, Action{At: at, Fault: i, Target: -1})
-			if until > at {
-				all = append(all, Action{At: until, Fault: i, Target: -1, End: true})
-			}
+		for _, target := range targets {
+			at, until := randomWindow(f, r)
+			actions = append(actions, targetActions(f, i, target, at, until, s)...)
 		}
+	default:
+		at, until := randomWindow(f, r)
+		actions = append(actions, Action{At: at, Fault: i, Target: -1})
+		if until > at {
+			actions = append(actions, Action{At: until, Fault: i, Target: -1, End: true})
+		}
+	}
+	return actions
+}
+
+// randomWindow draws when a fault begins, within its spread, and returns that time and when it ends.
+func randomWindow(f scenario.Fault, r *rand.Rand) (at, until event.Micros) {
+	at = f.At.Micros()
+	if f.Spread > 0 {
+		at += event.Micros(r.Int64N(int64(f.Spread)))
 	}
-	slices.SortStableFunc(all, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
-	return all
+	return at, at + f.For.Micros()
 }
 
-// pick draws who is struck: those named, else a part, and one at least.
-func pick(f scenario.Fault, among int, r *rand.Rand) []int {
+// pick returns the targets of a fault: those that it names, else a random share of count, but at least one.
+func pick(f scenario.Fault, count int, r *rand.Rand) []int {
 	if len(f.Pick) > 0 {
 		return f.Pick
 	}
-	n := max(1, int(math.Round(f.Part*float64(among))))
-	struck := r.Perm(among)[:min(n, among)]
-	slices.Sort(struck)
-	return struck
+	n := max(1, int(math.Round(f.Part*float64(count))))
+	targets := r.Perm(count)[:min(n, count)]
+	slices.Sort(targets)
+	return targets
 }
 
-// strike is one fault at one server or router.
-func strike(f scenario.Fault, i, who int, at, until event.Micros, s scenario.Scenario) []Action {
+// targetActions returns the actions of a fault at one server or router.
+func targetActions(f scenario.Fault, i, target int, at, until event.Micros, s scenario.Scenario) []Action {
 	if f.Kind == "drain" {
-		return retire(i, who, at, until, s)
+		return replaceServer(i, target, at, until, s)
 	}
-	acts := []Action{{At: at, Fault: i, Target: who}}
+	actions := []Action{{At: at, Fault: i, Target: target}}
 	if until > at {
-		acts = append(acts, Action{At: until, Fault: i, Target: who, End: true})
+		actions = append(actions, Action{At: until, Fault: i, Target: target, End: true})
 	}
-	return acts
+	return actions
 }
 
-// retire drains a server, takes it away once what it holds is over, and starts a successor at the end.
-func retire(i, who int, at, until event.Micros, s scenario.Scenario) []Action {
-	longest := event.Micros(0)
+// replaceServer drains a server, removes it when its last request must have ended, and starts a replacement at until.
+func replaceServer(i, target int, at, until event.Micros, s scenario.Scenario) []Action {
+	longestDeadline := event.Micros(0)
 	for _, m := range s.Methods {
-		longest = max(longest, m.Deadline.Micros())
+		longestDeadline = max(longestDeadline, m.Deadline.Micros())
 	}
-	gone := at + s.Discovery.Delay.Micros() + s.Service.DrainGrace.Micros() + longest
-	return []Action{{At: at, Fault: i, Target: who}, {At: gone, Fault: i, Target: who, Stage: 1},
-		{At: max(until, gone+1), Fault: i, Target: who, Stage: 2, End: true}}
+	removeAt := at + s.Discovery.Delay.Micros() + s.Service.DrainGrace.Micros() + longestDeadline
+	return []Action{{At: at, Fault: i, Target: target}, {At: removeAt, Fault: i, Target: target, Stage: 1},
+		{At: max(until, removeAt+1), Fault: i, Target: target, Stage: 2, End: true}}
 }
 
-// rolling strikes batch after batch, evenly over the fault's time.
-func rolling(f scenario.Fault, i int, struck []int, among int, s scenario.Scenario) (acts []Action) {
-	size := max(1, int(math.Round(f.Batch*float64(among))))
-	batches := (len(struck) + size - 1) / size
+// rolling applies a fault to one batch of targets after the other, evenly over the duration of the fault.
+func rolling(f scenario.Fault, i int, targets []int, count int, s scenario.Scenario) (actions []Action) {
+	size := max(1, int(math.Round(f.Batch*float64(count))))
+	batches := (len(targets) + size - 1) / size
 	step := f.For.Micros() / event.Micros(max(1, batches))
-	for n, who := range struck {
+	for n, target := range targets {
 		at := f.At.Micros() + event.Micros(n/size)*step
 		if f.Kind == "deploy" {
-			acts = append(acts, retire(i, who, at, at, s)...)
+			actions = append(actions, replaceServer(i, target, at, at, s)...)
 		} else {
-			acts = append(acts, strike(f, i, who, at, at+step, s)...)
+			actions = append(actions, targetActions(f, i, target, at, at+step, s)...)
 		}
 	}
-	return acts
+	return actions
 }
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -8,7 +8,7 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// A script is the faults of a scenario, each line `kind at for part batch`; below stands what comes of it.
+// Each line of a script is one fault, `kind at for part batch`, with times in ms; the lines below it are its expected timeline.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		s, err := scenario.Parse([]byte(scenario.Commented))
@@ -17,17 +17,17 @@
 		}
 		return tracetest.Steps(script, func(line string, say func(string, ...any)) {
 			var f scenario.Fault
-			at, lasts := 0, 0
-			if _, err := fmt.Sscanf(line, "%s %d %d %g %g", &f.Kind, &at, &lasts, &f.Part, &f.Batch); err != nil {
-				t.Fatal(line, err)
+			at, duration := 0, 0
+			if _, err := fmt.Sscanf(line, "%s %d %d %g %g", &f.Kind, &at, &duration, &f.Part, &f.Batch); err != nil {
+				t.Fatalf("invalid fault %q: %v", line, err)
 			}
-			f.At, f.For = scenario.Span(at*1e6), scenario.Span(lasts*1e6)
+			f.At, f.For = scenario.Span(at*1e6), scenario.Span(duration*1e6)
 			s.Faults = []scenario.Fault{f}
-			acts := Timeline(s, 7)
-			for i, a := range acts {
+			actions := Timeline(s, 7)
+			for i, a := range actions {
 				say("%v", a)
-				if i > 0 && acts[i-1].At > a.At {
-					t.Error("out of order")
+				if i > 0 && actions[i-1].At > a.At {
+					t.Errorf("action %d is at %v, before action %d at %v", i, a.At, i-1, actions[i-1].At)
 				}
 			}
 		})
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -1,5 +1,7 @@
-// Package links is the network between routers: each is reached at an address of the rig, which passes on what comes, UDP
-// and TCP, as the rule of that sender and receiver has it. Chance comes from a seed, packet by packet of each ordered pair.
+// Package links emulates the network between routers with a UDP and TCP proxy in front of each router. Each ordered pair of
+// routers has a rule for loss, delay, duplication, reordering and partitions. Random choices come from a seed, one set per
+// packet and pair, so that a run can be repeated. The lab's fleet and rig use it; all methods may be called from any
+// goroutine.
 package links
 
 import (
@@ -13,127 +15,129 @@
 	"time"
 )
 
-// Rule is what happens on the way from one router to another. The zero value passes all on at once.
+// Rule says how traffic from one router to another is treated. The zero value forwards everything at once.
 type Rule struct {
-	LossShare      float64       // share of packets lost; TCP's come later, as often as they would be sent again
-	Cut            bool          // nothing passes
-	Reset          bool          // with Cut: connections are reset, in place of falling silent
-	Delay          time.Duration // of each packet
-	Jitter         time.Duration // more, evenly from nothing to this
-	DuplicateShare float64       // share that comes twice
-	ReorderShare   float64       // share that comes after others that were sent later
+	LossShare      float64       // share of UDP packets lost; TCP data is delayed instead, as by retransmissions
+	Cut            bool          // nothing is forwarded
+	Reset          bool          // with Cut, connections are reset instead of going silent
+	Delay          time.Duration // added to each packet
+	Jitter         time.Duration // maximum of a further, evenly distributed delay
+	DuplicateShare float64       // share of packets delivered twice
+	ReorderShare   float64       // share of packets that later ones overtake
 }
 
-// late is how much later a packet that changes places comes: behind some turns of gossip.
-const late = 150 * time.Millisecond
+// reorderDelay delays a reordered packet, long enough that some rounds of gossip overtake it.
+const reorderDelay = 150 * time.Millisecond
 
-// Traffic is what passed on a way.
+// Traffic counts what one router sent to another, lost packets included. A read from a TCP connection counts as one packet.
 type Traffic struct{ Packets, Bytes, Lost int64 }
 
-// Network is the network. Routers count from 0.
+// Network forwards the traffic between routers, which are numbered from 0.
 type Network struct {
-	at    []netip.AddrPort // where the routers listen, each on an address of its own
-	front []netip.AddrPort // where they are reached
-	seed  uint64
+	routerAddrs []netip.AddrPort // addresses where the routers listen, one IP address each
+	proxyAddrs  []netip.AddrPort // addresses of their proxies
+	seed        uint64
 
-	mu     sync.Mutex
-	pairs  map[[2]int]*pair
-	conns  map[*conn]struct{}
-	closed bool
+	mu          sync.Mutex
+	links       map[[2]int]*link
+	connections map[*connection]struct{}
+	closed      bool
 
 	udp     []*net.UDPConn
 	tcp     []net.Listener
 	running sync.WaitGroup
 }
 
-type pair struct {
+type link struct {
 	rule  Rule
 	rand  *rand.Rand
 	count Traffic
 }
 
-// New begins to pass on. at and front have one address for each router; of TCP so many ports from there on pass.
-func New(at, front []netip.AddrPort, seed uint64, ports int) (*Network, error) {
-	r := &Network{at: at, front: front, seed: seed, pairs: map[[2]int]*pair{}, conns: map[*conn]struct{}{}}
-	for to := range at {
-		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(front[to]))
+// New starts the proxies. Both address lists have one entry per router; for TCP, the given number of consecutive ports is
+// forwarded, beginning with the one of the address.
+func New(routerAddrs, proxyAddrs []netip.AddrPort, seed uint64, ports int) (*Network, error) {
+	nw := &Network{routerAddrs: routerAddrs, proxyAddrs: proxyAddrs, seed: seed, links: map[[2]int]*link{}, connections: map[*connection]struct{}{}}
+	for to := range routerAddrs {
+		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(proxyAddrs[to]))
 		if err == nil {
-			r.udp = append(r.udp, u)
-			for more := range uint16(ports) {
+			nw.udp = append(nw.udp, u)
+			for offset := range uint16(ports) {
 				var l net.Listener
-				if l, err = net.Listen("tcp", beside(front[to], more).String()); err != nil {
+				if l, err = net.Listen("tcp", addPort(proxyAddrs[to], offset).String()); err != nil {
 					break
 				}
-				r.running.Go(func() { r.accept(l, to, beside(at[to], more)) })
-				r.tcp = append(r.tcp, l)
+				nw.running.Go(func() { nw.accept(l, to, addPort(routerAddrs[to], offset)) })
+				nw.tcp = append(nw.tcp, l)
 			}
 		}
 		if err != nil {
-			r.Close()
-			return nil, fmt.Errorf("the rig's way to router %d: %w", to, err)
+			nw.Close()
+			return nil, fmt.Errorf("starting the network proxy of router %d: %w", to, err)
 		}
-		_ = u.SetReadBuffer(1 << 20) // a smaller one only loses more
+		_ = u.SetReadBuffer(1 << 20) // if this fails, more packets are lost
 	}
-	for to := range at {
-		r.running.Go(func() { r.packets(to) })
+	for to := range routerAddrs {
+		nw.running.Go(func() { nw.forwardPackets(to) })
 	}
-	return r, nil
+	return nw, nil
 }
 
-// Close ends all. Routers hear nothing of one another then.
-func (r *Network) Close() {
-	r.mu.Lock()
-	r.closed = true
-	for c := range r.conns {
+// Close stops all proxies and waits for their goroutines. Routers cannot reach each other afterwards.
+func (nw *Network) Close() {
+	nw.mu.Lock()
+	nw.closed = true
+	for c := range nw.connections {
 		c.end(true)
 	}
-	r.mu.Unlock()
-	for _, u := range r.udp {
+	nw.mu.Unlock()
+	for _, u := range nw.udp {
 		u.Close()
 	}
-	for _, l := range r.tcp {
+	for _, l := range nw.tcp {
 		l.Close()
 	}
-	r.running.Wait()
+	nw.running.Wait()
 }
 
-// SetRule gives a way a rule; what is on it already still comes, but for connections that are cut.
-func (r *Network) SetRule(from, to int, rule Rule) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.pair(from, to).rule = rule
-	for c := range r.conns {
+// SetRule sets the rule from one router to another. Packets in flight still arrive; connections are reset if the rule is Cut
+// with Reset.
+func (nw *Network) SetRule(from, to int, rule Rule) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	nw.link(from, to).rule = rule
+	for c := range nw.connections {
 		if rule.Cut && rule.Reset && (c.from == from && c.to == to || c.from == to && c.to == from) {
 			c.end(true)
 		}
 	}
 }
 
-// UpdateRules changes the rule of each way from one of a group to one of another, whoever is in both.
-func (r *Network) UpdateRules(from, to []int, change func(*Rule)) {
+// UpdateRules applies change to the rule of each pair of different routers, the first in from and the second in to.
+func (nw *Network) UpdateRules(from, to []int, change func(*Rule)) {
 	for _, f := range from {
 		for _, t := range to {
 			if f != t {
-				rule := r.Rule(f, t)
+				rule := nw.Rule(f, t)
 				change(&rule)
-				r.SetRule(f, t, rule)
+				nw.SetRule(f, t, rule)
 			}
 		}
 	}
 }
 
-// Rule is that of a way.
-func (r *Network) Rule(from, to int) Rule {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.pair(from, to).rule
+// Rule returns the rule from one router to another.
+func (nw *Network) Rule(from, to int) Rule {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return nw.link(from, to).rule
 }
 
-// Sent is what a router has sent, to all.
-func (r *Network) Sent(from int) (all Traffic) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for p, x := range r.pairs {
+// Sent returns the traffic that a router has sent to all others.
+func (nw *Network) Sent(from int) (all Traffic) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	for p, x := range nw.links {
 		if p[0] == from {
 			all.Packets, all.Bytes, all.Lost = all.Packets+x.count.Packets, all.Bytes+x.count.Bytes, all.Lost+x.count.Lost
 		}
@@ -141,18 +145,18 @@
 	return all
 }
 
-func (r *Network) pair(from, to int) *pair {
-	p := r.pairs[[2]int{from, to}]
+func (nw *Network) link(from, to int) *link {
+	p := nw.links[[2]int{from, to}]
 	if p == nil {
-		p = &pair{rand: rand.New(rand.NewPCG(r.seed, uint64(from)<<32|uint64(to)))}
-		r.pairs[[2]int{from, to}] = p
+		p = &link{rand: rand.New(rand.NewPCG(nw.seed, uint64(from)<<32|uint64(to)))}
+		nw.links[[2]int{from, to}] = p
 	}
 	return p
 }
 
-// who tells which router an address is that of.
-func (r *Network) who(addr netip.Addr) int {
-	for i, a := range r.at {
+// routerAt returns the router that listens on an IP address, or -1.
+func (nw *Network) routerAt(addr netip.Addr) int {
+	for i, a := range nw.routerAddrs {
 		if a.Addr() == addr.Unmap() {
 			return i
 		}
@@ -160,21 +164,21 @@
 	return -1
 }
 
-// packets passes on UDP to one router.
-func (r *Network) packets(to int) {
+// forwardPackets forwards UDP packets to one router until the proxy is closed.
+func (nw *Network) forwardPackets(to int) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, source, err := r.udp[to].ReadFromUDPAddrPort(buf)
+		n, source, err := nw.udp[to].ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		from := r.who(source.Addr())
+		from := nw.routerAt(source.Addr())
 		if err != nil || from < 0 {
 			continue
 		}
-		for _, after := range r.fate(from, to, n) {
+		for _, after := range nw.deliveries(from, to, n) {
 			text := append([]byte(nil), buf[:n]...)
-			send := func() { _, _ = r.udp[from].WriteToUDPAddrPort(text, r.at[to]) } // nobody listens: lost
+			send := func() { _, _ = nw.udp[from].WriteToUDPAddrPort(text, nw.routerAddrs[to]) } // lost if the router is not listening
 			if after == 0 {
 				send()
 			} else {
@@ -184,40 +188,40 @@
 	}
 }
 
-// fate is when a packet comes, and how often.
-func (r *Network) fate(from, to, size int) (after []time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	p := r.pair(from, to)
-	// All draws are made for each packet, so that a rule does not shift those of the next.
-	lost, twice, behind, more := p.rand.Float64(), p.rand.Float64(), p.rand.Float64(), p.rand.Float64()
+// deliveries returns the delay of each copy of a packet that is delivered; none if the packet is lost.
+func (nw *Network) deliveries(from, to, size int) (after []time.Duration) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	p := nw.link(from, to)
+	// Every packet draws the same number of random values, so that a rule does not change the values of later packets.
+	lost, duplicated, reordered, offset := p.rand.Float64(), p.rand.Float64(), p.rand.Float64(), p.rand.Float64()
 	if p.count.Packets, p.count.Bytes = p.count.Packets+1, p.count.Bytes+int64(size); p.rule.Cut || lost < p.rule.LossShare {
 		p.count.Lost++
 		return nil
 	}
-	d := p.rule.Delay + time.Duration(more*float64(p.rule.Jitter))
-	if behind < p.rule.ReorderShare {
-		d += late
+	d := p.rule.Delay + time.Duration(offset*float64(p.rule.Jitter))
+	if reordered < p.rule.ReorderShare {
+		d += reorderDelay
 	}
-	if after = []time.Duration{d}; twice < p.rule.DuplicateShare {
+	if after = []time.Duration{d}; duplicated < p.rule.DuplicateShare {
 		after = append(after, d+time.Millisecond)
 	}
 	return after
 }
 
-// conn is a TCP connection through the rig.
-type conn struct {
+// connection is a TCP connection through a proxy.
+type connection struct {
 	from, to int
-	a, b     *net.TCPConn // the caller's side and the other
+	a, b     *net.TCPConn // to the router that connected, and to its target
 	once     sync.Once
 }
 
-func (c *conn) end(reset bool) {
+func (c *connection) end(reset bool) {
 	c.once.Do(func() {
 		for _, x := range []*net.TCPConn{c.a, c.b} {
 			if x != nil {
 				if reset {
-					_ = x.SetLinger(0) // closed all the same
+					_ = x.SetLinger(0) // if this fails, the connection is closed without a reset
 				}
 				x.Close()
 			}
@@ -225,11 +229,11 @@
 	})
 }
 
-func beside(a netip.AddrPort, more uint16) netip.AddrPort {
-	return netip.AddrPortFrom(a.Addr(), a.Port()+more)
+func addPort(a netip.AddrPort, offset uint16) netip.AddrPort {
+	return netip.AddrPortFrom(a.Addr(), a.Port()+offset)
 }
 
-func (r *Network) accept(l net.Listener, to int, at netip.AddrPort) {
+func (nw *Network) accept(l net.Listener, to int, target netip.AddrPort) {
 	for {
 		a, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -238,50 +242,50 @@
 		if err != nil {
 			continue
 		}
-		r.running.Go(func() { r.connect(to, at, a.(*net.TCPConn)) })
+		nw.running.Go(func() { nw.connect(to, target, a.(*net.TCPConn)) })
 	}
 }
 
-func (r *Network) connect(to int, at netip.AddrPort, a *net.TCPConn) {
+func (nw *Network) connect(to int, target netip.AddrPort, a *net.TCPConn) {
 	source, err := netip.ParseAddrPort(a.RemoteAddr().String())
-	c := &conn{from: r.who(source.Addr()), to: to, a: a}
+	c := &connection{from: nw.routerAt(source.Addr()), to: to, a: a}
 	if err != nil || c.from < 0 {
 		c.end(true)
 		return
 	}
-	// From the address at which the caller is reached, as the packets.
-	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: r.front[c.from].Addr().AsSlice()}}
-	if b, err := d.Dial("tcp", at.String()); err == nil {
-		c.b = b.(*net.TCPConn)
-	} else {
+	// The source is the proxy address of the caller, as it is for packets.
+	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: nw.proxyAddrs[c.from].Addr().AsSlice()}}
+	b, err := d.Dial("tcp", target.String())
+	if err != nil {
 		c.end(true)
 		return
 	}
-	r.mu.Lock()
-	if r.closed {
-		r.mu.Unlock()
+	c.b = b.(*net.TCPConn)
+	nw.mu.Lock()
+	if nw.closed {
+		nw.mu.Unlock()
 		c.end(true)
 		return
 	}
-	r.conns[c] = struct{}{}
-	r.mu.Unlock()
+	nw.connections[c] = struct{}{}
+	nw.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(c, c.a, c.b, c.from, c.to) })
-	both.Go(func() { r.pump(c, c.b, c.a, c.to, c.from) })
+	both.Go(func() { nw.copyStream(c, c.a, c.b, c.from, c.to) })
+	both.Go(func() { nw.copyStream(c, c.b, c.a, c.to, c.from) })
 	both.Wait()
 	c.end(false)
-	r.mu.Lock()
-	delete(r.conns, c)
-	r.mu.Unlock()
+	nw.mu.Lock()
+	delete(nw.connections, c)
+	nw.mu.Unlock()
 }
 
-// pump passes on one direction. A way that is cut takes what comes and passes nothing on, until one side gives up.
-func (r *Network) pump(c *conn, in, out *net.TCPConn, from, to int) {
+// copyStream forwards one direction of a connection. If the link is cut, it discards data until one side closes.
+func (nw *Network) copyStream(c *connection, in, out *net.TCPConn, from, to int) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			wait, cut, reset := r.passes(from, to, n)
+			wait, cut, reset := nw.chunkFate(from, to, n)
 			if reset {
 				c.end(true)
 				return
@@ -298,28 +302,28 @@
 			}
 		}
 		if err != nil {
-			_ = out.CloseWrite() // the other way may go on
+			_ = out.CloseWrite() // the other direction may continue
 			return
 		}
 	}
 }
 
-// passes tells what becomes of a piece of a connection.
-func (r *Network) passes(from, to, size int) (wait time.Duration, cut, reset bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	p := r.pair(from, to)
+// chunkFate decides what happens to data read from a connection: its delay, and whether the connection is cut or reset.
+func (nw *Network) chunkFate(from, to, size int) (wait time.Duration, cut, reset bool) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	p := nw.link(from, to)
 	p.count.Packets, p.count.Bytes = p.count.Packets+1, p.count.Bytes+int64(size)
 	if p.rule.Cut {
 		p.count.Lost++
 		return 0, !p.rule.Reset, p.rule.Reset
 	}
 	wait = p.rule.Delay + time.Duration(p.rand.Float64()*float64(p.rule.Jitter))
-	for again := 200 * time.Millisecond; p.rand.Float64() < p.rule.LossShare; again *= 2 { // as the kernel sends again
-		if p.count.Lost++; again > 3*time.Second {
+	for retransmitAfter := 200 * time.Millisecond; p.rand.Float64() < p.rule.LossShare; retransmitAfter *= 2 { // as the kernel sends again
+		if p.count.Lost++; retransmitAfter > 3*time.Second {
 			return wait, true, false
 		}
-		wait += again
+		wait += retransmitAfter
 	}
 	return wait, false, false
 }
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ways are two routers' addresses that nobody else has.
-func ways(t *testing.T, k int) (at, front []netip.AddrPort) {
+// addresses returns the router and proxy addresses of two routers, in a loopback network that no other test uses.
+func addresses(k int) (at, front []netip.AddrPort) {
 	for i := range 2 {
 		at = append(at, netip.MustParseAddrPort(fmt.Sprintf("127.120.%d.%d:7946", k, i+1)))
 		front = append(front, netip.MustParseAddrPort(fmt.Sprintf("127.120.%d.%d:7946", k, i+101)))
@@ -17,10 +17,10 @@
 	return at, front
 }
 
-// What is lost is the same for the same seed, whatever else changes; a cut way passes nothing, the other all.
-func TestPackets(t *testing.T) {
-	at, front := ways(t, 1)
-	came := func(seed uint64, rule Rule) (got string) {
+// Guards against losses that differ between runs with the same seed, and checks the effect of each kind of rule on packets.
+func TestRulesApplyToPackets(t *testing.T) {
+	at, front := addresses(1)
+	received := func(seed uint64, rule Rule) (got string) {
 		r, err := New(at, front, seed, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -51,36 +51,36 @@
 				return got
 			}
 			if from != front[0] {
-				t.Errorf("a packet of router 0 comes from %v", from)
+				t.Errorf("a packet of router 0 arrived from %v", from)
 			}
 			got += string(buf[:n])
 		}
 	}
-	all := came(1, Rule{})
+	all := received(1, Rule{})
 	if len(all) != 40 {
-		t.Errorf("%d of 40 came with no rule", len(all))
+		t.Errorf("%d of 40 packets arrived without a rule", len(all))
 	}
-	lossy := came(1, Rule{LossShare: 0.3})
-	if again := came(1, Rule{LossShare: 0.3}); again != lossy || len(lossy) < 20 || len(lossy) > 36 {
-		t.Errorf("lost by the same seed: %q and %q", lossy, again)
+	lossy := received(1, Rule{LossShare: 0.3})
+	if again := received(1, Rule{LossShare: 0.3}); again != lossy || len(lossy) < 20 || len(lossy) > 36 {
+		t.Errorf("received with the same seed: %q and %q", lossy, again)
 	}
-	if other := came(2, Rule{LossShare: 0.3}); other == lossy {
-		t.Error("another seed loses the same")
+	if other := received(2, Rule{LossShare: 0.3}); other == lossy {
+		t.Error("different seeds lost the same packets")
 	}
-	if cut := came(1, Rule{Cut: true}); cut != "" {
-		t.Errorf("%q came over a cut way", cut)
+	if cut := received(1, Rule{Cut: true}); cut != "" {
+		t.Errorf("%q arrived over a link that is cut", cut)
 	}
-	if twice := came(1, Rule{DuplicateShare: 1}); len(twice) != 80 {
-		t.Errorf("%d came of 40 sent, each doubled", len(twice))
+	if twice := received(1, Rule{DuplicateShare: 1}); len(twice) != 80 {
+		t.Errorf("%d packets arrived, want two for each of 40", len(twice))
 	}
-	if late := came(1, Rule{ReorderShare: 0.5}); late == all || len(late) != 40 {
-		t.Errorf("in order: %q", late)
+	if late := received(1, Rule{ReorderShare: 0.5}); late == all || len(late) != 40 {
+		t.Errorf("%q arrived, want all packets in another order", late)
 	}
 }
 
-// A connection over a way that is cut falls silent, or is reset.
-func TestConnections(t *testing.T) {
-	at, front := ways(t, 2)
+// A connection over a link that is cut goes silent, or is reset if the rule says so.
+func TestRulesApplyToConnections(t *testing.T) {
+	at, front := addresses(2)
 	r, err := New(at, front, 1, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -105,19 +105,19 @@
 						c.Close()
 						return
 					}
-					_, _ = c.Write(buf[:n]) // the test reads it or not
+					_, _ = c.Write(buf[:n]) // the client may have gone
 				}
 			}()
 		}
 	}()
-	say := func() string {
+	exchange := func() string {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: at[0].Addr().AsSlice()}, Timeout: time.Second}
 		c, err := d.Dial("tcp", front[1].String())
 		if err != nil {
 			return "no connection"
 		}
 		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(500 * time.Millisecond)) // an error shows in Read
+		_ = c.SetDeadline(time.Now().Add(500 * time.Millisecond)) // a failure shows in Read
 		if _, err := c.Write([]byte("hello")); err != nil {
 			return "cut off"
 		}
@@ -137,8 +137,8 @@
 		{Rule{Cut: true, Reset: true}, Rule{}, "cut off"}, {Rule{Delay: 50 * time.Millisecond}, Rule{}, "hello"}, {Rule{}, Rule{}, "hello"}} {
 		r.SetRule(0, 1, c.there)
 		r.SetRule(1, 0, c.back)
-		if got := say(); got != c.want {
-			t.Errorf("%+v, back %+v: %s, not %s", c.there, c.back, got, c.want)
+		if got := exchange(); got != c.want {
+			t.Errorf("rules %+v and %+v back: got %q, want %q", c.there, c.back, got, c.want)
 		}
 	}
 }
--- a/internal/lab/machine/lru.go
+++ b/internal/lab/machine/lru.go
@@ -2,46 +2,46 @@
 
 import "container/list"
 
-// LRU is a bounded set of keys; where it is full the one used longest ago goes.
+// LRU is a bounded set of keys that evicts the least recently used one. It is not safe for concurrent use.
 type LRU struct {
-	most  int
-	at    map[string]*list.Element
-	order *list.List // used last in front
+	capacity int
+	elements map[string]*list.Element
+	order    *list.List // most recently used first
 }
 
-// NewLRU returns a set of at most so many keys.
-func NewLRU(most int) *LRU {
-	return &LRU{most: max(1, most), at: map[string]*list.Element{}, order: list.New()}
+// NewLRU returns an empty set of at most capacity keys, and of one key if capacity is less than one.
+func NewLRU(capacity int) *LRU {
+	return &LRU{capacity: max(1, capacity), elements: map[string]*list.Element{}, order: list.New()}
 }
 
-// Contains tells whether the key is there, and counts as a use.
+// Contains reports whether the key is present, and marks it as used.
 func (l *LRU) Contains(key string) bool {
-	e, ok := l.at[key]
+	e, ok := l.elements[key]
 	if ok {
 		l.order.MoveToFront(e)
 	}
 	return ok
 }
 
-// Put adds a key, or counts as a use.
+// Put adds the key, or marks it as used if it is present.
 func (l *LRU) Put(key string) {
 	if l.Contains(key) {
 		return
 	}
-	if l.order.Len() >= l.most {
+	if l.order.Len() >= l.capacity {
 		oldest := l.order.Back()
-		delete(l.at, l.order.Remove(oldest).(string))
+		delete(l.elements, l.order.Remove(oldest).(string))
 	}
-	l.at[key] = l.order.PushFront(key)
+	l.elements[key] = l.order.PushFront(key)
 }
 
-// Remove takes a key out.
+// Remove deletes the key if it is present.
 func (l *LRU) Remove(key string) {
-	if e, ok := l.at[key]; ok {
+	if e, ok := l.elements[key]; ok {
 		l.order.Remove(e)
-		delete(l.at, key)
+		delete(l.elements, key)
 	}
 }
 
-// Len is how many keys there are.
+// Len returns the number of keys.
 func (l *LRU) Len() int { return l.order.Len() }
--- a/internal/lab/machine/machine.go
+++ b/internal/lab/machine/machine.go
@@ -1,6 +1,6 @@
-// Package machine is the model of one machine that works on requests: cores, a bounded queue, a cold start that warms up,
-// and a fall when a cold machine is asked far more than it can do. It does no I/O and takes the time as an argument, so
-// that a cache server or the origin of the lab behaves alike in every run.
+// Package machine models one machine that processes requests: a number of cores, a bounded queue, reduced capacity after a
+// cold start, and a collapse when a cold machine is overloaded. It does no I/O and takes the time as an argument, so that
+// the cache servers and the origin of the lab, which use it, behave the same in every run. Callers serialize all calls.
 package machine
 
 import (
@@ -9,197 +9,198 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// Job is one piece of work.
+// Job is one unit of work. It belongs to one machine.
 type Job struct {
-	ID    uint64
-	Work  event.Micros // at full speed on one core
-	began event.Micros
-	ends  event.Micros
+	ID        uint64
+	Work      event.Micros // duration at full speed on one core
+	startedAt event.Micros
+	endsAt    event.Micros
 }
 
-// Settings describe a machine. They are fixed for its life.
+// Settings describe a machine. They do not change while it runs.
 type Settings struct {
 	Cores             int
-	QueueLimit        int          // jobs that wait at most; one more is turned away
-	ColdCapacityShare float64      // of its capacity at the start; 1: it is never cold
-	WarmupDuration    event.Micros // until it is warm
-	// A machine that is asked more than CollapseMultiple times what it can do over FallSpan falls over: while cold, or
-	// at any time where FallsWarm says so. 0: never.
+	QueueLimit        int          // maximum number of waiting jobs; further jobs are refused
+	ColdCapacityShare float64      // share of the capacity that is available at the start; 1 for no cold start
+	WarmupDuration    event.Micros // time from the start to full capacity
+	// The machine collapses when the work submitted within CollapseWindow exceeds CollapseMultiple times its capacity: only
+	// while it is cold, or at any time if CollapseWhenWarm is set. With 0 it never collapses.
 	CollapseMultiple float64
 	CollapseWindow   event.Micros
 	CollapseWhenWarm bool
 }
 
-const buckets = 10 // of the window of FallSpan: coarse enough to be cheap, fine enough for a limit three times over
+// buckets divide CollapseWindow: few enough to be cheap, enough to detect an overload of three times the capacity.
+const buckets = 10
 
-// Machine is one life of a machine.
+// Machine is one machine from its start to its end. It is not safe for concurrent use.
 type Machine struct {
-	set     Settings
-	started event.Micros
-	slow    float64 // work takes so many times as long
-	frozen  bool    // jobs go on being taken but none ends
-	since   event.Micros
-	running []*Job
-	waiting []*Job
-	asked   [buckets]float64 // work asked for in each part of the window
-	can     [buckets]float64 // and what could be done
-	bucket  int64
-	seen    int // parts of the window that are whole
-	fallen  bool
-}
-
-// New starts a machine at a time. A warm one has been up for long.
-func New(set Settings, now event.Micros, warm bool) *Machine {
-	m := &Machine{set: set, started: now, slow: 1}
+	settings    Settings
+	bootedAt    event.Micros
+	slowdown    float64 // factor on the duration of jobs
+	frozen      bool    // jobs are accepted but none completes
+	frozenSince event.Micros
+	running     []*Job
+	waiting     []*Job
+	demand      [buckets]float64 // work submitted in each bucket of the window
+	capacity    [buckets]float64 // work that could be done in each bucket
+	bucket      int64            // number of the current bucket, counted from time zero
+	fullBuckets int              // buckets that have passed since the start
+	collapsed   bool
+}
+
+// New returns a machine that starts at now, or one that is already at full capacity if warm is set.
+func New(settings Settings, now event.Micros, warm bool) *Machine {
+	m := &Machine{settings: settings, bootedAt: now, slowdown: 1}
 	if warm {
-		m.started = now - set.WarmupDuration
+		m.bootedAt = now - settings.WarmupDuration
 	}
-	m.bucket = m.part(now)
+	m.bucket = m.bucketAt(now)
 	return m
 }
 
-// CapacityShare is the part of its capacity that the machine has at a time.
+// CapacityShare returns the share of the full capacity that the machine has at now.
 func (m *Machine) CapacityShare(now event.Micros) float64 {
-	age := now - m.started
-	if m.set.WarmupDuration <= 0 || age >= m.set.WarmupDuration {
+	age := now - m.bootedAt
+	if m.settings.WarmupDuration <= 0 || age >= m.settings.WarmupDuration {
 		return 1
 	}
-	return m.set.ColdCapacityShare + (1-m.set.ColdCapacityShare)*max(0, float64(age))/float64(m.set.WarmupDuration)
+	return m.settings.ColdCapacityShare + (1-m.settings.ColdCapacityShare)*max(0, float64(age))/float64(m.settings.WarmupDuration)
 }
 
-// Cold tells whether it is still warming up.
-func (m *Machine) Cold(now event.Micros) bool { return now-m.started < m.set.WarmupDuration }
+// Cold reports whether the machine is still warming up.
+func (m *Machine) Cold(now event.Micros) bool { return now-m.bootedAt < m.settings.WarmupDuration }
 
-// Collapsed tells whether it was pushed over.
-func (m *Machine) Collapsed() bool { return m.fallen }
+// Collapsed reports whether overload has made the machine collapse.
+func (m *Machine) Collapsed() bool { return m.collapsed }
 
-// SetSlowdown makes jobs that begin from now on take so many times as long.
-func (m *Machine) SetSlowdown(times float64) { m.slow = max(times, 0.01) }
+// SetSlowdown multiplies the duration of jobs that start from now on.
+func (m *Machine) SetSlowdown(times float64) { m.slowdown = max(times, 0.01) }
 
-// SetFrozen stops all work, or lets it go on with what was left of it.
+// SetFrozen stops all work, or resumes it where it stopped.
 func (m *Machine) SetFrozen(now event.Micros, on bool) {
 	if on && !m.frozen {
-		m.since = now
+		m.frozenSince = now
 	}
 	if !on && m.frozen {
 		for _, j := range m.running {
-			j.ends += now - max(m.since, j.began)
+			j.endsAt += now - max(m.frozenSince, j.startedAt)
 		}
 	}
 	m.frozen = on
 }
 
-func (m *Machine) part(now event.Micros) int64 {
-	if m.set.CollapseWindow <= 0 {
+func (m *Machine) bucketAt(now event.Micros) int64 {
+	if m.settings.CollapseWindow <= 0 {
 		return 0
 	}
-	return int64(now) * buckets / int64(m.set.CollapseWindow)
+	return int64(now) * buckets / int64(m.settings.CollapseWindow)
 }
 
-// tip counts work asked for, and falls over where a whole window was too much.
-func (m *Machine) tip(now, work event.Micros) {
-	if m.set.CollapseMultiple <= 0 || m.set.CollapseWindow <= 0 {
+// recordDemand adds submitted work to the current bucket and checks each full window for overload.
+func (m *Machine) recordDemand(now, work event.Micros) {
+	if m.settings.CollapseMultiple <= 0 || m.settings.CollapseWindow <= 0 {
 		return
 	}
-	for at := m.part(now); m.bucket < at; {
+	for at := m.bucketAt(now); m.bucket < at; {
 		i := m.bucket % buckets
-		m.can[i] = m.CapacityShare(now) * float64(m.set.Cores) * float64(m.set.CollapseWindow) / buckets
-		m.seen++
-		m.judge(now)
+		m.capacity[i] = m.CapacityShare(now) * float64(m.settings.Cores) * float64(m.settings.CollapseWindow) / buckets
+		m.fullBuckets++
+		m.checkOverload(now)
 		m.bucket++
-		m.asked[m.bucket%buckets] = 0
+		m.demand[m.bucket%buckets] = 0
 	}
-	m.asked[m.bucket%buckets] += float64(work)
+	m.demand[m.bucket%buckets] += float64(work)
 }
 
-func (m *Machine) judge(now event.Micros) {
-	if m.seen < buckets || !m.set.CollapseWhenWarm && !m.Cold(now) {
+func (m *Machine) checkOverload(now event.Micros) {
+	if m.fullBuckets < buckets || !m.settings.CollapseWhenWarm && !m.Cold(now) {
 		return
 	}
-	asked, can := 0.0, 0.0
+	demand, capacity := 0.0, 0.0
 	for i := range buckets {
-		asked, can = asked+m.asked[i], can+m.can[i]
+		demand, capacity = demand+m.demand[i], capacity+m.capacity[i]
 	}
-	m.fallen = m.fallen || asked > m.set.CollapseMultiple*can
+	m.collapsed = m.collapsed || demand > m.settings.CollapseMultiple*capacity
 }
 
-// Submit takes a job, or tells that there is no room for it.
+// Submit starts or queues a job. It returns false if the queue is full or the machine has collapsed.
 func (m *Machine) Submit(now event.Micros, j *Job) bool {
-	m.tip(now, j.Work)
-	if m.fallen {
+	m.recordDemand(now, j.Work)
+	if m.collapsed {
 		return false
 	}
-	if len(m.running) < m.set.Cores {
-		m.begin(now, j)
+	if len(m.running) < m.settings.Cores {
+		m.startJob(now, j)
 		return true
 	}
-	if len(m.waiting) >= m.set.QueueLimit {
+	if len(m.waiting) >= m.settings.QueueLimit {
 		return false
 	}
 	m.waiting = append(m.waiting, j)
 	return true
 }
 
-func (m *Machine) begin(now event.Micros, j *Job) {
-	j.began = now
-	j.ends = now + max(1, event.Micros(float64(j.Work)*m.slow/m.CapacityShare(now)))
+func (m *Machine) startJob(now event.Micros, j *Job) {
+	j.startedAt = now
+	j.endsAt = now + max(1, event.Micros(float64(j.Work)*m.slowdown/m.CapacityShare(now)))
 	m.running = append(m.running, j)
 }
 
-// Cancel takes a job off the machine; false where it is not there any more.
+// Cancel removes a job from the machine. It returns false if the machine does not hold the job.
 func (m *Machine) Cancel(now event.Micros, j *Job) bool {
-	same := func(x *Job) bool { return x == j }
+	isJob := func(x *Job) bool { return x == j }
 	n := len(m.running) + len(m.waiting)
-	m.waiting = slices.DeleteFunc(m.waiting, same)
-	m.running = slices.DeleteFunc(m.running, same)
+	m.waiting = slices.DeleteFunc(m.waiting, isJob)
+	m.running = slices.DeleteFunc(m.running, isJob)
 	if len(m.running)+len(m.waiting) == n {
 		return false
 	}
-	m.fill(now)
+	m.startWaiting(now)
 	return true
 }
 
-func (m *Machine) fill(now event.Micros) {
-	for len(m.running) < m.set.Cores && len(m.waiting) > 0 {
+func (m *Machine) startWaiting(now event.Micros) {
+	for len(m.running) < m.settings.Cores && len(m.waiting) > 0 {
 		j := m.waiting[0]
 		m.waiting = m.waiting[1:]
-		m.begin(now, j)
+		m.startJob(now, j)
 	}
 }
 
-// Completed returns the jobs that are done by now, in their order, and begins those that waited.
+// Completed removes and returns the jobs that have completed by now, in order of completion, and starts waiting jobs.
 func (m *Machine) Completed(now event.Micros) (done []*Job) {
 	for !m.frozen {
-		first := m.first()
-		if first < 0 || m.running[first].ends > now {
+		nextToEnd := m.nextToEnd()
+		if nextToEnd < 0 || m.running[nextToEnd].endsAt > now {
 			return done
 		}
-		j := m.running[first]
-		m.running = slices.Delete(m.running, first, first+1)
+		j := m.running[nextToEnd]
+		m.running = slices.Delete(m.running, nextToEnd, nextToEnd+1)
 		done = append(done, j)
-		m.fill(j.ends)
+		m.startWaiting(j.endsAt)
 	}
 	return done
 }
 
-func (m *Machine) first() int {
-	first := -1
+func (m *Machine) nextToEnd() int {
+	nextToEnd := -1
 	for i, j := range m.running {
-		if first < 0 || j.ends < m.running[first].ends {
-			first = i
+		if nextToEnd < 0 || j.endsAt < m.running[nextToEnd].endsAt {
+			nextToEnd = i
 		}
 	}
-	return first
+	return nextToEnd
 }
 
-// NextCompletion is when the next job ends; false where none will by itself.
+// NextCompletion returns when the next job completes. It returns false if no job is running or the machine is frozen.
 func (m *Machine) NextCompletion() (event.Micros, bool) {
-	i := m.first()
+	i := m.nextToEnd()
 	if m.frozen || i < 0 {
 		return 0, false
 	}
-	return m.running[i].ends, true
+	return m.running[i].endsAt, true
 }
 
-// Load is what runs and what waits.
+// Load returns the numbers of running and waiting jobs.
 func (m *Machine) Load() (running, waiting int) { return len(m.running), len(m.waiting) }
--- a/internal/lab/machine/machine_test.go
+++ b/internal/lab/machine/machine_test.go
@@ -11,7 +11,8 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// A script drives one machine: `new` with its settings, then a time in ms and what is done. Below stands what came of it.
+// A script drives one machine: `new` with its settings, then lines with a time in ms and a command. The lines below each
+// command are its expected output.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		var m *Machine
@@ -39,7 +40,7 @@
 			for _, j := range m.Completed(now) {
 				for name, x := range jobs {
 					if x == j {
-						say("%s ended at %d", name, j.ends/1000)
+						say("%s ended at %d", name, j.endsAt/1000)
 					}
 				}
 			}
@@ -49,7 +50,7 @@
 				if !m.Submit(now, jobs[name]) {
 					say("no room; fallen=%v", m.Collapsed())
 				}
-			case "flood": // so many jobs of 1 ms
+			case "flood": // submits the given number of 1 ms jobs
 				n := 0
 				for range work {
 					if m.Submit(now, &Job{Work: 1000}) {
@@ -67,39 +68,39 @@
 				running, waiting := m.Load()
 				say("%d run, %d wait, share %.2f", running, waiting, m.CapacityShare(now))
 			default:
-				t.Fatalf("%s is nothing to do", what)
+				t.Fatalf("unknown command %q", what)
 			}
 		})
 	})
 }
 
-// No job is lost or ended twice, whatever happens to the machine.
-func TestJobsAreKept(t *testing.T) {
+// Guards against jobs that are lost or completed twice when the machine is slowed, frozen or has jobs canceled.
+func TestEveryJobCompletesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), QueueLimit: rapid.IntRange(0, 4).Draw(t, "queue"), ColdCapacityShare: 0.2,
 			WarmupDuration: 1e6}, 0, rapid.Bool().Draw(t, "warm"))
-		in := map[*Job]bool{}
+		pending := map[*Job]bool{}
 		now := event.Micros(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += event.Micros(rapid.IntRange(0, 20000).Draw(t, "wait"))
 			for _, j := range m.Completed(now) {
-				if !in[j] {
-					t.Fatal("a job ended that was not there")
+				if !pending[j] {
+					t.Fatal("a job completed that the machine did not hold")
 				}
-				delete(in, j)
+				delete(pending, j)
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				j := &Job{Work: event.Micros(rapid.IntRange(1, 30000).Draw(t, "work"))}
 				if m.Submit(now, j) {
-					in[j] = true
+					pending[j] = true
 				}
 			case 2:
-				for j := range in {
+				for j := range pending {
 					if !m.Cancel(now, j) {
-						t.Fatal("a job was not there")
+						t.Fatal("Cancel did not find a job that the machine holds")
 					}
-					delete(in, j)
+					delete(pending, j)
 					break
 				}
 			case 3:
@@ -107,29 +108,29 @@
 			case 4:
 				m.SetSlowdown(float64(rapid.IntRange(1, 5).Draw(t, "times")))
 			}
-			if running, waiting := m.Load(); running+waiting != len(in) {
-				t.Fatalf("%d run and %d wait of %d", running, waiting, len(in))
+			if running, waiting := m.Load(); running+waiting != len(pending) {
+				t.Fatalf("%d jobs are running and %d waiting, want %d in total", running, waiting, len(pending))
 			}
 		}
 		m.SetFrozen(now, false)
-		if n := len(m.Completed(now + 1e9)); n != len(in) {
-			t.Fatalf("%d of %d ended", n, len(in))
+		if n := len(m.Completed(now + 1e9)); n != len(pending) {
+			t.Fatalf("%d of %d jobs completed", n, len(pending))
 		}
 	})
 }
 
-func TestLRU(t *testing.T) {
+func TestLRU_EvictsLeastRecentlyUsed(t *testing.T) {
 	l := NewLRU(2)
 	l.Put("a")
 	l.Put("b")
 	l.Contains("a")
 	l.Put("c")
 	if l.Contains("b") || !l.Contains("a") || !l.Contains("c") || l.Len() != 2 {
-		t.Error("the key used longest ago must go")
+		t.Error("b was not evicted, although it is the least recently used key")
 	}
 	l.Remove("a")
 	l.Remove("a")
 	if l.Contains("a") || l.Len() != 1 {
-		t.Error("a dropped key is there")
+		t.Error("a removed key is still present")
 	}
 }
--- a/internal/lab/pacer/pacer.go
+++ b/internal/lab/pacer/pacer.go
@@ -1,5 +1,6 @@
-// Package pacer calls at times given ahead, never waiting for what the calls lead to. It sleeps in the kernel on a
-// thread of its own: the timers of the Go runtime were seen 0.5 ms late in the middle and 1 ms at the 99th percentile.
+// Package pacer calls a function on a schedule that is fixed in advance (open loop), independent of how long the work it
+// triggers takes. It sleeps in the kernel on a dedicated thread, because timers of the Go runtime fire 0.5 ms late at the
+// median and 1 ms late at the 99th percentile. The load generators of the lab use it.
 package pacer
 
 import (
@@ -10,13 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Run calls do(i) for each i below n once at(i) has passed since start; at must not fall. It tells by how much the call
-// that was latest came late. It ends early with the context.
+// Run calls do(i, late) for each i in [0, n) once at(i) has elapsed since start; at must not decrease. It runs on the
+// caller's goroutine, which it locks to its thread, and returns the greatest lateness of a call. It returns early if ctx
+// is canceled.
 func Run(ctx context.Context, start time.Time, n int, at func(int) time.Duration, do func(i int, late time.Duration)) (worst time.Duration) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	// By default the kernel may wake a thread 50 us later than asked, to save power.
-	_ = unix.Prctl(unix.PR_SET_TIMERSLACK, 1, 0, 0, 0) // where it is refused, calls are that much later
+	// The default timer slack lets the kernel wake a thread up to 50 us late to save power. If this call fails, calls are
+	// late by as much.
+	_ = unix.Prctl(unix.PR_SET_TIMERSLACK, 1, 0, 0, 0)
 	for i := range n {
 		due := at(i)
 		for {
@@ -27,8 +30,9 @@
 			if ctx.Err() != nil {
 				return worst
 			}
-			nap := unix.NsecToTimespec(int64(min(left, 50*time.Millisecond)))
-			_ = unix.Nanosleep(&nap, nil) // interrupted, it is asked again
+			// Short sleeps, so that a canceled context is noticed.
+			sleep := unix.NsecToTimespec(int64(min(left, 50*time.Millisecond)))
+			_ = unix.Nanosleep(&sleep, nil) // the loop repeats an interrupted sleep
 		}
 		if i%64 == 0 && ctx.Err() != nil {
 			return worst
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,4 +1,5 @@
-// Package process starts router programs and tells what they use. It ends only what it started, by its own handle.
+// Package process runs router programs as child processes and reports their resource usage. The lab's fleet and scale
+// packages use it. It signals only processes that it started, by their own handles.
 package process
 
 import (
@@ -13,15 +14,15 @@
 	"time"
 )
 
-// Process is a running program.
+// Process is a child process. Its methods may be called from any goroutine.
 type Process struct {
 	cmd  *exec.Cmd
 	log  *os.File
 	done chan struct{}
-	err  error
+	err  error // written before done is closed
 }
 
-// Start runs a program with these variables added to the environment; what it writes goes to the end of a file.
+// Start runs a program with the given variables added to the environment. Its output is appended to logfile.
 func Start(program string, args, env []string, logfile string) (*Process, error) {
 	log, err := os.OpenFile(logfile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -30,7 +31,7 @@
 	p := &Process{cmd: exec.Command(program, args...), log: log, done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// Its own group, so that Ctrl-C reaches the lab alone; and it ends with the lab, however that ends.
+	// A process group of its own keeps Ctrl-C from reaching the child. Pdeathsig kills it when the lab exits for any reason.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		log.Close()
@@ -44,31 +45,33 @@
 	return p, nil
 }
 
-// Signal sends a signal; an error where it has ended.
+// Signal sends a signal to the process. It returns an error if the process has exited.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Done is closed once it has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err tells how it ended; nil for an exit with 0. It counts once Done is closed.
+// Err returns how the process ended, or nil for exit status 0. It is valid only after Done is closed.
 func (p *Process) Err() error { return p.err }
 
-// End kills it and waits.
+// End kills the process and waits until it has exited.
 func (p *Process) End() {
-	_ = p.cmd.Process.Kill() // an error: it has ended
+	_ = p.cmd.Process.Kill() // fails only if the process has already exited
 	<-p.done
 }
 
-const ticks = 100 // a second, of the kernel's CPU times as /proc tells them
+// ticksPerSecond is the unit of CPU times in /proc (USER_HZ).
+const ticksPerSecond = 100
 
-// Usage is the CPU time so far and the resident memory; false where it has ended.
+// Usage returns the CPU time used so far and the resident memory in bytes. ok is false if the process has exited.
 func (p *Process) Usage() (cpu time.Duration, rss int64, ok bool) {
 	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return 0, 0, false
 	}
-	// The name in brackets may hold spaces; behind it the 12th and 13th field are user and system time.
+	// The process name is in parentheses and may contain spaces. Of the fields after it, the 12th and 13th are user and
+	// system time and the 22nd is the number of resident pages.
 	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:])
 	if len(fields) < 22 {
 		return 0, 0, false
@@ -79,15 +82,15 @@
 	if err1 != nil || err2 != nil || err3 != nil {
 		return 0, 0, false
 	}
-	return time.Duration(user+system) * time.Second / ticks, pages * int64(os.Getpagesize()), true
+	return time.Duration(user+system) * time.Second / ticksPerSecond, pages * int64(os.Getpagesize()), true
 }
 
-// Listen listens at an address that was listened on a moment ago. A process that is being started beside, by another
-// goroutine, holds copies of all descriptors until it is another program: for that long the address seems to be in use,
-// which ended one of some fifty runs of CI's scenarios.
+// Listen opens a TCP listener at an address whose previous listener was just closed. It retries while the address is in
+// use: a child that another goroutine is starting holds copies of all descriptors between fork and exec, which made about
+// one in fifty CI runs of the scenarios fail.
 func Listen(addr string) (net.Listener, error) {
-	const patience = time.Second
-	for until := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	const retryFor = time.Second
+	for until := time.Now().Add(retryFor); ; time.Sleep(time.Millisecond) {
 		ln, err := net.Listen("tcp", addr)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
 			return ln, err
