--- a/internal/lab/referee/deadline.go
+++ b/internal/lab/referee/deadline.go
@@ -6,34 +6,36 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// leastDeadline may be sent however little is left: deadlines go out in whole milliseconds, and never as none.
-const leastDeadline event.Micros = 1e3
+// minDeadline may be sent however little time is left: deadlines are sent in whole milliseconds and are at least one.
+const minDeadline event.Micros = 1e3
 
-// deadlinesSent judges, for one request, that each attempt tells its server at most the time that its client has left.
-func (j *judge) deadlinesSent(q *req) {
-	for _, w := range q.sent {
-		j.deadlineSent(q, w.begun)
+// deadlinesSent checks that each attempt of a request sends the server a deadline no longer than the time that the client
+// has left.
+func (c *checker) deadlinesSent(q *request) {
+	for _, w := range q.attempts {
+		c.deadlineSent(q, w.received)
 	}
 }
 
-// deadlineSent judges one attempt by its first byte, against what the client itself told: over gRPC that is the call's
-// deadline, and no part of what the router passes on. A client that told none is owed none.
-func (j *judge) deadlineSent(q *req, begun event.Event) {
-	asked := q.asked[q.asking(begun.Router, begun.Since)]
+// deadlineSent checks one attempt at the time of its first byte, against the deadline that the client itself sent: over gRPC
+// that is the deadline of the call, which the router does not forward as it is. If the client sent none, the router need
+// not send one.
+func (c *checker) deadlineSent(q *request, received event.Event) {
+	send := q.sends[q.sendIndex(received.Router, received.Since)]
 	switch {
-	case asked.DeadlineSent == 0:
+	case send.DeadlineSent == 0:
 		return
-	case begun.DeadlineSent == 0:
-		j.add(1, q, begun.Since, fmt.Sprintf("sent to %s with no deadline, though its client told one", begun.Server))
+	case received.DeadlineSent == 0:
+		c.add(1, q, received.Since, fmt.Sprintf("sent to %s with no deadline, though its client told one", received.Server))
 		return
-	case j.died(begun.Router, asked.At, begun.Since): // a process that stood still cannot know how long its client had waited
+	case c.died(received.Router, send.At, received.Since): // a stalled process cannot know how long its client had waited
 		return
 	}
-	left := asked.At + asked.DeadlineSent - begun.Since
-	excess := begun.DeadlineSent - max(leastDeadline, left)
-	// A stall of the lab at either end makes the request seem older than it is to its router.
-	if excess > max(j.slack(asked.At), j.slack(begun.Since)) {
-		j.add(1, q, begun.Since, fmt.Sprintf("sent to %s with a deadline of %v, %v more than its client had left",
-			begun.Server, begun.DeadlineSent.Duration(), excess.Duration()))
+	left := send.At + send.DeadlineSent - received.Since
+	excess := received.DeadlineSent - max(minDeadline, left)
+	// A delay of the lab at either end makes the request seem older than it is to its router.
+	if excess > max(c.slack(send.At), c.slack(received.Since)) {
+		c.add(1, q, received.Since, fmt.Sprintf("sent to %s with a deadline of %v, %v more than its client had left",
+			received.Server, received.DeadlineSent.Duration(), excess.Duration()))
 	}
 }
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -12,8 +12,8 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// A script is a record, an event a line: its time in ms, what it is, and name=value pairs. `judge` shows what the
-// referee makes of all since the last one.
+// A script is a record with one event per line: its time in ms, its kind, and name=value pairs. The command `judge` checks
+// the events since the last one; the lines below it are the expected violations.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		var events []event.Event
@@ -31,7 +31,7 @@
 				}
 				events = nil
 			default:
-				events = append(events, read(t, words))
+				events = append(events, parseEvent(t, words))
 			}
 		})
 	})
@@ -42,20 +42,20 @@
 	Methods: []Method{{Name: "read", Effect: "retryable"}, {Name: "hold", Effect: "deduplicated", Group: "zone", Window: 1e6},
 		{Name: "book", Effect: "non-retryable"}}}
 
-func read(t *testing.T, words []string) event.Event {
+func parseEvent(t *testing.T, words []string) event.Event {
 	e := event.Event{Router: event.NoRouter, Since: -1, Op: -1}
 	ms, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
 		t.Fatal(words, err)
 	}
 	e.At = event.Micros(ms * 1e3)
-	for kind, name := range kinds {
+	for kind, name := range kindNames {
 		if strings.ReplaceAll(name, " ", "-") == words[1] {
 			e.Kind = kind
 		}
 	}
 	if e.Kind == 0 {
-		t.Fatalf("%s is no kind of event", words[1])
+		t.Fatalf("unknown kind of event %q", words[1])
 	}
 	for _, w := range words[2:] {
 		name, value, _ := strings.Cut(w, "=")
@@ -86,19 +86,19 @@
 		case "since":
 			e.Since = event.Micros(n) * 1e3
 		case "how":
-			for o, text := range outcomes {
+			for o, text := range outcomeNames {
 				if strings.ReplaceAll(text, " ", "-") == value {
 					e.Outcome = o
 				}
 			}
 		case "reply":
-			for r, text := range replies {
+			for r, text := range replyNames {
 				if strings.ReplaceAll(text, " ", "-") == value {
 					e.Reply = r
 				}
 			}
 		default:
-			t.Fatalf("%q is no field", name)
+			t.Fatalf("unknown field %q", name)
 		}
 	}
 	if e.Since < 0 && e.Kind == event.AttemptReceived {
@@ -107,8 +107,8 @@
 	return e
 }
 
-// What is judged is a run of minutes: it must not take as long as one.
-func BenchmarkJudge(b *testing.B) {
+// Checking a record of some minutes must take much less time than the run itself.
+func BenchmarkCheck(b *testing.B) {
 	var events []event.Event
 	const ops = 100000
 	for i := range ops {
