--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -103,7 +103,7 @@
 	delays      []event.Event
 	unavailable map[event.Router][]span // from SIGKILL until the next process is up, and while stalled
 	crowds      []span                  // times at which idle clients may use up the file descriptors of the routers
-	violations      []Violation
+	violations  []Violation
 }
 
 // Check reads the events of a run, in order of time, and returns the violations in order of time.
