--- a/internal/lab/cheat/cheat.go
+++ b/internal/lab/cheat/cheat.go
@@ -1,7 +1,9 @@
-// Package cheat holds scripted routers that break one rule each, and an honest one. They exist so that the referee and
-// the stand-ins are themselves put to the test: each cheat must be caught, and the honest one must not be.
+// Package cheat contains faulty routers that violate one rule each, and a correct one. Its tests run them in the lab to
+// verify the referee and the simulated servers and clients: each violation must be detected, and the correct router must
+// pass.
 //
-// A scripted router is no router to use: it dials for every attempt, and knows no health, no retries and no limits.
+// A scripted router is not usable as a router: it opens a connection for every attempt and has no health checks, retries or
+// limits.
 package cheat
 
 import (
@@ -27,40 +29,40 @@
 	"spurtrestle/internal/resp"
 )
 
-// Kind is what a scripted router does wrong.
+// Kind says which rule a scripted router violates.
 type Kind string
 
-// The cheats.
+// The violations.
 const (
-	Honest   Kind = "honest"
-	Twice    Kind = "twice"    // answers twice
-	Never    Kind = "never"    // lets every tenth request hang
-	Late     Kind = "late"     // answers every tenth after its deadline
-	Cutting  Kind = "cutting"  // ends the connection of every tenth that it has sent on
-	Forges   Kind = "forges"   // answers with a value of its own making
-	After    Kind = "after"    // sends an attempt for a request that is answered
-	Parallel Kind = "parallel" // two attempts at once
-	Repeats  Kind = "repeats"  // sends a non-retryable request again though it may have run
-	Hides    Kind = "hides"    // rejections a request that may have run
-	Window   Kind = "window"   // repeats a deduplicated request after its window
-	Strays   Kind = "strays"   // repeats a deduplicated request outside its group
-	Greedy   Kind = "greedy"   // more attempts than are allowed
-	Drains   Kind = "drains"   // goes on sending to servers that drain
-	Floods   Kind = "floods"   // sends all to the server that started last
-	Garbles  Kind = "garbles"  // sends servers what no client sent
-	Serves   Kind = "serves"   // serves what cannot be read
-	Ignores  Kind = "ignores"  // neither answers nor closes on what cannot be read
-	Crashes  Kind = "crashes"  // ends by itself
-	Lingers  Kind = "lingers"  // does not end after SIGTERM
-	Bars     Kind = "bars"     // says yes to operators and goes on sending to a server that they take out
-	Invents  Kind = "invents"  // sends on requests that no client asked for
-
-	FirstDeadlineOrigin Kind = "first-deadline-origin" // sends the origin its client's first deadline, however late it is
+	Correct             Kind = "honest"
+	AnswersTwice        Kind = "twice"    // answers every request twice
+	NeverAnswers        Kind = "never"    // never answers every tenth request
+	AnswersLate         Kind = "late"     // answers every tenth request after its deadline
+	ClosesConnection    Kind = "cutting"  // closes the connection of every tenth request after an attempt
+	ForgesValue         Kind = "forges"   // answers with a value that no server sent
+	AttemptsAfterAnswer Kind = "after"    // sends an attempt for a request that has been answered
+	ParallelAttempts    Kind = "parallel" // sends two attempts at the same time
+	RetriesNonRetryable Kind = "repeats"  // retries a non-retryable request that may have been executed
+	RejectsAfterAttempt Kind = "hides"    // rejects a request that may have been executed
+	RetriesAfterWindow  Kind = "window"   // retries a deduplicated request after its deduplication window
+	RetriesOutsideGroup Kind = "strays"   // retries a deduplicated request outside its deduplication group
+	TooManyAttempts     Kind = "greedy"   // sends more attempts than allowed
+	IgnoresDrain        Kind = "drains"   // keeps sending to draining servers
+	OverloadsColdServer Kind = "floods"   // sends everything to the server that started last
+	SendsUnknownCommand Kind = "garbles"  // sends commands to servers that no client sent
+	AnswersBadInput     Kind = "serves"   // answers malformed input with a value
+	IgnoresBadInput     Kind = "ignores"  // neither answers malformed input nor closes the connection
+	Crashes             Kind = "crashes"  // exits without being told to
+	IgnoresSIGTERM      Kind = "lingers"  // does not exit after SIGTERM
+	IgnoresBan          Kind = "bars"     // confirms an operator's ban of a server and keeps sending to it
+	InventsRequests     Kind = "invents"  // sends requests to servers that no client sent
+
+	FirstDeadlineOrigin Kind = "first-deadline-origin" // sends the origin the client's original deadline, not the remaining time
 	FirstDeadlineCache  Kind = "first-deadline-cache"  // the same with cache servers
-	NoDeadline          Kind = "no-deadline"           // sends the origin none
+	NoDeadline          Kind = "no-deadline"           // sends the origin no deadline
 )
 
-// Starter starts scripted routers within this process.
+// Starter returns a function that starts routers of a kind within this process.
 func Starter(kind Kind) fleet.Starter {
 	return func(s fleet.Spec) (fleet.Instance, error) {
 		text, err := os.ReadFile(s.Config)
@@ -78,18 +80,18 @@
 			return nil, err
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		r := &router{kind: kind, spec: s, ln: ln, done: make(chan struct{}), cancel: cancel, conns: map[net.Conn]bool{}, barred: map[string]bool{}}
-		if _, err := r.take(c.Known); err != nil {
+		r := &router{kind: kind, spec: s, ln: ln, done: make(chan struct{}), cancel: cancel, conns: map[net.Conn]bool{}, banned: map[string]bool{}}
+		if _, err := r.applyServerList(c.Known); err != nil {
 			return nil, err
 		}
-		door, err := net.Listen("tcp", s.Admin)
+		adminListener, err := net.Listen("tcp", s.Admin)
 		if err != nil {
 			return nil, err
 		}
-		context.AfterFunc(ctx, func() { door.Close() })
-		r.work.Go(func() { _ = http.Serve(door, http.HandlerFunc(r.operators)) }) // ends with the admin endpoint
+		context.AfterFunc(ctx, func() { adminListener.Close() })
+		r.work.Go(func() { _ = http.Serve(adminListener, http.HandlerFunc(r.handleAdmin)) }) // returns when the listener is closed
 		r.work.Go(r.accept)
-		r.work.Go(func() { r.watch(ctx) })
+		r.work.Go(func() { r.watchDiscovery(ctx) })
 		if kind == Crashes {
 			time.AfterFunc(1500*time.Millisecond, func() { r.finish(errors.New("exit status 2")) })
 		}
@@ -97,6 +99,7 @@
 	}
 }
 
+// target is a server as discovery describes it.
 type target struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -106,29 +109,35 @@
 	Boot     int64  `json:"boot_ms"`
 }
 
+// router is a scripted router. It runs within the process of the test.
 type router struct {
-	kind   Kind
-	spec   fleet.Spec
-	ln     net.Listener
-	cancel context.CancelFunc
-	work   sync.WaitGroup
-	once   sync.Once
-	done   chan struct{}
-	err    error
-	n      atomic.Int64
-
-	mu     sync.Mutex
-	list   []target
-	barred map[string]bool
-	conns  map[net.Conn]bool
-	inHand atomic.Int64
+	kind     Kind
+	spec     fleet.Spec
+	ln       net.Listener
+	cancel   context.CancelFunc
+	work     sync.WaitGroup
+	once     sync.Once
+	done     chan struct{}
+	err      error
+	requests atomic.Int64
+
+	mu       sync.Mutex
+	servers  []target
+	banned   map[string]bool
+	conns    map[net.Conn]bool
+	inFlight atomic.Int64
 }
 
-func (r *router) Done() <-chan struct{}               { return r.done }
-func (r *router) Err() error                          { return r.err }
-func (r *router) Usage() (time.Duration, int64, bool) { return 0, 0, false }
+// Done returns a channel that is closed when the router has ended.
+func (r *router) Done() <-chan struct{} { return r.done }
+
+// Err returns how the router ended; it is valid after Done is closed.
+func (r *router) Err() error { return r.err }
 
-// End returns once its listener is free: a closed one lives on until nobody accepts on it any more.
+// Usage returns false: a router within the process of the test has no usage of its own.
+func (*router) Usage() (time.Duration, int64, bool) { return 0, 0, false }
+
+// End stops the router and returns once its address is free: a closed listener holds it until the last accept returns.
 func (r *router) End() {
 	r.finish(errors.New("killed"))
 	r.work.Wait()
@@ -148,11 +157,12 @@
 	})
 }
 
+// Signal ends the router in order on SIGTERM, once no request is in flight. It ignores other signals.
 func (r *router) Signal(s os.Signal) error {
-	if s == syscall.SIGTERM && r.kind != Lingers {
+	if s == syscall.SIGTERM && r.kind != IgnoresSIGTERM {
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			for r.inHand.Load() > 0 {
+			for r.inFlight.Load() > 0 {
 				time.Sleep(5 * time.Millisecond)
 			}
 			r.finish(nil)
@@ -161,8 +171,8 @@
 	return nil
 }
 
-// take reads a list; a change of single servers is applied to the old one.
-func (r *router) take(body []byte) (rev int, err error) {
+// applyServerList replaces the list of servers, or applies a change of single servers to it, and returns its revision.
+func (r *router) applyServerList(body []byte) (rev int, err error) {
 	var a struct {
 		Rev     int      `json:"rev"`
 		All     bool     `json:"all"`
@@ -174,23 +184,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.All {
-		r.list = nil
+		r.servers = nil
 	}
 	for _, t := range a.Targets {
-		kept := r.list[:0:0]
-		for _, x := range r.list {
+		kept := r.servers[:0:0]
+		for _, x := range r.servers {
 			if x.UID != t.UID {
 				kept = append(kept, x)
 			}
 		}
-		if r.list = kept; t.State == "active" {
-			r.list = append(r.list, t)
+		if r.servers = kept; t.State == "active" {
+			r.servers = append(r.servers, t)
 		}
 	}
 	return a.Rev, nil
 }
 
-func (r *router) watch(ctx context.Context) {
+func (r *router) watchDiscovery(ctx context.Context) {
 	path := "/registry/instances"
 	for ctx.Err() == nil {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.spec.Discovery+path, nil)
@@ -202,25 +212,25 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		body, _ := io.ReadAll(answer.Body) // what is cut off cannot be read
+		body, _ := io.ReadAll(answer.Body) // a truncated body fails to decode below
 		answer.Body.Close()
-		if r.kind == Drains && path != "/registry/instances" {
+		if r.kind == IgnoresDrain && path != "/registry/instances" {
 			<-ctx.Done()
 			return
 		}
-		rev, err := r.take(body)
+		rev, err := r.applyServerList(body)
 		if err == nil {
 			path = fmt.Sprintf("/registry/instances?index=%d&wait=5000", rev)
 		}
 	}
 }
 
-// operators answers their calls: yes to all.
-func (r *router) operators(_ http.ResponseWriter, q *http.Request) {
-	uid, _ := io.ReadAll(q.Body) // what is cut off is no name
+// handleAdmin confirms every command of an operator to ban or unban a server.
+func (r *router) handleAdmin(_ http.ResponseWriter, q *http.Request) {
+	uid, _ := io.ReadAll(q.Body) // a truncated uid matches no server
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.barred[string(uid)] = strings.HasSuffix(q.URL.Path, "/down")
+	r.banned[string(uid)] = strings.HasSuffix(q.URL.Path, "/down")
 }
 
 func (r *router) accept() {
@@ -232,36 +242,37 @@
 		r.mu.Lock()
 		r.conns[c] = true
 		r.mu.Unlock()
-		go r.client(c)
+		go r.serveClient(c)
 	}
 }
 
+// bounds limit what a command or a reply may hold.
 var bounds = resp.Bounds{Bulk: 1 << 17, Line: 1 << 12, Args: 16}
 
-// cmd is one command of a client.
-type cmd struct {
+// command is one cache command of a client.
+type command struct {
 	verb, key, id, props string
 	value                []byte
 	method               string
 	due                  time.Time
 }
 
-func (r *router) client(c net.Conn) {
+func (r *router) serveClient(c net.Conn) {
 	defer func() {
 		c.Close()
 		r.mu.Lock()
 		delete(r.conns, c)
 		r.mu.Unlock()
 	}()
-	var have []byte
+	var buffered []byte
 	buf := make([]byte, 64<<10)
 	for {
-		words, used, err := resp.Command(have, nil, bounds)
+		words, used, err := resp.Command(buffered, nil, bounds)
 		if err != nil {
 			switch r.kind {
-			case Serves:
+			case AnswersBadInput:
 				_, _ = c.Write([]byte("$2\r\nhi\r\n"))
-			case Ignores:
+			case IgnoresBadInput:
 				time.Sleep(5 * time.Second)
 			default:
 				_, _ = c.Write([]byte("-ERR protocol\r\n"))
@@ -269,38 +280,27 @@
 			return
 		}
 		if used > 0 {
-			if !r.command(c, words) {
+			if !r.handleCommand(c, words) {
 				return
 			}
-			have = append([]byte(nil), have[used:]...)
+			buffered = append([]byte(nil), buffered[used:]...)
 			continue
 		}
-		_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // an error shows in Read
+		_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // a failure shows in Read
 		n, err := c.Read(buf)
 		if err != nil {
-			if len(have) > 0 && r.kind == Ignores {
+			if len(buffered) > 0 && r.kind == IgnoresBadInput {
 				time.Sleep(5 * time.Second)
 			}
 			return
 		}
-		have = append(have, buf[:n]...)
+		buffered = append(buffered, buf[:n]...)
 	}
 }
 
-// command answers one command; false: the connection is to end.
-func (r *router) command(c net.Conn, words [][]byte) bool {
-	reply := func(text []byte) bool {
-		_, err := c.Write(text)
-		return err == nil
-	}
-	verb := string(bytes.ToUpper(words[0]))
-	if verb == "PING" {
-		return reply([]byte("+PONG\r\n"))
-	}
-	if !strings.HasPrefix(verb, "CACHE.") || len(words) < 4 {
-		return reply([]byte("-ERR unknown command\r\n"))
-	}
-	q := cmd{verb: verb, key: string(words[1]), id: string(words[2]), props: string(words[3])}
+// parseCommand reads a command of four words at least.
+func parseCommand(verb string, words [][]byte) command {
+	q := command{verb: verb, key: string(words[1]), id: string(words[2]), props: string(words[3])}
 	if len(words) > 4 {
 		q.value = bytes.Clone(words[4])
 	}
@@ -309,39 +309,56 @@
 		case "c":
 			q.method = value
 		case "d":
-			ms, _ := strconv.ParseFloat(value, 64) // 0 is refused below
+			ms, _ := strconv.ParseFloat(value, 64) // an invalid number counts as 0
 			q.due = time.Now().Add(time.Duration(ms * 1e6))
 		}
 	}
+	return q
+}
+
+// handleCommand answers one command. It returns false if the connection must be closed.
+func (r *router) handleCommand(c net.Conn, words [][]byte) bool {
+	reply := func(text []byte) bool {
+		_, err := c.Write(text)
+		return err == nil
+	}
+	verb := string(bytes.ToUpper(words[0]))
+	if verb == "PING" {
+		return reply([]byte("+PONG\r\n"))
+	}
+	if !strings.HasPrefix(verb, "CACHE.") || len(words) < 4 {
+		return reply([]byte("-ERR unknown command\r\n"))
+	}
+	q := parseCommand(verb, words)
 	if q.id == "" || q.due.IsZero() || q.method == "" || q.method == "x" || q.method == "nothing" || q.method == "unknown" {
-		if r.kind == Serves {
+		if r.kind == AnswersBadInput {
 			return reply([]byte("$2\r\nhi\r\n"))
 		}
 		return reply([]byte("-ERR a req needs more\r\n"))
 	}
-	r.inHand.Add(1)
-	defer r.inHand.Add(-1)
-	tenth := r.n.Add(1)%10 == 0
-	text := r.serve(q)
+	r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
+	tenth := r.requests.Add(1)%10 == 0
+	text := r.handleRequest(q)
 	switch {
-	case r.kind == Twice:
+	case r.kind == AnswersTwice:
 		text = append(text, text...)
-	case r.kind == Never && tenth:
+	case r.kind == NeverAnswers && tenth:
 		time.Sleep(time.Until(q.due) + time.Second)
 		return false
-	case r.kind == Late && tenth:
+	case r.kind == AnswersLate && tenth:
 		time.Sleep(time.Until(q.due) + 200*time.Millisecond)
-	case r.kind == Cutting && tenth:
+	case r.kind == ClosesConnection && tenth:
 		return false
-	case r.kind == Forges:
+	case r.kind == ForgesValue:
 		text = resp.AppendBulk(nil, []byte("made up"))
 	}
 	if !reply(text) {
 		return false
 	}
-	if r.kind == After && tenth {
+	if r.kind == AttemptsAfterAnswer && tenth {
 		time.Sleep(150 * time.Millisecond)
-		_, _ = r.ask(q, r.pick(q, 0)) // the answer is not needed: that it is sent is the cheat
+		_, _ = r.sendAttempt(q, r.serverForKey(q, 0)) // only that it is sent matters
 	}
 	return true
 }
@@ -351,61 +368,71 @@
 	failedLine = []byte("-ERR failed\r\n")
 )
 
-// serve does what an honest router does, but for its cheat.
-func (r *router) serve(q cmd) []byte {
-	if r.kind == Invents && r.n.Load()%10 == 0 {
+// handleRequest does what a correct router does, apart from the violation of its kind. It returns the answer.
+func (r *router) handleRequest(q command) []byte {
+	if r.kind == InventsRequests && r.requests.Load()%10 == 0 {
 		stray := q
 		stray.id = "invented" + q.id
-		_, _ = r.ask(stray, r.pick(q, 0)) // only that it is sent counts
+		_, _ = r.sendAttempt(stray, r.serverForKey(q, 0)) // only that it is sent matters
 	}
-	if r.kind == Garbles {
+	if r.kind == SendsUnknownCommand {
 		q.props = "c=what,d=100"
 	}
-	t := r.pick(q, 0)
+	t := r.serverForKey(q, 0)
 	if t.Endpoint == "" {
 		return busyLine
 	}
 	write := q.verb == "CACHE.SET"
 	if o := r.origin(); write && o.Endpoint != "" {
-		return r.fetch(q, o)
-	}
-	if r.kind == Parallel {
-		go func() { _, _ = r.ask(q, r.pick(q, 1)) }() // the second of the two
-	}
-	if r.kind == Greedy {
-		for i := range 4 {
-			_, _ = r.ask(q, r.pick(q, i)) // each ends before the next
-		}
+		return r.fetchFromOrigin(q, o)
 	}
-	a, err := r.ask(q, t)
+	r.sendExtraAttempts(q)
+	a, err := r.sendAttempt(q, t)
 	switch {
 	case err == nil && a.Kind == '*' && len(a.Items) == 3 && !a.Items[0].Null:
 		return resp.AppendBulk(nil, a.Items[0].Text)
 	case err == nil && a.Kind == '*' && len(a.Items) == 3:
 		if o := r.origin(); o.Endpoint != "" {
-			return r.fetch(q, o)
+			return r.fetchFromOrigin(q, o)
 		}
 		return failedLine
 	case err == nil && a.Kind == '-' && strings.HasPrefix(string(a.Text), "BUSY"), errors.Is(err, errNeverRan):
 		return busyLine
 	}
-	// It may have run.
-	again := -1
+	return r.retry(q, write)
+}
+
+// sendExtraAttempts sends the attempts that routers of some kinds send beside the regular one.
+func (r *router) sendExtraAttempts(q command) {
+	if r.kind == ParallelAttempts {
+		go func() { _, _ = r.sendAttempt(q, r.serverForKey(q, 1)) }() // concurrent with the regular attempt
+	}
+	if r.kind == TooManyAttempts {
+		for i := range 4 {
+			_, _ = r.sendAttempt(q, r.serverForKey(q, i)) // one after the other
+		}
+	}
+}
+
+// retry answers a request whose first attempt may have been executed, after another attempt where the kind of the router
+// has one.
+func (r *router) retry(q command, write bool) []byte {
+	retryOffset := -1
 	switch {
 	case !write:
-		again = 1
-	case r.kind == Hides:
+		retryOffset = 1
+	case r.kind == RejectsAfterAttempt:
 		return busyLine
-	case r.kind == Repeats && q.method == "book":
-		again = 0
-	case r.kind == Strays && q.method == "order":
-		again = 1 // servers stand at the sites in turns: the next one is elsewhere
-	case r.kind == Window && q.method == "order":
+	case r.kind == RetriesNonRetryable && q.method == "book":
+		retryOffset = 0
+	case r.kind == RetriesOutsideGroup && q.method == "order":
+		retryOffset = 1 // servers are assigned to sites in rotation, so the next one is at another site
+	case r.kind == RetriesAfterWindow && q.method == "order":
 		time.Sleep(500 * time.Millisecond)
-		again = 0
+		retryOffset = 0
 	}
-	if again >= 0 {
-		if a, err := r.ask(q, r.pick(q, again)); err == nil && a.Kind == '*' && len(a.Items) == 3 && !a.Items[0].Null {
+	if retryOffset >= 0 {
+		if a, err := r.sendAttempt(q, r.serverForKey(q, retryOffset)); err == nil && a.Kind == '*' && len(a.Items) == 3 && !a.Items[0].Null {
 			return resp.AppendBulk(nil, a.Items[0].Text)
 		}
 	}
@@ -418,7 +445,7 @@
 func (r *router) origin() target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, t := range r.list {
+	for _, t := range r.servers {
 		if t.Kind == "origin" {
 			return t
 		}
@@ -426,14 +453,14 @@
 	return target{}
 }
 
-// pick is the server of a key, or one so many places further.
-func (r *router) pick(q cmd, further int) target {
+// serverForKey returns the cache server of a key, or the one offset places after it.
+func (r *router) serverForKey(q command, offset int) target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var caches []target
 	var newest target
-	for _, t := range r.list {
-		if t.Kind != "origin" && (r.kind == Bars || !r.barred[t.UID]) {
+	for _, t := range r.servers {
+		if t.Kind != "origin" && (r.kind == IgnoresBan || !r.banned[t.UID]) {
 			if caches = append(caches, t); t.Boot > newest.Boot {
 				newest = t
 			}
@@ -442,22 +469,22 @@
 	if len(caches) == 0 {
 		return target{}
 	}
-	if r.kind == Floods && newest.Boot > 0 {
+	if r.kind == OverloadsColdServer && newest.Boot > 0 {
 		return newest
 	}
-	return caches[(int(crc32.ChecksumIEEE([]byte(q.key))%997)+further)%len(caches)]
+	return caches[(int(crc32.ChecksumIEEE([]byte(q.key))%997)+offset)%len(caches)]
 }
 
-var errNeverRan = errors.New("it never ran")
+var errNeverRan = errors.New("the attempt was not executed")
 
-// ask sends an attempt and waits for its answer.
-func (r *router) ask(q cmd, t target) (resp.Reply, error) {
+// sendAttempt sends an attempt to a cache server and waits for the reply.
+func (r *router) sendAttempt(q command, t target) (resp.Reply, error) {
 	c, err := net.DialTimeout("tcp", t.Endpoint, 100*time.Millisecond)
 	if err != nil {
 		return resp.Reply{}, errNeverRan
 	}
 	defer c.Close()
-	_ = c.SetDeadline(q.due.Add(-margin)) // an error shows below
+	_ = c.SetDeadline(q.due.Add(-answerMargin)) // an error shows below
 	words := [][]byte{[]byte(q.verb), []byte(q.key), []byte(q.id), []byte(r.propsForCache(q))}
 	if q.verb == "CACHE.SET" {
 		words = append(words, q.value)
@@ -465,12 +492,12 @@
 	if _, err := c.Write(resp.AppendCommand(nil, words...)); err != nil {
 		return resp.Reply{}, err
 	}
-	var have []byte
+	var buffered []byte
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := c.Read(buf)
-		if have = append(have, buf[:n]...); n > 0 {
-			a, used, bad := resp.ReadReply(have, bounds)
+		if buffered = append(buffered, buf[:n]...); n > 0 {
+			a, used, bad := resp.ReadReply(buffered, bounds)
 			if bad != nil || used > 0 {
 				return a, bad
 			}
@@ -481,9 +508,9 @@
 	}
 }
 
-// fetch has the origin answer.
-func (r *router) fetch(q cmd, o target) []byte {
-	ctx, cancel := context.WithDeadline(context.Background(), q.due.Add(-margin))
+// fetchFromOrigin sends an attempt to the origin and returns the answer to the client.
+func (r *router) fetchFromOrigin(q command, o target) []byte {
+	ctx, cancel := context.WithDeadline(context.Background(), q.due.Add(-answerMargin))
 	defer cancel()
 	method, body := http.MethodGet, io.Reader(nil)
 	if q.verb == "CACHE.SET" {
@@ -495,7 +522,7 @@
 	}
 	req.Header.Set("X-Trace-Id", q.id)
 	req.Header.Set("X-Props", r.propsForOrigin(q))
-	// A connection of its own: the library would send some requests again by itself on one that was kept.
+	// No keep-alive: on a reused connection the library would retry some requests by itself.
 	t := &http.Transport{DisableKeepAlives: true}
 	answer, err := t.RoundTrip(req)
 	if err != nil {
--- a/internal/lab/cheat/cheat_test.go
+++ b/internal/lab/cheat/cheat_test.go
@@ -8,7 +8,7 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-const aside = `
+const readScenario = `
 title = "cheats"
 length = "2500ms"
 sites = ["north", "south"]
@@ -37,7 +37,7 @@
 keys = 200
 `
 
-const through = `
+const writeScenario = `
 title = "cheats on writes"
 length = "2500ms"
 sites = ["north", "south"]
@@ -78,7 +78,7 @@
 share = 0.5
 `
 
-const drained = aside + `
+const drainScenario = readScenario + `
 [[fault]]
 kind = "drain"
 at = "300ms"
@@ -86,7 +86,7 @@
 pick = [0, 1]
 `
 
-const banned = aside + `
+const banScenario = readScenario + `
 [[fault]]
 kind = "ban"
 at = "300ms"
@@ -94,7 +94,7 @@
 pick = [0, 1]
 `
 
-const replaced = aside + `
+const restartScenario = readScenario + `
 [[fault]]
 kind = "kill"
 at = "200ms"
@@ -102,7 +102,7 @@
 pick = [0]
 `
 
-const rubbish = aside + `
+const badInputScenario = readScenario + `
 [[fault]]
 kind = "rubbish"
 at = "200ms"
@@ -110,14 +110,14 @@
 count = 12
 `
 
-// slow: longer than the 50 ms that sockets are granted.
-var slow = strings.NewReplacer(`"2ms"`, `"120ms"`, "rate = 100.0", "rate = 20.0").Replace(aside)
+// slowScenario has attempts that take longer than the referee's tolerance of 50 ms.
+var slowScenario = strings.NewReplacer(`"2ms"`, `"120ms"`, "rate = 100.0", "rate = 20.0").Replace(readScenario)
 
-// lateMisses: a cache server finds out that it lacks a key long after it was asked, so that the origin is asked late.
-var lateMisses = strings.NewReplacer("count = 4\n", "count = 4\nfilled = 0.0\nmiss_work = \"200ms\"\n", "rate = 100.0", "rate = 20.0").Replace(aside)
+// lateMissScenario has cache servers that report a miss long after the attempt, so that the origin is asked late.
+var lateMissScenario = strings.NewReplacer("count = 4\n", "count = 4\nfilled = 0.0\nmiss_work = \"200ms\"\n", "rate = 100.0", "rate = 20.0").Replace(readScenario)
 
-// lateResets: half of the answers get lost, long after the first attempt, so that the next cache server is asked late.
-var lateResets = strings.Replace(slow, `"120ms"`, `"150ms"`, 1) + `
+// lateResetScenario loses half of the replies long after the attempt, so that the next cache server is asked late.
+var lateResetScenario = strings.Replace(slowScenario, `"120ms"`, `"150ms"`, 1) + `
 [[fault]]
 kind = "reset"
 at = "100ms"
@@ -126,54 +126,54 @@
 share = 0.5
 `
 
-// weak: one that is cold can do next to nothing, and so can the origin.
-func weak(text string) string {
+// withWeakServers gives cold servers almost no capacity.
+func withWeakServers(text string) string {
 	return strings.NewReplacer("count = 4\n", "count = 4\ncores = 1\ncold_share = 0.02\ncold_span = \"60s\"\nfall_multiple = 2.0\nfall_span = \"500ms\"\n").Replace(text)
 }
 
-func weakOrigin(text string) string {
+func withWeakOrigin(text string) string {
 	return text + "\n[origin]\ncores = 1\nwork = \"40ms\"\nfall_multiple = 2.0\nfall_span = \"500ms\"\n"
 }
 
-func TestCheatersAreCaught(t *testing.T) {
+func TestRefereeDetectsViolations(t *testing.T) {
 	for _, c := range []struct {
 		kind Kind
 		text string
 		rule int
-		says string
+		want string
 	}{
-		{Twice, aside, 1, "answered what nobody asked"},
-		{Never, aside, 1, "never answered"},
-		{Late, aside, 1, "after its deadline"},
-		{Cutting, aside, 1, "lost: the router ended the connection"},
-		{Forges, aside, 1, "a value that was not made for it"},
-		{After, aside, 1, "after the req was over"},
-		{Serves, rubbish, 1, "was served with a value"},
-		{Parallel, slow, 2, "was out"},
-		{Greedy, aside, 2, "more than the 3 write-outs"},
-		{Repeats, through, 2, "though it may have run at"},
-		{Hides, through, 2, "nacked though it may have run"},
-		{Window, through, 2, "after the window in which repeats are dropped"},
-		{Strays, through, 2, "outside the group"},
-		{Drains, drained, 3, "after the router was told"},
-		{Bars, banned, 3, "after operators had taken it out"},
-		{Floods, weak(replaced), 4, "was pushed over while cold"},
-		{Floods, weakOrigin(replaced), 4, "the origin was pushed over"},
-		{Garbles, aside, 0, "a command no client sent"},
-		{Ignores, rubbish, 0, "got neither an error nor a close"},
-		{Crashes, aside, 0, "ended by itself"},
-		{Lingers, aside, 0, "had not ended by its time"},
-		{Invents, aside, 0, "no client asked for"},
-		{FirstDeadlineOrigin, lateMisses, 1, "more than its client had left"},
-		{FirstDeadlineCache, lateResets, 1, "more than its client had left"},
-		{NoDeadline, lateMisses, 1, "sent to origin with no deadline"},
-		{Honest, aside, -1, ""},
-		{Honest, lateMisses, -1, ""},
-		{Honest, lateResets, -1, ""},
-		{Honest, drained, -1, ""},
-		{Honest, banned, -1, ""},
-		{Honest, rubbish, -1, ""},
-		{Honest, through, -1, ""},
+		{AnswersTwice, readScenario, 1, "answered what nobody asked"},
+		{NeverAnswers, readScenario, 1, "never answered"},
+		{AnswersLate, readScenario, 1, "after its deadline"},
+		{ClosesConnection, readScenario, 1, "lost: the router ended the connection"},
+		{ForgesValue, readScenario, 1, "a value that was not made for it"},
+		{AttemptsAfterAnswer, readScenario, 1, "after the req was over"},
+		{AnswersBadInput, badInputScenario, 1, "was served with a value"},
+		{ParallelAttempts, slowScenario, 2, "was out"},
+		{TooManyAttempts, readScenario, 2, "more than the 3 write-outs"},
+		{RetriesNonRetryable, writeScenario, 2, "though it may have run at"},
+		{RejectsAfterAttempt, writeScenario, 2, "nacked though it may have run"},
+		{RetriesAfterWindow, writeScenario, 2, "after the window in which repeats are dropped"},
+		{RetriesOutsideGroup, writeScenario, 2, "outside the group"},
+		{IgnoresDrain, drainScenario, 3, "after the router was told"},
+		{IgnoresBan, banScenario, 3, "after operators had taken it out"},
+		{OverloadsColdServer, withWeakServers(restartScenario), 4, "was pushed over while cold"},
+		{OverloadsColdServer, withWeakOrigin(restartScenario), 4, "the origin was pushed over"},
+		{SendsUnknownCommand, readScenario, 0, "a command no client sent"},
+		{IgnoresBadInput, badInputScenario, 0, "got neither an error nor a close"},
+		{Crashes, readScenario, 0, "ended by itself"},
+		{IgnoresSIGTERM, readScenario, 0, "had not ended by its time"},
+		{InventsRequests, readScenario, 0, "no client asked for"},
+		{FirstDeadlineOrigin, lateMissScenario, 1, "more than its client had left"},
+		{FirstDeadlineCache, lateResetScenario, 1, "more than its client had left"},
+		{NoDeadline, lateMissScenario, 1, "sent to origin with no deadline"},
+		{Correct, readScenario, -1, ""},
+		{Correct, lateMissScenario, -1, ""},
+		{Correct, lateResetScenario, -1, ""},
+		{Correct, drainScenario, -1, ""},
+		{Correct, banScenario, -1, ""},
+		{Correct, badInputScenario, -1, ""},
+		{Correct, writeScenario, -1, ""},
 	} {
 		t.Run(string(c.kind), func(t *testing.T) {
 			t.Parallel()
@@ -186,12 +186,12 @@
 				t.Fatal(err)
 			}
 			for _, b := range r.Broken {
-				if b.Rule == c.rule && strings.Contains(b.What, c.says) {
+				if b.Rule == c.rule && strings.Contains(b.What, c.want) {
 					return
 				}
 			}
 			if c.rule >= 0 || len(r.Broken) > 0 {
-				t.Errorf("%d rule breaks", len(r.Broken))
+				t.Errorf("%d violations; want one of rule %d with %q, or none for rule -1", len(r.Broken), c.rule, c.want)
 				for _, b := range r.Broken[:min(3, len(r.Broken))] {
 					t.Error(b, strings.Join(b.Evidence, "\n"))
 				}
--- a/internal/lab/cheat/deadline.go
+++ b/internal/lab/cheat/deadline.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// margin is how long before a client's deadline a scripted router gives up an attempt, so as to answer in time.
-const margin = 30 * time.Millisecond
+// answerMargin is how long before a client's deadline a scripted router abandons an attempt, so that it can answer in time.
+const answerMargin = 30 * time.Millisecond
 
-// propsForCache are the props of an attempt that goes out now to a cache server.
-func (r *router) propsForCache(q cmd) string {
+// propsForCache returns the properties of an attempt that is sent now to a cache server.
+func (r *router) propsForCache(q command) string {
 	if r.kind == FirstDeadlineCache {
 		return q.props
 	}
-	return withDeadline(q.props, time.Until(q.due)-margin)
+	return withDeadline(q.props, time.Until(q.due)-answerMargin)
 }
 
-// propsForOrigin are the props of an attempt that goes out now to the origin.
-func (r *router) propsForOrigin(q cmd) string {
+// propsForOrigin returns the properties of an attempt that is sent now to the origin.
+func (r *router) propsForOrigin(q command) string {
 	switch r.kind {
 	case FirstDeadlineOrigin:
 		return q.props
 	case NoDeadline:
 		return withoutDeadline(q.props)
 	}
-	return withDeadline(q.props, time.Until(q.due)-margin)
+	return withDeadline(q.props, time.Until(q.due)-answerMargin)
 }
 
-// withDeadline has props tell what is left, in whole milliseconds and one at least; the rest stays as it came.
+// withDeadline sets the deadline in props to the time left, in whole milliseconds and at least one. The rest is unchanged.
 func withDeadline(props string, left time.Duration) string {
 	sent := "d=" + strconv.FormatInt(max(1, left.Milliseconds()), 10)
 	parts := strings.Split(props, ",")
