--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -9,16 +9,16 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// The operators' ordinary day: so many restarts of so many routers.
+// The rate of ordinary restarts: restartsPerDay in a fleet of routersOfTheFleet.
 const (
 	restartsPerDay    = 5900.0
 	routersOfTheFleet = 14000.0
 	secondsPerDay     = 24 * 60 * 60
-	herd              = 10 // times the ordinary pace
+	herdFactor        = 10 // times the ordinary rate of restarts
 )
 
-// strike has the trial's fault strike until a time.
-func (t *trial) strike(ctx context.Context, until time.Time) error {
+// applyFault applies the fault of the trial until a time.
+func (t *trial) applyFault(ctx context.Context, until time.Time) error {
 	switch t.out.Fault {
 	case result.RegionCut:
 		perRegion := t.scenario.RoutersPerSite * t.scenario.SitesPerRegion
@@ -28,7 +28,7 @@
 	case result.Restarts:
 		return t.restart(ctx, until, 1)
 	case result.RestartsX:
-		return t.restart(ctx, until, herd)
+		return t.restart(ctx, until, herdFactor)
 	case result.SpeakerEnd:
 		t.out.Loss = t.scenario.Loss
 		if err := t.link(linkState{Loss: t.out.Loss}); err != nil {
@@ -39,7 +39,7 @@
 	return sleep(ctx, time.Until(until))
 }
 
-// heal ends what a fault left, and measures how long it takes until all agree again. A loss stays.
+// heal ends the fault and measures how long the views take to agree again. Packet loss continues.
 func (t *trial) heal(ctx context.Context) error {
 	switch t.out.Fault {
 	case result.RegionCut:
@@ -56,23 +56,23 @@
 	return t.settle(ctx, time.Now())
 }
 
-// restarts is how many of a fleet's routers are restarted in a span: one at least, so that something is measured.
+// restarts returns how many routers of a fleet are restarted within a span: at least one, so that something is measured.
 func restarts(routers int, span time.Duration, times float64) int {
 	pace := restartsPerDay / routersOfTheFleet / secondsPerDay * times
 	return max(1, int(pace*float64(routers)*span.Seconds()+0.5))
 }
 
-// restart ends routers in order and starts them again, evenly until a time.
+// restart stops routers in an orderly way and starts them again, evenly distributed until a time.
 func (t *trial) restart(ctx context.Context, until time.Time, times float64) error {
 	span := time.Until(until)
 	n := restarts(t.out.Routers, span, times)
-	return t.every(ctx, span/time.Duration(n), until, func() (request, error) {
-		return request{Kind: requestEnd, Router: t.anyHollow()}, nil
+	return t.stopEvery(ctx, span/time.Duration(n), until, func() (request, error) {
+		return request{Kind: requestEnd, Router: t.randomHollow()}, nil
 	}, 0)
 }
 
-// anyHollow draws a router that is no process of its own.
-func (t *trial) anyHollow() int {
+// randomHollow draws a router that is not a real process.
+func (t *trial) randomHollow() int {
 	for {
 		if router := t.random.IntN(t.out.Routers); !t.isReal[router] {
 			return router
@@ -80,23 +80,24 @@
 	}
 }
 
-// killRepresentatives kills one after the other until a time. Each is started again a while later.
+// killRepresentatives kills one representative after the other until a time and starts each again after a while.
 func (t *trial) killRepresentatives(ctx context.Context, until time.Time) error {
-	return t.every(ctx, time.Duration(t.scenario.KillEvery), until, func() (request, error) {
-		replies, err := t.workers.askAllTheSame(request{Kind: requestRoles})
+	return t.stopEvery(ctx, time.Duration(t.scenario.KillEvery), until, func() (request, error) {
+		replies, err := t.workers.broadcast(request{Kind: requestRoles})
 		var all []int
 		for _, r := range replies {
 			all = append(all, r.Roles...)
 		}
 		if err != nil || len(all) == 0 {
-			return request{}, err // none: they have not been found by then
+			return request{}, err // no representative has been elected yet
 		}
 		return request{Kind: requestKill, Router: all[t.random.IntN(len(all))]}, nil
 	}, time.Duration(t.scenario.BackAfter))
 }
 
-// every ends a router each span until a time, and starts it again after a while. A router that is away is passed over.
-func (t *trial) every(ctx context.Context, span time.Duration, until time.Time, choose func() (request, error), away time.Duration) error {
+// stopEvery stops a router once per span until a time, and starts it again after a while. A router that has not come back yet
+// is skipped.
+func (t *trial) stopEvery(ctx context.Context, span time.Duration, until time.Time, choose func() (request, error), away time.Duration) error {
 	turn := time.NewTicker(span)
 	defer turn.Stop()
 	for time.Now().Before(until) {
@@ -106,7 +107,7 @@
 		}
 		if end.Kind != "" && t.away.leave(end.Router) {
 			t.out.Events++
-			t.away.Go(func() { t.away.back(end.Router, t.again(ctx, end, away)) })
+			t.away.Go(func() { t.away.back(end.Router, t.stopAndRestart(ctx, end, away)) })
 		}
 		select {
 		case <-ctx.Done():
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// again ends a router and starts it after a while.
-func (t *trial) again(ctx context.Context, end request, away time.Duration) error {
+// stopAndRestart stops a router and starts it after a while.
+func (t *trial) stopAndRestart(ctx context.Context, end request, away time.Duration) error {
 	w := t.workers[t.workerOf(end.Router)]
 	if _, err := w.ask(end); err != nil {
 		return err
@@ -130,7 +131,7 @@
 	return err
 }
 
-// away are the routers that were ended and have not come back.
+// away holds the routers that were stopped and have not come back yet.
 type away struct {
 	sync.WaitGroup
 	mu     sync.Mutex
@@ -155,7 +156,7 @@
 	a.failed = errors.Join(a.failed, err)
 }
 
-// all waits until all are back. An error: one could not come back.
+// all waits until all routers are back. It returns an error if one could not be started again.
 func (a *away) all() error {
 	a.Wait()
 	a.mu.Lock()
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Fields of the line "cpu" in /proc/stat, in ticks since the machine's start.
+// Indexes of fields of the line "cpu" in /proc/stat, which count ticks since boot.
 const (
 	fieldIdle   = 3
 	fieldIOWait = 4
-	fieldGuest  = 8 // it and what follows stand in earlier fields already
+	fieldGuest  = 8 // this field and the later ones are included in earlier fields
 )
 
-// tick is the unit of /proc/stat: USER_HZ, which is 100 on all of Linux's platforms that Go runs on.
+// tick is the unit of /proc/stat: USER_HZ is 100 on all Linux platforms that Go supports.
 const tick = 10 * time.Millisecond
 
-// machineBusy is the processor time that all processes of this machine used since its start, over all cores.
+// machineBusy returns the CPU time that all processes of this machine have used since boot, over all cores.
 func machineBusy() (time.Duration, error) {
 	file, err := os.Open("/proc/stat")
 	if err != nil {
@@ -32,11 +32,11 @@
 	return busyIn(line)
 }
 
-// busyIn sums the processor time of a line such as "cpu  10 0 20 1000 5 0 1 0 0 0", without what was idle.
+// busyIn sums the CPU time of a line such as "cpu  10 0 20 1000 5 0 1 0 0 0", without idle time.
 func busyIn(line string) (time.Duration, error) {
 	fields := strings.Fields(line)
 	if len(fields) <= fieldIOWait+1 || fields[0] != "cpu" {
-		return 0, fmt.Errorf("/proc/stat begins with %q, and not with the times of all cores", line)
+		return 0, fmt.Errorf("/proc/stat begins with %q instead of the times of all cores", line)
 	}
 	var busy time.Duration
 	for i, field := range fields[1:] {
@@ -45,7 +45,7 @@
 		}
 		var ticks int64
 		if _, err := fmt.Sscan(field, &ticks); err != nil {
-			return 0, fmt.Errorf("/proc/stat: %q is no number of ticks", field)
+			return 0, fmt.Errorf("/proc/stat: %q is not a number of ticks", field)
 		}
 		if i != fieldIdle && i != fieldIOWait {
 			busy += time.Duration(ticks) * tick
@@ -54,8 +54,8 @@
 	return busy, nil
 }
 
-// otherLoad is how many cores others than the workers used in a span. The clock of /proc/stat is coarser than that of the
-// workers, so that a little less than nothing counts as nothing.
+// otherLoad returns how many cores were used in a span by processes other than the workers. The clock of /proc/stat is coarser
+// than that of the workers, so a small negative difference counts as zero.
 func otherLoad(machine, workers, span time.Duration) float64 {
 	return max(0, (machine-workers).Seconds()/span.Seconds())
 }
--- a/internal/lab/scale/load_test.go
+++ b/internal/lab/scale/load_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-func TestBusyIsAllThatIsNotIdle(t *testing.T) {
+func TestBusyIn_ExcludesIdleTime(t *testing.T) {
 	busy, err := busyIn("cpu  100 10 50 9000 800 3 7 30 60 5\n")
 	if err != nil || busy != 2*time.Second {
 		t.Errorf("%v, %v", busy, err)
 	}
 	for _, wrong := range []string{"", "cpu0 1 2 3 4 5 6", "cpu 1 2 3", "cpu 1 x 3 4 5 6 7 8"} {
 		if _, err := busyIn(wrong); err == nil {
-			t.Errorf("%q was read", wrong)
+			t.Errorf("%q was accepted", wrong)
 		}
 	}
 }
 
-// What this process uses by itself is not others' load.
-func TestOwnWorkIsNotOthersLoad(t *testing.T) {
+// The CPU time of the workers must not count as load of other processes.
+func TestOtherLoad_ExcludesWorkers(t *testing.T) {
 	if load := otherLoad(9*time.Second, 5*time.Second, 2*time.Second); load != 2 {
 		t.Errorf("%v cores", load)
 	}
--- a/internal/lab/scale/main_test.go
+++ b/internal/lab/scale/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The test's own program is the worker of the runs that it plays.
+// workerArgument makes the test program act as a worker of the runs that it starts.
 const workerArgument = "scale-worker"
 
 func TestMain(m *testing.M) {
--- a/internal/lab/scale/rates.go
+++ b/internal/lab/scale/rates.go
@@ -7,9 +7,9 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// This file: from counts at a window's beginning and end to the rates of its result.
+// This file turns the counts at the beginning and end of a measurement into rates.
 
-// workersUsed is the processor time of all workers between two counts.
+// workersUsed returns the CPU time that all workers used between two counts.
 func workersUsed(before, after []reply) (used time.Duration) {
 	for i := range after {
 		used += after[i].Usage.CPU - before[i].Usage.CPU
@@ -17,7 +17,7 @@
 	return used
 }
 
-// rates makes the trial's rates of two counts.
+// rates computes the rates of the trial from two counts.
 func (t *trial) rates(before, after []reply, span time.Duration) {
 	t.out.Measured = span.Seconds()
 	each := float64(t.hollowRouters())
@@ -47,7 +47,7 @@
 	}
 }
 
-// totals are the counts by router, over all of its processes.
+// totals returns the counts by router, summed over all of its processes.
 func totals(replies []reply) map[int]fleet.TrafficCounts {
 	all := map[int]fleet.TrafficCounts{}
 	for _, r := range replies {
@@ -60,13 +60,13 @@
 	return all
 }
 
-// rate is bytes and messages a second.
+// rate is in bytes and messages per second.
 type rate struct{ bytes, messages float64 }
 
 // routerRate is a router's traffic by mechanism.
 type routerRate [fleet.TrafficKinds]struct{ sent, received rate }
 
-// rateSince is the traffic between two counts.
+// rateSince returns the rate of traffic between two counts.
 func rateSince(was, now fleet.TrafficCounts, span time.Duration) (r routerRate) {
 	of := func(now, was fleet.Count) rate {
 		return rate{float64(now.Bytes-was.Bytes) / span.Seconds(), float64(now.Messages-was.Messages) / span.Seconds()}
@@ -92,7 +92,7 @@
 	return sum
 }
 
-// usage is that of one of so many routers which have this traffic together.
+// usage adds the mean traffic of one router to used, if the given number of routers have this traffic together.
 func (r routerRate) usage(routers float64, used result.Usage) result.Usage {
 	for _, m := range r {
 		used.BytesIn += m.received.bytes / routers
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -23,39 +23,39 @@
 )
 
 const (
-	realReady   = 10 * time.Second // until a started process answers at its admin endpoint
+	realReady   = 10 * time.Second // timeout for a started process to answer at its admin endpoint
 	realPoll    = 20 * time.Millisecond
-	realTimeout = 2 * time.Second // for one answer
+	realTimeout = 2 * time.Second // of one HTTP request
 )
 
-// realRouters are processes of the router's own program. Half of them take the places of some routers of the fleet; the
-// others are the same with their fleet switched off, so that the difference is what membership costs a process.
+// realRouters are processes of the router program. Half of them are members of the fleet in place of hollow routers; the others
+// run with their fleet switched off, so that the difference is the cost of membership for a process.
 type realRouters struct {
 	network  labfleet.Network
 	registry *registry.Registry
 	settings scenario.Scenario
 	client   http.Client
-	dir      string // for configurations and logs
+	dir      string // of configurations and logs
 	members  []realRouter
 	alone    []realRouter
 }
 
-// realRouter is one process.
+// realRouter is one process of the router program.
 type realRouter struct {
-	index   int // of the fleet's router whose place it has
+	index   int // of the router in the fleet that it replaces, or stands beside
 	admin   string
 	process *process.Process
 	log     string
 }
 
-// realSample is what one process has used and counted so far.
+// realSample is the usage and traffic of one process so far.
 type realSample struct {
-	traffic fleet.TrafficCounts // of a member alone
+	traffic fleet.TrafficCounts // zero if its fleet is switched off
 	cpu     time.Duration
 	memory  int64
 }
 
-// realIndexes spreads some real routers evenly over a fleet.
+// realIndexes returns the indexes of real routers, spread evenly over the fleet.
 func realIndexes(real, routers int) (all []int) {
 	for i := range real {
 		all = append(all, (2*i+1)*routers/(2*real))
@@ -63,7 +63,7 @@
 	return all
 }
 
-// startReal starts a process for each of these routers, and one alone beside each, and waits until all answer.
+// startReal starts two processes for each spec, one as a member and one with its fleet switched off, and waits until all answer.
 func startReal(ctx context.Context, program string, routers int, specs []routerSpec) (r *realRouters, err error) {
 	r = &realRouters{settings: scenario.Default(), client: http.Client{Timeout: realTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	defer func() {
@@ -83,7 +83,7 @@
 	if r.registry, err = registry.Start(event.NewLog(), r.settings.Discovery, r.network.Discovery()); err != nil {
 		return r, err
 	}
-	// A server that nobody asks: without one in the list a router takes no clients.
+	// A server that gets no requests: a router accepts no clients unless discovery lists a server.
 	r.registry.Set(registry.Entry{UID: "s0", Zone: r.settings.Sites[0], Kind: "cache", State: "active",
 		Addr: func(i event.Router) string { return r.network.Server(0)[i] }}, true)
 	for i, spec := range specs {
@@ -101,7 +101,7 @@
 	return r, r.waitReady(ctx)
 }
 
-// fleetSection is the part of the operator's file that a hollow router's spec stands for.
+// fleetSection returns the section of the operator's file that corresponds to the spec of a hollow router.
 func fleetSection(spec routerSpec) string {
 	at := address(spec.Network, spec.Index)
 	var text strings.Builder
@@ -113,16 +113,16 @@
 	return text.String()
 }
 
-// tomlStrings writes a list; JSON's form of plain strings is TOML's as well.
+// tomlStrings formats a list of strings; for plain strings the JSON form is valid TOML.
 func tomlStrings(all []string) string {
 	if all == nil {
 		all = []string{}
 	}
-	text, _ := json.Marshal(all) // strings alone: it cannot fail
+	text, _ := json.Marshal(all) // encoding strings cannot fail
 	return string(text)
 }
 
-// start writes the files of one process and starts it. slot is its place in the processes' own network.
+// start writes the files of one process and starts it. slot is its index in the network of the real processes.
 func (r *realRouters) start(program string, slot int, spec routerSpec, operator string) (realRouter, error) {
 	name := func(what string) string { return filepath.Join(r.dir, fmt.Sprintf("p%d.%s", slot, what)) }
 	started := realRouter{index: spec.Index, admin: r.network.Doors()[slot], log: name("log")}
@@ -169,14 +169,14 @@
 	return nil
 }
 
-// failed tells what a process did, with the end of its log, since its folder is removed.
+// failed returns an error that includes the end of the log of the process, since the log file is removed.
 func (router realRouter) failed(what error) error {
 	const most = 500
-	log, _ := os.ReadFile(router.log) // without it the error is the same
+	log, _ := os.ReadFile(router.log) // if it cannot be read, the error lacks it
 	return fmt.Errorf("the real router %d %w; its log ends with %q", router.index, what, log[max(0, len(log)-most):])
 }
 
-// stats are the figures that a process shows.
+// stats returns the statistics that a process shows at its admin endpoint.
 func (r *realRouters) stats(router realRouter) (string, error) {
 	answer, err := r.client.Get("http://" + router.admin + "/ops/stats")
 	if err != nil {
@@ -190,7 +190,7 @@
 	return string(text), err
 }
 
-// sample reads what processes used so far.
+// sample returns the usage and traffic of processes so far.
 func (r *realRouters) sample(routers []realRouter) (all []realSample, err error) {
 	for _, router := range routers {
 		var s realSample
@@ -210,7 +210,7 @@
 	return all, nil
 }
 
-// end kills all processes, and removes their files.
+// end kills all processes and removes their files.
 func (r *realRouters) end() {
 	for _, router := range r.all() {
 		if router.process != nil {
@@ -224,11 +224,11 @@
 		r.network.Close()
 	}
 	if r.dir != "" {
-		_ = os.RemoveAll(r.dir) // it is in the folder for temporary files
+		_ = os.RemoveAll(r.dir) // it is in the temporary directory
 	}
 }
 
-// samplesUsed is the processor time of processes between two samples of each.
+// samplesUsed returns the CPU time that processes used between two samples of each.
 func samplesUsed(before, after []realSample) (used time.Duration) {
 	for i := range after {
 		used += after[i].cpu - before[i].cpu
@@ -236,7 +236,7 @@
 	return used
 }
 
-// realMean is the mean of processes between two samples of each.
+// realMean returns the mean usage of processes between two samples of each.
 func realMean(before, after []realSample, span time.Duration) result.Usage {
 	var sum routerRate
 	var used result.Usage
--- a/internal/lab/scale/realtrial.go
+++ b/internal/lab/scale/realtrial.go
@@ -7,9 +7,9 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// This file: the real routers' part of a trial.
+// This file is the part of a trial that concerns real routers.
 
-// startReal starts the real routers, once the hollow ones have been started.
+// startReal starts the real routers after the hollow ones.
 func (t *trial) startReal(ctx context.Context, router string, started []int) (err error) {
 	if len(t.isReal) == 0 {
 		return nil
@@ -22,7 +22,7 @@
 	return err
 }
 
-// realSamples are of the real routers and of those beside them that are alone.
+// realSamples are samples of the members and of the processes whose fleet is switched off.
 type realSamples struct{ members, alone []realSample }
 
 func (before realSamples) used(after realSamples) time.Duration {
@@ -40,7 +40,7 @@
 	return s, err
 }
 
-// realRates makes the real routers' part of the result.
+// realRates computes the part of the result that concerns real routers.
 func (t *trial) realRates(before, after realSamples, span time.Duration) {
 	if t.real == nil {
 		return
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -11,20 +11,20 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// Options are what a run needs beside its scenario.
+// Options are the parameters of a run apart from its scenario.
 type Options struct {
-	Program  []string // of a worker, with its arguments
-	Router   string   // program of the router, for scenarios with real ones
+	Program  []string // command line of a worker
+	Router   string   // path of the router program, for scenarios with real routers
 	Build    string
 	Cores    int
 	Machine  Machine
-	Progress func(string)            // a line for people
-	Finished func(result.File) error // called after each trial with all that are finished
-	Before   []result.Trial          // of earlier runs, that the result begins with
+	Progress func(string)            // called with a line of progress for people
+	Finished func(result.File) error // called after each trial with all finished trials
+	Before   []result.Trial          // trials of earlier runs, which come first in the result
 }
 
-// Run plays all trials of a scenario. What is finished is returned with an error as well; a trial that was interrupted is not
-// part of it, one that failed is, and says why.
+// Run runs all trials of a scenario. On an error it also returns the finished trials. An interrupted trial is not included; a
+// failed one is, with the reason.
 func Run(ctx context.Context, s Scenario, o Options) (result.File, error) {
 	file := result.File{Format: result.Format, Build: o.Build, Cores: o.Cores, Trials: append([]result.Trial{}, o.Before...)}
 	if err := s.Fits(o.Machine); err != nil {
@@ -37,7 +37,7 @@
 	for i, p := range plans {
 		o.Progress(fmt.Sprintf("trial %d of %d: %s, %s, %d routers, seed %d", i+1, len(plans), s.Topology, p.fault, p.size, p.seed))
 		begin := time.Now()
-		t, err := play(ctx, s, p, o)
+		t, err := runTrial(ctx, s, p, o)
 		if ctx.Err() != nil {
 			return file, ctx.Err()
 		}
@@ -54,7 +54,7 @@
 	return file, nil
 }
 
-// plans are the trials of a scenario: all sizes of a seed before the next seed, so that a run that is interrupted has each.
+// plans returns the trials of a scenario: all sizes of a seed before the next seed, so that an interrupted run has each size.
 func (s Scenario) plans() (all []plan) {
 	for _, f := range s.Faults {
 		for _, seed := range s.Seeds {
@@ -66,21 +66,21 @@
 	return all
 }
 
-// addressesFree refuses a scenario whose addresses somebody listens on, before anything starts.
+// addressesFree returns an error if an address that the scenario needs is in use. It is called before anything starts.
 func (s Scenario) addressesFree() error {
 	n, err := claimNetwork(s.Network)
 	if err != nil {
 		return err
 	}
 	defer n.close()
-	most := 0
+	maxSize := 0
 	for _, size := range s.Sizes {
-		most = max(most, size)
+		maxSize = max(maxSize, size)
 	}
-	return n.taken(most)
+	return n.checkFree(maxSize)
 }
 
-// Kept tells whether the trials at rest keep to the scenario's bound; the error tells what does not.
+// Kept returns an error that names the first bound of the scenario that the trials at rest exceed.
 func (s Scenario) Kept(trials []result.Trial) error {
 	var sizes, bytes []float64
 	for _, t := range trials {
@@ -91,8 +91,8 @@
 		if s.Bound.Bytes > 0 && b > s.Bound.Bytes {
 			return fmt.Errorf("bound.bytes_per_s: a router of %d used %.0f B/s, and %.0f were allowed", t.Routers, b, s.Bound.Bytes)
 		}
-		if most := time.Duration(s.Bound.Settled); most > 0 && (t.AllSettled == nil || *t.AllSettled > most.Seconds()) {
-			return fmt.Errorf("bound.settled: %d routers settled in: %s, and %v was allowed", t.Routers, span(t.AllSettled), most)
+		if limit := time.Duration(s.Bound.Settled); limit > 0 && (t.AllSettled == nil || *t.AllSettled > limit.Seconds()) {
+			return fmt.Errorf("bound.settled: %d routers settled in: %s, and %v was allowed", t.Routers, span(t.AllSettled), limit)
 		}
 		sizes, bytes = append(sizes, math.Log(float64(t.Routers))), append(bytes, math.Log(b))
 	}
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -45,20 +45,20 @@
 			}
 			got := file.Trials[0]
 			if got.Settled == nil || got.AllSettled == nil || got.Change == nil {
-				t.Errorf("it did not settle, or a change was not known everywhere: %+v", got)
+				t.Errorf("views did not settle, or a change did not spread everywhere: %+v", got)
 			}
 			if got.PerRouter.BytesIn == 0 || got.PerRouter.MessagesOut == 0 || len(got.Mechanisms) == 0 || got.Measured < 2 {
-				t.Errorf("nothing was counted: %+v", got)
+				t.Errorf("no traffic was counted: %+v", got)
 			}
 			if restarted := got.Fault == result.RestartsX || got.Fault == result.SpeakerEnd; restarted != (got.Events > 0) {
-				t.Errorf("%d routers were ended", got.Events)
+				t.Errorf("%d routers were stopped", got.Events)
 			}
 		})
 	}
 }
 
-// Processes of the router's program are members like the hollow ones, and show what they count.
-func TestRealRoutersTakePart(t *testing.T) {
+// Processes of the router program are members like the hollow routers and report their traffic.
+func TestRun_RealRoutersJoinTheFleet(t *testing.T) {
 	program, err := testprogram.Fleet()
 	if err != nil {
 		t.Fatal(err)
@@ -74,10 +74,10 @@
 			}
 			got := file.Trials[0]
 			if got.AllSettled == nil || got.Change == nil {
-				t.Errorf("it did not settle, or a change was not known everywhere: %+v", got)
+				t.Errorf("views did not settle, or a change did not spread everywhere: %+v", got)
 			}
 			if got.Real == nil || got.Real.Routers != 2 {
-				t.Fatalf("no real routers: %+v", got)
+				t.Fatalf("no result for real routers: %+v", got)
 			}
 			if p, alone := got.Real.PerRouter, got.Real.Alone; p.BytesIn == 0 || p.BytesOut == 0 || p.Memory == 0 || alone.BytesOut != 0 || alone.Memory == 0 {
 				t.Errorf("%+v", *got.Real)
@@ -85,12 +85,12 @@
 		})
 	}
 	if left := children(t); len(left) > 0 {
-		t.Errorf("processes are left: %v", left)
+		t.Errorf("processes still running: %v", left)
 	}
 }
 
-// A program that ends at once makes the trial an incomplete one, and leaves nothing running.
-func TestRealRouterThatEndsIsTold(t *testing.T) {
+// A router program that exits at once makes the trial incomplete, and leaves no process running.
+func TestRun_ReportsRealRouterThatExits(t *testing.T) {
 	s := small(result.Flat, result.Rest, 3)
 	s.Real = 1
 	o := options()
@@ -100,12 +100,12 @@
 		t.Errorf("%+v", file.Trials)
 	}
 	if left := children(t); len(left) > 0 {
-		t.Errorf("processes are left: %v", left)
+		t.Errorf("processes still running: %v", left)
 	}
 }
 
-// What a router sends is what others receive.
-func TestSentIsReceived(t *testing.T) {
+// The bytes that routers send must match the bytes that routers receive.
+func TestRun_SentMatchesReceived(t *testing.T) {
 	file, err := Run(t.Context(), small(result.Flat, result.Rest, 4), options())
 	if err != nil {
 		t.Fatal(err)
@@ -116,8 +116,8 @@
 	}
 }
 
-// An interrupted run keeps what is finished, and leaves no worker running.
-func TestInterruptedRunKeepsFinishedTrials(t *testing.T) {
+// An interrupted run returns the finished trials and leaves no worker running.
+func TestRun_KeepsFinishedTrialsWhenInterrupted(t *testing.T) {
 	s := small(result.Flat, result.Rest, 2)
 	s.Sizes = []int{2, 4}
 	s.Measure = Span(time.Second)
@@ -130,27 +130,27 @@
 		t.Fatalf("%d trials, %v", len(file.Trials), err)
 	}
 	if left := children(t); len(left) > 0 {
-		t.Errorf("workers are left: %v", left)
+		t.Errorf("workers still running: %v", left)
 	}
 }
 
-// A worker that ends makes its trial an incomplete one; the others are ended.
-func TestWorkerThatEndsLeavesNothingRunning(t *testing.T) {
+// A worker that exits makes its trial incomplete; the other workers are stopped.
+func TestRun_WorkerExitLeavesNothingRunning(t *testing.T) {
 	o := options()
 	o.Program = []string{"/bin/true"}
 	if _, err := Run(t.Context(), small(result.Flat, result.Rest, 2), o); err != nil {
-		t.Fatal(err) // it is in the trial
+		t.Fatal(err) // the failure belongs to the trial
 	}
 	file, _ := Run(t.Context(), small(result.Flat, result.Rest, 2), o)
 	if len(file.Trials) != 1 || !strings.Contains(file.Trials[0].Incomplete, "a worker has ended") {
 		t.Errorf("%+v", file.Trials)
 	}
 	if left := children(t); len(left) > 0 {
-		t.Errorf("workers are left: %v", left)
+		t.Errorf("workers still running: %v", left)
 	}
 }
 
-// children are the processes that this one has started and that have not ended.
+// children returns the running child processes of this one.
 func children(t *testing.T) (left []string) {
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -159,7 +159,7 @@
 	for _, file := range stats {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // it ended just now
+			continue // it has just exited
 		}
 		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 		if len(fields) > 1 && fields[1] == fmt.Sprint(os.Getpid()) {
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -1,12 +1,11 @@
-// Package scale measures what membership costs a router as its fleet grows. It starts many hollow routers - the real
-// membership without any client traffic - in a few worker processes on loopback, lets a fault strike, and counts bytes,
-// messages, CPU, memory and the times until all agree.
+// Package scale measures the cost of membership per router as the fleet grows. It runs many hollow routers (the real membership
+// protocol without client traffic) in a few worker processes on loopback, applies a fault, and measures bytes, messages, CPU,
+// memory and the times until all views agree. cache-routerctl runs it, both as the parent and as the workers.
 //
-// The files: scenario.go, check.go and capacity.go read a run's description and refuse what cannot be run; address.go says
-// who listens where; hollow.go is one hollow router; worker.go is a process of them, which protocol.go's messages steer;
-// workers.go starts and ends those; trial.go plays one trial, faults.go its fault and realtrial.go its real routers, which
-// real.go starts; rates.go and load.go make its figures; run.go plays a whole scenario; table.go
-// prints its result.
+// The files: scenario.go, check.go and capacity.go read a scenario and reject what cannot be run; address.go assigns addresses;
+// hollow.go is one hollow router; worker.go is a process with many of them, controlled by the messages of protocol.go;
+// workers.go starts and stops the workers; trial.go runs one trial, faults.go its fault and realtrial.go its real routers, which
+// real.go starts; rates.go and load.go compute its results; run.go runs a whole scenario; table.go prints the results.
 package scale
 
 import (
@@ -20,10 +19,10 @@
 	"spurtrestle/internal/tomlfile"
 )
 
-// Span is a length of time, in a file as in "250ms" or "1m30s".
+// Span is a duration, written in a file as "250ms" or "1m30s".
 type Span time.Duration
 
-// UnmarshalText reads a span.
+// UnmarshalText parses a span.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -33,51 +32,51 @@
 	return nil
 }
 
-// MarshalText writes a span as it is read.
+// MarshalText formats a span so that UnmarshalText can parse it.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Scenario is a run: a trial for each fault, size and seed.
+// Scenario describes a run: one trial for each fault, size and seed.
 type Scenario struct {
 	Title          string          `toml:"title"`
 	Topology       result.Topology `toml:"topology"`
-	Sizes          []int           `toml:"sizes"` // routers of a fleet
+	Sizes          []int           `toml:"sizes"` // numbers of routers in the fleet
 	Seeds          []uint64        `toml:"seeds"`
 	RoutersPerSite int             `toml:"routers_per_site"`
 	SitesPerRegion int             `toml:"sites_per_region"`
-	Probe          Span            `toml:"probe"` // between two probes of a router
+	Probe          Span            `toml:"probe"` // interval between two probes of a router
 	Faults         []result.Fault  `toml:"faults"`
-	Loss           float64         `toml:"loss"`       // share of all packets that is lost under loss and representative_killed
-	Settle         Span            `toml:"settle"`     // at most, until all agree
-	Calm           Span            `toml:"calm"`       // after that, before anything is measured
-	Measure        Span            `toml:"measure"`    // that the rates are of, and that the fault strikes for
-	Change         Span            `toml:"change"`     // at most, until a change is known everywhere
-	KillEvery      Span            `toml:"kill_every"` // between two representatives killed
-	BackAfter      Span            `toml:"back_after"` // from being killed to the next process of the router
-	Processes      int             `toml:"processes"`  // at most
-	Starts         int             `toml:"starts"`     // routers that each process starts at a time
-	Real           int             `toml:"real"`       // routers of each fleet that are processes of the router's program
-	Network        int             `toml:"network"`    // 127.NETWORK.0.0/16 is used; 0: one that is free
+	Loss           float64         `toml:"loss"`       // share of packets lost under the faults loss and representative_killed
+	Settle         Span            `toml:"settle"`     // timeout for all views to agree
+	Calm           Span            `toml:"calm"`       // pause after that, before anything is measured
+	Measure        Span            `toml:"measure"`    // duration of the measurement and of the fault
+	Change         Span            `toml:"change"`     // timeout for a change to be known everywhere
+	KillEvery      Span            `toml:"kill_every"` // interval between two kills of representatives
+	BackAfter      Span            `toml:"back_after"` // from the kill of a router to its restart
+	Processes      int             `toml:"processes"`  // maximum number of worker processes
+	Starts         int             `toml:"starts"`     // routers that each worker starts concurrently
+	Real           int             `toml:"real"`       // routers of each fleet that are processes of the router program
+	Network        int             `toml:"network"`    // number of the network 127.NETWORK.0.0/16 to use; 0 for any free one
 	Bound          Bound           `toml:"bound"`
 }
 
-// Bound is what a run must keep to at rest. A field that is zero bounds nothing.
+// Bound holds the limits of a run at rest. A field that is zero sets no limit.
 type Bound struct {
-	// Slope is the highest exponent of the bytes of a router over the size of the fleet: 0 is constant, 1 in proportion.
+	// Slope is the greatest exponent of a router's bytes as a power of the fleet's size: 0 is constant, 1 proportional.
 	Slope float64 `toml:"bytes_slope"`
-	Bytes float64 `toml:"bytes_per_s"` // of a router, in and out together
-	// Settled is the longest time from the last start until all routers know that they agree.
+	Bytes float64 `toml:"bytes_per_s"` // per router, sent and received together
+	// Settled is the longest time from the last start until all routers know that their views agree.
 	Settled Span `toml:"settled"`
 }
 
-// Default is a scenario before its file is read.
+// Default returns the scenario that an empty file describes.
 func Default() Scenario {
 	return Scenario{Topology: result.Flat, Seeds: []uint64{1}, RoutersPerSite: 18, SitesPerRegion: 18, Probe: Span(time.Second),
 		Faults: []result.Fault{result.Rest}, Loss: 0.02, Settle: Span(time.Minute), Calm: Span(5 * time.Second),
 		Measure: Span(20 * time.Second),
-		Change:  Span(30 * time.Second), KillEvery: Span(time.Second), BackAfter: Span(5 * time.Second), Processes: mostProcesses, Starts: 8}
+		Change:  Span(30 * time.Second), KillEvery: Span(time.Second), BackAfter: Span(5 * time.Second), Processes: maxProcesses, Starts: 8}
 }
 
-// Read reads a scenario's file. The error has a line for each thing that is wrong.
+// Read reads the file of a scenario. The error has one line for each problem.
 func Read(file string) (Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -101,7 +100,7 @@
 	return []error{err}
 }
 
-// Parse reads the text of a scenario's file.
+// Parse parses the text of a scenario file.
 func Parse(text []byte) (Scenario, error) {
 	s := Default()
 	if err := tomlfile.Decode(text, &s, "docs/scale.md"); err != nil {
@@ -110,13 +109,14 @@
 	return s, errors.Join(check(&s, tomlfile.FieldLines(text))...)
 }
 
-// Sites and regions that a fleet of so many routers has.
+// sites and regions return how many of each a fleet with a number of routers has.
 func (s Scenario) sites(routers int) int { return (routers + s.RoutersPerSite - 1) / s.RoutersPerSite }
 func (s Scenario) regions(routers int) int {
 	return (s.sites(routers) + s.SitesPerRegion - 1) / s.SitesPerRegion
 }
 
-// Part is the scenario with these sizes, seeds and faults alone; none: with all. An error: the scenario does not have one.
+// Part returns the scenario reduced to the given sizes, seeds and faults; an empty list keeps all. It returns an error if the
+// scenario lacks one of them.
 func (s Scenario) Part(sizes []int, seeds []uint64, faults []result.Fault) (part Scenario, err error) {
 	part = s
 	if part.Sizes, err = chosen("sizes", sizes, s.Sizes); err != nil {
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -8,7 +8,7 @@
 	"spurtrestle/internal/scale/result"
 )
 
-func TestParseTellsLineFieldAndRemedy(t *testing.T) {
+func TestParse_ErrorNamesLineFieldAndRemedy(t *testing.T) {
 	const good = "title = \"x\"\nsizes = [12, 25, 50]\n"
 	for name, c := range map[string]struct{ text, want string }{
 		"no routers":          {"title = \"x\"\n", "line 1: sizes: is missing or empty: the run has no routers; name one number"},
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestShelfIsSound(t *testing.T) {
+func TestPublishedScenariosAreValid(t *testing.T) {
 	for _, name := range []string{"quick", "flat", "tiered", "tiered-faults", "flat-faults", "tiered-region-cut", "real"} {
 		if _, err := Read("../../../lab/scale/" + name + ".toml"); err != nil {
 			t.Error(err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFitsRefusesWhatIsPastTheMachine(t *testing.T) {
+func TestFits_RejectsScenariosTooLargeForTheMachine(t *testing.T) {
 	s := Default()
 	s.Sizes = []int{50, 800}
 	err := s.Fits(Machine{Memory: 24 << 30, Files: 20000})
@@ -57,7 +57,7 @@
 	}
 	s.Topology, s.Sizes, s.Real = result.Tiered, []int{50}, 8
 	if err = s.Fits(Machine{Memory: 1 << 30, Files: 20000}); err == nil {
-		t.Error("sixteen processes fit into half a GiB")
+		t.Error("sixteen real processes were accepted with half a GiB of memory")
 	}
 	s.Sizes, s.Real = []int{3200}, 0
 	if err := s.Fits(Machine{Memory: 24 << 30, Files: 20000}); err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestPart(t *testing.T) {
+func TestPart_RejectsUnknownValues(t *testing.T) {
 	s := Default()
 	s.Sizes, s.Seeds = []int{12, 25}, []uint64{1, 2}
 	part, err := s.Part([]int{25}, []uint64{2}, nil)
@@ -76,15 +76,15 @@
 		t.Errorf("%v, %v", part.plans(), err)
 	}
 	if _, err := s.Part([]int{26}, nil, nil); err == nil {
-		t.Error("a size that the scenario does not have was taken")
+		t.Error("a size that the scenario does not have was accepted")
 	}
 	if _, err := s.Part(nil, nil, []result.Fault{result.Loss}); err == nil {
-		t.Error("a fault that the scenario does not have was taken")
+		t.Error("a fault that the scenario does not have was accepted")
 	}
 }
 
-// Bytes that are constant keep to a bound, bytes in proportion to the size do not.
-func TestKept(t *testing.T) {
+// Constant traffic per router satisfies the bound on the slope; traffic in proportion to the size does not.
+func TestKept_ChecksEachBound(t *testing.T) {
 	s := Default()
 	s.Sizes, s.Bound = []int{10, 20, 40}, Bound{Slope: 0.2, Bytes: 2000, Settled: Span(10 * time.Second)}
 	settled, late := 8.0, 12.0
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -9,7 +9,7 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// Table writes a line for each trial.
+// Table writes a table with one line for each trial.
 func Table(w io.Writer, trials []result.Trial) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "topology\tfault\trouters\tseed\tB/s in\tout\tmessages/s\tCPU\tMB\tagreed\tall settled\tchange\tby mechanism, B/s\t")
@@ -43,7 +43,7 @@
 	return "; incomplete: " + t.Incomplete
 }
 
-// summary is a finished trial in a line.
+// summary describes a finished trial in one line.
 func summary(t result.Trial) string {
 	u := t.PerRouter
 	return fmt.Sprintf("%.0f B/s (%s), %.2f%% of a core, %.2f MB, agreed %s, all settled %s, change %s%s%s", u.BytesIn+u.BytesOut, mechanisms(t),
--- a/internal/lab/scale/trial.go
+++ b/internal/lab/scale/trial.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	idleSpan    = time.Second // for which workers without routers are measured
+	idleSpan    = time.Second // for which the workers are measured without routers
 	statusEvery = 250 * time.Millisecond
 	knownEvery  = 100 * time.Millisecond
 )
 
-// trial is one fleet under one fault.
+// trial is one fleet under one fault. It belongs to the goroutine that runs it, apart from away.
 type trial struct {
-	scenario Scenario
-	network  network
-	workers  workers
-	random   *rand.Rand
-	order    []int              // in which the routers start
-	specs    map[int]routerSpec // by which they were started
-	away     away
-	turn     int // of order, at whose router the change is made
-	revision uint64
-	most     int64 // memory that the workers may use together, in bytes
-	isReal   map[int]bool
-	real     *realRouters // nil: there are none
-	out      result.Trial
+	scenario  Scenario
+	network   network
+	workers   workers
+	random    *rand.Rand
+	order     []int              // in which the routers are started
+	specs     map[int]routerSpec // of the routers that were started
+	away      away
+	turn      int // index into order of the router that announces the next change
+	revision  uint64
+	maxMemory int64 // memory in bytes that all workers may use together
+	isReal    map[int]bool
+	real      *realRouters // nil without real routers
+	out       result.Trial
 }
 
-// plan is which trial to play.
+// plan identifies a trial of a scenario.
 type plan struct {
 	fault result.Fault
 	size  int
@@ -44,14 +44,14 @@
 
 var errMemory = errors.New("the workers use more than half of the machine's memory")
 
-// play plays one trial. What was measured until an error is in the result, which tells then why it is incomplete.
-func play(ctx context.Context, s Scenario, p plan, o Options) (result.Trial, error) {
+// runTrial runs one trial. On an error the result holds what was measured until then, and why it is incomplete.
+func runTrial(ctx context.Context, s Scenario, p plan, o Options) (result.Trial, error) {
 	n, err := claimNetwork(s.Network)
 	if err != nil {
 		return result.Trial{}, err
 	}
 	defer n.close()
-	if err := n.taken(p.size); err != nil {
+	if err := n.checkFree(p.size); err != nil {
 		return result.Trial{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -61,7 +61,7 @@
 		return result.Trial{}, err
 	}
 	defer ws.end()
-	t := &trial{scenario: s, specs: map[int]routerSpec{}, away: away{gone: map[int]bool{}}, network: n, workers: ws, random: rand.New(rand.NewPCG(p.seed, uint64(p.size))), most: o.Machine.Memory / 2, isReal: map[int]bool{},
+	t := &trial{scenario: s, specs: map[int]routerSpec{}, away: away{gone: map[int]bool{}}, network: n, workers: ws, random: rand.New(rand.NewPCG(p.seed, uint64(p.size))), maxMemory: o.Machine.Memory / 2, isReal: map[int]bool{},
 		out: result.Trial{Topology: s.Topology, Fault: p.fault, Seed: p.seed, Routers: p.size, Sites: s.sites(p.size), Regions: s.regions(p.size),
 			Probe: time.Duration(s.Probe).Seconds()}}
 	t.order = t.random.Perm(p.size)
@@ -81,7 +81,7 @@
 	return t.out, err
 }
 
-// hollowRouters are those that are no processes of their own.
+// hollowRouters returns the number of routers that are not real processes.
 func (t *trial) hollowRouters() int { return t.out.Routers - len(t.isReal) }
 
 func (t *trial) run(ctx context.Context, router string) error {
@@ -113,7 +113,7 @@
 	return t.change(ctx)
 }
 
-// measureHarness measures what the workers use before there are routers.
+// measureHarness measures the usage of the workers without routers, which is subtracted from the results.
 func (t *trial) measureHarness(ctx context.Context) error {
 	before, err := t.usage()
 	if err != nil {
@@ -132,25 +132,25 @@
 	return nil
 }
 
-// usage is what all workers used so far. They are ended in time when they use too much memory.
+// usage returns the usage of all workers so far, and errMemory if they use too much memory.
 func (t *trial) usage() (sum processUsage, err error) {
-	replies, err := t.workers.askAllTheSame(request{Kind: requestUsage})
+	replies, err := t.workers.broadcast(request{Kind: requestUsage})
 	for _, r := range replies {
 		if r.Usage != nil {
 			sum.CPU += r.Usage.CPU
 			sum.Memory += r.Usage.Memory
 		}
 	}
-	if err == nil && sum.Memory > t.most {
+	if err == nil && sum.Memory > t.maxMemory {
 		err = errMemory
 	}
 	return sum, err
 }
 
-// workerOf is the worker that a router is at. Routers that follow each other are at one worker, and so are most of a site.
+// workerOf returns the worker that runs a router. Consecutive routers, and so most of a site, share a worker.
 func (t *trial) workerOf(router int) int { return router * len(t.workers) / t.out.Routers }
 
-// start starts all hollow routers, some at each worker at a time, and returns which.
+// start starts all hollow routers, a batch at each worker at a time, and returns them in order of their start.
 func (t *trial) start() (started []int, err error) {
 	queues := make([][]int, len(t.workers))
 	for _, r := range t.order {
@@ -184,9 +184,11 @@
 	return started, nil
 }
 
-const mostJoin = 4
+// maxJoin limits how many routers a starting router contacts first.
+const maxJoin = 4
 
-// spec is how a router starts: whom it calls at first follows from the fleet's shape and from who was begun before.
+// spec returns the configuration of a router. The routers that it contacts first depend on the topology and on which were
+// started before.
 func (t *trial) spec(router int, started []int) routerSpec {
 	s := t.scenario
 	site := router / s.RoutersPerSite
@@ -197,7 +199,7 @@
 		return spec
 	}
 	first := site * s.RoutersPerSite
-	for r := first; r < min(first+s.RoutersPerSite, t.out.Routers) && len(spec.Join) < mostJoin; r++ {
+	for r := first; r < min(first+s.RoutersPerSite, t.out.Routers) && len(spec.Join) < maxJoin; r++ {
 		if r != router {
 			spec.Join = append(spec.Join, r)
 		}
@@ -206,12 +208,12 @@
 	return spec
 }
 
-// flatJoin is the first router that started and some others of those that run.
+// flatJoin returns the first router that was started and some random others.
 func (t *trial) flatJoin(router int, started []int) (join []int) {
 	if t.order[0] != router {
 		join = append(join, t.order[0])
 	}
-	for range min(mostJoin-1, len(started)) {
+	for range min(maxJoin-1, len(started)) {
 		if r := started[t.random.IntN(len(started))]; r != router && !slices.Contains(join, r) {
 			join = append(join, r)
 		}
@@ -219,7 +221,7 @@
 	return join
 }
 
-// remote is the first router of the first site of the own region, and of the next region.
+// remote returns the first router of the first site of the own region, and of the next region.
 func (t *trial) remote(spec routerSpec) (remote []int) {
 	perRegion := t.scenario.RoutersPerSite * t.scenario.SitesPerRegion
 	for _, region := range []int{spec.Region, (spec.Region + 1) % t.out.Regions} {
@@ -230,7 +232,7 @@
 	return remote
 }
 
-// settle waits until all views agree, since a time.
+// settle waits until all views agree, and records how long that took since a time.
 func (t *trial) settle(ctx context.Context, since time.Time) error {
 	t.out.Settled, t.out.AllSettled = nil, nil
 	for time.Since(since) < time.Duration(t.scenario.Settle) {
@@ -239,7 +241,7 @@
 			return err
 		}
 		if !agreed {
-			t.out.Settled = nil // they did for a moment alone
+			t.out.Settled = nil // the agreement did not last
 		} else if t.out.Settled == nil {
 			t.out.Settled = seconds(since)
 		}
@@ -262,9 +264,9 @@
 	return &s
 }
 
-// agreement tells whether the views are the same, and whether all routers know that they are.
+// agreement reports whether all views are the same, and whether all routers know it.
 func (t *trial) agreement() (agreed, settled bool, err error) {
-	replies, err := t.workers.askAllTheSame(request{Kind: requestStatus})
+	replies, err := t.workers.broadcast(request{Kind: requestStatus})
 	if err != nil {
 		return false, false, err
 	}
@@ -284,9 +286,9 @@
 	return agreed && running == t.hollowRouters(), know == t.hollowRouters(), nil
 }
 
-// measure counts for a while, during which the fault strikes.
+// measure counts the traffic and usage of a span during which the fault is applied.
 func (t *trial) measure(ctx context.Context) error {
-	before, err := t.workers.askAllTheSame(request{Kind: requestCount})
+	before, err := t.workers.broadcast(request{Kind: requestCount})
 	if err != nil {
 		return err
 	}
@@ -299,10 +301,10 @@
 		return err
 	}
 	begin := time.Now()
-	if err := t.strike(ctx, begin.Add(time.Duration(t.scenario.Measure))); err != nil {
+	if err := t.applyFault(ctx, begin.Add(time.Duration(t.scenario.Measure))); err != nil {
 		return err
 	}
-	after, err := t.workers.askAllTheSame(request{Kind: requestCount})
+	after, err := t.workers.broadcast(request{Kind: requestCount})
 	if err != nil {
 		return err
 	}
@@ -323,15 +325,15 @@
 	return t.heal(ctx)
 }
 
-// killsBeforeChange is how many representatives have been killed when the change is made, so that stand-ins are at work.
+// killsBeforeChange is how many representatives are killed before the change, so that their successors have taken over.
 const killsBeforeChange = 5
 
-// changeAt is a router that runs now, and that no fault ends from now on: a change that is lost with its router is known nowhere.
+// changeAt returns a running router that no fault stops from now on: a change is lost if its router stops too early.
 func (t *trial) changeAt() (int, error) {
 	t.away.mu.Lock()
 	defer t.away.mu.Unlock()
 	if len(t.away.gone) >= t.hollowRouters() {
-		return 0, errNobody
+		return 0, errNoRouter
 	}
 	for {
 		if r := t.order[t.turn%t.out.Routers]; !t.away.gone[r] && !t.isReal[r] {
@@ -342,9 +344,9 @@
 	}
 }
 
-var errNobody = errors.New("no router runs at which a change could be made")
+var errNoRouter = errors.New("no router runs at which a change could be made")
 
-// change has one router say that it holds a new revision of the policy, and waits until it is known everywhere.
+// change has one router announce a new revision of the policy and measures how long it takes until all routers know it.
 func (t *trial) change(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var striking sync.WaitGroup
@@ -355,7 +357,7 @@
 	}()
 	if t.out.Fault == result.SpeakerEnd {
 		until := time.Now().Add(time.Duration(t.scenario.Change) + time.Duration(killsBeforeChange*t.scenario.KillEvery))
-		striking.Go(func() { _ = t.killRepresentatives(ctx, until) }) // it ends with the change
+		striking.Go(func() { _ = t.killRepresentatives(ctx, until) }) // its error does not matter: it ends with the change
 		if err := sleep(ctx, time.Duration(killsBeforeChange*t.scenario.KillEvery)); err != nil {
 			return err
 		}
@@ -387,7 +389,7 @@
 }
 
 func (t *trial) known(process fleet.Incarnation) (known, running int, err error) {
-	replies, err := t.workers.askAllTheSame(request{Kind: requestKnown, Process: process, Revision: t.revision})
+	replies, err := t.workers.broadcast(request{Kind: requestKnown, Process: process, Revision: t.revision})
 	for _, r := range replies {
 		known, running = known+r.Known, running+r.Routers
 	}
@@ -395,7 +397,7 @@
 }
 
 func (t *trial) link(l linkState) error {
-	_, err := t.workers.askAllTheSame(request{Kind: requestLink, Link: l})
+	_, err := t.workers.broadcast(request{Kind: requestLink, Link: l})
 	return err
 }
 
--- a/internal/lab/scale/trial_test.go
+++ b/internal/lab/scale/trial_test.go
@@ -13,15 +13,15 @@
 	"spurtrestle/internal/scale/result"
 )
 
-func TestAddressesAreOfOneRouterEach(t *testing.T) {
-	for _, r := range []int{0, 1, perNetBlock - 1, perNetBlock, 14000} {
+func TestRouterAt_InvertsAddress(t *testing.T) {
+	for _, r := range []int{0, 1, routersPerBlock - 1, routersPerBlock, 14000} {
 		if got := routerAt(address(80, r)); got != r {
 			t.Errorf("router %d has the address of %d", r, got)
 		}
 	}
 }
 
-func TestTakenAddressIsRefused(t *testing.T) {
+func TestCheckFree_RejectsAddressInUse(t *testing.T) {
 	n, err := claimNetwork(0)
 	if err != nil {
 		t.Fatal(err)
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := n.taken(2); err != nil {
+	if err := n.checkFree(2); err != nil {
 		t.Error(err)
 	}
-	if err := n.taken(3); err == nil || !strings.Contains(err.Error(), at.String()+" is taken") {
+	if err := n.checkFree(3); err == nil || !strings.Contains(err.Error(), at.String()+" is taken") {
 		t.Errorf("got %v", err)
 	}
 	if _, err := claimNetwork(n.number); err == nil || !strings.Contains(err.Error(), "is taken by another run") {
@@ -44,14 +44,14 @@
 	}
 }
 
-func TestWireLosesWhatTheLinkSays(t *testing.T) {
+func TestLossyLinks_DropAccordingToLinkState(t *testing.T) {
 	var link atomic.Pointer[linkState]
-	w := &faultyLinks{link: &link, index: 1, random: rand.New(rand.NewPCG(1, 1))}
+	w := &lossyLinks{link: &link, index: 1, random: rand.New(rand.NewPCG(1, 1))}
 	inside, outside := address(80, 0).String(), address(80, 2).String()
 
 	link.Store(&linkState{Cut: []int{0, 2}})
 	if w.DropsPacket(inside) || w.RejectsConnection(inside) || !w.DropsPacket(outside) || !w.RejectsConnection(outside) {
-		t.Error("a cut holds within the region, or does not hold beyond it")
+		t.Error("a cut affects links within the region, or does not affect links out of it")
 	}
 	link.Store(&linkState{Loss: 0.25})
 	lost := 0
@@ -62,32 +62,32 @@
 		}
 	}
 	if share := float64(lost) / packets; share < 0.23 || share > 0.27 {
-		t.Errorf("%v of the packets are lost, and 0.25 were to be", share)
+		t.Errorf("share of lost packets: %v, want 0.25", share)
 	}
 	link.Store(&linkState{})
 	if w.DropsPacket(outside) {
-		t.Error("a packet is lost by a link that loses none")
+		t.Error("a packet was dropped without loss")
 	}
 	w.dead.Store(true)
 	if !w.DropsPacket(inside) || !w.RejectsConnection(inside) {
-		t.Error("a killed router speaks")
+		t.Error("a killed router can still send")
 	}
 }
 
-func TestRestartsFollowTheOrdinaryDay(t *testing.T) {
+func TestRestarts_MatchOrdinaryRate(t *testing.T) {
 	day := 24 * time.Hour
 	if n := restarts(14000, day, 1); n != 5900 {
-		t.Errorf("%d restarts a day of 14000 routers, and 5900 were told", n)
+		t.Errorf("%d restarts per day of 14000 routers, want 5900", n)
 	}
-	if n := restarts(1400, day, herd); n != 5900 {
-		t.Errorf("%d restarts at ten times the pace", n)
+	if n := restarts(1400, day, herdFactor); n != 5900 {
+		t.Errorf("%d restarts at ten times the rate, want 5900", n)
 	}
 	if n := restarts(10, time.Second, 1); n != 1 {
-		t.Errorf("%d restarts in a short span, and one is the least", n)
+		t.Errorf("%d restarts in a short span, want 1", n)
 	}
 }
 
-func TestRatesAreMeansLessTheHarness(t *testing.T) {
+func TestRates_AreMeansWithoutHarness(t *testing.T) {
 	tr := &trial{out: result.Trial{Routers: 2, Harness: result.Usage{CPU: 0.001, Memory: 1000}}}
 	counts := func(router int, bytes, messages int64) (c routerCounts) {
 		c.Index = router
@@ -95,7 +95,7 @@
 		return c
 	}
 	before := []reply{{Usage: &processUsage{time.Second, 0}, Counts: []routerCounts{counts(0, 100, 1), counts(1, 0, 0)}}}
-	// The second router has been started again: both of its processes count.
+	// The second router has been restarted: both of its processes count.
 	after := []reply{{Usage: &processUsage{2 * time.Second, 10000}, Counts: []routerCounts{counts(0, 1100, 11), counts(1, 2000, 20), counts(1, 1000, 10)}}}
 	tr.rates(before, after, 10*time.Second)
 	if p := tr.out.PerRouter; p.BytesOut != 200 || p.BytesIn != 200 || p.MessagesOut != 2 || p.CPU != 0.049 || p.Memory != 4000 {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -16,16 +16,16 @@
 	"spurtrestle/internal/scale/result"
 )
 
-// worker holds the hollow routers of one process.
+// worker runs the hollow routers of one process. One goroutine serves its requests.
 type worker struct {
 	link atomic.Pointer[linkState]
 
-	mu      sync.Mutex // of the below; a request takes long, and the routers do not wait for it
+	mu      sync.Mutex // guards the fields below while routers are started concurrently
 	routers map[int]*hollow
-	ended   []routerCounts // of processes of routers that are no more
+	ended   []routerCounts // of routers that have stopped
 }
 
-// Work answers requests until there are no more, and ends then without a word to the fleet.
+// Work serves requests until the end of the input. It returns then without stopping its routers in an orderly way.
 func Work(requests io.Reader, replies io.Writer) error {
 	w := &worker{routers: map[int]*hollow{}}
 	w.link.Store(&linkState{})
@@ -35,7 +35,7 @@
 		if err := in.Decode(&r); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("a request cannot be read: %w", err)
+			return fmt.Errorf("reading a request: %w", err)
 		}
 		answer, err := w.answer(r)
 		if err != nil {
@@ -43,7 +43,7 @@
 		}
 		answer.Routers = len(w.routers)
 		if err := out.Encode(answer); err != nil {
-			return fmt.Errorf("a reply cannot be written: %w", err)
+			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	case requestKill, requestEnd:
 		return reply{}, w.end(r.Router, r.Kind == requestKill)
 	}
-	return reply{}, fmt.Errorf("%q is no request", r.Kind)
+	return reply{}, fmt.Errorf("unknown request %q", r.Kind)
 }
 
 func (w *worker) start(specs []routerSpec) error {
@@ -93,11 +93,11 @@
 	return errors.Join(failed...)
 }
 
-// usage is what this process used so far.
+// usage returns the resource usage of this process so far.
 func usage() (reply, error) {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
-		return reply{}, fmt.Errorf("the CPU time: %w", err)
+		return reply{}, fmt.Errorf("reading the CPU time: %w", err)
 	}
 	memory, err := rss()
 	if err != nil {
@@ -106,7 +106,7 @@
 	return reply{Usage: &processUsage{time.Duration(used.Utime.Nano() + used.Stime.Nano()), memory}}, nil
 }
 
-// counts are those of all processes of routers that run or ran here.
+// counts returns the traffic of all routers that run or ran in this process.
 func (w *worker) counts() []routerCounts {
 	all := slices.Clone(w.ended)
 	for _, h := range w.routers {
@@ -115,8 +115,8 @@
 	return all
 }
 
-// status asks each router; a flat one's answer is kept short, since the whole view of a large fleet would cost more than
-// what is measured.
+// status collects the digests of the routers' views. It does not read whole views: in a large flat fleet that would cost more
+// than what is measured.
 func (w *worker) status() *status {
 	s := &status{Digests: map[string][]uint64{}}
 	add := func(scope string, digest uint64) {
@@ -125,15 +125,15 @@
 		}
 	}
 	for _, h := range w.routers {
-		digest, settled := h.place.Digest()
+		digest, settled := h.node.Digest()
 		if h.spec.Topology == result.Flat {
 			add("fleet", digest)
 		} else {
-			sites, regions := h.place.HierarchyDigests()
+			sites, regions := h.node.HierarchyDigests()
 			add("fleet", regions)
 			add(fmt.Sprintf("region %d", h.spec.Region), sites)
 			add(fmt.Sprintf("site %d", h.spec.Site), digest)
-			settled = settled && h.place.Settled()
+			settled = settled && h.node.Settled()
 		}
 		if settled {
 			s.Settled++
@@ -144,7 +144,7 @@
 
 func (w *worker) representatives() (all []int) {
 	for i, h := range w.routers {
-		if h.place.HierarchyRole().RepresentsSite {
+		if h.node.HierarchyRole().RepresentsSite {
 			all = append(all, i)
 		}
 	}
@@ -155,17 +155,17 @@
 func (w *worker) change(router int, revision uint64) (reply, error) {
 	h := w.routers[router]
 	if h == nil {
-		return reply{}, fmt.Errorf("router %d does not run here", router)
+		return reply{}, fmt.Errorf("router %d is not running in this worker", router)
 	}
-	h.place.SetPolicyRevision(revision)
-	return reply{Process: h.place.Self()}, nil
+	h.node.SetPolicyRevision(revision)
+	return reply{Process: h.node.Self()}, nil
 }
 
 func (w *worker) known(process fleet.Incarnation, revision uint64) (n int) {
 	for _, h := range w.routers {
-		newest := h.place.RevisionOf(process)
+		newest := h.node.RevisionOf(process)
 		if h.spec.Topology == result.Tiered {
-			newest = h.place.NewestRevision()
+			newest = h.node.NewestRevision()
 		}
 		if newest >= revision {
 			n++
@@ -177,14 +177,14 @@
 func (w *worker) end(router int, killed bool) error {
 	h := w.routers[router]
 	if h == nil {
-		return fmt.Errorf("router %d does not run here", router)
+		return fmt.Errorf("router %d is not running in this worker", router)
 	}
 	delete(w.routers, router)
 	if killed {
 		h.links.dead.Store(true)
-		h.place.Kill()
+		h.node.Kill()
 	} else {
-		h.place.Close(false)
+		h.node.Close(false)
 	}
 	w.ended = append(w.ended, h.counts())
 	return nil
--- a/internal/lab/scale/workers.go
+++ b/internal/lab/scale/workers.go
@@ -13,19 +13,19 @@
 	"syscall"
 )
 
-// workerProcess is a worker as its parent sees it.
+// workerProcess is the parent's handle of a worker.
 type workerProcess struct {
 	command  *exec.Cmd
 	requests io.WriteCloser
 	encode   *json.Encoder
 	decode   *json.Decoder
-	mu       sync.Mutex // a request and its reply
+	mu       sync.Mutex // held from a request to its reply
 }
 
 // workers are all processes of a trial.
 type workers []*workerProcess
 
-// startWorkers starts so many. None is left running after an error.
+// startWorkers starts n workers. After an error none is left running.
 func startWorkers(ctx context.Context, program []string, n int) (all workers, err error) {
 	for range n {
 		w, err := startWorker(ctx, program)
@@ -41,7 +41,7 @@
 func startWorker(ctx context.Context, program []string) (*workerProcess, error) {
 	c := exec.CommandContext(ctx, program[0], program[1:]...)
 	c.Stderr = os.Stderr
-	// Its own group, so that Ctrl-C reaches the parent alone; and it ends with the parent, however that ends.
+	// A process group of its own keeps Ctrl-C from reaching the worker. Pdeathsig kills it when the parent exits for any reason.
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	in, err := c.StdinPipe()
 	if err != nil {
@@ -52,18 +52,18 @@
 		return nil, err
 	}
 	if err := c.Start(); err != nil {
-		return nil, fmt.Errorf("a worker: %w", err)
+		return nil, fmt.Errorf("starting a worker: %w", err)
 	}
 	return &workerProcess{command: c, requests: in, encode: json.NewEncoder(in), decode: json.NewDecoder(bufio.NewReader(out))}, nil
 }
 
-// end kills all and waits until they have ended.
+// end kills all workers and waits until they have exited.
 func (ws workers) end() {
 	for _, w := range ws {
-		_ = w.command.Process.Kill() // an error: it has ended
+		_ = w.command.Process.Kill() // fails only if it has exited
 	}
 	for _, w := range ws {
-		_ = w.command.Wait() // it was killed
+		_ = w.command.Wait() // reports that it was killed
 	}
 }
 
@@ -84,7 +84,7 @@
 	return answer, nil
 }
 
-// askAll sends each worker a request at the same time.
+// askAll sends a request to each worker at the same time and waits for all replies.
 func (ws workers) askAll(of func(worker int) request) ([]reply, error) {
 	replies, failed := make([]reply, len(ws)), make([]error, len(ws))
 	var wg sync.WaitGroup
@@ -95,6 +95,7 @@
 	return replies, errors.Join(failed...)
 }
 
-func (ws workers) askAllTheSame(r request) ([]reply, error) {
+// broadcast sends the same request to all workers and waits for their replies.
+func (ws workers) broadcast(r request) ([]reply, error) {
 	return ws.askAll(func(int) request { return r })
 }
