--- a/cmd/cache-routerctl/labviews.go
+++ b/cmd/cache-routerctl/labviews.go
@@ -104,7 +104,7 @@
 		wg.Go(func() {
 			defer func() { <-room }()
 			ro := rig.Options{Program: program, Dir: o.out, Routers: o.routers, Sites: []string{"north", "south", "east"}, Seed: o.seed + uint64(n),
-				Probe: o.probe, Poll: max(100*time.Millisecond, time.Duration(o.routers)*15*time.Millisecond)}
+				Probe: o.probe, PollInterval: max(100*time.Millisecond, time.Duration(o.routers)*15*time.Millisecond)}
 			var out rig.Outcome
 			var bad error
 			if o.measure {
--- a/internal/lab/rig/policies.go
+++ b/internal/lab/rig/policies.go
@@ -66,7 +66,7 @@
 		return a, err
 	}
 	c := &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	got, err := c.Post("http://"+r.Door(by)+"/ops/policy/ask", "application/json", bytes.NewReader(body))
+	got, err := c.Post("http://"+r.AdminAddress(by)+"/ops/policy/ask", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return a, err
 	}
@@ -81,8 +81,8 @@
 	return a, err
 }
 
-// Holds is what a router says that it holds, and whether it takes requests under it.
-func (r *Rig) Holds(i int) (revision policycommit.Revision, may bool, err error) {
+// PolicyInForce is what a router says that it holds, and whether it takes requests under it.
+func (r *Rig) PolicyInForce(i int) (revision policycommit.Revision, may bool, err error) {
 	text, err := r.Call(i, "GET", "/ops/policy")
 	if err != nil {
 		return 0, false, err
@@ -111,7 +111,7 @@
 				continue
 			}
 			began := r.Now()
-			revision, may, err := r.Holds(i)
+			revision, may, err := r.PolicyInForce(i)
 			if err != nil || !may || r.Now()-began > look {
 				continue
 			}
@@ -320,7 +320,7 @@
 	for end := time.Now().Add(most); ; time.Sleep(50 * time.Millisecond) {
 		why := ""
 		for _, i := range who {
-			if at, may, err := r.Holds(i); err != nil || !may || at != revision {
+			if at, may, err := r.PolicyInForce(i); err != nil || !may || at != revision {
 				why = fmt.Sprintf("router %d holds %d, takes reqs: %v; %v", i, at, may, err)
 			}
 		}
--- a/internal/lab/rig/policy_test.go
+++ b/internal/lab/rig/policy_test.go
@@ -61,7 +61,7 @@
 
 // founded is a fleet whose policy was founded, and that takes clients.
 func founded(t *testing.T, cutOff string, routers, keepers int) trial {
-	r := play(t, Options{Routers: routers, Policy: cutOff, Keepers: keepers, Poll: time.Hour})
+	r := play(t, Options{Routers: routers, Policy: cutOff, Keepers: keepers, PollInterval: time.Hour})
 	r.start("start", upTo(routers)...)
 	if _, err := r.Call(0, "GET", "/ops/readiness"); err == nil {
 		t.Error("a router takes clients before it knows the policy")
@@ -309,7 +309,7 @@
 func TestPolicyOneCannot(t *testing.T) {
 	r := founded(t, "refuse", 4, 3)
 	r.must(r.Stop("other settings", 3))
-	r.Deadline(3, 300*time.Millisecond)
+	r.SetDeadline(3, 300*time.Millisecond)
 	r.start("other settings", 3)
 	r.ready(3)
 	const doc = "schema = 1\n[[method]]\nname = \"read\"\nlatency_budget = \"400ms\"\n"
@@ -432,7 +432,7 @@
 func TestKeepersDiskIsFull(t *testing.T) {
 	r := founded(t, "serve", 4, 3)
 	r.must(r.Stop("to be started with a full disk", 2))
-	r.Full(2, 256)
+	r.LimitFileSize(2, 256)
 	r.start("with a full disk", 2)
 	r.ready(2)
 	big := "schema = 1\n#" + strings.Repeat("x", 50000) + "\n"
@@ -448,7 +448,7 @@
 	t.Log(r.held(2))
 	r.until("as a router it holds the last one", func() bool { h := r.held(2); return h.May && h.InForce == 8 }) // its admin endpoint may be a moment behind
 	r.must(r.Stop("room again", 2))
-	r.Full(2, 0)
+	r.LimitFileSize(2, 0)
 	r.start("room again", 2)
 	r.until("it takes part", func() bool { return r.held(2).Folder == "" })
 	r.Kill("another is lost", 1)
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -30,21 +30,21 @@
 
 // Options are what a rig is.
 type Options struct {
-	Program string // of the router, with a fleet in it
-	Dir     string // for files and logs; it must be there
-	Routers int
-	Sites   []string // router i is at the i-th, over and over
-	Seed    uint64
-	Probe   time.Duration
-	Forget  time.Duration
-	Poll    time.Duration // between two looks at each view; 0: none are taken
-	Join    []int         // whom all join, from the beginning of Routers; nil: the first two
-	Keep    bool          // each has a folder for the peers known
-	Policy  string        // cut_off; empty: there is none. The keepers are the first routers
-	Keepers int
-	Servers int                     // cache servers of each site that discovery lists; 0: one in all
-	Fleet   func(router int) string // the fleet's name; nil: one for all
-	Method  func(router int) string // the service's; nil: one for all
+	Program      string // of the router, with a fleet in it
+	Dir          string // for files and logs; it must be there
+	Routers      int
+	Sites        []string // router i is at the i-th, over and over
+	Seed         uint64
+	Probe        time.Duration
+	ForgetAfter  time.Duration
+	PollInterval time.Duration // between two looks at each view; 0: none are taken
+	Join         []int         // whom all join, from the beginning of Routers; nil: the first two
+	KeepPeers    bool          // each has a folder for the peers known
+	Policy       string        // cut_off; empty: there is none. The keepers are the first routers
+	Keepers      int
+	Servers      int                     // cache servers of each site that discovery lists; 0: one in all
+	Fleet        func(router int) string // the fleet's name; nil: one for all
+	Method       func(router int) string // the service's; nil: one for all
 }
 
 // Rig is a running one. Close ends all that it started.
@@ -107,11 +107,11 @@
 		return nil, err
 	}
 	for _, site := range o.Sites {
-		r.List(site, o.Servers)
+		r.ListServers(site, o.Servers)
 	}
 	// A server that nobody asks: with none a router takes no clients.
 	r.reg.Set(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.net.Server(0)[i] }}, true)
-	if o.Poll > 0 {
+	if o.PollInterval > 0 {
 		var ctx context.Context
 		ctx, r.stop = context.WithCancel(context.Background())
 		for i := range o.Routers {
@@ -121,9 +121,9 @@
 	return r, nil
 }
 
-// List has discovery list so many of a site's cache servers, and no others of it. Nobody asks them for anything, and none is
+// ListServers has discovery list so many of a site's cache servers, and no others of it. Nobody asks them for anything, and none is
 // there.
-func (r *Rig) List(site string, n int) {
+func (r *Rig) ListServers(site string, n int) {
 	for i := range r.o.Servers {
 		state := "active"
 		if i >= n {
@@ -164,8 +164,8 @@
 	r.mu.Unlock()
 }
 
-// Did notes something done to a router's word, such as a drain.
-func (r *Rig) Did(who int, note string) { r.did(note, viewref.StatusChange, who, 0) }
+// RecordStatusChange notes something done to a router's word, such as a drain.
+func (r *Rig) RecordStatusChange(who int, note string) { r.did(note, viewref.StatusChange, who, 0) }
 
 // Log is where a router's log goes.
 func (r *Rig) Log(i int) string { return filepath.Join(r.o.Dir, fmt.Sprintf("p%d.log", i)) }
@@ -288,10 +288,10 @@
 	}
 	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.net.Views()[r.homes[i]],
 		r.net.Ways()[r.homes[i]], list, r.o.Probe)
-	if r.o.Forget > 0 {
-		own += fmt.Sprintf("forget = %q\n", r.o.Forget)
+	if r.o.ForgetAfter > 0 {
+		own += fmt.Sprintf("forget = %q\n", r.o.ForgetAfter)
 	}
-	if r.o.Keep {
+	if r.o.KeepPeers {
 		own += fmt.Sprintf("dir = %q\n", r.file(i, "peers"))
 	}
 	if r.o.Policy != "" {
@@ -332,17 +332,17 @@
 	return netip.AddrPortFrom(at.Addr(), at.Port()+1).String()
 }
 
-// Home has a router use the addresses of another for its view, from its next start on.
-func (r *Rig) Home(i, of int) { r.homes[i] = of }
+// UseAddressesOf has a router use the addresses of another for its view, from its next start on.
+func (r *Rig) UseAddressesOf(i, of int) { r.homes[i] = of }
 
-// Deadline gives a router's settings another deadline of the method, from its next start on.
-func (r *Rig) Deadline(i int, d time.Duration) { r.deadlines[i] = d }
+// SetDeadline gives a router's settings another deadline of the method, from its next start on.
+func (r *Rig) SetDeadline(i int, d time.Duration) { r.deadlines[i] = d }
 
-// Full gives a router files of so many blocks at most, from its next start on: what is written beyond fails as on a full disk.
-func (r *Rig) Full(i, blocks int) { r.files[i] = blocks }
+// LimitFileSize gives a router files of so many blocks at most, from its next start on: what is written beyond fails as on a full disk.
+func (r *Rig) LimitFileSize(i, blocks int) { r.files[i] = blocks }
 
-// Name gives a router another name, from its next start on.
-func (r *Rig) Name(i int, name string) { r.names[i] = name }
+// SetName gives a router another name, from its next start on.
+func (r *Rig) SetName(i int, name string) { r.names[i] = name }
 
 // Kill ends routers as a loss of power would.
 func (r *Rig) Kill(note string, who ...int) {
@@ -455,7 +455,7 @@
 
 // View asks a router's door.
 func (r *Rig) View(i int) (w membership.Snapshot, err error) {
-	a, err := r.http.Get("http://" + r.Door(i) + "/ops/fleet")
+	a, err := r.http.Get("http://" + r.AdminAddress(i) + "/ops/fleet")
 	if err != nil {
 		return w, err
 	}
@@ -472,7 +472,7 @@
 
 // Call makes a call at a router's door.
 func (r *Rig) Call(i int, method, path string) (string, error) {
-	q, err := http.NewRequest(method, "http://"+r.Door(i)+path, nil)
+	q, err := http.NewRequest(method, "http://"+r.AdminAddress(i)+path, nil)
 	if err != nil {
 		return "", err
 	}
@@ -488,8 +488,8 @@
 	return string(text), err
 }
 
-// Door is the address of a router's door.
-func (r *Rig) Door(i int) string {
+// AdminAddress is the address of a router's door.
+func (r *Rig) AdminAddress(i int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.doors[i]
@@ -504,7 +504,7 @@
 }
 
 func (r *Rig) poll(ctx context.Context, i int) {
-	for t := time.NewTicker(r.o.Poll); ; {
+	for t := time.NewTicker(r.o.PollInterval); ; {
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -524,8 +524,8 @@
 	}
 }
 
-// Pause takes no more looks, or does again.
-func (r *Rig) Pause(on bool) { r.paused.Store(on) }
+// PausePolling takes no more looks, or does again.
+func (r *Rig) PausePolling(on bool) { r.paused.Store(on) }
 
 // Record is the run until now.
 func (r *Rig) Record() viewref.Record {
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -41,8 +41,8 @@
 	if o.Seed == 0 {
 		o.Seed = 1
 	}
-	if o.Poll == 0 {
-		o.Poll = 100 * time.Millisecond
+	if o.PollInterval == 0 {
+		o.PollInterval = 100 * time.Millisecond
 	}
 	r, err := New(o)
 	if err != nil {
@@ -220,12 +220,12 @@
 	r.start("start of all", all...)
 	r.settle()
 	r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.2, 0.2 })
-	r.Did(0, "30% lost")
+	r.RecordStatusChange(0, "30% lost")
 	time.Sleep(12 * time.Second)
 	r.Kill("crash at 30% lost", 2)
 	time.Sleep(10 * time.Second)
 	r.Links.UpdateRules(all, all, func(x *links.Rule) { *x = links.Rule{} })
-	r.Did(0, "whole again")
+	r.RecordStatusChange(0, "whole again")
 	r.settle()
 	r.judge(viewref.Bounds{SettleWithin: 60 * time.Second, RemoveWithin: 20 * time.Second, RestoreWithin: 12 * time.Second})
 }
@@ -251,7 +251,7 @@
 
 // Three ways apart, healed one after the other, and apart for longer than the dead are remembered.
 func TestThreeWaysApart(t *testing.T) {
-	r := play(t, Options{Routers: 6, Forget: 3 * time.Second})
+	r := play(t, Options{Routers: 6, ForgetAfter: 3 * time.Second})
 	a, b, c := []int{0, 1}, []int{2, 3}, []int{4, 5}
 	r.start("start of all", upTo(6)...)
 	r.settle()
@@ -271,7 +271,7 @@
 
 // All restart within a second: with their addresses, then with one another's; and all of join are gone.
 func TestAllRestart(t *testing.T) {
-	r := play(t, Options{Routers: 6, Keep: true})
+	r := play(t, Options{Routers: 6, KeepPeers: true})
 	all := upTo(6)
 	r.start("start of all", all...)
 	r.settle()
@@ -280,7 +280,7 @@
 	r.settle()
 	r.Kill("restart elsewhere", all...)
 	for i := range all {
-		r.Home(i, (i+1)%6)
+		r.UseAddressesOf(i, (i+1)%6)
 	}
 	r.start("restart elsewhere", all...)
 	r.settle()
@@ -326,7 +326,7 @@
 	r := play(t, Options{Routers: 5})
 	r.start("start", 0, 1, 2)
 	r.settle()
-	r.Name(3, "r1")
+	r.SetName(3, "r1")
 	if err := r.Start("taken", 3); err == nil { // on a busy machine the others do not answer within the start
 		r.until("a name that is taken is kept out", func() bool {
 			_, err := r.Call(3, "GET", "/ops/readiness")
@@ -338,7 +338,7 @@
 		t.Fatalf("a name that is taken: %v; %s", err, text)
 	}
 	r.Cut("apart", true, []int{4}, []int{0, 1, 2, 3}, true, false)
-	r.Name(4, "r1")
+	r.SetName(4, "r1")
 	r.start("same name apart", 4)
 	time.Sleep(3 * time.Second)
 	if _, err := r.Call(4, "GET", "/ops/readiness"); err != nil {
@@ -524,7 +524,7 @@
 // Sixteen join four within a second; then each of twelve is stopped in order and started again, one after the other; and one
 // flaps: the others see it as there or gone, and settle once it stays.
 func TestJoinsRollAndFlap(t *testing.T) {
-	r := play(t, Options{Routers: 20, Poll: 300 * time.Millisecond})
+	r := play(t, Options{Routers: 20, PollInterval: 300 * time.Millisecond})
 	r.start("start", 0, 1, 2, 3)
 	r.settle()
 	r.start("sixteen join", upTo(20)[4:]...)
@@ -546,7 +546,7 @@
 
 // A full disk under the folder of peers, and a folder that is gone, cost a warning and no service.
 func TestFolderOfPeersFullOrLost(t *testing.T) {
-	r := play(t, Options{Routers: 3, Keep: true})
+	r := play(t, Options{Routers: 3, KeepPeers: true})
 	r.must(r.Configure(2)) // which makes the folder
 	folder := r.file(2, "peers")
 	r.must(os.Symlink("/dev/full", filepath.Join(folder, "peers.json.new")))
--- a/internal/lab/rig/rounds.go
+++ b/internal/lab/rig/rounds.go
@@ -101,7 +101,7 @@
 		case 6:
 			what = "30% lost"
 			r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.1, 0.1 })
-			r.Did(0, what)
+			r.RecordStatusChange(0, what)
 		case 7:
 			what = "ways healed"
 			r.Cut("heal", false, all, all, true, false)
@@ -177,7 +177,7 @@
 	}
 	if drop > 0 {
 		r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare = drop })
-		r.Did(0, fmt.Sprintf("%.0f%% lost", 100*drop))
+		r.RecordStatusChange(0, fmt.Sprintf("%.0f%% lost", 100*drop))
 	}
 	var packets, bytes int64
 	var cpu time.Duration
@@ -188,11 +188,11 @@
 			packets, bytes, cpu = packets+sign*c.Packets, bytes+sign*c.Bytes, cpu+time.Duration(sign)*used
 		}
 	}
-	r.Pause(true) // looking costs more than what is looked at
+	r.PausePolling(true) // looking costs more than what is looked at
 	sum(-1)
 	time.Sleep(calm)
 	sum(1)
-	r.Pause(false)
+	r.PausePolling(false)
 	memory := int64(0)
 	for i := range all {
 		_, rss, _ := r.Usage(i)
--- a/internal/lab/rig/site_test.go
+++ b/internal/lab/rig/site_test.go
@@ -13,7 +13,7 @@
 
 // planned is a fleet of three sites, two routers and four servers each and a keeper at every one, that plans for their loss.
 func planned(t *testing.T) trial {
-	r := play(t, Options{Routers: 6, Sites: threeSites, Policy: "serve", Keepers: 3, Servers: 4, Poll: time.Hour})
+	r := play(t, Options{Routers: 6, Sites: threeSites, Policy: "serve", Keepers: 3, Servers: 4, PollInterval: time.Hour})
 	r.start("start", upTo(6)...)
 	_, err := r.AskPolicy(0, map[string]any{"what": "found"})
 	r.must(err)
@@ -121,9 +121,9 @@
 		t.Error("a router that is cut off and serves on takes no clients")
 	}
 	r.Cut("healed", false, []int{2, 5}, []int{0, 1, 3, 4}, true, false)
-	r.List("coast", 2)
+	r.ListServers("coast", 2)
 	never("half gone", 2500*time.Millisecond)
-	r.List("coast", 4)
+	r.ListServers("coast", 4)
 	r.must(r.Stall("stall", true, 2, 5))
 	never("stalled", 2500*time.Millisecond)
 	r.must(r.Stall("goes on", false, 2, 5))
@@ -203,28 +203,28 @@
 		return SiteSample{At: time.Duration(s * float64(time.Second)), Orders: orders,
 			Sites: []sitefailover.SiteStatus{{Name: "a", Decision: sitefailover.Decision{Stage: stage, Step: step, Index: index, DecidedBy: "evidence"}}}}
 	}
-	lost := SiteTruth{At: 4 * time.Second, Site: "a"}
-	back := SiteTruth{At: 9 * time.Second, Site: "a", Listed: 1, Routers: true}
+	lost := SiteChange{At: 4 * time.Second, Site: "a"}
+	back := SiteChange{At: 9 * time.Second, Site: "a", Listed: 1, Routers: true}
 	both := func(x, y float64) map[int]map[sitefailover.Site]float64 {
 		return map[int]map[sitefailover.Site]float64{0: {"a": x}, 1: {"a": y}}
 	}
 	good := []SiteSample{at(1, sitefailover.Up, 0, 0, nil), at(5, sitefailover.Lost, 0, 1, both(0, 0)), at(11, sitefailover.Recovering, 0, 2, both(0.25, 0.25)),
 		at(12, sitefailover.Recovering, 1, 3, both(0.5, 0.25)), at(13, sitefailover.Up, 0, 4, nil)}
 	steps := []float64{0.25, 0.5, 1}
-	if broken := JudgeSites(good, []SiteTruth{lost, back}, steps); len(broken) > 0 {
+	if broken := CheckSites(good, []SiteChange{lost, back}, steps); len(broken) > 0 {
 		t.Error(broken)
 	}
 	for what, x := range map[string]struct {
 		samples []SiteSample
-		truth   []SiteTruth
+		truth   []SiteChange
 	}{
 		"lost while it is there": {good, nil},
-		"back while it is not":   {good, []SiteTruth{lost}},
-		"a step is skipped":      {[]SiteSample{good[1], good[2], at(12, sitefailover.Recovering, 3, 3, nil)}, []SiteTruth{lost, back}},
-		"shares at odds":         {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0, 1)), at(8, sitefailover.Lost, 0, 1, both(0, 1))}, []SiteTruth{lost}},
-		"no step":                {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0.3, 0.3))}, []SiteTruth{lost}},
+		"back while it is not":   {good, []SiteChange{lost}},
+		"a step is skipped":      {[]SiteSample{good[1], good[2], at(12, sitefailover.Recovering, 3, 3, nil)}, []SiteChange{lost, back}},
+		"shares at odds":         {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0, 1)), at(8, sitefailover.Lost, 0, 1, both(0, 1))}, []SiteChange{lost}},
+		"no step":                {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0.3, 0.3))}, []SiteChange{lost}},
 	} {
-		if len(JudgeSites(x.samples, x.truth, steps)) == 0 {
+		if len(CheckSites(x.samples, x.truth, steps)) == 0 {
 			t.Errorf("%s: not found", what)
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -68,6 +68,7 @@
 func (hollowRouter) FleetStatus() fleet.RouterStatus {
 	return fleet.RouterStatus{Accepting: true, Idle: true}
 }
+
 // SetShare does nothing: without clients there is nothing to share.
 func (hollowRouter) SetShare(fleet.Share) error { return nil }
 
