--- a/internal/lab/rig/policies.go
+++ b/internal/lab/rig/policies.go
@@ -21,20 +21,20 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// PolicyOutcome is a round of changes under faults.
+// PolicyOutcome is the result of a round of policy changes under faults.
 type PolicyOutcome struct {
 	Seed       uint64          `json:"seed"`
 	CutOff     string          `json:"cut_off"`
 	Did        []string        `json:"did"`
 	Everywhere int             `json:"everywhere"`
 	Nowhere    int             `json:"nowhere"`
-	Unknown    int             `json:"unknown"` // no answer came to any try
-	Took       []time.Duration `json:"took"`    // of those that hold everywhere, from the asking to the verdict
+	Unknown    int             `json:"unknown"` // changes whose verdict was never received
+	Took       []time.Duration `json:"took"`    // of committed changes, from the request to the verdict
 	Broken     []string        `json:"broken"`
 }
 
-// asked is one operator's call, for the judge of the history.
-type asked struct {
+// policyCall is one call of an operator, or its answer, in the history that is checked for linearizability.
+type policyCall struct {
 	read  bool
 	base  policycommit.Revision
 	known bool // the answer
@@ -42,11 +42,12 @@
 	now   policycommit.Revision
 }
 
-// history is judged as a counter that only the right base moves on: each answer must fit one moment between call and return.
+// history models the policy revision as a counter that only a change with the current base advances: each answer must fit one
+// time between call and return.
 var history = porcupine.Model{
 	Init: func() any { return policycommit.Revision(0) },
 	Step: func(state, in, out any) (bool, any) {
-		at, q, a := state.(policycommit.Revision), in.(asked), out.(asked)
+		at, q, a := state.(policycommit.Revision), in.(policyCall), out.(policyCall)
 		switch {
 		case q.read:
 			return a.now == at, at
@@ -55,11 +56,11 @@
 		case a.known:
 			return true, at
 		}
-		return true, at // it was never made; where it was, it is told to be below
+		return true, at // no answer: such calls are recorded only once their verdict is known
 	},
 }
 
-// AskPolicy asks the keepers by a router's door.
+// AskPolicy sends a request to the keepers by the admin endpoint of a router.
 func (r *Rig) AskPolicy(by int, q map[string]any) (a policycommit.Reply, err error) {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return a, err
 }
 
-// PolicyInForce is what a router says that it holds, and whether it takes requests under it.
+// PolicyInForce returns the revision that a router reports as in force, and whether it accepts requests under it.
 func (r *Rig) PolicyInForce(i int) (revision policycommit.Revision, may bool, err error) {
 	text, err := r.Call(i, "GET", "/ops/policy")
 	if err != nil {
@@ -95,10 +96,10 @@
 	return h.InForce, h.May, err
 }
 
-// mixed looks at all routers all the time, and tells where one takes requests under a revision for longer than the window after
-// another was seen to take them under the next.
-func (r *Rig) mixed(stop chan struct{}, n int) (broken []string) {
-	const window, look = time.Second, 400 * time.Millisecond // an answer may be that old
+// watchForMixedPolicies polls all routers until stop is closed. It returns a violation for each router that accepts requests under
+// a revision for longer than the window after another router was seen to accept requests under a newer one.
+func (r *Rig) watchForMixedPolicies(stop chan struct{}, n int) (broken []string) {
+	const window, maxAge = time.Second, 400 * time.Millisecond // maxAge is the greatest age of an answer that counts
 	first := map[policycommit.Revision]time.Duration{}
 	for {
 		select {
@@ -112,11 +113,11 @@
 			}
 			began := r.Now()
 			revision, may, err := r.PolicyInForce(i)
-			if err != nil || !may || r.Now()-began > look {
+			if err != nil || !may || r.Now()-began > maxAge {
 				continue
 			}
 			if at, ok := first[revision]; !ok || r.Now() < at {
-				first[revision] = r.Now() // by then it surely did
+				first[revision] = r.Now() // an upper bound of the time
 			}
 			for newer, at := range first {
 				if newer > revision && began > at+window {
@@ -127,7 +128,8 @@
 	}
 }
 
-// PolicyRound has operators change the policy all the time while faults strike, puts all in order, and judges.
+// PolicyRound has operators change the policy continuously while random faults are applied, then removes all faults and checks
+// the history of calls and the revisions in force.
 func PolicyRound(o Options, acts int) (out PolicyOutcome, err error) {
 	if o.Dir, err = os.MkdirTemp(o.Dir, "policy"); err != nil {
 		return out, err
@@ -140,7 +142,7 @@
 	}
 	defer r.Close()
 	out = PolicyOutcome{Seed: o.Seed, CutOff: o.Policy}
-	all, err := r.found()
+	all, err := r.startFounded()
 	if err != nil {
 		return out, err
 	}
@@ -149,14 +151,14 @@
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var ops []porcupine.Operation
-	note := func(client int, q, a asked, from, to time.Duration) {
+	note := func(client int, q, a policyCall, from, to time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
 		ops = append(ops, porcupine.Operation{ClientId: client, Input: q, Output: a, Call: int64(from), Return: int64(to)})
 	}
 	type lost struct {
 		token string
-		q     asked
+		q     policyCall
 		from  time.Duration
 		by    int
 	}
@@ -180,10 +182,10 @@
 					continue
 				}
 				current := now.Current
-				note(2*op, asked{read: true}, asked{now: current}, from, r.Now())
+				note(2*op, policyCall{read: true}, policyCall{now: current}, from, r.Now())
 				from = r.Now()
 				token := fmt.Sprintf("%d-%d", op, k)
-				q := asked{base: current}
+				q := policyCall{base: current}
 				a, err := r.AskPolicy(by, map[string]any{"what": "apply", "doc": fmt.Sprintf("schema = 1\nout = [%q]\n", token), "base": current,
 					"token": token, "author": fmt.Sprint("operator ", op), "reason": token})
 				v := a.Verdict
@@ -194,7 +196,7 @@
 					continue
 				}
 				to := r.Now()
-				note(2*op+1, q, asked{known: true, done: v.Committed, now: v.Revision}, from, to)
+				note(2*op+1, q, policyCall{known: true, done: v.Committed, now: v.Revision}, from, to)
 				mu.Lock()
 				if v.Committed {
 					out.Everywhere++
@@ -207,7 +209,7 @@
 		})
 	}
 	wg.Go(func() {
-		broken := r.mixed(stop, n)
+		broken := r.watchForMixedPolicies(stop, n)
 		mu.Lock()
 		out.Broken = append(out.Broken, broken...)
 		mu.Unlock()
@@ -223,7 +225,7 @@
 			r.Kill(what, i)
 		case 1:
 			what = "all that are gone start"
-			err = r.order(what, all)
+			err = r.restoreAll(what, all)
 		case 2:
 			what = fmt.Sprintf("stall of %d", i)
 			err = r.Stall(what, true, i)
@@ -251,11 +253,11 @@
 		return out, err
 	}
 	r.Links.UpdateRules(all, all, func(x *links.Rule) { *x = links.Rule{} })
-	r.did("all in order", viewref.StatusChange, 0, 0)
-	if err := r.order("all in order", all); err != nil {
+	r.recordChange("all in order", viewref.StatusChange, 0, 0)
+	if err := r.restoreAll("all in order", all); err != nil {
 		return out, err
 	}
-	// Those whose answer was lost are asked for again by their token; the verdict may have come at any time since.
+	// Changes whose answer was lost are requested again with their token; the verdict may have been reached at any time since.
 	last := policycommit.Revision(0)
 	for end := time.Now().Add(40 * time.Second); ; {
 		ok := true
@@ -267,7 +269,7 @@
 				ok = false
 				break
 			}
-			note(u.by, u.q, asked{known: true, done: v.Committed, now: v.Revision}, u.from, r.Now())
+			note(u.by, u.q, policyCall{known: true, done: v.Committed, now: v.Revision}, u.from, r.Now())
 			unknown = unknown[1:]
 		}
 		if ok {
@@ -275,7 +277,7 @@
 			now, err := r.AskPolicy(0, map[string]any{"what": "status"})
 			if ok = err == nil; ok {
 				last = now.Current
-				note(9, asked{read: true}, asked{now: last}, from, r.Now())
+				note(9, policyCall{read: true}, policyCall{now: last}, from, r.Now())
 				break
 			}
 		}
@@ -285,7 +287,7 @@
 		}
 	}
 	out.Unknown = len(unknown)
-	if err := r.allHold(last, all, 30*time.Second); err != nil {
+	if err := r.waitForRevision(last, all, 30*time.Second); err != nil {
 		out.Broken = append(out.Broken, err.Error())
 	}
 	switch porcupine.CheckOperationsTimeout(history, ops, time.Minute) {
@@ -300,9 +302,8 @@
 	return out, nil
 }
 
-// allHold waits until routers take requests under a revision.
-// found starts all routers, founds their policy, and waits until all take requests.
-func (r *Rig) found() ([]int, error) {
+// startFounded starts all routers, founds their policy, and waits until all accept requests.
+func (r *Rig) startFounded() ([]int, error) {
 	all := make([]int, r.o.Routers)
 	for i := range all {
 		all[i] = i
@@ -313,13 +314,14 @@
 	if _, err := r.AskPolicy(0, map[string]any{"what": "found"}); err != nil {
 		return nil, err
 	}
-	return all, r.allHold(0, all, time.Minute)
+	return all, r.waitForRevision(0, all, time.Minute)
 }
 
-func (r *Rig) allHold(revision policycommit.Revision, who []int, most time.Duration) error {
-	for end := time.Now().Add(most); ; time.Sleep(50 * time.Millisecond) {
+// waitForRevision waits until routers accept requests under a revision. It returns an error after the timeout.
+func (r *Rig) waitForRevision(revision policycommit.Revision, routers []int, timeout time.Duration) error {
+	for end := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
 		why := ""
-		for _, i := range who {
+		for _, i := range routers {
 			if at, may, err := r.PolicyInForce(i); err != nil || !may || at != revision {
 				why = fmt.Sprintf("router %d holds %d, takes reqs: %v; %v", i, at, may, err)
 			}
@@ -328,12 +330,12 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not all hold revision %d within %v: %s", revision, most, why)
+			return fmt.Errorf("not all hold revision %d within %v: %s", revision, timeout, why)
 		}
 	}
 }
 
-// PolicyFigures are what changes of policy take at one size.
+// PolicyFigures are the durations of policy changes in a fleet of one size.
 type PolicyFigures struct {
 	Routers int
 	CutOff  string
@@ -341,16 +343,16 @@
 	Idle    Idle // of a router while nothing changes
 }
 
-// PolicyRow is a state of the fleet in which changes were made.
+// PolicyRow is the result of the changes that were made in one state of the fleet.
 type PolicyRow struct {
 	What    string
 	Changes int
-	Through int             // everywhere
-	Verdict []time.Duration // until it was told, of those
-	Effect  []time.Duration // until all that run and can be reached held it
+	Through int             // committed changes
+	Verdict []time.Duration // of committed changes, until the verdict
+	Effect  []time.Duration // of committed changes, until all reachable routers applied them
 }
 
-// MeasurePolicy makes changes in a calm fleet, with one keeper dead, and with 30% of the packets lost.
+// MeasurePolicy measures policy changes in a calm fleet, with one keeper dead, and with 30% of the packets lost.
 func MeasurePolicy(o Options, changes int, calm time.Duration) (out PolicyFigures, err error) {
 	if o.Dir, err = os.MkdirTemp(o.Dir, "policy-size"); err != nil {
 		return out, err
@@ -363,7 +365,7 @@
 	}
 	defer r.Close()
 	out = PolicyFigures{Routers: o.Routers, CutOff: o.Policy}
-	all, err := r.found()
+	all, err := r.startFounded()
 	if err != nil {
 		return out, err
 	}
@@ -430,7 +432,7 @@
 			}
 			row.Through++
 			row.Verdict = append(row.Verdict, time.Since(began))
-			if err := r.allHold(policycommit.Revision(base), there, 20*time.Second); err != nil {
+			if err := r.waitForRevision(policycommit.Revision(base), there, 20*time.Second); err != nil {
 				return out, fmt.Errorf("%s: %w", step.what, err)
 			}
 			row.Effect = append(row.Effect, time.Since(began))
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -1,5 +1,7 @@
-// Package rig plays the routers of a fleet without load: many processes of the program, a network between them that can
-// be cut, slowed and made to lose (package links), and a record of what each showed of the others and of what was done.
+// Package rig runs the routers of a fleet without client load: many processes of the router program, an emulated network
+// between them that can be cut, delayed and made lossy (package links), and a record of what was done and of the views that
+// the routers showed. cache-routerctl runs its rounds and measurements; its tests run single scenarios. A Rig may be used from
+// any goroutine unless a method says otherwise.
 package rig
 
 import (
@@ -28,45 +30,45 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// Options are what a rig is.
+// Options configure a rig.
 type Options struct {
-	Program      string // of the router, with a fleet in it
-	Dir          string // for files and logs; it must be there
+	Program      string // path of the router program, built with fleet support
+	Dir          string // directory for files and logs; it must exist
 	Routers      int
-	Sites        []string // router i is at the i-th, over and over
+	Sites        []string // assigned to the routers in rotation
 	Seed         uint64
 	Probe        time.Duration
 	ForgetAfter  time.Duration
-	PollInterval time.Duration // between two looks at each view; 0: none are taken
-	Join         []int         // whom all join, from the beginning of Routers; nil: the first two
-	KeepPeers    bool          // each has a folder for the peers known
-	Policy       string        // cut_off; empty: there is none. The keepers are the first routers
+	PollInterval time.Duration // between two samples of each view; 0 for no samples
+	Join         []int         // routers that all contact first; nil for the first two
+	KeepPeers    bool          // each router has a directory for its known peers
+	Policy       string        // value of policy.cut_off; empty for no policy. The first routers are the keepers
 	Keepers      int
-	Servers      int                     // cache servers of each site that discovery lists; 0: one in all
-	Fleet        func(router int) string // the fleet's name; nil: one for all
-	Method       func(router int) string // the service's; nil: one for all
+	Servers      int                     // cache servers of each site that discovery lists; 0 for one in total
+	Fleet        func(router int) string // name of the fleet; nil for the same one
+	Method       func(router int) string // method of the service; nil for the same one
 }
 
-// Rig is a running one. Close ends all that it started.
+// Rig is a running fleet. Close stops everything that it started.
 type Rig struct {
-	Links *links.Network
-	o     Options
-	net   fleet.Network
-	reg   *registry.Registry
-	start time.Time
-	http  *http.Client
-	set   scenario.Scenario
-
-	mu        sync.Mutex
-	at        []*process.Process // nil: not running
-	names     []string
-	deadlines map[int]time.Duration // of those whose settings are others
-	files     map[int]int           // the most blocks of a file, of those that have a bound
-	homes     []int                 // whose addresses a router uses; its own, but in trials
-	truth     []viewref.Change
-	samples   []viewref.Sample
-	stopped   []bool
-	doors     []string
+	Links          *links.Network
+	o              Options
+	network        fleet.Network
+	registryServer *registry.Registry
+	start          time.Time
+	http           *http.Client
+	settings       scenario.Scenario
+
+	mu             sync.Mutex
+	processes      []*process.Process // nil if not running
+	names          []string
+	deadlines      map[int]time.Duration // by router, where it differs from the settings
+	maxFileBlocks  map[int]int           // maximum size of a file in blocks, by router that has a limit
+	addressOf      []int                 // router whose addresses each router uses; its own unless changed
+	changes        []viewref.Change
+	samples        []viewref.Sample
+	stopped        []bool
+	adminAddresses []string
 
 	paused atomic.Bool
 	stop   context.CancelFunc
@@ -74,43 +76,43 @@
 	closed bool
 }
 
-// New prepares a rig, with no router running.
+// New prepares a rig with no router running.
 func New(o Options) (*Rig, error) {
-	r := &Rig{o: o, start: time.Now(), at: make([]*process.Process, o.Routers), stopped: make([]bool, o.Routers), deadlines: map[int]time.Duration{}, files: map[int]int{},
+	r := &Rig{o: o, start: time.Now(), processes: make([]*process.Process, o.Routers), stopped: make([]bool, o.Routers), deadlines: map[int]time.Duration{}, maxFileBlocks: map[int]int{},
 		http: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	var err error
-	if r.net, err = fleet.NewNetwork(o.Routers); err != nil {
+	if r.network, err = fleet.NewNetwork(o.Routers); err != nil {
 		return nil, err
 	}
-	var at, front []netip.AddrPort
+	var routerAddrs, proxyAddrs []netip.AddrPort
 	for i := range o.Routers {
-		at = append(at, netip.MustParseAddrPort(r.net.Views()[i]))
-		front = append(front, netip.MustParseAddrPort(r.net.Ways()[i]))
+		routerAddrs = append(routerAddrs, netip.MustParseAddrPort(r.network.Views()[i]))
+		proxyAddrs = append(proxyAddrs, netip.MustParseAddrPort(r.network.Ways()[i]))
 		r.names = append(r.names, fmt.Sprintf("r%d", i))
-		r.homes = append(r.homes, i)
-		r.doors = append(r.doors, r.net.Doors()[i])
+		r.addressOf = append(r.addressOf, i)
+		r.adminAddresses = append(r.adminAddresses, r.network.Doors()[i])
 	}
-	both := 1
+	ports := 1
 	if o.Policy != "" {
-		both = 2 // the keepers' log as well
+		ports = 2 // the log of the keepers as well
 	}
-	if r.Links, err = links.New(at, front, o.Seed, both); err != nil {
-		r.net.Close()
+	if r.Links, err = links.New(routerAddrs, proxyAddrs, o.Seed, ports); err != nil {
+		r.network.Close()
 		return nil, err
 	}
-	r.set = scenario.Default()
-	r.set.Sites, r.set.Routers.Count = o.Sites, o.Routers
-	r.set.Methods = []scenario.Method{{Name: "read", Share: 1, Effect: "retryable", LatencyBudget: 200e3, Deadline: 700e3, Criticality: 1}}
-	if r.reg, err = registry.Start(event.NewLog(), r.set.Discovery, r.net.Discovery()); err != nil {
+	r.settings = scenario.Default()
+	r.settings.Sites, r.settings.Routers.Count = o.Sites, o.Routers
+	r.settings.Methods = []scenario.Method{{Name: "read", Share: 1, Effect: "retryable", LatencyBudget: 200e3, Deadline: 700e3, Criticality: 1}}
+	if r.registryServer, err = registry.Start(event.NewLog(), r.settings.Discovery, r.network.Discovery()); err != nil {
 		r.Links.Close()
-		r.net.Close()
+		r.network.Close()
 		return nil, err
 	}
 	for _, site := range o.Sites {
 		r.ListServers(site, o.Servers)
 	}
-	// A server that nobody asks: with none a router takes no clients.
-	r.reg.Set(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.net.Server(0)[i] }}, true)
+	// A server that gets no requests: a router accepts no clients unless discovery lists a server.
+	r.registryServer.Set(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.network.Server(0)[i] }}, true)
 	if o.PollInterval > 0 {
 		var ctx context.Context
 		ctx, r.stop = context.WithCancel(context.Background())
@@ -121,8 +123,8 @@
 	return r, nil
 }
 
-// ListServers has discovery list so many of a site's cache servers, and no others of it. Nobody asks them for anything, and none is
-// there.
+// ListServers has discovery list the first n cache servers of a site and no others of it. They get no requests and do not
+// exist.
 func (r *Rig) ListServers(site string, n int) {
 	for i := range r.o.Servers {
 		state := "active"
@@ -130,12 +132,12 @@
 			state = "left"
 		}
 		place := 1 + i + r.o.Servers*slices.Index(r.o.Sites, site)
-		r.reg.Set(registry.Entry{UID: event.Server(fmt.Sprintf("%s-%d", site, i)), Zone: site, Kind: "cache", State: state,
-			Addr: func(i event.Router) string { return r.net.Server(place)[i] }}, false)
+		r.registryServer.Set(registry.Entry{UID: event.Server(fmt.Sprintf("%s-%d", site, i)), Zone: site, Kind: "cache", State: state,
+			Addr: func(i event.Router) string { return r.network.Server(place)[i] }}, false)
 	}
 }
 
-// Close ends every router and the network.
+// Close kills every router and stops the network.
 func (r *Rig) Close() {
 	if r.closed {
 		return
@@ -145,40 +147,42 @@
 		r.stop()
 	}
 	r.polls.Wait()
-	for _, p := range r.at {
+	for _, p := range r.processes {
 		if p != nil {
 			p.End()
 		}
 	}
 	r.Links.Close()
-	r.reg.Close()
-	r.net.Close()
+	r.registryServer.Close()
+	r.network.Close()
 }
 
-// Now is the time since the rig's start.
+// Now returns the time since the rig was created.
 func (r *Rig) Now() time.Duration { return time.Since(r.start) }
 
-func (r *Rig) did(note string, kind viewref.Kind, who, to int) {
+func (r *Rig) recordChange(note string, kind viewref.Kind, router, to int) {
 	r.mu.Lock()
-	r.truth = append(r.truth, viewref.Change{At: r.Now(), Kind: kind, Router: who, To: to, Note: note})
+	r.changes = append(r.changes, viewref.Change{At: r.Now(), Kind: kind, Router: router, To: to, Note: note})
 	r.mu.Unlock()
 }
 
-// RecordStatusChange notes something done to a router's word, such as a drain.
-func (r *Rig) RecordStatusChange(who int, note string) { r.did(note, viewref.StatusChange, who, 0) }
+// RecordStatusChange records a change of the status that a router announces, such as a drain.
+func (r *Rig) RecordStatusChange(router int, note string) {
+	r.recordChange(note, viewref.StatusChange, router, 0)
+}
 
-// Log is where a router's log goes.
+// Log returns the path of a router's log.
 func (r *Rig) Log(i int) string { return filepath.Join(r.o.Dir, fmt.Sprintf("p%d.log", i)) }
 
-// Start starts a router and waits until its admin endpoint answers.
-func (r *Rig) Start(note string, who ...int) error {
-	for _, i := range who {
-		if err := r.begin(i); err != nil {
+// Start starts routers and waits until their admin endpoints answer.
+func (r *Rig) Start(note string, routers ...int) error {
+	for _, i := range routers {
+		if err := r.startProcess(i); err != nil {
 			return err
 		}
-		r.did(note, viewref.Up, i, 0) // others may see it before it answers
+		r.recordChange(note, viewref.Up, i, 0) // others may see it before it answers
 	}
-	for _, i := range who {
+	for _, i := range routers {
 		if err := r.ready(i, 10*time.Second); err != nil {
 			return err
 		}
@@ -186,47 +190,47 @@
 	return nil
 }
 
-// begin starts a process.
-func (r *Rig) begin(i int) error {
+// startProcess writes the files of a router and starts its process.
+func (r *Rig) startProcess(i int) error {
 	if err := r.Configure(i); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p, err := r.process(i, r.doors[i])
-	r.at[i], r.stopped[i] = p, false
+	p, err := r.process(i, r.adminAddresses[i])
+	r.processes[i], r.stopped[i] = p, false
 	return err
 }
 
-func (r *Rig) process(i int, door string) (*process.Process, error) {
+func (r *Rig) process(i int, adminAddress string) (*process.Process, error) {
 	program, args := r.o.Program, []string{"--file", r.file(i, "toml"), "--log-format", "json"}
-	if n := r.files[i]; n > 0 {
+	if n := r.maxFileBlocks[i]; n > 0 {
 		program, args = "/bin/sh", append([]string{"-c", fmt.Sprintf(`ulimit -f %d; exec "$0" "$@"`, n), program}, args...)
 	}
-	return process.Start(program, args, []string{"EDGE_CONFIG=" + r.file(i, "json"), "TMPDIR=" + r.file(i, "tmp"), "GOMAXPROCS=1", "EDGE_ADMIN=" + door}, r.Log(i))
+	return process.Start(program, args, []string{"EDGE_CONFIG=" + r.file(i, "json"), "TMPDIR=" + r.file(i, "tmp"), "GOMAXPROCS=1", "EDGE_ADMIN=" + adminAddress}, r.Log(i))
 }
 
-// Replace starts a second process beside the one that serves, waits for its yes and ends the first in order. The admin endpoint is
-// another then.
+// Replace starts a second process beside the one that serves, waits until it is ready and stops the first with SIGTERM. The
+// address of the admin endpoint changes.
 func (r *Rig) Replace(i int) error {
 	r.mu.Lock()
-	old := r.at[i]
-	door := netip.MustParseAddrPort(r.doors[i])
-	r.doors[i] = netip.AddrPortFrom(door.Addr(), door.Port()+1).String()
-	p, err := r.process(i, r.doors[i])
+	old := r.processes[i]
+	adminAddress := netip.MustParseAddrPort(r.adminAddresses[i])
+	r.adminAddresses[i] = netip.AddrPortFrom(adminAddress.Addr(), adminAddress.Port()+1).String()
+	p, err := r.process(i, r.adminAddresses[i])
 	if err == nil {
-		r.at[i] = p
+		r.processes[i] = p
 	}
 	r.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	defer old.End()
-	for until := time.Now().Add(6 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(6 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if _, err = r.Call(i, "GET", "/ops/readiness"); err == nil {
 			break
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("the next process of router %d is not ready: %w; see %s", i, err, r.Log(i))
 		}
 	}
@@ -245,18 +249,18 @@
 	return filepath.Join(r.o.Dir, fmt.Sprintf("p%d.%s", i, what))
 }
 
-// Configure writes a router's files.
+// Configure writes the configuration files of a router.
 func (r *Rig) Configure(i int) error {
-	set := r.set
+	settings := r.settings
 	if d := r.deadlines[i]; d > 0 {
-		set.Methods = slices.Clone(set.Methods)
-		set.Methods[0].Deadline = scenario.Span(d / time.Microsecond)
+		settings.Methods = slices.Clone(settings.Methods)
+		settings.Methods[0].Deadline = scenario.Span(d / time.Microsecond)
 	}
 	if r.o.Method != nil {
-		set.Methods = slices.Clone(set.Methods)
-		set.Methods[0].Name = r.o.Method(i)
+		settings.Methods = slices.Clone(settings.Methods)
+		settings.Methods[0].Name = r.o.Method(i)
 	}
-	text, err := fleet.Config(set, i, r.names[i], r.net.Routers()[i], r.net.Discovery()[i], fmt.Sprintf("%x", i+1), r.reg.Known(event.Router(i)))
+	text, err := fleet.Config(settings, i, r.names[i], r.network.Routers()[i], r.network.Discovery()[i], fmt.Sprintf("%x", i+1), r.registryServer.Known(event.Router(i)))
 	if err == nil {
 		err = os.WriteFile(r.file(i, "json"), text, 0o644)
 	}
@@ -272,13 +276,13 @@
 	if join == nil {
 		join = []int{0, 1}
 	}
-	var whom []string
+	var joinAddresses []string
 	for _, j := range join {
 		if j < r.o.Routers {
-			whom = append(whom, r.net.Ways()[j])
+			joinAddresses = append(joinAddresses, r.network.Ways()[j])
 		}
 	}
-	list, err := json.Marshal(whom)
+	list, err := json.Marshal(joinAddresses)
 	if err != nil {
 		return err
 	}
@@ -286,8 +290,8 @@
 	if r.o.Fleet != nil {
 		name = r.o.Fleet(i)
 	}
-	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.net.Views()[r.homes[i]],
-		r.net.Ways()[r.homes[i]], list, r.o.Probe)
+	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.network.Views()[r.addressOf[i]],
+		r.network.Ways()[r.addressOf[i]], list, r.o.Probe)
 	if r.o.ForgetAfter > 0 {
 		own += fmt.Sprintf("forget = %q\n", r.o.ForgetAfter)
 	}
@@ -301,69 +305,70 @@
 		}
 		own += fmt.Sprintf("[policy]\ncut_off = %q\nkeepers = [%s]\n", r.o.Policy, strings.Join(keepers, ", "))
 		if i < r.o.Keepers {
-			own += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", port(r.net.Views()[i]), port(r.net.Ways()[i]), r.file(i, "keeper"))
+			own += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", port(r.network.Views()[i]), port(r.network.Ways()[i]), r.file(i, "keeper"))
 		}
 	}
 	return os.WriteFile(r.file(i, "toml"), []byte(own), 0o644)
 }
 
-func (r *Rig) ready(i int, most time.Duration) error {
-	for until := time.Now().Add(most); ; time.Sleep(10 * time.Millisecond) {
+func (r *Rig) ready(i int, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := r.View(i); err == nil {
 			return nil
 		}
 		r.mu.Lock()
-		p := r.at[i]
+		p := r.processes[i]
 		r.mu.Unlock()
 		select {
 		case <-p.Done():
 			return fmt.Errorf("router %d ended at its start: %v; see %s", i, p.Err(), r.Log(i))
 		default:
 		}
-		if time.Now().After(until) {
-			return fmt.Errorf("router %d did not answer within %v; see %s", i, most, r.Log(i))
+		if time.Now().After(deadline) {
+			return fmt.Errorf("router %d did not answer within %v; see %s", i, timeout, r.Log(i))
 		}
 	}
 }
 
-// port is the address of the keepers' log beside that of a view.
+// port returns the address of a keeper's log, which is on the port after the one of the view.
 func port(view string) string {
 	at := netip.MustParseAddrPort(view)
 	return netip.AddrPortFrom(at.Addr(), at.Port()+1).String()
 }
 
-// UseAddressesOf has a router use the addresses of another for its view, from its next start on.
-func (r *Rig) UseAddressesOf(i, of int) { r.homes[i] = of }
+// UseAddressesOf makes a router use the addresses of another for its view, from its next start on.
+func (r *Rig) UseAddressesOf(i, of int) { r.addressOf[i] = of }
 
-// SetDeadline gives a router's settings another deadline of the method, from its next start on.
+// SetDeadline changes the deadline of the method in the settings of a router, from its next start on.
 func (r *Rig) SetDeadline(i int, d time.Duration) { r.deadlines[i] = d }
 
-// LimitFileSize gives a router files of so many blocks at most, from its next start on: what is written beyond fails as on a full disk.
-func (r *Rig) LimitFileSize(i, blocks int) { r.files[i] = blocks }
+// LimitFileSize limits the files of a router to a number of blocks, from its next start on. Writes beyond it fail as on a full
+// disk.
+func (r *Rig) LimitFileSize(i, blocks int) { r.maxFileBlocks[i] = blocks }
 
-// SetName gives a router another name, from its next start on.
+// SetName changes the name of a router, from its next start on.
 func (r *Rig) SetName(i int, name string) { r.names[i] = name }
 
-// Kill ends routers as a loss of power would.
-func (r *Rig) Kill(note string, who ...int) {
-	for _, i := range who {
+// Kill kills routers without notice, as a loss of power would.
+func (r *Rig) Kill(note string, routers ...int) {
+	for _, i := range routers {
 		if p := r.running(i); p != nil {
 			p.End()
-			r.down(note, i)
+			r.recordExit(note, i)
 		}
 	}
 }
 
-// Stop ends routers in order.
-func (r *Rig) Stop(note string, who ...int) error {
+// Stop stops routers with SIGTERM and waits until they have exited. It kills a router that has not exited after 10 s.
+func (r *Rig) Stop(note string, routers ...int) error {
 	var wg sync.WaitGroup
-	errs := make([]error, len(who))
-	for n, i := range who {
+	errs := make([]error, len(routers))
+	for n, i := range routers {
 		p := r.running(i)
 		if p == nil {
 			continue
 		}
-		r.did(note, viewref.Leave, i, 0)
+		r.recordChange(note, viewref.Leave, i, 0)
 		wg.Go(func() {
 			if errs[n] = p.Signal(syscall.SIGTERM); errs[n] != nil {
 				return
@@ -375,7 +380,7 @@
 				p.End()
 				errs[n] = fmt.Errorf("router %d had not ended 10 s after SIGTERM; see %s", i, r.Log(i))
 			}
-			r.down(note, i)
+			r.recordExit(note, i)
 		})
 	}
 	wg.Wait()
@@ -387,33 +392,33 @@
 	return nil
 }
 
-func (r *Rig) down(note string, i int) {
+func (r *Rig) recordExit(note string, i int) {
 	r.mu.Lock()
-	r.at[i] = nil
+	r.processes[i] = nil
 	r.mu.Unlock()
-	r.did(note, viewref.Down, i, 0)
+	r.recordChange(note, viewref.Down, i, 0)
 }
 
 func (r *Rig) running(i int) *process.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at[i]
+	return r.processes[i]
 }
 
-// Running tells whether a router's process is there and not stalled.
+// Running reports whether a router's process runs and is not stalled.
 func (r *Rig) Running(i int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at[i] != nil && !r.stopped[i]
+	return r.processes[i] != nil && !r.stopped[i]
 }
 
-// Stall stops processes, or has them go on.
-func (r *Rig) Stall(note string, on bool, who ...int) error {
+// Stall suspends processes with SIGSTOP, or resumes them.
+func (r *Rig) Stall(note string, on bool, routers ...int) error {
 	kind, sig := viewref.Wake, syscall.SIGCONT
 	if on {
 		kind, sig = viewref.Stall, syscall.SIGSTOP
 	}
-	for _, i := range who {
+	for _, i := range routers {
 		p := r.running(i)
 		if p == nil {
 			continue
@@ -424,12 +429,12 @@
 		r.mu.Lock()
 		r.stopped[i] = on
 		r.mu.Unlock()
-		r.did(note, kind, i, 0)
+		r.recordChange(note, kind, i, 0)
 	}
 	return nil
 }
 
-// Cut cuts the ways from one group to another, or heals them; both directions where both is set.
+// Cut cuts the links from one group to another, or heals them; in both directions if both is set.
 func (r *Rig) Cut(note string, on bool, from, to []int, both, reset bool) {
 	kind := viewref.Heal
 	if on {
@@ -447,13 +452,13 @@
 				}
 				rule.Cut, rule.Reset = on, reset
 				r.Links.SetRule(way[0], way[1], rule)
-				r.did(note, kind, way[0], way[1])
+				r.recordChange(note, kind, way[0], way[1])
 			}
 		}
 	}
 }
 
-// View asks a router's door.
+// View returns the view that a router shows at its admin endpoint.
 func (r *Rig) View(i int) (w membership.Snapshot, err error) {
 	a, err := r.http.Get("http://" + r.AdminAddress(i) + "/ops/fleet")
 	if err != nil {
@@ -470,7 +475,7 @@
 	return w, err
 }
 
-// Call makes a call at a router's door.
+// Call sends a request to the admin endpoint of a router and returns the answer.
 func (r *Rig) Call(i int, method, path string) (string, error) {
 	q, err := http.NewRequest(method, "http://"+r.AdminAddress(i)+path, nil)
 	if err != nil {
@@ -488,14 +493,14 @@
 	return string(text), err
 }
 
-// AdminAddress is the address of a router's door.
+// AdminAddress returns the address of a router's admin endpoint.
 func (r *Rig) AdminAddress(i int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.doors[i]
+	return r.adminAddresses[i]
 }
 
-// Usage is what a router has used.
+// Usage returns the CPU time and resident memory of a router. ok is false if it is not running.
 func (r *Rig) Usage(i int) (cpu time.Duration, rss int64, ok bool) {
 	if p := r.running(i); p != nil {
 		return p.Usage()
@@ -517,21 +522,21 @@
 		asked := r.Now()
 		if w, err := r.View(i); err == nil {
 			r.mu.Lock()
-			// As of when it was asked: what is done while the answer is on its way is not in it.
+			// The sample is as of the request: changes made while the answer is on its way are not in it.
 			r.samples = append(r.samples, viewref.Sample{At: asked, Router: i, View: w})
 			r.mu.Unlock()
 		}
 	}
 }
 
-// PausePolling takes no more looks, or does again.
+// PausePolling stops the sampling of views, or resumes it.
 func (r *Rig) PausePolling(on bool) { r.paused.Store(on) }
 
-// Record is the run until now.
+// Record returns the record of the run so far.
 func (r *Rig) Record() viewref.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := viewref.Record{End: r.Now(), Changes: append([]viewref.Change(nil), r.truth...),
+	rec := viewref.Record{End: r.Now(), Changes: append([]viewref.Change(nil), r.changes...),
 		Samples: append([]viewref.Sample(nil), r.samples...)}
 	for _, n := range r.names {
 		rec.Names = append(rec.Names, membership.Name(n))
@@ -540,10 +545,10 @@
 	return rec
 }
 
-// Settle waits until all that run show one settled view, for so long.
-func (r *Rig) Settle(most time.Duration) error {
-	for until := time.Now().Add(most); ; time.Sleep(50 * time.Millisecond) {
-		digests, why := map[string]bool{}, ""
+// Settle waits until all running routers are settled and show the same view. It returns an error after the timeout.
+func (r *Rig) Settle(timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
+		digests, problem := map[string]bool{}, ""
 		running := 0
 		for i := range r.o.Routers {
 			if !r.Running(i) {
@@ -552,15 +557,15 @@
 			running++
 			w, err := r.View(i)
 			if err != nil || !w.Settled {
-				why = fmt.Sprintf("router %d: %v, at odds with %v", i, err, w.Disagreeing)
+				problem = fmt.Sprintf("router %d: %v, at odds with %v", i, err, w.Disagreeing)
 			}
 			digests[w.Digest] = true
 		}
-		if why == "" && len(digests) == 1 {
+		if problem == "" && len(digests) == 1 {
 			return nil
 		}
-		if time.Now().After(until) {
-			return fmt.Errorf("%d routers show %d views after %v; %s", running, len(digests), most, why)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d routers show %d views after %v; %s", running, len(digests), timeout, problem)
 		}
 	}
 }
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -16,19 +16,19 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// The times in here are those of a probe each 200 ms on a machine that is busy with the other trials; docs/results.md has
-// what was measured without.
+// The times in these tests are for a probe interval of 200 ms on a machine that runs the other tests as well; docs/results.md has
+// the times of a machine without other load.
 const probe = 200 * time.Millisecond
 
 var bounds = viewref.Bounds{SettleWithin: 12 * time.Second, RemoveWithin: 12 * time.Second, RestoreWithin: 8 * time.Second}
 
-// trial is a rig and a test.
+// trial is a rig that belongs to a test.
 type trial struct {
 	*Rig
 	t *testing.T
 }
 
-func play(t *testing.T, o Options) trial {
+func newTrial(t *testing.T, o Options) trial {
 	t.Parallel()
 	var err error
 	if o.Program, err = testprogram.Fleet(); err != nil {
@@ -73,13 +73,13 @@
 	t.must(t.Start(note, who...))
 }
 
-// settle waits for one view, and for it to be judged.
+// settle waits until all routers show the same settled view.
 func (t trial) settle() {
 	t.t.Helper()
 	t.must(t.Settle(bounds.SettleWithin))
 }
 
-func (t trial) judge(b viewref.Bounds) viewref.Record {
+func (t trial) checkRecord(b viewref.Bounds) viewref.Record {
 	t.t.Helper()
 	rec := t.Record()
 	for i, x := range rec.Check(b) {
@@ -93,31 +93,32 @@
 	return rec
 }
 
-// log counts the lines of a router's log that a pattern is in.
-func (t trial) log(i int, pattern string) int {
+// countLogLines returns how often a pattern occurs in a router's log.
+func (t trial) countLogLines(i int, pattern string) int {
 	t.t.Helper()
 	text, err := os.ReadFile(t.Log(i))
 	t.must(err)
 	return len(regexp.MustCompile(pattern).FindAllIndex(text, -1))
 }
 
-func upTo(n int) (all []int) {
+func routersBelow(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
 	return all
 }
 
-// Crash, return, halves, a restart within moments, leaving; then the same record with cheaters in it.
-func TestCrashHalvesLeave(t *testing.T) {
-	r := play(t, Options{Routers: 7})
-	all, one, other := upTo(7), []int{0, 1, 2}, []int{3, 4, 5, 6}
+// Views must follow a crash, a return, a partition into halves, a fast restart and an orderly leave. The record is then
+// falsified in several ways, and each must be detected.
+func TestViewsFollowCrashPartitionAndLeave(t *testing.T) {
+	r := newTrial(t, Options{Routers: 7})
+	all, one, other := routersBelow(7), []int{0, 1, 2}, []int{3, 4, 5, 6}
 	r.start("start of all", all...)
 	r.settle()
-	calm := r.log(0, "fleet: ")
+	calm := r.countLogLines(0, "fleet: ")
 	time.Sleep(2 * time.Second)
-	if now := r.log(0, "fleet: "); now != calm {
-		t.Errorf("%d lines in a calm while", now-calm)
+	if now := r.countLogLines(0, "fleet: "); now != calm {
+		t.Errorf("%d log lines of the fleet while nothing changed", now-calm)
 	}
 	r.Kill("crash", 3)
 	time.Sleep(5 * time.Second)
@@ -140,8 +141,8 @@
 	if w, err := r.View(0); err != nil || state(w, "r5") != membership.Left || state(w, "r2") != membership.Lost {
 		t.Errorf("r5 is %v and r2 %v; %v", state(w, "r5"), state(w, "r2"), err)
 	}
-	rec := r.judge(bounds)
-	cheaters(t, rec)
+	rec := r.checkRecord(bounds)
+	checkViolationsAreDetected(t, rec)
 }
 
 func state(w membership.Snapshot, name membership.Name) membership.State {
@@ -153,12 +154,12 @@
 	return 0
 }
 
-// cheaters changes what one router showed in an honest record, in the ways in which a view can be wrong; each is caught.
-func cheaters(t *testing.T, honest viewref.Record) {
+// checkViolationsAreDetected falsifies the samples of one router in a correct record, in each way in which a view can be wrong.
+func checkViolationsAreDetected(t *testing.T, correct viewref.Record) {
 	first := map[membership.Name]string{}
 	for name, c := range map[string]struct {
-		rule  string
-		cheat func(*membership.Snapshot)
+		rule    string
+		falsify func(*membership.Snapshot)
 	}{
 		"never gives up the dead": {"dead", func(w *membership.Snapshot) {
 			for i := range w.Routers {
@@ -194,29 +195,30 @@
 		"one digest for all": {"digest", func(w *membership.Snapshot) { w.Digest = "1" }},
 		"never settles":      {"settles", func(w *membership.Snapshot) { w.Settled = false }},
 	} {
-		rec := honest
+		rec := correct
 		rec.Samples = nil
-		for _, s := range honest.Samples {
+		for _, s := range correct.Samples {
 			if s.Router == 0 {
 				s.View.Routers = append([]membership.RouterStatus(nil), s.View.Routers...)
-				c.cheat(&s.View)
+				c.falsify(&s.View)
 			}
 			rec.Samples = append(rec.Samples, s)
 		}
-		caught := false
+		detected := false
 		for _, b := range rec.Check(viewref.Bounds{SettleWithin: 3 * time.Second, RemoveWithin: 3 * time.Second, RestoreWithin: 3 * time.Second}) {
-			caught = caught || b.Rule == c.rule && (strings.HasPrefix(b.What, "r0 ") || c.rule == "digest")
+			detected = detected || b.Rule == c.rule && (strings.HasPrefix(b.What, "r0 ") || c.rule == "digest")
 		}
-		if !caught {
-			t.Errorf("a router that %s is not caught", name)
+		if !detected {
+			t.Errorf("a router that %s was not detected", name)
 		}
 	}
 }
 
-// A third of all packets is lost, doubled and disordered: nobody is held for gone for long, and a crash is still found.
+// With 30% of packets lost and a fifth duplicated and reordered, no running router may count as lost for long, and a crash must
+// still be detected.
 func TestLossyLinks(t *testing.T) {
-	r := play(t, Options{Routers: 6})
-	all := upTo(6)
+	r := newTrial(t, Options{Routers: 6})
+	all := routersBelow(6)
 	r.start("start of all", all...)
 	r.settle()
 	r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.2, 0.2 })
@@ -227,52 +229,53 @@
 	r.Links.UpdateRules(all, all, func(x *links.Rule) { *x = links.Rule{} })
 	r.RecordStatusChange(0, "whole again")
 	r.settle()
-	r.judge(viewref.Bounds{SettleWithin: 60 * time.Second, RemoveWithin: 20 * time.Second, RestoreWithin: 12 * time.Second})
+	r.checkRecord(viewref.Bounds{SettleWithin: 60 * time.Second, RemoveWithin: 20 * time.Second, RestoreWithin: 12 * time.Second})
 }
 
-// One way of one link is dead; then a router hears all and is heard by none.
-func TestOneWay(t *testing.T) {
-	r := play(t, Options{Routers: 6})
-	all := upTo(6)
+// One direction of a link is cut; then a router receives everything, but nothing that it sends arrives.
+func TestOneWayLinks(t *testing.T) {
+	r := newTrial(t, Options{Routers: 6})
+	all := routersBelow(6)
 	r.start("start of all", all...)
 	r.settle()
 	r.Cut("one way of one link", true, []int{1}, []int{4}, false, false)
 	time.Sleep(6 * time.Second)
-	r.settle() // the others pass on what does not go straight
+	r.settle() // the other routers relay what cannot be sent directly
 	r.Cut("heard by none", true, []int{5}, all, false, false)
 	time.Sleep(10 * time.Second)
 	if w, err := r.View(0); err != nil || state(w, "r5") != membership.Lost {
-		t.Errorf("a router that is heard by none is %v; %v", state(w, "r5"), err)
+		t.Errorf("a router that nobody hears is shown as %v; %v", state(w, "r5"), err)
 	}
 	r.Cut("heard again", false, []int{5}, all, false, false)
 	r.settle()
-	r.judge(bounds)
+	r.checkRecord(bounds)
 }
 
-// Three ways apart, healed one after the other, and apart for longer than the dead are remembered.
-func TestThreeWaysApart(t *testing.T) {
-	r := play(t, Options{Routers: 6, ForgetAfter: 3 * time.Second})
+// A partition into three parts lasts longer than lost routers are remembered and is healed step by step.
+func TestPartitionIntoThree(t *testing.T) {
+	r := newTrial(t, Options{Routers: 6, ForgetAfter: 3 * time.Second})
 	a, b, c := []int{0, 1}, []int{2, 3}, []int{4, 5}
-	r.start("start of all", upTo(6)...)
+	r.start("start of all", routersBelow(6)...)
 	r.settle()
 	r.Cut("three ways", true, a, b, true, true)
 	r.Cut("three ways", true, a, c, true, true)
 	r.Cut("three ways", true, b, c, true, true)
 	time.Sleep(12 * time.Second)
 	if w, err := r.View(0); err != nil || len(w.Routers) != 2 {
-		t.Errorf("%d routers are shown, of the two that are in reach; %v", len(w.Routers), err)
+		t.Errorf("%d routers are shown, want the two that are reachable; %v", len(w.Routers), err)
 	}
 	r.Cut("two of three healed", false, a, b, true, false)
 	time.Sleep(6 * time.Second)
 	r.Cut("all healed", false, append(a, b...), c, true, false)
 	r.settle()
-	r.judge(bounds)
+	r.checkRecord(bounds)
 }
 
-// All restart within a second: with their addresses, then with one another's; and all of join are gone.
+// All routers restart within a second, with their own addresses and then with each other's; then one restarts while all
+// routers of its join list are dead.
 func TestAllRestart(t *testing.T) {
-	r := play(t, Options{Routers: 6, KeepPeers: true})
-	all := upTo(6)
+	r := newTrial(t, Options{Routers: 6, KeepPeers: true})
+	all := routersBelow(6)
 	r.start("start of all", all...)
 	r.settle()
 	r.Kill("restart of all", all...)
@@ -284,22 +287,22 @@
 	}
 	r.start("restart elsewhere", all...)
 	r.settle()
-	// Those of join are at the addresses of routers 5 and 0 now. A restart finds the others by its folder.
+	// Routers 5 and 0 now use the addresses of the join list. A restarted router finds the others by its saved peers.
 	r.Kill("all of join dead", 5, 0)
 	time.Sleep(5 * time.Second)
 	r.Kill("restart without join", 3)
 	r.start("restart without join", 3)
 	r.settle()
 	if w, err := r.View(3); err != nil || w.Sites[0].Alive+w.Sites[1].Alive != 4 {
-		t.Errorf("started with all of join dead it sees %+v; %v", w.Sites, err)
+		t.Errorf("started with all of its join list dead, it sees %+v; %v", w.Sites, err)
 	}
-	r.judge(bounds)
+	r.checkRecord(bounds)
 }
 
-// A router that stands still for 1 s, 5 s and half a minute is itself again, knows on waking that its view is old, and does not flap.
+// A router that is suspended for 1 s, 5 s and 30 s must recover, know on resuming that its view is stale, and not flap.
 func TestStalls(t *testing.T) {
-	r := play(t, Options{Routers: 6})
-	r.start("start of all", upTo(6)...)
+	r := newTrial(t, Options{Routers: 6})
+	r.start("start of all", routersBelow(6)...)
 	r.settle()
 	for _, span := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		r.must(r.Stall(fmt.Sprintf("stall of %v", span), true, 2))
@@ -312,28 +315,28 @@
 		time.Sleep(4 * time.Second)
 		r.settle()
 	}
-	if n := r.log(2, "stood still"); n < 3 { // a busy machine may make it more
-		t.Errorf("%d lines say that it stood still", n)
+	if n := r.countLogLines(2, "stood still"); n < 3 { // a busy machine may cause more
+		t.Errorf("%d log lines say that it stood still, want 3 at least", n)
 	}
-	if n := r.log(0, `"fleet: lost".*"router":"r2"`); n > 3 { // once for each stall
-		t.Errorf("it was held for lost %d times", n)
+	if n := r.countLogLines(0, `"fleet: lost".*"router":"r2"`); n > 3 { // once for each stall
+		t.Errorf("it was reported lost %d times, want 3 at most", n)
 	}
-	r.judge(bounds)
+	r.checkRecord(bounds)
 }
 
-// A name that is taken: a start is refused; of two that meet when a partition heals, the younger keeps out of service.
-func TestNameTaken(t *testing.T) {
-	r := play(t, Options{Routers: 5})
+// A router with a name in use must not start; of two that meet when a partition heals, the younger one stays out of service.
+func TestNameConflict(t *testing.T) {
+	r := newTrial(t, Options{Routers: 5})
 	r.start("start", 0, 1, 2)
 	r.settle()
 	r.SetName(3, "r1")
-	if err := r.Start("taken", 3); err == nil { // on a busy machine the others do not answer within the start
-		r.until("a name that is taken is kept out", func() bool {
+	if err := r.Start("taken", 3); err == nil { // on a busy machine the start may succeed before the others answer
+		r.waitUntil("a name that is taken is kept out", func() bool {
 			_, err := r.Call(3, "GET", "/ops/readiness")
 			return err != nil && strings.Contains(err.Error(), `the name "r1" is that of a router at `)
 		})
 		r.Kill("taken", 3)
-	} else if text, _ := os.ReadFile(r.Log(3)); !strings.Contains(string(text), // that it cannot be read shows here
+	} else if text, _ := os.ReadFile(r.Log(3)); !strings.Contains(string(text), // an unreadable log fails the check
 		`p3.toml: line 1: fleet.router: the name "r1" is that of a router at `) {
 		t.Fatalf("a name that is taken: %v; %s", err, text)
 	}
@@ -345,14 +348,14 @@
 		t.Errorf("alone it serves: %v", err)
 	}
 	r.Cut("together", false, []int{4}, []int{0, 1, 2, 3}, true, false)
-	r.until("the younger keeps out of service", func() bool {
+	r.waitUntil("the younger keeps out of service", func() bool {
 		_, err := r.Call(4, "GET", "/ops/readiness")
 		return err != nil && strings.Contains(err.Error(), `the name "r1" is that of a router at `)
 	})
 	if _, err := r.Call(1, "GET", "/ops/readiness"); err != nil {
 		t.Errorf("the elder serves on: %v", err)
 	}
-	r.until("all say that two have the name", func() bool {
+	r.waitUntil("all say that two have the name", func() bool {
 		for _, i := range []int{0, 1, 2, 4} {
 			w, err := r.View(i)
 			if err != nil || !row(w, "r1").NameConflict {
@@ -362,7 +365,7 @@
 		return true
 	})
 	r.Kill("the elder ends", 1)
-	r.until("the younger has the name", func() bool {
+	r.waitUntil("the younger has the name", func() bool {
 		_, err := r.Call(4, "GET", "/ops/readiness")
 		return err == nil
 	})
@@ -377,7 +380,7 @@
 	return membership.RouterStatus{}
 }
 
-func (t trial) until(what string, ok func() bool) {
+func (t trial) waitUntil(what string, ok func() bool) {
 	t.t.Helper()
 	for end := time.Now().Add(bounds.SettleWithin); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -386,8 +389,8 @@
 	}
 }
 
-// part is a router's part of what all may send together, in millionths.
-func (t trial) part(i int) int {
+// share returns a router's share of what all may send together, in millionths.
+func (t trial) share(i int) int {
 	text, err := t.Call(i, "GET", "/ops/stats")
 	if err != nil {
 		return -1
@@ -400,28 +403,28 @@
 	return n
 }
 
-// A drained router's part is the others' within moments and comes back to it; one that leaves leaves its part behind for a
-// while; from one that is only not heard nothing is taken. The parts never sum to over the whole.
-func TestPartsFollow(t *testing.T) {
-	r := play(t, Options{Routers: 5})
-	r.start("start", upTo(5)...)
+// The share of a drained router moves to the others and back, that of a router that leaves moves to the others, and that of an
+// unreachable router stays. The sum of all shares never exceeds the whole.
+func TestSharesFollowDrainAndLeave(t *testing.T) {
+	r := newTrial(t, Options{Routers: 5})
+	r.start("start", routersBelow(5)...)
 	r.settle()
 	const own, more, least = 200000, 200000 + 7*200000/8/4, 200000 / 8
-	// Of the four others: each has this, and the sum of all that answer is never over the whole.
+	// all waits until each of the routers has the share, and checks that the sum of all shares never exceeds the whole.
 	all := func(what string, who []int, want, of0 int) {
 		t.Helper()
-		r.until(what, func() bool {
-			sum, ok := 0, of0 < 0 || near(r.part(0), of0)
+		r.waitUntil(what, func() bool {
+			sum, ok := 0, of0 < 0 || near(r.share(0), of0)
 			for i := range 5 {
-				if p := r.part(i); p > 0 {
+				if p := r.share(i); p > 0 {
 					sum += p
 				}
 			}
 			if sum > 1000000 {
-				t.Errorf("%s: the parts sum to %d millionths", what, sum)
+				t.Errorf("%s: the shares sum to %d millionths", what, sum)
 			}
 			for _, i := range who {
-				ok = ok && near(r.part(i), want)
+				ok = ok && near(r.share(i), want)
 			}
 			return ok
 		})
@@ -451,30 +454,30 @@
 
 func near(a, b int) bool { return a-b < 10 && b-a < 10 }
 
-// A router of another fleet is refused on both sides, by name.
+// A router of another fleet must be rejected by both sides, with the names of both fleets.
 func TestOtherFleet(t *testing.T) {
-	r := play(t, Options{Routers: 3, Fleet: func(i int) string { return []string{"rig", "rig", "other"}[i] }})
+	r := newTrial(t, Options{Routers: 3, Fleet: func(i int) string { return []string{"rig", "rig", "other"}[i] }})
 	r.start("start", 0, 1)
 	r.start("of another fleet", 2)
-	r.until("both sides say so", func() bool {
-		return r.log(2, `is of fleet \\"rig\\", and this one, \\"r2\\", of fleet \\"other\\"`) > 0 &&
-			r.log(0, `is of fleet \\"other\\", and this one, \\"r0\\", of fleet \\"rig\\"`)+
-				r.log(1, `is of fleet \\"other\\", and this one, \\"r1\\", of fleet \\"rig\\"`) > 0
+	r.waitUntil("both sides say so", func() bool {
+		return r.countLogLines(2, `is of fleet \\"rig\\", and this one, \\"r2\\", of fleet \\"other\\"`) > 0 &&
+			r.countLogLines(0, `is of fleet \\"other\\", and this one, \\"r0\\", of fleet \\"rig\\"`)+
+				r.countLogLines(1, `is of fleet \\"other\\", and this one, \\"r1\\", of fleet \\"rig\\"`) > 0
 	})
 	if w, err := r.View(0); err != nil || len(w.Routers) != 2 {
 		t.Errorf("%d routers; %v", len(w.Routers), err)
 	}
 }
 
-// A router of another service is refused on both sides, by the methods of both, whatever its fleet is called.
+// A router of another service must be rejected by both sides, with the methods of both, even if the fleet names are equal.
 func TestOtherService(t *testing.T) {
-	r := play(t, Options{Routers: 3, Method: func(i int) string { return []string{"get", "get", "tile"}[i] }})
+	r := newTrial(t, Options{Routers: 3, Method: func(i int) string { return []string{"get", "get", "tile"}[i] }})
 	r.start("start", 0, 1)
 	r.start("of another service", 2)
 	const of = `: it is of a service with the methods %s, and this router serves one with %s; correct fleet.name or fleet.join of one of them`
-	r.until("both sides say so", func() bool {
-		return r.log(2, `router \\"r[01]\\" at \S+`+fmt.Sprintf(of, "get", "tile")) > 0 &&
-			r.log(0, fmt.Sprintf(of, "tile", "get"))+r.log(1, fmt.Sprintf(of, "tile", "get")) > 0
+	r.waitUntil("both sides say so", func() bool {
+		return r.countLogLines(2, `router \\"r[01]\\" at \S+`+fmt.Sprintf(of, "get", "tile")) > 0 &&
+			r.countLogLines(0, fmt.Sprintf(of, "tile", "get"))+r.countLogLines(1, fmt.Sprintf(of, "tile", "get")) > 0
 	})
 	for i, want := range []int{2, 2, 1} {
 		if w, err := r.View(i); err != nil || len(w.Routers) != want {
@@ -483,10 +486,10 @@
 	}
 }
 
-// A process that is replaced while it serves is one router, never lost for a moment.
-func TestReplaced(t *testing.T) {
-	r := play(t, Options{Routers: 4})
-	r.start("start", upTo(4)...)
+// A router whose process is replaced while it serves must never be shown as lost.
+func TestReplacedProcessIsNeverLost(t *testing.T) {
+	r := newTrial(t, Options{Routers: 4})
+	r.start("start", routersBelow(4)...)
 	r.settle()
 	lost := make(chan int)
 	stop := make(chan struct{})
@@ -507,7 +510,7 @@
 	was, err := r.View(2)
 	r.must(err)
 	r.must(r.Replace(0))
-	r.until("the new process is seen", func() bool {
+	r.waitUntil("the new process is seen", func() bool {
 		w, err := r.View(2)
 		return err == nil && row(w, "r0").Incarnation != row(was, "r0").Incarnation
 	})
@@ -516,20 +519,20 @@
 	if n := <-lost; n > 0 {
 		t.Errorf("it was not alive in %d views", n)
 	}
-	if p := r.part(0); !near(p, 250000) {
+	if p := r.share(0); !near(p, 250000) {
 		t.Errorf("its part is %d", p)
 	}
 }
 
-// Sixteen join four within a second; then each of twelve is stopped in order and started again, one after the other; and one
-// flaps: the others see it as there or gone, and settle once it stays.
+// Sixteen routers join four within a second, twelve are restarted one after the other, and one flaps: the views must settle
+// each time.
 func TestJoinsRollAndFlap(t *testing.T) {
-	r := play(t, Options{Routers: 20, PollInterval: 300 * time.Millisecond})
+	r := newTrial(t, Options{Routers: 20, PollInterval: 300 * time.Millisecond})
 	r.start("start", 0, 1, 2, 3)
 	r.settle()
-	r.start("sixteen join", upTo(20)[4:]...)
+	r.start("sixteen join", routersBelow(20)[4:]...)
 	r.settle()
-	for _, i := range upTo(20)[4:16] {
+	for _, i := range routersBelow(20)[4:16] {
 		r.must(r.Stop("roll", i))
 		r.start("roll", i)
 	}
@@ -541,27 +544,27 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	r.settle()
-	r.judge(bounds)
+	r.checkRecord(bounds)
 }
 
-// A full disk under the folder of peers, and a folder that is gone, cost a warning and no service.
-func TestFolderOfPeersFullOrLost(t *testing.T) {
-	r := play(t, Options{Routers: 3, KeepPeers: true})
-	r.must(r.Configure(2)) // which makes the folder
+// A full disk or a missing directory for the saved peers must cause a warning, but no loss of service.
+func TestPeersDirectoryFullOrMissing(t *testing.T) {
+	r := newTrial(t, Options{Routers: 3, KeepPeers: true})
+	r.must(r.Configure(2)) // creates the directory
 	folder := r.file(2, "peers")
 	r.must(os.Symlink("/dev/full", filepath.Join(folder, "peers.json.new")))
 	r.start("start", 0, 1, 2)
 	r.settle()
-	r.until("it warns", func() bool { return r.log(2, "the peers known are not kept; free the disk") == 1 })
+	r.waitUntil("it warns", func() bool { return r.countLogLines(2, "the peers known are not kept; free the disk") == 1 })
 	if _, err := r.Call(2, "GET", "/ops/readiness"); err != nil {
 		t.Error(err)
 	}
 	r.must(os.Remove(filepath.Join(folder, "peers.json.new")))
 	r.Kill("something to tell", 1)
-	r.until("it is kept again", func() bool { return r.log(2, "the peers known are kept again") == 1 })
+	r.waitUntil("it is kept again", func() bool { return r.countLogLines(2, "the peers known are kept again") == 1 })
 	r.must(os.RemoveAll(folder))
 	r.start("back", 1)
-	r.until("it warns again", func() bool { return r.log(2, "the peers known are not kept") == 2 })
+	r.waitUntil("it warns again", func() bool { return r.countLogLines(2, "the peers known are not kept") == 2 })
 	if _, err := r.Call(2, "GET", "/ops/readiness"); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/rig/rounds.go
+++ b/internal/lab/rig/rounds.go
@@ -10,7 +10,7 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// Outcome is a round or a measurement of one size.
+// Outcome is the result of a round, or of a measurement of one size.
 type Outcome struct {
 	Seed    uint64                `json:"seed"`
 	Routers int                   `json:"routers"`
@@ -19,11 +19,11 @@
 	Events  []viewref.Convergence `json:"events"`
 	Broken  []viewref.Violation   `json:"broken"`
 	False   int                   `json:"false_losses"`
-	Hours   float64               `json:"router_hours"` // that all routers were there, together
+	Hours   float64               `json:"router_hours"` // sum of the running times of all routers
 	Idle    *Idle                 `json:"idle,omitempty"`
 }
 
-// Idle is what a router of a calm fleet uses, the mean over all of them.
+// Idle is the mean usage of a router of a fleet in which nothing changes.
 type Idle struct {
 	Packets float64 `json:"packets_a_second"` // sent
 	Bytes   float64 `json:"bytes_a_second"`
@@ -31,13 +31,14 @@
 	Memory  float64 `json:"memory_mb"`
 }
 
-// RoundBounds are for a probe and a size: what was measured on a machine with nothing else to do, and half as much again.
+// RoundBounds returns the bounds for a probe interval and a number of routers: the times of an otherwise idle machine, plus half.
 func RoundBounds(probe time.Duration, routers int) viewref.Bounds {
 	b := time.Duration(60+routers)*probe + 3*time.Second
 	return viewref.Bounds{SettleWithin: b, RemoveWithin: b, RestoreWithin: b}
 }
 
-// Round plays random faults on a fleet, puts all in order again and judges. The error is of the machine, not of the fleet.
+// Round applies random faults to a fleet, removes them all and checks the record. An error is a failure of the machine, not of
+// the fleet.
 func Round(o Options, acts int) (out Outcome, err error) {
 	if o.Dir, err = os.MkdirTemp(o.Dir, "round"); err != nil {
 		return out, err
@@ -107,7 +108,7 @@
 			r.Cut("heal", false, all, all, true, false)
 		case 8:
 			what = "all that are gone start"
-			err = r.order("start", all)
+			err = r.restoreAll("start", all)
 		}
 		out.Did = append(out.Did, what)
 		if err != nil {
@@ -116,7 +117,7 @@
 	}
 	r.Links.UpdateRules(all, all, func(x *links.Rule) { cut := x.Cut; *x = links.Rule{Cut: cut} })
 	r.Cut("all in order", false, all, all, true, false)
-	if err := r.order("all in order", all); err != nil {
+	if err := r.restoreAll("all in order", all); err != nil {
 		return out, err
 	}
 	b := RoundBounds(o.Probe, o.Routers)
@@ -133,8 +134,8 @@
 	return out, nil
 }
 
-// order has all go on that stand still, and starts all that are gone.
-func (r *Rig) order(note string, all []int) error {
+// restoreAll resumes all routers that are stalled and starts all that are not running.
+func (r *Rig) restoreAll(note string, all []int) error {
 	var gone []int
 	for _, i := range all {
 		if r.running(i) == nil {
@@ -148,7 +149,7 @@
 	return r.Start(note, gone...)
 }
 
-// Measure plays each event once on a fleet of a size that is calm otherwise, and tells what a calm router uses.
+// Measure applies each kind of change once to an otherwise calm fleet, and measures the usage of a router of the calm fleet.
 func Measure(o Options, drop float64, calm time.Duration) (out Outcome, err error) {
 	if o.Dir, err = os.MkdirTemp(o.Dir, "size"); err != nil {
 		return out, err
@@ -188,7 +189,7 @@
 			packets, bytes, cpu = packets+sign*c.Packets, bytes+sign*c.Bytes, cpu+time.Duration(sign)*used
 		}
 	}
-	r.PausePolling(true) // looking costs more than what is looked at
+	r.PausePolling(true) // polling costs more than what is measured
 	sum(-1)
 	time.Sleep(calm)
 	sum(1)
@@ -228,7 +229,7 @@
 	return out, nil
 }
 
-// unsettled is a running router that is not settled, or does not see what is in its reach; -1: there is none.
+// unsettled returns a running router that is not settled or does not show exactly the reachable routers, or -1.
 func (r *Rig) unsettled() int {
 	rec := r.Record()
 	if len(rec.Changes) == 0 {
--- a/internal/lab/rig/site_test.go
+++ b/internal/lab/rig/site_test.go
@@ -11,27 +11,27 @@
 
 var threeSites = []string{"hill", "coast", "valley"}
 
-// planned is a fleet of three sites, two routers and four servers each and a keeper at every one, that plans for their loss.
-func planned(t *testing.T) trial {
-	r := play(t, Options{Routers: 6, Sites: threeSites, Policy: "serve", Keepers: 3, Servers: 4, PollInterval: time.Hour})
-	r.start("start", upTo(6)...)
+// newPlannedTrial starts a fleet with a plan for the loss of sites: three sites with two routers, four servers and a keeper each.
+func newPlannedTrial(t *testing.T) trial {
+	r := newTrial(t, Options{Routers: 6, Sites: threeSites, Policy: "serve", Keepers: 3, Servers: 4, PollInterval: time.Hour})
+	r.start("start", routersBelow(6)...)
 	_, err := r.AskPolicy(0, map[string]any{"what": "found"})
 	r.must(err)
-	r.ready(upTo(6)...)
+	r.ready(routersBelow(6)...)
 	v, err := r.apply(0, 0, "plan", SiteDoc(threeSites, "500ms"))
 	r.must(err)
 	if !v.Committed {
 		t.Fatalf("the plan: %+v", v)
 	}
-	r.until("all keepers vote", func() bool {
+	r.waitUntil("all keepers vote", func() bool {
 		s, err := r.AskPolicy(0, map[string]any{"what": "status"})
 		return err == nil && len(s.Voters) == 3
 	})
-	r.until("every site is seen whole", func() bool { return r.stages(0) == "up up up" })
+	r.waitUntil("every site is seen whole", func() bool { return r.stages(0) == "up up up" })
 	return r
 }
 
-// stages are those of the sites, in order.
+// stages returns the stages of all sites in order, as a router shows them.
 func (t trial) stages(by int) string {
 	s, err := t.Sites(by)
 	if err != nil || s == nil || len(s.Sites) != 3 {
@@ -40,10 +40,10 @@
 	return s.Sites[0].DisplayStage() + " " + s.Sites[1].DisplayStage() + " " + s.Sites[2].DisplayStage()
 }
 
-func (t trial) keepsTo(site sitefailover.Site, share float64, who ...int) {
+func (t trial) waitForShare(site sitefailover.Site, share float64, routers ...int) {
 	t.t.Helper()
-	t.until(fmt.Sprint(who, " give ", site, " a share of ", share), func() bool {
-		for _, i := range who {
+	t.waitUntil(fmt.Sprint(routers, " give ", site, " a share of ", share), func() bool {
+		for _, i := range routers {
 			o, err := t.Orders(i)
 			if err != nil {
 				return false
@@ -64,21 +64,21 @@
 	})
 }
 
-// The site that holds the leader is lost: another leads, all that are left keep to the same, and it returns step by step;
-// a second loss during the return goes back at once.
-func TestSiteOfTheLeaderIsLost(t *testing.T) {
-	r := planned(t)
+// The site of the leader is lost: another leader is elected, the remaining routers follow the same shares, and the site recovers
+// step by step. A second loss during the recovery takes it out at once.
+func TestLossOfTheLeadersSite(t *testing.T) {
+	r := newPlannedTrial(t)
 	leader := r.leader(3)
 	site := threeSites[leader]
 	left := []int{(leader + 1) % 3, (leader + 2) % 3, 3 + (leader+1)%3, 3 + (leader+2)%3}
 	r.must(r.LoseSite(site, true))
-	r.keepsTo(sitefailover.Site(site), 0, left...)
+	r.waitForShare(sitefailover.Site(site), 0, left...)
 	r.must(r.LoseSite(site, false))
-	r.keepsTo(sitefailover.Site(site), 0.125, upTo(6)...)
+	r.waitForShare(sitefailover.Site(site), 0.125, routersBelow(6)...)
 	r.must(r.LoseSite(site, true))
-	r.keepsTo(sitefailover.Site(site), 0, left...)
+	r.waitForShare(sitefailover.Site(site), 0, left...)
 	r.must(r.LoseSite(site, false))
-	r.keepsTo(sitefailover.Site(site), 1, upTo(6)...)
+	r.waitForShare(sitefailover.Site(site), 1, routersBelow(6)...)
 	s, err := r.Sites(left[0])
 	r.must(err)
 	if x := s.Sites[leader]; x.Stage == sitefailover.Up && x.RepeatedLosses == 0 {
@@ -86,10 +86,10 @@
 	}
 }
 
-// Nothing of this is a loss: every way loses a third of what it carries; the site and one other do not hear each other; a
-// site is cut off and alive; half of its servers are gone; its routers stand still.
+// None of these counts as the loss of a site: 30% packet loss on all links, a partition between two sites, a site that is cut off
+// but alive, half of its servers gone, or its routers stalled.
 func TestSiteIsNotLost(t *testing.T) {
-	r := planned(t)
+	r := newPlannedTrial(t)
 	if r.stages(0) != "up up up" {
 		t.Fatal(r.stages(0))
 	}
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	all := upTo(6)
+	all := routersBelow(6)
 	r.Links.UpdateRules(all, all, func(rule *links.Rule) { rule.LossShare = 0.3 })
 	never("lossy", 3*time.Second)
 	r.Links.UpdateRules(all, all, func(rule *links.Rule) { rule.LossShare = 0 })
@@ -117,7 +117,7 @@
 	r.Cut("healed", false, []int{1, 4}, []int{2, 5}, true, false)
 	r.Cut("cut off", true, []int{2, 5}, []int{0, 1, 3, 4}, true, false)
 	never("cut off", 3*time.Second)
-	if h := r.held(5); !h.May {
+	if h := r.policyStatus(5); !h.May {
 		t.Error("a router that is cut off and serves on takes no clients")
 	}
 	r.Cut("healed", false, []int{2, 5}, []int{0, 1, 3, 4}, true, false)
@@ -127,31 +127,32 @@
 	r.must(r.Stall("stall", true, 2, 5))
 	never("stalled", 2500*time.Millisecond)
 	r.must(r.Stall("goes on", false, 2, 5))
-	r.until("all is well", func() bool { return r.stages(0) == "up up up" })
+	r.waitUntil("all is well", func() bool { return r.stages(0) == "up up up" })
 }
 
-// Two sites are lost one after the other: with the second the majority is gone, and who is left goes by its own evidence,
-// and takes clients; when a majority is back, what was ruled holds again.
-func TestTwoSitesAreLost(t *testing.T) {
-	r := planned(t)
+// Two sites are lost one after the other. Without a majority, the remaining routers rely on their own evidence and accept clients;
+// once a majority is back, its decisions hold again.
+func TestLossOfTwoSites(t *testing.T) {
+	r := newPlannedTrial(t)
 	r.must(r.LoseSite("hill", true))
-	r.keepsTo("hill", 0, 1, 2, 4, 5)
+	r.waitForShare("hill", 0, 1, 2, 4, 5)
 	r.must(r.LoseSite("coast", true))
-	r.keepsTo("hill", 1, 2, 5)
+	r.waitForShare("hill", 1, 2, 5)
 	for _, i := range []int{2, 5} {
-		if h := r.held(i); !h.May {
+		if h := r.policyStatus(i); !h.May {
 			t.Errorf("router %d takes no clients: %+v", i, h)
 		}
 	}
 	r.must(r.LoseSite("coast", false))
-	r.keepsTo("hill", 0, 1, 2, 4, 5)
+	r.waitForShare("hill", 0, 1, 2, 4, 5)
 	r.must(r.LoseSite("hill", false))
-	r.until("all sites are up", func() bool { return r.stages(2) == "up up up" })
+	r.waitUntil("all sites are up", func() bool { return r.stages(2) == "up up up" })
 }
 
-// An operator's word holds also when the leader dies right behind it, and while the policy is changed; what is wrong is told.
-func TestOperatorsWordOnASite(t *testing.T) {
-	r := planned(t)
+// A command of an operator on a site must hold even if the leader dies right after it and while the policy is changed; invalid
+// commands are rejected with a reason.
+func TestOperatorCommandOnASite(t *testing.T) {
+	r := newPlannedTrial(t)
 	word := func(site, word string) string {
 		a, err := r.AskPolicy(5, map[string]any{"what": "site", "name": site, "word": word, "author": "test", "reason": "drill", "at": time.Now().UnixMicro()})
 		r.must(err)
@@ -174,31 +175,31 @@
 			left = append(left, i)
 		}
 	}
-	r.keepsTo("coast", 0, left...)
+	r.waitForShare("coast", 0, left...)
 	r.start("again", leader)
 	v, err := r.apply(left[0], 1, "other", SiteDoc(threeSites, "600ms"))
 	r.must(err)
 	if !v.Committed {
 		t.Fatalf("a change while a site is out: %+v", v)
 	}
-	r.keepsTo("coast", 0, upTo(6)...)
+	r.waitForShare("coast", 0, routersBelow(6)...)
 	if why := word("coast", "back"); why != "" {
 		t.Fatal(why)
 	}
 	if why := word("coast", "hold"); why != "" {
 		t.Fatal(why)
 	}
-	r.keepsTo("coast", 0.125, upTo(6)...)
+	r.waitForShare("coast", 0.125, routersBelow(6)...)
 	time.Sleep(1500 * time.Millisecond)
-	r.keepsTo("coast", 0.125, upTo(6)...)
+	r.waitForShare("coast", 0.125, routersBelow(6)...)
 	if why := word("coast", "go"); why != "" {
 		t.Fatal(why)
 	}
-	r.keepsTo("coast", 1, upTo(6)...)
+	r.waitForShare("coast", 1, routersBelow(6)...)
 }
 
-// The judge of rounds finds what must not be.
-func TestJudgeOfSites(t *testing.T) {
+// CheckSites must accept a correct record and find each kind of violation.
+func TestCheckSites(t *testing.T) {
 	at := func(s float64, stage sitefailover.Stage, step int, index uint64, orders map[int]map[sitefailover.Site]float64) SiteSample {
 		return SiteSample{At: time.Duration(s * float64(time.Second)), Orders: orders,
 			Sites: []sitefailover.SiteStatus{{Name: "a", Decision: sitefailover.Decision{Stage: stage, Step: step, Index: index, DecidedBy: "evidence"}}}}
@@ -216,7 +217,7 @@
 	}
 	for what, x := range map[string]struct {
 		samples []SiteSample
-		truth   []SiteChange
+		changes []SiteChange
 	}{
 		"lost while it is there": {good, nil},
 		"back while it is not":   {good, []SiteChange{lost}},
@@ -224,7 +225,7 @@
 		"shares at odds":         {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0, 1)), at(8, sitefailover.Lost, 0, 1, both(0, 1))}, []SiteChange{lost}},
 		"no step":                {[]SiteSample{good[1], at(6, sitefailover.Lost, 0, 1, both(0.3, 0.3))}, []SiteChange{lost}},
 	} {
-		if len(CheckSites(x.samples, x.truth, steps)) == 0 {
+		if len(CheckSites(x.samples, x.changes, steps)) == 0 {
 			t.Errorf("%s: not found", what)
 		}
 	}
