--- a/cmd/cache-routerctl/labviews.go
+++ b/cmd/cache-routerctl/labviews.go
@@ -115,7 +115,7 @@
 		wg.Go(func() {
 			defer func() { <-semaphore }()
 			ro := rig.Options{Program: program, Dir: o.out, Routers: o.routers, Sites: []string{"north", "south", "east"}, Seed: o.seed + uint64(n),
-				Probe: o.probe, Poll: max(100*time.Millisecond, time.Duration(o.routers)*15*time.Millisecond)}
+				Probe: o.probe, PollInterval: max(100*time.Millisecond, time.Duration(o.routers)*15*time.Millisecond)}
 			var out rig.Outcome
 			var roundErr error
 			if o.measure {
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -149,7 +149,7 @@
 // countEvents counts the events of a kind that the server logged for a request.
 func (r *testRouter) countEvents(id string, kind event.Kind) (n int) {
 	for _, e := range r.log.Events() {
-		if e.Kind == kind && string(e.Req) == id {
+		if e.Kind == kind && string(e.Request) == id {
 			n++
 		}
 	}
@@ -168,13 +168,13 @@
 func TestCallsReceiveTheRoutersAnswer(t *testing.T) {
 	r := startRouter(t)
 	id := r.newID()
-	if got, err := r.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.Req(id), []byte(got)) {
+	if got, err := r.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.RequestID(id), []byte(got)) {
 		t.Errorf("read: got %q, %v, want a value of this request", got, err)
 	}
 	id = r.newID()
 	set, err := r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
-	if err != nil || !cacheserver.MadeFor(event.Req(id), set.GetReceipt()) || r.countEvents(id, event.Ran) != 1 {
-		t.Errorf("write: got %v, %v, and it ran %d times, want a receipt of this request and one run", set, err, r.countEvents(id, event.Ran))
+	if err != nil || !cacheserver.MadeFor(event.RequestID(id), set.GetReceipt()) || r.countEvents(id, event.EffectExecuted) != 1 {
+		t.Errorf("write: got %v, %v, and it ran %d times, want a receipt of this request and one run", set, err, r.countEvents(id, event.EffectExecuted))
 	}
 	// A request that may have run and must not run twice fails, without further details.
 	r.setFault("reset", 1, false)
@@ -233,7 +233,7 @@
 		_, err := r.get(ctx, id, "status")
 		done <- err
 	}()
-	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.Begun) == 1 })
+	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.AttemptReceived) == 1 })
 	if _, err := r.get(t.Context(), id, "status"); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("a second call with the id of an open one: got %v, want %v", err, codes.AlreadyExists)
 	}
@@ -241,7 +241,7 @@
 	if err := <-done; status.Code(err) != codes.Canceled {
 		t.Errorf("the canceled call: got %v, want %v", err, codes.Canceled)
 	}
-	waitUntil(t, "the attempt is canceled", func() bool { return r.countEvents(id, event.Ended) == 1 })
+	waitUntil(t, "the attempt is canceled", func() bool { return r.countEvents(id, event.AttemptEnded) == 1 })
 	r.setFault("hang", 0, true)
 }
 
@@ -265,8 +265,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 	defer cancel()
 	id := r.newID()
-	if _, err := r.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || r.countEvents(id, event.Begun) != 0 {
-		t.Errorf("with a deadline that has passed: got %v and %d attempts, want %v and none", err, r.countEvents(id, event.Begun), codes.DeadlineExceeded)
+	if _, err := r.get(ctx, id, "status"); status.Code(err) != codes.DeadlineExceeded || r.countEvents(id, event.AttemptReceived) != 0 {
+		t.Errorf("with a deadline that has passed: got %v and %d attempts, want %v and none", err, r.countEvents(id, event.AttemptReceived), codes.DeadlineExceeded)
 	}
 }
 
@@ -283,7 +283,7 @@
 		_, err := r.get(t.Context(), id, "status")
 		done <- err
 	}()
-	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.Begun) == 1 })
+	waitUntil(t, "the attempt reaches the server", func() bool { return r.countEvents(id, event.AttemptReceived) == 1 })
 	r.router.Drain()
 	healthClient := healthv1.NewHealthClient(r.conn)
 	waitUntil(t, "the health service reports NOT_SERVING", func() bool {
--- a/internal/lab/machine/machine_test.go
+++ b/internal/lab/machine/machine_test.go
@@ -11,7 +11,8 @@
 	"spurtrestle/internal/tracetest"
 )
 
-// A script drives one machine: `new` with its settings, then a time in ms and what is done. Below stands what came of it.
+// A script drives one machine: `new` with its settings, then lines with a time in ms and a command. The lines below each
+// command are its expected output.
 func TestTraces(t *testing.T) {
 	tracetest.Run(t, func(t *testing.T, script string) string {
 		var m *Machine
@@ -21,11 +22,11 @@
 			if words[0] == "new" {
 				var s Settings
 				warm := 0
-				if _, err := fmt.Sscanf(line, "new cores=%d queue=%d cold=%g over=%d falls=%g within=%d warm=%d", &s.Cores, &s.Queue, &s.ColdShare,
-					&s.ColdSpan, &s.FallMultiple, &s.FallSpan, &warm); err != nil {
+				if _, err := fmt.Sscanf(line, "new cores=%d queue=%d cold=%g over=%d falls=%g within=%d warm=%d", &s.Cores, &s.QueueLimit, &s.ColdCapacityShare,
+					&s.WarmupDuration, &s.CollapseMultiple, &s.CollapseWindow, &warm); err != nil {
 					t.Fatal(line, err)
 				}
-				s.ColdSpan, s.FallSpan = s.ColdSpan*1000, s.FallSpan*1000
+				s.WarmupDuration, s.CollapseWindow = s.WarmupDuration*1000, s.CollapseWindow*1000
 				m, jobs = New(s, 0, warm == 1), map[string]*Job{}
 				return
 			}
@@ -36,100 +37,100 @@
 				t.Fatal(line)
 			}
 			now := event.Micros(ms) * 1000
-			for _, j := range m.Ended(now) {
+			for _, j := range m.Completed(now) {
 				for name, x := range jobs {
 					if x == j {
-						say("%s ended at %d", name, j.ends/1000)
+						say("%s ended at %d", name, j.endsAt/1000)
 					}
 				}
 			}
 			switch what {
 			case "take":
 				jobs[name] = &Job{Work: event.Micros(work) * 1000}
-				if !m.Take(now, jobs[name]) {
-					say("no room; fallen=%v", m.Fallen())
+				if !m.Submit(now, jobs[name]) {
+					say("no room; fallen=%v", m.Collapsed())
 				}
-			case "flood": // so many jobs of 1 ms
+			case "flood": // submits the given number of 1 ms jobs
 				n := 0
 				for range work {
-					if m.Take(now, &Job{Work: 1000}) {
+					if m.Submit(now, &Job{Work: 1000}) {
 						n++
 					}
 				}
-				say("took %d; fallen=%v", n, m.Fallen())
+				say("took %d; fallen=%v", n, m.Collapsed())
 			case "cancel":
 				say("there: %v", m.Cancel(now, jobs[name]))
 			case "freeze", "thaw":
-				m.Freeze(now, what == "freeze")
+				m.SetFrozen(now, what == "freeze")
 			case "slow":
-				m.Slow(float64(work))
+				m.SetSlowdown(float64(work))
 			case "look":
 				running, waiting := m.Load()
-				say("%d run, %d wait, share %.2f", running, waiting, m.Share(now))
+				say("%d run, %d wait, share %.2f", running, waiting, m.CapacityShare(now))
 			default:
-				t.Fatalf("%s is nothing to do", what)
+				t.Fatalf("unknown command %q", what)
 			}
 		})
 	})
 }
 
-// No job is lost or ended twice, whatever happens to the machine.
-func TestJobsAreKept(t *testing.T) {
+// Guards against jobs that are lost or completed twice when the machine is slowed, frozen or has jobs canceled.
+func TestEveryJobCompletesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), ColdShare: 0.2,
-			ColdSpan: 1e6}, 0, rapid.Bool().Draw(t, "warm"))
-		in := map[*Job]bool{}
+		m := New(Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), QueueLimit: rapid.IntRange(0, 4).Draw(t, "queue"), ColdCapacityShare: 0.2,
+			WarmupDuration: 1e6}, 0, rapid.Bool().Draw(t, "warm"))
+		pending := map[*Job]bool{}
 		now := event.Micros(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += event.Micros(rapid.IntRange(0, 20000).Draw(t, "wait"))
-			for _, j := range m.Ended(now) {
-				if !in[j] {
-					t.Fatal("a job ended that was not there")
+			for _, j := range m.Completed(now) {
+				if !pending[j] {
+					t.Fatal("a job completed that the machine did not hold")
 				}
-				delete(in, j)
+				delete(pending, j)
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				j := &Job{Work: event.Micros(rapid.IntRange(1, 30000).Draw(t, "work"))}
-				if m.Take(now, j) {
-					in[j] = true
+				if m.Submit(now, j) {
+					pending[j] = true
 				}
 			case 2:
-				for j := range in {
+				for j := range pending {
 					if !m.Cancel(now, j) {
-						t.Fatal("a job was not there")
+						t.Fatal("Cancel did not find a job that the machine holds")
 					}
-					delete(in, j)
+					delete(pending, j)
 					break
 				}
 			case 3:
-				m.Freeze(now, rapid.Bool().Draw(t, "on"))
+				m.SetFrozen(now, rapid.Bool().Draw(t, "on"))
 			case 4:
-				m.Slow(float64(rapid.IntRange(1, 5).Draw(t, "times")))
+				m.SetSlowdown(float64(rapid.IntRange(1, 5).Draw(t, "times")))
 			}
-			if running, waiting := m.Load(); running+waiting != len(in) {
-				t.Fatalf("%d run and %d wait of %d", running, waiting, len(in))
+			if running, waiting := m.Load(); running+waiting != len(pending) {
+				t.Fatalf("%d jobs are running and %d waiting, want %d in total", running, waiting, len(pending))
 			}
 		}
-		m.Freeze(now, false)
-		if n := len(m.Ended(now + 1e9)); n != len(in) {
-			t.Fatalf("%d of %d ended", n, len(in))
+		m.SetFrozen(now, false)
+		if n := len(m.Completed(now + 1e9)); n != len(pending) {
+			t.Fatalf("%d of %d jobs completed", n, len(pending))
 		}
 	})
 }
 
-func TestLRU(t *testing.T) {
+func TestLRU_EvictsLeastRecentlyUsed(t *testing.T) {
 	l := NewLRU(2)
 	l.Put("a")
 	l.Put("b")
-	l.Has("a")
+	l.Contains("a")
 	l.Put("c")
-	if l.Has("b") || !l.Has("a") || !l.Has("c") || l.Len() != 2 {
-		t.Error("the key used longest ago must go")
+	if l.Contains("b") || !l.Contains("a") || !l.Contains("c") || l.Len() != 2 {
+		t.Error("b was not evicted, although it is the least recently used key")
 	}
-	l.Drop("a")
-	l.Drop("a")
-	if l.Has("a") || l.Len() != 1 {
-		t.Error("a dropped key is there")
+	l.Remove("a")
+	l.Remove("a")
+	if l.Contains("a") || l.Len() != 1 {
+		t.Error("a removed key is still present")
 	}
 }
--- a/internal/lab/rig/rounds.go
+++ b/internal/lab/rig/rounds.go
@@ -10,20 +10,20 @@
 	"spurtrestle/internal/lab/viewref"
 )
 
-// Outcome is a round or a measurement of one size.
+// Outcome is the result of a round, or of a measurement of one size.
 type Outcome struct {
-	Seed    uint64           `json:"seed"`
-	Routers int              `json:"routers"`
-	Drop    float64          `json:"drop"`
-	Did     []string         `json:"did"`
-	Events  []viewref.Event  `json:"events"`
-	Broken  []viewref.Broken `json:"broken"`
-	False   int              `json:"false_losses"`
-	Hours   float64          `json:"router_hours"` // that all routers were there, together
-	Idle    *Idle            `json:"idle,omitempty"`
+	Seed    uint64                `json:"seed"`
+	Routers int                   `json:"routers"`
+	Drop    float64               `json:"drop"`
+	Did     []string              `json:"did"`
+	Events  []viewref.Convergence `json:"events"`
+	Broken  []viewref.Violation   `json:"broken"`
+	False   int                   `json:"false_losses"`
+	Hours   float64               `json:"router_hours"` // sum of the running times of all routers
+	Idle    *Idle                 `json:"idle,omitempty"`
 }
 
-// Idle is what a router of a calm fleet uses, the mean over all of them.
+// Idle is the mean usage of a router of a fleet in which nothing changes.
 type Idle struct {
 	Packets float64 `json:"packets_a_second"` // sent
 	Bytes   float64 `json:"bytes_a_second"`
@@ -31,13 +31,14 @@
 	Memory  float64 `json:"memory_mb"`
 }
 
-// RoundBounds are for a probe and a size: what was measured on a machine with nothing else to do, and half as much again.
+// RoundBounds returns the bounds for a probe interval and a number of routers: the times of an otherwise idle machine, plus half.
 func RoundBounds(probe time.Duration, routers int) viewref.Bounds {
 	b := time.Duration(60+routers)*probe + 3*time.Second
-	return viewref.Bounds{Settle: b, Gone: b, Back: b}
+	return viewref.Bounds{SettleWithin: b, RemoveWithin: b, RestoreWithin: b}
 }
 
-// Round plays random faults on a fleet, puts all in order again and judges. The error is of the machine, not of the fleet.
+// Round applies random faults to a fleet, removes them all and checks the record. An error is a failure of the machine, not of
+// the fleet.
 func Round(o Options, acts int) (out Outcome, err error) {
 	if o.Dir, err = os.MkdirTemp(o.Dir, "round"); err != nil {
 		return out, err
@@ -100,32 +101,32 @@
 			r.Cut("one way", true, []int{i}, all, false, false)
 		case 6:
 			what = "30% lost"
-			r.Links.Change(all, all, func(x *links.Rule) { x.Drop, x.Twice, x.Late = 0.3, 0.1, 0.1 })
-			r.Did(0, what)
+			r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare, x.DuplicateShare, x.ReorderShare = 0.3, 0.1, 0.1 })
+			r.RecordStatusChange(0, what)
 		case 7:
 			what = "ways healed"
 			r.Cut("heal", false, all, all, true, false)
 		case 8:
 			what = "all that are gone start"
-			err = r.order("start", all)
+			err = r.restoreAll("start", all)
 		}
 		out.Did = append(out.Did, what)
 		if err != nil {
 			return out, fmt.Errorf("%s: %w", what, err)
 		}
 	}
-	r.Links.Change(all, all, func(x *links.Rule) { cut := x.Cut; *x = links.Rule{Cut: cut} })
+	r.Links.UpdateRules(all, all, func(x *links.Rule) { cut := x.Cut; *x = links.Rule{Cut: cut} })
 	r.Cut("all in order", false, all, all, true, false)
-	if err := r.order("all in order", all); err != nil {
+	if err := r.restoreAll("all in order", all); err != nil {
 		return out, err
 	}
 	b := RoundBounds(o.Probe, o.Routers)
-	if err := r.Settle(b.Settle); err != nil {
-		out.Broken = append(out.Broken, viewref.Broken{At: r.Now(), Rule: "settles", What: err.Error()})
+	if err := r.Settle(b.SettleWithin); err != nil {
+		out.Broken = append(out.Broken, viewref.Violation{At: r.Now(), Rule: "settles", What: err.Error()})
 	}
 	rec := r.Record()
-	out.Broken = append(out.Broken, rec.Judge(b)...)
-	out.Events, out.False = rec.Events(), rec.FalseLosses()
+	out.Broken = append(out.Broken, rec.Check(b)...)
+	out.Events, out.False = rec.Convergences(), rec.FalseLosses()
 	out.Hours = float64(o.Routers) * rec.End.Hours()
 	if len(out.Broken) == 0 {
 		return out, os.RemoveAll(o.Dir)
@@ -133,8 +134,8 @@
 	return out, nil
 }
 
-// order has all go on that stand still, and starts all that are gone.
-func (r *Rig) order(note string, all []int) error {
+// restoreAll resumes all routers that are stalled and starts all that are not running.
+func (r *Rig) restoreAll(note string, all []int) error {
 	var gone []int
 	for _, i := range all {
 		if r.running(i) == nil {
@@ -148,7 +149,7 @@
 	return r.Start(note, gone...)
 }
 
-// Measure plays each event once on a fleet of a size that is calm otherwise, and tells what a calm router uses.
+// Measure applies each kind of change once to an otherwise calm fleet, and measures the usage of a router of the calm fleet.
 func Measure(o Options, drop float64, calm time.Duration) (out Outcome, err error) {
 	if o.Dir, err = os.MkdirTemp(o.Dir, "size"); err != nil {
 		return out, err
@@ -167,7 +168,7 @@
 	b := RoundBounds(o.Probe, n)
 	then := func(err error) error {
 		if err == nil {
-			err = r.Settle(b.Settle)
+			err = r.Settle(b.SettleWithin)
 			time.Sleep(5 * o.Probe)
 		}
 		return err
@@ -176,8 +177,8 @@
 		return out, err
 	}
 	if drop > 0 {
-		r.Links.Change(all, all, func(x *links.Rule) { x.Drop = drop })
-		r.Did(0, fmt.Sprintf("%.0f%% lost", 100*drop))
+		r.Links.UpdateRules(all, all, func(x *links.Rule) { x.LossShare = drop })
+		r.RecordStatusChange(0, fmt.Sprintf("%.0f%% lost", 100*drop))
 	}
 	var packets, bytes int64
 	var cpu time.Duration
@@ -188,11 +189,11 @@
 			packets, bytes, cpu = packets+sign*c.Packets, bytes+sign*c.Bytes, cpu+time.Duration(sign)*used
 		}
 	}
-	r.Pause(true) // looking costs more than what is looked at
+	r.PausePolling(true) // polling costs more than what is measured
 	sum(-1)
 	time.Sleep(calm)
 	sum(1)
-	r.Pause(false)
+	r.PausePolling(false)
 	memory := int64(0)
 	for i := range all {
 		_, rss, _ := r.Usage(i)
@@ -216,31 +217,31 @@
 		if err := step(); err != nil {
 			return out, err
 		}
-		end := time.Now().Add(b.Settle)
+		end := time.Now().Add(b.SettleWithin)
 		for time.Sleep(2 * o.Probe); time.Now().Before(end) && r.unsettled() >= 0; time.Sleep(100 * time.Millisecond) {
 		}
 		time.Sleep(5 * o.Probe)
 	}
 	rec := r.Record()
 	out.Seed, out.Routers, out.Drop = o.Seed, n, drop
-	out.Events, out.False, out.Hours = rec.Events(), rec.FalseLosses(), float64(n)*rec.End.Hours()
-	out.Broken = rec.Judge(b)
+	out.Events, out.False, out.Hours = rec.Convergences(), rec.FalseLosses(), float64(n)*rec.End.Hours()
+	out.Broken = rec.Check(b)
 	return out, nil
 }
 
-// unsettled is a running router that is not settled, or does not see what is in its reach; -1: there is none.
+// unsettled returns a running router that is not settled or does not show exactly the reachable routers, or -1.
 func (r *Rig) unsettled() int {
 	rec := r.Record()
-	if len(rec.Truth) == 0 {
+	if len(rec.Changes) == 0 {
 		return 0
 	}
-	last := rec.Truth[len(rec.Truth)-1].At
+	last := rec.Changes[len(rec.Changes)-1].At
 	seen := map[int]bool{}
 	for i := len(rec.Samples) - 1; i >= 0 && rec.Samples[i].At > last; i-- {
 		s := rec.Samples[i]
-		if !seen[s.By] {
-			if seen[s.By] = true; !rec.Right(s) {
-				return s.By
+		if !seen[s.Router] {
+			if seen[s.Router] = true; !rec.Converged(s) {
+				return s.Router
 			}
 		}
 	}
