--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -36,7 +36,7 @@
 	return &cobra.Command{Use: "init", Short: "Write a commented scenario to standard output",
 		Example: "  cache-routerctl lab init > day.toml", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), scenario.Commented)
+			_, err := io.WriteString(c.OutOrStdout(), scenario.Example)
 			return err
 		}}
 }
--- a/cmd/cache-routerctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -47,14 +47,14 @@
 					s.Routers.Fleet = true
 				case "off": // and nothing between the routers to be struck
 					s.Routers.Fleet = false
-					s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.Kinds[f.Kind].Strikes() == "links" })
+					s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.FaultKinds[f.Kind].Target() == "links" })
 				default:
 					return usage("--fleet: %q is neither on nor off", o.fleet)
 				}
 				switch o.plan {
 				case "":
 				case "off":
-					s.Routers.Plan = ""
+					s.Routers.SiteLossPlan = ""
 				default:
 					return usage("--plan: %q is not off", o.plan)
 				}
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -48,7 +48,7 @@
 var places atomic.Int32
 
 func start(t *testing.T) *site {
-	s, err := scenario.Parse([]byte(scenario.Commented))
+	s, err := scenario.Parse([]byte(scenario.Example))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	f := &cacheserver.Fleet{Log: x.log, Set: s.Servers, Service: s.Service, Through: true, Methods: map[string]scenario.Method{},
 		Repeats: &cacheserver.Repeats{}}
 	for _, m := range s.Methods {
-		m.Work, m.Spread = 1000, "none"
+		m.Work, m.WorkDistribution = 1000, "none"
 		f.Methods[m.Name] = m
 	}
 	at := func(port int) string { return fmt.Sprintf("127.16.0.%d:%d", places.Load(), port) }
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -103,7 +103,7 @@
 }
 
 func during(f scenario.Fault, at event.Micros) bool {
-	return at >= f.At.Micros() && at < f.At.Micros()+f.For.Micros()
+	return at >= f.At.Micros() && at < f.At.Micros()+f.Duration.Micros()
 }
 
 func one(s scenario.Scenario, at event.Micros, r *rand.Rand, keys zipf, names []int) Arrival {
@@ -122,7 +122,7 @@
 			return s.Tenants[i].Share * s.Tenants[i].Usage
 		}))
 	}
-	key, spread, leaves := names[keys.draw(r)], r.NormFloat64(), s.Clients.Leave
+	key, spread, leaves := names[keys.draw(r)], r.NormFloat64(), s.Clients.AbandonShare
 	for i, f := range s.Faults {
 		switch {
 		case !during(f, at) || f.Site != "" && f.Site != s.Sites[a.Site]:
@@ -133,8 +133,8 @@
 		}
 	}
 	a.Key = "k" + strconv.FormatInt(int64(key), 36)
-	a.Size = min(s.Load.ValueMost, max(32, int(float64(s.Load.ValueBytes)*math.Exp(0.6*spread-0.18))))
-	if s.Load.ValueMost == s.Load.ValueBytes {
+	a.Size = min(s.Load.MaxValueBytes, max(32, int(float64(s.Load.ValueBytes)*math.Exp(0.6*spread-0.18))))
+	if s.Load.MaxValueBytes == s.Load.ValueBytes {
 		a.Size = s.Load.ValueBytes
 	}
 	if goes := r.Float64(); r.Float64() < leaves {
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -8,7 +8,7 @@
 )
 
 func commented(t testing.TB) scenario.Scenario {
-	s, err := scenario.Parse([]byte(scenario.Commented))
+	s, err := scenario.Parse([]byte(scenario.Example))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 func TestRatesSharesAndHotKeys(t *testing.T) {
 	s := commented(t)
 	s.Length, s.Load.Rate, s.Load.Steps = 100e6, 1000, nil
-	s.Faults = []scenario.Fault{{Kind: "hot_key", At: 50e6, For: 20e6, Share: 0.3, Site: "south"}, {Kind: "burst", At: 80e6, For: 10e6, Factor: 3}}
+	s.Faults = []scenario.Fault{{Kind: "hot_key", At: 50e6, Duration: 20e6, Share: 0.3, Site: "south"}, {Kind: "burst", At: 80e6, Duration: 10e6, Factor: 3}}
 	var before, burst, hot, south, north, hotNorth float64
 	for _, a := range Make(s, 5) {
 		switch {
@@ -52,7 +52,7 @@
 				hotNorth++
 			}
 		}
-		if a.Size < 32 || a.Size > s.Load.ValueMost || a.Key == "" {
+		if a.Size < 32 || a.Size > s.Load.MaxValueBytes || a.Key == "" {
 			t.Fatalf("%+v", a)
 		}
 	}
--- a/internal/lab/cacheserver/answer.go
+++ b/internal/lab/cacheserver/answer.go
@@ -87,7 +87,7 @@
 		return
 	}
 	work := float64(m.Work)
-	if m.Spread == "exp" {
+	if m.WorkDistribution == "exp" {
 		work *= s.rand.ExpFloat64()
 	}
 	c.missed = !c.write && !s.fleet.Through && !s.store.Has(c.key)
@@ -116,7 +116,7 @@
 // fall: pushed over while cold, it stays down.
 func (s *Server) fall() {
 	s.fleet.Log.Add(event.Event{Kind: event.Fell, Server: s.UID, Router: event.Nobody,
-		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.fleet.Set.FallMultiple, s.fleet.Set.FallSpan)})
+		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.fleet.Set.CollapseMultiple, s.fleet.Set.CollapseWindow)})
 	s.down = true
 	s.closeListeners()
 	for k := range s.conns {
@@ -194,15 +194,15 @@
 	if s.trouble.badReports {
 		return []byte("avg_ms==,,x;\x01" + strconv.Itoa(s.rand.IntN(1000)))
 	}
-	if len(s.fleet.Set.Reports) == 0 {
+	if len(s.fleet.Set.ReportFields) == 0 {
 		return nil
 	}
-	if s.report != nil && (s.trouble.staleReports || now-s.reported < s.fleet.Set.ReportEvery.Micros()) {
+	if s.report != nil && (s.trouble.staleReports || now-s.reported < s.fleet.Set.ReportInterval.Micros()) {
 		return s.report
 	}
 	running, waiting := s.machine.Load()
 	s.report, s.reported = nil, now
-	for i, name := range s.fleet.Set.Reports {
+	for i, name := range s.fleet.Set.ReportFields {
 		if i > 0 {
 			s.report = append(s.report, ',')
 		}
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -96,7 +96,7 @@
 		cold = f.Set.ColdSpan.Micros()
 	}
 	s.machine = machine.New(machine.Settings{Cores: f.Set.Cores, Queue: f.Set.Queue, ColdShare: f.Set.ColdShare,
-		ColdSpan: f.Set.ColdSpan.Micros(), FallMultiple: f.Set.FallMultiple, FallSpan: f.Set.FallSpan.Micros()}, now, warm)
+		ColdSpan: f.Set.ColdSpan.Micros(), FallMultiple: f.Set.CollapseMultiple, FallSpan: f.Set.CollapseWindow.Micros()}, now, warm)
 	s.alarm = time.AfterFunc(time.Hour, s.ring)
 	if err := s.listen(); err != nil {
 		return nil, err
--- a/internal/lab/cacheserver/cacheserver_test.go
+++ b/internal/lab/cacheserver/cacheserver_test.go
@@ -18,14 +18,14 @@
 var nets atomic.Int32
 
 func start(t *testing.T, change func(*Fleet)) (*Server, *Fleet) {
-	s, err := scenario.Parse([]byte(scenario.Commented))
+	s, err := scenario.Parse([]byte(scenario.Example))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &Fleet{Log: event.NewLog(), Set: s.Servers, Service: s.Service, Methods: map[string]scenario.Method{}, Repeats: &Repeats{},
 		Missed: func(event.Req, *Server, bool) {}}
 	for _, m := range s.Methods {
-		m.Work, m.Spread = 1000, "none"
+		m.Work, m.WorkDistribution = 1000, "none"
 		f.Methods[m.Name] = m
 	}
 	f.Set.ConnectionWork = 0
@@ -270,7 +270,7 @@
 		}
 	}
 	for name := range Forms {
-		x := scenario.Fault{Kind: "spoil", Share: 1, Answers: []string{name}}
+		x := scenario.Fault{Kind: "spoil", Share: 1, ReplyForms: []string{name}}
 		strike(x, false)
 		c := dial(t, s)
 		send(t, c, "CACHE.GET k id c=status,d=500")
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -145,7 +145,7 @@
 		if c.req != "" {
 			s.fleet.Log.AddAt(event.Event{At: read, Kind: event.Ended, Req: c.req, Server: s.UID, Router: k.router, Reply: event.Lost})
 		}
-		if c.job != nil && s.fleet.Set.CancelStops && s.machine.Cancel(now, c.job) {
+		if c.job != nil && s.fleet.Set.CancelStopsWork && s.machine.Cancel(now, c.job) {
 			delete(s.jobs, c.job)
 		}
 	}
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -24,7 +24,7 @@
 	late         bool // the grace of a drain is over
 }
 
-func (f *Fleet) figure(name string) string { return scenario.Figures[name] }
+func (f *Fleet) figure(name string) string { return scenario.LoadReportFields[name] }
 
 // Forms are the forms of spoilt answers.
 var Forms = map[string]func([]byte) []byte{
@@ -86,7 +86,7 @@
 	case "reset":
 		s.trouble.resets = part(f.Share)
 	case "spoil":
-		s.trouble.spoilt, s.trouble.forms = part(f.Share), f.Answers
+		s.trouble.spoilt, s.trouble.forms = part(f.Share), f.ReplyForms
 	case "surplus":
 		s.trouble.surplus = part(f.Share)
 	case "stale_reports":
--- a/internal/lab/client/bad.go
+++ b/internal/lab/client/bad.go
@@ -32,7 +32,7 @@
 // Bad plays the bad clients of a fault against all routers, and returns once the last of them is done.
 func (f *Front) Bad(ctx context.Context, fault scenario.Fault) {
 	r := rand.New(rand.NewPCG(f.seed, 9))
-	step := max(time.Millisecond, fault.For.Micros().Duration()/time.Duration(max(1, fault.Count)))
+	step := max(time.Millisecond, fault.Duration.Micros().Duration()/time.Duration(max(1, fault.Count)))
 	if fault.Kind == "mute" {
 		step = time.Millisecond // all at once
 	}
@@ -40,7 +40,7 @@
 	defer all.Wait()
 	if fault.Kind == "crowd" {
 		for i := range fault.Count {
-			all.Go(func() { f.crowd(ctx, event.Router(i%len(f.addrs)), fault.For.Micros().Duration()) })
+			all.Go(func() { f.crowd(ctx, event.Router(i%len(f.addrs)), fault.Duration.Micros().Duration()) })
 		}
 		return
 	}
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -166,7 +166,7 @@
 		}
 		wait := f.s.Clients.Backoff.Micros() << min(try, 6)
 		wait = wait/2 + event.Micros(r.Float64()*float64(wait))
-		if res.hint > 0 && r.Float64() < f.s.Clients.HonourHints {
+		if res.hint > 0 && r.Float64() < f.s.Clients.HonourHintsShare {
 			wait = res.hint + event.Micros(r.Float64()*float64(res.hint)/10)
 		}
 		select {
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -33,21 +33,21 @@
 	var all []Act
 	for i, f := range s.Faults {
 		r := rand.New(rand.NewPCG(seed, 100+uint64(i)))
-		kind := scenario.Kinds[f.Kind]
+		kind := scenario.FaultKinds[f.Kind]
 		if f.Chance > 0 && r.Float64() >= f.Chance {
 			continue
 		}
 		drawn := func() (at, until event.Micros) {
 			at = f.At.Micros()
-			if f.Spread > 0 {
-				at += event.Micros(r.Int64N(int64(f.Spread)))
+			if f.StartSpread > 0 {
+				at += event.Micros(r.Int64N(int64(f.StartSpread)))
 			}
-			return at, at + f.For.Micros()
+			return at, at + f.Duration.Micros()
 		}
-		switch kind.Strikes() {
+		switch kind.Target() {
 		case "servers", "routers":
 			among := s.Servers.Count
-			if kind.Strikes() == "routers" {
+			if kind.Target() == "routers" {
 				among = s.Routers.Count
 			}
 			struck := pick(f, among, r)
@@ -55,7 +55,7 @@
 				struck = slices.DeleteFunc(r.Perm(among), func(place int) bool { return s.SiteOf(place) != f.Site })
 				slices.Sort(struck)
 			}
-			if f.Kind == "deploy" || f.Batch > 0 {
+			if f.Kind == "deploy" || f.BatchShare > 0 {
 				all = append(all, rolling(f, i, struck, among, s)...)
 				break
 			}
@@ -77,10 +77,10 @@
 
 // pick draws who is struck: those named, else a part, and one at least.
 func pick(f scenario.Fault, among int, r *rand.Rand) []int {
-	if len(f.Pick) > 0 {
-		return f.Pick
+	if len(f.Targets) > 0 {
+		return f.Targets
 	}
-	n := max(1, int(math.Round(f.Part*float64(among))))
+	n := max(1, int(math.Round(f.TargetShare*float64(among))))
 	struck := r.Perm(among)[:min(n, among)]
 	slices.Sort(struck)
 	return struck
@@ -111,9 +111,9 @@
 
 // rolling strikes batch after batch, evenly over the fault's time.
 func rolling(f scenario.Fault, i int, struck []int, among int, s scenario.Scenario) (acts []Act) {
-	size := max(1, int(math.Round(f.Batch*float64(among))))
+	size := max(1, int(math.Round(f.BatchShare*float64(among))))
 	batches := (len(struck) + size - 1) / size
-	step := f.For.Micros() / event.Micros(max(1, batches))
+	step := f.Duration.Micros() / event.Micros(max(1, batches))
 	for n, who := range struck {
 		at := f.At.Micros() + event.Micros(n/size)*step
 		if f.Kind == "deploy" {
--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -41,7 +41,7 @@
 }
 
 func (r *run) act(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
-	switch scenario.Kinds[f.Kind].Strikes() {
+	switch scenario.FaultKinds[f.Kind].Target() {
 	case "servers":
 		return r.actServer(ctx, f, a, struck)
 	case "routers":
@@ -68,7 +68,7 @@
 		switch f.Kind {
 		case "rubbish", "flood", "mute", "crowd":
 			if !a.End {
-				within, cancel := context.WithTimeout(ctx, f.For.Micros().Duration()+4*time.Second)
+				within, cancel := context.WithTimeout(ctx, f.Duration.Micros().Duration()+4*time.Second)
 				r.bad.Go(func() {
 					defer cancel()
 					r.front.Bad(within, f)
@@ -95,18 +95,18 @@
 	case "kill":
 		if a.End {
 			r.tell(victim, "left")
-			return r.succeed(l, victim, f.Moved)
+			return r.succeed(l, victim, f.NewAddress)
 		}
 		l.server.Kill()
-		time.AfterFunc(r.s.Discovery.NoticeFor.Micros().Duration(), func() { r.tell(l, "left") })
+		time.AfterFunc(r.s.Discovery.DetectionDelay.Micros().Duration(), func() { r.tell(l, "left") })
 		return nil
 	case "zone_lost": // silent while it is lost; back as other processes, cold, which reset what was open
 		if a.End {
 			r.tell(victim, "left")
 			victim.server.Kill()
-			return r.succeed(l, victim, f.Moved)
+			return r.succeed(l, victim, f.NewAddress)
 		}
-		time.AfterFunc(r.s.Discovery.NoticeFor.Micros().Duration(), func() { r.tell(l, "left") })
+		time.AfterFunc(r.s.Discovery.DetectionDelay.Micros().Duration(), func() { r.tell(l, "left") })
 		return l.server.Strike(scenario.Fault{Kind: "vanish"}, false)
 	case "drain", "deploy":
 		switch a.Stage {
@@ -118,7 +118,7 @@
 			r.tell(victim, "left")
 			victim.server.Kill()
 		default:
-			return r.succeed(l, victim, f.Moved)
+			return r.succeed(l, victim, f.NewAddress)
 		}
 		return nil
 	}
@@ -231,7 +231,7 @@
 		r.acts.Go(func() {
 			p.sigkill()
 			starts := p.starts
-			time.AfterFunc(r.s.Clients.FrontNotice.Micros().Duration(), func() {
+			time.AfterFunc(r.s.Clients.BalancerDetectionDelay.Micros().Duration(), func() {
 				p.mu.Lock()
 				same := p.starts == starts
 				p.mu.Unlock()
@@ -239,7 +239,7 @@
 					r.front.Believe(p.n, false)
 				}
 			})
-			if f.For == 0 && f.Batch == 0 { // it is started again as soon as its end is seen
+			if f.Duration == 0 && f.BatchShare == 0 { // it is started again as soon as its end is seen
 				again()
 			}
 		})
@@ -265,7 +265,7 @@
 	case "router_signals":
 		if !a.End {
 			r.acts.Go(func() {
-				if err := p.sendSignals(ctx, f.Count, f.For.Micros().Duration(), draws); err != nil {
+				if err := p.sendSignals(ctx, f.Count, f.Duration.Micros().Duration(), draws); err != nil {
 					r.fail(ctx, err)
 				}
 			})
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -306,7 +306,7 @@
 func (r *run) fillServers() {
 	warm := r.s
 	warm.Faults, warm.Load.Steps = nil, nil
-	n := min(r.s.Servers.Keys, int(r.s.Servers.Filled*float64(r.s.Load.Keys)))
+	n := min(r.s.Servers.Keys, int(r.s.Servers.FilledShare*float64(r.s.Load.Keys)))
 	for _, key := range arrivals.Hottest(warm, r.o.Seed, n) {
 		for _, l := range r.lives {
 			l.server.Fill(key)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -56,7 +56,7 @@
 func played(t *testing.T, s scenario.Scenario, program string) {
 	dir := t.TempDir()
 	options := Options{Seed: 1, Start: Program(program), Dir: dir}
-	if s.Routers.Plan != "" {
+	if s.Routers.SiteLossPlan != "" {
 		options.Await = (&decisions{t: t, routers: s.Routers.Count, dir: dir}).await
 	}
 	r, err := Play(t.Context(), s, options)
@@ -87,10 +87,10 @@
 	if answered < len(r.Arrivals)/2 {
 		t.Errorf("%d answers to %d ops", answered, len(r.Arrivals))
 	}
-	if s.Routers.Plan != "" {
+	if s.Routers.SiteLossPlan != "" {
 		planned(t, s, r, dir)
 	}
-	if t.Failed() && s.Routers.Plan != "" {
+	if t.Failed() && s.Routers.SiteLossPlan != "" {
 		t.Log(strings.Join((&decisions{t: t, routers: s.Routers.Count, dir: dir}).lines(), "\n"))
 	}
 	if t.Failed() {
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -29,7 +29,7 @@
 			return err
 		}
 	}
-	if r.s.Routers.Plan == "" {
+	if r.s.Routers.SiteLossPlan == "" {
 		return nil
 	}
 	for _, p := range r.routers {
@@ -53,7 +53,7 @@
 	if len(out) > 0 {
 		doc += fmt.Sprintf("out = %s\n", list)
 	}
-	return doc + r.s.Routers.Plan
+	return doc + r.s.Routers.SiteLossPlan
 }
 
 // ask asks the keepers by a router's door.
@@ -90,7 +90,7 @@
 func (r *run) change(ctx context.Context, f scenario.Fault) {
 	r.mu.Lock()
 	var out []string
-	for _, place := range f.Pick {
+	for _, place := range f.Targets {
 		out = append(out, string(r.lives[place].entry.UID))
 	}
 	base := r.policy
--- a/internal/lab/fleet/settings.go
+++ b/internal/lab/fleet/settings.go
@@ -24,8 +24,8 @@
 		tenants = append(tenants, map[string]any{"name": t.Name, "share": t.Share})
 	}
 	var fields []string
-	for _, name := range s.Servers.Reports {
-		fields = append(fields, scenario.Figures[name])
+	for _, name := range s.Servers.ReportFields {
+		fields = append(fields, scenario.LoadReportFields[name])
 	}
 	domain := map[string]any{"mode": s.Service.Mode}
 	if s.Service.Mode == "aside" {
@@ -33,13 +33,13 @@
 	}
 	return map[string]any{
 		"balancers": s.Routers.Count, "me": me, "zone": s.SiteOf(me), "zones": s.Sites, "discovery": "pushed", "resolution-s": 0.001,
-		"flavors": []string{"cache", "origin"}, "domain": domain, "over-share-worth": s.Service.OverShareWorth,
+		"flavors": []string{"cache", "origin"}, "domain": domain, "over-share-worth": s.Service.OverShareValue,
 		"load-report": map[string]any{"how": "answers", "fields": fields},
 		"policy-limits": map[string]any{"cancel": s.Service.Cancel, "probes": s.Servers.Probes, "retry-after": s.Service.Hints,
-			"max-retry-after-s": seconds(s.Service.MaxHint), "send-cap": s.Service.MaxWriteOuts,
+			"max-retry-after-s": seconds(s.Service.MaxHint), "send-cap": s.Service.MaxAttempts,
 			"connect-timeout-s": seconds(s.Service.ConnectTimeout), "idle-close-s": seconds(s.Service.IdleClose)},
 		"rules": map[string]any{"cold-s": seconds(s.Servers.ColdSpan), "cold-share": s.Servers.ColdShare,
-			"fall-s": seconds(s.Servers.FallSpan), "tip-multiple": s.Servers.FallMultiple,
+			"fall-s": seconds(s.Servers.CollapseWindow), "tip-multiple": s.Servers.CollapseMultiple,
 			"stop-sending-within-s": seconds(s.Service.DrainGrace)},
 		"request-classes": classes, "tenants": tenants,
 	}
@@ -55,7 +55,7 @@
 
 // rules are the figures that the referee judges by.
 func rules(s scenario.Scenario, places map[event.Server]referee.Place) referee.Rules {
-	r := referee.Rules{Places: places, MaxWriteOuts: s.Service.MaxWriteOuts, Grace: s.Service.DrainGrace.Micros(),
+	r := referee.Rules{Places: places, MaxWriteOuts: s.Service.MaxAttempts, Grace: s.Service.DrainGrace.Micros(),
 		Slack: referee.DefaultSlack, ToldAfter: referee.DefaultToldAfter, MostCold: referee.DefaultMostCold}
 	for _, m := range s.Methods {
 		r.Methods = append(r.Methods, referee.Method{Name: m.Name, Effect: m.Effect, Group: m.Group, Window: m.Window.Micros()})
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -106,7 +106,7 @@
 func (o *Origin) renew() {
 	s := o.fleet.Set
 	o.machine = machine.New(machine.Settings{Cores: s.Cores, Queue: s.Queue, ColdShare: 1,
-		FallMultiple: s.FallMultiple, FallSpan: s.FallSpan.Micros(), FallsWarm: true}, o.fleet.Log.Now(), true)
+		FallMultiple: s.CollapseMultiple, FallSpan: s.CollapseWindow.Micros(), FallsWarm: true}, o.fleet.Log.Now(), true)
 }
 
 func (o *Origin) turn() {
@@ -152,7 +152,7 @@
 
 // count keeps what was asked for of late, to tell what pushed the origin over.
 func (o *Origin) count(now event.Micros, work float64, cold bool) {
-	fade := math.Exp(-float64(now-o.at) / float64(max(1, o.fleet.Set.FallSpan)))
+	fade := math.Exp(-float64(now-o.at) / float64(max(1, o.fleet.Set.CollapseWindow)))
 	o.asked, o.cold, o.at = o.asked*fade+work, o.cold*fade, now
 	if cold {
 		o.cold += work
@@ -167,7 +167,7 @@
 	o.stopped = true
 	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Stopped, Server: UID, Router: event.Nobody,
 		Limit: event.Micros(1000 * o.cold / max(1, o.asked))})
-	time.AfterFunc(o.fleet.Set.StopFor.Micros().Duration(), func() {
+	time.AfterFunc(o.fleet.Set.Downtime.Micros().Duration(), func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.stopped = false
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -277,7 +277,7 @@
 		_, _ = w.Write([]byte(bad))
 		return
 	}
-	all := !watch || r.set.Whole || index < 0 || index > n
+	all := !watch || r.set.FullLists || index < 0 || index > n
 	out := r.body(a.router, n, max(0, min(index, n)), all)
 	if _, err := w.Write(out); err == nil && q.Context().Err() == nil {
 		r.tell(a.router, n)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestCommentedIsWhole(t *testing.T) {
-	s, err := Parse([]byte(Commented))
+	s, err := Parse([]byte(Example))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,8 +40,8 @@
 		{`rate = 400.0`, `rate = 400000.0`, "load.steps: asks for over five million reqs; lower it, or the length"},
 		{`[routers]`, `[routers`, "the file"},
 	} {
-		text := strings.Replace(Commented, c.from, c.to, 1)
-		if text == Commented {
+		text := strings.Replace(Example, c.from, c.to, 1)
+		if text == Example {
 			t.Fatalf("%q is not in the commented file", c.from)
 		}
 		_, err := Parse([]byte(text))
@@ -58,7 +58,7 @@
 
 // All that is wrong is told at once.
 func TestAllErrorsAreTold(t *testing.T) {
-	text := strings.NewReplacer(`rate = 300.0`, `rate = 0.0`, `zipf = 0.95`, `zipf = 9.0`).Replace(Commented)
+	text := strings.NewReplacer(`rate = 300.0`, `rate = 0.0`, `zipf = 0.95`, `zipf = 9.0`).Replace(Example)
 	_, err := Parse([]byte(text))
 	if err == nil || len(strings.Split(err.Error(), "\n")) != 2 {
 		t.Error(err)
@@ -66,6 +66,6 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(Commented))
+	f.Add([]byte(Example))
 	f.Fuzz(func(_ *testing.T, text []byte) { _, _ = Parse(text) })
 }
