--- a/cmd/cache-routerctl/bench.go
+++ b/cmd/cache-routerctl/bench.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			all := []bench.Figures{}
+			all := []bench.Measurements{}
 			for _, value := range o.values {
 				for _, depth := range o.depths {
 					fmt.Fprintf(c.ErrOrStderr(), "%d B, depth %d: %v\n", value, depth, o.length)
@@ -54,8 +54,8 @@
 					if err != nil {
 						return err
 					}
-					f, err := bench.Router(c.Context(), program, dir,
-						bench.Case{Value: value, Depth: depth, Conns: o.conns, Rate: o.rate, Servers: o.servers}, o.length)
+					f, err := bench.MeasureRouter(c.Context(), program, dir,
+						bench.Case{ValueBytes: value, Depth: depth, Conns: o.conns, Rate: o.rate, Servers: o.servers}, o.length)
 					if err != nil {
 						return err // the folder stays: it has the log
 					}
@@ -71,8 +71,8 @@
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "value\tdepth\tconns\tanswers/s\tp50 ms\tp99 ms\tCPU us/req\tallocs/req\tbytes/req\topened\tnacked\tfailed\t")
 			for _, f := range all {
-				fmt.Fprintf(t, "%d\t%d\t%d\t%.0f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%d\t%d\t%d\t\n", f.Value, f.Depth, f.Conns, f.PerSecond, f.P50, f.P99, f.CPU,
-					f.Allocs, f.Bytes, f.Opened, f.Nacked, f.Failed)
+				fmt.Fprintf(t, "%d\t%d\t%d\t%.0f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%d\t%d\t%d\t\n", f.ValueBytes, f.Depth, f.Conns, f.AnswersPerSecond, f.P50, f.P99, f.CPUPerRequest,
+					f.AllocsPerRequest, f.AllocBytesPerRequest, f.ConnectionsOpened, f.Rejected, f.Failed)
 			}
 			return t.Flush()
 		}}
@@ -94,21 +94,21 @@
 	if rate <= 0 {
 		rate = 50000
 	}
-	null, err := bench.NewNull("127.0.0.1:0", bench.Bulk(value))
+	null, err := bench.NewStubServer("127.0.0.1:0", bench.RouterReply(value))
 	if err != nil {
 		return err
 	}
 	defer null.Close()
 	out, err := bench.Run(c.Context(), bench.Load{Addr: null.Addr(), Conns: conns, Rate: rate, Keys: 10000, Props: "c=get,d=2000",
-		Warm: 500 * time.Millisecond, Length: length})
+		WarmUp: 500 * time.Millisecond, Duration: length})
 	if err != nil {
 		return err
 	}
 	if output == "json" {
 		return writeJSON(c.OutOrStdout(), map[string]any{"asked_per_second": rate, "answers_per_second": out.Rate(), "p50_ms": out.Quantile(50),
-			"p99_ms": out.Quantile(99), "late_p99_ms": out.LateP99.Seconds() * 1e3, "late_max_ms": out.Late.Seconds() * 1e3})
+			"p99_ms": out.Quantile(99), "late_p99_ms": out.LatenessP99.Seconds() * 1e3, "late_max_ms": out.MaxLateness.Seconds() * 1e3})
 	}
 	_, err = fmt.Fprintf(c.OutOrStdout(), "%.0f a second asked for, %.0f answered; latency p50 %.3f ms, p99 %.3f ms; sent late by %.3f ms at p99, %.1f ms at worst\n",
-		rate, out.Rate(), out.Quantile(50), out.Quantile(99), out.LateP99.Seconds()*1e3, out.Late.Seconds()*1e3)
+		rate, out.Rate(), out.Quantile(50), out.Quantile(99), out.LatenessP99.Seconds()*1e3, out.MaxLateness.Seconds()*1e3)
 	return err
 }
--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -69,7 +69,7 @@
 				return err
 			}
 			seed = orSeed(c, seed, s)
-			all := arrivals.Make(s, seed)
+			all := arrivals.Generate(s, seed)
 			acts := fleet.Timeline(s, seed)
 			type line struct {
 				At    string `json:"at"`
@@ -240,7 +240,7 @@
 			if err != nil {
 				return err
 			}
-			all := arrivals.Make(s, orSeed(c, seed, s))
+			all := arrivals.Generate(s, orSeed(c, seed, s))
 			f, err := os.Create(args[1])
 			if err != nil {
 				return err
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -54,8 +54,8 @@
 	}
 	s.Service.Mode, s.Routers.Count, s.Servers.Count = "through", 1, 1
 	x := &site{t: t, log: event.NewLog(), ended: make(chan error, 1)}
-	f := &cacheserver.Fleet{Log: x.log, Set: s.Servers, Service: s.Service, Through: true, Methods: map[string]scenario.Method{},
-		Repeats: &cacheserver.Repeats{}}
+	f := &cacheserver.Config{Log: x.log, Settings: s.Servers, Service: s.Service, ReadThrough: true, Methods: map[string]scenario.Method{},
+		Deduplicator: &cacheserver.Deduplicator{}}
 	for _, m := range s.Methods {
 		m.Work, m.WorkDistribution = 1000, "none"
 		f.Methods[m.Name] = m
@@ -69,8 +69,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reg.Set(registry.Entry{UID: "s0", Zone: "a", Kind: "cache", State: "active", Addr: x.server.Addr}, true)
-	text, err := fleet.Config(s, 0, "n1", at(6379), at(18500), "1", reg.Known(0))
+	reg.Update(registry.Entry{UID: "s0", Zone: "a", Kind: "cache", State: "active", Addr: x.server.Addr}, true)
+	text, err := fleet.Config(s, 0, "n1", at(6379), at(18500), "1", reg.FullList(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 }
 
 func (x *site) strike(kind string, share float64, end bool) {
-	if err := x.server.Strike(scenario.Fault{Kind: kind, Share: share, Factor: 1}, end); err != nil {
+	if err := x.server.ApplyFault(scenario.Fault{Kind: kind, Share: share, Factor: 1}, end); err != nil {
 		x.t.Fatal(err)
 	}
 }
@@ -165,12 +165,12 @@
 func TestAnswers(t *testing.T) {
 	x := start(t)
 	id := x.id()
-	if got, err := x.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.Req(id), []byte(got)) {
+	if got, err := x.get(t.Context(), id, "status"); err != nil || !cacheserver.IsValueFor(event.Req(id), []byte(got)) {
 		t.Error(got, err)
 	}
 	id = x.id()
 	set, err := x.c.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
-	if err != nil || !cacheserver.MadeFor(event.Req(id), set.GetReceipt()) || x.seen(id, event.Ran) != 1 {
+	if err != nil || !cacheserver.IsValueFor(event.Req(id), set.GetReceipt()) || x.seen(id, event.Ran) != 1 {
 		t.Error(set, err, x.seen(id, event.Ran))
 	}
 	// What may have run and must not run again fails, and nothing more is said of it.
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -24,7 +24,7 @@
 	Key    string
 	Size   int // bytes of the value
 	// Leaves is when the client goes away without its answer, counted from At; 0: it stays.
-	Leaves event.Micros
+	AbandonAfter event.Micros
 }
 
 // zipf draws ranks 0..n-1 with weight 1/(rank+1)^s, from a table: the generator of the library has no s up to one.
@@ -60,7 +60,7 @@
 }
 
 // Make makes the whole schedule.
-func Make(s scenario.Scenario, seed uint64) []Arrival {
+func Generate(s scenario.Scenario, seed uint64) []Arrival {
 	// A source of its own for times and for what is asked: a change of one leaves the other as it was.
 	times := rand.New(rand.NewPCG(seed, 1))
 	what := rand.New(rand.NewPCG(seed, 2))
@@ -138,13 +138,13 @@
 		a.Size = s.Load.ValueBytes
 	}
 	if goes := r.Float64(); r.Float64() < leaves {
-		a.Leaves = max(1, event.Micros(goes*float64(s.Methods[a.Method].LatencyBudget)))
+		a.AbandonAfter = max(1, event.Micros(goes*float64(s.Methods[a.Method].LatencyBudget)))
 	}
 	return a
 }
 
 // Hottest are the keys that are asked for most, by rank.
-func Hottest(s scenario.Scenario, seed uint64, n int) (out []string) {
+func HottestKeys(s scenario.Scenario, seed uint64, n int) (out []string) {
 	names := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
 	for _, key := range names[:min(n, len(names))] {
 		out = append(out, "k"+strconv.FormatInt(int64(key), 36))
@@ -156,7 +156,7 @@
 func Digest(all []Arrival) string {
 	h := sha256.New()
 	for _, a := range all {
-		fmt.Fprintln(h, a.At, a.Site, a.Method, a.Tenant, a.Key, a.Size, a.Leaves)
+		fmt.Fprintln(h, a.At, a.Site, a.Method, a.Tenant, a.Key, a.Size, a.AbandonAfter)
 	}
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -18,10 +18,10 @@
 func TestSameSeedSameSchedule(t *testing.T) {
 	s := commented(t)
 	const want = "e4ff4d0aa3338d48" // of seed 1; it must not change by chance, since reports are compared by seed
-	if a, b := Digest(Make(s, 1)), Digest(Make(s, 1)); a != b || a != want {
+	if a, b := Digest(Generate(s, 1)), Digest(Generate(s, 1)); a != b || a != want {
 		t.Error(a, b)
 	}
-	if Digest(Make(s, 1)) == Digest(Make(s, 2)) {
+	if Digest(Generate(s, 1)) == Digest(Generate(s, 2)) {
 		t.Error("two seeds give one schedule")
 	}
 }
@@ -31,7 +31,7 @@
 	s.Length, s.Load.Rate, s.Load.Steps = 100e6, 1000, nil
 	s.Faults = []scenario.Fault{{Kind: "hot_key", At: 50e6, Duration: 20e6, Share: 0.3, Site: "south"}, {Kind: "burst", At: 80e6, Duration: 10e6, Factor: 3}}
 	var before, burst, hot, south, north, hotNorth float64
-	for _, a := range Make(s, 5) {
+	for _, a := range Generate(s, 5) {
 		switch {
 		case a.At < 50e6:
 			before++
@@ -74,10 +74,10 @@
 	s := commented(t)
 	s.Length, s.Load.Rate, s.Load.Steps, s.Faults, s.Load.Keys, s.Load.Zipf = 100e6, 1000, nil, nil, 1000, 1
 	counts := map[string]float64{}
-	for _, a := range Make(s, 3) {
+	for _, a := range Generate(s, 3) {
 		counts[a.Key]++
 	}
-	top := Hottest(s, 3, 2)
+	top := HottestKeys(s, 3, 2)
 	if ratio := counts[top[0]] / counts[top[1]]; ratio < 1.85 || ratio > 2.15 {
 		t.Errorf("the first key is asked for %.2f times as often as the second, not twice", ratio)
 	}
@@ -86,6 +86,6 @@
 func BenchmarkMake(b *testing.B) {
 	s := commented(b)
 	for b.Loop() {
-		Make(s, 1)
+		Generate(s, 1)
 	}
 }
--- a/internal/lab/bench/bench_test.go
+++ b/internal/lab/bench/bench_test.go
@@ -7,15 +7,15 @@
 
 // What the generator counts is what a server that answers at once was asked.
 func TestLoadCounts(t *testing.T) {
-	null, err := NewNull("127.0.0.1:0", Bulk(100))
+	null, err := NewStubServer("127.0.0.1:0", RouterReply(100))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer null.Close()
 	for _, l := range []Load{{Conns: 4, Depth: 8}, {Conns: 4, Rate: 2000}} {
-		l.Addr, l.Keys, l.Props, l.Length = null.Addr(), 10, "c=get,d=9", 200*time.Millisecond
+		l.Addr, l.Keys, l.Props, l.Duration = null.Addr(), 10, "c=get,d=9", 200*time.Millisecond
 		out, err := Run(t.Context(), l)
-		if err != nil || out.Answered == 0 || out.Satisfied != out.Answered || out.Latency.TotalCount() != out.Answered {
+		if err != nil || out.Answered == 0 || out.Succeeded != out.Answered || out.Latency.TotalCount() != out.Answered {
 			t.Errorf("%+v: %+v, %v", l, out, err)
 		}
 		if l.Rate > 0 && out.Answered > 405 {
@@ -25,26 +25,26 @@
 	if _, err := Run(t.Context(), Load{Addr: null.Addr()}); err == nil {
 		t.Error("a load of nothing was played")
 	}
-	busy, err := NewNull("127.0.0.1:0", []byte("-BUSY 5\r\n"))
+	busy, err := NewStubServer("127.0.0.1:0", []byte("-BUSY 5\r\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer busy.Close()
-	out, err := Run(t.Context(), Load{Addr: busy.Addr(), Conns: 1, Depth: 1, Keys: 1, Length: 50 * time.Millisecond})
-	if err != nil || out.Nacked == 0 || out.Nacked != out.Answered {
+	out, err := Run(t.Context(), Load{Addr: busy.Addr(), Conns: 1, Depth: 1, Keys: 1, Duration: 50 * time.Millisecond})
+	if err != nil || out.Rejected == 0 || out.Rejected != out.Answered {
 		t.Errorf("%+v, %v", out, err)
 	}
 }
 
 // BenchmarkGenerator shows what the generator adds at 50,000 requests a second: under a millisecond at p99 is wanted.
 func BenchmarkGenerator(b *testing.B) {
-	null, err := NewNull("127.0.0.1:0", Bulk(512))
+	null, err := NewStubServer("127.0.0.1:0", RouterReply(512))
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer null.Close()
 	for b.Loop() {
-		out, err := Run(b.Context(), Load{Addr: null.Addr(), Conns: 64, Rate: 50000, Keys: 1000, Props: "c=get,d=9", Length: time.Second})
+		out, err := Run(b.Context(), Load{Addr: null.Addr(), Conns: 64, Rate: 50000, Keys: 1000, Props: "c=get,d=9", Duration: time.Second})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -23,34 +23,34 @@
 
 // Load is what to send.
 type Load struct {
-	Addr   string
-	Conns  int
-	Depth  int           // closed loop: requests in hand on a connection
-	Rate   float64       // open loop: requests a second over all connections; 0: closed
-	Keys   int           // read in turns
-	Props  string        // of each request, as the protocol has them
-	Length time.Duration // that is measured
-	Warm   time.Duration // before that
-	First  uint64        // of the ids, so that two loads share none
+	Addr     string
+	Conns    int
+	Depth    int           // closed loop: requests in hand on a connection
+	Rate     float64       // open loop: requests a second over all connections; 0: closed
+	Keys     int           // read in turns
+	Props    string        // of each request, as the protocol has them
+	Duration time.Duration // that is measured
+	WarmUp   time.Duration // before that
+	FirstID  uint64        // of the ids, so that two loads share none
 }
 
 // Outcome is what came back within the time measured.
-type Outcome struct {
-	Answered  int64
-	Satisfied int64
-	Nacked    int64
-	Failed    int64
-	Took      time.Duration
-	Latency   *hdrhistogram.Histogram // microseconds
-	Late      time.Duration           // by which the generator was behind, at worst
-	LateP99   time.Duration           // of the calls of the open loop
+type Result struct {
+	Answered    int64
+	Succeeded   int64
+	Rejected    int64
+	Failed      int64
+	Duration    time.Duration
+	Latency     *hdrhistogram.Histogram // microseconds
+	MaxLateness time.Duration           // by which the generator was behind, at worst
+	LatenessP99 time.Duration           // of the calls of the open loop
 }
 
 // Rate is answers a second.
-func (o Outcome) Rate() float64 { return float64(o.Answered) / o.Took.Seconds() }
+func (o Result) Rate() float64 { return float64(o.Answered) / o.Duration.Seconds() }
 
 // Quantile is a latency in milliseconds.
-func (o Outcome) Quantile(q float64) float64 { return float64(o.Latency.ValueAtQuantile(q)) / 1e3 }
+func (o Result) Quantile(q float64) float64 { return float64(o.Latency.ValueAtQuantile(q)) / 1e3 }
 
 // link is one connection of the generator.
 type link struct {
@@ -61,30 +61,30 @@
 	mu      sync.Mutex
 	due     []int64 // microseconds since the start, of those without an answer
 	hist    *hdrhistogram.Histogram
-	out     Outcome
+	out     Result
 	scratch []byte
 }
 
 // Run loads until the time is over. An address that cannot be reached, or a connection that breaks, is an error.
-func Run(ctx context.Context, l Load) (Outcome, error) {
+func Run(ctx context.Context, l Load) (Result, error) {
 	if l.Conns < 1 || l.Depth < 1 && l.Rate <= 0 || l.Keys < 1 {
-		return Outcome{}, errors.New("a load needs connections, keys, and a depth or a rate")
+		return Result{}, errors.New("a load needs connections, keys, and a depth or a rate")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ids := &atomic.Uint64{}
-	ids.Store(l.First)
+	ids.Store(l.FirstID)
 	links := make([]*link, l.Conns)
 	for i := range links {
 		c, err := net.DialTimeout("tcp", l.Addr, 2*time.Second)
 		if err != nil {
-			return Outcome{}, err
+			return Result{}, err
 		}
 		defer c.Close()
 		links[i] = &link{l: &l, n: i, c: c, ids: ids, hist: hdrhistogram.New(1, 60e6, 3)}
 	}
 	start := time.Now()
-	from, until := l.Warm, l.Warm+l.Length
+	from, until := l.WarmUp, l.WarmUp+l.Duration
 	stop := context.AfterFunc(ctx, func() {
 		for _, k := range links {
 			k.c.Close()
@@ -106,7 +106,7 @@
 	} else {
 		for _, k := range links {
 			if err := k.send(l.Depth, time.Since(start)); err != nil {
-				return Outcome{}, err
+				return Result{}, err
 			}
 		}
 		select {
@@ -114,24 +114,24 @@
 		case <-time.After(until):
 		}
 	}
-	time.Sleep(min(200*time.Millisecond, l.Length)) // what is on its way
+	time.Sleep(min(200*time.Millisecond, l.Duration)) // what is on its way
 	cancel()
 	readers.Wait()
 	select {
 	case err := <-errs:
-		return Outcome{}, err
+		return Result{}, err
 	default:
 	}
-	all := Outcome{Took: l.Length, Latency: hdrhistogram.New(1, 60e6, 3)}
+	all := Result{Duration: l.Duration, Latency: hdrhistogram.New(1, 60e6, 3)}
 	for _, k := range links {
 		all.Answered += k.out.Answered
-		all.Satisfied += k.out.Satisfied
-		all.Nacked += k.out.Nacked
+		all.Succeeded += k.out.Succeeded
+		all.Rejected += k.out.Rejected
 		all.Failed += k.out.Failed
 		all.Latency.Merge(k.hist)
 	}
 	if late != nil {
-		all.Late, all.LateP99 = time.Duration(late.Max())*time.Microsecond, time.Duration(late.ValueAtQuantile(99))*time.Microsecond
+		all.MaxLateness, all.LatenessP99 = time.Duration(late.Max())*time.Microsecond, time.Duration(late.ValueAtQuantile(99))*time.Microsecond
 	}
 	return all, nil
 }
@@ -224,9 +224,9 @@
 				k.out.Answered++
 				switch {
 				case r.Kind == '$' && !r.Null:
-					k.out.Satisfied++
+					k.out.Succeeded++
 				case r.Kind == '-' && len(r.Text) >= 4 && string(r.Text[:4]) == "BUSY":
-					k.out.Nacked++
+					k.out.Rejected++
 				default:
 					k.out.Failed++
 				}
--- a/internal/lab/bench/null.go
+++ b/internal/lab/bench/null.go
@@ -9,36 +9,36 @@
 )
 
 // Null answers each command at once with the same text. It is a router that costs nothing, or a cache server that does.
-type Null struct {
-	ln    net.Listener
-	text  []byte
-	conns sync.Map
-	wg    sync.WaitGroup
-	Opens atomic.Int64 // connections accepted
+type StubServer struct {
+	ln       net.Listener
+	text     []byte
+	conns    sync.Map
+	wg       sync.WaitGroup
+	Accepted atomic.Int64 // connections accepted
 }
 
 // Bulk is the answer of a router, Array that of a cache server, with a value of so many bytes.
-func Bulk(size int) []byte { return resp.AppendBulk(nil, make([]byte, size)) }
+func RouterReply(size int) []byte { return resp.AppendBulk(nil, make([]byte, size)) }
 
 // Array is the answer of a cache server with a value of so many bytes.
-func Array(size int) []byte {
+func CacheServerReply(size int) []byte {
 	return append(resp.AppendBulk([]byte("*3\r\n"), make([]byte, size)), "$-1\r\n$-1\r\n"...)
 }
 
 // NewNull listens on an address.
-func NewNull(addr string, text []byte) (*Null, error) {
+func NewStubServer(addr string, text []byte) (*StubServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	n := &Null{ln: ln, text: text}
+	n := &StubServer{ln: ln, text: text}
 	n.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			n.Opens.Add(1)
+			n.Accepted.Add(1)
 			n.conns.Store(c, true)
 			n.wg.Go(func() { n.serve(c) })
 		}
@@ -47,16 +47,16 @@
 }
 
 // Addr is where it listens.
-func (n *Null) Addr() string { return n.ln.Addr().String() }
+func (n *StubServer) Addr() string { return n.ln.Addr().String() }
 
 // Close ends it.
-func (n *Null) Close() {
+func (n *StubServer) Close() {
 	n.ln.Close()
 	n.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
 	n.wg.Wait()
 }
 
-func (n *Null) serve(c net.Conn) {
+func (n *StubServer) serve(c net.Conn) {
 	defer n.conns.Delete(c)
 	defer c.Close()
 	buf := make([]byte, 64<<10)
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -20,26 +20,26 @@
 
 // Case is one load on a router between clients and servers that answer at once.
 type Case struct {
-	Value   int     `json:"value_bytes"`
-	Depth   int     `json:"depth"`
-	Conns   int     `json:"connections"`
-	Rate    float64 `json:"rate,omitempty"` // 0: closed loop
-	Servers int     `json:"servers"`
+	ValueBytes int     `json:"value_bytes"`
+	Depth      int     `json:"depth"`
+	Conns      int     `json:"connections"`
+	Rate       float64 `json:"rate,omitempty"` // 0: closed loop
+	Servers    int     `json:"servers"`
 }
 
 // Figures are what a case cost.
-type Figures struct {
+type Measurements struct {
 	Case
-	PerSecond float64 `json:"answers_per_second"`
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	CPU       float64 `json:"cpu_us_per_req"`
-	Allocs    float64 `json:"allocs_per_req"`
-	Bytes     float64 `json:"alloc_bytes_per_req"`
-	Opened    int64   `json:"server_connections_opened"`
-	Nacked    int64   `json:"nacked"`
-	Failed    int64   `json:"failed"`
-	LateP99   float64 `json:"generator_late_p99_ms"`
+	AnswersPerSecond     float64 `json:"answers_per_second"`
+	P50                  float64 `json:"p50_ms"`
+	P99                  float64 `json:"p99_ms"`
+	CPUPerRequest        float64 `json:"cpu_us_per_req"`
+	AllocsPerRequest     float64 `json:"allocs_per_req"`
+	AllocBytesPerRequest float64 `json:"alloc_bytes_per_req"`
+	ConnectionsOpened    int64   `json:"server_connections_opened"`
+	Rejected             int64   `json:"nacked"`
+	Failed               int64   `json:"failed"`
+	LatenessP99          float64 `json:"generator_late_p99_ms"`
 }
 
 // setup is the service of a bench: one method that may run again, and time enough that nothing is cut short.
@@ -55,8 +55,8 @@
 const props = "c=get,d=2000"
 
 // Router measures a case on a router program. The folder is for its configuration and log.
-func Router(ctx context.Context, program, dir string, c Case, length time.Duration) (Figures, error) {
-	f := Figures{Case: c}
+func MeasureRouter(ctx context.Context, program, dir string, c Case, length time.Duration) (Measurements, error) {
+	f := Measurements{Case: c}
 	s := setup(c.Servers)
 	network, err := fleet.NewNetwork(1)
 	if err != nil {
@@ -69,20 +69,20 @@
 		return f, err
 	}
 	defer reg.Close()
-	var nulls []*Null
+	var nulls []*StubServer
 	for i := range c.Servers {
-		n, err := NewNull(network.Server(i)[0], Array(c.Value))
+		n, err := NewStubServer(network.Server(i)[0], CacheServerReply(c.ValueBytes))
 		if err != nil {
 			return f, err
 		}
 		defer n.Close()
 		nulls = append(nulls, n)
-		reg.Set(registry.Entry{UID: event.Server(fmt.Sprint("s", i)), Zone: "a", Kind: "cache", State: "active",
+		reg.Update(registry.Entry{UID: event.Server(fmt.Sprint("s", i)), Zone: "a", Kind: "cache", State: "active",
 			Addr: func(event.Router) string { return n.Addr() }}, true)
 	}
 	spec := fleet.Spec{Name: "bench", Listen: network.Routers()[0], Discovery: reg.Addr(0), Config: filepath.Join(dir, "config.json"),
 		Log: filepath.Join(dir, "router.log"), Cores: 1}
-	text, err := fleet.Config(s, 0, spec.Name, spec.Listen, spec.Discovery, "1", reg.Known(0))
+	text, err := fleet.Config(s, 0, spec.Name, spec.Listen, spec.Discovery, "1", reg.FullList(0))
 	if err != nil {
 		return f, err
 	}
@@ -95,7 +95,7 @@
 	}
 	defer p.End()
 	warm := time.Second
-	load := Load{Addr: spec.Listen, Conns: c.Conns, Depth: c.Depth, Rate: c.Rate, Keys: 10000, Props: props, Warm: warm, Length: length}
+	load := Load{Addr: spec.Listen, Conns: c.Conns, Depth: c.Depth, Rate: c.Rate, Keys: 10000, Props: props, WarmUp: warm, Duration: length}
 	if err := ready(ctx, load); err != nil {
 		return f, fmt.Errorf("%w; see %s", err, spec.Log)
 	}
@@ -112,27 +112,27 @@
 		return f, err
 	}
 	n := float64(max(1, after.taken-before.taken))
-	f.PerSecond, f.P50, f.P99 = out.Rate(), out.Quantile(50), out.Quantile(99)
-	f.CPU = float64((after.cpu-before.cpu)/time.Microsecond) / n
-	f.Allocs, f.Bytes = float64(after.allocs-before.allocs)/n, float64(after.bytes-before.bytes)/n
-	f.Nacked, f.Failed, f.LateP99 = out.Nacked, out.Failed, out.LateP99.Seconds()*1e3
+	f.AnswersPerSecond, f.P50, f.P99 = out.Rate(), out.Quantile(50), out.Quantile(99)
+	f.CPUPerRequest = float64((after.cpu-before.cpu)/time.Microsecond) / n
+	f.AllocsPerRequest, f.AllocBytesPerRequest = float64(after.allocs-before.allocs)/n, float64(after.bytes-before.bytes)/n
+	f.Rejected, f.Failed, f.LatenessP99 = out.Rejected, out.Failed, out.LatenessP99.Seconds()*1e3
 	for _, null := range nulls {
-		f.Opened += null.Opens.Load()
+		f.ConnectionsOpened += null.Accepted.Load()
 	}
 	return f, nil
 }
 
 // ready waits until one request is satisfied.
 func ready(ctx context.Context, l Load) error {
-	l.Conns, l.Depth, l.Rate, l.Warm, l.Length, l.First = 1, 1, 0, 0, 20*time.Millisecond, 1<<40
+	l.Conns, l.Depth, l.Rate, l.WarmUp, l.Duration, l.FirstID = 1, 1, 0, 0, 20*time.Millisecond, 1<<40
 	for range 200 {
-		if out, err := Run(ctx, l); err == nil && out.Satisfied > 0 {
+		if out, err := Run(ctx, l); err == nil && out.Succeeded > 0 {
 			return nil
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		l.First += 1 << 32
+		l.FirstID += 1 << 32
 		time.Sleep(20 * time.Millisecond)
 	}
 	return errors.New("the router satisfied nothing")
--- a/internal/lab/cacheserver/answer.go
+++ b/internal/lab/cacheserver/answer.go
@@ -39,7 +39,7 @@
 			Write: c.write, DeadlineSent: c.sent})
 		s.take(c, now)
 	case "PING":
-		if s.fleet.Set.Probes {
+		if s.fleet.Settings.Probes {
 			s.probe(k, []byte("+PONG\r\n"), now)
 			return
 		}
@@ -47,7 +47,7 @@
 	case "CLIENT", "SELECT":
 		plain("+OK\r\n")
 	case "INFO":
-		if s.fleet.Set.Probes {
+		if s.fleet.Settings.Probes {
 			s.probe(k, nil, now)
 			return
 		}
@@ -61,7 +61,7 @@
 func (s *Server) probe(k *conn, text []byte, now event.Micros) {
 	c := &command{on: k, cut: -1, probe: true, pong: text}
 	k.slots = append(k.slots, c)
-	c.job = &machine.Job{Work: max(1, s.fleet.Set.ProbeWork.Micros())}
+	c.job = &machine.Job{Work: max(1, s.fleet.Settings.ProbeWork.Micros())}
 	if !s.machine.Take(now, c.job) {
 		k.put(c, []byte("-ERR busy\r\n"), 0)
 		return
@@ -90,13 +90,13 @@
 	if m.WorkDistribution == "exp" {
 		work *= s.rand.ExpFloat64()
 	}
-	c.missed = !c.write && !s.fleet.Through && !s.store.Has(c.key)
+	c.missed = !c.write && !s.fleet.ReadThrough && !s.store.Has(c.key)
 	if c.missed {
-		work = float64(s.fleet.Set.MissWork)
+		work = float64(s.fleet.Settings.MissWork)
 	}
 	if !k.used { // a new connection costs the server, as a handshake does
 		k.used = true
-		work += float64(s.fleet.Set.ConnectionWork)
+		work += float64(s.fleet.Settings.ConnectionWork)
 	}
 	s.ids++
 	c.job = &machine.Job{ID: s.ids, Work: max(1, event.Micros(work))}
@@ -116,7 +116,7 @@
 // fall: pushed over while cold, it stays down.
 func (s *Server) fall() {
 	s.fleet.Log.Add(event.Event{Kind: event.Fell, Server: s.UID, Router: event.Nobody,
-		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.fleet.Set.CollapseMultiple, s.fleet.Set.CollapseWindow)})
+		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.fleet.Settings.CollapseMultiple, s.fleet.Settings.CollapseWindow)})
 	s.down = true
 	s.closeListeners()
 	for k := range s.conns {
@@ -138,14 +138,14 @@
 	}
 	if c.missed {
 		s.hits -= s.hits / 50
-		s.fleet.Missed(c.req, s, s.machine.Cold(now))
+		s.fleet.OnMiss(c.req, s, s.machine.Cold(now))
 		s.send(c, nil, report, event.Miss)
 		return
 	}
 	m := s.fleet.Methods[c.method]
 	if c.write {
 		group := map[string]string{"zone": "z " + s.Zone, "cell": "c " + strconv.Itoa(s.Cell)}[m.Group]
-		if m.Effect != "deduplicated" || !s.fleet.Repeats.Known(group, c.req, now, m.Window.Micros()) {
+		if m.Effect != "deduplicated" || !s.fleet.Deduplicator.IsRepeat(group, c.req, now, m.Window.Micros()) {
 			s.fleet.Log.Add(event.Event{Kind: event.Ran, Req: c.req, Server: s.UID, Router: c.on.router})
 		}
 		s.store.Drop(c.key)
@@ -153,11 +153,11 @@
 		s.hits += (1 - s.hits) / 50
 		s.store.Put(c.key)
 	}
-	s.send(c, Made(c.req, s.UID, c.size), report, event.Value)
+	s.send(c, MakeValue(c.req, s.UID, c.size), report, event.Value)
 }
 
 // Made is the value or receipt that a server makes for one request.
-func Made(req event.Req, by event.Server, size int) []byte {
+func MakeValue(req event.Req, by event.Server, size int) []byte {
 	v := append([]byte(req), ' ')
 	v = append(append(v, by...), ' ')
 	for len(v) < size {
@@ -167,7 +167,7 @@
 }
 
 // MadeFor tells whether a value was made for a request.
-func MadeFor(req event.Req, value []byte) bool {
+func IsValueFor(req event.Req, value []byte) bool {
 	return len(value) > len(req) && string(value[:len(req)]) == string(req) && value[len(req)] == ' '
 }
 
@@ -194,20 +194,20 @@
 	if s.trouble.badReports {
 		return []byte("avg_ms==,,x;\x01" + strconv.Itoa(s.rand.IntN(1000)))
 	}
-	if len(s.fleet.Set.ReportFields) == 0 {
+	if len(s.fleet.Settings.ReportFields) == 0 {
 		return nil
 	}
-	if s.report != nil && (s.trouble.staleReports || now-s.reported < s.fleet.Set.ReportInterval.Micros()) {
+	if s.report != nil && (s.trouble.staleReports || now-s.reported < s.fleet.Settings.ReportInterval.Micros()) {
 		return s.report
 	}
 	running, waiting := s.machine.Load()
 	s.report, s.reported = nil, now
-	for i, name := range s.fleet.Set.ReportFields {
+	for i, name := range s.fleet.Settings.ReportFields {
 		if i > 0 {
 			s.report = append(s.report, ',')
 		}
 		x := map[string]float64{"latency": float64(s.took) / 1e3, "queue": float64(waiting),
-			"in_flight": float64(running + waiting), "busy": float64(running) / float64(s.fleet.Set.Cores),
+			"in_flight": float64(running + waiting), "busy": float64(running) / float64(s.fleet.Settings.Cores),
 			"errors": s.errors, "hits": s.hits}[name]
 		s.report = strconv.AppendFloat(append(s.report, s.fleet.figure(name)+"="...), x, 'g', 6, 64)
 	}
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -21,24 +21,24 @@
 )
 
 // Fleet is what all servers of a run share.
-type Fleet struct {
-	Log     *event.Log
-	Set     scenario.Servers
-	Service scenario.Service
-	Methods map[string]scenario.Method
-	Through bool
-	Missed  func(req event.Req, s *Server, cold bool) // aside: the origin's answer is to fill it
-	Repeats *Repeats
+type Config struct {
+	Log          *event.Log
+	Settings     scenario.Servers
+	Service      scenario.Service
+	Methods      map[string]scenario.Method
+	ReadThrough  bool
+	OnMiss       func(req event.Req, s *Server, cold bool) // aside: the origin's answer is to fill it
+	Deduplicator *Deduplicator
 }
 
 // Repeats remembers deduplicated requests, as all servers of a group do together.
-type Repeats struct {
+type Deduplicator struct {
 	mu   sync.Mutex
 	seen map[string]event.Micros
 }
 
 // Known tells whether a request ran in a group within a window, and remembers it otherwise.
-func (r *Repeats) Known(group string, req event.Req, now, window event.Micros) bool {
+func (r *Deduplicator) IsRepeat(group string, req event.Req, now, window event.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
@@ -54,7 +54,7 @@
 
 // Server is one life.
 type Server struct {
-	fleet *Fleet
+	fleet *Config
 	UID   event.Server
 	Zone  string
 	Cell  int
@@ -85,18 +85,18 @@
 }
 
 // Start begins a life on its addresses. A warm one has been up for long and holds its keys already.
-func Start(f *Fleet, uid event.Server, zone string, cell int, addrs []string, warm bool, seed uint64) (*Server, error) {
-	s := &Server{fleet: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Set.Keys),
+func Start(f *Config, uid event.Server, zone string, cell int, addrs []string, warm bool, seed uint64) (*Server, error) {
+	s := &Server{fleet: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Settings.Keys),
 		rand: rand.New(rand.NewPCG(seed, 7)), conns: map[*conn]struct{}{}, jobs: map[*machine.Job]*command{},
 		cut: map[event.Router][]io.Closer{}}
 	now := f.Log.Now()
 	cold := event.Micros(0)
 	if !warm {
 		s.Boot = time.Now()
-		cold = f.Set.ColdSpan.Micros()
+		cold = f.Settings.ColdSpan.Micros()
 	}
-	s.machine = machine.New(machine.Settings{Cores: f.Set.Cores, Queue: f.Set.Queue, ColdShare: f.Set.ColdShare,
-		ColdSpan: f.Set.ColdSpan.Micros(), FallMultiple: f.Set.CollapseMultiple, FallSpan: f.Set.CollapseWindow.Micros()}, now, warm)
+	s.machine = machine.New(machine.Settings{Cores: f.Settings.Cores, Queue: f.Settings.Queue, ColdShare: f.Settings.ColdShare,
+		ColdSpan: f.Settings.ColdSpan.Micros(), FallMultiple: f.Settings.CollapseMultiple, FallSpan: f.Settings.CollapseWindow.Micros()}, now, warm)
 	s.alarm = time.AfterFunc(time.Hour, s.ring)
 	if err := s.listen(); err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 			c.Close()
 			continue
 		}
-		k := newConn(s, c, r, len(s.conns) >= s.fleet.Set.Connections)
+		k := newConn(s, c, r, len(s.conns) >= s.fleet.Settings.Connections)
 		s.conns[k] = struct{}{}
 		s.mu.Unlock()
 		s.fleet.Log.Add(event.Event{Kind: event.Conn, Server: s.UID, Router: r})
@@ -171,7 +171,7 @@
 }
 
 // Drop takes a key out, as a write does.
-func (s *Server) Drop(key string) {
+func (s *Server) Invalidate(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.Drop(key)
--- a/internal/lab/cacheserver/cacheserver_test.go
+++ b/internal/lab/cacheserver/cacheserver_test.go
@@ -17,25 +17,25 @@
 
 var nets atomic.Int32
 
-func start(t *testing.T, change func(*Fleet)) (*Server, *Fleet) {
+func start(t *testing.T, change func(*Config)) (*Server, *Config) {
 	s, err := scenario.Parse([]byte(scenario.Example))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Fleet{Log: event.NewLog(), Set: s.Servers, Service: s.Service, Methods: map[string]scenario.Method{}, Repeats: &Repeats{},
-		Missed: func(event.Req, *Server, bool) {}}
+	f := &Config{Log: event.NewLog(), Settings: s.Servers, Service: s.Service, Methods: map[string]scenario.Method{}, Deduplicator: &Deduplicator{},
+		OnMiss: func(event.Req, *Server, bool) {}}
 	for _, m := range s.Methods {
 		m.Work, m.WorkDistribution = 1000, "none"
 		f.Methods[m.Name] = m
 	}
-	f.Set.ConnectionWork = 0
+	f.Settings.ConnectionWork = 0
 	if change != nil {
 		change(f)
 	}
 	return another(t, f, "s1"), f
 }
 
-func another(t *testing.T, f *Fleet, uid event.Server) *Server {
+func another(t *testing.T, f *Config, uid event.Server) *Server {
 	addr := fmt.Sprintf("127.13.0.%d:%d", nets.Add(1), 16379)
 	s, err := Start(f, uid, "north", 1, []string{addr}, true, 1)
 	if err != nil {
@@ -141,7 +141,7 @@
 }
 
 func TestProbes(t *testing.T) {
-	s, f := start(t, func(f *Fleet) { f.Set.Probes = true })
+	s, f := start(t, func(f *Config) { f.Settings.Probes = true })
 	c := dial(t, s)
 	if got := ask(t, c, "PING"); got != "PONG" {
 		t.Error(got)
@@ -149,7 +149,7 @@
 	if got := ask(t, c, "INFO load"); !strings.HasPrefix(got, "avg_ms=") || !strings.Contains(got, ",waiting=0") {
 		t.Error(got)
 	}
-	if err := s.Strike(scenario.Fault{Kind: "hang"}, false); err != nil {
+	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
 		t.Fatal(err)
 	}
 	send(t, c, "PING")
@@ -215,10 +215,10 @@
 }
 
 func TestRoomIsBounded(t *testing.T) {
-	s, _ := start(t, func(f *Fleet) { f.Set.Cores, f.Set.Queue, f.Set.Connections = 1, 1, 2 })
+	s, _ := start(t, func(f *Config) { f.Settings.Cores, f.Settings.Queue, f.Settings.Connections = 1, 1, 2 })
 	s.Fill("k")
 	a, b := dial(t, s), dial(t, s)
-	if err := s.Strike(scenario.Fault{Kind: "hang"}, false); err != nil {
+	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
@@ -228,7 +228,7 @@
 	if got := ask(t, b, "CACHE.GET k id9 c=status,d=500"); got != "BUSY" {
 		t.Error("with a full queue: ", got)
 	}
-	if err := s.Strike(scenario.Fault{Kind: "hang"}, true); err != nil {
+	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, true); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"id0", "id1", "BUSY"} { // in the order of the commands
@@ -243,8 +243,8 @@
 
 // What a router gives up by closing makes room at once, where the settings say so.
 func TestClosingCallsOff(t *testing.T) {
-	s, _ := start(t, func(f *Fleet) {
-		f.Set.Cores, f.Set.Queue = 1, 0
+	s, _ := start(t, func(f *Config) {
+		f.Settings.Cores, f.Settings.Queue = 1, 0
 		m := f.Methods["status"]
 		m.Work = 60e6
 		f.Methods["status"] = m
@@ -265,11 +265,11 @@
 	s.Fill("k")
 	get := func(c *peer) string { return ask(t, c, "CACHE.GET k id c=status,d=500") }
 	strike := func(f scenario.Fault, end bool) {
-		if err := s.Strike(f, end); err != nil {
+		if err := s.ApplyFault(f, end); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for name := range Forms {
+	for name := range MalformedReplies {
 		x := scenario.Fault{Kind: "spoil", Share: 1, ReplyForms: []string{name}}
 		strike(x, false)
 		c := dial(t, s)
@@ -305,7 +305,7 @@
 	for name, silent := range map[string]func(bool){
 		"vanished": func(on bool) { strike(scenario.Fault{Kind: "vanish"}, !on) },
 		"cut off": func(on bool) {
-			if err := s.Cut(map[event.Router]bool{0: on}); err != nil {
+			if err := s.Partition(map[event.Router]bool{0: on}); err != nil {
 				t.Fatal(err)
 			}
 		},
@@ -347,7 +347,7 @@
 // its own addresses for up to 20 ms each meanwhile, and a router that gave up just then seemed to have two attempts out.
 func TestEndIsToldAsOfWhenItWasRead(t *testing.T) {
 	s, f := start(t, nil)
-	if err := s.Strike(scenario.Fault{Kind: "hang"}, false); err != nil {
+	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
 		t.Fatal(err)
 	}
 	a := dial(t, s)
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -145,7 +145,7 @@
 		if c.req != "" {
 			s.fleet.Log.AddAt(event.Event{At: read, Kind: event.Ended, Req: c.req, Server: s.UID, Router: k.router, Reply: event.Lost})
 		}
-		if c.job != nil && s.fleet.Set.CancelStopsWork && s.machine.Cancel(now, c.job) {
+		if c.job != nil && s.fleet.Settings.CancelStopsWork && s.machine.Cancel(now, c.job) {
 			delete(s.jobs, c.job)
 		}
 	}
@@ -233,7 +233,7 @@
 	if verb == "CACHE.GET" && len(words) != 4 || verb == "CACHE.SET" && len(words) != 5 {
 		return nil, false
 	}
-	props := ReadProps(string(words[3]))
+	props := ParseProps(string(words[3]))
 	c = &command{key: string(words[1]), req: event.Req(words[2]), method: props.Method, size: props.Size,
 		write: verb == "CACHE.SET", sent: props.DeadlineSent, cut: -1}
 	return c, c.key != "" && c.req != "" && c.method != "" && c.sent > 0 && !props.BadDeadline
--- a/internal/lab/cacheserver/props.go
+++ b/internal/lab/cacheserver/props.go
@@ -17,7 +17,7 @@
 }
 
 // ReadProps reads a list of names and values.
-func ReadProps(text string) (p Props) {
+func ParseProps(text string) (p Props) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		switch name {
--- a/internal/lab/cacheserver/props_test.go
+++ b/internal/lab/cacheserver/props_test.go
@@ -30,11 +30,11 @@
 		{"c=read,d=480,d=0", 480e3, true},
 		{"c=read,d=0,d=480", 480e3, true},
 	} {
-		if got := ReadProps(c.text); got.DeadlineSent != c.want || got.BadDeadline != c.bad {
+		if got := ParseProps(c.text); got.DeadlineSent != c.want || got.BadDeadline != c.bad {
 			t.Errorf("%q: %+v", c.text, got)
 		}
 	}
-	if got := ReadProps("d=inf").DeadlineSent; got <= 1e12 || got+1e15 < got {
+	if got := ParseProps("d=inf").DeadlineSent; got <= 1e12 || got+1e15 < got {
 		t.Errorf("endless time is read as %d", got)
 	}
 }
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -24,10 +24,10 @@
 	late         bool // the grace of a drain is over
 }
 
-func (f *Fleet) figure(name string) string { return scenario.LoadReportFields[name] }
+func (f *Config) figure(name string) string { return scenario.LoadReportFields[name] }
 
 // Forms are the forms of spoilt answers.
-var Forms = map[string]func([]byte) []byte{
+var MalformedReplies = map[string]func([]byte) []byte{
 	"noise":   func([]byte) []byte { return []byte("\x00\xffnot an answer\x17\r\n") },
 	"length":  func(b []byte) []byte { return append([]byte("*3\r\n$7\r\n"), b[4:]...) },
 	"huge":    func([]byte) []byte { return []byte("*3\r\n$3000000000\r\nabc") },
@@ -45,7 +45,7 @@
 		if len(forms) == 0 {
 			forms = []string{"endless", "huge", "length", "nested", "noise"}
 		}
-		return Forms[forms[r.IntN(len(forms))]](text), event.Spoilt, -1
+		return MalformedReplies[forms[r.IntN(len(forms))]](text), event.Spoilt, -1
 	case x < t.resets+t.spoilt+t.surplus:
 		return append(text, []string{"+surplus\r\n", "$-1\r\n", "\x00\x01"}[r.IntN(3)]...), reply, -1
 	}
@@ -53,7 +53,7 @@
 }
 
 // Strike begins a fault of the scenario on this server, or takes it back.
-func (s *Server) Strike(f scenario.Fault, end bool) error {
+func (s *Server) ApplyFault(f scenario.Fault, end bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -100,7 +100,7 @@
 }
 
 // PastGrace has a draining server reject every further request.
-func (s *Server) PastGrace() {
+func (s *Server) EndDrainGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble.late = true
@@ -158,7 +158,7 @@
 
 // Cut takes the way between it and some routers, and gives it back to the others: what is open there stays open and
 // brings nothing, either way, and nothing new comes up. What is open is reset when the way is back.
-func (s *Server) Cut(from map[event.Router]bool) error {
+func (s *Server) Partition(from map[event.Router]bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r := range s.addrs {
--- a/internal/lab/client/bad.go
+++ b/internal/lab/client/bad.go
@@ -17,7 +17,7 @@
 const patience = 3*time.Second + 50*time.Millisecond
 
 // Rubbish is what bad clients send; a router owes each an error or a close.
-var Rubbish = []string{
+var MalformedRequests = []string{
 	"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 	"*3\r\n$9\r\nCACHE.GET\r\n$-5\r\nabc\r\n",
 	"*99999999999\r\n",
@@ -30,7 +30,7 @@
 }
 
 // Bad plays the bad clients of a fault against all routers, and returns once the last of them is done.
-func (f *Front) Bad(ctx context.Context, fault scenario.Fault) {
+func (f *LoadBalancer) RunMisbehaving(ctx context.Context, fault scenario.Fault) {
 	r := rand.New(rand.NewPCG(f.seed, 9))
 	step := max(time.Millisecond, fault.Duration.Micros().Duration()/time.Duration(max(1, fault.Count)))
 	if fault.Kind == "mute" {
@@ -46,7 +46,7 @@
 	}
 	for i := range fault.Count {
 		router := event.Router(i % len(f.addrs))
-		text := Rubbish[r.IntN(len(Rubbish))]
+		text := MalformedRequests[r.IntN(len(MalformedRequests))]
 		all.Go(func() { f.bad(ctx, fault.Kind, router, text, i) })
 		select {
 		case <-ctx.Done():
@@ -56,7 +56,7 @@
 	}
 }
 
-func (f *Front) bad(ctx context.Context, kind string, router event.Router, text string, n int) {
+func (f *LoadBalancer) bad(ctx context.Context, kind string, router event.Router, text string, n int) {
 	c, err := net.DialTimeout("tcp", f.addrs[router], time.Second)
 	if err != nil {
 		return // turned away at the admin endpoint is an answer as well
@@ -92,7 +92,7 @@
 }
 
 // crowd keeps an idle connection to a router open, and opens another at once where it is closed.
-func (f *Front) crowd(ctx context.Context, router event.Router, lasts time.Duration) {
+func (f *LoadBalancer) crowd(ctx context.Context, router event.Router, lasts time.Duration) {
 	const pause = 20 * time.Millisecond // so that a router that is away is not dialled all the time
 	ctx, cancel := context.WithTimeout(ctx, lasts)
 	defer cancel()
@@ -119,7 +119,7 @@
 }
 
 // flood is hundreds of commands at once that name no method of the service.
-func flood(_ *Front, n int) string {
+func flood(_ *LoadBalancer, n int) string {
 	var b bytes.Buffer
 	for i := range 400 {
 		id := fmt.Sprintf("flood%d.%d", n, i)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -21,7 +21,7 @@
 )
 
 // Front deals out connections to the routers of each site.
-type Front struct {
+type LoadBalancer struct {
 	log   *event.Log
 	s     scenario.Scenario
 	seed  uint64
@@ -50,8 +50,8 @@
 
 // NewFront returns a front to routers at these addresses, none of them believed alive. grpc is where they take calls, if any
 // clients speak that.
-func NewFront(log *event.Log, s scenario.Scenario, seed uint64, addrs, grpc []string) *Front {
-	f := &Front{log: log, s: s, seed: seed, addrs: addrs, alive: make([]bool, len(addrs)), ending: make([]bool, len(addrs))}
+func NewLoadBalancer(log *event.Log, s scenario.Scenario, seed uint64, addrs, grpc []string) *LoadBalancer {
+	f := &LoadBalancer{log: log, s: s, seed: seed, addrs: addrs, alive: make([]bool, len(addrs)), ending: make([]bool, len(addrs))}
 	for i, addr := range grpc {
 		f.calls = append(f.calls, &calls{f: f, router: event.Router(i), addr: addr})
 	}
@@ -68,7 +68,7 @@
 func SiteOf(s scenario.Scenario, r event.Router) event.Site { return event.Site(int(r) % len(s.Sites)) }
 
 // Believe sets what the front believes of a router.
-func (f *Front) Believe(r event.Router, alive bool) {
+func (f *LoadBalancer) SetAlive(r event.Router, alive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.alive[r] = alive
@@ -76,21 +76,21 @@
 }
 
 // End has the front open no more connections to a router, and use those that are open for as long as they are.
-func (f *Front) End(r event.Router) {
+func (f *LoadBalancer) DrainRouter(r event.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.alive[r], f.ending[r] = false, true
 }
 
 // mayOpen reports whether connections to a router may be opened.
-func (f *Front) mayOpen(r event.Router) bool {
+func (f *LoadBalancer) mayOpen(r event.Router) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.ending[r]
 }
 
 // ways are the ways to the routers by the protocol of an op's client.
-func (f *Front) ways(op event.Op) []router {
+func (f *LoadBalancer) ways(op event.Op) []router {
 	if len(f.pools) == 0 || len(f.calls) > 0 && op%2 == 1 {
 		return f.calls
 	}
@@ -99,7 +99,7 @@
 
 // pick is the next router of a site; any where the site has none. One that was told to end is used while a connection is open, unless a
 // fresh one is needed.
-func (f *Front) pick(site event.Site, ways []router, fresh bool) (event.Router, bool) {
+func (f *LoadBalancer) pick(site event.Site, ways []router, fresh bool) (event.Router, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, same := range []bool{true, false} {
@@ -116,11 +116,11 @@
 }
 
 // Done is how many ops are over.
-func (f *Front) Done() int { return int(f.done.Load()) }
+func (f *LoadBalancer) CompletedOps() int { return int(f.done.Load()) }
 
 // Run plays a schedule from the log's time from on, and returns once all ops have begun. What comes later than late is
 // noted as the lab's own lateness.
-func (f *Front) Run(ctx context.Context, all []arrivals.Arrival, from event.Micros, late time.Duration) {
+func (f *LoadBalancer) Run(ctx context.Context, all []arrivals.Arrival, from event.Micros, late time.Duration) {
 	start := f.log.Start().Add(from.Duration())
 	pacer.Run(ctx, start, len(all), func(i int) time.Duration { return all[i].At.Duration() }, func(i int, by time.Duration) {
 		if by > late {
@@ -136,7 +136,7 @@
 }
 
 // Close ends all connections and returns once nothing of the clients runs any more.
-func (f *Front) Close() {
+func (f *LoadBalancer) Close() {
 	for _, p := range slices.Concat(f.pools, f.calls) {
 		p.close()
 	}
@@ -144,19 +144,19 @@
 }
 
 // id is that of a try: new for each, the same in each run of a seed.
-func (f *Front) id(op event.Op, try int) event.Req {
+func (f *LoadBalancer) id(op event.Op, try int) event.Req {
 	return event.Req(fmt.Sprintf("%08x%06x%02x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", f.seed, op, try)), op, try))
 }
 
 // op asks until it is satisfied, has used up its retries, or may not ask again.
-func (f *Front) op(ctx context.Context, op event.Op, a arrivals.Arrival, from event.Micros) {
+func (f *LoadBalancer) op(ctx context.Context, op event.Op, a arrivals.Arrival, from event.Micros) {
 	m := f.s.Methods[a.Method]
 	f.log.AddAt(event.Event{At: from + a.At, Kind: event.Wanted, Op: op, Method: a.Method, Tenant: a.Tenant, Site: a.Site,
 		Router: event.Nobody})
 	r := rand.New(rand.NewPCG(f.seed, uint64(op)+1<<32))
 	leaves := event.Micros(0)
-	if a.Leaves > 0 {
-		leaves = from + a.At + a.Leaves
+	if a.AbandonAfter > 0 {
+		leaves = from + a.At + a.AbandonAfter
 	}
 	for try := 0; ctx.Err() == nil; try++ {
 		res := f.try(op, try, a, leaves)
@@ -194,7 +194,7 @@
 }
 
 // try sends one request, once more where a connection that was kept ended under it.
-func (f *Front) try(op event.Op, try int, a arrivals.Arrival, leaves event.Micros) result {
+func (f *LoadBalancer) try(op event.Op, try int, a arrivals.Arrival, leaves event.Micros) result {
 	m := f.s.Methods[a.Method]
 	q := &pending{req: f.id(op, try), op: op, a: a, write: m.Write, answer: make(chan result, 1), limit: m.Deadline.Micros()}
 	if patience := f.s.Clients.Patience; patience < 1 {
@@ -232,4 +232,4 @@
 }
 
 // Drain returns once all ops that have begun are over.
-func (f *Front) Drain() { f.ops.Wait() }
+func (f *LoadBalancer) WaitOps() { f.ops.Wait() }
--- a/internal/lab/client/conn.go
+++ b/internal/lab/client/conn.go
@@ -35,7 +35,7 @@
 
 // pool holds the connections to one router.
 type pool struct {
-	f      *Front
+	f      *LoadBalancer
 	router event.Router
 	addr   string
 	most   int
@@ -173,7 +173,7 @@
 	words := [][]byte{[]byte("CACHE.GET"), []byte(q.a.Key), []byte(q.req), []byte(q.props)}
 	if q.write {
 		words[0] = []byte("CACHE.SET")
-		words = append(words, cacheserver.Made(q.req, "client", q.a.Size))
+		words = append(words, cacheserver.MakeValue(q.req, "client", q.a.Size))
 	}
 	return resp.AppendCommand(nil, words...)
 }
@@ -258,7 +258,7 @@
 	}
 	word, rest, _ := bytes.Cut(r.Text, []byte(" "))
 	switch {
-	case r.Kind == '$' && !r.Null && cacheserver.MadeFor(q.req, value):
+	case r.Kind == '$' && !r.Null && cacheserver.IsValueFor(q.req, value):
 		res.how, out = satisfied, event.Satisfied
 	case r.Kind == '$' && !r.Null:
 		out = event.Foreign
--- a/internal/lab/client/grpc.go
+++ b/internal/lab/client/grpc.go
@@ -19,7 +19,7 @@
 
 // calls asks one router over gRPC, all calls on one connection.
 type calls struct {
-	f      *Front
+	f      *LoadBalancer
 	router event.Router
 	addr   string
 	mu     sync.Mutex
@@ -77,7 +77,7 @@
 	var value []byte
 	if q.write {
 		var got *cachev1.SetResponse
-		got, err = c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(q.a.Key), Value: cacheserver.Made(q.req, "client", q.a.Size)})
+		got, err = c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(q.a.Key), Value: cacheserver.MakeValue(q.req, "client", q.a.Size)})
 		value = got.GetReceipt()
 	} else {
 		var got *cachev1.GetResponse
@@ -86,7 +86,7 @@
 	}
 	s := status.Convert(err)
 	switch ours := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
-	case s.Code() == codes.OK && cacheserver.MadeFor(q.req, value):
+	case s.Code() == codes.OK && cacheserver.IsValueFor(q.req, value):
 		say(event.Answered, event.Satisfied, 0)
 		return result{how: satisfied}, false
 	case s.Code() == codes.OK:
--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -57,13 +57,13 @@
 		return r.cutOff(f.Site, !a.End)
 	case "origin":
 		if r.origin != nil {
-			r.origin.Strike(f, a.End)
+			r.origin.ApplyFault(f, a.End)
 		}
 	case "discovery":
 		if f.Kind == "discovery_move" {
 			return r.moveDiscovery()
 		}
-		r.registry.Strike(f, a.End)
+		r.registry.ApplyFault(f, a.End)
 	case "clients":
 		switch f.Kind {
 		case "rubbish", "flood", "mute", "crowd":
@@ -71,7 +71,7 @@
 				within, cancel := context.WithTimeout(ctx, f.Duration.Micros().Duration()+4*time.Second)
 				r.bad.Go(func() {
 					defer cancel()
-					r.front.Bad(within, f)
+					r.front.RunMisbehaving(within, f)
 				})
 			}
 		}
@@ -107,13 +107,13 @@
 			return r.succeed(l, victim, f.NewAddress)
 		}
 		time.AfterFunc(r.s.Discovery.DetectionDelay.Micros().Duration(), func() { r.tell(l, "left") })
-		return l.server.Strike(scenario.Fault{Kind: "vanish"}, false)
+		return l.server.ApplyFault(scenario.Fault{Kind: "vanish"}, false)
 	case "drain", "deploy":
 		switch a.Stage {
 		case 0:
 			l.server.Drain()
 			r.tell(l, "leaving")
-			time.AfterFunc((r.s.Discovery.Delay+r.s.Service.DrainGrace).Micros().Duration()+time.Second, l.server.PastGrace)
+			time.AfterFunc((r.s.Discovery.Delay+r.s.Service.DrainGrace).Micros().Duration()+time.Second, l.server.EndDrainGrace)
 		case 1:
 			r.tell(victim, "left")
 			victim.server.Kill()
@@ -125,7 +125,7 @@
 	if a.End && victim != l {
 		return nil // another fault has replaced it meanwhile
 	}
-	return l.server.Strike(f, a.End)
+	return l.server.ApplyFault(f, a.End)
 }
 
 // loseSite takes all of a site down at once, its cache servers and its routers; or has it come back cold, all at once. Who
@@ -167,18 +167,18 @@
 	lives := append([]*life(nil), r.lives...)
 	r.mu.Unlock()
 	for _, l := range lives {
-		if err := l.server.Cut(r.unreachable(l.entry.Zone)); err != nil {
+		if err := l.server.Partition(r.unreachable(l.entry.Zone)); err != nil {
 			return err
 		}
 	}
 	if r.origin != nil {
-		r.origin.Cut(r.unreachable(r.s.Sites[0]))
+		r.origin.Partition(r.unreachable(r.s.Sites[0]))
 	}
 	lone := map[event.Router]bool{}
 	for n := range r.s.Routers.Count {
 		lone[event.Router(n)] = r.cut[r.s.SiteOf(n)]
 	}
-	r.registry.Cut(lone)
+	r.registry.Partition(lone)
 	return nil
 }
 
@@ -236,7 +236,7 @@
 				same := p.starts == starts
 				p.mu.Unlock()
 				if same {
-					r.front.Believe(p.n, false)
+					r.front.SetAlive(p.n, false)
 				}
 			})
 			if f.Duration == 0 && f.BatchShare == 0 { // it is started again as soon as its end is seen
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -77,10 +77,10 @@
 	o        Options
 	log      *event.Log
 	net      *addresses
-	servers  *cacheserver.Fleet
+	servers  *cacheserver.Config
 	origin   *origin.Origin
 	registry *registry.Registry
-	front    *client.Front
+	front    *client.LoadBalancer
 	links    *links.Rig // nil: the routers tell one another nothing
 	routers  []*router
 
@@ -113,7 +113,7 @@
 	}
 	schedule := o.Arrivals
 	if schedule == nil {
-		schedule = arrivals.Make(s, o.Seed)
+		schedule = arrivals.Generate(s, o.Seed)
 	}
 	var beside sync.WaitGroup
 	watch, unwatch := context.WithCancel(ctx)
@@ -123,7 +123,7 @@
 	beside.Go(func() { r.report(watch, from, len(schedule)) })
 	r.acts.Go(func() { r.playFaults(ctx, from) })
 	r.front.Run(ctx, schedule, from, lateNote)
-	r.front.Drain()
+	r.front.WaitOps()
 	r.acts.Wait()
 	r.bad.Wait()
 	o.await(ctx, RunEnds)
@@ -167,19 +167,19 @@
 	for _, m := range r.s.Methods {
 		methods[m.Name] = m
 	}
-	repeats := &cacheserver.Repeats{}
-	r.servers = &cacheserver.Fleet{Log: r.log, Set: r.s.Servers, Service: r.s.Service, Methods: methods,
-		Through: r.s.Service.Mode == "through", Missed: r.noteMiss, Repeats: repeats}
+	repeats := &cacheserver.Deduplicator{}
+	r.servers = &cacheserver.Config{Log: r.log, Settings: r.s.Servers, Service: r.s.Service, Methods: methods,
+		ReadThrough: r.s.Service.Mode == "through", OnMiss: r.noteMiss, Deduplicator: repeats}
 	if r.registry, err = registry.Start(r.log, r.s.Discovery, r.net.discovery(0)); err != nil {
 		return err
 	}
 	if r.s.Service.Mode == "aside" {
-		r.origin, err = origin.Start(&origin.Fleet{Log: r.log, Set: r.s.Origin, Methods: methods, Filled: r.fill, Dropped: r.drop,
-			Cold: r.wasCold, Repeats: repeats}, r.net.origin(), r.o.Seed)
+		r.origin, err = origin.Start(&origin.Config{Log: r.log, Settings: r.s.Origin, Methods: methods, OnRead: r.fill, OnWrite: r.drop,
+			IsColdMiss: r.wasCold, Deduplicator: repeats}, r.net.origin(), r.o.Seed)
 		if err != nil {
 			return err
 		}
-		r.registry.Set(registry.Entry{UID: origin.UID, Zone: r.s.Sites[0], Kind: "origin", State: "active", Addr: r.origin.Addr}, true)
+		r.registry.Update(registry.Entry{UID: origin.UID, Zone: r.s.Sites[0], Kind: "origin", State: "active", Addr: r.origin.Addr}, true)
 	}
 	r.lives = make([]*life, r.s.Servers.Count)
 	for place := range r.lives {
@@ -192,7 +192,7 @@
 	if r.s.Clients.UsesGRPC() {
 		calls = r.net.calls()
 	}
-	r.front = client.NewFront(r.log, r.s, r.o.Seed, r.net.routers(), calls)
+	r.front = client.NewLoadBalancer(r.log, r.s, r.o.Seed, r.net.routers(), calls)
 	for i := range r.s.Routers.Count {
 		p := &router{run: r, n: event.Router(i)}
 		r.routers = append(r.routers, p)
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	if err := server.Cut(r.unreachable(zone)); err != nil {
+	if err := server.Partition(r.unreachable(zone)); err != nil {
 		server.Kill()
 		return err
 	}
@@ -251,7 +251,7 @@
 	r.lives[place] = l
 	r.all = append(r.all, l)
 	r.mu.Unlock()
-	r.registry.Set(l.entry, old == nil)
+	r.registry.Update(l.entry, old == nil)
 	return nil
 }
 
@@ -265,7 +265,7 @@
 	e := l.entry
 	r.mu.Unlock()
 	e.State = state
-	r.registry.Set(e, false)
+	r.registry.Update(e, false)
 }
 
 // noteMiss: the origin's answer is to fill the servers that missed for a request.
@@ -297,7 +297,7 @@
 	lives := append([]*life(nil), r.lives...)
 	r.mu.Unlock()
 	for _, l := range lives {
-		l.server.Drop(key)
+		l.server.Invalidate(key)
 	}
 }
 
@@ -307,7 +307,7 @@
 	warm := r.s
 	warm.Faults, warm.Load.Steps = nil, nil
 	n := min(r.s.Servers.Keys, int(r.s.Servers.FilledShare*float64(r.s.Load.Keys)))
-	for _, key := range arrivals.Hottest(warm, r.o.Seed, n) {
+	for _, key := range arrivals.HottestKeys(warm, r.o.Seed, n) {
 		for _, l := range r.lives {
 			l.server.Fill(key)
 		}
@@ -329,7 +329,7 @@
 			r.log.Add(event.Event{Kind: event.Late, Router: event.Nobody, Limit: event.Micros(late / time.Microsecond), Note: "heartbeat"})
 		}
 		last = time.Now()
-		r.registry.Tick()
+		r.registry.RecordDeliveries()
 	}
 }
 
@@ -357,7 +357,7 @@
 			t.Stop()
 			return
 		case <-t.C:
-			r.o.Progress(Progress{At: (r.log.Now() - from).Duration(), Length: r.s.Length.Micros().Duration(), Done: r.front.Done(), All: all})
+			r.o.Progress(Progress{At: (r.log.Now() - from).Duration(), Length: r.s.Length.Micros().Duration(), Done: r.front.CompletedOps(), All: all})
 		}
 	}
 }
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -78,7 +78,7 @@
 			return
 		}
 		if on {
-			time.AfterFunc(200*time.Millisecond, func() { r.front.Believe(p.n, false) })
+			time.AfterFunc(200*time.Millisecond, func() { r.front.SetAlive(p.n, false) })
 		}
 	})
 }
--- a/internal/lab/fleet/routers.go
+++ b/internal/lab/fleet/routers.go
@@ -159,7 +159,7 @@
 	if p.stopped {
 		return nil
 	}
-	if err := p.configure(p.run.registry.Known(p.n)); err != nil {
+	if err := p.configure(p.run.registry.FullList(p.n)); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(p.spec().Tmp, 0o700); err != nil {
@@ -184,7 +184,7 @@
 	defer p.mu.Unlock()
 	if p.at == at && !p.ending {
 		p.run.log.Add(event.Event{Kind: event.Down, Router: p.n, Outcome: event.Failed, Note: fmt.Sprint(at.Err(), "; see ", p.spec().Log)})
-		p.run.front.Believe(p.n, false)
+		p.run.front.SetAlive(p.n, false)
 	}
 }
 
@@ -205,7 +205,7 @@
 		}
 		if p.ping() {
 			p.run.log.Add(event.Event{Kind: event.Up, Router: p.n})
-			p.run.front.Believe(p.n, true)
+			p.run.front.SetAlive(p.n, true)
 			p.allowSignals(at)
 			return nil
 		}
@@ -283,9 +283,9 @@
 		switch {
 		case p.at != at:
 		case p.run.s.Clients.KeepUsing:
-			p.run.front.End(p.n)
+			p.run.front.DrainRouter(p.n)
 		default:
-			p.run.front.Believe(p.n, false)
+			p.run.front.SetAlive(p.n, false)
 		}
 	})
 	how := event.Event{Kind: event.Down, Router: p.n, Outcome: event.Satisfied}
@@ -337,7 +337,7 @@
 func (p *router) reload() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.configure(p.run.registry.Known(p.n)); err != nil {
+	if err := p.configure(p.run.registry.FullList(p.n)); err != nil {
 		return err
 	}
 	if p.again = true; p.up {
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -99,7 +99,7 @@
 	}
 	p.hup()
 	time.Sleep(badFileSpan)
-	return p.configure(p.run.registry.Known(p.n))
+	return p.configure(p.run.registry.FullList(p.n))
 }
 
 // moveDiscovery gives its agent a new address, which its file names from then on.
@@ -109,7 +109,7 @@
 	p.moves++
 	addr := p.run.net.discovery(p.moves)[p.n]
 	p.mu.Unlock()
-	if err := p.run.registry.Move(p.n, addr, lingers); err != nil {
+	if err := p.run.registry.MoveAgent(p.n, addr, lingers); err != nil {
 		return err
 	}
 	return p.reload()
--- a/internal/lab/origin/conn_test.go
+++ b/internal/lab/origin/conn_test.go
@@ -16,8 +16,8 @@
 func TestAttemptsAreNotedWithFirstByteAndDeadlineSent(t *testing.T) {
 	log := event.NewLog()
 	methods := map[string]scenario.Method{"book": {Name: "book", Effect: "non-retryable"}}
-	o, err := Start(&Fleet{Log: log, Set: scenario.Origin{Cores: 1, Work: 1}, Methods: methods, Repeats: &cacheserver.Repeats{},
-		Cold: func(event.Req) bool { return false }, Dropped: func(string) {}}, []string{"127.15.0.2:18080"}, 1)
+	o, err := Start(&Config{Log: log, Settings: scenario.Origin{Cores: 1, Work: 1}, Methods: methods, Deduplicator: &cacheserver.Deduplicator{},
+		IsColdMiss: func(event.Req) bool { return false }, OnWrite: func(string) {}}, []string{"127.15.0.2:18080"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -26,19 +26,19 @@
 const UID event.Server = "origin"
 
 // Fleet is what the origin knows of the run.
-type Fleet struct {
-	Log     *event.Log
-	Set     scenario.Origin
-	Methods map[string]scenario.Method
-	Filled  func(req event.Req, key string) // its answer fills the servers that missed
-	Dropped func(key string)                // a write drops all copies
-	Cold    func(req event.Req) bool        // the miss was at a cold server
-	Repeats *cacheserver.Repeats
+type Config struct {
+	Log          *event.Log
+	Settings     scenario.Origin
+	Methods      map[string]scenario.Method
+	OnRead       func(req event.Req, key string) // its answer fills the servers that missed
+	OnWrite      func(key string)                // a write drops all copies
+	IsColdMiss   func(req event.Req) bool        // the miss was at a cold server
+	Deduplicator *cacheserver.Deduplicator
 }
 
 // Origin is the one store.
 type Origin struct {
-	fleet *Fleet
+	fleet *Config
 	addrs []string
 
 	mu      sync.Mutex
@@ -58,7 +58,7 @@
 type connKey struct{}
 
 // Start begins to serve, on one address for each router.
-func Start(f *Fleet, addrs []string, seed uint64) (*Origin, error) {
+func Start(f *Config, addrs []string, seed uint64) (*Origin, error) {
 	o := &Origin{fleet: f, addrs: addrs, rand: rand.New(rand.NewPCG(seed, 8)), jobs: map[*machine.Job]chan struct{}{}}
 	o.renew()
 	o.alarm = time.AfterFunc(time.Hour, func() {
@@ -104,7 +104,7 @@
 }
 
 func (o *Origin) renew() {
-	s := o.fleet.Set
+	s := o.fleet.Settings
 	o.machine = machine.New(machine.Settings{Cores: s.Cores, Queue: s.Queue, ColdShare: 1,
 		FallMultiple: s.CollapseMultiple, FallSpan: s.CollapseWindow.Micros(), FallsWarm: true}, o.fleet.Log.Now(), true)
 }
@@ -122,7 +122,7 @@
 }
 
 // Strike begins a fault of the scenario, or takes it back.
-func (o *Origin) Strike(f scenario.Fault, end bool) {
+func (o *Origin) ApplyFault(f scenario.Fault, end bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -138,7 +138,7 @@
 
 // Cut takes the way between it and some routers, and gives it back to the others. Connections come up there and bring
 // nothing: it listens by net/http, which cannot be made to take none.
-func (o *Origin) Cut(from map[event.Router]bool) {
+func (o *Origin) Partition(from map[event.Router]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.cut = from
@@ -152,7 +152,7 @@
 
 // count keeps what was asked for of late, to tell what pushed the origin over.
 func (o *Origin) count(now event.Micros, work float64, cold bool) {
-	fade := math.Exp(-float64(now-o.at) / float64(max(1, o.fleet.Set.CollapseWindow)))
+	fade := math.Exp(-float64(now-o.at) / float64(max(1, o.fleet.Settings.CollapseWindow)))
 	o.asked, o.cold, o.at = o.asked*fade+work, o.cold*fade, now
 	if cold {
 		o.cold += work
@@ -167,7 +167,7 @@
 	o.stopped = true
 	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Stopped, Server: UID, Router: event.Nobody,
 		Limit: event.Micros(1000 * o.cold / max(1, o.asked))})
-	time.AfterFunc(o.fleet.Set.Downtime.Micros().Duration(), func() {
+	time.AfterFunc(o.fleet.Settings.Downtime.Micros().Duration(), func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.stopped = false
@@ -201,7 +201,7 @@
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	req := event.Req(r.Header.Get("X-Trace-Id"))
-	props := cacheserver.ReadProps(r.Header.Get("X-Props"))
+	props := cacheserver.ParseProps(r.Header.Get("X-Props"))
 	m, known := o.fleet.Methods[props.Method]
 	write := r.Method == http.MethodPut
 	if err != nil || req == "" || key == "" || !known || !write && r.Method != http.MethodGet {
@@ -215,8 +215,8 @@
 	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: req, Server: UID, Router: router, Since: since, Write: write,
 		DeadlineSent: props.DeadlineSent})
 	o.mu.Lock()
-	work := float64(o.fleet.Set.Work) * o.rand.ExpFloat64()
-	o.count(now, work, !write && o.fleet.Cold(req))
+	work := float64(o.fleet.Settings.Work) * o.rand.ExpFloat64()
+	o.count(now, work, !write && o.fleet.IsColdMiss(req))
 	job, done := &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
 	took := !o.stopped && o.machine.Take(now, job)
 	if o.machine.Fallen() {
@@ -261,12 +261,12 @@
 		}
 	}
 	if write {
-		if m.Effect != "deduplicated" || !o.fleet.Repeats.Known("", req, o.fleet.Log.Now(), m.Window.Micros()) {
+		if m.Effect != "deduplicated" || !o.fleet.Deduplicator.IsRepeat("", req, o.fleet.Log.Now(), m.Window.Micros()) {
 			o.fleet.Log.Add(event.Event{Kind: event.Ran, Req: req, Server: UID, Router: router})
 		}
-		o.fleet.Dropped(key)
+		o.fleet.OnWrite(key)
 	} else {
-		o.fleet.Filled(req, key)
+		o.fleet.OnRead(req, key)
 	}
 	if lost {
 		return
@@ -276,7 +276,7 @@
 		tell(event.Lost)
 		return
 	}
-	value := cacheserver.Made(req, UID, max(props.Size, len(body)/8))
+	value := cacheserver.MakeValue(req, UID, max(props.Size, len(body)/8))
 	w.Header().Set("Content-Length", fmt.Sprint(len(value)))
 	tell(event.Value)
 	_, _ = w.Write(value) // where the router has gone, it has no use for it
--- a/internal/lab/origin/origin_test.go
+++ b/internal/lab/origin/origin_test.go
@@ -49,8 +49,8 @@
 	methods := map[string]scenario.Method{"read": {Name: "read", Effect: "retryable"}, "book": {Name: "book", Effect: "non-retryable"},
 		"hold": {Name: "hold", Effect: "deduplicated", Window: 60e6}}
 	set := scenario.Origin{Cores: 1, Queue: 0, Work: 1000}
-	o, err := Start(&Fleet{Log: log, Set: set, Methods: methods, Repeats: &cacheserver.Repeats{}, Cold: func(event.Req) bool { return false },
-		Filled: func(r event.Req, k string) { note(&filled, string(r)+" "+k+";") }, Dropped: func(k string) { note(&dropped, k+";") }},
+	o, err := Start(&Config{Log: log, Settings: set, Methods: methods, Deduplicator: &cacheserver.Deduplicator{}, IsColdMiss: func(event.Req) bool { return false },
+		OnRead: func(r event.Req, k string) { note(&filled, string(r)+" "+k+";") }, OnWrite: func(k string) { note(&dropped, k+";") }},
 		[]string{"127.15.0.1:18080"}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	defer o.Close()
 	addr := o.Addr(0)
 	const long = 2 * time.Second
-	if status, _, body := call(t, addr, "GET", "/a%20b", "id1", "c=read,d=9,size=40", long); status != 200 || !cacheserver.MadeFor("id1", []byte(body)) || len(body) != 40 {
+	if status, _, body := call(t, addr, "GET", "/a%20b", "id1", "c=read,d=9,size=40", long); status != 200 || !cacheserver.IsValueFor("id1", []byte(body)) || len(body) != 40 {
 		t.Error(status, body)
 	}
 	if status, _, _ := call(t, addr, "PUT", "/k", "id2", "c=book,d=9", long); status != 200 {
@@ -72,14 +72,14 @@
 	if status, _, _ := call(t, addr, "GET", "/k", "id4", "c=nothing", long); status != 400 {
 		t.Error(status)
 	}
-	o.Strike(scenario.Fault{Kind: "origin_stop"}, false)
+	o.ApplyFault(scenario.Fault{Kind: "origin_stop"}, false)
 	if status, _, _ := call(t, addr, "PUT", "/k", "id5", "c=book,d=9", 50*time.Millisecond); status != 0 {
 		t.Error("a stopped origin answers ", status)
 	}
 	if status, never, _ := call(t, addr, "GET", "/k", "id6", "c=read,d=9", long); status != 503 || never != "1" {
 		t.Error("a full origin answers ", status, never)
 	}
-	o.Strike(scenario.Fault{Kind: "origin_stop"}, true)
+	o.ApplyFault(scenario.Fault{Kind: "origin_stop"}, true)
 	for until := time.Now().Add(long); strings.Count(noted(&dropped), "k;") < 4 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -105,7 +105,7 @@
 }
 
 // Move gives a router's agent another address. The old one goes on for a while, with the connections that it has.
-func (r *Registry) Move(router event.Router, addr string, lingers time.Duration) error {
+func (r *Registry) MoveAgent(router event.Router, addr string, lingers time.Duration) error {
 	a, err := r.agent(router, addr)
 	if err != nil {
 		return err
@@ -125,7 +125,7 @@
 }
 
 // Set notes a change; it is told after the delay. At once where the list is made.
-func (r *Registry) Set(e Entry, atOnce bool) {
+func (r *Registry) Update(e Entry, atOnce bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	due := r.log.Now()
@@ -140,14 +140,14 @@
 }
 
 // Known is the list as it was at first, in the form of a router's configuration.
-func (r *Registry) Known(router event.Router) json.RawMessage {
+func (r *Registry) FullList(router event.Router) json.RawMessage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.body(router, len(r.changes), 0, true)
 }
 
 // Strike begins a fault of the scenario, or takes it back.
-func (r *Registry) Strike(f scenario.Fault, end bool) {
+func (r *Registry) ApplyFault(f scenario.Fault, end bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch f.Kind {
@@ -169,7 +169,7 @@
 }
 
 // Cut takes the way between the list and some routers' agents, and gives it back to the others.
-func (r *Registry) Cut(from map[event.Router]bool) {
+func (r *Registry) Partition(from map[event.Router]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = from
@@ -294,7 +294,7 @@
 }
 
 // Tick notes what has reached the agents, whether or not a router asks for it.
-func (r *Registry) Tick() {
+func (r *Registry) RecordDeliveries() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.visible()
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/registry/registry_test.go
@@ -45,8 +45,8 @@
 	entry := func(uid event.Server, state string) Entry {
 		return Entry{UID: uid, State: state, Kind: "cache", Addr: func(n event.Router) string { return fmt.Sprint("for-", n) }}
 	}
-	r.Set(entry("a", "active"), true)
-	r.Set(entry("b", "active"), true)
+	r.Update(entry("a", "active"), true)
+	r.Update(entry("b", "active"), true)
 	show := func(what, query, want string) {
 		l, err := call(t, r, query)
 		if got := fmt.Sprint(l, err != nil); got != want {
@@ -54,32 +54,32 @@
 		}
 	}
 	show("the whole list", "", "{2 true [{a active} {b active}]} false")
-	r.Set(entry("b", "leaving"), false)
+	r.Update(entry("b", "leaving"), false)
 	show("before the delay is over", "?index=2&wait=20", "{2 false []} false")
-	r.Cut(map[event.Router]bool{0: true})
+	r.Partition(map[event.Router]bool{0: true})
 	if l, err := call(t, r, "?index=2&wait=100"); err == nil {
 		t.Error("a router that is cut off was told ", l)
 	}
-	r.Cut(nil)
+	r.Partition(nil)
 	show("a watch over the delay", "?index=2&wait=1000", "{3 false [{b leaving}]} false")
-	r.Set(entry("b", "left"), false)
+	r.Update(entry("b", "left"), false)
 	show("gone, among changes", "?index=3&wait=1000", "{4 false [{b left}]} false")
 	show("gone, in a whole list", "", "{4 true [{a active}]} false")
 	show("an index that it never told", "?index=99&wait=10", "{4 true [{a active}]} false")
 
-	r.Strike(scenario.Fault{Kind: "discovery_bad"}, false)
+	r.ApplyFault(scenario.Fault{Kind: "discovery_bad"}, false)
 	show("a bad list", "", "{0 false []} true")
-	r.Strike(scenario.Fault{Kind: "discovery_bad"}, true)
-	r.Strike(scenario.Fault{Kind: "discovery_silent"}, false)
-	r.Set(entry("a", "leaving"), false)
+	r.ApplyFault(scenario.Fault{Kind: "discovery_bad"}, true)
+	r.ApplyFault(scenario.Fault{Kind: "discovery_silent"}, false)
+	r.Update(entry("a", "leaving"), false)
 	time.Sleep(120 * time.Millisecond)
-	r.Tick()
+	r.RecordDeliveries()
 	if _, err := call(t, r, ""); err == nil {
 		t.Error("it answers while silent")
 	}
-	r.Strike(scenario.Fault{Kind: "discovery_silent"}, true)
+	r.ApplyFault(scenario.Fault{Kind: "discovery_silent"}, true)
 	show("what came up meanwhile", "?index=4&wait=1000", "{5 false [{a leaving}]} false")
-	if err := r.Move(0, "127.14.0.1:18501", 10*time.Millisecond); err != nil || r.Addr(0) != "127.14.0.1:18501" {
+	if err := r.MoveAgent(0, "127.14.0.1:18501", 10*time.Millisecond); err != nil || r.Addr(0) != "127.14.0.1:18501" {
 		t.Error(r.Addr(0), err)
 	}
 	show("at its new address", "", "{5 true [{a leaving}]} false")
@@ -94,7 +94,7 @@
 	if want := "b to 0; b to 0; a to 0; "; told != want {
 		t.Errorf("%q was noted as told", told)
 	}
-	r.Tick()
+	r.RecordDeliveries()
 	due := 0
 	for _, e := range log.Events() {
 		if e.Kind == event.Due {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -110,7 +110,7 @@
 		r.List(site, o.Servers)
 	}
 	// A server that nobody asks: with none a router takes no clients.
-	r.reg.Set(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.net.Server(0)[i] }}, true)
+	r.reg.Update(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.net.Server(0)[i] }}, true)
 	if o.Poll > 0 {
 		var ctx context.Context
 		ctx, r.stop = context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 			state = "left"
 		}
 		place := 1 + i + r.o.Servers*slices.Index(r.o.Sites, site)
-		r.reg.Set(registry.Entry{UID: event.Server(fmt.Sprintf("%s-%d", site, i)), Zone: site, Kind: "cache", State: state,
+		r.reg.Update(registry.Entry{UID: event.Server(fmt.Sprintf("%s-%d", site, i)), Zone: site, Kind: "cache", State: state,
 			Addr: func(i event.Router) string { return r.net.Server(place)[i] }}, false)
 	}
 }
@@ -256,7 +256,7 @@
 		set.Methods = slices.Clone(set.Methods)
 		set.Methods[0].Name = r.o.Method(i)
 	}
-	text, err := fleet.Config(set, i, r.names[i], r.net.Routers()[i], r.net.Discovery()[i], fmt.Sprintf("%x", i+1), r.reg.Known(event.Router(i)))
+	text, err := fleet.Config(set, i, r.names[i], r.net.Routers()[i], r.net.Discovery()[i], fmt.Sprintf("%x", i+1), r.reg.FullList(event.Router(i)))
 	if err == nil {
 		err = os.WriteFile(r.file(i, "json"), text, 0o644)
 	}
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -84,7 +84,7 @@
 		return r, err
 	}
 	// A server that nobody asks: without one in the list a router takes no clients.
-	r.registry.Set(registry.Entry{UID: "s0", Zone: r.settings.Sites[0], Kind: "cache", State: "active",
+	r.registry.Update(registry.Entry{UID: "s0", Zone: r.settings.Sites[0], Kind: "cache", State: "active",
 		Addr: func(i event.Router) string { return r.network.Server(0)[i] }}, true)
 	for i, spec := range specs {
 		member, err := r.start(program, 2*i, spec, fleetSection(spec))
@@ -129,7 +129,7 @@
 	settings := r.settings
 	settings.Sites = []string{siteName(spec)}
 	config, err := labfleet.Config(settings, spec.Index, routerName(spec), r.network.Routers()[slot], r.network.Discovery()[slot],
-		fmt.Sprintf("%x", slot+1), r.registry.Known(event.Router(slot)))
+		fmt.Sprintf("%x", slot+1), r.registry.FullList(event.Router(slot)))
 	if err != nil {
 		return started, err
 	}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -37,18 +37,18 @@
 }
 
 // Damage is a file of which only the first part could be read.
-type Damage struct {
-	Offset int64 // of the first byte that is not trusted
-	Read   int   // arrivals before it
-	What   string
+type DamageError struct {
+	Offset   int64 // of the first byte that is not trusted
+	Arrivals int   // arrivals before it
+	Reason   string
 }
 
-func (d Damage) Error() string {
-	return fmt.Sprintf("damaged at byte %d (%s); %d arrivals before it could be read", d.Offset, d.What, d.Read)
+func (d DamageError) Error() string {
+	return fmt.Sprintf("damaged at byte %d (%s); %d arrivals before it could be read", d.Offset, d.Reason, d.Arrivals)
 }
 
 // ErrNewer is a file of a later version.
-var ErrNewer = errors.New("the file was written by a newer version; read it with that one")
+var ErrNewerVersion = errors.New("the file was written by a newer version; read it with that one")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -106,7 +106,7 @@
 			b = binary.AppendVarint(b, int64(a.Tenant))
 			b = putText(b, a.Key)
 			b = binary.AppendUvarint(b, uint64(a.Size))
-			b = binary.AppendUvarint(b, uint64(a.Leaves))
+			b = binary.AppendUvarint(b, uint64(a.AbandonAfter))
 		}
 		if err := putBlock(w, len(block), b); err != nil {
 			return err
@@ -208,13 +208,13 @@
 	r.at = int64(len(line))
 	version := 0
 	if _, scan := fmt.Sscanf(line, magic+"%d\n", &version); err != nil || scan != nil || version < 1 {
-		return names, nil, Damage{0, 0, "it does not begin as a trace does"}
+		return names, nil, DamageError{0, 0, "it does not begin as a trace does"}
 	}
 	if version > Version {
-		return names, nil, ErrNewer
+		return names, nil, ErrNewerVersion
 	}
 	var all []arrivals.Arrival
-	damage := func(what string) error { return Damage{r.from, len(all), what} }
+	damage := func(what string) error { return DamageError{r.from, len(all), what} }
 	_, head, err := r.block()
 	if err != nil {
 		return names, nil, damage(err.Error())
@@ -246,7 +246,7 @@
 			last += event.Micros(c.signed())
 			a := arrivals.Arrival{At: last, Site: event.Site(c.signed()), Method: event.Method(c.signed()),
 				Tenant: event.Tenant(c.signed()), Key: c.text(), Size: int(c.unsigned(1 << 30)),
-				Leaves: event.Micros(c.unsigned(1 << 50))}
+				AbandonAfter: event.Micros(c.unsigned(1 << 50))}
 			if c.bad || int(a.Site) >= len(names.Sites) || a.Site < 0 || int(a.Method) >= len(names.Methods) || a.Method < 0 ||
 				int(a.Tenant) >= len(names.Tenants) || a.Tenant < -1 {
 				all = whole
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -18,7 +18,7 @@
 	var all []arrivals.Arrival
 	for i := range n {
 		all = append(all, arrivals.Arrival{At: event.Micros(i * i), Site: event.Site(i % 2), Method: event.Method(i % 2),
-			Tenant: event.Tenant(i%2 - 1), Key: "k" + string(rune('a'+i%26)), Size: 32 + i, Leaves: event.Micros(i % 3)})
+			Tenant: event.Tenant(i%2 - 1), Key: "k" + string(rune('a'+i%26)), Size: 32 + i, AbandonAfter: event.Micros(i % 3)})
 	}
 	return all
 }
@@ -64,8 +64,8 @@
 		if len(got) > 0 && !reflect.DeepEqual(got, all[:len(got)]) {
 			t.Fatalf("damage at %d: what was read is no prefix", at)
 		}
-		var d Damage
-		if errors.As(err, &d) && (d.Offset > int64(at) || d.Read != len(got)) {
+		var d DamageError
+		if errors.As(err, &d) && (d.Offset > int64(at) || d.Arrivals != len(got)) {
 			t.Fatalf("damage at %d was told as %v, with %d read", at, d, len(got))
 		}
 	})
