--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -136,12 +136,12 @@
 	return e.Encode(x)
 }
 
-func readSet(file string) (report.Set, error) {
+func readSet(file string) (report.RunSet, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return report.Set{}, err
+		return report.RunSet{}, err
 	}
-	var s report.Set
+	var s report.RunSet
 	if err := json.Unmarshal(text, &s); err != nil {
 		return s, fmt.Errorf("%s: %w; name the report.json of a run", file, err)
 	}
@@ -151,7 +151,7 @@
 	return s, nil
 }
 
-func readSets(files []string) (a, b report.Set, err error) {
+func readSets(files []string) (a, b report.RunSet, err error) {
 	if a, err = readSet(files[0]); err == nil {
 		b, err = readSet(files[1])
 	}
@@ -174,7 +174,7 @@
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), map[string]any{"pairs": pairs, "rows": rows})
 			}
-			return report.CompareTable(c.OutOrStdout(), "A", "B", rows, pairs)
+			return report.WriteComparison(c.OutOrStdout(), "A", "B", rows, pairs)
 		}}
 	outputFlag(c, &output)
 	return c
@@ -189,14 +189,14 @@
 			if err != nil {
 				return err
 			}
-			rows, pairs, err := report.Recoveries(before, after)
+			rows, pairs, err := report.CompareRecoveries(before, after)
 			if err != nil {
 				return err
 			}
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), map[string]any{"pairs": pairs, "rows": rows})
 			}
-			return report.RecoveryTable(c.OutOrStdout(), rows, pairs)
+			return report.WriteRecoveries(c.OutOrStdout(), rows, pairs)
 		}}
 	outputFlag(c, &output)
 	return c
@@ -215,7 +215,7 @@
 				return writeJSON(c.OutOrStdout(), set)
 			}
 			for _, r := range set.Runs {
-				if err := report.Table(c.OutOrStdout(), r); err != nil {
+				if err := report.WriteTable(c.OutOrStdout(), r); err != nil {
 					return err
 				}
 				if pages != "" {
@@ -224,7 +224,7 @@
 					}
 				}
 			}
-			return report.SetTable(c.OutOrStdout(), set)
+			return report.WriteRunSet(c.OutOrStdout(), set)
 		}}
 	c.Flags().StringVar(&pages, "pages", "", "folder to write the HTML pages to")
 	outputFlag(c, &output)
--- a/cmd/cache-routerctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -71,7 +71,7 @@
 				return err
 			}
 			var worst error
-			var sets []report.Set
+			var sets []report.RunSet
 			for i, s := range all {
 				set, err := a.playSeeds(c, s, files[i], program, o)
 				if err != nil {
@@ -121,18 +121,18 @@
 }
 
 // verdict is the error that a set of runs ends with, nil where all is well.
-func verdict(s scenario.Scenario, set report.Set) error {
+func verdict(s scenario.Scenario, set report.RunSet) error {
 	void := 0
 	sum, counted := 0.0, 0
 	for _, r := range set.Runs {
-		if len(r.Broken) > 0 {
-			return coded{exitBroken, fmt.Errorf("%s, seed %d: %s", s.Title, r.Seed, r.Broken[0])}
+		if len(r.Violations) > 0 {
+			return coded{exitBroken, fmt.Errorf("%s, seed %d: %s", s.Title, r.Seed, r.Violations[0])}
 		}
-		if r.Void != "" {
+		if r.InvalidReason != "" {
 			void++
 			continue
 		}
-		sum, counted = sum+r.Service.Whole, counted+1
+		sum, counted = sum+r.Service.Overall, counted+1
 	}
 	if void > 0 {
 		return coded{exitVoid, fmt.Errorf("%s: %d of %d runs do not count", s.Title, void, len(set.Runs))}
@@ -154,12 +154,12 @@
 }
 
 // playSeeds plays one scenario with each seed, and leaves its report and pages in a folder of its own.
-func (a *app) playSeeds(c *cobra.Command, s scenario.Scenario, file, program string, o runOptions) (report.Set, error) {
+func (a *app) playSeeds(c *cobra.Command, s scenario.Scenario, file, program string, o runOptions) (report.RunSet, error) {
 	label, quiet, seed := o.label, o.output == "json", orSeed(c, o.seed, s)
 	if label == "" {
 		label = program
 	}
-	set := report.Set{Version: report.Version, Label: label}
+	set := report.RunSet{Version: report.Version, Label: label}
 	name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 	folder := filepath.Join(o.out, name+"-"+time.Now().UTC().Format("20060102T150405"))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -179,7 +179,7 @@
 		}
 		set.Runs = append(set.Runs, r)
 		if !quiet {
-			if err := report.Table(c.OutOrStdout(), r); err != nil {
+			if err := report.WriteTable(c.OutOrStdout(), r); err != nil {
 				return set, err
 			}
 		}
@@ -190,7 +190,7 @@
 		}
 	}
 	if o.seeds > 1 && !quiet {
-		if err := report.SetTable(c.OutOrStdout(), set); err != nil {
+		if err := report.WriteRunSet(c.OutOrStdout(), set); err != nil {
 			return set, err
 		}
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(report.Page(f, r), f.Close())
+	return errors.Join(report.WritePage(f, r), f.Close())
 }
 
 // playOne plays one seed; logs of routers stay in the folder where something was wrong.
@@ -226,7 +226,7 @@
 		return report.Report{}, err
 	}
 	show, done := progress(c.ErrOrStderr(), s.Title)
-	res, err := fleet.Play(c.Context(), s, fleet.Options{Seed: seed, Start: fleet.Program(program), Dir: dir, Arrivals: recorded,
+	res, err := fleet.Run(c.Context(), s, fleet.Options{Seed: seed, Start: fleet.ProgramStarter(program), Dir: dir, Arrivals: recorded,
 		Progress: show, Log: a.log})
 	done()
 	if err != nil {
@@ -237,8 +237,8 @@
 		}
 		return report.Report{}, err
 	}
-	r := report.Make(res)
-	if len(r.Broken) == 0 {
+	r := report.New(res)
+	if len(r.Violations) == 0 {
 		if err := os.RemoveAll(dir); err != nil {
 			return r, err
 		}
--- a/internal/lab/cheat/cheat_test.go
+++ b/internal/lab/cheat/cheat_test.go
@@ -181,18 +181,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := fleet.Play(t.Context(), s, fleet.Options{Seed: 1, Start: Starter(c.kind), Dir: t.TempDir()})
+			r, err := fleet.Run(t.Context(), s, fleet.Options{Seed: 1, Start: Starter(c.kind), Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				if b.Rule == c.rule && strings.Contains(b.What, c.says) {
 					return
 				}
 			}
-			if c.rule >= 0 || len(r.Broken) > 0 {
-				t.Errorf("%d rule breaks", len(r.Broken))
-				for _, b := range r.Broken[:min(3, len(r.Broken))] {
+			if c.rule >= 0 || len(r.Violations) > 0 {
+				t.Errorf("%d rule breaks", len(r.Violations))
+				for _, b := range r.Violations[:min(3, len(r.Violations))] {
 					t.Error(b, strings.Join(b.Evidence, "\n"))
 				}
 			}
--- a/internal/lab/endings/endings_test.go
+++ b/internal/lab/endings/endings_test.go
@@ -54,12 +54,12 @@
 func play(t *testing.T, s scenario.Scenario, program string, seed uint64) {
 	t.Helper()
 	dir := t.TempDir()
-	result, err := fleet.Play(t.Context(), s, fleet.Options{Seed: seed, Start: fleet.Program(program), Dir: dir})
+	result, err := fleet.Run(t.Context(), s, fleet.Options{Seed: seed, Start: fleet.ProgramStarter(program), Dir: dir})
 	if err != nil {
 		t.Error(err)
 	}
 	const shown = 5
-	for _, broken := range result.Broken[:min(shown, len(result.Broken))] {
+	for _, broken := range result.Violations[:min(shown, len(result.Violations))] {
 		t.Errorf("%v\n%s", broken, strings.Join(broken.Evidence, "\n"))
 	}
 	answered := 0
--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -29,13 +29,13 @@
 func (n Network) Server(place int) []string { return n.a.server(place, 0) }
 
 // Doors returns the address of each router's admin endpoint.
-func (n Network) Doors() []string { return n.a.doors(0) }
+func (n Network) AdminEndpoints() []string { return n.a.doors(0) }
 
 // Views returns the address at which each router listens for the others.
-func (n Network) Views() []string { return n.a.views() }
+func (n Network) GossipListeners() []string { return n.a.views() }
 
 // Ways returns the address at which the others reach each router.
-func (n Network) Ways() []string { return n.a.ways() }
+func (n Network) GossipAdvertised() []string { return n.a.ways() }
 
 // addresses says who listens where. A run has 127.K.0.0/16 for itself, so that a server that comes back finds its
 // address free: connections within the machine leave from 127.0.0.1. K is claimed by a listener that is held.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -63,12 +63,12 @@
 
 // Result is a run that was played to its end.
 type Result struct {
-	Scenario scenario.Scenario
-	Seed     uint64
-	From     event.Micros // when the clients began
-	Arrivals []arrivals.Arrival
-	Events   []event.Event
-	Broken   []referee.Broken
+	Scenario     scenario.Scenario
+	Seed         uint64
+	ClientsStart event.Micros // when the clients began
+	Arrivals     []arrivals.Arrival
+	Events       []event.Event
+	Violations   []referee.Broken
 }
 
 // run is one scenario being played.
@@ -98,7 +98,7 @@
 }
 
 // Play plays a scenario. Whatever happens, nothing that it started is left running.
-func Play(ctx context.Context, s scenario.Scenario, o Options) (Result, error) {
+func Run(ctx context.Context, s scenario.Scenario, o Options) (Result, error) {
 	if o.Log == nil {
 		o.Log = logrus.New()
 		o.Log.SetLevel(logrus.PanicLevel)
@@ -142,8 +142,8 @@
 		return Result{}, err
 	}
 	events := r.log.Events()
-	return Result{Scenario: s, Seed: o.Seed, From: from, Arrivals: schedule, Events: events,
-		Broken: referee.Judge(rules(s, r.places), events)}, nil
+	return Result{Scenario: s, Seed: o.Seed, ClientsStart: from, Arrivals: schedule, Events: events,
+		Violations: referee.Judge(rules(s, r.places), events)}, nil
 }
 
 // lateNote: an op begun later than this is noted. A busy machine is late by a few milliseconds now and then.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -55,16 +55,16 @@
 // played plays a scenario and looks at what must hold in each.
 func played(t *testing.T, s scenario.Scenario, program string) {
 	dir := t.TempDir()
-	options := Options{Seed: 1, Start: Program(program), Dir: dir}
+	options := Options{Seed: 1, Start: ProgramStarter(program), Dir: dir}
 	if s.Routers.SiteLossPlan != "" {
 		options.Await = (&decisions{t: t, routers: s.Routers.Count, dir: dir}).await
 	}
-	r, err := Play(t.Context(), s, options)
+	r, err := Run(t.Context(), s, options)
 	if err != nil {
 		logs(t, dir)
 		t.Fatal(err)
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Violations {
 		if i < 3 {
 			t.Errorf("%v\n%s", b, strings.Join(b.Evidence, "\n"))
 		}
@@ -197,7 +197,7 @@
 	var mu sync.Mutex
 	var started []Instance
 	start := func(spec Spec) (Instance, error) {
-		p, err := Program(program)(spec)
+		p, err := ProgramStarter(program)(spec)
 		if err == nil {
 			mu.Lock()
 			started = append(started, p)
@@ -207,7 +207,7 @@
 	}
 	for _, after := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond, 2500 * time.Millisecond} {
 		ctx, cancel := context.WithTimeout(t.Context(), after)
-		_, err := Play(ctx, s, Options{Seed: 1, Start: start, Dir: t.TempDir()})
+		_, err := Run(ctx, s, Options{Seed: 1, Start: start, Dir: t.TempDir()})
 		cancel()
 		if err == nil {
 			t.Errorf("a run stopped after %v says that it was played", after)
--- a/internal/lab/fleet/operatorstate.go
+++ b/internal/lab/fleet/operatorstate.go
@@ -90,7 +90,7 @@
 // checkBanned compares the file of the operator state with what was asked for.
 func (p *router) checkBanned() string {
 	spec := p.spec()
-	text, err := os.ReadFile(filepath.Join(spec.Tmp, "spurtrestle-"+spec.Listen+".intent"))
+	text, err := os.ReadFile(filepath.Join(spec.TempDir, "spurtrestle-"+spec.Listen+".intent"))
 	if err != nil {
 		return "" // nothing was asked yet, or the router is a stand-in
 	}
--- a/internal/lab/fleet/routers.go
+++ b/internal/lab/fleet/routers.go
@@ -20,23 +20,23 @@
 // Spec is what a router is started with.
 type Spec struct {
 	Name, Listen, Discovery, Config, Log string
-	File                                 string // the operator's own; empty: none
+	OperatorFile                         string // the operator's own; empty: none
 	Cores                                int
 	Admin                                string // the admin endpoint
-	Tmp                                  string // a folder that its processes share
+	TempDir                              string // a folder that its processes share
 }
 
 // Args are the arguments of a router.
 func (s Spec) Args() []string {
-	if s.File == "" {
+	if s.OperatorFile == "" {
 		return nil
 	}
-	return []string{"--file", s.File}
+	return []string{"--file", s.OperatorFile}
 }
 
 // Env are the variables of a router.
 func (s Spec) Env() []string {
-	return []string{"EDGE_ADMIN=" + s.Admin, "TMPDIR=" + s.Tmp, "EDGE_CONFIG=" + s.Config, "EDGE_NAME=" + s.Name, "EDGE_LISTEN=" + s.Listen, "EDGE_DISCOVERY=" + s.Discovery,
+	return []string{"EDGE_ADMIN=" + s.Admin, "TMPDIR=" + s.TempDir, "EDGE_CONFIG=" + s.Config, "EDGE_NAME=" + s.Name, "EDGE_LISTEN=" + s.Listen, "EDGE_DISCOVERY=" + s.Discovery,
 		fmt.Sprint("GOMAXPROCS=", s.Cores)}
 }
 
@@ -53,7 +53,7 @@
 type Starter func(Spec) (Instance, error)
 
 // Program starts routers as processes of a program.
-func Program(path string) Starter {
+func ProgramStarter(path string) Starter {
 	return func(s Spec) (Instance, error) { return process.Start(path, s.Args(), s.Env(), s.Log) }
 }
 
@@ -90,7 +90,7 @@
 	if p.run.s.Routers.State || p.run.s.Routers.Fleet || p.run.s.Clients.UsesGRPC() {
 		file = filepath.Join(dir, p.name()+".toml")
 	}
-	return Spec{Admin: p.admin(), Tmp: filepath.Join(dir, p.name()+"-tmp"), File: file, Name: p.name(), Listen: p.run.net.routers()[p.n], Discovery: p.run.registry.Addr(p.n),
+	return Spec{Admin: p.admin(), TempDir: filepath.Join(dir, p.name()+"-tmp"), OperatorFile: file, Name: p.name(), Listen: p.run.net.routers()[p.n], Discovery: p.run.registry.Addr(p.n),
 		Config: filepath.Join(dir, p.name()+".json"), Log: filepath.Join(dir, p.name()+".log"), Cores: p.run.s.Routers.Cores}
 }
 
@@ -102,8 +102,8 @@
 	if err != nil {
 		return err
 	}
-	if spec.File != "" {
-		if err := p.own(spec.File); err != nil {
+	if spec.OperatorFile != "" {
+		if err := p.own(spec.OperatorFile); err != nil {
 			return err
 		}
 	}
@@ -162,7 +162,7 @@
 	if err := p.configure(p.run.registry.FullList(p.n)); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(p.spec().Tmp, 0o700); err != nil {
+	if err := os.MkdirAll(p.spec().TempDir, 0o700); err != nil {
 		return err
 	}
 	p.run.registry.Restarted(p.n)
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -168,7 +168,7 @@
 // fillTmp has the file of the operator state not be written, as on a full disk, or takes that back.
 func (p *router) fillTmp(full bool) error {
 	spec := p.spec()
-	next := filepath.Join(spec.Tmp, "spurtrestle-"+spec.Listen+".intent.next")
+	next := filepath.Join(spec.TempDir, "spurtrestle-"+spec.Listen+".intent.next")
 	if !full {
 		return os.RemoveAll(next)
 	}
--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -14,25 +14,25 @@
 )
 
 // Loss is what clients saw before, in and after the loss of a site, by when ops came up.
-type Loss struct {
-	Onset  Phase   `json:"onset"` // the first two seconds of the loss: nobody knows yet
-	Before Phase   `json:"before"`
-	In     Phase   `json:"in"`
-	Return Phase   `json:"return"`       // eight seconds from its end on
-	After  Phase   `json:"after"`        // until the end of the run
-	Back   float64 `json:"back_s"`       // from its end until service was as before for a second
-	Dip    float64 `json:"dip"`          // the deepest fall of a second's service after that, against before
-	Refuse float64 `json:"refused_part"` // of the first tries in the loss
+type SiteLoss struct {
+	Onset           Phase   `json:"onset"` // the first two seconds of the loss: nobody knows yet
+	Before          Phase   `json:"before"`
+	During          Phase   `json:"in"`
+	Return          Phase   `json:"return"`       // eight seconds from its end on
+	After           Phase   `json:"after"`        // until the end of the run
+	RecoverySeconds float64 `json:"back_s"`       // from its end until service was as before for a second
+	Dip             float64 `json:"dip"`          // the deepest fall of a second's service after that, against before
+	RejectedShare   float64 `json:"refused_part"` // of the first tries in the loss
 }
 
 // Phase is a part of a run.
 type Phase struct {
-	Seconds float64     `json:"seconds"`
-	Service float64     `json:"service"`
-	Methods []NamedPart `json:"methods"`
-	Tenants []NamedPart `json:"tenants"`
-	Goodput float64     `json:"goodput"` // ops a second that were answered in time
-	Refused []NamedPart `json:"refused"` // part of the first tries that were rejected, by method
+	Seconds  float64      `json:"seconds"`
+	Service  float64      `json:"service"`
+	Methods  []NamedShare `json:"methods"`
+	Tenants  []NamedShare `json:"tenants"`
+	Goodput  float64      `json:"goodput"` // ops a second that were answered in time
+	Rejected []NamedShare `json:"refused"` // part of the first tries that were rejected, by method
 	// P99 is that of the tries that were satisfied, as a part of the method's latency budget; the worst method's.
 	P99 float64 `json:"p99_of_budget"`
 	// Inversions are first tries that were rejected while a less critical one that came within the same quarter of a second
@@ -55,7 +55,7 @@
 }
 
 // lossOf looks for the loss of a site; nil where there is none.
-func lossOf(r fleet.Result) *Loss {
+func lossOf(r fleet.Result) *SiteLoss {
 	from, until := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		if e.Kind == event.Fault && (e.Note == "site_lost" || e.Note == "zone_lost") {
@@ -92,10 +92,10 @@
 			}
 		}
 	}
-	end := r.From + r.Scenario.Length.Micros()
-	l := &Loss{Before: phase(r, tries, byReq, r.From+2e6, from), Onset: phase(r, tries, byReq, from, min(until, from+onsetSpan)),
-		In: phase(r, tries, byReq, min(until, from+onsetSpan), until), Return: phase(r, tries, byReq, until, min(end, until+returnSpan)),
-		After: phase(r, tries, byReq, min(end, until+returnSpan), end), Back: -1}
+	end := r.ClientsStart + r.Scenario.Length.Micros()
+	l := &SiteLoss{Before: phase(r, tries, byReq, r.ClientsStart+2e6, from), Onset: phase(r, tries, byReq, from, min(until, from+onsetSpan)),
+		During: phase(r, tries, byReq, min(until, from+onsetSpan), until), Return: phase(r, tries, byReq, until, min(end, until+returnSpan)),
+		After: phase(r, tries, byReq, min(end, until+returnSpan), end), RecoverySeconds: -1}
 	nacked, all := 0, 0
 	for _, t := range tries {
 		if t.wanted.At >= from+onsetSpan && t.wanted.At < until && t.asked > 0 {
@@ -104,13 +104,13 @@
 			}
 		}
 	}
-	l.Refuse = float64(nacked) / float64(max(1, all))
+	l.RejectedShare = float64(nacked) / float64(max(1, all))
 	for at := until; at+1e6 <= end; at += bucketSpan {
 		s := phase(r, tries, byReq, at, at+1e6).Service
 		switch {
-		case l.Back < 0 && s >= l.Before.Service-0.03:
-			l.Back = float64(at-until) / 1e6
-		case l.Back >= 0:
+		case l.RecoverySeconds < 0 && s >= l.Before.Service-0.03:
+			l.RecoverySeconds = float64(at-until) / 1e6
+		case l.RecoverySeconds >= 0:
 			l.Dip = max(l.Dip, l.Before.Service-s)
 		}
 	}
@@ -168,13 +168,13 @@
 	p.Service, p.Goodput = whole.share(), float64(inTime)/max(1e-9, p.Seconds)
 	p.Inversions = float64(inverted) / float64(max(1, firsts))
 	for i := range s.Methods {
-		p.Methods = append(p.Methods, NamedPart{s.Methods[i].Name, methods[i].share(), methods[i].ops})
+		p.Methods = append(p.Methods, NamedShare{s.Methods[i].Name, methods[i].share(), methods[i].ops})
 		if refused[i].ops > 0 {
-			p.Refused = append(p.Refused, NamedPart{s.Methods[i].Name, refused[i].share(), refused[i].ops})
+			p.Rejected = append(p.Rejected, NamedShare{s.Methods[i].Name, refused[i].share(), refused[i].ops})
 		}
 	}
 	for i := range s.Tenants {
-		p.Tenants = append(p.Tenants, NamedPart{s.Tenants[i].Name, tenants[i].share(), tenants[i].ops})
+		p.Tenants = append(p.Tenants, NamedShare{s.Tenants[i].Name, tenants[i].share(), tenants[i].ops})
 	}
 	p.P99 = worstP99(r, byReq, from, until)
 	return p
@@ -218,23 +218,23 @@
 }
 
 // lossFigures are compared where a site was lost.
-var lossFigures = []Figure{
-	{"in the loss: service", func(r Report) float64 { return r.Loss.In.Service }, false},
-	{"in the loss: highest criticality", func(r Report) float64 { return r.Loss.In.highest(r) }, false},
-	{"in the loss: goodput /s", func(r Report) float64 { return r.Loss.In.Goodput }, false},
-	{"in the loss: p99 of budget", func(r Report) float64 { return r.Loss.In.P99 }, true},
-	{"in the loss: inversions", func(r Report) float64 { return r.Loss.In.Inversions }, true},
-	{"return, 8 s: service", func(r Report) float64 { return r.Loss.Return.Service }, false},
-	{"return: seconds until as before", func(r Report) float64 { return r.Loss.Back }, true},
-	{"return: dip after that", func(r Report) float64 { return r.Loss.Dip }, true},
-	{"after: service", func(r Report) float64 { return r.Loss.After.Service }, false},
+var lossFigures = []Metric{
+	{"in the loss: service", func(r Report) float64 { return r.SiteLoss.During.Service }, false},
+	{"in the loss: highest criticality", func(r Report) float64 { return r.SiteLoss.During.highest(r) }, false},
+	{"in the loss: goodput /s", func(r Report) float64 { return r.SiteLoss.During.Goodput }, false},
+	{"in the loss: p99 of budget", func(r Report) float64 { return r.SiteLoss.During.P99 }, true},
+	{"in the loss: inversions", func(r Report) float64 { return r.SiteLoss.During.Inversions }, true},
+	{"return, 8 s: service", func(r Report) float64 { return r.SiteLoss.Return.Service }, false},
+	{"return: seconds until as before", func(r Report) float64 { return r.SiteLoss.RecoverySeconds }, true},
+	{"return: dip after that", func(r Report) float64 { return r.SiteLoss.Dip }, true},
+	{"after: service", func(r Report) float64 { return r.SiteLoss.After.Service }, false},
 }
 
 // highest is the service of the most critical methods.
 func (p Phase) highest(r Report) float64 {
 	asked, earned := 0.0, 0.0
 	for _, m := range p.Methods {
-		if slices.Contains(r.Top, m.Name) {
+		if slices.Contains(r.MostCritical, m.Name) {
 			asked, earned = asked+float64(m.Ops), earned+m.Share*float64(m.Ops)
 		}
 	}
@@ -242,7 +242,7 @@
 }
 
 // lossTable writes the parts for people.
-func lossTable(w io.Writer, l *Loss) error {
+func lossTable(w io.Writer, l *SiteLoss) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "site lost\tservice\tgoodput/s\tp99 of budget\tinversions\t")
 	for _, m := range l.Before.Methods {
@@ -255,7 +255,7 @@
 	for _, x := range []struct {
 		name string
 		p    Phase
-	}{{"before", l.Before}, {"its first 2 s", l.Onset}, {"in the loss", l.In}, {"8 s of return", l.Return}, {"after", l.After}} {
+	}{{"before", l.Before}, {"its first 2 s", l.Onset}, {"in the loss", l.During}, {"8 s of return", l.Return}, {"after", l.After}} {
 		fmt.Fprintf(t, "%s\t%.3f\t%.0f\t%.2f\t%.4f\t", x.name, x.p.Service, x.p.Goodput, x.p.P99, x.p.Inversions)
 		for _, m := range append(slices.Clone(x.p.Methods), x.p.Tenants...) {
 			fmt.Fprintf(t, "%.3f\t", m.Share)
@@ -266,9 +266,9 @@
 		return err
 	}
 	fmt.Fprint(w, "first tries nacked in the loss, by method:")
-	for _, m := range l.In.Refused {
+	for _, m := range l.During.Rejected {
 		fmt.Fprintf(w, " %s %.3f", m.Name, m.Share)
 	}
-	_, err := fmt.Fprintf(w, "; all %.3f\nas before %.2f s after its return; deepest fall after that %.3f\n", l.Refuse, l.Back, l.Dip)
+	_, err := fmt.Fprintf(w, "; all %.3f\nas before %.2f s after its return; deepest fall after that %.3f\n", l.RejectedShare, l.RecoverySeconds, l.Dip)
 	return err
 }
--- a/internal/lab/report/loss_test.go
+++ b/internal/lab/report/loss_test.go
@@ -50,8 +50,8 @@
 		}
 	}
 	l := lossOf(r)
-	if l == nil || l.Before.Service != 0.75 || l.In.Service != 0.75 || l.In.Refused[1].Share != 1 || l.In.Refused[0].Share != 0 || l.Refuse != 0.5 ||
-		l.In.Inversions != 0 || l.Back != 0 || l.Dip != 0 || l.In.Goodput < 9.9 || l.In.P99 > 0.26 || l.Before.P99 < 1.2 {
+	if l == nil || l.Before.Service != 0.75 || l.During.Service != 0.75 || l.During.Rejected[1].Share != 1 || l.During.Rejected[0].Share != 0 || l.RejectedShare != 0.5 ||
+		l.During.Inversions != 0 || l.RecoverySeconds != 0 || l.Dip != 0 || l.During.Goodput < 9.9 || l.During.P99 > 0.26 || l.Before.P99 < 1.2 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -26,7 +26,7 @@
 	color.RGBA{176, 58, 46, 255}, color.RGBA{118, 68, 138, 255}}
 
 // Page writes a report as one HTML page that needs nothing else.
-func Page(w io.Writer, r Report) error {
+func WritePage(w io.Writer, r Report) error {
 	plots, err := r.plots()
 	if err != nil {
 		return err
@@ -54,13 +54,13 @@
 		title, axis string
 		lines       []series
 	}{
-		{"Rate", "a second", []series{{"wanted", func(s Second) float64 { return float64(s.Wanted) }},
-			{"satisfied", func(s Second) float64 { return float64(s.Satisfied) }},
-			{"nacked", func(s Second) float64 { return float64(s.Nacked) }},
+		{"Rate", "a second", []series{{"wanted", func(s Second) float64 { return float64(s.Offered) }},
+			{"satisfied", func(s Second) float64 { return float64(s.Succeeded) }},
+			{"nacked", func(s Second) float64 { return float64(s.Rejected) }},
 			{"failed", func(s Second) float64 { return float64(s.Failed) }}}},
 		{"Service", "share in time", []series{{"service", func(s Second) float64 { return s.Service }}}},
 		{"Latency", "ms", []series{{"p50", func(s Second) float64 { return s.P50 }}, {"p99", func(s Second) float64 { return s.P99 }}}},
-		{"Connections opened to servers", "a second", []series{{"opened", func(s Second) float64 { return float64(s.Opened) }}}},
+		{"Connections opened to servers", "a second", []series{{"opened", func(s Second) float64 { return float64(s.ConnectionsOpened) }}}},
 	} {
 		var lines []line
 		for _, l := range p.lines {
@@ -82,8 +82,8 @@
 		memory = append(memory, line{fmt.Sprintf("router %d", u.Router), points(u.MemoryMB)})
 	}
 	for _, s := range r.Servers {
-		ys := make([]float64, len(s.By))
-		for i, n := range s.By {
+		ys := make([]float64, len(s.BySecond))
+		for i, n := range s.BySecond {
 			ys[i] = float64(n)
 		}
 		load = append(load, line{string(s.Server), points(ys)})
--- a/internal/lab/report/recovery.go
+++ b/internal/lab/report/recovery.go
@@ -15,17 +15,17 @@
 
 // Around is what clients saw around the moment when the last router that had ended was up again: the ops that came up in
 // each part, their criticality, what was earned, and how long the satisfied ones took.
-type Around struct {
-	PartMs float64 `json:"part_ms"`
-	Before []Part  `json:"before"` // the last first: before the first router ended
-	After  []Part  `json:"after"`
+type RestartWindow struct {
+	PartMs float64     `json:"part_ms"`
+	Before []TimeSlice `json:"before"` // the last first: before the first router ended
+	After  []TimeSlice `json:"after"`
 }
 
 // Part is a short span of a run.
-type Part struct {
-	Asked  float64   `json:"asked"`
-	Earned float64   `json:"earned"`
-	TookMs []float32 `json:"took_ms"`
+type TimeSlice struct {
+	Offered   float64   `json:"asked"`
+	Earned    float64   `json:"earned"`
+	LatencyMs []float32 `json:"took_ms"`
 }
 
 const (
@@ -35,20 +35,20 @@
 )
 
 // around looks for a restart; nil where there is none, or it is too near to an end of the run.
-func around(r fleet.Result) *Around {
+func around(r fleet.Result) *RestartWindow {
 	down, up := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		switch {
-		case (e.Kind == event.Term || e.Kind == event.Killed) && down < 0 && e.At < r.From+r.Scenario.Length.Micros():
+		case (e.Kind == event.Term || e.Kind == event.Killed) && down < 0 && e.At < r.ClientsStart+r.Scenario.Length.Micros():
 			down = e.At
 		case e.Kind == event.Up && down >= 0:
 			up = e.At
 		}
 	}
-	if up < 0 || down-r.From < partSpan*beforeParts {
+	if up < 0 || down-r.ClientsStart < partSpan*beforeParts {
 		return nil
 	}
-	a := &Around{PartMs: partSpan / 1e3, Before: make([]Part, beforeParts), After: make([]Part, afterParts)}
+	a := &RestartWindow{PartMs: partSpan / 1e3, Before: make([]TimeSlice, beforeParts), After: make([]TimeSlice, afterParts)}
 	took := map[event.Op]event.Micros{}
 	for _, e := range r.Events {
 		if _, known := took[e.Op]; e.Kind == event.Answered && e.Outcome == event.Satisfied && !known {
@@ -59,7 +59,7 @@
 		if e.Kind != event.Wanted {
 			continue
 		}
-		var p *Part
+		var p *TimeSlice
 		switch i, j := int((down-e.At)/partSpan), int((e.At-up)/partSpan); {
 		case e.At < down && i < beforeParts:
 			p = &a.Before[i]
@@ -69,14 +69,14 @@
 			continue
 		}
 		m := r.Scenario.Methods[e.Method]
-		p.Asked += m.Criticality
+		p.Offered += m.Criticality
 		if at, served := took[e.Op]; served {
 			if at-e.At <= m.LatencyBudget.Micros() {
 				p.Earned += m.Criticality
 			} else {
 				p.Earned += m.Criticality * m.LateShare
 			}
-			p.TookMs = append(p.TookMs, float32(at-e.At)/1e3)
+			p.LatencyMs = append(p.LatencyMs, float32(at-e.At)/1e3)
 		}
 	}
 	return a
@@ -97,24 +97,24 @@
 )
 
 // recover pools runs and finds the first part from which on a second of it is as before.
-func recover(runs []*Around) Recovery {
-	pool := func(of func(*Around) []Part) Part {
-		var p Part
+func recover(runs []*RestartWindow) Recovery {
+	pool := func(of func(*RestartWindow) []TimeSlice) TimeSlice {
+		var p TimeSlice
 		for _, a := range runs {
 			for _, x := range of(a) {
-				p.Asked, p.Earned, p.TookMs = p.Asked+x.Asked, p.Earned+x.Earned, append(p.TookMs, x.TookMs...)
+				p.Offered, p.Earned, p.LatencyMs = p.Offered+x.Offered, p.Earned+x.Earned, append(p.LatencyMs, x.LatencyMs...)
 			}
 		}
 		return p
 	}
-	before := pool(func(a *Around) []Part { return a.Before })
-	r := Recovery{SteadyService: before.Earned / max(1, before.Asked), SteadyP99: p99(before.TookMs), Service: math.Inf(1), P99: math.Inf(1),
+	before := pool(func(a *RestartWindow) []TimeSlice { return a.Before })
+	r := Recovery{SteadyService: before.Earned / max(1, before.Offered), SteadyP99: p99(before.LatencyMs), Service: math.Inf(1), P99: math.Inf(1),
 		Both: math.Inf(1)}
 	for i := 0; i+windowParts <= afterParts; i++ {
-		now := pool(func(a *Around) []Part { return a.After[i : i+windowParts] })
+		now := pool(func(a *RestartWindow) []TimeSlice { return a.After[i : i+windowParts] })
 		at := float64(i) * partSpan / 1e6
-		good := now.Earned/max(1, now.Asked) >= (1-within)*r.SteadyService
-		quick := p99(now.TookMs) <= (1+within)*r.SteadyP99
+		good := now.Earned/max(1, now.Offered) >= (1-within)*r.SteadyService
+		quick := p99(now.LatencyMs) <= (1+within)*r.SteadyP99
 		if good {
 			r.Service = min(r.Service, at)
 		}
@@ -148,25 +148,25 @@
 }
 
 // RecoveryRow sets one figure of two candidates side by side.
-type RecoveryRow struct {
-	Figure string `json:"figure"`
+type RecoveryComparison struct {
+	Metric string `json:"figure"`
 	A      Range  `json:"a"`
 	B      Range  `json:"b"`
 }
 
 // Recoveries compares how two candidates come back from a restart, by pairs of runs with one seed. The intervals come from
 // drawing pairs anew, 200 times.
-func Recoveries(a, b Set) (rows []RecoveryRow, pairs int, err error) {
-	of := map[uint64]*Around{}
+func CompareRecoveries(a, b RunSet) (rows []RecoveryComparison, pairs int, err error) {
+	of := map[uint64]*RestartWindow{}
 	for _, r := range b.Runs {
-		if r.Void == "" && r.Around != nil {
-			of[r.Seed] = r.Around
+		if r.InvalidReason == "" && r.AroundRestart != nil {
+			of[r.Seed] = r.AroundRestart
 		}
 	}
-	var left, right []*Around
+	var left, right []*RestartWindow
 	for _, r := range a.Runs {
-		if other := of[r.Seed]; r.Void == "" && r.Around != nil && other != nil {
-			left, right = append(left, r.Around), append(right, other)
+		if other := of[r.Seed]; r.InvalidReason == "" && r.AroundRestart != nil && other != nil {
+			left, right = append(left, r.AroundRestart), append(right, other)
 		}
 	}
 	if len(left) < 2 {
@@ -174,7 +174,7 @@
 	}
 	names := []string{"service back to 95% of before, s", "p99 back to 105% of before, s", "both, s", "service in the second after",
 		"service in the 5 s after", "service before", "p99 before, ms"}
-	figures := func(runs []*Around) []float64 {
+	figures := func(runs []*RestartWindow) []float64 {
 		x := recover(runs)
 		return []float64{x.Service, x.P99, x.Both, early(runs, 4), early(runs, 20), x.SteadyService, x.SteadyP99}
 	}
@@ -182,7 +182,7 @@
 	const draws = 200
 	drawnA, drawnB := make([][]float64, len(names)), make([][]float64, len(names))
 	for range draws {
-		x, y := make([]*Around, len(left)), make([]*Around, len(left))
+		x, y := make([]*RestartWindow, len(left)), make([]*RestartWindow, len(left))
 		for i := range x {
 			n := r.IntN(len(left))
 			x[i], y[i] = left[n], right[n]
@@ -194,7 +194,7 @@
 	}
 	valueA, valueB := figures(left), figures(right)
 	for i, name := range names {
-		row := RecoveryRow{Figure: name, A: Range{Value: valueA[i]}, B: Range{Value: valueB[i]}}
+		row := RecoveryComparison{Metric: name, A: Range{Value: valueA[i]}, B: Range{Value: valueB[i]}}
 		row.A.Low, row.A.High = ends(drawnA[i])
 		row.B.Low, row.B.High = ends(drawnB[i])
 		rows = append(rows, row)
@@ -202,11 +202,11 @@
 	return rows, len(left), nil
 }
 
-func early(runs []*Around, parts int) float64 {
+func early(runs []*RestartWindow, parts int) float64 {
 	asked, earned := 0.0, 0.0
 	for _, a := range runs {
 		for _, p := range a.After[:parts] {
-			asked, earned = asked+p.Asked, earned+p.Earned
+			asked, earned = asked+p.Offered, earned+p.Earned
 		}
 	}
 	return earned / max(1, asked)
@@ -218,12 +218,12 @@
 }
 
 // RecoveryTable writes the comparison for people.
-func RecoveryTable(w io.Writer, rows []RecoveryRow, pairs int) error {
+func WriteRecoveries(w io.Writer, rows []RecoveryComparison, pairs int) error {
 	fmt.Fprintf(w, "%d pairs of runs; in brackets 95 of 100 draws of pairs\n", pairs)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tA\tB")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%.3f (%.3f to %.3f)\t%.3f (%.3f to %.3f)\n", r.Figure, r.A.Value, r.A.Low, r.A.High, r.B.Value, r.B.Low, r.B.High)
+		fmt.Fprintf(t, "%s\t%.3f (%.3f to %.3f)\t%.3f (%.3f to %.3f)\n", r.Metric, r.A.Value, r.A.Low, r.A.High, r.B.Value, r.B.Low, r.B.High)
 	}
 	return t.Flush()
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -22,37 +22,37 @@
 // Report is one run in figures. Service is criticality answered within the latency budget over criticality asked for,
 // where an op's retries count with its first try.
 type Report struct {
-	Version  int              `json:"version"`
-	Scenario string           `json:"scenario"`
-	Seed     uint64           `json:"seed"`
-	Void     string           `json:"void,omitempty"` // why the figures are not to be trusted
-	Broken   []referee.Broken `json:"broken"`
-	Service  Service          `json:"service"`
-	Ops      Ops              `json:"ops"`
-	Latency  Latency          `json:"latency_ms"`
-	WriteOut Outs             `json:"write_outs"`
-	Nacks    []Bucket         `json:"nacks_by_hint"`
-	Opened   int              `json:"connections_opened"`
-	Routers  []RouterUse      `json:"routers"`
-	Seconds  []Second         `json:"seconds"`
-	Servers  []ServerLoad     `json:"servers"`
-	Faults   []FaultMark      `json:"faults"`
-	LateMs   float64          `json:"lab_late_ms"`
-	Around   *Around          `json:"around_restart,omitempty"`
-	Loss     *Loss            `json:"loss,omitempty"`
-	Top      []string         `json:"most_critical"` // methods
+	Version           int              `json:"version"`
+	Scenario          string           `json:"scenario"`
+	Seed              uint64           `json:"seed"`
+	InvalidReason     string           `json:"void,omitempty"` // why the figures are not to be trusted
+	Violations        []referee.Broken `json:"broken"`
+	Service           Service          `json:"service"`
+	Ops               Ops              `json:"ops"`
+	Latency           Latency          `json:"latency_ms"`
+	Attempts          AttemptCounts    `json:"write_outs"`
+	Rejections        []HintBucket     `json:"nacks_by_hint"`
+	ConnectionsOpened int              `json:"connections_opened"`
+	Routers           []RouterUsage    `json:"routers"`
+	Seconds           []Second         `json:"seconds"`
+	Servers           []ServerLoad     `json:"servers"`
+	Faults            []FaultMark      `json:"faults"`
+	MaxLatenessMs     float64          `json:"lab_late_ms"`
+	AroundRestart     *RestartWindow   `json:"around_restart,omitempty"`
+	SiteLoss          *SiteLoss        `json:"loss,omitempty"`
+	MostCritical      []string         `json:"most_critical"` // methods
 }
 
 // Service is the share of criticality answered in time.
 type Service struct {
-	Whole    float64     `json:"whole"`
-	Worst10s float64     `json:"worst_10s"`
-	Methods  []NamedPart `json:"methods"`
-	Tenants  []NamedPart `json:"tenants"`
+	Overall  float64      `json:"whole"`
+	Worst10s float64      `json:"worst_10s"`
+	Methods  []NamedShare `json:"methods"`
+	Tenants  []NamedShare `json:"tenants"`
 }
 
 // NamedPart is a share by name.
-type NamedPart struct {
+type NamedShare struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 	Ops   int     `json:"ops"`
@@ -60,16 +60,16 @@
 
 // Ops are counts of what clients wanted and got.
 type Ops struct {
-	Wanted    int `json:"wanted"`
+	Offered   int `json:"wanted"`
 	InTime    int `json:"in_time"`
 	Late      int `json:"late"`
 	Unserved  int `json:"unserved"`
-	Tries     int `json:"tries"`
-	Nacked    int `json:"nacked"`
+	Requests  int `json:"tries"`
+	Rejected  int `json:"nacked"`
 	Failed    int `json:"failed"`
 	Unreached int `json:"unreached"`
 	Cut       int `json:"cut"`
-	Left      int `json:"left"`
+	Abandoned int `json:"left"`
 }
 
 // Latency is of satisfied ops, from the intended start to the last byte.
@@ -82,51 +82,51 @@
 }
 
 // Outs are attempts to cache servers and to the origin.
-type Outs struct {
-	All     int     `json:"all"`
-	PerTry  float64 `json:"per_try"`
-	Misses  int     `json:"misses"`
-	Origin  int     `json:"to_origin"`
-	Wasted  int     `json:"with_no_use"`
-	Refused int     `json:"turned_away"`
+type AttemptCounts struct {
+	Total      int     `json:"all"`
+	PerRequest float64 `json:"per_try"`
+	Misses     int     `json:"misses"`
+	ToOrigin   int     `json:"to_origin"`
+	Wasted     int     `json:"with_no_use"`
+	Rejected   int     `json:"turned_away"`
 }
 
 // Bucket counts rejections whose hint is up to a time.
-type Bucket struct {
-	Hint string `json:"hint"`
-	N    int    `json:"n"`
+type HintBucket struct {
+	Hint  string `json:"hint"`
+	Count int    `json:"n"`
 }
 
 // RouterUse is what a router used over the run.
-type RouterUse struct {
-	Router      int       `json:"router"`
-	CPUSeconds  float64   `json:"cpu_seconds"`
-	CPUPerTryUs float64   `json:"cpu_per_try_us"`
-	MemoryMaxMB float64   `json:"memory_max_mb"`
-	CPU         []float64 `json:"cpu_by_second"`
-	MemoryMB    []float64 `json:"memory_mb_by_second"`
-	Tries       int       `json:"tries"`
+type RouterUsage struct {
+	Router          int       `json:"router"`
+	CPUSeconds      float64   `json:"cpu_seconds"`
+	CPUPerRequestUs float64   `json:"cpu_per_try_us"`
+	MemoryMaxMB     float64   `json:"memory_max_mb"`
+	CPU             []float64 `json:"cpu_by_second"`
+	MemoryMB        []float64 `json:"memory_mb_by_second"`
+	Requests        int       `json:"tries"`
 }
 
 // Second is one second of the run.
 type Second struct {
-	At        int     `json:"at"`
-	Wanted    int     `json:"wanted"`
-	Satisfied int     `json:"satisfied"`
-	Nacked    int     `json:"nacked"`
-	Failed    int     `json:"failed"`
-	Opened    int     `json:"opened"`
-	Service   float64 `json:"service"`
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
+	At                int     `json:"at"`
+	Offered           int     `json:"wanted"`
+	Succeeded         int     `json:"satisfied"`
+	Rejected          int     `json:"nacked"`
+	Failed            int     `json:"failed"`
+	ConnectionsOpened int     `json:"opened"`
+	Service           float64 `json:"service"`
+	P50               float64 `json:"p50_ms"`
+	P99               float64 `json:"p99_ms"`
 }
 
 // ServerLoad is how many attempts came to a life of a server, by second.
 type ServerLoad struct {
-	Server event.Server `json:"server"`
-	All    int          `json:"all"`
-	Cold   bool         `json:"cold"`
-	By     []int        `json:"by_second"`
+	Server   event.Server `json:"server"`
+	Total    int          `json:"all"`
+	Cold     bool         `json:"cold"`
+	BySecond []int        `json:"by_second"`
 }
 
 // FaultMark is where a fault began or ended.
@@ -150,28 +150,28 @@
 )
 
 // Make makes the figures of a run.
-func Make(r fleet.Result) Report {
+func New(r fleet.Result) Report {
 	s := r.Scenario
 	n := int((s.Length.Micros() + 1e6 - 1) / 1e6)
-	rep := Report{Version: Version, Scenario: s.Title, Seed: r.Seed, Broken: r.Broken, Seconds: make([]Second, n),
-		Routers: make([]RouterUse, s.Routers.Count), Faults: []FaultMark{}, Servers: []ServerLoad{}}
-	if rep.Broken == nil {
-		rep.Broken = []referee.Broken{}
+	rep := Report{Version: Version, Scenario: s.Title, Seed: r.Seed, Violations: r.Violations, Seconds: make([]Second, n),
+		Routers: make([]RouterUsage, s.Routers.Count), Faults: []FaultMark{}, Servers: []ServerLoad{}}
+	if rep.Violations == nil {
+		rep.Violations = []referee.Broken{}
 	}
-	m := maker{rep: &rep, s: s, from: r.From, n: n, ops: map[event.Op]*op{}, servers: map[event.Server]int{},
+	m := maker{rep: &rep, s: s, from: r.ClientsStart, n: n, ops: map[event.Op]*op{}, servers: map[event.Server]int{},
 		routerOf: map[event.Req]event.Router{}, cpu: make([]event.Micros, s.Routers.Count), hints: make([]int, len(hintBounds)+2)}
 	for i := range rep.Routers {
-		rep.Routers[i] = RouterUse{Router: i, CPU: make([]float64, n), MemoryMB: make([]float64, n)}
+		rep.Routers[i] = RouterUsage{Router: i, CPU: make([]float64, n), MemoryMB: make([]float64, n)}
 	}
 	for _, e := range r.Events {
 		m.take(e)
 	}
 	m.finish(len(r.Arrivals))
-	rep.Around, rep.Loss = around(r), lossOf(r)
+	rep.AroundRestart, rep.SiteLoss = around(r), lossOf(r)
 	top := slices.MaxFunc(s.Methods, func(a, b scenario.Method) int { return cmp.Compare(a.Criticality, b.Criticality) })
 	for _, m := range s.Methods {
 		if m.Criticality == top.Criticality {
-			rep.Top = append(rep.Top, m.Name)
+			rep.MostCritical = append(rep.MostCritical, m.Name)
 		}
 	}
 	return rep
@@ -200,28 +200,28 @@
 	switch e.Kind {
 	case event.Wanted:
 		m.ops[e.Op] = &op{wanted: e}
-		rep.Ops.Wanted++
-		sec.Wanted++
+		rep.Ops.Offered++
+		sec.Offered++
 	case event.Asked:
-		rep.Ops.Tries++
-		rep.Routers[e.Router].Tries++
+		rep.Ops.Requests++
+		rep.Routers[e.Router].Requests++
 	case event.Unreached:
 		rep.Ops.Unreached++
 	case event.Cut:
 		rep.Ops.Cut++
 		sec.Failed++
 	case event.Left:
-		rep.Ops.Left++
+		rep.Ops.Abandoned++
 	case event.Answered:
 		switch e.Outcome {
 		case event.Satisfied:
-			sec.Satisfied++
+			sec.Succeeded++
 			if o := m.ops[e.Op]; o != nil && !o.served {
 				o.served, o.answered = true, e.At
 			}
 		case event.Nacked:
-			rep.Ops.Nacked++
-			sec.Nacked++
+			rep.Ops.Rejected++
+			sec.Rejected++
 			i, _ := slices.BinarySearch(hintBounds, e.Limit)
 			if e.Limit > 0 {
 				i++
@@ -232,28 +232,28 @@
 			sec.Failed++
 		}
 	case event.Conn:
-		rep.Opened++
-		sec.Opened++
+		rep.ConnectionsOpened++
+		sec.ConnectionsOpened++
 	case event.Came:
 		if e.Server != "" {
 			m.server(e.Server).Cold = e.Limit > 0
 		}
 	case event.Begun:
-		rep.WriteOut.All++
+		rep.Attempts.Total++
 		l := m.server(e.Server)
-		l.All++
-		l.By[m.second(e.At)]++
+		l.Total++
+		l.BySecond[m.second(e.At)]++
 		if e.Server == "origin" {
-			rep.WriteOut.Origin++
+			rep.Attempts.ToOrigin++
 		}
 	case event.Ended:
 		switch e.Reply {
 		case event.Miss:
-			rep.WriteOut.Misses++
+			rep.Attempts.Misses++
 		case event.TurnedAway:
-			rep.WriteOut.Refused++
+			rep.Attempts.Rejected++
 		case event.Lost, event.Spoilt, event.Error:
-			rep.WriteOut.Wasted++
+			rep.Attempts.Wasted++
 		}
 	case event.Fault:
 		rep.Faults = append(rep.Faults, FaultMark{float64(e.At-m.from) / 1e6, e.Note, e.Limit == 1})
@@ -284,7 +284,7 @@
 	if !known {
 		i = len(m.rep.Servers)
 		m.servers[uid] = i
-		m.rep.Servers = append(m.rep.Servers, ServerLoad{Server: uid, By: make([]int, m.n)})
+		m.rep.Servers = append(m.rep.Servers, ServerLoad{Server: uid, BySecond: make([]int, m.n)})
 	}
 	return &m.rep.Servers[i]
 }
@@ -341,12 +341,12 @@
 	}
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
 	rep.Latency = Latency{ms(all, 50), ms(all, 90), ms(all, 99), ms(all, 99.9), float64(all.Max()) / 1e3}
-	rep.Service.Whole, rep.Service.Worst10s = whole.share(), worst(bySecond, 10)
+	rep.Service.Overall, rep.Service.Worst10s = whole.share(), worst(bySecond, 10)
 	for i := range s.Methods {
-		rep.Service.Methods = append(rep.Service.Methods, NamedPart{s.Methods[i].Name, byMethod[i].share(), byMethod[i].ops})
+		rep.Service.Methods = append(rep.Service.Methods, NamedShare{s.Methods[i].Name, byMethod[i].share(), byMethod[i].ops})
 	}
 	for i := range s.Tenants {
-		rep.Service.Tenants = append(rep.Service.Tenants, NamedPart{s.Tenants[i].Name, byTenant[i].share(), byTenant[i].ops})
+		rep.Service.Tenants = append(rep.Service.Tenants, NamedShare{s.Tenants[i].Name, byTenant[i].share(), byTenant[i].ops})
 	}
 	for i := range rep.Seconds {
 		rep.Seconds[i].At, rep.Seconds[i].Service = i, bySecond[i].share()
@@ -354,9 +354,9 @@
 			rep.Seconds[i].P50, rep.Seconds[i].P99 = ms(each[i], 50), ms(each[i], 99)
 		}
 	}
-	rep.WriteOut.PerTry = float64(rep.WriteOut.All) / float64(max(1, rep.Ops.Tries))
+	rep.Attempts.PerRequest = float64(rep.Attempts.Total) / float64(max(1, rep.Ops.Requests))
 	for i := range rep.Routers {
-		rep.Routers[i].CPUPerTryUs = 1e6 * rep.Routers[i].CPUSeconds / float64(max(1, rep.Routers[i].Tries))
+		rep.Routers[i].CPUPerRequestUs = 1e6 * rep.Routers[i].CPUSeconds / float64(max(1, rep.Routers[i].Requests))
 	}
 	for i, n := range m.hints {
 		name := "none"
@@ -366,15 +366,15 @@
 		case i > 0:
 			name = "to " + hintBounds[i-1].Duration().String()
 		}
-		rep.Nacks = append(rep.Nacks, Bucket{name, n})
+		rep.Rejections = append(rep.Rejections, HintBucket{name, n})
 	}
 	slices.SortStableFunc(rep.Servers, func(a, b ServerLoad) int { return cmp.Compare(a.Server, b.Server) })
-	rep.LateMs = float64(m.stall) / 1e3
+	rep.MaxLatenessMs = float64(m.stall) / 1e3
 	switch {
 	case m.stall > voidStall:
-		rep.Void = fmt.Sprintf("the lab itself stood still for %v; give it more of the machine", m.stall.Duration())
+		rep.InvalidReason = fmt.Sprintf("the lab itself stood still for %v; give it more of the machine", m.stall.Duration())
 	case float64(m.lateOps) > voidShare*float64(max(1, planned)):
-		rep.Void = fmt.Sprintf("%d of %d ops began over 20 ms late; lower the rate, or give the lab more of the machine", m.lateOps, planned)
+		rep.InvalidReason = fmt.Sprintf("%d of %d ops began over 20 ms late; lower the rate, or give the lab more of the machine", m.lateOps, planned)
 	}
 }
 
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -21,10 +21,10 @@
 	s.Methods = []scenario.Method{{Name: "get", LatencyBudget: 50e3, Deadline: 500e3, Criticality: 2, LateShare: 0.5}}
 	s.Tenants = []scenario.Tenant{{Name: "t"}}
 	s.Routers.Count = 1
-	r := fleet.Result{Scenario: s, Seed: seed, From: 1e6}
+	r := fleet.Result{Scenario: s, Seed: seed, ClientsStart: 1e6}
 	add := func(e event.Event) { r.Events = append(r.Events, e) }
 	for i := range 2000 {
-		at := r.From + event.Micros(i)*10e3
+		at := r.ClientsStart + event.Micros(i)*10e3
 		if i == 1000 {
 			add(event.Event{At: at, Kind: event.Term})
 			add(event.Event{At: at + 1e6, Kind: event.Up})
@@ -37,7 +37,7 @@
 		case i%100 == 0:
 			add(event.Event{At: at + 1e3, Kind: event.Answered, Op: event.Op(i), Req: q, Outcome: event.Nacked, Limit: 250e3})
 			continue
-		case i%10 == 0, at >= r.From+10e6 && at < r.From+11e6+bad:
+		case i%10 == 0, at >= r.ClientsStart+10e6 && at < r.ClientsStart+11e6+bad:
 			took = 100e3
 		}
 		add(event.Event{At: at + 1e3, Kind: event.Begun, Req: q, Server: "s"})
@@ -56,18 +56,18 @@
 }
 
 func TestFigures(t *testing.T) {
-	r := Make(played(1, 0))
+	r := New(played(1, 0))
 	// Of 100 ops 90 earn all, 9 a half, 1 nothing; of the 100 in the second that the router is down 99 earn a half.
-	near(t, "service", r.Service.Whole, (19*94.5+49.5)/2000, 1e-9)
+	near(t, "service", r.Service.Overall, (19*94.5+49.5)/2000, 1e-9)
 	near(t, "worst 10 s", r.Service.Worst10s, (9*94.5+49.5)/1000, 1e-9)
-	near(t, "the method's", r.Service.Methods[0].Share, r.Service.Whole, 1e-9)
+	near(t, "the method's", r.Service.Methods[0].Share, r.Service.Overall, 1e-9)
 	near(t, "p50", r.Latency.P50, 10, 0.1)
 	near(t, "p99", r.Latency.P99, 100, 0.5)
-	near(t, "write-outs a try", r.WriteOut.PerTry, 0.99, 1e-9)
-	if r.Ops.Nacked != 20 || r.Ops.Unserved != 20 || r.Nacks[2].N != 20 || r.Nacks[2].Hint != "to 300ms" || r.Void != "" {
-		t.Errorf("%+v %+v %s", r.Ops, r.Nacks, r.Void)
+	near(t, "write-outs a try", r.Attempts.PerRequest, 0.99, 1e-9)
+	if r.Ops.Rejected != 20 || r.Ops.Unserved != 20 || r.Rejections[2].Count != 20 || r.Rejections[2].Hint != "to 300ms" || r.InvalidReason != "" {
+		t.Errorf("%+v %+v %s", r.Ops, r.Rejections, r.InvalidReason)
 	}
-	if s := r.Seconds[3]; s.Wanted != 100 || s.Satisfied < 98 || s.Nacked != 1 {
+	if s := r.Seconds[3]; s.Offered != 100 || s.Succeeded < 98 || s.Rejected != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -75,15 +75,15 @@
 func TestLateLabVoids(t *testing.T) {
 	run := played(1, 0)
 	run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.Late, Limit: 300e3, Note: "heartbeat"})
-	if r := Make(run); !strings.Contains(r.Void, "stood still for 300ms") {
-		t.Error(r.Void)
+	if r := New(run); !strings.Contains(r.InvalidReason, "stood still for 300ms") {
+		t.Error(r.InvalidReason)
 	}
 	run = played(1, 0)
 	for range 50 {
 		run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.Late, Limit: 30e3})
 	}
-	if r := Make(run); !strings.Contains(r.Void, "50 of 1980 ops began over 20 ms late") {
-		t.Error(r.Void)
+	if r := New(run); !strings.Contains(r.InvalidReason, "50 of 1980 ops began over 20 ms late") {
+		t.Error(r.InvalidReason)
 	}
 }
 
@@ -91,15 +91,15 @@
 	// By the table of Student's t with 4 degrees of freedom: 2.776 times 1.5811 over the root of 5.
 	i := Mean([]float64{1, 2, 3, 4, 5})
 	near(t, "mean", i.Mean, 3, 1e-9)
-	near(t, "half", i.Half, 1.963, 0.001)
-	if one := Mean([]float64{7}); one.N != 1 || !strings.Contains(one.String(), "no interval") {
+	near(t, "half", i.HalfWidth, 1.963, 0.001)
+	if one := Mean([]float64{7}); one.Samples != 1 || !strings.Contains(one.String(), "no interval") {
 		t.Error(one)
 	}
 }
 
-func set(label string, bad func(seed uint64) event.Micros) (s Set) {
+func set(label string, bad func(seed uint64) event.Micros) (s RunSet) {
 	for seed := range uint64(4) {
-		s.Runs = append(s.Runs, Make(played(seed, bad(seed))))
+		s.Runs = append(s.Runs, New(played(seed, bad(seed))))
 	}
 	s.Label, s.Version = label, Version
 	return s
@@ -109,17 +109,17 @@
 	worse := set("worse", func(seed uint64) event.Micros { return 2e6 + event.Micros(seed)*100e3 })
 	good := set("good", func(seed uint64) event.Micros { return event.Micros(seed) * 100e3 })
 	rows, pairs, err := Compare(worse, good)
-	if err != nil || pairs != 4 || rows[0].Says != "better" || rows[2].Says != "no difference beyond chance" {
+	if err != nil || pairs != 4 || rows[0].Conclusion != "better" || rows[2].Conclusion != "no difference beyond chance" {
 		t.Errorf("%+v %v", rows, err)
 	}
-	if rows, _, _ = Compare(good, worse); rows[0].Says != "worse" {
+	if rows, _, _ = Compare(good, worse); rows[0].Conclusion != "worse" {
 		t.Errorf("%+v", rows[0])
 	}
-	good.Runs[0].Void, good.Runs[1].Seed = "late", 99
+	good.Runs[0].InvalidReason, good.Runs[1].Seed = "late", 99
 	if _, pairs, _ = Compare(worse, good); pairs != 2 {
 		t.Errorf("%d pairs", pairs)
 	}
-	if _, _, err = Compare(worse, Set{}); err == nil {
+	if _, _, err = Compare(worse, RunSet{}); err == nil {
 		t.Error("nothing was compared without a complaint")
 	}
 }
@@ -127,7 +127,7 @@
 func TestRecoveries(t *testing.T) {
 	slow := set("slow", func(uint64) event.Micros { return 2e6 })
 	quick := set("quick", func(uint64) event.Micros { return 500e3 })
-	rows, pairs, err := Recoveries(slow, quick)
+	rows, pairs, err := CompareRecoveries(slow, quick)
 	if err != nil || pairs != 4 {
 		t.Fatal(err)
 	}
@@ -137,20 +137,20 @@
 	if rows[2].A.Low > rows[2].A.Value || rows[2].A.High < rows[2].A.Value {
 		t.Errorf("%+v", rows[2])
 	}
-	if _, _, err := Recoveries(slow, Set{}); err == nil {
+	if _, _, err := CompareRecoveries(slow, RunSet{}); err == nil {
 		t.Error("nothing was compared without a complaint")
 	}
 }
 
 func TestTableAndPageTellWhatBroke(t *testing.T) {
-	r := Make(played(1, 0))
-	r.Broken = []referee.Broken{{Rule: 2, What: "sent <again>", Req: "q7", Evidence: []string{"seen & noted"}}}
+	r := New(played(1, 0))
+	r.Violations = []referee.Broken{{Rule: 2, What: "sent <again>", Req: "q7", Evidence: []string{"seen & noted"}}}
 	r.Faults = []FaultMark{{At: 3, Kind: "kill"}, {At: 5, Kind: "kill", End: true}}
 	var table, page bytes.Buffer
-	if err := Table(&table, r); err != nil || !strings.Contains(table.String(), "rule 2: sent <again> (req q7, router 0)\n    seen & noted") {
+	if err := WriteTable(&table, r); err != nil || !strings.Contains(table.String(), "rule 2: sent <again> (req q7, router 0)\n    seen & noted") {
 		t.Error(table.String(), err)
 	}
-	if err := Page(&page, r); err != nil {
+	if err := WritePage(&page, r); err != nil {
 		t.Fatal(err)
 	}
 	text := page.String()
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -84,11 +84,11 @@
 	}
 	var at, front []netip.AddrPort
 	for i := range o.Routers {
-		at = append(at, netip.MustParseAddrPort(r.net.Views()[i]))
-		front = append(front, netip.MustParseAddrPort(r.net.Ways()[i]))
+		at = append(at, netip.MustParseAddrPort(r.net.GossipListeners()[i]))
+		front = append(front, netip.MustParseAddrPort(r.net.GossipAdvertised()[i]))
 		r.names = append(r.names, fmt.Sprintf("r%d", i))
 		r.homes = append(r.homes, i)
-		r.doors = append(r.doors, r.net.Doors()[i])
+		r.doors = append(r.doors, r.net.AdminEndpoints()[i])
 	}
 	both := 1
 	if o.Policy != "" {
@@ -275,7 +275,7 @@
 	var whom []string
 	for _, j := range join {
 		if j < r.o.Routers {
-			whom = append(whom, r.net.Ways()[j])
+			whom = append(whom, r.net.GossipAdvertised()[j])
 		}
 	}
 	list, err := json.Marshal(whom)
@@ -286,8 +286,8 @@
 	if r.o.Fleet != nil {
 		name = r.o.Fleet(i)
 	}
-	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.net.Views()[r.homes[i]],
-		r.net.Ways()[r.homes[i]], list, r.o.Probe)
+	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.net.GossipListeners()[r.homes[i]],
+		r.net.GossipAdvertised()[r.homes[i]], list, r.o.Probe)
 	if r.o.Forget > 0 {
 		own += fmt.Sprintf("forget = %q\n", r.o.Forget)
 	}
@@ -301,7 +301,7 @@
 		}
 		own += fmt.Sprintf("[policy]\ncut_off = %q\nkeepers = [%s]\n", r.o.Policy, strings.Join(keepers, ", "))
 		if i < r.o.Keepers {
-			own += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", port(r.net.Views()[i]), port(r.net.Ways()[i]), r.file(i, "keeper"))
+			own += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", port(r.net.GossipListeners()[i]), port(r.net.GossipAdvertised()[i]), r.file(i, "keeper"))
 		}
 	}
 	return os.WriteFile(r.file(i, "toml"), []byte(own), 0o644)
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -125,7 +125,7 @@
 // start writes the files of one process and starts it. slot is its place in the processes' own network.
 func (r *realRouters) start(program string, slot int, spec routerSpec, operator string) (realRouter, error) {
 	name := func(what string) string { return filepath.Join(r.dir, fmt.Sprintf("p%d.%s", slot, what)) }
-	started := realRouter{index: spec.Index, admin: r.network.Doors()[slot], log: name("log")}
+	started := realRouter{index: spec.Index, admin: r.network.AdminEndpoints()[slot], log: name("log")}
 	settings := r.settings
 	settings.Sites = []string{siteName(spec)}
 	config, err := labfleet.Config(settings, spec.Index, routerName(spec), r.network.Routers()[slot], r.network.Discovery()[slot],
