--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -45,7 +45,7 @@
 }
 
 // weighted draws an index by weights.
-func weighted(r *rand.Rand, n int, weight func(int) float64) int {
+func drawWeighted(r *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
@@ -63,10 +63,10 @@
 func Generate(s scenario.Scenario, seed uint64) []Arrival {
 	// A source of its own for times and for what is asked: a change of one leaves the other as it was.
 	times := rand.New(rand.NewPCG(seed, 1))
-	what := rand.New(rand.NewPCG(seed, 2))
+	contents := rand.New(rand.NewPCG(seed, 2))
 	keys := newZipf(s.Load.Keys, s.Load.Zipf)
 	// Which key holds which rank is drawn once, so that neighbours in rank are no neighbours in name.
-	names := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
+	keyNames := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
 	var out []Arrival
 	for at := 0.0; ; {
 		rate := rateAt(s, event.Micros(at))
@@ -83,7 +83,7 @@
 		if rate <= 0 {
 			continue
 		}
-		out = append(out, one(s, event.Micros(at), what, keys, names))
+		out = append(out, drawArrival(s, event.Micros(at), contents, keys, keyNames))
 	}
 }
 
@@ -95,20 +95,20 @@
 		}
 	}
 	for _, f := range s.Faults {
-		if f.Kind == "burst" && during(f, at) {
+		if f.Kind == "burst" && activeAt(f, at) {
 			rate *= f.Factor
 		}
 	}
 	return rate
 }
 
-func during(f scenario.Fault, at event.Micros) bool {
+func activeAt(f scenario.Fault, at event.Micros) bool {
 	return at >= f.At.Micros() && at < f.At.Micros()+f.Duration.Micros()
 }
 
-func one(s scenario.Scenario, at event.Micros, r *rand.Rand, keys zipf, names []int) Arrival {
+func drawArrival(s scenario.Scenario, at event.Micros, r *rand.Rand, keys zipf, keyNames []int) Arrival {
 	a := Arrival{At: at, Tenant: -1}
-	a.Site = event.Site(weighted(r, len(s.Sites), func(i int) float64 {
+	a.Site = event.Site(drawWeighted(r, len(s.Sites), func(i int) float64 {
 		for _, x := range s.Load.SiteShares {
 			if x.Site == s.Sites[i] {
 				return x.Share
@@ -116,20 +116,20 @@
 		}
 		return 1
 	}))
-	a.Method = event.Method(weighted(r, len(s.Methods), func(i int) float64 { return s.Methods[i].Share }))
+	a.Method = event.Method(drawWeighted(r, len(s.Methods), func(i int) float64 { return s.Methods[i].Share }))
 	if len(s.Tenants) > 0 {
-		a.Tenant = event.Tenant(weighted(r, len(s.Tenants), func(i int) float64 {
+		a.Tenant = event.Tenant(drawWeighted(r, len(s.Tenants), func(i int) float64 {
 			return s.Tenants[i].Share * s.Tenants[i].Usage
 		}))
 	}
-	key, spread, leaves := names[keys.draw(r)], r.NormFloat64(), s.Clients.AbandonShare
+	key, spread, abandonShare := keyNames[keys.draw(r)], r.NormFloat64(), s.Clients.AbandonShare
 	for i, f := range s.Faults {
 		switch {
-		case !during(f, at) || f.Site != "" && f.Site != s.Sites[a.Site]:
+		case !activeAt(f, at) || f.Site != "" && f.Site != s.Sites[a.Site]:
 		case f.Kind == "hot_key" && r.Float64() < f.Share:
 			key = s.Load.Keys + i // a key that was cold before
 		case f.Kind == "leave":
-			leaves = f.Share
+			abandonShare = f.Share
 		}
 	}
 	a.Key = "k" + strconv.FormatInt(int64(key), 36)
@@ -137,25 +137,25 @@
 	if s.Load.MaxValueBytes == s.Load.ValueBytes {
 		a.Size = s.Load.ValueBytes
 	}
-	if goes := r.Float64(); r.Float64() < leaves {
-		a.AbandonAfter = max(1, event.Micros(goes*float64(s.Methods[a.Method].LatencyBudget)))
+	if abandonPoint := r.Float64(); r.Float64() < abandonShare {
+		a.AbandonAfter = max(1, event.Micros(abandonPoint*float64(s.Methods[a.Method].LatencyBudget)))
 	}
 	return a
 }
 
 // Hottest are the keys that are asked for most, by rank.
 func HottestKeys(s scenario.Scenario, seed uint64, n int) (out []string) {
-	names := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
-	for _, key := range names[:min(n, len(names))] {
+	keyNames := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
+	for _, key := range keyNames[:min(n, len(keyNames))] {
 		out = append(out, "k"+strconv.FormatInt(int64(key), 36))
 	}
 	return out
 }
 
 // Digest is a checksum of a schedule, for telling two apart at a glance.
-func Digest(all []Arrival) string {
+func Digest(schedule []Arrival) string {
 	h := sha256.New()
-	for _, a := range all {
+	for _, a := range schedule {
 		fmt.Fprintln(h, a.At, a.Site, a.Method, a.Tenant, a.Key, a.Size, a.AbandonAfter)
 	}
 	return hex.EncodeToString(h.Sum(nil)[:8])
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -42,13 +42,13 @@
 			burst++
 		}
 		if a.At >= 50e6 && a.At < 70e6 {
-			is := a.Key == "k"+"334" // key 4000 in base 36: the first one that the scenario does not use
+			isHot := a.Key == "k"+"334" // key 4000 in base 36: the first one that the scenario does not use
 			if a.Site == 1 {
 				south++
-				if is {
+				if isHot {
 					hot++
 				}
-			} else if is {
+			} else if isHot {
 				hotNorth++
 			}
 		}
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -53,15 +53,15 @@
 func (o Result) Quantile(q float64) float64 { return float64(o.Latency.ValueAtQuantile(q)) / 1e3 }
 
 // link is one connection of the generator.
-type link struct {
-	l       *Load
-	n       int
-	c       net.Conn
+type connection struct {
+	load    *Load
+	index   int
+	conn    net.Conn
 	ids     *atomic.Uint64
 	mu      sync.Mutex
 	due     []int64 // microseconds since the start, of those without an answer
 	hist    *hdrhistogram.Histogram
-	out     Result
+	result  Result
 	scratch []byte
 }
 
@@ -74,38 +74,38 @@
 	defer cancel()
 	ids := &atomic.Uint64{}
 	ids.Store(l.FirstID)
-	links := make([]*link, l.Conns)
-	for i := range links {
-		c, err := net.DialTimeout("tcp", l.Addr, 2*time.Second)
+	conns := make([]*connection, l.Conns)
+	for i := range conns {
+		conn, err := net.DialTimeout("tcp", l.Addr, 2*time.Second)
 		if err != nil {
 			return Result{}, err
 		}
-		defer c.Close()
-		links[i] = &link{l: &l, n: i, c: c, ids: ids, hist: hdrhistogram.New(1, 60e6, 3)}
+		defer conn.Close()
+		conns[i] = &connection{load: &l, index: i, conn: conn, ids: ids, hist: hdrhistogram.New(1, 60e6, 3)}
 	}
 	start := time.Now()
 	from, until := l.WarmUp, l.WarmUp+l.Duration
 	stop := context.AfterFunc(ctx, func() {
-		for _, k := range links {
-			k.c.Close()
+		for _, c := range conns {
+			c.conn.Close()
 		}
 	})
 	defer stop()
 	var readers sync.WaitGroup
-	errs := make(chan error, len(links))
-	for _, k := range links {
+	errs := make(chan error, len(conns))
+	for _, c := range conns {
 		readers.Go(func() {
-			if err := k.read(start, from, until); err != nil {
+			if err := c.read(start, from, until); err != nil {
 				errs <- err
 			}
 		})
 	}
-	var late *hdrhistogram.Histogram
+	var lateness *hdrhistogram.Histogram
 	if l.Rate > 0 {
-		late = open(ctx, links, l, start, until)
+		lateness = runOpenLoop(ctx, conns, l, start, until)
 	} else {
-		for _, k := range links {
-			if err := k.send(l.Depth, time.Since(start)); err != nil {
+		for _, c := range conns {
+			if err := c.send(l.Depth, time.Since(start)); err != nil {
 				return Result{}, err
 			}
 		}
@@ -122,81 +122,81 @@
 		return Result{}, err
 	default:
 	}
-	all := Result{Duration: l.Duration, Latency: hdrhistogram.New(1, 60e6, 3)}
-	for _, k := range links {
-		all.Answered += k.out.Answered
-		all.Succeeded += k.out.Succeeded
-		all.Rejected += k.out.Rejected
-		all.Failed += k.out.Failed
-		all.Latency.Merge(k.hist)
+	total := Result{Duration: l.Duration, Latency: hdrhistogram.New(1, 60e6, 3)}
+	for _, c := range conns {
+		total.Answered += c.result.Answered
+		total.Succeeded += c.result.Succeeded
+		total.Rejected += c.result.Rejected
+		total.Failed += c.result.Failed
+		total.Latency.Merge(c.hist)
 	}
-	if late != nil {
-		all.MaxLateness, all.LatenessP99 = time.Duration(late.Max())*time.Microsecond, time.Duration(late.ValueAtQuantile(99))*time.Microsecond
+	if lateness != nil {
+		total.MaxLateness, total.LatenessP99 = time.Duration(lateness.Max())*time.Microsecond, time.Duration(lateness.ValueAtQuantile(99))*time.Microsecond
 	}
-	return all, nil
+	return total, nil
 }
 
 // open sends by schedule, from two threads: one of them was behind at 60,000 a second.
-func open(ctx context.Context, links []*link, l Load, start time.Time, until time.Duration) *hdrhistogram.Histogram {
-	threads := min(2, len(links))
+func runOpenLoop(ctx context.Context, conns []*connection, l Load, start time.Time, until time.Duration) *hdrhistogram.Histogram {
+	threads := min(2, len(conns))
 	var wg sync.WaitGroup
-	lates := make([]*hdrhistogram.Histogram, threads)
+	lateness := make([]*hdrhistogram.Histogram, threads)
 	for t := range threads {
-		lates[t] = hdrhistogram.New(1, 60e6, 3)
+		lateness[t] = hdrhistogram.New(1, 60e6, 3)
 		wg.Go(func() {
 			rate := l.Rate / float64(threads)
 			n := int(rate * until.Seconds())
-			mine := links[t*len(links)/threads : (t+1)*len(links)/threads]
+			own := conns[t*len(conns)/threads : (t+1)*len(conns)/threads]
 			at := func(i int) time.Duration {
 				return time.Duration((float64(i) + float64(t)/float64(threads)) / rate * 1e9)
 			}
 			pacer.Run(ctx, start, n, at, func(i int, late time.Duration) {
-				_ = lates[t].RecordValue(max(1, int64(late/time.Microsecond))) // over a minute late is not recorded: the run is over
+				_ = lateness[t].RecordValue(max(1, int64(late/time.Microsecond))) // over a minute late is not recorded: the run is over
 				// A connection that breaks ends its reader with an error, which is the one told.
-				_ = mine[i%len(mine)].send(1, at(i))
+				_ = own[i%len(own)].send(1, at(i))
 			})
 		})
 	}
 	wg.Wait()
-	for _, h := range lates[1:] {
-		lates[0].Merge(h)
+	for _, h := range lateness[1:] {
+		lateness[0].Merge(h)
 	}
-	return lates[0]
+	return lateness[0]
 }
 
 // send writes so many requests in one go; due is when they were to be sent, from the start.
-func (k *link) send(n int, due time.Duration) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.scratch = k.scratch[:0]
+func (c *connection) send(n int, due time.Duration) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.scratch = c.scratch[:0]
 	for range n {
-		id := k.ids.Add(1)
-		k.scratch = append(k.scratch, "*4\r\n$9\r\nCACHE.GET\r\n"...)
+		id := c.ids.Add(1)
+		c.scratch = append(c.scratch, "*4\r\n$9\r\nCACHE.GET\r\n"...)
 		var word [24]byte
-		k.scratch = resp.AppendBulk(k.scratch, strconv.AppendUint(append(word[:0], 'k'), id%uint64(k.l.Keys), 36))
-		k.scratch = resp.AppendBulk(k.scratch, strconv.AppendUint(word[:0], id, 16))
-		k.scratch = resp.AppendBulk(k.scratch, []byte(k.l.Props))
-		k.due = append(k.due, int64(due/time.Microsecond))
+		c.scratch = resp.AppendBulk(c.scratch, strconv.AppendUint(append(word[:0], 'k'), id%uint64(c.load.Keys), 36))
+		c.scratch = resp.AppendBulk(c.scratch, strconv.AppendUint(word[:0], id, 16))
+		c.scratch = resp.AppendBulk(c.scratch, []byte(c.load.Props))
+		c.due = append(c.due, int64(due/time.Microsecond))
 	}
-	_, err := k.c.Write(k.scratch)
+	_, err := c.conn.Write(c.scratch)
 	return err
 }
 
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 12, Args: 16}
 
 // read takes answers; in the closed loop each brings the next request.
-func (k *link) read(start time.Time, from, until time.Duration) error {
+func (c *connection) read(start time.Time, from, until time.Duration) error {
 	buf := make([]byte, 256<<10)
 	have := 0
 	for {
 		if have == len(buf) {
 			buf = append(buf, make([]byte, len(buf))...)
 		}
-		n, err := k.c.Read(buf[have:])
+		n, err := c.conn.Read(buf[have:])
 		now := time.Since(start)
 		if err != nil {
 			if now < until {
-				return fmt.Errorf("connection %d: %w", k.n, err)
+				return fmt.Errorf("connection %d: %w", c.index, err)
 			}
 			return nil // the load is over
 		}
@@ -205,38 +205,38 @@
 		for used < have {
 			r, size, err := resp.ReadReply(buf[used:have], bounds)
 			if err != nil {
-				return fmt.Errorf("connection %d: an answer cannot be read: %w", k.n, err)
+				return fmt.Errorf("connection %d: an answer cannot be read: %w", c.index, err)
 			}
 			if size == 0 {
 				break
 			}
 			used += size
 			answers++
-			k.mu.Lock()
-			if len(k.due) == 0 {
-				k.mu.Unlock()
-				return fmt.Errorf("connection %d: an answer that nobody asked for", k.n)
+			c.mu.Lock()
+			if len(c.due) == 0 {
+				c.mu.Unlock()
+				return fmt.Errorf("connection %d: an answer that nobody asked for", c.index)
 			}
-			due := time.Duration(k.due[0]) * time.Microsecond
-			k.due = k.due[1:]
-			k.mu.Unlock()
+			due := time.Duration(c.due[0]) * time.Microsecond
+			c.due = c.due[1:]
+			c.mu.Unlock()
 			if now >= from && now < until {
-				k.out.Answered++
+				c.result.Answered++
 				switch {
 				case r.Kind == '$' && !r.Null:
-					k.out.Succeeded++
+					c.result.Succeeded++
 				case r.Kind == '-' && len(r.Text) >= 4 && string(r.Text[:4]) == "BUSY":
-					k.out.Rejected++
+					c.result.Rejected++
 				default:
-					k.out.Failed++
+					c.result.Failed++
 				}
-				_ = k.hist.RecordValue(max(1, int64((now-due)/time.Microsecond))) // over a minute: no latency of a bench
+				_ = c.hist.RecordValue(max(1, int64((now-due)/time.Microsecond))) // over a minute: no latency of a bench
 			}
 		}
 		copy(buf, buf[used:have])
 		have -= used
-		if k.l.Rate <= 0 && answers > 0 && now < until {
-			if err := k.send(answers, time.Since(start)); err != nil {
+		if c.load.Rate <= 0 && answers > 0 && now < until {
+			if err := c.send(answers, time.Since(start)); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/bench/null.go
+++ b/internal/lab/bench/null.go
@@ -10,8 +10,8 @@
 
 // Null answers each command at once with the same text. It is a router that costs nothing, or a cache server that does.
 type StubServer struct {
-	ln       net.Listener
-	text     []byte
+	listener net.Listener
+	reply    []byte
 	conns    sync.Map
 	wg       sync.WaitGroup
 	Accepted atomic.Int64 // connections accepted
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &StubServer{ln: ln, text: text}
+	n := &StubServer{listener: ln, reply: text}
 	n.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -47,11 +47,11 @@
 }
 
 // Addr is where it listens.
-func (n *StubServer) Addr() string { return n.ln.Addr().String() }
+func (n *StubServer) Addr() string { return n.listener.Addr().String() }
 
 // Close ends it.
 func (n *StubServer) Close() {
-	n.ln.Close()
+	n.listener.Close()
 	n.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
 	n.wg.Wait()
 }
@@ -80,7 +80,7 @@
 				break
 			}
 			used += size
-			out = append(out, n.text...)
+			out = append(out, n.reply...)
 		}
 		copy(buf, buf[used:have])
 		if have -= used; len(out) > 0 {
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -43,7 +43,7 @@
 }
 
 // setup is the service of a bench: one method that may run again, and time enough that nothing is cut short.
-func setup(servers int) scenario.Scenario {
+func benchScenario(servers int) scenario.Scenario {
 	s := scenario.Default()
 	s.Title, s.Routers.Count, s.Servers.Count = "bench", 1, servers
 	s.Service.Mode = "through"
@@ -57,7 +57,7 @@
 // Router measures a case on a router program. The folder is for its configuration and log.
 func MeasureRouter(ctx context.Context, program, dir string, c Case, length time.Duration) (Measurements, error) {
 	f := Measurements{Case: c}
-	s := setup(c.Servers)
+	s := benchScenario(c.Servers)
 	network, err := fleet.NewNetwork(1)
 	if err != nil {
 		return f, err
@@ -69,16 +69,16 @@
 		return f, err
 	}
 	defer reg.Close()
-	var nulls []*StubServer
+	var servers []*StubServer
 	for i := range c.Servers {
-		n, err := NewStubServer(network.Server(i)[0], CacheServerReply(c.ValueBytes))
+		server, err := NewStubServer(network.Server(i)[0], CacheServerReply(c.ValueBytes))
 		if err != nil {
 			return f, err
 		}
-		defer n.Close()
-		nulls = append(nulls, n)
+		defer server.Close()
+		servers = append(servers, server)
 		reg.Update(registry.Entry{UID: event.Server(fmt.Sprint("s", i)), Zone: "a", Kind: "cache", State: "active",
-			Addr: func(event.Router) string { return n.Addr() }}, true)
+			Addr: func(event.Router) string { return server.Addr() }}, true)
 	}
 	spec := fleet.Spec{Name: "bench", Listen: network.Routers()[0], Discovery: reg.Addr(0), Config: filepath.Join(dir, "config.json"),
 		Log: filepath.Join(dir, "router.log"), Cores: 1}
@@ -96,34 +96,34 @@
 	defer p.End()
 	warm := time.Second
 	load := Load{Addr: spec.Listen, Conns: c.Conns, Depth: c.Depth, Rate: c.Rate, Keys: 10000, Props: props, WarmUp: warm, Duration: length}
-	if err := ready(ctx, load); err != nil {
+	if err := waitUntilServing(ctx, load); err != nil {
 		return f, fmt.Errorf("%w; see %s", err, spec.Log)
 	}
-	var before, after mark
-	marks := make(chan error, 1)
+	var before, after routerUsage
+	usageErr := make(chan error, 1)
 	go func() {
 		time.Sleep(warm)
-		err1 := before.take(p, spec.Log)
+		err1 := before.read(p, spec.Log)
 		time.Sleep(length)
-		marks <- errors.Join(err1, after.take(p, spec.Log))
+		usageErr <- errors.Join(err1, after.read(p, spec.Log))
 	}()
 	out, err := Run(ctx, load)
-	if err := errors.Join(err, <-marks); err != nil {
+	if err := errors.Join(err, <-usageErr); err != nil {
 		return f, err
 	}
-	n := float64(max(1, after.taken-before.taken))
+	server := float64(max(1, after.requests-before.requests))
 	f.AnswersPerSecond, f.P50, f.P99 = out.Rate(), out.Quantile(50), out.Quantile(99)
-	f.CPUPerRequest = float64((after.cpu-before.cpu)/time.Microsecond) / n
-	f.AllocsPerRequest, f.AllocBytesPerRequest = float64(after.allocs-before.allocs)/n, float64(after.bytes-before.bytes)/n
+	f.CPUPerRequest = float64((after.cpu-before.cpu)/time.Microsecond) / server
+	f.AllocsPerRequest, f.AllocBytesPerRequest = float64(after.allocations-before.allocations)/server, float64(after.allocatedBytes-before.allocatedBytes)/server
 	f.Rejected, f.Failed, f.LatenessP99 = out.Rejected, out.Failed, out.LatenessP99.Seconds()*1e3
-	for _, null := range nulls {
-		f.ConnectionsOpened += null.Accepted.Load()
+	for _, server := range servers {
+		f.ConnectionsOpened += server.Accepted.Load()
 	}
 	return f, nil
 }
 
 // ready waits until one request is satisfied.
-func ready(ctx context.Context, l Load) error {
+func waitUntilServing(ctx context.Context, l Load) error {
 	l.Conns, l.Depth, l.Rate, l.WarmUp, l.Duration, l.FirstID = 1, 1, 0, 0, 20*time.Millisecond, 1<<40
 	for range 200 {
 		if out, err := Run(ctx, l); err == nil && out.Succeeded > 0 {
@@ -139,31 +139,31 @@
 }
 
 // mark is what a router has used and counted up to a moment.
-type mark struct {
-	cpu                  time.Duration
-	taken, allocs, bytes int64
+type routerUsage struct {
+	cpu                                   time.Duration
+	requests, allocations, allocatedBytes int64
 }
 
-var counted = regexp.MustCompile(`taken=(\d+).* allocs=(\d+) alloc-bytes=(\d+)`)
+var countersPattern = regexp.MustCompile(`taken=(\d+).* allocs=(\d+) alloc-bytes=(\d+)`)
 
 // take asks for the counters by SIGUSR1 and reads them from the log.
-func (m *mark) take(p *process.Process, log string) error {
-	seen := func() [][][]byte {
+func (u *routerUsage) read(p *process.Process, log string) error {
+	matches := func() [][][]byte {
 		text, err := os.ReadFile(log)
 		if err != nil {
 			return nil
 		}
-		return counted.FindAllSubmatch(text, -1)
+		return countersPattern.FindAllSubmatch(text, -1)
 	}
-	before := len(seen())
+	before := len(matches())
 	cpu, _, ok := p.Usage()
 	if !ok || p.Signal(syscall.SIGUSR1) != nil {
 		return errors.New("the router has ended")
 	}
-	m.cpu = cpu
+	u.cpu = cpu
 	for range 200 {
-		if now := seen(); len(now) > before {
-			for i, x := range []*int64{&m.taken, &m.allocs, &m.bytes} {
+		if now := matches(); len(now) > before {
+			for i, x := range []*int64{&u.requests, &u.allocations, &u.allocatedBytes} {
 				*x, _ = strconv.ParseInt(string(now[len(now)-1][i+1]), 10, 64) // digits by the pattern
 			}
 			return nil
--- a/internal/lab/cacheserver/answer.go
+++ b/internal/lab/cacheserver/answer.go
@@ -11,149 +11,149 @@
 )
 
 // command takes one whole command of a router.
-func (s *Server) command(k *conn, words [][]byte, since, now event.Micros) {
+func (s *Server) handleCommand(c *conn, words [][]byte, firstByteAt, now event.Micros) {
 	if len(words) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, cut := s.cut[k.router]; cut || s.down || s.vanished {
+	if _, partitioned := s.partitioned[c.router]; partitioned || s.down || s.unreachable {
 		return
 	}
-	plain := func(text string) {
-		c := &command{on: k, cut: -1}
-		k.slots = append(k.slots, c)
-		k.put(c, []byte(text), 0)
+	replyPlain := func(text string) {
+		cmd := &command{conn: c, truncateAt: -1}
+		c.pending = append(c.pending, cmd)
+		c.setReply(cmd, []byte(text), 0)
 	}
 	switch verb := string(bytes.ToUpper(words[0])); verb {
 	case "CACHE.GET", "CACHE.SET":
-		c, ok := parse(words)
-		if _, known := s.fleet.Methods[methodOf(c)]; !ok || !known {
-			s.fleet.Log.Add(event.Event{Kind: event.Odd, Server: s.UID, Router: k.router, Note: "a command no client sent"})
-			plain("-SYNTAX\r\n")
+		cmd, ok := parseCommand(words)
+		if _, known := s.config.Methods[methodOf(cmd)]; !ok || !known {
+			s.config.Log.Add(event.Event{Kind: event.Odd, Server: s.UID, Router: c.router, Note: "a command no client sent"})
+			replyPlain("-SYNTAX\r\n")
 			return
 		}
-		c.on, c.began = k, now
-		k.slots = append(k.slots, c)
-		s.fleet.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: c.req, Server: s.UID, Router: k.router, Since: since,
-			Write: c.write, DeadlineSent: c.sent})
-		s.take(c, now)
+		cmd.conn, cmd.startedAt = c, now
+		c.pending = append(c.pending, cmd)
+		s.config.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: cmd.req, Server: s.UID, Router: c.router, Since: firstByteAt,
+			Write: cmd.write, DeadlineSent: cmd.deadlineSent})
+		s.submit(cmd, now)
 	case "PING":
-		if s.fleet.Settings.Probes {
-			s.probe(k, []byte("+PONG\r\n"), now)
+		if s.config.Settings.Probes {
+			s.handleProbe(c, []byte("+PONG\r\n"), now)
 			return
 		}
-		plain("+PONG\r\n")
+		replyPlain("+PONG\r\n")
 	case "CLIENT", "SELECT":
-		plain("+OK\r\n")
+		replyPlain("+OK\r\n")
 	case "INFO":
-		if s.fleet.Settings.Probes {
-			s.probe(k, nil, now)
+		if s.config.Settings.Probes {
+			s.handleProbe(c, nil, now)
 			return
 		}
-		plain("-NOPERM\r\n")
+		replyPlain("-NOPERM\r\n")
 	default:
-		plain("-ERR unknown command\r\n")
+		replyPlain("-ERR unknown command\r\n")
 	}
 }
 
 // probe answers behind the work that it costs: with a text, or the load report of that moment.
-func (s *Server) probe(k *conn, text []byte, now event.Micros) {
-	c := &command{on: k, cut: -1, probe: true, pong: text}
-	k.slots = append(k.slots, c)
-	c.job = &machine.Job{Work: max(1, s.fleet.Settings.ProbeWork.Micros())}
-	if !s.machine.Take(now, c.job) {
-		k.put(c, []byte("-ERR busy\r\n"), 0)
+func (s *Server) handleProbe(c *conn, text []byte, now event.Micros) {
+	cmd := &command{conn: c, truncateAt: -1, probe: true, probeReply: text}
+	c.pending = append(c.pending, cmd)
+	cmd.job = &machine.Job{Work: max(1, s.config.Settings.ProbeWork.Micros())}
+	if !s.machine.Take(now, cmd.job) {
+		c.setReply(cmd, []byte("-ERR busy\r\n"), 0)
 		return
 	}
-	s.jobs[c.job] = c
-	s.turn()
+	s.jobs[cmd.job] = cmd
+	s.advance()
 }
 
-func methodOf(c *command) string {
-	if c == nil {
+func methodOf(cmd *command) string {
+	if cmd == nil {
 		return ""
 	}
-	return c.method
+	return cmd.method
 }
 
-var busy = []byte("-BUSY\r\n")
+var busyReply = []byte("-BUSY\r\n")
 
 // take puts a command on the machine, or turns it away.
-func (s *Server) take(c *command, now event.Micros) {
-	k, m := c.on, s.fleet.Methods[c.method]
-	if k.full || s.draining && s.trouble.late {
-		k.put(c, busy, event.TurnedAway)
+func (s *Server) submit(cmd *command, now event.Micros) {
+	c, m := cmd.conn, s.config.Methods[cmd.method]
+	if c.overLimit || s.draining && s.faults.graceOver {
+		c.setReply(cmd, busyReply, event.TurnedAway)
 		return
 	}
 	work := float64(m.Work)
 	if m.WorkDistribution == "exp" {
 		work *= s.rand.ExpFloat64()
 	}
-	c.missed = !c.write && !s.fleet.ReadThrough && !s.store.Has(c.key)
-	if c.missed {
-		work = float64(s.fleet.Settings.MissWork)
+	cmd.miss = !cmd.write && !s.config.ReadThrough && !s.store.Has(cmd.key)
+	if cmd.miss {
+		work = float64(s.config.Settings.MissWork)
 	}
-	if !k.used { // a new connection costs the server, as a handshake does
-		k.used = true
-		work += float64(s.fleet.Settings.ConnectionWork)
+	if !c.handshakeCharged { // a new connection costs the server, as a handshake does
+		c.handshakeCharged = true
+		work += float64(s.config.Settings.ConnectionWork)
 	}
-	s.ids++
-	c.job = &machine.Job{ID: s.ids, Work: max(1, event.Micros(work))}
-	took := s.machine.Take(now, c.job)
+	s.lastJobID++
+	cmd.job = &machine.Job{ID: s.lastJobID, Work: max(1, event.Micros(work))}
+	accepted := s.machine.Take(now, cmd.job)
 	if s.machine.Fallen() {
-		s.fall()
+		s.collapse()
 		return
 	}
-	if !took {
-		k.put(c, busy, event.TurnedAway)
+	if !accepted {
+		c.setReply(cmd, busyReply, event.TurnedAway)
 		return
 	}
-	s.jobs[c.job] = c
-	s.turn()
+	s.jobs[cmd.job] = cmd
+	s.advance()
 }
 
 // fall: pushed over while cold, it stays down.
-func (s *Server) fall() {
-	s.fleet.Log.Add(event.Event{Kind: event.Fell, Server: s.UID, Router: event.Nobody,
-		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.fleet.Settings.CollapseMultiple, s.fleet.Settings.CollapseWindow)})
+func (s *Server) collapse() {
+	s.config.Log.Add(event.Event{Kind: event.Fell, Server: s.UID, Router: event.Nobody,
+		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.config.Settings.CollapseMultiple, s.config.Settings.CollapseWindow)})
 	s.down = true
 	s.closeListeners()
-	for k := range s.conns {
-		k.reset()
+	for c := range s.conns {
+		c.reset()
 	}
-	s.alarm.Stop()
+	s.timer.Stop()
 }
 
 // done answers a command whose work is over.
-func (s *Server) done(c *command, now event.Micros) {
-	s.took += (now - c.began - s.took) / 8
-	report := s.load(now)
-	if c.probe {
-		if c.pong == nil {
-			c.pong = resp.AppendBulk(nil, report)
+func (s *Server) finish(cmd *command, now event.Micros) {
+	s.smoothedLatency += (now - cmd.startedAt - s.smoothedLatency) / 8
+	report := s.loadReport(now)
+	if cmd.probe {
+		if cmd.probeReply == nil {
+			cmd.probeReply = resp.AppendBulk(nil, report)
 		}
-		c.on.put(c, c.pong, 0)
+		cmd.conn.setReply(cmd, cmd.probeReply, 0)
 		return
 	}
-	if c.missed {
-		s.hits -= s.hits / 50
-		s.fleet.OnMiss(c.req, s, s.machine.Cold(now))
-		s.send(c, nil, report, event.Miss)
+	if cmd.miss {
+		s.hitRate -= s.hitRate / 50
+		s.config.OnMiss(cmd.req, s, s.machine.Cold(now))
+		s.sendReply(cmd, nil, report, event.Miss)
 		return
 	}
-	m := s.fleet.Methods[c.method]
-	if c.write {
+	m := s.config.Methods[cmd.method]
+	if cmd.write {
 		group := map[string]string{"zone": "z " + s.Zone, "cell": "c " + strconv.Itoa(s.Cell)}[m.Group]
-		if m.Effect != "deduplicated" || !s.fleet.Deduplicator.IsRepeat(group, c.req, now, m.Window.Micros()) {
-			s.fleet.Log.Add(event.Event{Kind: event.Ran, Req: c.req, Server: s.UID, Router: c.on.router})
+		if m.Effect != "deduplicated" || !s.config.Deduplicator.IsRepeat(group, cmd.req, now, m.Window.Micros()) {
+			s.config.Log.Add(event.Event{Kind: event.Ran, Req: cmd.req, Server: s.UID, Router: cmd.conn.router})
 		}
-		s.store.Drop(c.key)
+		s.store.Drop(cmd.key)
 	} else {
-		s.hits += (1 - s.hits) / 50
-		s.store.Put(c.key)
+		s.hitRate += (1 - s.hitRate) / 50
+		s.store.Put(cmd.key)
 	}
-	s.send(c, MakeValue(c.req, s.UID, c.size), report, event.Value)
+	s.sendReply(cmd, MakeValue(cmd.req, s.UID, cmd.size), report, event.Value)
 }
 
 // Made is the value or receipt that a server makes for one request.
@@ -172,7 +172,7 @@
 }
 
 // send writes an answer in the form of the protocol, spoilt where a fault says so.
-func (s *Server) send(c *command, value, report []byte, reply event.Reply) {
+func (s *Server) sendReply(cmd *command, value, report []byte, reply event.Reply) {
 	text := []byte("*3\r\n")
 	if value == nil {
 		text = append(text, "$-1\r\n"...)
@@ -185,31 +185,31 @@
 	} else {
 		text = resp.AppendBulk(text, report)
 	}
-	text, reply, c.cut = s.trouble.spoil(s.rand, text, reply)
-	c.on.put(c, text, reply)
+	text, reply, cmd.truncateAt = s.faults.corrupt(s.rand, text, reply)
+	cmd.conn.setReply(cmd, text, reply)
 }
 
 // load is the report, as old as the settings have it.
-func (s *Server) load(now event.Micros) []byte {
-	if s.trouble.badReports {
+func (s *Server) loadReport(now event.Micros) []byte {
+	if s.faults.badReports {
 		return []byte("avg_ms==,,x;\x01" + strconv.Itoa(s.rand.IntN(1000)))
 	}
-	if len(s.fleet.Settings.ReportFields) == 0 {
+	if len(s.config.Settings.ReportFields) == 0 {
 		return nil
 	}
-	if s.report != nil && (s.trouble.staleReports || now-s.reported < s.fleet.Settings.ReportInterval.Micros()) {
+	if s.report != nil && (s.faults.staleReports || now-s.reportedAt < s.config.Settings.ReportInterval.Micros()) {
 		return s.report
 	}
 	running, waiting := s.machine.Load()
-	s.report, s.reported = nil, now
-	for i, name := range s.fleet.Settings.ReportFields {
+	s.report, s.reportedAt = nil, now
+	for i, name := range s.config.Settings.ReportFields {
 		if i > 0 {
 			s.report = append(s.report, ',')
 		}
-		x := map[string]float64{"latency": float64(s.took) / 1e3, "queue": float64(waiting),
-			"in_flight": float64(running + waiting), "busy": float64(running) / float64(s.fleet.Settings.Cores),
-			"errors": s.errors, "hits": s.hits}[name]
-		s.report = strconv.AppendFloat(append(s.report, s.fleet.figure(name)+"="...), x, 'g', 6, 64)
+		x := map[string]float64{"latency": float64(s.smoothedLatency) / 1e3, "queue": float64(waiting),
+			"in_flight": float64(running + waiting), "busy": float64(running) / float64(s.config.Settings.Cores),
+			"errors": s.errorRate, "hits": s.hitRate}[name]
+		s.report = strconv.AppendFloat(append(s.report, s.config.figure(name)+"="...), x, 'g', 6, 64)
 	}
 	return s.report
 }
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -54,41 +54,41 @@
 
 // Server is one life.
 type Server struct {
-	fleet *Config
-	UID   event.Server
-	Zone  string
-	Cell  int
-	Boot  time.Time // zero: up for long
-	addrs []string  // one for each router, in their order
-
-	mu       sync.Mutex
-	machine  *machine.Machine
-	store    *machine.LRU
-	rand     *rand.Rand
-	ln       []net.Listener
-	fillers  []io.Closer
-	cut      map[event.Router][]io.Closer // routers that cannot reach it, and what keeps their addresses silent
-	conns    map[*conn]struct{}
-	alarm    *time.Timer
-	ids      uint64
-	jobs     map[*machine.Job]*command
-	down     bool
-	draining bool
-	vanished bool
-	trouble  trouble
-	report   []byte
-	reported event.Micros
-	took     event.Micros // smoothed time of work
-	hits     float64      // share of late
-	errors   float64
-	wg       sync.WaitGroup
+	config *Config
+	UID    event.Server
+	Zone   string
+	Cell   int
+	Boot   time.Time // zero: up for long
+	addrs  []string  // one for each router, in their order
+
+	mu              sync.Mutex
+	machine         *machine.Machine
+	store           *machine.LRU
+	rand            *rand.Rand
+	listeners       []net.Listener
+	backlogFillers  []io.Closer
+	partitioned     map[event.Router][]io.Closer // routers that cannot reach it, and what keeps their addresses silent
+	conns           map[*conn]struct{}
+	timer           *time.Timer
+	lastJobID       uint64
+	jobs            map[*machine.Job]*command
+	down            bool
+	draining        bool
+	unreachable     bool
+	faults          faultState
+	report          []byte
+	reportedAt      event.Micros
+	smoothedLatency event.Micros // smoothed time of work
+	hitRate         float64      // share of late
+	errorRate       float64
+	wg              sync.WaitGroup
 }
 
 // Start begins a life on its addresses. A warm one has been up for long and holds its keys already.
 func Start(f *Config, uid event.Server, zone string, cell int, addrs []string, warm bool, seed uint64) (*Server, error) {
-	s := &Server{fleet: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Settings.Keys),
+	s := &Server{config: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Settings.Keys),
 		rand: rand.New(rand.NewPCG(seed, 7)), conns: map[*conn]struct{}{}, jobs: map[*machine.Job]*command{},
-		cut: map[event.Router][]io.Closer{}}
+		partitioned: map[event.Router][]io.Closer{}}
 	now := f.Log.Now()
 	cold := event.Micros(0)
 	if !warm {
@@ -97,7 +97,7 @@
 	}
 	s.machine = machine.New(machine.Settings{Cores: f.Settings.Cores, Queue: f.Settings.Queue, ColdShare: f.Settings.ColdShare,
 		ColdSpan: f.Settings.ColdSpan.Micros(), FallMultiple: f.Settings.CollapseMultiple, FallSpan: f.Settings.CollapseWindow.Micros()}, now, warm)
-	s.alarm = time.AfterFunc(time.Hour, s.ring)
+	s.timer = time.AfterFunc(time.Hour, s.onTimer)
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
@@ -109,18 +109,18 @@
 func (s *Server) Addr(r event.Router) string { return s.addrs[r] }
 
 func (s *Server) listen() error {
-	s.ln = make([]net.Listener, len(s.addrs))
+	s.listeners = make([]net.Listener, len(s.addrs))
 	for i := range s.addrs {
 		if err := s.listenFor(event.Router(i)); err != nil {
-			for _, ln := range s.ln[:i] {
+			for _, ln := range s.listeners[:i] {
 				ln.Close()
 			}
-			s.ln = nil
+			s.listeners = nil
 			return err
 		}
 	}
-	for r := range s.cut {
-		if err := s.cutOff(r); err != nil {
+	for r := range s.partitioned {
+		if err := s.blackholeRouter(r); err != nil {
 			return err
 		}
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return fmt.Errorf("cache server %s: %w", s.UID, err)
 	}
-	s.ln[r] = ln
+	s.listeners[r] = ln
 	s.wg.Add(1)
 	go s.accept(ln, r)
 	return nil
@@ -141,23 +141,23 @@
 func (s *Server) accept(ln net.Listener, r event.Router) {
 	defer s.wg.Done()
 	for {
-		c, err := ln.Accept()
+		netConn, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		if _, cut := s.cut[r]; cut || s.down || s.vanished {
+		if _, partitioned := s.partitioned[r]; partitioned || s.down || s.unreachable {
 			s.mu.Unlock()
-			c.Close()
+			netConn.Close()
 			continue
 		}
-		k := newConn(s, c, r, len(s.conns) >= s.fleet.Settings.Connections)
-		s.conns[k] = struct{}{}
+		conn := newConn(s, netConn, r, len(s.conns) >= s.config.Settings.Connections)
+		s.conns[conn] = struct{}{}
 		s.mu.Unlock()
-		s.fleet.Log.Add(event.Event{Kind: event.Conn, Server: s.UID, Router: r})
+		s.config.Log.Add(event.Event{Kind: event.Conn, Server: s.UID, Router: r})
 		s.wg.Add(2)
-		go k.read()
-		go k.write()
+		go conn.read()
+		go conn.write()
 	}
 }
 
@@ -196,52 +196,52 @@
 	for c := range s.conns {
 		c.reset()
 	}
-	s.alarm.Stop()
+	s.timer.Stop()
 	s.mu.Unlock()
-	s.fleet.Log.Add(event.Event{Kind: event.Went, Server: s.UID, Router: event.Nobody})
+	s.config.Log.Add(event.Event{Kind: event.Went, Server: s.UID, Router: event.Nobody})
 }
 
 // Wait returns once nothing of it runs any more; call it after Kill.
 func (s *Server) Wait() { s.wg.Wait() }
 
 func (s *Server) closeListeners() {
-	for _, ln := range s.ln {
+	for _, ln := range s.listeners {
 		ln.Close()
 	}
-	s.ln = nil
-	for _, c := range s.fillers {
+	s.listeners = nil
+	for _, c := range s.backlogFillers {
 		c.Close()
 	}
-	s.fillers = nil
-	for r, fillers := range s.cut {
+	s.backlogFillers = nil
+	for r, fillers := range s.partitioned {
 		for _, c := range fillers {
 			c.Close()
 		}
-		s.cut[r] = nil
+		s.partitioned[r] = nil
 	}
 }
 
 // ring ends the jobs that are due.
-func (s *Server) ring() {
+func (s *Server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn()
+	s.advance()
 }
 
 // turn answers what is done and sets the alarm for what comes next.
-func (s *Server) turn() {
+func (s *Server) advance() {
 	if s.down {
 		return
 	}
-	now := s.fleet.Log.Now()
-	for _, j := range s.machine.Ended(now) {
-		k := s.jobs[j]
-		delete(s.jobs, j)
-		if k != nil {
-			s.done(k, now)
+	now := s.config.Log.Now()
+	for _, job := range s.machine.Ended(now) {
+		cmd := s.jobs[job]
+		delete(s.jobs, job)
+		if cmd != nil {
+			s.finish(cmd, now)
 		}
 	}
 	if next, ok := s.machine.Next(); ok {
-		s.alarm.Reset(max(0, next-s.fleet.Log.Now()).Duration())
+		s.timer.Reset(max(0, next-s.config.Log.Now()).Duration())
 	}
 }
--- a/internal/lab/cacheserver/cacheserver_test.go
+++ b/internal/lab/cacheserver/cacheserver_test.go
@@ -15,9 +15,9 @@
 	"spurtrestle/internal/resp"
 )
 
-var nets atomic.Int32
+var lastHost atomic.Int32
 
-func start(t *testing.T, change func(*Config)) (*Server, *Config) {
+func startServer(t *testing.T, change func(*Config)) (*Server, *Config) {
 	s, err := scenario.Parse([]byte(scenario.Example))
 	if err != nil {
 		t.Fatal(err)
@@ -32,11 +32,11 @@
 	if change != nil {
 		change(f)
 	}
-	return another(t, f, "s1"), f
+	return startAnother(t, f, "s1"), f
 }
 
-func another(t *testing.T, f *Config, uid event.Server) *Server {
-	addr := fmt.Sprintf("127.13.0.%d:%d", nets.Add(1), 16379)
+func startAnother(t *testing.T, f *Config, uid event.Server) *Server {
+	addr := fmt.Sprintf("127.13.0.%d:%d", lastHost.Add(1), 16379)
 	s, err := Start(f, uid, "north", 1, []string{addr}, true, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -46,18 +46,18 @@
 }
 
 // peer is a router's side of a connection, with what it has not read yet.
-type peer struct {
+type routerConn struct {
 	net.Conn
-	have []byte
+	unread []byte
 }
 
-func dial(t *testing.T, s *Server) *peer {
+func dial(t *testing.T, s *Server) *routerConn {
 	c, err := net.Dial("tcp", s.Addr(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &peer{Conn: c}
+	return &routerConn{Conn: c}
 }
 
 func send(t *testing.T, c net.Conn, text string) {
@@ -71,18 +71,18 @@
 }
 
 // answer reads one answer: the value's first word, miss, or the line.
-func answer(c *peer) string {
+func readAnswer(c *routerConn) string {
 	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // an error shows in Read
 	buf := make([]byte, 4096)
 	for first := true; ; first = false {
 		var err error
-		if !first || len(c.have) == 0 {
+		if !first || len(c.unread) == 0 {
 			var n int
 			n, err = c.Read(buf)
-			c.have = append(c.have, buf[:n]...)
+			c.unread = append(c.unread, buf[:n]...)
 		}
-		r, used, bad := resp.ReadReply(c.have, bounds)
-		c.have = c.have[used:]
+		r, used, bad := resp.ReadReply(c.unread, bounds)
+		c.unread = c.unread[used:]
 		switch {
 		case bad != nil:
 			return "unreadable"
@@ -101,13 +101,13 @@
 	}
 }
 
-func ask(t *testing.T, c *peer, text string) string {
+func roundTrip(t *testing.T, c *routerConn, text string) string {
 	send(t, c, text)
-	return answer(c)
+	return readAnswer(c)
 }
 
 func TestAnswers(t *testing.T) {
-	s, f := start(t, nil)
+	s, f := startServer(t, nil)
 	c := dial(t, s)
 	s.Fill("k")
 	for _, x := range []struct{ send, want string }{
@@ -122,7 +122,7 @@
 		{"CACHE.SET k id6 c=book,d=500 v", "id6"},
 		{"CACHE.GET k id7 c=status,d=500", "miss"}, // the write dropped the copy
 	} {
-		if got := ask(t, c, x.send); got != x.want {
+		if got := roundTrip(t, c, x.send); got != x.want {
 			t.Errorf("%s: %s", x.send, got)
 		}
 	}
@@ -141,12 +141,12 @@
 }
 
 func TestProbes(t *testing.T) {
-	s, f := start(t, func(f *Config) { f.Settings.Probes = true })
+	s, f := startServer(t, func(f *Config) { f.Settings.Probes = true })
 	c := dial(t, s)
-	if got := ask(t, c, "PING"); got != "PONG" {
+	if got := roundTrip(t, c, "PING"); got != "PONG" {
 		t.Error(got)
 	}
-	if got := ask(t, c, "INFO load"); !strings.HasPrefix(got, "avg_ms=") || !strings.Contains(got, ",waiting=0") {
+	if got := roundTrip(t, c, "INFO load"); !strings.HasPrefix(got, "avg_ms=") || !strings.Contains(got, ",waiting=0") {
 		t.Error(got)
 	}
 	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
@@ -162,13 +162,13 @@
 	}
 }
 
-func TestAttemptsAreNotedWithDeadlineSent(t *testing.T) {
-	s, f := start(t, nil)
+func TestAttemptsAreRecordedWithDeadlineSent(t *testing.T) {
+	s, f := startServer(t, nil)
 	c := dial(t, s)
-	if got := ask(t, c, "CACHE.GET k id1 c=status,d=480"); got != "miss" {
+	if got := roundTrip(t, c, "CACHE.GET k id1 c=status,d=480"); got != "miss" {
 		t.Error(got)
 	}
-	if got := ask(t, c, "CACHE.SET k id2 c=order,d=0.5 v"); got != "id2" {
+	if got := roundTrip(t, c, "CACHE.SET k id2 c=order,d=0.5 v"); got != "id2" {
 		t.Error(got)
 	}
 	want := map[event.Req]event.Micros{"id1": 480e3, "id2": 500}
@@ -184,22 +184,22 @@
 	if len(want) > 0 {
 		t.Error("not noted: ", want)
 	}
-	if got := ask(t, c, "CACHE.GET k id3 c=status,d=480,d=0"); got != "SYNTAX" {
+	if got := roundTrip(t, c, "CACHE.GET k id3 c=status,d=480,d=0"); got != "SYNTAX" {
 		t.Error("a deadline that is none is answered ", got)
 	}
 }
 
 // The servers of a group drop a repeat together: it is answered, and its effect does not run again.
-func TestRepeatsAreDropped(t *testing.T) {
-	s, f := start(t, nil)
-	other := another(t, f, "s2")
-	for _, c := range []*peer{dial(t, s), dial(t, other)} {
-		if got := ask(t, c, "CACHE.SET k id1 c=order,d=500 v"); got != "id1" {
+func TestDeduplicatedRequestsRunOncePerGroup(t *testing.T) {
+	s, f := startServer(t, nil)
+	other := startAnother(t, f, "s2")
+	for _, c := range []*routerConn{dial(t, s), dial(t, other)} {
+		if got := roundTrip(t, c, "CACHE.SET k id1 c=order,d=500 v"); got != "id1" {
 			t.Error(got)
 		}
 	}
-	for _, c := range []*peer{dial(t, s), dial(t, other)} {
-		if got := ask(t, c, "CACHE.SET k id2 c=book,d=500 v"); got != "id2" {
+	for _, c := range []*routerConn{dial(t, s), dial(t, other)} {
+		if got := roundTrip(t, c, "CACHE.SET k id2 c=book,d=500 v"); got != "id2" {
 			t.Error(got)
 		}
 	}
@@ -214,8 +214,8 @@
 	}
 }
 
-func TestRoomIsBounded(t *testing.T) {
-	s, _ := start(t, func(f *Config) { f.Settings.Cores, f.Settings.Queue, f.Settings.Connections = 1, 1, 2 })
+func TestQueueAndConnectionsAreBounded(t *testing.T) {
+	s, _ := startServer(t, func(f *Config) { f.Settings.Cores, f.Settings.Queue, f.Settings.Connections = 1, 1, 2 })
 	s.Fill("k")
 	a, b := dial(t, s), dial(t, s)
 	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
@@ -225,25 +225,25 @@
 		send(t, a, fmt.Sprintf("CACHE.GET k id%d c=status,d=500", i))
 	}
 	time.Sleep(50 * time.Millisecond)
-	if got := ask(t, b, "CACHE.GET k id9 c=status,d=500"); got != "BUSY" {
+	if got := roundTrip(t, b, "CACHE.GET k id9 c=status,d=500"); got != "BUSY" {
 		t.Error("with a full queue: ", got)
 	}
 	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, true); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"id0", "id1", "BUSY"} { // in the order of the commands
-		if got := answer(a); got != want {
+		if got := readAnswer(a); got != want {
 			t.Error(got, want)
 		}
 	}
-	if got := ask(t, dial(t, s), "CACHE.GET k id10 c=status,d=500"); got != "BUSY" {
+	if got := roundTrip(t, dial(t, s), "CACHE.GET k id10 c=status,d=500"); got != "BUSY" {
 		t.Error("over the connections that it takes: ", got)
 	}
 }
 
 // What a router gives up by closing makes room at once, where the settings say so.
-func TestClosingCallsOff(t *testing.T) {
-	s, _ := start(t, func(f *Config) {
+func TestClosingAConnectionCancelsItsWork(t *testing.T) {
+	s, _ := startServer(t, func(f *Config) {
 		f.Settings.Cores, f.Settings.Queue = 1, 0
 		m := f.Methods["status"]
 		m.Work = 60e6
@@ -255,23 +255,23 @@
 	time.Sleep(50 * time.Millisecond)
 	a.Close()
 	time.Sleep(50 * time.Millisecond)
-	if got := ask(t, dial(t, s), "CACHE.SET k id2 c=book,d=500 v"); got != "id2" {
+	if got := roundTrip(t, dial(t, s), "CACHE.SET k id2 c=book,d=500 v"); got != "id2" {
 		t.Error(got)
 	}
 }
 
-func TestTroubles(t *testing.T) {
-	s, f := start(t, nil)
+func TestFaults(t *testing.T) {
+	s, f := startServer(t, nil)
 	s.Fill("k")
-	get := func(c *peer) string { return ask(t, c, "CACHE.GET k id c=status,d=500") }
-	strike := func(f scenario.Fault, end bool) {
+	get := func(c *routerConn) string { return roundTrip(t, c, "CACHE.GET k id c=status,d=500") }
+	apply := func(f scenario.Fault, end bool) {
 		if err := s.ApplyFault(f, end); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for name := range MalformedReplies {
 		x := scenario.Fault{Kind: "spoil", Share: 1, ReplyForms: []string{name}}
-		strike(x, false)
+		apply(x, false)
 		c := dial(t, s)
 		send(t, c, "CACHE.GET k id c=status,d=500")
 		buf := make([]byte, 1<<16)
@@ -280,52 +280,52 @@
 		if err != nil || bad == nil && used > 0 && r.Kind == '*' {
 			t.Errorf("%s: %q can be read", name, buf[:n])
 		}
-		strike(x, true)
+		apply(x, true)
 	}
-	strike(scenario.Fault{Kind: "reset", Share: 1}, false)
+	apply(scenario.Fault{Kind: "reset", Share: 1}, false)
 	if got := get(dial(t, s)); got != "reset" && got != "end" {
 		t.Error("an answer that breaks off: ", got)
 	}
-	strike(scenario.Fault{Kind: "reset"}, true)
+	apply(scenario.Fault{Kind: "reset"}, true)
 
-	kept := dial(t, s)
-	if got := get(kept); got != "id" {
+	open := dial(t, s)
+	if got := get(open); got != "id" {
 		t.Error(got)
 	}
-	strike(scenario.Fault{Kind: "refuse"}, false)
+	apply(scenario.Fault{Kind: "refuse"}, false)
 	if _, err := net.Dial("tcp", s.Addr(0)); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Error("a connect that is refused: ", err)
 	}
-	if got := get(kept); got != "id" {
+	if got := get(open); got != "id" {
 		t.Error("an open connection while others are refused: ", got)
 	}
-	strike(scenario.Fault{Kind: "refuse"}, true)
+	apply(scenario.Fault{Kind: "refuse"}, true)
 
 	// A machine that has vanished, or that this router is cut off from: silent either way, reset when it is back.
-	for name, silent := range map[string]func(bool){
-		"vanished": func(on bool) { strike(scenario.Fault{Kind: "vanish"}, !on) },
+	for name, setSilent := range map[string]func(bool){
+		"vanished": func(on bool) { apply(scenario.Fault{Kind: "vanish"}, !on) },
 		"cut off": func(on bool) {
 			if err := s.Partition(map[event.Router]bool{0: on}); err != nil {
 				t.Fatal(err)
 			}
 		},
 	} {
-		kept := dial(t, s)
-		if got := get(kept); got != "id" {
+		open := dial(t, s)
+		if got := get(open); got != "id" {
 			t.Error(name, "before:", got)
 		}
-		silent(true)
+		setSilent(true)
 		if c, err := net.DialTimeout("tcp", s.Addr(0), 100*time.Millisecond); err == nil {
 			c.Close()
 			t.Error(name, ": a connect came up")
 		}
-		send(t, kept, "CACHE.GET k lost c=status,d=500")
-		_ = kept.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // an error shows in Read
-		if n, err := kept.Read(make([]byte, 1)); n > 0 || !errors.Is(err, syscall.ETIMEDOUT) && !strings.Contains(fmt.Sprint(err), "timeout") {
+		send(t, open, "CACHE.GET k lost c=status,d=500")
+		_ = open.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // an error shows in Read
+		if n, err := open.Read(make([]byte, 1)); n > 0 || !errors.Is(err, syscall.ETIMEDOUT) && !strings.Contains(fmt.Sprint(err), "timeout") {
 			t.Error(name, ": it said ", n, err)
 		}
-		silent(false)
-		if got := answer(kept); got != "reset" && got != "end" {
+		setSilent(false)
+		if got := readAnswer(open); got != "reset" && got != "end" {
 			t.Error(name, ": an old connection once it is back: ", got)
 		}
 		if got := get(dial(t, s)); got != "id" {
@@ -345,37 +345,37 @@
 
 // The end of a connection is told as of when it was read, whatever else holds the server then. One that fell silent dialled
 // its own addresses for up to 20 ms each meanwhile, and a router that gave up just then seemed to have two attempts out.
-func TestEndIsToldAsOfWhenItWasRead(t *testing.T) {
-	s, f := start(t, nil)
+func TestAttemptEndsWhenTheCloseWasRead(t *testing.T) {
+	s, f := startServer(t, nil)
 	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
 		t.Fatal(err)
 	}
-	a := dial(t, s)
-	send(t, a, "CACHE.GET k id1 c=status,d=500")
-	var k *conn
-	for k == nil {
+	router := dial(t, s)
+	send(t, router, "CACHE.GET k id1 c=status,d=500")
+	var c *conn
+	for c == nil {
 		time.Sleep(time.Millisecond)
 		s.mu.Lock()
-		for c := range s.conns {
-			if len(c.slots) > 0 {
-				k = c
+		for candidate := range s.conns {
+			if len(candidate.pending) > 0 {
+				c = candidate
 			}
 		}
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
-	a.Close()
-	<-k.ended // it was read, and the server is held
-	read := f.Log.Now()
-	for f.Log.Now() < read+5e3 {
+	router.Close()
+	<-c.closed // it was read, and the server is held
+	closedAt := f.Log.Now()
+	for f.Log.Now() < closedAt+5e3 {
 		time.Sleep(time.Millisecond)
 	}
 	s.mu.Unlock()
 	s.Kill()
 	s.Wait()
 	for _, e := range f.Log.Events() {
-		if e.Kind == event.Ended && e.At > read {
-			t.Errorf("told %v after it was read", (e.At - read).Duration())
+		if e.Kind == event.Ended && e.At > closedAt {
+			t.Errorf("told %v after it was read", (e.At - closedAt).Duration())
 		}
 	}
 }
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -17,99 +17,99 @@
 
 // command is one attempt from its last byte on.
 type command struct {
-	on     *conn
-	req    event.Req
-	method string
-	key    string
-	size   int
-	write  bool
-	sent   event.Micros // the deadline sent
-	missed bool
-	probe  bool
-	pong   []byte // its answer, where that is no load report
-	job    *machine.Job
-	began  event.Micros
-	over   bool
-	text   []byte // the answer, once there is one
-	reply  event.Reply
-	cut    int // write only so many bytes of the answer, then reset; -1: all
+	conn         *conn
+	req          event.Req
+	method       string
+	key          string
+	size         int
+	write        bool
+	deadlineSent event.Micros // the deadline sent
+	miss         bool
+	probe        bool
+	probeReply   []byte // its answer, where that is no load report
+	job          *machine.Job
+	startedAt    event.Micros
+	ended        bool
+	replyText    []byte // the answer, once there is one
+	reply        event.Reply
+	truncateAt   int // write only so many bytes of the answer, then reset; -1: all
 }
 
 // conn is one connection of a router.
 type conn struct {
-	s      *Server
-	c      net.Conn
-	router event.Router
-	full   bool // over the limit: all is turned away
-	used   bool
-	slots  []*command // in order, until their answers are written
-	out    chan *command
-	ended  chan struct{}
-	once   sync.Once
-	handed sync.Mutex
-	silent bool // nobody writes any more
+	server           *Server
+	netConn          net.Conn
+	router           event.Router
+	overLimit        bool // over the limit: all is turned away
+	handshakeCharged bool
+	pending          []*command // in order, until their answers are written
+	replies          chan *command
+	closed           chan struct{}
+	closeOnce        sync.Once
+	enqueueMu        sync.Mutex
+	muted            bool // nobody writes any more
 }
 
-func newConn(s *Server, c net.Conn, r event.Router, full bool) *conn {
-	return &conn{s: s, c: c, router: r, full: full, out: make(chan *command, 1024), ended: make(chan struct{})}
+func newConn(s *Server, netConn net.Conn, r event.Router, full bool) *conn {
+	return &conn{server: s, netConn: netConn, router: r, overLimit: full, replies: make(chan *command, 1024), closed: make(chan struct{})}
 }
 
-func (k *conn) end() { k.once.Do(func() { close(k.ended); k.c.Close() }) }
+func (c *conn) close() { c.closeOnce.Do(func() { close(c.closed); c.netConn.Close() }) }
 
 // reset closes with RST, as a process that dies does.
-func (k *conn) reset() {
-	if t, ok := k.c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // fails where the peer has ended it already
+func (c *conn) reset() {
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails where the peer has ended it already
 	}
-	k.end()
+	c.close()
 }
 
 // hush: nothing that is answered from now on reaches the router.
-func (k *conn) hush() {
-	k.handed.Lock()
-	defer k.handed.Unlock()
-	k.silent = true
+func (c *conn) mute() {
+	c.enqueueMu.Lock()
+	defer c.enqueueMu.Unlock()
+	c.muted = true
 }
 
 // read takes commands until the connection ends.
-func (k *conn) read() {
-	defer k.s.wg.Done()
-	defer k.gone()
-	var have []byte
+func (c *conn) read() {
+	defer c.server.wg.Done()
+	defer c.handleClose()
+	var unread []byte
 	var words [][]byte
 	buf := make([]byte, 64<<10)
-	since := event.Micros(-1)
+	firstByteAt := event.Micros(-1)
 	for {
-		_ = k.c.SetReadDeadline(time.Now().Add(k.s.fleet.Service.IdleClose.Micros().Duration())) // an error shows in Read
-		n, err := k.c.Read(buf)
+		_ = c.netConn.SetReadDeadline(time.Now().Add(c.server.config.Service.IdleClose.Micros().Duration())) // an error shows in Read
+		n, err := c.netConn.Read(buf)
 		if n > 0 {
-			now := k.s.fleet.Log.Now()
-			if since < 0 {
-				since = now
+			now := c.server.config.Log.Now()
+			if firstByteAt < 0 {
+				firstByteAt = now
 			}
-			have = append(have, buf[:n]...)
+			unread = append(unread, buf[:n]...)
 			used := 0
 			for {
 				var size int
-				var bad error
-				words, size, bad = resp.Command(have[used:], words, bounds)
-				if bad != nil {
-					k.odd("what cannot be read")
+				var parseErr error
+				words, size, parseErr = resp.Command(unread[used:], words, bounds)
+				if parseErr != nil {
+					c.recordViolation("what cannot be read")
 					return
 				}
 				if size == 0 {
 					break
 				}
-				k.s.command(k, words, since, now)
-				since = now
+				c.server.handleCommand(c, words, firstByteAt, now)
+				firstByteAt = now
 				used += size
 			}
-			if have = append(have[:0], have[used:]...); len(have) == 0 {
-				since = -1
+			if unread = append(unread[:0], unread[used:]...); len(unread) == 0 {
+				firstByteAt = -1
 			}
 		}
-		var late net.Error
-		if errors.As(err, &late) && late.Timeout() && k.busy() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() && c.hasPending() {
 			continue
 		}
 		if err != nil {
@@ -118,109 +118,109 @@
 	}
 }
 
-func (k *conn) busy() bool {
-	k.s.mu.Lock()
-	defer k.s.mu.Unlock()
-	return len(k.slots) > 0
+func (c *conn) hasPending() bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return len(c.pending) > 0
 }
 
-func (k *conn) odd(what string) {
-	k.s.fleet.Log.Add(event.Event{Kind: event.Odd, Server: k.s.UID, Router: k.router, Note: what})
+func (c *conn) recordViolation(note string) {
+	c.server.config.Log.Add(event.Event{Kind: event.Odd, Server: c.server.UID, Router: c.router, Note: note})
 }
 
 // gone: the router ended the connection, or the server did. What was in hand there has no answer.
-func (k *conn) gone() {
-	read := k.s.fleet.Log.Now() // others may hold the server for long, and a router may have gone on since
-	k.end()
-	s := k.s
+func (c *conn) handleClose() {
+	closedAt := c.server.config.Log.Now() // others may hold the server for long, and a router may have gone on since
+	c.close()
+	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, k)
-	now := s.fleet.Log.Now()
-	for _, c := range k.slots {
-		if c.over || c.text != nil {
+	delete(s.conns, c)
+	now := s.config.Log.Now()
+	for _, cmd := range c.pending {
+		if cmd.ended || cmd.replyText != nil {
 			continue // the writer tells of it
 		}
-		c.over = true
-		if c.req != "" {
-			s.fleet.Log.AddAt(event.Event{At: read, Kind: event.Ended, Req: c.req, Server: s.UID, Router: k.router, Reply: event.Lost})
+		cmd.ended = true
+		if cmd.req != "" {
+			s.config.Log.AddAt(event.Event{At: closedAt, Kind: event.Ended, Req: cmd.req, Server: s.UID, Router: c.router, Reply: event.Lost})
 		}
-		if c.job != nil && s.fleet.Settings.CancelStopsWork && s.machine.Cancel(now, c.job) {
-			delete(s.jobs, c.job)
+		if cmd.job != nil && s.config.Settings.CancelStopsWork && s.machine.Cancel(now, cmd.job) {
+			delete(s.jobs, cmd.job)
 		}
 	}
-	s.turn()
+	s.advance()
 }
 
 // write writes the answers in order.
-func (k *conn) write() {
-	defer k.s.wg.Done()
+func (c *conn) write() {
+	defer c.server.wg.Done()
 	for {
 		select {
-		case <-k.ended:
-			k.handed.Lock()
-			k.silent = true
-			k.handed.Unlock()
+		case <-c.closed:
+			c.enqueueMu.Lock()
+			c.muted = true
+			c.enqueueMu.Unlock()
 			for {
 				select {
-				case c := <-k.out:
-					k.tell(c, k.s.fleet.Log.Now(), event.Lost)
+				case cmd := <-c.replies:
+					c.recordEnd(cmd, c.server.config.Log.Now(), event.Lost)
 				default:
 					return
 				}
 			}
-		case c := <-k.out:
-			at := k.s.fleet.Log.Now()
-			text := c.text
-			if c.cut >= 0 {
-				text = text[:min(c.cut, len(text))]
+		case cmd := <-c.replies:
+			at := c.server.config.Log.Now()
+			text := cmd.replyText
+			if cmd.truncateAt >= 0 {
+				text = text[:min(cmd.truncateAt, len(text))]
 			}
-			_ = k.c.SetWriteDeadline(time.Now().Add(5 * time.Second)) // an error shows in Write
-			_, err := k.c.Write(text)
-			reply := c.reply
-			if err != nil || c.cut >= 0 {
+			_ = c.netConn.SetWriteDeadline(time.Now().Add(5 * time.Second)) // an error shows in Write
+			_, err := c.netConn.Write(text)
+			reply := cmd.reply
+			if err != nil || cmd.truncateAt >= 0 {
 				reply = event.Lost
 			}
-			k.tell(c, at, reply)
-			if err != nil || c.cut >= 0 {
-				k.reset()
+			c.recordEnd(cmd, at, reply)
+			if err != nil || cmd.truncateAt >= 0 {
+				c.reset()
 			}
 		}
 	}
 }
 
 // tell notes the end of an attempt as of the time when its answer began to leave: the router may act on it at once.
-func (k *conn) tell(c *command, at event.Micros, reply event.Reply) {
-	if c.req == "" {
+func (c *conn) recordEnd(cmd *command, at event.Micros, reply event.Reply) {
+	if cmd.req == "" {
 		return
 	}
-	k.s.fleet.Log.AddAt(event.Event{At: at, Kind: event.Ended, Req: c.req, Server: k.s.UID, Router: k.router, Reply: reply})
+	c.server.config.Log.AddAt(event.Event{At: at, Kind: event.Ended, Req: cmd.req, Server: c.server.UID, Router: c.router, Reply: reply})
 }
 
 // put gives a command its answer; what is in order goes out. The server's lock is held.
-func (k *conn) put(c *command, text []byte, reply event.Reply) {
-	if c.over || c.text != nil {
+func (c *conn) setReply(cmd *command, text []byte, reply event.Reply) {
+	if cmd.ended || cmd.replyText != nil {
 		return
 	}
-	c.text, c.reply = text, reply
-	for len(k.slots) > 0 && k.slots[0].text != nil {
-		first := k.slots[0]
-		k.slots = k.slots[1:]
-		if !k.hand(first) {
-			k.tell(first, k.s.fleet.Log.Now(), event.Lost)
+	cmd.replyText, cmd.reply = text, reply
+	for len(c.pending) > 0 && c.pending[0].replyText != nil {
+		first := c.pending[0]
+		c.pending = c.pending[1:]
+		if !c.enqueue(first) {
+			c.recordEnd(first, c.server.config.Log.Now(), event.Lost)
 		}
 	}
 }
 
 // hand gives an answer to the writer, unless it has gone: each end of an attempt is told once.
-func (k *conn) hand(c *command) bool {
-	k.handed.Lock()
-	defer k.handed.Unlock()
-	if k.silent {
+func (c *conn) enqueue(cmd *command) bool {
+	c.enqueueMu.Lock()
+	defer c.enqueueMu.Unlock()
+	if c.muted {
 		return false
 	}
 	select {
-	case k.out <- c:
+	case c.replies <- cmd:
 		return true
 	default: // the router takes no answers
 		return false
@@ -228,13 +228,13 @@
 }
 
 // parse reads the words of a CACHE command.
-func parse(words [][]byte) (c *command, ok bool) {
+func parseCommand(words [][]byte) (cmd *command, ok bool) {
 	verb := string(bytes.ToUpper(words[0]))
 	if verb == "CACHE.GET" && len(words) != 4 || verb == "CACHE.SET" && len(words) != 5 {
 		return nil, false
 	}
 	props := ParseProps(string(words[3]))
-	c = &command{key: string(words[1]), req: event.Req(words[2]), method: props.Method, size: props.Size,
-		write: verb == "CACHE.SET", sent: props.DeadlineSent, cut: -1}
-	return c, c.key != "" && c.req != "" && c.method != "" && c.sent > 0 && !props.BadDeadline
+	cmd = &command{key: string(words[1]), req: event.Req(words[2]), method: props.Method, size: props.Size,
+		write: verb == "CACHE.SET", deadlineSent: props.DeadlineSent, truncateAt: -1}
+	return cmd, cmd.key != "" && cmd.req != "" && cmd.method != "" && cmd.deadlineSent > 0 && !props.BadDeadline
 }
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -14,14 +14,14 @@
 )
 
 // trouble is what is wrong with a server's answers.
-type trouble struct {
-	resets       float64 // share of the answers that break off
-	spoilt       float64 // share that cannot be read
-	surplus      float64 // share with something behind
-	forms        []string
-	staleReports bool
-	badReports   bool
-	late         bool // the grace of a drain is over
+type faultState struct {
+	resetShare     float64 // share of the answers that break off
+	malformedShare float64 // share that cannot be read
+	surplusShare   float64 // share with something behind
+	malformedForms []string
+	staleReports   bool
+	badReports     bool
+	graceOver      bool // the grace of a drain is over
 }
 
 func (f *Config) figure(name string) string { return scenario.LoadReportFields[name] }
@@ -36,65 +36,65 @@
 }
 
 // spoil changes an answer as the fault has it.
-func (t *trouble) spoil(r *rand.Rand, text []byte, reply event.Reply) ([]byte, event.Reply, int) {
+func (t *faultState) corrupt(r *rand.Rand, text []byte, reply event.Reply) ([]byte, event.Reply, int) {
 	switch x := r.Float64(); {
-	case x < t.resets:
+	case x < t.resetShare:
 		return text, event.Lost, r.IntN(len(text))
-	case x < t.resets+t.spoilt:
-		forms := t.forms
+	case x < t.resetShare+t.malformedShare:
+		forms := t.malformedForms
 		if len(forms) == 0 {
 			forms = []string{"endless", "huge", "length", "nested", "noise"}
 		}
 		return MalformedReplies[forms[r.IntN(len(forms))]](text), event.Spoilt, -1
-	case x < t.resets+t.spoilt+t.surplus:
+	case x < t.resetShare+t.malformedShare+t.surplusShare:
 		return append(text, []string{"+surplus\r\n", "$-1\r\n", "\x00\x01"}[r.IntN(3)]...), reply, -1
 	}
 	return text, reply, -1
 }
 
 // Strike begins a fault of the scenario on this server, or takes it back.
-func (s *Server) ApplyFault(f scenario.Fault, end bool) error {
+func (s *Server) ApplyFault(fault scenario.Fault, end bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return nil
 	}
-	now := s.fleet.Log.Now()
-	on := !end
-	part := func(x float64) float64 {
+	now := s.config.Log.Now()
+	begin := !end
+	share := func(x float64) float64 {
 		if end {
 			return 0
 		}
 		return x
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "hang":
-		s.machine.Freeze(now, on)
-		s.turn()
+		s.machine.Freeze(now, begin)
+		s.advance()
 	case "slow":
-		if s.machine.Slow(f.Factor); end {
+		if s.machine.Slow(fault.Factor); end {
 			s.machine.Slow(1)
 		}
 	case "refuse":
-		if on {
+		if begin {
 			s.closeListeners()
 			return nil
 		}
 		return s.listen()
 	case "vanish":
-		return s.vanish(now, on)
+		return s.setUnreachable(now, begin)
 	case "reset":
-		s.trouble.resets = part(f.Share)
+		s.faults.resetShare = share(fault.Share)
 	case "spoil":
-		s.trouble.spoilt, s.trouble.forms = part(f.Share), f.ReplyForms
+		s.faults.malformedShare, s.faults.malformedForms = share(fault.Share), fault.ReplyForms
 	case "surplus":
-		s.trouble.surplus = part(f.Share)
+		s.faults.surplusShare = share(fault.Share)
 	case "stale_reports":
-		s.trouble.staleReports = on
+		s.faults.staleReports = begin
 	case "bad_reports":
-		s.trouble.badReports = on
+		s.faults.badReports = begin
 	default:
-		return fmt.Errorf("a cache server knows no fault %q", f.Kind)
+		return fmt.Errorf("a cache server knows no fault %q", fault.Kind)
 	}
 	return nil
 }
@@ -103,26 +103,26 @@
 func (s *Server) EndDrainGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble.late = true
+	s.faults.graceOver = true
 }
 
 // vanish makes the machine silent: open connections stay open and bring nothing, new ones never come up. When it is
 // back its old connections are reset. A full backlog of a listener that nobody reads makes the kernel drop what comes.
-func (s *Server) vanish(now event.Micros, on bool) error {
-	if !on {
-		s.vanished = false
+func (s *Server) setUnreachable(now event.Micros, begin bool) error {
+	if !begin {
+		s.unreachable = false
 		s.machine.Freeze(now, false)
-		for k := range s.conns {
-			k.reset()
+		for c := range s.conns {
+			c.reset()
 		}
 		s.closeListeners()
 		return s.listen()
 	}
-	s.vanished = true
+	s.unreachable = true
 	s.machine.Freeze(now, true)
-	for _, ln := range s.ln {
-		fillers, err := silence(ln)
-		if s.fillers = append(s.fillers, fillers...); err != nil {
+	for _, ln := range s.listeners {
+		fillers, err := blackhole(ln)
+		if s.backlogFillers = append(s.backlogFillers, fillers...); err != nil {
 			return err
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 // silence has an address take nothing and refuse nothing, until what it gives back is closed.
-func silence(ln net.Listener) (fillers []io.Closer, err error) {
+func blackhole(ln net.Listener) (fillers []io.Closer, err error) {
 	// A copy of the descriptor stays open that nobody accepts on.
 	addr := ln.Addr().(*net.TCPAddr).AddrPort()
 	file, err := ln.(*net.TCPListener).File()
@@ -158,41 +158,41 @@
 
 // Cut takes the way between it and some routers, and gives it back to the others: what is open there stays open and
 // brings nothing, either way, and nothing new comes up. What is open is reset when the way is back.
-func (s *Server) Partition(from map[event.Router]bool) error {
+func (s *Server) Partition(unreachableFrom map[event.Router]bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r := range s.addrs {
 		r := event.Router(r)
-		fillers, was := s.cut[r]
+		fillers, wasPartitioned := s.partitioned[r]
 		switch {
-		case was == from[r]:
-		case was:
-			delete(s.cut, r)
-			if s.down || s.vanished {
+		case wasPartitioned == unreachableFrom[r]:
+		case wasPartitioned:
+			delete(s.partitioned, r)
+			if s.down || s.unreachable {
 				break
 			}
-			for _, c := range fillers {
-				c.Close()
+			for _, filler := range fillers {
+				filler.Close()
 			}
-			for k := range s.conns {
-				if k.router == r {
-					k.reset()
+			for c := range s.conns {
+				if c.router == r {
+					c.reset()
 				}
 			}
 			if err := s.listenFor(r); err != nil {
 				return err
 			}
 		default:
-			s.cut[r] = nil
-			if s.down || s.vanished || len(s.ln) == 0 {
+			s.partitioned[r] = nil
+			if s.down || s.unreachable || len(s.listeners) == 0 {
 				break
 			}
-			if err := s.cutOff(r); err != nil {
+			if err := s.blackholeRouter(r); err != nil {
 				return err
 			}
-			for k := range s.conns {
-				if k.router == r {
-					k.hush()
+			for c := range s.conns {
+				if c.router == r {
+					c.mute()
 				}
 			}
 		}
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (s *Server) cutOff(r event.Router) (err error) {
-	s.cut[r], err = silence(s.ln[r])
+func (s *Server) blackholeRouter(r event.Router) (err error) {
+	s.partitioned[r], err = blackhole(s.listeners[r])
 	return err
 }
--- a/internal/lab/client/bad.go
+++ b/internal/lab/client/bad.go
@@ -14,7 +14,7 @@
 )
 
 // patience is how long a bad client waits for the error or the close that it is owed.
-const patience = 3*time.Second + 50*time.Millisecond
+const replyTimeout = 3*time.Second + 50*time.Millisecond
 
 // Rubbish is what bad clients send; a router owes each an error or a close.
 var MalformedRequests = []string{
@@ -30,8 +30,8 @@
 }
 
 // Bad plays the bad clients of a fault against all routers, and returns once the last of them is done.
-func (f *LoadBalancer) RunMisbehaving(ctx context.Context, fault scenario.Fault) {
-	r := rand.New(rand.NewPCG(f.seed, 9))
+func (lb *LoadBalancer) RunMisbehaving(ctx context.Context, fault scenario.Fault) {
+	r := rand.New(rand.NewPCG(lb.seed, 9))
 	step := max(time.Millisecond, fault.Duration.Micros().Duration()/time.Duration(max(1, fault.Count)))
 	if fault.Kind == "mute" {
 		step = time.Millisecond // all at once
@@ -40,14 +40,14 @@
 	defer all.Wait()
 	if fault.Kind == "crowd" {
 		for i := range fault.Count {
-			all.Go(func() { f.crowd(ctx, event.Router(i%len(f.addrs)), fault.Duration.Micros().Duration()) })
+			all.Go(func() { lb.holdIdleConnections(ctx, event.Router(i%len(lb.addrs)), fault.Duration.Micros().Duration()) })
 		}
 		return
 	}
 	for i := range fault.Count {
-		router := event.Router(i % len(f.addrs))
+		router := event.Router(i % len(lb.addrs))
 		text := MalformedRequests[r.IntN(len(MalformedRequests))]
-		all.Go(func() { f.bad(ctx, fault.Kind, router, text, i) })
+		all.Go(func() { lb.misbehave(ctx, fault.Kind, router, text, i) })
 		select {
 		case <-ctx.Done():
 			return
@@ -56,8 +56,8 @@
 	}
 }
 
-func (f *LoadBalancer) bad(ctx context.Context, kind string, router event.Router, text string, n int) {
-	c, err := net.DialTimeout("tcp", f.addrs[router], time.Second)
+func (lb *LoadBalancer) misbehave(ctx context.Context, kind string, router event.Router, text string, index int) {
+	c, err := net.DialTimeout("tcp", lb.addrs[router], time.Second)
 	if err != nil {
 		return // turned away at the admin endpoint is an answer as well
 	}
@@ -65,41 +65,41 @@
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	if kind == "flood" {
-		text = flood(f, n)
+		text = floodCommands(lb, index)
 	}
 	if kind != "mute" {
-		_ = c.SetWriteDeadline(time.Now().Add(patience)) // an error shows in Write
+		_ = c.SetWriteDeadline(time.Now().Add(replyTimeout)) // an error shows in Write
 		if _, err := c.Write([]byte(text)); err != nil {
 			return
 		}
 	}
-	_ = c.SetReadDeadline(time.Now().Add(patience)) // an error shows in Read
+	_ = c.SetReadDeadline(time.Now().Add(replyTimeout)) // an error shows in Read
 	buf := make([]byte, 4096)
-	got, err := c.Read(buf)
-	what := ""
+	n, err := c.Read(buf)
+	problem := ""
 	switch {
-	case got > 0 && buf[0] == '$' && kind == "rubbish":
-		what = fmt.Sprintf("%.40q was served with a value", text)
-	case got == 0 && err != nil && isTimeout(err) && kind != "mute" && ctx.Err() == nil:
-		what = fmt.Sprintf("%.40q got neither an error nor a close", text)
+	case n > 0 && buf[0] == '$' && kind == "rubbish":
+		problem = fmt.Sprintf("%.40q was served with a value", text)
+	case n == 0 && err != nil && isTimeout(err) && kind != "mute" && ctx.Err() == nil:
+		problem = fmt.Sprintf("%.40q got neither an error nor a close", text)
 	}
-	if what != "" {
-		f.log.Add(event.Event{Kind: event.Owed, Router: router, Note: what})
+	if problem != "" {
+		lb.log.Add(event.Event{Kind: event.Owed, Router: router, Note: problem})
 	}
-	for got > 0 && err == nil { // it takes what it is sent
+	for n > 0 && err == nil { // it takes what it is sent
 		_, err = c.Read(buf)
 	}
 }
 
 // crowd keeps an idle connection to a router open, and opens another at once where it is closed.
-func (f *LoadBalancer) crowd(ctx context.Context, router event.Router, lasts time.Duration) {
+func (lb *LoadBalancer) holdIdleConnections(ctx context.Context, router event.Router, duration time.Duration) {
 	const pause = 20 * time.Millisecond // so that a router that is away is not dialled all the time
-	ctx, cancel := context.WithTimeout(ctx, lasts)
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	buf := make([]byte, 64)
 	for ctx.Err() == nil {
 		dialer := net.Dialer{Timeout: time.Second}
-		c, err := dialer.DialContext(ctx, "tcp", f.addrs[router])
+		c, err := dialer.DialContext(ctx, "tcp", lb.addrs[router])
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { c.Close() })
 			_, _ = c.Read(buf) // until either side closes it
@@ -119,7 +119,7 @@
 }
 
 // flood is hundreds of commands at once that name no method of the service.
-func flood(_ *LoadBalancer, n int) string {
+func floodCommands(_ *LoadBalancer, n int) string {
 	var b bytes.Buffer
 	for i := range 400 {
 		id := fmt.Sprintf("flood%d.%d", n, i)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -22,27 +22,27 @@
 
 // Front deals out connections to the routers of each site.
 type LoadBalancer struct {
-	log   *event.Log
-	s     scenario.Scenario
-	seed  uint64
-	addrs []string
-	pools []router // by RESP2; empty if all clients speak gRPC
-	calls []router // by gRPC; empty if none does
-
-	mu     sync.Mutex
-	alive  []bool // as the front believes
-	ending []bool // told to end: connections that are open are used on
-	turn   int
-
-	wg   sync.WaitGroup // connections and bad clients
-	ops  sync.WaitGroup
-	done atomic.Int64
+	log            *event.Log
+	scenario       scenario.Scenario
+	seed           uint64
+	addrs          []string
+	respPools      []transport // by RESP2; empty if all clients speak gRPC
+	grpcTransports []transport // by gRPC; empty if none does
+
+	mu         sync.Mutex
+	alive      []bool // as the front believes
+	draining   []bool // told to end: connections that are open are used on
+	nextRouter int
+
+	wg        sync.WaitGroup // connections and bad clients
+	ops       sync.WaitGroup
+	completed atomic.Int64
 }
 
 // router is the way to one router, by one protocol.
-type router interface {
+type transport interface {
 	// ask sends a request and waits for what becomes of it; kept: where the connection ended under it, it may be sent once more.
-	ask(*pending) (res result, kept bool)
+	roundTrip(*pending) (res result, kept bool)
 	// isOpen reports whether a connection is open.
 	isOpen() bool
 	close()
@@ -51,63 +51,63 @@
 // NewFront returns a front to routers at these addresses, none of them believed alive. grpc is where they take calls, if any
 // clients speak that.
 func NewLoadBalancer(log *event.Log, s scenario.Scenario, seed uint64, addrs, grpc []string) *LoadBalancer {
-	f := &LoadBalancer{log: log, s: s, seed: seed, addrs: addrs, alive: make([]bool, len(addrs)), ending: make([]bool, len(addrs))}
+	lb := &LoadBalancer{log: log, scenario: s, seed: seed, addrs: addrs, alive: make([]bool, len(addrs)), draining: make([]bool, len(addrs))}
 	for i, addr := range grpc {
-		f.calls = append(f.calls, &calls{f: f, router: event.Router(i), addr: addr})
+		lb.grpcTransports = append(lb.grpcTransports, &grpcTransport{lb: lb, router: event.Router(i), addr: addr})
 	}
 	for i, addr := range addrs {
 		if s.Clients.Protocol == scenario.GRPC {
 			break
 		}
-		f.pools = append(f.pools, &pool{f: f, router: event.Router(i), addr: addr, most: max(8, s.Routers.Descriptors/3)})
+		lb.respPools = append(lb.respPools, &pool{lb: lb, router: event.Router(i), addr: addr, maxConns: max(8, s.Routers.Descriptors/3)})
 	}
-	return f
+	return lb
 }
 
 // SiteOf is where a router stands.
 func SiteOf(s scenario.Scenario, r event.Router) event.Site { return event.Site(int(r) % len(s.Sites)) }
 
 // Believe sets what the front believes of a router.
-func (f *LoadBalancer) SetAlive(r event.Router, alive bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.alive[r] = alive
-	f.ending[r] = false
+func (lb *LoadBalancer) SetAlive(r event.Router, alive bool) {
+	lb.mu.Lock()
+	defer lb.mu.Unlock()
+	lb.alive[r] = alive
+	lb.draining[r] = false
 }
 
 // End has the front open no more connections to a router, and use those that are open for as long as they are.
-func (f *LoadBalancer) DrainRouter(r event.Router) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.alive[r], f.ending[r] = false, true
+func (lb *LoadBalancer) DrainRouter(r event.Router) {
+	lb.mu.Lock()
+	defer lb.mu.Unlock()
+	lb.alive[r], lb.draining[r] = false, true
 }
 
 // mayOpen reports whether connections to a router may be opened.
-func (f *LoadBalancer) mayOpen(r event.Router) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return !f.ending[r]
+func (lb *LoadBalancer) mayOpen(r event.Router) bool {
+	lb.mu.Lock()
+	defer lb.mu.Unlock()
+	return !lb.draining[r]
 }
 
 // ways are the ways to the routers by the protocol of an op's client.
-func (f *LoadBalancer) ways(op event.Op) []router {
-	if len(f.pools) == 0 || len(f.calls) > 0 && op%2 == 1 {
-		return f.calls
+func (lb *LoadBalancer) transports(op event.Op) []transport {
+	if len(lb.respPools) == 0 || len(lb.grpcTransports) > 0 && op%2 == 1 {
+		return lb.grpcTransports
 	}
-	return f.pools
+	return lb.respPools
 }
 
 // pick is the next router of a site; any where the site has none. One that was told to end is used while a connection is open, unless a
 // fresh one is needed.
-func (f *LoadBalancer) pick(site event.Site, ways []router, fresh bool) (event.Router, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, same := range []bool{true, false} {
-		for i := range f.alive {
-			r := event.Router((f.turn + i) % len(f.alive))
-			usable := f.alive[r] || !fresh && f.ending[r] && ways[r].isOpen()
-			if usable && (!same || SiteOf(f.s, r) == site) {
-				f.turn = int(r) + 1
+func (lb *LoadBalancer) pickRouter(site event.Site, transports []transport, needsNewConn bool) (event.Router, bool) {
+	lb.mu.Lock()
+	defer lb.mu.Unlock()
+	for _, sameSite := range []bool{true, false} {
+		for i := range lb.alive {
+			r := event.Router((lb.nextRouter + i) % len(lb.alive))
+			usable := lb.alive[r] || !needsNewConn && lb.draining[r] && transports[r].isOpen()
+			if usable && (!sameSite || SiteOf(lb.scenario, r) == site) {
+				lb.nextRouter = int(r) + 1
 				return r, true
 			}
 		}
@@ -116,58 +116,58 @@
 }
 
 // Done is how many ops are over.
-func (f *LoadBalancer) CompletedOps() int { return int(f.done.Load()) }
+func (lb *LoadBalancer) CompletedOps() int { return int(lb.completed.Load()) }
 
 // Run plays a schedule from the log's time from on, and returns once all ops have begun. What comes later than late is
 // noted as the lab's own lateness.
-func (f *LoadBalancer) Run(ctx context.Context, all []arrivals.Arrival, from event.Micros, late time.Duration) {
-	start := f.log.Start().Add(from.Duration())
-	pacer.Run(ctx, start, len(all), func(i int) time.Duration { return all[i].At.Duration() }, func(i int, by time.Duration) {
-		if by > late {
-			f.log.Add(event.Event{Kind: event.Late, Router: event.Nobody, Limit: event.Micros(by / time.Microsecond)})
+func (lb *LoadBalancer) Run(ctx context.Context, schedule []arrivals.Arrival, from event.Micros, lateLimit time.Duration) {
+	start := lb.log.Start().Add(from.Duration())
+	pacer.Run(ctx, start, len(schedule), func(i int) time.Duration { return schedule[i].At.Duration() }, func(i int, lateness time.Duration) {
+		if lateness > lateLimit {
+			lb.log.Add(event.Event{Kind: event.Late, Router: event.Nobody, Limit: event.Micros(lateness / time.Microsecond)})
 		}
-		f.ops.Add(1)
+		lb.ops.Add(1)
 		go func() {
-			defer f.ops.Done()
-			defer f.done.Add(1)
-			f.op(ctx, event.Op(i), all[i], from)
+			defer lb.ops.Done()
+			defer lb.completed.Add(1)
+			lb.runOp(ctx, event.Op(i), schedule[i], from)
 		}()
 	})
 }
 
 // Close ends all connections and returns once nothing of the clients runs any more.
-func (f *LoadBalancer) Close() {
-	for _, p := range slices.Concat(f.pools, f.calls) {
+func (lb *LoadBalancer) Close() {
+	for _, p := range slices.Concat(lb.respPools, lb.grpcTransports) {
 		p.close()
 	}
-	f.wg.Wait()
+	lb.wg.Wait()
 }
 
 // id is that of a try: new for each, the same in each run of a seed.
-func (f *LoadBalancer) id(op event.Op, try int) event.Req {
-	return event.Req(fmt.Sprintf("%08x%06x%02x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", f.seed, op, try)), op, try))
+func (lb *LoadBalancer) requestID(op event.Op, try int) event.Req {
+	return event.Req(fmt.Sprintf("%08x%06x%02x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", lb.seed, op, try)), op, try))
 }
 
 // op asks until it is satisfied, has used up its retries, or may not ask again.
-func (f *LoadBalancer) op(ctx context.Context, op event.Op, a arrivals.Arrival, from event.Micros) {
-	m := f.s.Methods[a.Method]
-	f.log.AddAt(event.Event{At: from + a.At, Kind: event.Wanted, Op: op, Method: a.Method, Tenant: a.Tenant, Site: a.Site,
+func (lb *LoadBalancer) runOp(ctx context.Context, op event.Op, a arrivals.Arrival, from event.Micros) {
+	m := lb.scenario.Methods[a.Method]
+	lb.log.AddAt(event.Event{At: from + a.At, Kind: event.Wanted, Op: op, Method: a.Method, Tenant: a.Tenant, Site: a.Site,
 		Router: event.Nobody})
-	r := rand.New(rand.NewPCG(f.seed, uint64(op)+1<<32))
-	leaves := event.Micros(0)
+	random := rand.New(rand.NewPCG(lb.seed, uint64(op)+1<<32))
+	abandonsAt := event.Micros(0)
 	if a.AbandonAfter > 0 {
-		leaves = from + a.At + a.AbandonAfter
+		abandonsAt = from + a.At + a.AbandonAfter
 	}
 	for try := 0; ctx.Err() == nil; try++ {
-		res := f.try(op, try, a, leaves)
-		again := res.how == nacked || res.how == unreached || m.Effect == "retryable" && res.how != satisfied
-		if !again || res.how == left || try >= f.s.Clients.Retries {
+		res := lb.sendRequest(op, try, a, abandonsAt)
+		mayRetry := res.outcome == rejected || res.outcome == unreached || m.Effect == "retryable" && res.outcome != succeeded
+		if !mayRetry || res.outcome == abandoned || try >= lb.scenario.Clients.Retries {
 			return
 		}
-		wait := f.s.Clients.Backoff.Micros() << min(try, 6)
-		wait = wait/2 + event.Micros(r.Float64()*float64(wait))
-		if res.hint > 0 && r.Float64() < f.s.Clients.HonourHintsShare {
-			wait = res.hint + event.Micros(r.Float64()*float64(res.hint)/10)
+		wait := lb.scenario.Clients.Backoff.Micros() << min(try, 6)
+		wait = wait/2 + event.Micros(random.Float64()*float64(wait))
+		if res.retryAfter > 0 && random.Float64() < lb.scenario.Clients.HonourHintsShare {
+			wait = res.retryAfter + event.Micros(random.Float64()*float64(res.retryAfter)/10)
 		}
 		select {
 		case <-time.After(wait.Duration()):
@@ -177,59 +177,59 @@
 	}
 }
 
-type how int
+type outcome int
 
 const (
-	satisfied how = iota
-	nacked
+	succeeded outcome = iota
+	rejected
 	failed
-	cut       // the connection ended with no answer
-	unreached // nothing was sent
-	left
+	disconnected // the connection ended with no answer
+	unreached    // nothing was sent
+	abandoned
 )
 
 type result struct {
-	how  how
-	hint event.Micros
+	outcome    outcome
+	retryAfter event.Micros
 }
 
 // try sends one request, once more where a connection that was kept ended under it.
-func (f *LoadBalancer) try(op event.Op, try int, a arrivals.Arrival, leaves event.Micros) result {
-	m := f.s.Methods[a.Method]
-	q := &pending{req: f.id(op, try), op: op, a: a, write: m.Write, answer: make(chan result, 1), limit: m.Deadline.Micros()}
-	if patience := f.s.Clients.Patience; patience < 1 {
-		q.gives = f.log.Now() + event.Micros(patience*float64(m.Deadline))
+func (lb *LoadBalancer) sendRequest(op event.Op, try int, a arrivals.Arrival, abandonsAt event.Micros) result {
+	m := lb.scenario.Methods[a.Method]
+	request := &pending{id: lb.requestID(op, try), op: op, arrival: a, write: m.Write, answer: make(chan result, 1), deadline: m.Deadline.Micros()}
+	if patience := lb.scenario.Clients.Patience; patience < 1 {
+		request.givesUpAt = lb.log.Now() + event.Micros(patience*float64(m.Deadline))
 	}
-	if leaves > 0 && (q.gives == 0 || leaves < q.gives) {
-		q.gives = leaves
+	if abandonsAt > 0 && (request.givesUpAt == 0 || abandonsAt < request.givesUpAt) {
+		request.givesUpAt = abandonsAt
 	}
 	props := "c=" + m.Name
 	if a.Tenant >= 0 {
-		props += ",t=" + f.s.Tenants[a.Tenant].Name
+		props += ",t=" + lb.scenario.Tenants[a.Tenant].Name
 	}
 	const millisecond = event.Micros(1e3)
-	ms := q.limit / millisecond
-	q.sent = ms * millisecond
+	ms := request.deadline / millisecond
+	request.deadlineSent = ms * millisecond
 	props += fmt.Sprintf(",d=%d,size=%d", ms, a.Size)
 	if try > 0 {
 		props += ",r=1"
 	}
-	q.props = props
-	for again := 0; ; again++ {
-		ways := f.ways(op)
-		r, ok := f.pick(a.Site, ways, q.fresh)
+	request.props = props
+	for resends := 0; ; resends++ {
+		transports := lb.transports(op)
+		r, ok := lb.pickRouter(a.Site, transports, request.needsNewConn)
 		if !ok {
-			f.log.Add(event.Event{Kind: event.Unreached, Req: q.req, Op: op, Router: event.Nobody})
-			return result{how: unreached}
+			lb.log.Add(event.Event{Kind: event.Unreached, Req: request.id, Op: op, Router: event.Nobody})
+			return result{outcome: unreached}
 		}
-		res, kept := ways[r].ask(q)
+		res, reused := transports[r].roundTrip(request)
 		// Only what may run again is sent again without knowing what became of it.
-		if res.how != cut || !kept || again > 0 || m.Effect != "retryable" {
+		if res.outcome != disconnected || !reused || resends > 0 || m.Effect != "retryable" {
 			return res
 		}
-		q.fresh = true
+		request.needsNewConn = true
 	}
 }
 
 // Drain returns once all ops that have begun are over.
-func (f *LoadBalancer) WaitOps() { f.ops.Wait() }
+func (lb *LoadBalancer) WaitOps() { lb.ops.Wait() }
--- a/internal/lab/client/grpc.go
+++ b/internal/lab/client/grpc.go
@@ -18,115 +18,115 @@
 )
 
 // calls asks one router over gRPC, all calls on one connection.
-type calls struct {
-	f      *LoadBalancer
+type grpcTransport struct {
+	lb     *LoadBalancer
 	router event.Router
 	addr   string
 	mu     sync.Mutex
 	conn   *grpc.ClientConn
 }
 
-func (p *calls) client() (cachev1.CacheServiceClient, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.conn == nil {
+func (g *grpcTransport) connect() (cachev1.CacheServiceClient, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.conn == nil {
 		// The library's own retries are off: a second try would be a request that the record does not know.
-		conn, err := grpc.NewClient(p.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
+		conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
 			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
 		if err != nil {
 			return nil, err
 		}
-		p.conn = conn
+		g.conn = conn
 	}
-	return cachev1.NewCacheServiceClient(p.conn), nil
+	return cachev1.NewCacheServiceClient(g.conn), nil
 }
 
 // isOpen reports false: the library opens connections by itself, so that a router that ends is called no more.
-func (*calls) isOpen() bool { return false }
+func (*grpcTransport) isOpen() bool { return false }
 
 // ask makes one call and notes what became of it.
-func (p *calls) ask(q *pending) (res result, kept bool) {
-	note := event.Event{Req: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
-	say := func(kind event.Kind, outcome event.Outcome, hint event.Micros) {
-		note.Kind, note.Outcome = kind, outcome
+func (g *grpcTransport) roundTrip(request *pending) (res result, reused bool) {
+	record := event.Event{Req: request.id, Op: request.op, Router: g.router, Method: request.arrival.Method, Limit: request.deadline}
+	emit := func(kind event.Kind, outcome event.Outcome, hint event.Micros) {
+		record.Kind, record.Outcome = kind, outcome
 		if kind != event.Asked {
-			note.Limit = hint
+			record.Limit = hint
 		}
-		p.f.log.Add(note)
+		g.lb.log.Add(record)
 	}
-	c, err := p.client()
+	c, err := g.connect()
 	if err != nil {
-		say(event.Unreached, 0, 0)
-		return result{how: unreached}, false
+		emit(event.Unreached, 0, 0)
+		return result{outcome: unreached}, false
 	}
-	m := p.f.s.Methods[q.a.Method]
-	at := &cachev1.Attributes{Id: string(q.req), Method: m.Name}
-	if q.a.Tenant >= 0 {
-		at.Tenant = p.f.s.Tenants[q.a.Tenant].Name
+	m := g.lb.scenario.Methods[request.arrival.Method]
+	at := &cachev1.Attributes{Id: string(request.id), Method: m.Name}
+	if request.arrival.Tenant >= 0 {
+		at.Tenant = g.lb.scenario.Tenants[request.arrival.Tenant].Name
 	}
 	// The call's own deadline is later than what the request is told to be judged by: a late answer is to be seen as late.
-	note.DeadlineSent = q.limit + lateAnswers
-	ctx, cancel := context.WithTimeout(context.Background(), note.DeadlineSent.Duration())
+	record.DeadlineSent = request.deadline + lateAnswerGrace
+	ctx, cancel := context.WithTimeout(context.Background(), record.DeadlineSent.Duration())
 	defer cancel()
-	goes := make(chan struct{})
-	if q.gives > 0 {
-		t := time.AfterFunc(max(0, q.gives-p.f.log.Now()).Duration(), func() { close(goes); cancel() })
+	givesUp := make(chan struct{})
+	if request.givesUpAt > 0 {
+		t := time.AfterFunc(max(0, request.givesUpAt-g.lb.log.Now()).Duration(), func() { close(givesUp); cancel() })
 		defer t.Stop()
 	}
-	say(event.Asked, 0, 0)
+	emit(event.Asked, 0, 0)
 	var value []byte
-	if q.write {
+	if request.write {
 		var got *cachev1.SetResponse
-		got, err = c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(q.a.Key), Value: cacheserver.MakeValue(q.req, "client", q.a.Size)})
+		got, err = c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(request.arrival.Key), Value: cacheserver.MakeValue(request.id, "client", request.arrival.Size)})
 		value = got.GetReceipt()
 	} else {
 		var got *cachev1.GetResponse
-		got, err = c.Get(ctx, &cachev1.GetRequest{Attributes: at, Key: []byte(q.a.Key)})
+		got, err = c.Get(ctx, &cachev1.GetRequest{Attributes: at, Key: []byte(request.arrival.Key)})
 		value = got.GetValue()
 	}
 	s := status.Convert(err)
-	switch ours := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
-	case s.Code() == codes.OK && cacheserver.IsValueFor(q.req, value):
-		say(event.Answered, event.Satisfied, 0)
-		return result{how: satisfied}, false
+	switch fromRouter := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
+	case s.Code() == codes.OK && cacheserver.IsValueFor(request.id, value):
+		emit(event.Answered, event.Satisfied, 0)
+		return result{outcome: succeeded}, false
 	case s.Code() == codes.OK:
-		say(event.Answered, event.Foreign, 0)
-	case s.Code() == codes.Unavailable && ours:
+		emit(event.Answered, event.Foreign, 0)
+	case s.Code() == codes.Unavailable && fromRouter:
 		hint := event.Micros(0)
 		for _, d := range s.Details() {
 			if r, is := d.(*errdetails.RetryInfo); is {
 				hint = event.Micros(r.GetRetryDelay().AsDuration() / time.Microsecond)
 			}
 		}
-		say(event.Answered, event.Nacked, hint)
-		return result{how: nacked, hint: hint}, false
+		emit(event.Answered, event.Nacked, hint)
+		return result{outcome: rejected, retryAfter: hint}, false
 	case s.Code() == codes.Canceled:
 		select {
-		case <-goes:
-			say(event.Left, 0, 0)
-			return result{how: left}, false
+		case <-givesUp:
+			emit(event.Left, 0, 0)
+			return result{outcome: abandoned}, false
 		default:
 		}
-		say(event.Cut, 0, 0)
-		return result{how: cut}, true
+		emit(event.Cut, 0, 0)
+		return result{outcome: disconnected}, true
 	case s.Code() == codes.Unavailable && strings.Contains(s.Message(), "connection error"): // nothing was sent
-		say(event.Unreached, 0, 0)
-		return result{how: unreached}, false
+		emit(event.Unreached, 0, 0)
+		return result{outcome: unreached}, false
 	case s.Code() == codes.Unavailable: // the library's: no connection, or one that ended under the call
-		say(event.Cut, 0, 0)
-		return result{how: cut}, true
+		emit(event.Cut, 0, 0)
+		return result{outcome: disconnected}, true
 	case s.Code() == codes.DeadlineExceeded: // noted as nothing: the referee finds a request that was never answered
-		return result{how: failed}, false
+		return result{outcome: failed}, false
 	default:
-		say(event.Answered, event.Failed, 0)
+		emit(event.Answered, event.Failed, 0)
 	}
-	return result{how: failed}, false
+	return result{outcome: failed}, false
 }
 
-func (p *calls) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.conn != nil {
-		p.conn.Close()
+func (g *grpcTransport) close() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.conn != nil {
+		g.conn.Close()
 	}
 }
--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -11,17 +11,17 @@
 )
 
 // playFaults does each act of the timeline at its time.
-func (r *run) playFaults(ctx context.Context, from event.Micros) {
-	struck := map[[2]int]*life{} // by fault and place: who was struck, so that the end finds the same life
-	for _, a := range faults.Timeline(r.s, r.o.Seed) {
+func (r *run) runFaults(ctx context.Context, from event.Micros) {
+	struck := map[[2]int]*cacheServer{} // by fault and place: who was struck, so that the end finds the same life
+	for _, a := range faults.Timeline(r.scenario, r.options.Seed) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(max(0, from+a.At-r.log.Now()).Duration()):
 		}
-		f := r.s.Faults[a.Fault]
+		f := r.scenario.Faults[a.Fault]
 		if a.End && f.Kind == "site_lost" {
-			r.o.await(ctx, SiteReturns)
+			r.options.await(ctx, SiteReturns)
 		}
 		end := event.Micros(0)
 		if a.End {
@@ -30,31 +30,31 @@
 		if a.Stage != 1 {
 			r.log.Add(event.Event{Kind: event.Fault, Router: event.Nobody, Note: f.Kind, Limit: end})
 		}
-		r.o.Log.WithField("at", a.At.Duration()).Debugf("%s (%v)", f.Kind, a)
-		if err := r.act(ctx, f, a, struck); err != nil {
+		r.options.Log.WithField("at", a.At.Duration()).Debugf("%s (%v)", f.Kind, a)
+		if err := r.applyFault(ctx, f, a, struck); err != nil {
 			r.mu.Lock()
-			r.failed = err
+			r.err = err
 			r.mu.Unlock()
 			return
 		}
 	}
 }
 
-func (r *run) act(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
+func (r *run) applyFault(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*cacheServer) error {
 	switch scenario.FaultKinds[f.Kind].Target() {
 	case "servers":
-		return r.actServer(ctx, f, a, struck)
+		return r.applyServerFault(ctx, f, a, struck)
 	case "routers":
-		r.actRouter(ctx, f, a)
+		r.applyRouterFault(ctx, f, a)
 	case "policy":
-		r.acts.Go(func() { r.change(ctx, f) })
+		r.actions.Go(func() { r.changePolicy(ctx, f) })
 	case "links":
-		r.actLinks(f, a.End)
+		r.applyLinkFault(f, a.End)
 	case "sites":
 		if f.Kind == "site_lost" {
 			return r.loseSite(ctx, f, a, struck)
 		}
-		return r.cutOff(f.Site, !a.End)
+		return r.partitionSite(f.Site, !a.End)
 	case "origin":
 		if r.origin != nil {
 			r.origin.ApplyFault(f, a.End)
@@ -69,9 +69,9 @@
 		case "rubbish", "flood", "mute", "crowd":
 			if !a.End {
 				within, cancel := context.WithTimeout(ctx, f.Duration.Micros().Duration()+4*time.Second)
-				r.bad.Go(func() {
+				r.misbehaving.Go(func() {
 					defer cancel()
-					r.front.RunMisbehaving(within, f)
+					r.balancer.RunMisbehaving(within, f)
 				})
 			}
 		}
@@ -79,79 +79,79 @@
 	return nil
 }
 
-func (r *run) actServer(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
-	at := [2]int{a.Fault, a.Who}
+func (r *run) applyServerFault(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*cacheServer) error {
+	target := [2]int{a.Fault, a.Who}
 	r.mu.Lock()
-	l := r.lives[a.Who]
+	current := r.current[a.Who]
 	r.mu.Unlock()
 	if !a.End && a.Stage == 0 {
-		struck[at] = l
+		struck[target] = current
 	}
-	victim := struck[at]
+	victim := struck[target]
 	switch f.Kind {
 	case "ban":
-		r.ban(ctx, victim.entry.UID, !a.End)
+		r.setBanned(ctx, victim.entry.UID, !a.End)
 		return nil
 	case "kill":
 		if a.End {
-			r.tell(victim, "left")
-			return r.succeed(l, victim, f.NewAddress)
+			r.announce(victim, "left")
+			return r.startSuccessor(current, victim, f.NewAddress)
 		}
-		l.server.Kill()
-		time.AfterFunc(r.s.Discovery.DetectionDelay.Micros().Duration(), func() { r.tell(l, "left") })
+		current.process.Kill()
+		time.AfterFunc(r.scenario.Discovery.DetectionDelay.Micros().Duration(), func() { r.announce(current, "left") })
 		return nil
 	case "zone_lost": // silent while it is lost; back as other processes, cold, which reset what was open
 		if a.End {
-			r.tell(victim, "left")
-			victim.server.Kill()
-			return r.succeed(l, victim, f.NewAddress)
+			r.announce(victim, "left")
+			victim.process.Kill()
+			return r.startSuccessor(current, victim, f.NewAddress)
 		}
-		time.AfterFunc(r.s.Discovery.DetectionDelay.Micros().Duration(), func() { r.tell(l, "left") })
-		return l.server.ApplyFault(scenario.Fault{Kind: "vanish"}, false)
+		time.AfterFunc(r.scenario.Discovery.DetectionDelay.Micros().Duration(), func() { r.announce(current, "left") })
+		return current.process.ApplyFault(scenario.Fault{Kind: "vanish"}, false)
 	case "drain", "deploy":
 		switch a.Stage {
 		case 0:
-			l.server.Drain()
-			r.tell(l, "leaving")
-			time.AfterFunc((r.s.Discovery.Delay+r.s.Service.DrainGrace).Micros().Duration()+time.Second, l.server.EndDrainGrace)
+			current.process.Drain()
+			r.announce(current, "leaving")
+			time.AfterFunc((r.scenario.Discovery.Delay+r.scenario.Service.DrainGrace).Micros().Duration()+time.Second, current.process.EndDrainGrace)
 		case 1:
-			r.tell(victim, "left")
-			victim.server.Kill()
+			r.announce(victim, "left")
+			victim.process.Kill()
 		default:
-			return r.succeed(l, victim, f.NewAddress)
+			return r.startSuccessor(current, victim, f.NewAddress)
 		}
 		return nil
 	}
-	if a.End && victim != l {
+	if a.End && victim != current {
 		return nil // another fault has replaced it meanwhile
 	}
-	return l.server.ApplyFault(f, a.End)
+	return current.process.ApplyFault(f, a.End)
 }
 
 // loseSite takes all of a site down at once, its cache servers and its routers; or has it come back cold, all at once. Who
 // asks there goes to routers elsewhere once the front has noticed.
-func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*life) error {
-	for place := range r.s.Servers.Count {
-		if r.s.SiteOf(place) != f.Site {
+func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*cacheServer) error {
+	for place := range r.scenario.Servers.Count {
+		if r.scenario.SiteOf(place) != f.Site {
 			continue
 		}
 		b := a
 		b.Who = place
 		lost := f
-		if lost.Kind = "zone_lost"; f.Share > 0 && float64(place/len(r.s.Sites)) >= f.Share*float64(r.s.Servers.Count/len(r.s.Sites)) {
+		if lost.Kind = "zone_lost"; f.Share > 0 && float64(place/len(r.scenario.Sites)) >= f.Share*float64(r.scenario.Servers.Count/len(r.scenario.Sites)) {
 			continue
 		}
-		if err := r.actServer(ctx, lost, b, struck); err != nil {
+		if err := r.applyServerFault(ctx, lost, b, struck); err != nil {
 			return err
 		}
 	}
-	for n := range r.s.Routers.Count {
-		if r.s.SiteOf(n) == f.Site && f.Share == 0 {
+	for n := range r.scenario.Routers.Count {
+		if r.scenario.SiteOf(n) == f.Site && f.Share == 0 {
 			b := a
 			b.Who = n
 			down := f
 			down.Kind = "router_kill"
-			r.actRouter(ctx, down, b)
+			r.applyRouterFault(ctx, down, b)
 		}
 	}
 	return nil
@@ -159,36 +159,36 @@
 
 // cutOff cuts a site off from the others, or takes that back: routers on one side, servers, origin and discovery (which
 // are at the first site and at all of them) on the other hear nothing of each other.
-func (r *run) cutOff(site string, on bool) error {
+func (r *run) partitionSite(site string, on bool) error {
 	r.mu.Lock()
-	if r.cut[site] = on; !on {
-		delete(r.cut, site)
+	if r.partitionedSites[site] = on; !on {
+		delete(r.partitionedSites, site)
 	}
-	lives := append([]*life(nil), r.lives...)
+	lives := append([]*cacheServer(nil), r.current...)
 	r.mu.Unlock()
 	for _, l := range lives {
-		if err := l.server.Partition(r.unreachable(l.entry.Zone)); err != nil {
+		if err := l.process.Partition(r.unreachableFrom(l.entry.Zone)); err != nil {
 			return err
 		}
 	}
 	if r.origin != nil {
-		r.origin.Partition(r.unreachable(r.s.Sites[0]))
+		r.origin.Partition(r.unreachableFrom(r.scenario.Sites[0]))
 	}
 	lone := map[event.Router]bool{}
-	for n := range r.s.Routers.Count {
-		lone[event.Router(n)] = r.cut[r.s.SiteOf(n)]
+	for n := range r.scenario.Routers.Count {
+		lone[event.Router(n)] = r.partitionedSites[r.scenario.SiteOf(n)]
 	}
 	r.registry.Partition(lone)
 	return nil
 }
 
 // unreachable are the routers that cannot reach a site now.
-func (r *run) unreachable(site string) map[event.Router]bool {
+func (r *run) unreachableFrom(site string) map[event.Router]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	far := map[event.Router]bool{}
-	for n := range r.s.Routers.Count {
-		if at := r.s.SiteOf(n); at != site && (r.cut[at] || r.cut[site]) {
+	for n := range r.scenario.Routers.Count {
+		if at := r.scenario.SiteOf(n); at != site && (r.partitionedSites[at] || r.partitionedSites[site]) {
 			far[event.Router(n)] = true
 		}
 	}
@@ -196,99 +196,99 @@
 }
 
 // succeed starts the successor of a life, unless another fault has done so meanwhile.
-func (r *run) succeed(now, victim *life, moved bool) error {
+func (r *run) startSuccessor(now, victim *cacheServer, moved bool) error {
 	if now != victim {
 		return nil
 	}
-	victim.server.Wait()
-	return r.live(victim.place, false, moved)
+	victim.process.Wait()
+	return r.startServer(victim.slot, false, moved)
 }
 
 // actRouter does what takes its time beside the timeline.
-func (r *run) actRouter(ctx context.Context, f scenario.Fault, a faults.Act) {
+func (r *run) applyRouterFault(ctx context.Context, f scenario.Fault, a faults.Act) {
 	p := r.routers[a.Who]
-	draws := r.draws(a.Fault, a.Who)
-	again := func() {
+	random := r.randomFor(a.Fault, a.Who)
+	restart := func() {
 		if ctx.Err() != nil {
 			return
 		}
 		err := p.start()
 		if err == nil {
-			err = p.untilReady(ctx, 15*time.Second)
+			err = p.waitUntilReady(ctx, 15*time.Second)
 		}
 		if err != nil && ctx.Err() == nil {
 			r.mu.Lock()
-			r.failed = err
+			r.err = err
 			r.mu.Unlock()
 		}
 	}
 	switch f.Kind {
 	case "router_kill":
 		if a.End {
-			r.acts.Go(again)
+			r.actions.Go(restart)
 			return
 		}
-		r.acts.Go(func() {
+		r.actions.Go(func() {
 			p.sigkill()
 			starts := p.starts
-			time.AfterFunc(r.s.Clients.BalancerDetectionDelay.Micros().Duration(), func() {
+			time.AfterFunc(r.scenario.Clients.BalancerDetectionDelay.Micros().Duration(), func() {
 				p.mu.Lock()
 				same := p.starts == starts
 				p.mu.Unlock()
 				if same {
-					r.front.SetAlive(p.n, false)
+					r.balancer.SetAlive(p.index, false)
 				}
 			})
 			if f.Duration == 0 && f.BatchShare == 0 { // it is started again as soon as its end is seen
-				again()
+				restart()
 			}
 		})
 	case "router_restart":
 		if !a.End {
-			r.acts.Go(func() {
-				p.stop(true, func(at Instance) { sendBesideEnd(ctx, at, f.Count, draws) })
-				again()
+			r.actions.Go(func() {
+				p.stop(true, func(at Instance) { sendSignalsDuringShutdown(ctx, at, f.Count, random) })
+				restart()
 			})
 		}
 	case "router_stall":
 		p.stall(!a.End)
 	case "router_empty":
-		r.empty(ctx, p, !a.End)
+		r.setDrained(ctx, p, !a.End)
 	case "router_replace":
 		if !a.End {
-			r.replacing(ctx, p, func() error { return p.replace(ctx) })
+			r.runReplacement(ctx, p, func() error { return p.replace(ctx) })
 		}
 	case "router_dud":
 		if !a.End {
-			r.replacing(ctx, p, func() error { return p.replaceBehindDud(ctx, draws) })
+			r.runReplacement(ctx, p, func() error { return p.replaceAfterFailedStart(ctx, random) })
 		}
 	case "router_signals":
 		if !a.End {
-			r.acts.Go(func() {
-				if err := p.sendSignals(ctx, f.Count, f.Duration.Micros().Duration(), draws); err != nil {
+			r.actions.Go(func() {
+				if err := p.sendSignals(ctx, f.Count, f.Duration.Micros().Duration(), random); err != nil {
 					r.fail(ctx, err)
 				}
 			})
 		}
 	case "router_tmp_full":
 		if err := p.fillTmp(!a.End); err != nil {
-			r.o.Log.WithError(err).Warn("lab: TMPDIR of a router")
+			r.options.Log.WithError(err).Warn("lab: TMPDIR of a router")
 		}
 	case "router_reload":
 		if !a.End {
 			if err := p.reload(); err != nil {
-				r.o.Log.WithError(err).Error("a reload")
+				r.options.Log.WithError(err).Error("a reload")
 			}
 		}
 	}
 }
 
 // actLinks strikes what routers tell one another, or leaves it alone again.
-func (r *run) actLinks(f scenario.Fault, end bool) {
+func (r *run) applyLinkFault(f scenario.Fault, end bool) {
 	groups := [2][]int{f.From, f.To}
 	for i := range groups {
 		if len(groups[i]) == 0 {
-			for n := range r.s.Routers.Count {
+			for n := range r.scenario.Routers.Count {
 				groups[i] = append(groups[i], n)
 			}
 		}
--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -29,32 +29,32 @@
 func (n Network) Server(place int) []string { return n.a.server(place, 0) }
 
 // Doors returns the address of each router's admin endpoint.
-func (n Network) AdminEndpoints() []string { return n.a.doors(0) }
+func (n Network) AdminEndpoints() []string { return n.a.adminEndpoints(0) }
 
 // Views returns the address at which each router listens for the others.
-func (n Network) GossipListeners() []string { return n.a.views() }
+func (n Network) GossipListeners() []string { return n.a.gossipListeners() }
 
 // Ways returns the address at which the others reach each router.
-func (n Network) GossipAdvertised() []string { return n.a.ways() }
+func (n Network) GossipAdvertised() []string { return n.a.gossipAdvertised() }
 
 // addresses says who listens where. A run has 127.K.0.0/16 for itself, so that a server that comes back finds its
 // address free: connections within the machine leave from 127.0.0.1. K is claimed by a listener that is held.
 type addresses struct {
-	k, n int
-	lock net.Listener
+	subnet, routerCount int
+	lock                net.Listener
 }
 
-const firstNet, nets = 130, 60
+const firstSubnet, subnets = 130, 60
 
 func newAddresses(routers int) (*addresses, error) {
-	for i := range nets {
-		k := firstNet + (os.Getpid()+i)%nets
+	for i := range subnets {
+		k := firstSubnet + (os.Getpid()+i)%subnets
 		lock, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:6400", k))
 		if err != nil {
 			continue
 		}
 		a := &addresses{k, routers, lock}
-		if a.free() {
+		if a.isFree() {
 			return a, nil
 		}
 		lock.Close()
@@ -64,7 +64,7 @@
 
 // free tells whether routers of any make can listen: connections that a router with SO_REUSEPORT alone has left in
 // TIME_WAIT keep others off its address for a minute.
-func (a *addresses) free() bool {
+func (a *addresses) isFree() bool {
 	for _, addr := range a.routers() {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -77,27 +77,27 @@
 
 func (a *addresses) close() { a.lock.Close() }
 
-func (a *addresses) each(format string, more ...any) (out []string) {
-	for i := range a.n {
-		out = append(out, fmt.Sprintf(format, append([]any{a.k, i + 1}, more...)...))
+func (a *addresses) perRouter(format string, more ...any) (out []string) {
+	for i := range a.routerCount {
+		out = append(out, fmt.Sprintf(format, append([]any{a.subnet, i + 1}, more...)...))
 	}
 	return out
 }
 
-func (a *addresses) routers() []string    { return a.each("127.%d.250.%d:6379") }
-func (a *addresses) calls() []string      { return a.each("127.%d.249.%d:7443") }
-func (a *addresses) doors(n int) []string { return a.each("127.%d.248.%d:%d", 10250+n) }
-func (a *addresses) views() []string      { return a.each("127.%d.247.%d:7946") }
-func (a *addresses) ways() []string       { return a.each("127.%d.246.%d:7946") }
+func (a *addresses) routers() []string             { return a.perRouter("127.%d.250.%d:6379") }
+func (a *addresses) grpc() []string                { return a.perRouter("127.%d.249.%d:7443") }
+func (a *addresses) adminEndpoints(n int) []string { return a.perRouter("127.%d.248.%d:%d", 10250+n) }
+func (a *addresses) gossipListeners() []string     { return a.perRouter("127.%d.247.%d:7946") }
+func (a *addresses) gossipAdvertised() []string    { return a.perRouter("127.%d.246.%d:7946") }
 
 // logs are the addresses of the keepers' log, beside those of the views.
-func (a *addresses) logs(of string) []string {
-	return a.each(map[string]string{"views": "127.%d.247.%d:7947", "ways": "127.%d.246.%d:7947"}[of])
+func (a *addresses) raftAddresses(of string) []string {
+	return a.perRouter(map[string]string{"views": "127.%d.247.%d:7947", "ways": "127.%d.246.%d:7947"}[of])
 }
-func (a *addresses) discovery(moves int) []string { return a.each("127.%d.251.%d:%d", 8500+moves) }
-func (a *addresses) origin() []string             { return a.each("127.%d.252.%d:8080") }
+func (a *addresses) discovery(moves int) []string { return a.perRouter("127.%d.251.%d:%d", 8500+moves) }
+func (a *addresses) origin() []string             { return a.perRouter("127.%d.252.%d:8080") }
 
 // server is where each router reaches the server at a place, after so many moves.
 func (a *addresses) server(place, moves int) []string {
-	return a.each("127.%d.%d.%d:%d", place+1, 6379+moves)
+	return a.perRouter("127.%d.%d.%d:%d", place+1, 6379+moves)
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -73,28 +73,28 @@
 
 // run is one scenario being played.
 type run struct {
-	s        scenario.Scenario
-	o        Options
-	log      *event.Log
-	net      *addresses
-	servers  *cacheserver.Config
-	origin   *origin.Origin
-	registry *registry.Registry
-	front    *client.LoadBalancer
-	links    *links.Rig // nil: the routers tell one another nothing
-	routers  []*router
+	scenario  scenario.Scenario
+	options   Options
+	log       *event.Log
+	addresses *addresses
+	servers   *cacheserver.Config
+	origin    *origin.Origin
+	registry  *registry.Registry
+	balancer  *client.LoadBalancer
+	links     *links.Rig // nil: the routers tell one another nothing
+	routers   []*router
 
-	mu     sync.Mutex
-	lives  []*life // by place
-	all    []*life
-	places map[event.Server]referee.Place
-	cut    map[string]bool // sites that are cut off now
-	missed map[event.Req][]*cacheserver.Server
-	cold   map[event.Req]bool
-	failed error
-	policy int // the revision in force
-	bad    sync.WaitGroup
-	acts   sync.WaitGroup
+	mu               sync.Mutex
+	current          []*cacheServer // by place
+	started          []*cacheServer
+	places           map[event.Server]referee.Place
+	partitionedSites map[string]bool // sites that are cut off now
+	missedBy         map[event.Req][]*cacheserver.Server
+	coldMisses       map[event.Req]bool
+	err              error
+	policyRevision   int // the revision in force
+	misbehaving      sync.WaitGroup
+	actions          sync.WaitGroup
 }
 
 // Play plays a scenario. Whatever happens, nothing that it started is left running.
@@ -103,12 +103,12 @@
 		o.Log = logrus.New()
 		o.Log.SetLevel(logrus.PanicLevel)
 	}
-	r := &run{s: s, o: o, log: event.NewLog(), places: map[event.Server]referee.Place{}, cut: map[string]bool{},
-		missed: map[event.Req][]*cacheserver.Server{}, cold: map[event.Req]bool{}}
+	r := &run{scenario: s, options: o, log: event.NewLog(), places: map[event.Server]referee.Place{}, partitionedSites: map[string]bool{},
+		missedBy: map[event.Req][]*cacheserver.Server{}, coldMisses: map[event.Req]bool{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer r.end()
-	if err := r.begin(ctx); err != nil {
+	defer r.close()
+	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
 	schedule := o.Arrivals
@@ -117,28 +117,28 @@
 	}
 	var beside sync.WaitGroup
 	watch, unwatch := context.WithCancel(ctx)
-	beside.Go(func() { r.heartbeat(watch) })
+	beside.Go(func() { r.watchLateness(watch) })
 	beside.Go(func() { r.sample(watch) })
 	from := r.log.Now() + 200e3
-	beside.Go(func() { r.report(watch, from, len(schedule)) })
-	r.acts.Go(func() { r.playFaults(ctx, from) })
-	r.front.Run(ctx, schedule, from, lateNote)
-	r.front.WaitOps()
-	r.acts.Wait()
-	r.bad.Wait()
+	beside.Go(func() { r.reportProgress(watch, from, len(schedule)) })
+	r.actions.Go(func() { r.runFaults(ctx, from) })
+	r.balancer.Run(ctx, schedule, from, latenessThreshold)
+	r.balancer.WaitOps()
+	r.actions.Wait()
+	r.misbehaving.Wait()
 	o.await(ctx, RunEnds)
 	r.checkOperatorStates(ctx)
-	if !r.s.Clients.KeepUsing {
-		r.front.Close()
+	if !r.scenario.Clients.KeepUsing {
+		r.balancer.Close()
 	}
 	r.endRouters()
-	r.front.Close()
+	r.balancer.Close()
 	unwatch()
 	beside.Wait()
 	if err := ctx.Err(); err != nil {
 		return Result{}, fmt.Errorf("stopped before its end: %w", err)
 	}
-	if err := r.failed; err != nil {
+	if err := r.err; err != nil {
 		return Result{}, err
 	}
 	events := r.log.Events()
@@ -147,64 +147,64 @@
 }
 
 // lateNote: an op begun later than this is noted. A busy machine is late by a few milliseconds now and then.
-const lateNote = 20 * time.Millisecond
+const latenessThreshold = 20 * time.Millisecond
 
-func (r *run) begin(ctx context.Context) (err error) {
-	if r.net, err = newAddresses(r.s.Routers.Count); err != nil {
+func (r *run) start(ctx context.Context) (err error) {
+	if r.addresses, err = newAddresses(r.scenario.Routers.Count); err != nil {
 		return err
 	}
-	if r.s.Routers.Fleet {
+	if r.scenario.Routers.Fleet {
 		var at, front []netip.AddrPort
-		for i := range r.s.Routers.Count {
-			at = append(at, netip.MustParseAddrPort(r.net.views()[i]))
-			front = append(front, netip.MustParseAddrPort(r.net.ways()[i]))
+		for i := range r.scenario.Routers.Count {
+			at = append(at, netip.MustParseAddrPort(r.addresses.gossipListeners()[i]))
+			front = append(front, netip.MustParseAddrPort(r.addresses.gossipAdvertised()[i]))
 		}
-		if r.links, err = links.New(at, front, r.o.Seed, 2); err != nil {
+		if r.links, err = links.New(at, front, r.options.Seed, 2); err != nil {
 			return err
 		}
 	}
 	methods := map[string]scenario.Method{}
-	for _, m := range r.s.Methods {
+	for _, m := range r.scenario.Methods {
 		methods[m.Name] = m
 	}
 	repeats := &cacheserver.Deduplicator{}
-	r.servers = &cacheserver.Config{Log: r.log, Settings: r.s.Servers, Service: r.s.Service, Methods: methods,
-		ReadThrough: r.s.Service.Mode == "through", OnMiss: r.noteMiss, Deduplicator: repeats}
-	if r.registry, err = registry.Start(r.log, r.s.Discovery, r.net.discovery(0)); err != nil {
+	r.servers = &cacheserver.Config{Log: r.log, Settings: r.scenario.Servers, Service: r.scenario.Service, Methods: methods,
+		ReadThrough: r.scenario.Service.Mode == "through", OnMiss: r.recordMiss, Deduplicator: repeats}
+	if r.registry, err = registry.Start(r.log, r.scenario.Discovery, r.addresses.discovery(0)); err != nil {
 		return err
 	}
-	if r.s.Service.Mode == "aside" {
-		r.origin, err = origin.Start(&origin.Config{Log: r.log, Settings: r.s.Origin, Methods: methods, OnRead: r.fill, OnWrite: r.drop,
-			IsColdMiss: r.wasCold, Deduplicator: repeats}, r.net.origin(), r.o.Seed)
+	if r.scenario.Service.Mode == "aside" {
+		r.origin, err = origin.Start(&origin.Config{Log: r.log, Settings: r.scenario.Origin, Methods: methods, OnRead: r.fill, OnWrite: r.drop,
+			IsColdMiss: r.isColdMiss, Deduplicator: repeats}, r.addresses.origin(), r.options.Seed)
 		if err != nil {
 			return err
 		}
-		r.registry.Update(registry.Entry{UID: origin.UID, Zone: r.s.Sites[0], Kind: "origin", State: "active", Addr: r.origin.Addr}, true)
+		r.registry.Update(registry.Entry{UID: origin.UID, Zone: r.scenario.Sites[0], Kind: "origin", State: "active", Addr: r.origin.Addr}, true)
 	}
-	r.lives = make([]*life, r.s.Servers.Count)
-	for place := range r.lives {
-		if err := r.live(place, true, false); err != nil {
+	r.current = make([]*cacheServer, r.scenario.Servers.Count)
+	for place := range r.current {
+		if err := r.startServer(place, true, false); err != nil {
 			return err
 		}
 	}
 	r.fillServers()
 	var calls []string
-	if r.s.Clients.UsesGRPC() {
-		calls = r.net.calls()
+	if r.scenario.Clients.UsesGRPC() {
+		calls = r.addresses.grpc()
 	}
-	r.front = client.NewLoadBalancer(r.log, r.s, r.o.Seed, r.net.routers(), calls)
-	for i := range r.s.Routers.Count {
-		p := &router{run: r, n: event.Router(i)}
+	r.balancer = client.NewLoadBalancer(r.log, r.scenario, r.options.Seed, r.addresses.routers(), calls)
+	for i := range r.scenario.Routers.Count {
+		p := &router{run: r, index: event.Router(i)}
 		r.routers = append(r.routers, p)
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	if err := r.found(ctx); err != nil {
+	if err := r.bootstrapPolicy(ctx); err != nil {
 		return err
 	}
 	for _, p := range r.routers {
-		if err := p.untilReady(ctx, 15*time.Second); err != nil {
+		if err := p.waitUntilReady(ctx, 15*time.Second); err != nil {
 			return err
 		}
 	}
@@ -212,56 +212,56 @@
 }
 
 // life is one process at one place among the cache servers.
-type life struct {
-	place, n int
-	moves    int
-	server   *cacheserver.Server
-	entry    registry.Entry
-	left     bool // discovery was told
+type cacheServer struct {
+	slot, generation int
+	moves            int
+	process          *cacheserver.Server
+	entry            registry.Entry
+	removed          bool // discovery was told
 }
 
 // live starts a server at a place: the first life, or a successor of the one that was there.
-func (r *run) live(place int, warm, moved bool) error {
+func (r *run) startServer(place int, warm, moved bool) error {
 	r.mu.Lock()
-	old := r.lives[place]
-	l := &life{place: place}
+	old := r.current[place]
+	server := &cacheServer{slot: place}
 	if old != nil {
-		l.n, l.moves = old.n+1, old.moves
+		server.generation, server.moves = old.generation+1, old.moves
 	}
 	if moved {
-		l.moves++
+		server.moves++
 	}
-	zone := r.s.SiteOf(place)
+	zone := r.scenario.SiteOf(place)
 	cell := place / 4
-	uid := event.Server(fmt.Sprintf("s%d.%d", place, l.n))
+	uid := event.Server(fmt.Sprintf("s%d.%d", place, server.generation))
 	r.places[uid] = referee.Place{Zone: zone, Cell: fmt.Sprint(cell)}
 	r.mu.Unlock()
-	server, err := cacheserver.Start(r.servers, uid, zone, cell, r.net.server(place, l.moves), warm,
-		r.o.Seed+uint64(place)<<16+uint64(l.n))
+	process, err := cacheserver.Start(r.servers, uid, zone, cell, r.addresses.server(place, server.moves), warm,
+		r.options.Seed+uint64(place)<<16+uint64(server.generation))
 	if err != nil {
 		return err
 	}
-	if err := server.Partition(r.unreachable(zone)); err != nil {
-		server.Kill()
+	if err := process.Partition(r.unreachableFrom(zone)); err != nil {
+		process.Kill()
 		return err
 	}
-	l.server = server
-	l.entry = registry.Entry{UID: uid, Zone: zone, Kind: "cache", Cell: cell, State: "active", Boot: server.Boot, Addr: server.Addr}
+	server.process = process
+	server.entry = registry.Entry{UID: uid, Zone: zone, Kind: "cache", Cell: cell, State: "active", Boot: process.Boot, Addr: process.Addr}
 	r.mu.Lock()
-	r.lives[place] = l
-	r.all = append(r.all, l)
+	r.current[place] = server
+	r.started = append(r.started, server)
 	r.mu.Unlock()
-	r.registry.Update(l.entry, old == nil)
+	r.registry.Update(server.entry, old == nil)
 	return nil
 }
 
-func (r *run) tell(l *life, state string) {
+func (r *run) announce(l *cacheServer, state string) {
 	r.mu.Lock()
-	if l.left {
+	if l.removed {
 		r.mu.Unlock()
 		return
 	}
-	l.left = state == "left"
+	l.removed = state == "left"
 	e := l.entry
 	r.mu.Unlock()
 	e.State = state
@@ -269,23 +269,23 @@
 }
 
 // noteMiss: the origin's answer is to fill the servers that missed for a request.
-func (r *run) noteMiss(req event.Req, s *cacheserver.Server, cold bool) {
+func (r *run) recordMiss(req event.Req, s *cacheserver.Server, cold bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.missed[req] = append(r.missed[req], s)
-	r.cold[req] = cold
+	r.missedBy[req] = append(r.missedBy[req], s)
+	r.coldMisses[req] = cold
 }
 
-func (r *run) wasCold(req event.Req) bool {
+func (r *run) isColdMiss(req event.Req) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cold[req]
+	return r.coldMisses[req]
 }
 
 func (r *run) fill(req event.Req, key string) {
 	r.mu.Lock()
-	servers := r.missed[req]
-	delete(r.missed, req)
+	servers := r.missedBy[req]
+	delete(r.missedBy, req)
 	r.mu.Unlock()
 	for _, s := range servers {
 		s.Fill(key)
@@ -294,28 +294,28 @@
 
 func (r *run) drop(key string) {
 	r.mu.Lock()
-	lives := append([]*life(nil), r.lives...)
+	lives := append([]*cacheServer(nil), r.current...)
 	r.mu.Unlock()
 	for _, l := range lives {
-		l.server.Invalidate(key)
+		l.process.Invalidate(key)
 	}
 }
 
 // fillServers gives the servers at the start what they would have come to hold: the most asked keys, on every server,
 // since who holds which is the routers' matter.
 func (r *run) fillServers() {
-	warm := r.s
+	warm := r.scenario
 	warm.Faults, warm.Load.Steps = nil, nil
-	n := min(r.s.Servers.Keys, int(r.s.Servers.FilledShare*float64(r.s.Load.Keys)))
-	for _, key := range arrivals.HottestKeys(warm, r.o.Seed, n) {
-		for _, l := range r.lives {
-			l.server.Fill(key)
+	n := min(r.scenario.Servers.Keys, int(r.scenario.Servers.FilledShare*float64(r.scenario.Load.Keys)))
+	for _, key := range arrivals.HottestKeys(warm, r.options.Seed, n) {
+		for _, l := range r.current {
+			l.process.Fill(key)
 		}
 	}
 }
 
 // heartbeat notes when the lab itself is late: then limits in time are longer by that.
-func (r *run) heartbeat(ctx context.Context) {
+func (r *run) watchLateness(ctx context.Context) {
 	const every, note = 10 * time.Millisecond, 25 * time.Millisecond
 	last := time.Now()
 	for t := time.NewTicker(every); ; {
@@ -347,8 +347,8 @@
 	}
 }
 
-func (r *run) report(ctx context.Context, from event.Micros, all int) {
-	if r.o.Progress == nil {
+func (r *run) reportProgress(ctx context.Context, from event.Micros, all int) {
+	if r.options.Progress == nil {
 		return
 	}
 	for t := time.NewTicker(time.Second); ; {
@@ -357,24 +357,24 @@
 			t.Stop()
 			return
 		case <-t.C:
-			r.o.Progress(Progress{At: (r.log.Now() - from).Duration(), Length: r.s.Length.Micros().Duration(), Done: r.front.CompletedOps(), All: all})
+			r.options.Progress(Progress{At: (r.log.Now() - from).Duration(), Length: r.scenario.Length.Micros().Duration(), Done: r.balancer.CompletedOps(), All: all})
 		}
 	}
 }
 
 // end leaves nothing behind, however far the run came.
-func (r *run) end() {
+func (r *run) close() {
 	for _, p := range r.routers {
 		p.kill()
 	}
-	if r.front != nil {
-		r.front.Close()
+	if r.balancer != nil {
+		r.balancer.Close()
 	}
-	for _, l := range r.all {
-		l.server.Kill()
+	for _, l := range r.started {
+		l.process.Kill()
 	}
-	for _, l := range r.all {
-		l.server.Wait()
+	for _, l := range r.started {
+		l.process.Wait()
 	}
 	if r.origin != nil {
 		r.origin.Close()
@@ -385,8 +385,8 @@
 	if r.links != nil {
 		r.links.Close()
 	}
-	if r.net != nil {
-		r.net.close()
+	if r.addresses != nil {
+		r.addresses.close()
 	}
 }
 
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -46,22 +46,22 @@
 				if s.Clients.Protocol = protocol; s.Routers.Fleet && protocol == "resp2" {
 					program = withFleet
 				}
-				played(t, s, program)
+				runScenario(t, s, program)
 			})
 		}
 	}
 }
 
 // played plays a scenario and looks at what must hold in each.
-func played(t *testing.T, s scenario.Scenario, program string) {
+func runScenario(t *testing.T, s scenario.Scenario, program string) {
 	dir := t.TempDir()
 	options := Options{Seed: 1, Start: ProgramStarter(program), Dir: dir}
 	if s.Routers.SiteLossPlan != "" {
-		options.Await = (&decisions{t: t, routers: s.Routers.Count, dir: dir}).await
+		options.Await = (&siteDecisions{t: t, routers: s.Routers.Count, dir: dir}).await
 	}
 	r, err := Run(t.Context(), s, options)
 	if err != nil {
-		logs(t, dir)
+		logRouterLogs(t, dir)
 		t.Fatal(err)
 	}
 	for i, b := range r.Violations {
@@ -88,19 +88,19 @@
 		t.Errorf("%d answers to %d ops", answered, len(r.Arrivals))
 	}
 	if s.Routers.SiteLossPlan != "" {
-		planned(t, s, r, dir)
+		checkSiteLossPlan(t, s, r, dir)
 	}
 	if t.Failed() && s.Routers.SiteLossPlan != "" {
-		t.Log(strings.Join((&decisions{t: t, routers: s.Routers.Count, dir: dir}).lines(), "\n"))
+		t.Log(strings.Join((&siteDecisions{t: t, routers: s.Routers.Count, dir: dir}).lines(), "\n"))
 	}
 	if t.Failed() {
-		logs(t, dir)
+		logRouterLogs(t, dir)
 	}
 }
 
 // planned: a lost site was ruled on at every stage, and what was refused was worth the least.
-func planned(t *testing.T, s scenario.Scenario, r Result, dir string) {
-	text := strings.Join((&decisions{t: t, routers: s.Routers.Count, dir: dir}).lines(), "\n")
+func checkSiteLossPlan(t *testing.T, s scenario.Scenario, r Result, dir string) {
+	text := strings.Join((&siteDecisions{t: t, routers: s.Routers.Count, dir: dir}).lines(), "\n")
 	for _, what := range []string{"stage=lost", "stage=returning step=1", "stage=returning step=8", "stage=up"} {
 		if !strings.Contains(text, what) {
 			t.Errorf("nobody ruled %q", what)
@@ -121,7 +121,7 @@
 }
 
 // decisions are what routers decide on a lost site, by their logs.
-type decisions struct {
+type siteDecisions struct {
 	t       *testing.T
 	routers int
 	dir     string
@@ -131,11 +131,11 @@
 	siteDecision     = "site: decision"
 	leadershipGained = "leader=true"
 	// decisionPatience is how long a decision may take where a process stood still.
-	decisionPatience = 15 * time.Second
+	decisionTimeout = 15 * time.Second
 )
 
 // lines are the lines of the routers' logs that tell of decisions and of leaders.
-func (d *decisions) lines() []string {
+func (d *siteDecisions) lines() []string {
 	d.t.Helper()
 	var found []string
 	for i := range d.routers {
@@ -153,7 +153,7 @@
 }
 
 // count is how many of the lines have a text.
-func (d *decisions) count(text string) (n int) {
+func (d *siteDecisions) count(text string) (n int) {
 	for _, line := range d.lines() {
 		if strings.Contains(line, text) {
 			n++
@@ -165,17 +165,17 @@
 // await has the run wait for the decision that its next moment presupposes. Under the leader of the start the decision has to be
 // there by then. A leader that stands still for a second loses its office, and the next one has to collect reports first: a machine
 // that does that to it is waited for.
-func (d *decisions) await(ctx context.Context, moment Moment) {
+func (d *siteDecisions) await(ctx context.Context, moment Moment) {
 	stage := map[Moment]string{SiteReturns: "stage=lost", RunEnds: "stage=up"}[moment]
 	if d.count(stage) == 0 && d.count(leadershipGained) == 1 {
 		d.t.Errorf("%q was not decided in its time, and the leader was there all the time", stage)
 	}
-	for until := time.Now().Add(decisionPatience); d.count(stage) == 0 && time.Now().Before(until) && ctx.Err() == nil; {
+	for until := time.Now().Add(decisionTimeout); d.count(stage) == 0 && time.Now().Before(until) && ctx.Err() == nil; {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func logs(t *testing.T, dir string) {
+func logRouterLogs(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log")) // the pattern is good
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -187,7 +187,7 @@
 }
 
 // Stopped at any moment, a run leaves no process, goroutine or address behind.
-func TestStoppedRunLeavesNothing(t *testing.T) {
+func TestCanceledRunLeavesNothingRunning(t *testing.T) {
 	program := build(t, "cache-router")
 	s, err := scenario.Read("testdata/deploy.toml")
 	if err != nil {
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -30,29 +30,29 @@
 	return nil
 }
 
-func (p *router) door() string {
+func (p *router) currentAdmin() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.admin()
 }
 
 // ban has operators take a server out at every router, or give it back. A second passes at most until it holds.
-func (r *run) ban(ctx context.Context, uid event.Server, out bool) {
+func (r *run) setBanned(ctx context.Context, uid event.Server, out bool) {
 	kind, path := event.Barred, "/ops/cache-servers/down"
 	if !out {
 		kind, path = event.Unbarred, "/ops/cache-servers/up"
 	}
 	for _, p := range r.routers {
-		r.acts.Go(func() {
+		r.actions.Go(func() {
 			if !out { // what is sent from now on is right
-				r.log.Add(event.Event{Kind: kind, Router: p.n, Server: uid})
+				r.log.Add(event.Event{Kind: kind, Router: p.index, Server: uid})
 			}
 			if err := p.callOperator(ctx, path, string(uid)); err != nil {
-				r.o.Log.WithError(err).Warn("an operator's call")
+				r.options.Log.WithError(err).Warn("an operator's call")
 				return
 			}
 			if out {
-				r.log.Add(event.Event{Kind: kind, Router: p.n, Server: uid})
+				r.log.Add(event.Event{Kind: kind, Router: p.index, Server: uid})
 			}
 			p.wanted.setBanned(string(uid), out)
 		})
@@ -60,8 +60,8 @@
 }
 
 // empty has operators drain a router, or take clients again; the front hears of it a little later.
-func (r *run) empty(ctx context.Context, p *router, on bool) {
-	r.acts.Go(func() {
+func (r *run) setDrained(ctx context.Context, p *router, on bool) {
+	r.actions.Go(func() {
 		path := "/ops/drain/stop"
 		if on {
 			path = "/ops/drain/start"
@@ -71,21 +71,21 @@
 			p.wanted.setDrained(on)
 		}
 		if err == nil && !on {
-			err = p.untilReady(ctx, 2*time.Second)
+			err = p.waitUntilReady(ctx, 2*time.Second)
 		}
 		if err != nil {
 			r.fail(ctx, fmt.Errorf("router %s, %s: %w", p.name(), path, err))
 			return
 		}
 		if on {
-			time.AfterFunc(200*time.Millisecond, func() { r.front.SetAlive(p.n, false) })
+			time.AfterFunc(200*time.Millisecond, func() { r.balancer.SetAlive(p.index, false) })
 		}
 	})
 }
 
 // replacing replaces a router's process beside the timeline. One replacement of a router runs at a time.
-func (r *run) replacing(ctx context.Context, p *router, replace func() error) {
-	r.acts.Go(func() {
+func (r *run) runReplacement(ctx context.Context, p *router, replace func() error) {
+	r.actions.Go(func() {
 		p.replaceMu.Lock()
 		defer p.replaceMu.Unlock()
 		if err := replace(); err != nil {
@@ -97,25 +97,25 @@
 func (r *run) fail(ctx context.Context, err error) {
 	if ctx.Err() == nil {
 		r.mu.Lock()
-		r.failed = err
+		r.err = err
 		r.mu.Unlock()
 	}
 }
 
 // replace starts a second process beside the one that serves, waits for its yes, and ends the first in order.
 func (p *router) replace(ctx context.Context) error {
-	const patience = 6 * time.Second
+	const timeout = 6 * time.Second
 	p.mu.Lock()
-	if p.stopped || p.ending || p.at == nil {
+	if p.stopped || p.ending || p.instance == nil {
 		p.mu.Unlock()
 		return nil
 	}
-	old := p.at
-	p.doors++
-	door := p.admin()
-	next, err := p.run.o.Start(p.spec())
+	old := p.instance
+	p.replacements++
+	admin := p.admin()
+	next, err := p.run.options.Start(p.spec())
 	if err == nil {
-		p.at, p.up = next, false // whoever ends the run ends this one; the other is ended here
+		p.instance, p.acceptsSignals = next, false // whoever ends the run ends this one; the other is ended here
 		go p.watch(next)
 	}
 	p.mu.Unlock()
@@ -123,9 +123,9 @@
 		return err
 	}
 	defer old.End()
-	for until := time.Now().Add(patience); call(ctx, http.MethodGet, door, "/ops/readiness", "") != nil; {
+	for until := time.Now().Add(timeout); call(ctx, http.MethodGet, admin, "/ops/readiness", "") != nil; {
 		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("not ready within %v", patience)
+			return fmt.Errorf("not ready within %v", timeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/lab/fleet/operatorstate.go
+++ b/internal/lab/fleet/operatorstate.go
@@ -17,8 +17,8 @@
 
 const (
 	// operatorPatience is how long an operator's call is repeated: processes of a router come and go.
-	operatorPatience = 3 * time.Second
-	operatorRetry    = 100 * time.Millisecond
+	operatorTimeout       = 3 * time.Second
+	operatorRetryInterval = 100 * time.Millisecond
 )
 
 // operatorState is what operators asked for last of a router, as far as it said yes.
@@ -51,9 +51,9 @@
 
 // callOperator makes a change at the admin endpoint of the process that serves, again for a while where it fails.
 func (p *router) callOperator(ctx context.Context, path, body string) error {
-	for until := time.Now().Add(operatorPatience); ; {
-		err := call(ctx, http.MethodPut, p.door(), path, body)
-		if err == nil || time.Now().After(until) || !sleep(ctx, operatorRetry) {
+	for until := time.Now().Add(operatorTimeout); ; {
+		err := call(ctx, http.MethodPut, p.currentAdmin(), path, body)
+		if err == nil || time.Now().After(until) || !sleep(ctx, operatorRetryInterval) {
 			return err
 		}
 	}
@@ -61,14 +61,14 @@
 
 // checkOperatorStates notes the routers that do not keep to what operators asked for last.
 func (r *run) checkOperatorStates(ctx context.Context) {
-	hindered := slices.ContainsFunc(r.s.Faults, func(f scenario.Fault) bool { return f.Kind == "router_tmp_full" })
+	hindered := slices.ContainsFunc(r.scenario.Faults, func(f scenario.Fault) bool { return f.Kind == "router_tmp_full" })
 	for _, p := range r.routers {
 		problem := p.checkDrained(ctx)
 		if problem == "" && !hindered {
 			problem = p.checkBanned()
 		}
 		if problem != "" {
-			r.log.Add(event.Event{Kind: event.Owed, Router: p.n, Note: problem})
+			r.log.Add(event.Event{Kind: event.Owed, Router: p.index, Note: problem})
 		}
 	}
 }
@@ -76,12 +76,12 @@
 // checkDrained returns what is wrong, empty if nothing is.
 func (p *router) checkDrained(ctx context.Context) string {
 	want := p.wanted.isDrained()
-	for until := time.Now().Add(operatorPatience); ; {
-		isReady := call(ctx, http.MethodGet, p.door(), "/ops/readiness", "") == nil
+	for until := time.Now().Add(operatorTimeout); ; {
+		isReady := call(ctx, http.MethodGet, p.currentAdmin(), "/ops/readiness", "") == nil
 		if isReady != want {
 			return ""
 		}
-		if time.Now().After(until) || !sleep(ctx, operatorRetry) {
+		if time.Now().After(until) || !sleep(ctx, operatorRetryInterval) {
 			return fmt.Sprintf("operators asked last for drained=%v, and ready is %v", want, isReady)
 		}
 	}
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -15,13 +15,13 @@
 )
 
 // found begins the policy of the run's routers.
-func (r *run) found(ctx context.Context) error {
-	if r.s.Routers.Policy == "" {
+func (r *run) bootstrapPolicy(ctx context.Context) error {
+	if r.scenario.Routers.Policy == "" {
 		return nil
 	}
-	const patience = 10 * time.Second
-	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
-		_, err := r.ask(ctx, r.routers[0], map[string]any{"what": "found"})
+	const timeout = 10 * time.Second
+	for end := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
+		_, err := r.requestPolicy(ctx, r.routers[0], map[string]any{"what": "found"})
 		if err == nil {
 			break
 		}
@@ -29,42 +29,42 @@
 			return err
 		}
 	}
-	if r.s.Routers.SiteLossPlan == "" {
+	if r.scenario.Routers.SiteLossPlan == "" {
 		return nil
 	}
 	for _, p := range r.routers {
-		if err := p.untilReady(ctx, 15*time.Second); err != nil {
+		if err := p.waitUntilReady(ctx, 15*time.Second); err != nil {
 			return err
 		}
 	}
-	v, err := r.ask(ctx, r.routers[0], map[string]any{"what": "apply", "doc": r.document(nil), "base": 0, "token": "plan", "author": "lab",
+	v, err := r.requestPolicy(ctx, r.routers[0], map[string]any{"what": "apply", "doc": r.policyDocument(nil), "base": 0, "token": "plan", "author": "lab",
 		"reason": "the scenario's plan"})
 	if err == nil && (v == nil || !v.Committed) {
 		err = fmt.Errorf("the scenario's plan holds nowhere: %+v", v)
 	}
-	r.policy = 1
+	r.policyRevision = 1
 	return err
 }
 
 // document is a policy that has these servers out.
-func (r *run) document(out []string) string {
+func (r *run) policyDocument(out []string) string {
 	list, _ := json.Marshal(out) // strings: it cannot fail
 	doc := "schema = 1\n"
 	if len(out) > 0 {
 		doc += fmt.Sprintf("out = %s\n", list)
 	}
-	return doc + r.s.Routers.SiteLossPlan
+	return doc + r.scenario.Routers.SiteLossPlan
 }
 
 // ask asks the keepers by a router's door.
-func (r *run) ask(ctx context.Context, p *router, q map[string]any) (v *policycommit.Verdict, err error) {
+func (r *run) requestPolicy(ctx context.Context, p *router, q map[string]any) (v *policycommit.Verdict, err error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 12*time.Second)
 	defer cancel()
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.door()+"/ops/policy/ask", strings.NewReader(string(body)))
+	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.currentAdmin()+"/ops/policy/ask", strings.NewReader(string(body)))
 	if err != nil {
 		return nil, err
 	}
@@ -87,19 +87,19 @@
 
 // change has operators ask for a policy that has the picked servers out, by one router after the other until there is a
 // verdict.
-func (r *run) change(ctx context.Context, f scenario.Fault) {
+func (r *run) changePolicy(ctx context.Context, f scenario.Fault) {
 	r.mu.Lock()
 	var out []string
 	for _, place := range f.Targets {
-		out = append(out, string(r.lives[place].entry.UID))
+		out = append(out, string(r.current[place].entry.UID))
 	}
-	base := r.policy
+	base := r.policyRevision
 	r.mu.Unlock()
-	began := r.log.Now()
-	q := map[string]any{"what": "apply", "doc": r.document(out), "base": base, "token": fmt.Sprint("at ", began),
+	startedAt := r.log.Now()
+	q := map[string]any{"what": "apply", "doc": r.policyDocument(out), "base": base, "token": fmt.Sprint("at ", startedAt),
 		"author": "lab", "reason": "as the scenario has it"}
 	for n := 0; ctx.Err() == nil; n++ {
-		v, err := r.ask(ctx, r.routers[n%len(r.routers)], q)
+		v, err := r.requestPolicy(ctx, r.routers[n%len(r.routers)], q)
 		if err != nil || v == nil {
 			time.Sleep(100 * time.Millisecond)
 			if n > 100 {
@@ -108,14 +108,14 @@
 			}
 			continue
 		}
-		e := event.Event{Kind: event.Policied, Router: event.Nobody, Since: began, Note: strings.Join(out, " ")}
+		e := event.Event{Kind: event.Policied, Router: event.Nobody, Since: startedAt, Note: strings.Join(out, " ")}
 		if v.Committed {
 			e.Limit = 1
 			r.mu.Lock()
-			r.policy = int(v.Revision)
+			r.policyRevision = int(v.Revision)
 			r.mu.Unlock()
 		} else {
-			r.o.Log.WithField("why", v.Reason).Info("a change of policy holds nowhere")
+			r.options.Log.WithField("why", v.Reason).Info("a change of policy holds nowhere")
 		}
 		r.log.Add(e)
 		return
--- a/internal/lab/fleet/routers.go
+++ b/internal/lab/fleet/routers.go
@@ -59,51 +59,51 @@
 
 // router is one of the run's routers over all of its processes.
 type router struct {
-	run *run
-	n   event.Router
-	mu  sync.Mutex
+	run   *run
+	index event.Router
+	mu    sync.Mutex
 
 	replaceMu sync.Mutex // held during a replacement
 
-	at      Instance
-	starts  int
-	doors   int // of the processes beside others: each has an admin endpoint of its own
-	duds    int // processes that were started to die
-	moves   int
-	ending  bool // it was told to end
-	up      bool
-	wanted  operatorState
-	again   bool // its file has changed since it was started, and it was not told yet
-	stopped bool // the run is over
+	instance           Instance
+	starts             int
+	replacements       int // of the processes beside others: each has an admin endpoint of its own
+	failedReplacements int // processes that were started to die
+	moves              int
+	ending             bool // it was told to end
+	acceptsSignals     bool
+	wanted             operatorState
+	reloadPending      bool // its file has changed since it was started, and it was not told yet
+	stopped            bool // the run is over
 }
 
-func (p *router) name() string { return fmt.Sprintf("r%d", p.n) }
+func (p *router) name() string { return fmt.Sprintf("r%d", p.index) }
 
-func (p *router) admin() string { return p.run.net.doors(p.doors)[p.n] }
+func (p *router) admin() string { return p.run.addresses.adminEndpoints(p.replacements)[p.index] }
 
 // firstDudDoor is the number of the first admin endpoint of processes that are not to stay.
-const firstDudDoor = 200
+const firstFailedAdmin = 200
 
 func (p *router) spec() Spec {
-	dir := p.run.o.Dir
+	dir := p.run.options.Dir
 	file := ""
-	if p.run.s.Routers.State || p.run.s.Routers.Fleet || p.run.s.Clients.UsesGRPC() {
+	if p.run.scenario.Routers.State || p.run.scenario.Routers.Fleet || p.run.scenario.Clients.UsesGRPC() {
 		file = filepath.Join(dir, p.name()+".toml")
 	}
-	return Spec{Admin: p.admin(), TempDir: filepath.Join(dir, p.name()+"-tmp"), OperatorFile: file, Name: p.name(), Listen: p.run.net.routers()[p.n], Discovery: p.run.registry.Addr(p.n),
-		Config: filepath.Join(dir, p.name()+".json"), Log: filepath.Join(dir, p.name()+".log"), Cores: p.run.s.Routers.Cores}
+	return Spec{Admin: p.admin(), TempDir: filepath.Join(dir, p.name()+"-tmp"), OperatorFile: file, Name: p.name(), Listen: p.run.addresses.routers()[p.index], Discovery: p.run.registry.Addr(p.index),
+		Config: filepath.Join(dir, p.name()+".json"), Log: filepath.Join(dir, p.name()+".log"), Cores: p.run.scenario.Routers.Cores}
 }
 
 // configure writes its file, whole or not at all.
 func (p *router) configure(known json.RawMessage) error {
 	spec := p.spec()
-	seed := fmt.Sprintf("%08x%08x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", p.run.o.Seed, p.n, p.starts)), p.n)
-	text, err := Config(p.run.s, int(p.n), spec.Name, spec.Listen, spec.Discovery, seed, known)
+	seed := fmt.Sprintf("%08x%08x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", p.run.options.Seed, p.index, p.starts)), p.index)
+	text, err := Config(p.run.scenario, int(p.index), spec.Name, spec.Listen, spec.Discovery, seed, known)
 	if err != nil {
 		return err
 	}
 	if spec.OperatorFile != "" {
-		if err := p.own(spec.OperatorFile); err != nil {
+		if err := p.writeOperatorFile(spec.OperatorFile); err != nil {
 			return err
 		}
 	}
@@ -114,35 +114,35 @@
 }
 
 // own writes the operator's file, and makes the folder that it names.
-func (p *router) own(file string) error {
+func (p *router) writeOperatorFile(file string) error {
 	text := ""
-	if p.run.s.Clients.UsesGRPC() {
-		text = fmt.Sprintf("[grpc]\nlisten = %q\n", p.run.net.calls()[p.n])
+	if p.run.scenario.Clients.UsesGRPC() {
+		text = fmt.Sprintf("[grpc]\nlisten = %q\n", p.run.addresses.grpc()[p.index])
 	}
-	if p.run.s.Routers.Fleet {
+	if p.run.scenario.Routers.Fleet {
 		var join []string
-		for i, way := range p.run.net.ways() {
+		for i, way := range p.run.addresses.gossipAdvertised() {
 			if i < 2 {
 				join = append(join, fmt.Sprintf("%q", way))
 			}
 		}
-		text += fmt.Sprintf("[fleet]\nname = \"lab\"\nlisten = %q\nadvertise = %q\njoin = [%s]\nprobe = %q\n", p.run.net.views()[p.n],
-			p.run.net.ways()[p.n], strings.Join(join, ", "), p.run.s.Routers.Probe)
+		text += fmt.Sprintf("[fleet]\nname = \"lab\"\nlisten = %q\nadvertise = %q\njoin = [%s]\nprobe = %q\n", p.run.addresses.gossipListeners()[p.index],
+			p.run.addresses.gossipAdvertised()[p.index], strings.Join(join, ", "), p.run.scenario.Routers.Probe)
 	}
-	if cut := p.run.s.Routers.Policy; cut != "" {
+	if cut := p.run.scenario.Routers.Policy; cut != "" {
 		text += fmt.Sprintf("[policy]\ncut_off = %q\nkeepers = [\"r0\", \"r1\", \"r2\"]\n", cut)
-		if p.n < 3 {
-			folder, err := filepath.Abs(filepath.Join(p.run.o.Dir, p.name()+"-keeper"))
+		if p.index < 3 {
+			folder, err := filepath.Abs(filepath.Join(p.run.options.Dir, p.name()+"-keeper"))
 			if err != nil {
 				return err
 			}
-			text += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", p.run.net.logs("views")[p.n], p.run.net.logs("ways")[p.n], folder)
+			text += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", p.run.addresses.raftAddresses("views")[p.index], p.run.addresses.raftAddresses("ways")[p.index], folder)
 		}
 	}
-	if !p.run.s.Routers.State {
+	if !p.run.scenario.Routers.State {
 		return os.WriteFile(file, []byte(text), 0o644)
 	}
-	folder, err := filepath.Abs(filepath.Join(p.run.o.Dir, p.name()+"-state"))
+	folder, err := filepath.Abs(filepath.Join(p.run.options.Dir, p.name()+"-state"))
 	if err != nil {
 		return err
 	}
@@ -159,71 +159,71 @@
 	if p.stopped {
 		return nil
 	}
-	if err := p.configure(p.run.registry.FullList(p.n)); err != nil {
+	if err := p.configure(p.run.registry.FullList(p.index)); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(p.spec().TempDir, 0o700); err != nil {
 		return err
 	}
-	p.run.registry.Restarted(p.n)
-	at, err := p.run.o.Start(p.spec())
+	p.run.registry.Restarted(p.index)
+	instance, err := p.run.options.Start(p.spec())
 	if err != nil {
 		return err
 	}
-	p.at, p.ending, p.up, p.again = at, false, false, false
+	p.instance, p.ending, p.acceptsSignals, p.reloadPending = instance, false, false, false
 	p.wanted.setDrained(false) // a drain ends with the process, unless another takes over
 	p.starts++
-	go p.watch(at)
+	go p.watch(instance)
 	return nil
 }
 
 // watch notes a process that ends by itself.
-func (p *router) watch(at Instance) {
-	<-at.Done()
+func (p *router) watch(instance Instance) {
+	<-instance.Done()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.at == at && !p.ending {
-		p.run.log.Add(event.Event{Kind: event.Down, Router: p.n, Outcome: event.Failed, Note: fmt.Sprint(at.Err(), "; see ", p.spec().Log)})
-		p.run.front.SetAlive(p.n, false)
+	if p.instance == instance && !p.ending {
+		p.run.log.Add(event.Event{Kind: event.Down, Router: p.index, Outcome: event.Failed, Note: fmt.Sprint(instance.Err(), "; see ", p.spec().Log)})
+		p.run.balancer.SetAlive(p.index, false)
 	}
 }
 
 // untilReady waits for the answer to PING.
-func (p *router) untilReady(ctx context.Context, most time.Duration) error {
-	until := time.Now().Add(most)
-	for time.Now().Before(until) && ctx.Err() == nil {
+func (p *router) waitUntilReady(ctx context.Context, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		p.mu.Lock()
-		at, stopped := p.at, p.stopped
+		instance, stopped := p.instance, p.stopped
 		p.mu.Unlock()
 		if stopped {
 			return nil
 		}
 		select {
-		case <-at.Done():
-			return fmt.Errorf("router %s ended at its start (%v); see %s", p.name(), at.Err(), p.spec().Log)
+		case <-instance.Done():
+			return fmt.Errorf("router %s ended at its start (%v); see %s", p.name(), instance.Err(), p.spec().Log)
 		default:
 		}
 		if p.ping() {
-			p.run.log.Add(event.Event{Kind: event.Up, Router: p.n})
-			p.run.front.SetAlive(p.n, true)
-			p.allowSignals(at)
+			p.run.log.Add(event.Event{Kind: event.Up, Router: p.index})
+			p.run.balancer.SetAlive(p.index, true)
+			p.allowSignals(instance)
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("router %s was not ready within %v; see %s", p.name(), most, p.spec().Log)
+	return fmt.Errorf("router %s was not ready within %v; see %s", p.name(), timeout, p.spec().Log)
 }
 
 // allowSignals lets a process that is ready have signals from a second later on: the platform sends none before.
-func (p *router) allowSignals(at Instance) {
+func (p *router) allowSignals(instance Instance) {
 	time.AfterFunc(time.Second, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.at != at {
+		if p.instance != instance {
 			return
 		}
-		if p.up = true; p.again {
-			p.hup()
+		if p.acceptsSignals = true; p.reloadPending {
+			p.sendReload()
 		}
 	})
 }
@@ -246,79 +246,79 @@
 // sigkill ends it as a machine's loss of power would.
 func (p *router) sigkill() {
 	p.mu.Lock()
-	at := p.at
+	instance := p.instance
 	p.ending = true
 	p.mu.Unlock()
-	if at == nil {
+	if instance == nil {
 		return
 	}
-	p.run.log.Add(event.Event{Kind: event.Killed, Router: p.n})
-	at.End()
-	p.run.log.Add(event.Event{Kind: event.Down, Router: p.n, Outcome: event.Satisfied})
+	p.run.log.Add(event.Event{Kind: event.Killed, Router: p.index})
+	instance.End()
+	p.run.log.Add(event.Event{Kind: event.Down, Router: p.index, Outcome: event.Satisfied})
 }
 
 // stop ends it in order: SIGTERM, and SIGKILL once it has had its time. beside sends further signals meanwhile; nil: none.
-func (p *router) stop(again bool, beside func(Instance)) {
+func (p *router) stop(restarts bool, during func(Instance)) {
 	p.mu.Lock()
-	at := p.at
-	p.ending, p.stopped = true, p.stopped || !again
+	instance := p.instance
+	p.ending, p.stopped = true, p.stopped || !restarts
 	p.mu.Unlock()
-	if at == nil {
+	if instance == nil {
 		return
 	}
 	select {
-	case <-at.Done():
+	case <-instance.Done():
 		return // it was killed before, or ended by itself, which was noted
 	default:
 	}
-	p.run.log.Add(event.Event{Kind: event.Term, Router: p.n})
-	_ = at.Signal(syscall.SIGTERM) // an error: it has just ended, which Done tells
-	if beside != nil {
-		p.run.acts.Go(func() { beside(at) })
+	p.run.log.Add(event.Event{Kind: event.Term, Router: p.index})
+	_ = instance.Signal(syscall.SIGTERM) // an error: it has just ended, which Done tells
+	if during != nil {
+		p.run.actions.Go(func() { during(instance) })
 	}
 	// Its front learns of it a little later; until then new connections go on coming.
 	time.AfterFunc(300*time.Millisecond, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		switch {
-		case p.at != at:
-		case p.run.s.Clients.KeepUsing:
-			p.run.front.DrainRouter(p.n)
+		case p.instance != instance:
+		case p.run.scenario.Clients.KeepUsing:
+			p.run.balancer.DrainRouter(p.index)
 		default:
-			p.run.front.SetAlive(p.n, false)
+			p.run.balancer.SetAlive(p.index, false)
 		}
 	})
-	how := event.Event{Kind: event.Down, Router: p.n, Outcome: event.Satisfied}
+	record := event.Event{Kind: event.Down, Router: p.index, Outcome: event.Satisfied}
 	select {
-	case <-at.Done():
-		if err := at.Err(); err != nil {
-			how.Outcome, how.Note = event.Failed, err.Error()
+	case <-instance.Done():
+		if err := instance.Err(); err != nil {
+			record.Outcome, record.Note = event.Failed, err.Error()
 		} else if err := checkCounters(p.spec().Log); err != nil {
-			how.Outcome, how.Note = event.Failed, err.Error()
+			record.Outcome, record.Note = event.Failed, err.Error()
 		}
 	case <-time.After(p.run.killAfter()):
-		at.End()
-		how.Outcome, how.Note = event.Failed, "it had not ended by its time after SIGTERM"
+		instance.End()
+		record.Outcome, record.Note = event.Failed, "it had not ended by its time after SIGTERM"
 	}
-	p.run.log.Add(how)
+	p.run.log.Add(record)
 }
 
 // killAfter is how long after SIGTERM a router is killed.
 func (r *run) killAfter() time.Duration {
-	return r.s.LongestDeadline() + r.s.Routers.KillAfter.Micros().Duration()
+	return r.scenario.LongestDeadline() + r.scenario.Routers.KillAfter.Micros().Duration()
 }
 
 // stall has the process stand still, or go on.
 func (p *router) stall(on bool) {
 	p.mu.Lock()
-	at := p.at
+	instance := p.instance
 	p.mu.Unlock()
 	sig, limit := syscall.SIGSTOP, event.Micros(0)
 	if !on {
 		sig, limit = syscall.SIGCONT, 1
 	}
-	if at != nil && at.Signal(sig) == nil { // an error: it has just ended
-		p.run.log.Add(event.Event{Kind: event.Stalled, Router: p.n, Limit: limit})
+	if instance != nil && instance.Signal(sig) == nil { // an error: it has just ended
+		p.run.log.Add(event.Event{Kind: event.Stalled, Router: p.index, Limit: limit})
 	}
 }
 
@@ -326,10 +326,10 @@
 func (p *router) kill() {
 	p.mu.Lock()
 	p.ending, p.stopped = true, true
-	at := p.at
+	instance := p.instance
 	p.mu.Unlock()
-	if at != nil {
-		at.End()
+	if instance != nil {
+		instance.End()
 	}
 }
 
@@ -337,30 +337,30 @@
 func (p *router) reload() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.configure(p.run.registry.FullList(p.n)); err != nil {
+	if err := p.configure(p.run.registry.FullList(p.index)); err != nil {
 		return err
 	}
-	if p.again = true; p.up {
-		p.hup()
+	if p.reloadPending = true; p.acceptsSignals {
+		p.sendReload()
 	}
 	return nil
 }
 
-func (p *router) hup() {
-	p.again = false
+func (p *router) sendReload() {
+	p.reloadPending = false
 	if !p.ending {
-		_ = p.at.Signal(syscall.SIGHUP) // an error: it has just ended
+		_ = p.instance.Signal(syscall.SIGHUP) // an error: it has just ended
 	}
 }
 
 func (p *router) sample() {
 	p.mu.Lock()
-	at := p.at
+	instance := p.instance
 	p.mu.Unlock()
-	if at == nil {
+	if instance == nil {
 		return
 	}
-	if cpu, rss, ok := at.Usage(); ok {
-		p.run.log.Add(event.Event{Kind: event.Sample, Router: p.n, Limit: event.Micros(cpu / time.Microsecond), Size: rss})
+	if cpu, rss, ok := instance.Usage(); ok {
+		p.run.log.Add(event.Event{Kind: event.Sample, Router: p.index, Limit: event.Micros(cpu / time.Microsecond), Size: rss})
 	}
 }
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -18,20 +18,20 @@
 const (
 	// longestSignalRow is the most signals of one kind in a row, and signalRowStep the span between two of them: the kernel
 	// makes one of equal signals that wait.
-	longestSignalRow = 6
-	signalRowStep    = 2 * time.Millisecond
+	maxRepeatedSignals = 6
+	repeatedSignalGap  = 2 * time.Millisecond
 	// badFileSpan is how long a bad configuration stays in the place of a good one.
-	badFileSpan = 50 * time.Millisecond
+	badFileDuration = 50 * time.Millisecond
 	// signalsBesideEnd is the span behind SIGTERM within which further signals come.
-	signalsBesideEnd = 500 * time.Millisecond
+	signalsDuringShutdown = 500 * time.Millisecond
 	// longestDudLife is how long a process lives at most that is to die beside the one it replaces.
-	longestDudLife = 600 * time.Millisecond
+	maxFailedLifetime = 600 * time.Millisecond
 )
 
 // draws returns the random source of a fault at one router.
-func (r *run) draws(fault, who int) *rand.Rand {
+func (r *run) randomFor(fault, who int) *rand.Rand {
 	const stream = 500 // not that of another part of the lab
-	return rand.New(rand.NewPCG(r.o.Seed, stream+uint64(fault)<<16+uint64(who)))
+	return rand.New(rand.NewPCG(r.options.Seed, stream+uint64(fault)<<16+uint64(who)))
 }
 
 // sleep returns false if the context ends first.
@@ -45,21 +45,21 @@
 }
 
 // drawSpan draws a span from 0 to the longest.
-func drawSpan(draws *rand.Rand, longest time.Duration) time.Duration {
-	return time.Duration(draws.Int64N(int64(longest)))
+func randomDuration(random *rand.Rand, longest time.Duration) time.Duration {
+	return time.Duration(random.Int64N(int64(longest)))
 }
 
 // sendSignals sends a router a series of signals that it has to survive, spread over a span: rows of SIGUSR1, and SIGHUP with the
 // file as it is, with a bad file, and with a new address of discovery.
-func (p *router) sendSignals(ctx context.Context, count int, lasts time.Duration, draws *rand.Rand) error {
+func (p *router) sendSignals(ctx context.Context, count int, duration time.Duration, random *rand.Rand) error {
 	for range count {
-		if !sleep(ctx, drawSpan(draws, 2*lasts/time.Duration(count))) {
+		if !sleep(ctx, randomDuration(random, 2*duration/time.Duration(count))) {
 			return nil
 		}
 		var err error
-		switch draws.IntN(4) {
+		switch random.IntN(4) {
 		case 0:
-			p.sendRow(1 + draws.IntN(longestSignalRow))
+			p.sendRepeatedUSR1(1 + random.IntN(maxRepeatedSignals))
 		case 1:
 			err = p.reload()
 		case 2:
@@ -75,15 +75,15 @@
 }
 
 // sendRow sends SIGUSR1 several times.
-func (p *router) sendRow(count int) {
+func (p *router) sendRepeatedUSR1(count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.at == nil || !p.up {
+	if p.instance == nil || !p.acceptsSignals {
 		return
 	}
 	for range count {
-		_ = p.at.Signal(syscall.SIGUSR1) // an error: it has just ended
-		time.Sleep(signalRowStep)
+		_ = p.instance.Signal(syscall.SIGUSR1) // an error: it has just ended
+		time.Sleep(repeatedSignalGap)
 	}
 }
 
@@ -91,15 +91,15 @@
 func (p *router) reloadBadFile() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.at == nil || !p.up || p.ending {
+	if p.instance == nil || !p.acceptsSignals || p.ending {
 		return nil
 	}
 	if err := os.WriteFile(p.spec().Config, []byte(`{"name":`), 0o644); err != nil {
 		return err
 	}
-	p.hup()
-	time.Sleep(badFileSpan)
-	return p.configure(p.run.registry.FullList(p.n))
+	p.sendReload()
+	time.Sleep(badFileDuration)
+	return p.configure(p.run.registry.FullList(p.index))
 }
 
 // moveDiscovery gives its agent a new address, which its file names from then on.
@@ -107,60 +107,60 @@
 	const lingers = 1500 * time.Millisecond
 	p.mu.Lock()
 	p.moves++
-	addr := p.run.net.discovery(p.moves)[p.n]
+	addr := p.run.addresses.discovery(p.moves)[p.index]
 	p.mu.Unlock()
-	if err := p.run.registry.MoveAgent(p.n, addr, lingers); err != nil {
+	if err := p.run.registry.MoveAgent(p.index, addr, lingers); err != nil {
 		return err
 	}
 	return p.reload()
 }
 
 // sendBesideEnd sends a process that was told to end further signals.
-func sendBesideEnd(ctx context.Context, at Instance, count int, draws *rand.Rand) {
+func sendSignalsDuringShutdown(ctx context.Context, instance Instance, count int, random *rand.Rand) {
 	for range count {
-		if !sleep(ctx, drawSpan(draws, 2*signalsBesideEnd/time.Duration(count))) {
+		if !sleep(ctx, randomDuration(random, 2*signalsDuringShutdown/time.Duration(count))) {
 			return
 		}
-		further := []os.Signal{syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGTERM}[draws.IntN(3)]
-		_ = at.Signal(further) // an error: it has ended
+		signal := []os.Signal{syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGTERM}[random.IntN(3)]
+		_ = instance.Signal(signal) // an error: it has ended
 	}
 }
 
 // replaceBehindDud starts a process beside the one that serves which dies soon, or is told to end, and right behind it one that
 // stays.
-func (p *router) replaceBehindDud(ctx context.Context, draws *rand.Rand) error {
+func (p *router) replaceAfterFailedStart(ctx context.Context, random *rand.Rand) error {
 	p.mu.Lock()
-	if p.stopped || p.ending || p.at == nil {
+	if p.stopped || p.ending || p.instance == nil {
 		p.mu.Unlock()
 		return nil
 	}
-	p.duds++
+	p.failedReplacements++
 	spec := p.spec()
-	spec.Admin = p.run.net.doors(firstDudDoor + p.duds)[p.n]
-	dud, err := p.run.o.Start(spec)
+	spec.Admin = p.run.addresses.adminEndpoints(firstFailedAdmin + p.failedReplacements)[p.index]
+	failing, err := p.run.options.Start(spec)
 	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	if !sleep(ctx, drawSpan(draws, longestDudLife)) {
-		dud.End()
+	if !sleep(ctx, randomDuration(random, maxFailedLifetime)) {
+		failing.End()
 		return nil
 	}
-	if draws.IntN(2) == 0 {
-		p.run.log.Add(event.Event{Kind: event.Killed, Router: p.n}) // clients may be with it by then
-		dud.End()
+	if random.IntN(2) == 0 {
+		p.run.log.Add(event.Event{Kind: event.Killed, Router: p.index}) // clients may be with it by then
+		failing.End()
 		if p.ping() {
-			p.run.log.Add(event.Event{Kind: event.Up, Router: p.n})
+			p.run.log.Add(event.Event{Kind: event.Up, Router: p.index})
 		}
 		return p.replace(ctx)
 	}
-	_ = dud.Signal(syscall.SIGTERM) // an error: it has ended, which Done tells
+	_ = failing.Signal(syscall.SIGTERM) // an error: it has ended, which Done tells
 	err = p.replace(ctx)
 	select {
-	case <-dud.Done():
+	case <-failing.Done():
 		return err
 	case <-time.After(p.run.killAfter()):
-		dud.End()
+		failing.End()
 		return errors.Join(err, errors.New("a successor that was told to end had not ended by its time"))
 	}
 }
--- a/internal/lab/origin/conn.go
+++ b/internal/lab/origin/conn.go
@@ -27,24 +27,24 @@
 // handlers begin behind the headers. It takes one request at a time, as the protocol has it.
 type conn struct {
 	net.Conn
-	router event.Router
-	log    *event.Log
-	first  atomic.Int64 // when the first byte of the request at hand came, in microseconds of the log, plus 1; 0: none has
+	router    event.Router
+	log       *event.Log
+	firstByte atomic.Int64 // when the first byte of the request at hand came, in microseconds of the log, plus 1; 0: none has
 }
 
 // Read reads what has come.
 func (c *conn) Read(to []byte) (int, error) {
 	n, err := c.Conn.Read(to)
 	if n > 0 {
-		c.first.CompareAndSwap(0, int64(c.log.Now())+1)
+		c.firstByte.CompareAndSwap(0, int64(c.log.Now())+1)
 	}
 	return n, err
 }
 
 // nextRequest returns when the first byte of the request at hand came. Call it once the request is whole: what comes
 // from then on belongs to the next one.
-func (c *conn) nextRequest() event.Micros {
-	first := c.first.Swap(0)
+func (c *conn) finishRequest() event.Micros {
+	first := c.firstByte.Swap(0)
 	if first == 0 { // it came together with the request before it
 		return c.log.Now()
 	}
--- a/internal/lab/origin/conn_test.go
+++ b/internal/lab/origin/conn_test.go
@@ -13,7 +13,7 @@
 )
 
 // A write's body may come long after its head. What an attempt tells is judged by when it began, on a kept connection too.
-func TestAttemptsAreNotedWithFirstByteAndDeadlineSent(t *testing.T) {
+func TestAttemptsAreRecordedWithFirstByteAndDeadlineSent(t *testing.T) {
 	log := event.NewLog()
 	methods := map[string]scenario.Method{"book": {Name: "book", Effect: "non-retryable"}}
 	o, err := Start(&Config{Log: log, Settings: scenario.Origin{Cores: 1, Work: 1}, Methods: methods, Deduplicator: &cacheserver.Deduplicator{},
@@ -40,7 +40,7 @@
 		before := log.Now()
 		write("PUT /k HTTP/1.1\r\nHost: o\r\nX-Trace-Id: " + attempt.id + "\r\nX-Props: " + attempt.props + "\r\nContent-Length: 2\r\n" +
 			"Expect: 100-continue\r\n\r\n")
-		goesOn(t, answers)
+		expectContinue(t, answers)
 		body := log.Now()
 		write("vv")
 		answer, err := http.ReadResponse(answers, nil)
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		answer.Body.Close()
-		begun := attemptOf(log, event.Req(attempt.id))
+		begun := beginningOf(log, event.Req(attempt.id))
 		if begun.Since < before || begun.Since >= body || begun.At < body {
 			t.Errorf("%s: first byte at %v, whole at %v, not from %v and from %v", attempt.id, begun.Since, begun.At, before, body)
 		}
@@ -62,7 +62,7 @@
 }
 
 // goesOn waits until the origin has the head and asks for the body.
-func goesOn(t *testing.T, answers *bufio.Reader) {
+func expectContinue(t *testing.T, answers *bufio.Reader) {
 	for _, want := range []string{"HTTP/1.1 100 Continue\r\n", "\r\n"} {
 		if line, err := answers.ReadString('\n'); err != nil || line != want {
 			t.Fatalf("%q, %v", line, err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func attemptOf(log *event.Log, id event.Req) event.Event {
+func beginningOf(log *event.Log, id event.Req) event.Event {
 	for _, e := range log.Events() {
 		if e.Kind == event.Begun && e.Req == id {
 			return e
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -38,33 +38,33 @@
 
 // Origin is the one store.
 type Origin struct {
-	fleet *Config
-	addrs []string
+	config *Config
+	addrs  []string
 
-	mu      sync.Mutex
-	machine *machine.Machine
-	rand    *rand.Rand
-	alarm   *time.Timer
-	jobs    map[*machine.Job]chan struct{}
-	stopped bool
-	cut     map[event.Router]bool // routers that cannot reach it
-	asked   float64               // work asked for of late, and that of misses at cold servers
-	cold    float64
-	at      event.Micros
-	servers []*http.Server
-	wg      sync.WaitGroup
+	mu             sync.Mutex
+	machine        *machine.Machine
+	rand           *rand.Rand
+	timer          *time.Timer
+	jobs           map[*machine.Job]chan struct{}
+	down           bool
+	partitioned    map[event.Router]bool // routers that cannot reach it
+	recentWork     float64               // work asked for of late, and that of misses at cold servers
+	recentColdWork float64
+	recentWorkAt   event.Micros
+	servers        []*http.Server
+	wg             sync.WaitGroup
 }
 
 type connKey struct{}
 
 // Start begins to serve, on one address for each router.
 func Start(f *Config, addrs []string, seed uint64) (*Origin, error) {
-	o := &Origin{fleet: f, addrs: addrs, rand: rand.New(rand.NewPCG(seed, 8)), jobs: map[*machine.Job]chan struct{}{}}
-	o.renew()
-	o.alarm = time.AfterFunc(time.Hour, func() {
+	o := &Origin{config: f, addrs: addrs, rand: rand.New(rand.NewPCG(seed, 8)), jobs: map[*machine.Job]chan struct{}{}}
+	o.resetMachine()
+	o.timer = time.AfterFunc(time.Hour, func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.turn()
+		o.advance()
 	})
 	for i, addr := range addrs {
 		ln, err := net.Listen("tcp", addr)
@@ -97,27 +97,27 @@
 	for _, s := range o.servers {
 		s.Close()
 	}
-	if o.alarm != nil {
-		o.alarm.Stop()
+	if o.timer != nil {
+		o.timer.Stop()
 	}
 	o.wg.Wait()
 }
 
-func (o *Origin) renew() {
-	s := o.fleet.Settings
+func (o *Origin) resetMachine() {
+	s := o.config.Settings
 	o.machine = machine.New(machine.Settings{Cores: s.Cores, Queue: s.Queue, ColdShare: 1,
-		FallMultiple: s.CollapseMultiple, FallSpan: s.CollapseWindow.Micros(), FallsWarm: true}, o.fleet.Log.Now(), true)
+		FallMultiple: s.CollapseMultiple, FallSpan: s.CollapseWindow.Micros(), FallsWarm: true}, o.config.Log.Now(), true)
 }
 
-func (o *Origin) turn() {
-	for _, j := range o.machine.Ended(o.fleet.Log.Now()) {
+func (o *Origin) advance() {
+	for _, j := range o.machine.Ended(o.config.Log.Now()) {
 		if done := o.jobs[j]; done != nil {
 			delete(o.jobs, j)
 			close(done)
 		}
 	}
 	if next, ok := o.machine.Next(); ok {
-		o.alarm.Reset(max(0, next-o.fleet.Log.Now()).Duration())
+		o.timer.Reset(max(0, next-o.config.Log.Now()).Duration())
 	}
 }
 
@@ -131,9 +131,9 @@
 	case f.Kind == "origin_slow":
 		o.machine.Slow(f.Factor)
 	case f.Kind == "origin_stop":
-		o.machine.Freeze(o.fleet.Log.Now(), !end)
+		o.machine.Freeze(o.config.Log.Now(), !end)
 	}
-	o.turn()
+	o.advance()
 }
 
 // Cut takes the way between it and some routers, and gives it back to the others. Connections come up there and bring
@@ -141,37 +141,37 @@
 func (o *Origin) Partition(from map[event.Router]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cut = from
+	o.partitioned = from
 }
 
-func (o *Origin) isCut(r event.Router) bool {
+func (o *Origin) isPartitioned(r event.Router) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.cut[r]
+	return o.partitioned[r]
 }
 
 // count keeps what was asked for of late, to tell what pushed the origin over.
-func (o *Origin) count(now event.Micros, work float64, cold bool) {
-	fade := math.Exp(-float64(now-o.at) / float64(max(1, o.fleet.Settings.CollapseWindow)))
-	o.asked, o.cold, o.at = o.asked*fade+work, o.cold*fade, now
+func (o *Origin) recordWork(now event.Micros, work float64, cold bool) {
+	decay := math.Exp(-float64(now-o.recentWorkAt) / float64(max(1, o.config.Settings.CollapseWindow)))
+	o.recentWork, o.recentColdWork, o.recentWorkAt = o.recentWork*decay+work, o.recentColdWork*decay, now
 	if cold {
-		o.cold += work
+		o.recentColdWork += work
 	}
 }
 
 // stop: pushed over, it answers nobody for a while and then begins anew.
-func (o *Origin) stop(now event.Micros) {
-	if o.stopped {
+func (o *Origin) collapse(now event.Micros) {
+	if o.down {
 		return
 	}
-	o.stopped = true
-	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Stopped, Server: UID, Router: event.Nobody,
-		Limit: event.Micros(1000 * o.cold / max(1, o.asked))})
-	time.AfterFunc(o.fleet.Settings.Downtime.Micros().Duration(), func() {
+	o.down = true
+	o.config.Log.AddAt(event.Event{At: now, Kind: event.Stopped, Server: UID, Router: event.Nobody,
+		Limit: event.Micros(1000 * o.recentColdWork / max(1, o.recentWork))})
+	time.AfterFunc(o.config.Settings.Downtime.Micros().Duration(), func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.stopped = false
-		o.renew()
+		o.down = false
+		o.resetMachine()
 	})
 }
 
@@ -184,15 +184,15 @@
 	}
 	router := conn.router
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
-	since := conn.nextRequest()
+	since := conn.finishRequest()
 	odd := func(what string) {
-		o.fleet.Log.Add(event.Event{Kind: event.Odd, Server: UID, Router: router, Note: what})
+		o.config.Log.Add(event.Event{Kind: event.Odd, Server: UID, Router: router, Note: what})
 		w.WriteHeader(http.StatusBadRequest)
 	}
 	if err != nil {
 		return // the router ended it before its last byte
 	}
-	if o.isCut(router) {
+	if o.isPartitioned(router) {
 		<-r.Context().Done()
 		return
 	}
@@ -202,31 +202,31 @@
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	req := event.Req(r.Header.Get("X-Trace-Id"))
 	props := cacheserver.ParseProps(r.Header.Get("X-Props"))
-	m, known := o.fleet.Methods[props.Method]
+	m, known := o.config.Methods[props.Method]
 	write := r.Method == http.MethodPut
 	if err != nil || req == "" || key == "" || !known || !write && r.Method != http.MethodGet {
 		odd("a request no client sent")
 		return
 	}
-	now := o.fleet.Log.Now()
+	now := o.config.Log.Now()
 	tell := func(reply event.Reply) {
-		o.fleet.Log.Add(event.Event{Kind: event.Ended, Req: req, Server: UID, Router: router, Reply: reply})
+		o.config.Log.Add(event.Event{Kind: event.Ended, Req: req, Server: UID, Router: router, Reply: reply})
 	}
-	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: req, Server: UID, Router: router, Since: since, Write: write,
+	o.config.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: req, Server: UID, Router: router, Since: since, Write: write,
 		DeadlineSent: props.DeadlineSent})
 	o.mu.Lock()
-	work := float64(o.fleet.Settings.Work) * o.rand.ExpFloat64()
-	o.count(now, work, !write && o.fleet.IsColdMiss(req))
+	work := float64(o.config.Settings.Work) * o.rand.ExpFloat64()
+	o.recordWork(now, work, !write && o.config.IsColdMiss(req))
 	job, done := &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
-	took := !o.stopped && o.machine.Take(now, job)
+	took := !o.down && o.machine.Take(now, job)
 	if o.machine.Fallen() {
-		o.stop(now)
+		o.collapse(now)
 	}
 	if took {
 		o.jobs[job] = done
-		o.turn()
+		o.advance()
 	}
-	dark := o.stopped
+	dark := o.down
 	o.mu.Unlock()
 	if !took && dark {
 		<-r.Context().Done() // it says nothing while it is down
@@ -247,10 +247,10 @@
 		tell(event.Lost) // before it waits for anybody
 		if !write {      // a read is called off, a write that has begun goes on
 			o.mu.Lock()
-			if o.machine.Cancel(o.fleet.Log.Now(), job) {
+			if o.machine.Cancel(o.config.Log.Now(), job) {
 				delete(o.jobs, job)
 			}
-			o.turn()
+			o.advance()
 			o.mu.Unlock()
 			return
 		}
@@ -261,17 +261,17 @@
 		}
 	}
 	if write {
-		if m.Effect != "deduplicated" || !o.fleet.Deduplicator.IsRepeat("", req, o.fleet.Log.Now(), m.Window.Micros()) {
-			o.fleet.Log.Add(event.Event{Kind: event.Ran, Req: req, Server: UID, Router: router})
+		if m.Effect != "deduplicated" || !o.config.Deduplicator.IsRepeat("", req, o.config.Log.Now(), m.Window.Micros()) {
+			o.config.Log.Add(event.Event{Kind: event.Ran, Req: req, Server: UID, Router: router})
 		}
-		o.fleet.OnWrite(key)
+		o.config.OnWrite(key)
 	} else {
-		o.fleet.OnRead(req, key)
+		o.config.OnRead(req, key)
 	}
 	if lost {
 		return
 	}
-	if o.isCut(router) {
+	if o.isPartitioned(router) {
 		<-r.Context().Done()
 		tell(event.Lost)
 		return
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -35,37 +35,37 @@
 
 // Registry is the one list, and the agents that tell of it.
 type Registry struct {
-	log *event.Log
-	set scenario.Discovery
+	log      *event.Log
+	settings scenario.Discovery
 
-	mu      sync.Mutex
-	changes []change
-	silent  bool
-	stuck   int // what is visible while silent
-	late    event.Micros
-	bad     bool
-	cut     map[event.Router]bool // whose agents hear nothing
-	step    time.Duration
-	news    chan struct{} // closed at each change of anything
-	told    []int         // by router: changes told so far
-	due     []int         // by router: changes that have reached the agent
-	agents  []*agent
-	moved   []*agent // away from an address
+	mu                 sync.Mutex
+	changes            []change
+	silent             bool
+	visibleWhileSilent int // what is visible while silent
+	extraDelay         event.Micros
+	malformed          bool
+	partitioned        map[event.Router]bool // whose agents hear nothing
+	clockStep          time.Duration
+	changed            chan struct{} // closed at each change of anything
+	delivered          []int         // by router: changes told so far
+	reached            []int         // by router: changes that have reached the agent
+	agents             []*agent
+	retired            []*agent // away from an address
 }
 
 type agent struct {
-	r      *Registry
-	router event.Router
-	addr   string
-	srv    *http.Server
-	done   chan struct{}
+	registry *Registry
+	router   event.Router
+	addr     string
+	srv      *http.Server
+	done     chan struct{}
 }
 
 // Start begins an agent for each router on its address.
 func Start(seen *event.Log, set scenario.Discovery, addrs []string) (*Registry, error) {
-	r := &Registry{log: seen, set: set, news: make(chan struct{}), told: make([]int, len(addrs)), due: make([]int, len(addrs))}
+	r := &Registry{log: seen, settings: set, changed: make(chan struct{}), delivered: make([]int, len(addrs)), reached: make([]int, len(addrs))}
 	for i, addr := range addrs {
-		a, err := r.agent(event.Router(i), addr)
+		a, err := r.startAgent(event.Router(i), addr)
 		if err != nil {
 			r.Close()
 			return nil, err
@@ -75,12 +75,12 @@
 	return r, nil
 }
 
-func (r *Registry) agent(router event.Router, addr string) (*agent, error) {
+func (r *Registry) startAgent(router event.Router, addr string) (*agent, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	a := &agent{r: r, router: router, addr: addr, done: make(chan struct{})}
+	a := &agent{registry: r, router: router, addr: addr, done: make(chan struct{})}
 	a.srv = &http.Server{Handler: a, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second}
 	go func() {
 		defer close(a.done)
@@ -91,7 +91,7 @@
 
 // Close ends all agents.
 func (r *Registry) Close() {
-	for _, a := range append(r.agents, r.moved...) {
+	for _, a := range append(r.agents, r.retired...) {
 		a.srv.Close()
 		<-a.done
 	}
@@ -106,22 +106,22 @@
 
 // Move gives a router's agent another address. The old one goes on for a while, with the connections that it has.
 func (r *Registry) MoveAgent(router event.Router, addr string, lingers time.Duration) error {
-	a, err := r.agent(router, addr)
+	a, err := r.startAgent(router, addr)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	old := r.agents[router]
 	r.agents[router] = a
-	r.moved = append(r.moved, old)
+	r.retired = append(r.retired, old)
 	r.mu.Unlock()
 	time.AfterFunc(lingers, func() { old.srv.Close() })
 	return nil
 }
 
-func (r *Registry) stir() {
-	close(r.news)
-	r.news = make(chan struct{})
+func (r *Registry) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // Set notes a change; it is told after the delay. At once where the list is made.
@@ -130,20 +130,20 @@
 	defer r.mu.Unlock()
 	due := r.log.Now()
 	if !atOnce {
-		due += r.set.Delay.Micros() + r.late
+		due += r.settings.Delay.Micros() + r.extraDelay
 	}
 	if n := len(r.changes); n > 0 {
 		due = max(due, r.changes[n-1].due)
 	}
 	r.changes = append(r.changes, change{due, e})
-	r.stir()
+	r.notify()
 }
 
 // Known is the list as it was at first, in the form of a router's configuration.
 func (r *Registry) FullList(router event.Router) json.RawMessage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.body(router, len(r.changes), 0, true)
+	return r.encodeList(router, len(r.changes), 0, true)
 }
 
 // Strike begins a fault of the scenario, or takes it back.
@@ -152,34 +152,34 @@
 	defer r.mu.Unlock()
 	switch f.Kind {
 	case "discovery_silent":
-		r.stuck = r.visible()
+		r.visibleWhileSilent = r.visible()
 		r.silent = !end
 	case "discovery_late":
-		if r.late = f.Step.Micros(); end {
-			r.late = 0
+		if r.extraDelay = f.Step.Micros(); end {
+			r.extraDelay = 0
 		}
 	case "discovery_bad":
-		r.bad = !end
+		r.malformed = !end
 	case "clock_step":
-		if r.step = f.Step.Micros().Duration(); end {
-			r.step = 0
+		if r.clockStep = f.Step.Micros().Duration(); end {
+			r.clockStep = 0
 		}
 	}
-	r.stir()
+	r.notify()
 }
 
 // Cut takes the way between the list and some routers' agents, and gives it back to the others.
 func (r *Registry) Partition(from map[event.Router]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = from
-	r.stir()
+	r.partitioned = from
+	r.notify()
 }
 
 // visible is how many changes can be told now.
 func (r *Registry) visible() int {
 	if r.silent {
-		return r.stuck
+		return r.visibleWhileSilent
 	}
 	n, now := 0, r.log.Now()
 	for n < len(r.changes) && r.changes[n].due <= now {
@@ -200,13 +200,13 @@
 }
 
 // body is an answer: the whole list as of a change, or what came behind another.
-func (r *Registry) body(router event.Router, upto, behind int, all bool) []byte {
+func (r *Registry) encodeList(router event.Router, until, from int, complete bool) []byte {
 	var order []event.Server
 	last := map[event.Server]Entry{}
-	if all {
-		behind = 0
+	if complete {
+		from = 0
 	}
-	for _, c := range r.changes[behind:upto] {
+	for _, c := range r.changes[from:until] {
 		if _, known := last[c.entry.UID]; !known {
 			order = append(order, c.entry.UID)
 		}
@@ -215,55 +215,55 @@
 	targets := []target{}
 	for _, uid := range order {
 		e := last[uid]
-		if all && e.State == "left" {
+		if complete && e.State == "left" {
 			continue
 		}
 		t := target{UID: e.UID, Endpoint: e.Addr(router), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: 1}
 		if !e.Boot.IsZero() {
-			t.Boot = e.Boot.Add(r.step).UnixMilli()
+			t.Boot = e.Boot.Add(r.clockStep).UnixMilli()
 		}
 		targets = append(targets, t)
 	}
-	out, _ := json.Marshal(map[string]any{"rev": upto, "all": all, "targets": targets}) // of such types it never fails
+	out, _ := json.Marshal(map[string]any{"rev": until, "all": complete, "targets": targets}) // of such types it never fails
 	return out
 }
 
-const bad = `{"rev":"seven","all":maybe,"targets":[{"uid":`
+const malformedBody = `{"rev":"seven","all":maybe,"targets":[{"uid":`
 
 // ServeHTTP answers a router's call.
-func (a *agent) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/registry/instances" {
-		http.NotFound(w, q)
+func (a *agent) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/registry/instances" {
+		http.NotFound(w, request)
 		return
 	}
-	r := a.r
-	index, watch := -1, q.URL.Query().Has("index")
+	r := a.registry
+	index, watch := -1, request.URL.Query().Has("index")
 	if watch {
-		index, _ = strconv.Atoi(q.URL.Query().Get("index")) // what is no number asks for all
+		index, _ = strconv.Atoi(request.URL.Query().Get("index")) // what is no number asks for all
 	}
-	wait, _ := strconv.Atoi(q.URL.Query().Get("wait"))
+	wait, _ := strconv.Atoi(request.URL.Query().Get("wait"))
 	end := time.NewTimer(time.Duration(min(wait, 60000)) * time.Millisecond)
 	defer end.Stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	over := !watch
+	expired := !watch
 	for {
 		n := r.visible()
-		if !r.silent && !r.cut[a.router] && (over || n > index) {
+		if !r.silent && !r.partitioned[a.router] && (expired || n > index) {
 			break
 		}
 		next := time.Hour
-		if !r.silent && !r.cut[a.router] && n < len(r.changes) {
+		if !r.silent && !r.partitioned[a.router] && n < len(r.changes) {
 			next = max(0, r.changes[n].due-r.log.Now()).Duration() + time.Microsecond
 		}
-		news, due := r.news, time.NewTimer(next)
+		changed, due := r.changed, time.NewTimer(next)
 		r.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-due.C:
 		case <-end.C:
-			over = true
-		case <-q.Context().Done():
+			expired = true
+		case <-request.Context().Done():
 			due.Stop()
 			r.mu.Lock()
 			return
@@ -273,21 +273,21 @@
 	}
 	n := r.visible()
 	w.Header().Set("Content-Type", "application/json")
-	if r.bad {
-		_, _ = w.Write([]byte(bad))
+	if r.malformed {
+		_, _ = w.Write([]byte(malformedBody))
 		return
 	}
-	all := !watch || r.set.FullLists || index < 0 || index > n
-	out := r.body(a.router, n, max(0, min(index, n)), all)
-	if _, err := w.Write(out); err == nil && q.Context().Err() == nil {
-		r.tell(a.router, n)
+	complete := !watch || r.settings.FullLists || index < 0 || index > n
+	out := r.encodeList(a.router, n, max(0, min(index, n)), complete)
+	if _, err := w.Write(out); err == nil && request.Context().Err() == nil {
+		r.recordDelivered(a.router, n)
 	}
 }
 
 // tell notes what a router has been told of servers that want nothing new.
-func (r *Registry) tell(router event.Router, upto int) {
-	for ; r.told[router] < upto; r.told[router]++ {
-		if e := r.changes[r.told[router]].entry; e.State != "active" {
+func (r *Registry) recordDelivered(router event.Router, until int) {
+	for ; r.delivered[router] < until; r.delivered[router]++ {
+		if e := r.changes[r.delivered[router]].entry; e.State != "active" {
 			r.log.Add(event.Event{Kind: event.Told, Server: e.UID, Router: router})
 		}
 	}
@@ -298,9 +298,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.visible()
-	for router := range r.due {
-		for ; !r.cut[event.Router(router)] && r.due[router] < n; r.due[router]++ {
-			if e := r.changes[r.due[router]].entry; e.State != "active" {
+	for router := range r.reached {
+		for ; !r.partitioned[event.Router(router)] && r.reached[router] < n; r.reached[router]++ {
+			if e := r.changes[r.reached[router]].entry; e.State != "active" {
 				r.log.Add(event.Event{Kind: event.Due, Server: e.UID, Router: event.Router(router)})
 			}
 		}
@@ -311,5 +311,5 @@
 func (r *Registry) Restarted(router event.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told[router], r.due[router] = 0, 0
+	r.delivered[router], r.reached[router] = 0, 0
 }
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/registry/registry_test.go
@@ -21,7 +21,7 @@
 	} `json:"targets"`
 }
 
-func call(t *testing.T, r *Registry, query string) (l list, err error) {
+func get(t *testing.T, r *Registry, query string) (l list, err error) {
 	c := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := c.Get("http://" + r.Addr(0) + "/registry/instances" + query)
 	if err != nil {
@@ -47,52 +47,52 @@
 	}
 	r.Update(entry("a", "active"), true)
 	r.Update(entry("b", "active"), true)
-	show := func(what, query, want string) {
-		l, err := call(t, r, query)
+	expect := func(what, query, want string) {
+		l, err := get(t, r, query)
 		if got := fmt.Sprint(l, err != nil); got != want {
 			t.Errorf("%s: %s, not %s", what, got, want)
 		}
 	}
-	show("the whole list", "", "{2 true [{a active} {b active}]} false")
+	expect("the whole list", "", "{2 true [{a active} {b active}]} false")
 	r.Update(entry("b", "leaving"), false)
-	show("before the delay is over", "?index=2&wait=20", "{2 false []} false")
+	expect("before the delay is over", "?index=2&wait=20", "{2 false []} false")
 	r.Partition(map[event.Router]bool{0: true})
-	if l, err := call(t, r, "?index=2&wait=100"); err == nil {
+	if l, err := get(t, r, "?index=2&wait=100"); err == nil {
 		t.Error("a router that is cut off was told ", l)
 	}
 	r.Partition(nil)
-	show("a watch over the delay", "?index=2&wait=1000", "{3 false [{b leaving}]} false")
+	expect("a watch over the delay", "?index=2&wait=1000", "{3 false [{b leaving}]} false")
 	r.Update(entry("b", "left"), false)
-	show("gone, among changes", "?index=3&wait=1000", "{4 false [{b left}]} false")
-	show("gone, in a whole list", "", "{4 true [{a active}]} false")
-	show("an index that it never told", "?index=99&wait=10", "{4 true [{a active}]} false")
+	expect("gone, among changes", "?index=3&wait=1000", "{4 false [{b left}]} false")
+	expect("gone, in a whole list", "", "{4 true [{a active}]} false")
+	expect("an index that it never told", "?index=99&wait=10", "{4 true [{a active}]} false")
 
 	r.ApplyFault(scenario.Fault{Kind: "discovery_bad"}, false)
-	show("a bad list", "", "{0 false []} true")
+	expect("a bad list", "", "{0 false []} true")
 	r.ApplyFault(scenario.Fault{Kind: "discovery_bad"}, true)
 	r.ApplyFault(scenario.Fault{Kind: "discovery_silent"}, false)
 	r.Update(entry("a", "leaving"), false)
 	time.Sleep(120 * time.Millisecond)
 	r.RecordDeliveries()
-	if _, err := call(t, r, ""); err == nil {
+	if _, err := get(t, r, ""); err == nil {
 		t.Error("it answers while silent")
 	}
 	r.ApplyFault(scenario.Fault{Kind: "discovery_silent"}, true)
-	show("what came up meanwhile", "?index=4&wait=1000", "{5 false [{a leaving}]} false")
+	expect("what came up meanwhile", "?index=4&wait=1000", "{5 false [{a leaving}]} false")
 	if err := r.MoveAgent(0, "127.14.0.1:18501", 10*time.Millisecond); err != nil || r.Addr(0) != "127.14.0.1:18501" {
 		t.Error(r.Addr(0), err)
 	}
-	show("at its new address", "", "{5 true [{a leaving}]} false")
+	expect("at its new address", "", "{5 true [{a leaving}]} false")
 
 	// Only what wants nothing new is noted as told, and only to the router that asked.
-	told := ""
+	delivered := ""
 	for _, e := range log.Events() {
 		if e.Kind == event.Told {
-			told += fmt.Sprint(e.Server, " to ", e.Router, "; ")
+			delivered += fmt.Sprint(e.Server, " to ", e.Router, "; ")
 		}
 	}
-	if want := "b to 0; b to 0; a to 0; "; told != want {
-		t.Errorf("%q was noted as told", told)
+	if want := "b to 0; b to 0; a to 0; "; delivered != want {
+		t.Errorf("%q was noted as told", delivered)
 	}
 	r.RecordDeliveries()
 	due := 0
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -54,13 +54,13 @@
 }
 
 // figuresOf are those that all of some reports have.
-func figuresOf(all []Report) []Metric {
+func commonMetrics(all []Report) []Metric {
 	for _, r := range all {
 		if r.SiteLoss == nil {
 			return Metrics
 		}
 	}
-	return append(slices.Clone(Metrics), lossFigures...)
+	return append(slices.Clone(Metrics), lossMetrics...)
 }
 
 // Figures are what reports are compared by.
@@ -93,28 +93,28 @@
 
 // Compare sets two candidates side by side. Runs that are void are left out, pairs are those with the same seed.
 func Compare(a, b RunSet) (rows []Comparison, pairs int, err error) {
-	of := map[uint64]Report{}
+	bySeed := map[uint64]Report{}
 	for _, r := range b.Runs {
 		if r.InvalidReason == "" {
-			of[r.Seed] = r
+			bySeed[r.Seed] = r
 		}
 	}
-	var left, right []Report
+	var runsA, runsB []Report
 	for _, r := range a.Runs {
-		if other, ok := of[r.Seed]; ok && r.InvalidReason == "" {
+		if other, ok := bySeed[r.Seed]; ok && r.InvalidReason == "" {
 			if other.Scenario != r.Scenario {
 				return nil, 0, fmt.Errorf("%q and %q are different scenarios; compare runs of one", r.Scenario, other.Scenario)
 			}
-			left, right = append(left, r), append(right, other)
+			runsA, runsB = append(runsA, r), append(runsB, other)
 		}
 	}
-	if len(left) == 0 {
+	if len(runsA) == 0 {
 		return nil, 0, fmt.Errorf("no seed has a run that counts on both sides; run both with the same --seed and --seeds")
 	}
-	for _, f := range figuresOf(slices.Concat(left, right)) {
+	for _, f := range commonMetrics(slices.Concat(runsA, runsB)) {
 		var xs, ys, ds []float64
-		for i := range left {
-			x, y := f.Value(left[i]), f.Value(right[i])
+		for i := range runsA {
+			x, y := f.Value(runsA[i]), f.Value(runsB[i])
 			xs, ys, ds = append(xs, x), append(ys, y), append(ds, y-x)
 		}
 		row := Comparison{f.Name, Mean(xs), Mean(ys), Mean(ds), "no difference beyond chance"}
@@ -128,7 +128,7 @@
 		}
 		rows = append(rows, row)
 	}
-	return rows, len(left), nil
+	return rows, len(runsA), nil
 }
 
 // CompareTable writes a comparison for people.
@@ -146,7 +146,7 @@
 func WriteRunSet(w io.Writer, s RunSet) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "figure\tmean over %d runs, interval of 95%%\t\n", len(s.Runs))
-	for _, f := range figuresOf(s.Runs) {
+	for _, f := range commonMetrics(s.Runs) {
 		var xs []float64
 		for _, r := range s.Runs {
 			if r.InvalidReason == "" {
--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -47,15 +47,15 @@
 )
 
 // firstTry is the first try of an op, and what became of the op.
-type firstTry struct {
-	wanted event.Event
-	asked  event.Micros
-	out    event.Outcome
-	at     event.Micros // the op was served; 0: never
+type firstRequest struct {
+	offered  event.Event
+	sentAt   event.Micros
+	outcome  event.Outcome
+	servedAt event.Micros // the op was served; 0: never
 }
 
 // lossOf looks for the loss of a site; nil where there is none.
-func lossOf(r fleet.Result) *SiteLoss {
+func siteLossOf(r fleet.Result) *SiteLoss {
 	from, until := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		if e.Kind == event.Fault && (e.Note == "site_lost" || e.Note == "zone_lost") {
@@ -69,104 +69,104 @@
 	if from < 0 || until < 0 {
 		return nil
 	}
-	tries, byReq := map[event.Op]*firstTry{}, map[event.Req]event.Event{}
+	tries, byReq := map[event.Op]*firstRequest{}, map[event.Req]event.Event{}
 	for _, e := range r.Events {
 		switch e.Kind {
 		case event.Wanted:
-			tries[e.Op] = &firstTry{wanted: e}
+			tries[e.Op] = &firstRequest{offered: e}
 		case event.Asked:
 			byReq[e.Req] = e
-			if t := tries[e.Op]; t != nil && t.asked == 0 {
-				t.asked = e.At
+			if t := tries[e.Op]; t != nil && t.sentAt == 0 {
+				t.sentAt = e.At
 			}
 		case event.Answered:
 			t := tries[e.Op]
 			if t == nil {
 				continue
 			}
-			if byReq[e.Req].At == t.asked {
-				t.out = e.Outcome
+			if byReq[e.Req].At == t.sentAt {
+				t.outcome = e.Outcome
 			}
-			if e.Outcome == event.Satisfied && t.at == 0 {
-				t.at = e.At
+			if e.Outcome == event.Satisfied && t.servedAt == 0 {
+				t.servedAt = e.At
 			}
 		}
 	}
 	end := r.ClientsStart + r.Scenario.Length.Micros()
-	l := &SiteLoss{Before: phase(r, tries, byReq, r.ClientsStart+2e6, from), Onset: phase(r, tries, byReq, from, min(until, from+onsetSpan)),
-		During: phase(r, tries, byReq, min(until, from+onsetSpan), until), Return: phase(r, tries, byReq, until, min(end, until+returnSpan)),
-		After: phase(r, tries, byReq, min(end, until+returnSpan), end), RecoverySeconds: -1}
+	loss := &SiteLoss{Before: measurePhase(r, tries, byReq, r.ClientsStart+2e6, from), Onset: measurePhase(r, tries, byReq, from, min(until, from+onsetSpan)),
+		During: measurePhase(r, tries, byReq, min(until, from+onsetSpan), until), Return: measurePhase(r, tries, byReq, until, min(end, until+returnSpan)),
+		After: measurePhase(r, tries, byReq, min(end, until+returnSpan), end), RecoverySeconds: -1}
 	nacked, all := 0, 0
 	for _, t := range tries {
-		if t.wanted.At >= from+onsetSpan && t.wanted.At < until && t.asked > 0 {
-			if all++; t.out == event.Nacked {
+		if t.offered.At >= from+onsetSpan && t.offered.At < until && t.sentAt > 0 {
+			if all++; t.outcome == event.Nacked {
 				nacked++
 			}
 		}
 	}
-	l.RejectedShare = float64(nacked) / float64(max(1, all))
+	loss.RejectedShare = float64(nacked) / float64(max(1, all))
 	for at := until; at+1e6 <= end; at += bucketSpan {
-		s := phase(r, tries, byReq, at, at+1e6).Service
+		s := measurePhase(r, tries, byReq, at, at+1e6).Service
 		switch {
-		case l.RecoverySeconds < 0 && s >= l.Before.Service-0.03:
-			l.RecoverySeconds = float64(at-until) / 1e6
-		case l.RecoverySeconds >= 0:
-			l.Dip = max(l.Dip, l.Before.Service-s)
+		case loss.RecoverySeconds < 0 && s >= loss.Before.Service-0.03:
+			loss.RecoverySeconds = float64(at-until) / 1e6
+		case loss.RecoverySeconds >= 0:
+			loss.Dip = max(loss.Dip, loss.Before.Service-s)
 		}
 	}
-	return l
+	return loss
 }
 
-func phase(r fleet.Result, tries map[event.Op]*firstTry, byReq map[event.Req]event.Event, from, until event.Micros) Phase {
+func measurePhase(r fleet.Result, tries map[event.Op]*firstRequest, byReq map[event.Req]event.Event, from, until event.Micros) Phase {
 	s := r.Scenario
 	p := Phase{Seconds: float64(until-from) / 1e6}
-	var whole worth
-	methods, tenants, refused := make([]worth, len(s.Methods)), make([]worth, len(s.Tenants)), make([]worth, len(s.Methods))
-	inTime, firsts, inverted := 0, 0, 0
+	var overall valueSum
+	methods, tenants, refused := make([]valueSum, len(s.Methods)), make([]valueSum, len(s.Tenants)), make([]valueSum, len(s.Methods))
+	inTime, sent, inverted := 0, 0, 0
 	type counts struct{ nacked, served map[float64]int }
 	buckets := map[event.Micros]counts{}
 	for _, t := range tries {
-		if t.wanted.At < from || t.wanted.At >= until {
+		if t.offered.At < from || t.offered.At >= until {
 			continue
 		}
-		m := s.Methods[t.wanted.Method]
+		m := s.Methods[t.offered.Method]
 		earned := 0.0
-		switch took := t.at - t.wanted.At; {
-		case t.at == 0:
+		switch took := t.servedAt - t.offered.At; {
+		case t.servedAt == 0:
 		case took <= m.LatencyBudget.Micros():
 			earned = m.Criticality
 			inTime++
 		default:
 			earned = m.Criticality * m.LateShare
 		}
-		whole.add(m.Criticality, earned)
-		methods[t.wanted.Method].add(m.Criticality, earned)
-		if t.wanted.Tenant >= 0 {
-			tenants[t.wanted.Tenant].add(m.Criticality, earned)
+		overall.add(m.Criticality, earned)
+		methods[t.offered.Method].add(m.Criticality, earned)
+		if t.offered.Tenant >= 0 {
+			tenants[t.offered.Tenant].add(m.Criticality, earned)
 		}
-		if t.asked == 0 {
+		if t.sentAt == 0 {
 			continue
 		}
-		firsts++
-		b := buckets[t.asked/bucketSpan]
+		sent++
+		b := buckets[t.sentAt/bucketSpan]
 		if b.nacked == nil {
 			b = counts{map[float64]int{}, map[float64]int{}}
-			buckets[t.asked/bucketSpan] = b
+			buckets[t.sentAt/bucketSpan] = b
 		}
-		no := 0.0
-		if t.out == event.Nacked {
-			no = 1
+		rejected := 0.0
+		if t.outcome == event.Nacked {
+			rejected = 1
 			b.nacked[m.Criticality]++
-		} else if t.out == event.Satisfied {
+		} else if t.outcome == event.Satisfied {
 			b.served[m.Criticality]++
 		}
-		refused[t.wanted.Method].add(1, no)
+		refused[t.offered.Method].add(1, rejected)
 	}
 	for _, b := range buckets {
-		inverted += inversions(b.nacked, b.served)
+		inverted += countInversions(b.nacked, b.served)
 	}
-	p.Service, p.Goodput = whole.share(), float64(inTime)/max(1e-9, p.Seconds)
-	p.Inversions = float64(inverted) / float64(max(1, firsts))
+	p.Service, p.Goodput = overall.share(), float64(inTime)/max(1e-9, p.Seconds)
+	p.Inversions = float64(inverted) / float64(max(1, sent))
 	for i := range s.Methods {
 		p.Methods = append(p.Methods, NamedShare{s.Methods[i].Name, methods[i].share(), methods[i].ops})
 		if refused[i].ops > 0 {
@@ -181,15 +181,15 @@
 }
 
 // inversions pairs as many rejections as can be with one served each that is worth less: the cheapest with the cheapest first.
-func inversions(nacked, served map[float64]int) (n int) {
-	left := maps.Clone(served)
-	cheap := slices.Sorted(maps.Keys(served))
+func countInversions(nacked, served map[float64]int) (n int) {
+	unpaired := maps.Clone(served)
+	criticalities := slices.Sorted(maps.Keys(served))
 	for _, w := range slices.Sorted(maps.Keys(nacked)) {
 		k := nacked[w]
-		for _, c := range cheap {
+		for _, c := range criticalities {
 			if c < w {
-				pairs := min(k, left[c])
-				n, k, left[c] = n+pairs, k-pairs, left[c]-pairs
+				pairs := min(k, unpaired[c])
+				n, k, unpaired[c] = n+pairs, k-pairs, unpaired[c]-pairs
 			}
 		}
 	}
@@ -198,18 +198,18 @@
 
 // worstP99 is over the tries that were asked in a span and satisfied, from the last byte asked to the last one answered.
 func worstP99(r fleet.Result, byReq map[event.Req]event.Event, from, until event.Micros) (worst float64) {
-	each := make([]*hdrhistogram.Histogram, len(r.Scenario.Methods))
+	histograms := make([]*hdrhistogram.Histogram, len(r.Scenario.Methods))
 	for _, e := range r.Events {
-		asked, known := byReq[e.Req]
-		if e.Kind != event.Answered || e.Outcome != event.Satisfied || !known || asked.At < from || asked.At >= until {
+		sent, known := byReq[e.Req]
+		if e.Kind != event.Answered || e.Outcome != event.Satisfied || !known || sent.At < from || sent.At >= until {
 			continue
 		}
-		if each[asked.Method] == nil {
-			each[asked.Method] = hdrhistogram.New(1, 60e6, 3)
+		if histograms[sent.Method] == nil {
+			histograms[sent.Method] = hdrhistogram.New(1, 60e6, 3)
 		}
-		_ = each[asked.Method].RecordValue(max(1, int64(e.At-asked.At))) // what is over the bound is no latency of a run
+		_ = histograms[sent.Method].RecordValue(max(1, int64(e.At-sent.At))) // what is over the bound is no latency of a run
 	}
-	for i, h := range each {
+	for i, h := range histograms {
 		if h != nil {
 			worst = max(worst, float64(h.ValueAtQuantile(99))/float64(r.Scenario.Methods[i].LatencyBudget))
 		}
@@ -218,9 +218,9 @@
 }
 
 // lossFigures are compared where a site was lost.
-var lossFigures = []Metric{
+var lossMetrics = []Metric{
 	{"in the loss: service", func(r Report) float64 { return r.SiteLoss.During.Service }, false},
-	{"in the loss: highest criticality", func(r Report) float64 { return r.SiteLoss.During.highest(r) }, false},
+	{"in the loss: highest criticality", func(r Report) float64 { return r.SiteLoss.During.mostCriticalService(r) }, false},
 	{"in the loss: goodput /s", func(r Report) float64 { return r.SiteLoss.During.Goodput }, false},
 	{"in the loss: p99 of budget", func(r Report) float64 { return r.SiteLoss.During.P99 }, true},
 	{"in the loss: inversions", func(r Report) float64 { return r.SiteLoss.During.Inversions }, true},
@@ -231,18 +231,18 @@
 }
 
 // highest is the service of the most critical methods.
-func (p Phase) highest(r Report) float64 {
-	asked, earned := 0.0, 0.0
+func (p Phase) mostCriticalService(r Report) float64 {
+	offered, earned := 0.0, 0.0
 	for _, m := range p.Methods {
 		if slices.Contains(r.MostCritical, m.Name) {
-			asked, earned = asked+float64(m.Ops), earned+m.Share*float64(m.Ops)
+			offered, earned = offered+float64(m.Ops), earned+m.Share*float64(m.Ops)
 		}
 	}
-	return earned / max(1, asked)
+	return earned / max(1, offered)
 }
 
 // lossTable writes the parts for people.
-func lossTable(w io.Writer, l *SiteLoss) error {
+func writeLossTable(w io.Writer, l *SiteLoss) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "site lost\tservice\tgoodput/s\tp99 of budget\tinversions\t")
 	for _, m := range l.Before.Methods {
--- a/internal/lab/report/loss_test.go
+++ b/internal/lab/report/loss_test.go
@@ -17,7 +17,7 @@
 		{map[float64]int{5: 1, 3: 1}, map[float64]int{3: 1, 1: 1}}, // each the place of the next
 		{map[float64]int{3: 2}, map[float64]int{3: 9}},             // of one worth it is chance
 	} {
-		fmt.Println(inversions(x.nacked, x.served))
+		fmt.Println(countInversions(x.nacked, x.served))
 	}
 	// Output:
 	// 0
@@ -28,7 +28,7 @@
 }
 
 // The parts of a loss: what was asked in each, what was answered in time, who was refused.
-func TestPartsOfALoss(t *testing.T) {
+func TestPhasesOfASiteLoss(t *testing.T) {
 	s := scenario.Default()
 	s.Length, s.Tenants = 30e6, nil
 	s.Methods = []scenario.Method{{Name: "read", LatencyBudget: 200e3, Criticality: 3}, {Name: "report", LatencyBudget: 200e3, Criticality: 1}}
@@ -49,7 +49,7 @@
 			ask(at, 1, event.Satisfied, 250e3) // late
 		}
 	}
-	l := lossOf(r)
+	l := siteLossOf(r)
 	if l == nil || l.Before.Service != 0.75 || l.During.Service != 0.75 || l.During.Rejected[1].Share != 1 || l.During.Rejected[0].Share != 0 || l.RejectedShare != 0.5 ||
 		l.During.Inversions != 0 || l.RecoverySeconds != 0 || l.Dip != 0 || l.During.Goodput < 9.9 || l.During.P99 > 0.26 || l.Before.P99 < 1.2 {
 		t.Errorf("%+v", l)
