--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -18,7 +18,7 @@
 //go:embed page.html
 var files embed.FS
 
-var page = template.Must(template.New("page.html").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page.html").Funcs(template.FuncMap{
 	"pct": func(x float64) string { return fmt.Sprintf("%.2f%%", 100*x) },
 }).ParseFS(files, "page.html"))
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	return page.Execute(w, struct {
+	return pageTemplate.Execute(w, struct {
 		Report
 		Plots []namedPlot
 	}{r, plots})
@@ -62,37 +62,37 @@
 		{"Latency", "ms", []series{{"p50", func(s Second) float64 { return s.P50 }}, {"p99", func(s Second) float64 { return s.P99 }}}},
 		{"Connections opened to servers", "a second", []series{{"opened", func(s Second) float64 { return float64(s.ConnectionsOpened) }}}},
 	} {
-		var lines []line
+		var lines []plotLine
 		for _, l := range p.lines {
 			var xys plotter.XYs
 			for _, s := range r.Seconds {
 				xys = append(xys, plotter.XY{X: float64(s.At), Y: l.ys(s)})
 			}
-			lines = append(lines, line{l.name, xys})
+			lines = append(lines, plotLine{l.name, xys})
 		}
-		svg, err := r.draw(p.axis, lines)
+		svg, err := r.plot(p.axis, lines)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, namedPlot{p.title, svg})
 	}
-	var cpu, memory, load []line
+	var cpu, memory, load []plotLine
 	for _, u := range r.Routers {
-		cpu = append(cpu, line{fmt.Sprintf("router %d", u.Router), points(u.CPU)})
-		memory = append(memory, line{fmt.Sprintf("router %d", u.Router), points(u.MemoryMB)})
+		cpu = append(cpu, plotLine{fmt.Sprintf("router %d", u.Router), pointsOf(u.CPU)})
+		memory = append(memory, plotLine{fmt.Sprintf("router %d", u.Router), pointsOf(u.MemoryMB)})
 	}
 	for _, s := range r.Servers {
 		ys := make([]float64, len(s.BySecond))
 		for i, n := range s.BySecond {
 			ys[i] = float64(n)
 		}
-		load = append(load, line{string(s.Server), points(ys)})
+		load = append(load, plotLine{string(s.Server), pointsOf(ys)})
 	}
 	for _, p := range []struct {
 		title, axis string
-		lines       []line
+		lines       []plotLine
 	}{{"Write-outs by server", "a second", load}, {"CPU by router", "s a second", cpu}, {"Memory by router", "MB", memory}} {
-		svg, err := r.draw(p.axis, p.lines)
+		svg, err := r.plot(p.axis, p.lines)
 		if err != nil {
 			return nil, err
 		}
@@ -101,12 +101,12 @@
 	return out, nil
 }
 
-type line struct {
-	name string
-	xys  plotter.XYs
+type plotLine struct {
+	name   string
+	points plotter.XYs
 }
 
-func points(ys []float64) (xys plotter.XYs) {
+func pointsOf(ys []float64) (xys plotter.XYs) {
 	for i, y := range ys {
 		xys = append(xys, plotter.XY{X: float64(i), Y: y})
 	}
@@ -114,17 +114,17 @@
 }
 
 // draw plots lines over time, with the faults marked.
-func (r Report) draw(axis string, lines []line) (template.HTML, error) {
+func (r Report) plot(axis string, lines []plotLine) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", axis
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
 	const named = 12 // more names than that hide the plot
 	for i, l := range lines {
-		if len(l.xys) == 0 {
+		if len(l.points) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(l.xys)
+		drawn, err := plotter.NewLine(l.points)
 		if err != nil {
 			return "", err
 		}
--- a/internal/lab/report/recovery.go
+++ b/internal/lab/report/recovery.go
@@ -29,13 +29,13 @@
 }
 
 const (
-	partSpan    = 250e3
-	beforeParts = 20
-	afterParts  = 40
+	sliceSpan    = 250e3
+	slicesBefore = 20
+	slicesAfter  = 40
 )
 
 // around looks for a restart; nil where there is none, or it is too near to an end of the run.
-func around(r fleet.Result) *RestartWindow {
+func restartWindowOf(r fleet.Result) *RestartWindow {
 	down, up := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		switch {
@@ -45,14 +45,14 @@
 			up = e.At
 		}
 	}
-	if up < 0 || down-r.ClientsStart < partSpan*beforeParts {
+	if up < 0 || down-r.ClientsStart < sliceSpan*slicesBefore {
 		return nil
 	}
-	a := &RestartWindow{PartMs: partSpan / 1e3, Before: make([]TimeSlice, beforeParts), After: make([]TimeSlice, afterParts)}
-	took := map[event.Op]event.Micros{}
+	window := &RestartWindow{PartMs: sliceSpan / 1e3, Before: make([]TimeSlice, slicesBefore), After: make([]TimeSlice, slicesAfter)}
+	answeredAt := map[event.Op]event.Micros{}
 	for _, e := range r.Events {
-		if _, known := took[e.Op]; e.Kind == event.Answered && e.Outcome == event.Satisfied && !known {
-			took[e.Op] = e.At
+		if _, known := answeredAt[e.Op]; e.Kind == event.Answered && e.Outcome == event.Satisfied && !known {
+			answeredAt[e.Op] = e.At
 		}
 	}
 	for _, e := range r.Events {
@@ -60,17 +60,17 @@
 			continue
 		}
 		var p *TimeSlice
-		switch i, j := int((down-e.At)/partSpan), int((e.At-up)/partSpan); {
-		case e.At < down && i < beforeParts:
-			p = &a.Before[i]
-		case e.At >= up && j < afterParts:
-			p = &a.After[j]
+		switch i, j := int((down-e.At)/sliceSpan), int((e.At-up)/sliceSpan); {
+		case e.At < down && i < slicesBefore:
+			p = &window.Before[i]
+		case e.At >= up && j < slicesAfter:
+			p = &window.After[j]
 		default:
 			continue
 		}
 		m := r.Scenario.Methods[e.Method]
 		p.Offered += m.Criticality
-		if at, served := took[e.Op]; served {
+		if at, served := answeredAt[e.Op]; served {
 			if at-e.At <= m.LatencyBudget.Micros() {
 				p.Earned += m.Criticality
 			} else {
@@ -79,7 +79,7 @@
 			p.LatencyMs = append(p.LatencyMs, float32(at-e.At)/1e3)
 		}
 	}
-	return a
+	return window
 }
 
 // Recovery is how long after a restart service and p99 were within a part of what they had been before.
@@ -92,12 +92,12 @@
 }
 
 const (
-	within      = 0.05
-	windowParts = 4 // a second: p99 of less is chance
+	tolerance    = 0.05
+	windowSlices = 4 // a second: p99 of less is chance
 )
 
 // recover pools runs and finds the first part from which on a second of it is as before.
-func recover(runs []*RestartWindow) Recovery {
+func measureRecovery(runs []*RestartWindow) Recovery {
 	pool := func(of func(*RestartWindow) []TimeSlice) TimeSlice {
 		var p TimeSlice
 		for _, a := range runs {
@@ -110,34 +110,34 @@
 	before := pool(func(a *RestartWindow) []TimeSlice { return a.Before })
 	r := Recovery{SteadyService: before.Earned / max(1, before.Offered), SteadyP99: p99(before.LatencyMs), Service: math.Inf(1), P99: math.Inf(1),
 		Both: math.Inf(1)}
-	for i := 0; i+windowParts <= afterParts; i++ {
-		now := pool(func(a *RestartWindow) []TimeSlice { return a.After[i : i+windowParts] })
-		at := float64(i) * partSpan / 1e6
-		good := now.Earned/max(1, now.Offered) >= (1-within)*r.SteadyService
-		quick := p99(now.LatencyMs) <= (1+within)*r.SteadyP99
-		if good {
+	for i := 0; i+windowSlices <= slicesAfter; i++ {
+		now := pool(func(a *RestartWindow) []TimeSlice { return a.After[i : i+windowSlices] })
+		at := float64(i) * sliceSpan / 1e6
+		serviceRecovered := now.Earned/max(1, now.Offered) >= (1-tolerance)*r.SteadyService
+		latencyRecovered := p99(now.LatencyMs) <= (1+tolerance)*r.SteadyP99
+		if serviceRecovered {
 			r.Service = min(r.Service, at)
 		}
-		if quick {
+		if latencyRecovered {
 			r.P99 = min(r.P99, at)
 		}
-		if good && quick {
+		if serviceRecovered && latencyRecovered {
 			r.Both = min(r.Both, at)
 		}
 	}
 	// What never recovered took as long as was looked at, or more.
-	most := float64(afterParts) * partSpan / 1e6
-	r.Service, r.P99, r.Both = min(r.Service, most), min(r.P99, most), min(r.Both, most)
+	longest := float64(slicesAfter) * sliceSpan / 1e6
+	r.Service, r.P99, r.Both = min(r.Service, longest), min(r.P99, longest), min(r.Both, longest)
 	return r
 }
 
-func p99(took []float32) float64 {
-	if len(took) == 0 {
+func p99(latencies []float32) float64 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	took = slices.Clone(took)
-	slices.Sort(took)
-	return float64(took[min(len(took)-1, len(took)*99/100)])
+	latencies = slices.Clone(latencies)
+	slices.Sort(latencies)
+	return float64(latencies[min(len(latencies)-1, len(latencies)*99/100)])
 }
 
 // Range is a figure with what 95 of 100 draws of runs leave it in.
@@ -157,62 +157,62 @@
 // Recoveries compares how two candidates come back from a restart, by pairs of runs with one seed. The intervals come from
 // drawing pairs anew, 200 times.
 func CompareRecoveries(a, b RunSet) (rows []RecoveryComparison, pairs int, err error) {
-	of := map[uint64]*RestartWindow{}
+	bySeed := map[uint64]*RestartWindow{}
 	for _, r := range b.Runs {
 		if r.InvalidReason == "" && r.AroundRestart != nil {
-			of[r.Seed] = r.AroundRestart
+			bySeed[r.Seed] = r.AroundRestart
 		}
 	}
-	var left, right []*RestartWindow
+	var runsA, runsB []*RestartWindow
 	for _, r := range a.Runs {
-		if other := of[r.Seed]; r.InvalidReason == "" && r.AroundRestart != nil && other != nil {
-			left, right = append(left, r.AroundRestart), append(right, other)
+		if other := bySeed[r.Seed]; r.InvalidReason == "" && r.AroundRestart != nil && other != nil {
+			runsA, runsB = append(runsA, r.AroundRestart), append(runsB, other)
 		}
 	}
-	if len(left) < 2 {
-		return nil, len(left), fmt.Errorf("%d pairs of runs with a restart are too few; run both with --seeds 10", len(left))
+	if len(runsA) < 2 {
+		return nil, len(runsA), fmt.Errorf("%d pairs of runs with a restart are too few; run both with --seeds 10", len(runsA))
 	}
 	names := []string{"service back to 95% of before, s", "p99 back to 105% of before, s", "both, s", "service in the second after",
 		"service in the 5 s after", "service before", "p99 before, ms"}
 	figures := func(runs []*RestartWindow) []float64 {
-		x := recover(runs)
-		return []float64{x.Service, x.P99, x.Both, early(runs, 4), early(runs, 20), x.SteadyService, x.SteadyP99}
+		resampledA := measureRecovery(runs)
+		return []float64{resampledA.Service, resampledA.P99, resampledA.Both, earlyService(runs, 4), earlyService(runs, 20), resampledA.SteadyService, resampledA.SteadyP99}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	const draws = 200
 	drawnA, drawnB := make([][]float64, len(names)), make([][]float64, len(names))
 	for range draws {
-		x, y := make([]*RestartWindow, len(left)), make([]*RestartWindow, len(left))
-		for i := range x {
-			n := r.IntN(len(left))
-			x[i], y[i] = left[n], right[n]
+		resampledA, resampledB := make([]*RestartWindow, len(runsA)), make([]*RestartWindow, len(runsA))
+		for i := range resampledA {
+			n := r.IntN(len(runsA))
+			resampledA[i], resampledB[i] = runsA[n], runsB[n]
 		}
-		u, v := figures(x), figures(y)
+		u, v := figures(resampledA), figures(resampledB)
 		for i := range names {
 			drawnA[i], drawnB[i] = append(drawnA[i], u[i]), append(drawnB[i], v[i])
 		}
 	}
-	valueA, valueB := figures(left), figures(right)
+	valueA, valueB := figures(runsA), figures(runsB)
 	for i, name := range names {
 		row := RecoveryComparison{Metric: name, A: Range{Value: valueA[i]}, B: Range{Value: valueB[i]}}
-		row.A.Low, row.A.High = ends(drawnA[i])
-		row.B.Low, row.B.High = ends(drawnB[i])
+		row.A.Low, row.A.High = interval95(drawnA[i])
+		row.B.Low, row.B.High = interval95(drawnB[i])
 		rows = append(rows, row)
 	}
-	return rows, len(left), nil
+	return rows, len(runsA), nil
 }
 
-func early(runs []*RestartWindow, parts int) float64 {
-	asked, earned := 0.0, 0.0
+func earlyService(runs []*RestartWindow, slices int) float64 {
+	offered, earned := 0.0, 0.0
 	for _, a := range runs {
-		for _, p := range a.After[:parts] {
-			asked, earned = asked+p.Offered, earned+p.Earned
+		for _, p := range a.After[:slices] {
+			offered, earned = offered+p.Offered, earned+p.Earned
 		}
 	}
-	return earned / max(1, asked)
+	return earned / max(1, offered)
 }
 
-func ends(xs []float64) (low, high float64) {
+func interval95(xs []float64) (low, high float64) {
 	slices.SortFunc(xs, cmp.Compare[float64])
 	return xs[len(xs)*25/1000], xs[len(xs)*975/1000]
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -136,17 +136,17 @@
 	End  bool    `json:"end"`
 }
 
-type op struct {
-	wanted   event.Event
-	answered event.Micros // of the answer that satisfied it
-	served   bool
+type opRecord struct {
+	offered    event.Event
+	answeredAt event.Micros // of the answer that satisfied it
+	served     bool
 }
 
 // Most lateness of the lab that leaves figures worth something: no single stall over the first, and no more than the
 // second of all ops begun late.
 const (
-	voidStall = 250e3
-	voidShare = 0.02
+	maxStall     = 250e3
+	maxLateShare = 0.02
 )
 
 // Make makes the figures of a run.
@@ -158,16 +158,16 @@
 	if rep.Violations == nil {
 		rep.Violations = []referee.Broken{}
 	}
-	m := maker{rep: &rep, s: s, from: r.ClientsStart, n: n, ops: map[event.Op]*op{}, servers: map[event.Server]int{},
-		routerOf: map[event.Req]event.Router{}, cpu: make([]event.Micros, s.Routers.Count), hints: make([]int, len(hintBounds)+2)}
+	m := builder{report: &rep, scenario: s, start: r.ClientsStart, seconds: n, ops: map[event.Op]*opRecord{}, servers: map[event.Server]int{},
+		routerOf: map[event.Req]event.Router{}, cpu: make([]event.Micros, s.Routers.Count), hintCounts: make([]int, len(hintBounds)+2)}
 	for i := range rep.Routers {
 		rep.Routers[i] = RouterUsage{Router: i, CPU: make([]float64, n), MemoryMB: make([]float64, n)}
 	}
 	for _, e := range r.Events {
-		m.take(e)
+		m.add(e)
 	}
 	m.finish(len(r.Arrivals))
-	rep.AroundRestart, rep.SiteLoss = around(r), lossOf(r)
+	rep.AroundRestart, rep.SiteLoss = restartWindowOf(r), siteLossOf(r)
 	top := slices.MaxFunc(s.Methods, func(a, b scenario.Method) int { return cmp.Compare(a.Criticality, b.Criticality) })
 	for _, m := range s.Methods {
 		if m.Criticality == top.Criticality {
@@ -179,29 +179,29 @@
 
 var hintBounds = []event.Micros{100e3, 300e3, 1e6, 3e6}
 
-type maker struct {
-	rep      *Report
-	s        scenario.Scenario
-	from     event.Micros
-	n        int
-	ops      map[event.Op]*op
-	servers  map[event.Server]int
-	routerOf map[event.Req]event.Router
-	cpu      []event.Micros
-	hints    []int
-	lateOps  int
-	stall    event.Micros
+type builder struct {
+	report       *Report
+	scenario     scenario.Scenario
+	start        event.Micros
+	seconds      int
+	ops          map[event.Op]*opRecord
+	servers      map[event.Server]int
+	routerOf     map[event.Req]event.Router
+	cpu          []event.Micros
+	hintCounts   []int
+	lateOps      int
+	longestStall event.Micros
 }
 
-func (m *maker) second(at event.Micros) int { return max(0, min(m.n-1, int((at-m.from)/1e6))) }
+func (b *builder) second(at event.Micros) int { return max(0, min(b.seconds-1, int((at-b.start)/1e6))) }
 
-func (m *maker) take(e event.Event) {
-	rep, sec := m.rep, &m.rep.Seconds[m.second(e.At)]
+func (b *builder) add(e event.Event) {
+	rep, second := b.report, &b.report.Seconds[b.second(e.At)]
 	switch e.Kind {
 	case event.Wanted:
-		m.ops[e.Op] = &op{wanted: e}
+		b.ops[e.Op] = &opRecord{offered: e}
 		rep.Ops.Offered++
-		sec.Offered++
+		second.Offered++
 	case event.Asked:
 		rep.Ops.Requests++
 		rep.Routers[e.Router].Requests++
@@ -209,40 +209,40 @@
 		rep.Ops.Unreached++
 	case event.Cut:
 		rep.Ops.Cut++
-		sec.Failed++
+		second.Failed++
 	case event.Left:
 		rep.Ops.Abandoned++
 	case event.Answered:
 		switch e.Outcome {
 		case event.Satisfied:
-			sec.Succeeded++
-			if o := m.ops[e.Op]; o != nil && !o.served {
-				o.served, o.answered = true, e.At
+			second.Succeeded++
+			if o := b.ops[e.Op]; o != nil && !o.served {
+				o.served, o.answeredAt = true, e.At
 			}
 		case event.Nacked:
 			rep.Ops.Rejected++
-			sec.Rejected++
+			second.Rejected++
 			i, _ := slices.BinarySearch(hintBounds, e.Limit)
 			if e.Limit > 0 {
 				i++
 			}
-			m.hints[i]++
+			b.hintCounts[i]++
 		default:
 			rep.Ops.Failed++
-			sec.Failed++
+			second.Failed++
 		}
 	case event.Conn:
 		rep.ConnectionsOpened++
-		sec.ConnectionsOpened++
+		second.ConnectionsOpened++
 	case event.Came:
 		if e.Server != "" {
-			m.server(e.Server).Cold = e.Limit > 0
+			b.serverLoad(e.Server).Cold = e.Limit > 0
 		}
 	case event.Begun:
 		rep.Attempts.Total++
-		l := m.server(e.Server)
+		l := b.serverLoad(e.Server)
 		l.Total++
-		l.BySecond[m.second(e.At)]++
+		l.BySecond[b.second(e.At)]++
 		if e.Server == "origin" {
 			rep.Attempts.ToOrigin++
 		}
@@ -256,69 +256,69 @@
 			rep.Attempts.Wasted++
 		}
 	case event.Fault:
-		rep.Faults = append(rep.Faults, FaultMark{float64(e.At-m.from) / 1e6, e.Note, e.Limit == 1})
+		rep.Faults = append(rep.Faults, FaultMark{float64(e.At-b.start) / 1e6, e.Note, e.Limit == 1})
 	case event.Late:
-		m.stall = max(m.stall, e.Limit)
+		b.longestStall = max(b.longestStall, e.Limit)
 		if e.Note == "" {
-			m.lateOps++
+			b.lateOps++
 		}
 	case event.Sample:
-		m.sample(e)
+		b.addSample(e)
 	}
 }
 
-func (m *maker) sample(e event.Event) {
-	u, at := &m.rep.Routers[e.Router], m.second(e.At)
-	if used := e.Limit - m.cpu[e.Router]; used > 0 && e.At > m.from && m.cpu[e.Router] > 0 { // less: it is a new process
-		u.CPU[at] += float64(used) / 1e6
-		u.CPUSeconds += float64(used) / 1e6
+func (b *builder) addSample(e event.Event) {
+	usage, at := &b.report.Routers[e.Router], b.second(e.At)
+	if used := e.Limit - b.cpu[e.Router]; used > 0 && e.At > b.start && b.cpu[e.Router] > 0 { // less: it is a new process
+		usage.CPU[at] += float64(used) / 1e6
+		usage.CPUSeconds += float64(used) / 1e6
 	}
-	m.cpu[e.Router] = e.Limit
+	b.cpu[e.Router] = e.Limit
 	mb := float64(e.Size) / (1 << 20)
-	u.MemoryMB[at] = mb
-	u.MemoryMaxMB = max(u.MemoryMaxMB, mb)
+	usage.MemoryMB[at] = mb
+	usage.MemoryMaxMB = max(usage.MemoryMaxMB, mb)
 }
 
-func (m *maker) server(uid event.Server) *ServerLoad {
-	i, known := m.servers[uid]
+func (b *builder) serverLoad(uid event.Server) *ServerLoad {
+	i, known := b.servers[uid]
 	if !known {
-		i = len(m.rep.Servers)
-		m.servers[uid] = i
-		m.rep.Servers = append(m.rep.Servers, ServerLoad{Server: uid, BySecond: make([]int, m.n)})
+		i = len(b.report.Servers)
+		b.servers[uid] = i
+		b.report.Servers = append(b.report.Servers, ServerLoad{Server: uid, BySecond: make([]int, b.seconds)})
 	}
-	return &m.rep.Servers[i]
+	return &b.report.Servers[i]
 }
 
 // worth is asked for and earned criticality.
-type worth struct {
-	asked, earned float64
-	ops           int
+type valueSum struct {
+	offered, earned float64
+	ops             int
 }
 
-func (w worth) share() float64 {
-	if w.asked == 0 {
+func (w valueSum) share() float64 {
+	if w.offered == 0 {
 		return 1
 	}
-	return w.earned / w.asked
+	return w.earned / w.offered
 }
 
-func (w *worth) add(asked, earned float64) {
-	w.asked, w.earned, w.ops = w.asked+asked, w.earned+earned, w.ops+1
+func (w *valueSum) add(offered, earned float64) {
+	w.offered, w.earned, w.ops = w.offered+offered, w.earned+earned, w.ops+1
 }
 
-func (m *maker) finish(planned int) {
-	rep, s := m.rep, m.s
-	var whole worth
-	bySecond, byMethod, byTenant := make([]worth, m.n), make([]worth, len(s.Methods)), make([]worth, len(s.Tenants))
+func (b *builder) finish(planned int) {
+	rep, s := b.report, b.scenario
+	var overall valueSum
+	bySecond, byMethod, byTenant := make([]valueSum, b.seconds), make([]valueSum, len(s.Methods)), make([]valueSum, len(s.Tenants))
 	all := hdrhistogram.New(1, 60e6, 3)
-	each := make([]*hdrhistogram.Histogram, m.n)
-	for _, o := range m.ops {
-		method, at := s.Methods[o.wanted.Method], m.second(o.wanted.At)
-		earned, took := 0.0, o.answered-o.wanted.At
+	histograms := make([]*hdrhistogram.Histogram, b.seconds)
+	for _, o := range b.ops {
+		method, at := s.Methods[o.offered.Method], b.second(o.offered.At)
+		earned, latency := 0.0, o.answeredAt-o.offered.At
 		switch {
 		case !o.served:
 			rep.Ops.Unserved++
-		case took <= method.LatencyBudget.Micros():
+		case latency <= method.LatencyBudget.Micros():
 			earned = method.Criticality
 			rep.Ops.InTime++
 		default:
@@ -326,22 +326,22 @@
 			rep.Ops.Late++
 		}
 		if o.served {
-			if each[at] == nil {
-				each[at] = hdrhistogram.New(1, 60e6, 3)
+			if histograms[at] == nil {
+				histograms[at] = hdrhistogram.New(1, 60e6, 3)
 			}
-			_ = all.RecordValue(max(1, int64(took))) // what is over the bound is no latency of a run
-			_ = each[at].RecordValue(max(1, int64(took)))
+			_ = all.RecordValue(max(1, int64(latency))) // what is over the bound is no latency of a run
+			_ = histograms[at].RecordValue(max(1, int64(latency)))
 		}
-		whole.add(method.Criticality, earned)
+		overall.add(method.Criticality, earned)
 		bySecond[at].add(method.Criticality, earned)
-		byMethod[o.wanted.Method].add(method.Criticality, earned)
-		if o.wanted.Tenant >= 0 {
-			byTenant[o.wanted.Tenant].add(method.Criticality, earned)
+		byMethod[o.offered.Method].add(method.Criticality, earned)
+		if o.offered.Tenant >= 0 {
+			byTenant[o.offered.Tenant].add(method.Criticality, earned)
 		}
 	}
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
 	rep.Latency = Latency{ms(all, 50), ms(all, 90), ms(all, 99), ms(all, 99.9), float64(all.Max()) / 1e3}
-	rep.Service.Overall, rep.Service.Worst10s = whole.share(), worst(bySecond, 10)
+	rep.Service.Overall, rep.Service.Worst10s = overall.share(), worstShare(bySecond, 10)
 	for i := range s.Methods {
 		rep.Service.Methods = append(rep.Service.Methods, NamedShare{s.Methods[i].Name, byMethod[i].share(), byMethod[i].ops})
 	}
@@ -350,15 +350,15 @@
 	}
 	for i := range rep.Seconds {
 		rep.Seconds[i].At, rep.Seconds[i].Service = i, bySecond[i].share()
-		if each[i] != nil {
-			rep.Seconds[i].P50, rep.Seconds[i].P99 = ms(each[i], 50), ms(each[i], 99)
+		if histograms[i] != nil {
+			rep.Seconds[i].P50, rep.Seconds[i].P99 = ms(histograms[i], 50), ms(histograms[i], 99)
 		}
 	}
 	rep.Attempts.PerRequest = float64(rep.Attempts.Total) / float64(max(1, rep.Ops.Requests))
 	for i := range rep.Routers {
 		rep.Routers[i].CPUPerRequestUs = 1e6 * rep.Routers[i].CPUSeconds / float64(max(1, rep.Routers[i].Requests))
 	}
-	for i, n := range m.hints {
+	for i, n := range b.hintCounts {
 		name := "none"
 		switch {
 		case i > len(hintBounds):
@@ -369,22 +369,22 @@
 		rep.Rejections = append(rep.Rejections, HintBucket{name, n})
 	}
 	slices.SortStableFunc(rep.Servers, func(a, b ServerLoad) int { return cmp.Compare(a.Server, b.Server) })
-	rep.MaxLatenessMs = float64(m.stall) / 1e3
+	rep.MaxLatenessMs = float64(b.longestStall) / 1e3
 	switch {
-	case m.stall > voidStall:
-		rep.InvalidReason = fmt.Sprintf("the lab itself stood still for %v; give it more of the machine", m.stall.Duration())
-	case float64(m.lateOps) > voidShare*float64(max(1, planned)):
-		rep.InvalidReason = fmt.Sprintf("%d of %d ops began over 20 ms late; lower the rate, or give the lab more of the machine", m.lateOps, planned)
+	case b.longestStall > maxStall:
+		rep.InvalidReason = fmt.Sprintf("the lab itself stood still for %v; give it more of the machine", b.longestStall.Duration())
+	case float64(b.lateOps) > maxLateShare*float64(max(1, planned)):
+		rep.InvalidReason = fmt.Sprintf("%d of %d ops began over 20 ms late; lower the rate, or give the lab more of the machine", b.lateOps, planned)
 	}
 }
 
 // worst is the least share over so many seconds in a row.
-func worst(by []worth, span int) float64 {
+func worstShare(by []valueSum, span int) float64 {
 	least := 1.0
 	for i := 0; i == 0 || i+span <= len(by); i++ {
-		var w worth
+		var w valueSum
 		for _, x := range by[i:min(len(by), i+span)] {
-			w.asked, w.earned = w.asked+x.asked, w.earned+x.earned
+			w.offered, w.earned = w.offered+x.offered, w.earned+x.earned
 		}
 		least = min(least, w.share())
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -15,7 +15,7 @@
 
 // played is a run of 20 s with an op every 10 ms, answered after 10 ms; a router is down from 10 to 11 s, and then ops take
 // 100 ms for so many seconds. Every tenth op is a late one, every hundredth is rejected with a hint and never satisfied.
-func played(seed uint64, bad event.Micros) fleet.Result {
+func sampleRun(seed uint64, bad event.Micros) fleet.Result {
 	s := scenario.Default()
 	s.Title, s.Length = "played", 20e6
 	s.Methods = []scenario.Method{{Name: "get", LatencyBudget: 50e3, Deadline: 500e3, Criticality: 2, LateShare: 0.5}}
@@ -48,22 +48,22 @@
 	return r
 }
 
-func near(t *testing.T, what string, got, want, by float64) {
+func checkNear(t *testing.T, what string, got, want, by float64) {
 	t.Helper()
 	if math.Abs(got-want) > by {
 		t.Errorf("%s: %v, not %v", what, got, want)
 	}
 }
 
-func TestFigures(t *testing.T) {
-	r := New(played(1, 0))
+func TestMetrics(t *testing.T) {
+	r := New(sampleRun(1, 0))
 	// Of 100 ops 90 earn all, 9 a half, 1 nothing; of the 100 in the second that the router is down 99 earn a half.
-	near(t, "service", r.Service.Overall, (19*94.5+49.5)/2000, 1e-9)
-	near(t, "worst 10 s", r.Service.Worst10s, (9*94.5+49.5)/1000, 1e-9)
-	near(t, "the method's", r.Service.Methods[0].Share, r.Service.Overall, 1e-9)
-	near(t, "p50", r.Latency.P50, 10, 0.1)
-	near(t, "p99", r.Latency.P99, 100, 0.5)
-	near(t, "write-outs a try", r.Attempts.PerRequest, 0.99, 1e-9)
+	checkNear(t, "service", r.Service.Overall, (19*94.5+49.5)/2000, 1e-9)
+	checkNear(t, "worst 10 s", r.Service.Worst10s, (9*94.5+49.5)/1000, 1e-9)
+	checkNear(t, "the method's", r.Service.Methods[0].Share, r.Service.Overall, 1e-9)
+	checkNear(t, "p50", r.Latency.P50, 10, 0.1)
+	checkNear(t, "p99", r.Latency.P99, 100, 0.5)
+	checkNear(t, "write-outs a try", r.Attempts.PerRequest, 0.99, 1e-9)
 	if r.Ops.Rejected != 20 || r.Ops.Unserved != 20 || r.Rejections[2].Count != 20 || r.Rejections[2].Hint != "to 300ms" || r.InvalidReason != "" {
 		t.Errorf("%+v %+v %s", r.Ops, r.Rejections, r.InvalidReason)
 	}
@@ -72,13 +72,13 @@
 	}
 }
 
-func TestLateLabVoids(t *testing.T) {
-	run := played(1, 0)
+func TestLateLabInvalidatesTheRun(t *testing.T) {
+	run := sampleRun(1, 0)
 	run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.Late, Limit: 300e3, Note: "heartbeat"})
 	if r := New(run); !strings.Contains(r.InvalidReason, "stood still for 300ms") {
 		t.Error(r.InvalidReason)
 	}
-	run = played(1, 0)
+	run = sampleRun(1, 0)
 	for range 50 {
 		run.Events = append(run.Events, event.Event{At: 5e6, Kind: event.Late, Limit: 30e3})
 	}
@@ -90,24 +90,24 @@
 func TestInterval(t *testing.T) {
 	// By the table of Student's t with 4 degrees of freedom: 2.776 times 1.5811 over the root of 5.
 	i := Mean([]float64{1, 2, 3, 4, 5})
-	near(t, "mean", i.Mean, 3, 1e-9)
-	near(t, "half", i.HalfWidth, 1.963, 0.001)
+	checkNear(t, "mean", i.Mean, 3, 1e-9)
+	checkNear(t, "half", i.HalfWidth, 1.963, 0.001)
 	if one := Mean([]float64{7}); one.Samples != 1 || !strings.Contains(one.String(), "no interval") {
 		t.Error(one)
 	}
 }
 
-func set(label string, bad func(seed uint64) event.Micros) (s RunSet) {
+func runSet(label string, bad func(seed uint64) event.Micros) (s RunSet) {
 	for seed := range uint64(4) {
-		s.Runs = append(s.Runs, New(played(seed, bad(seed))))
+		s.Runs = append(s.Runs, New(sampleRun(seed, bad(seed))))
 	}
 	s.Label, s.Version = label, Version
 	return s
 }
 
 func TestCompare(t *testing.T) {
-	worse := set("worse", func(seed uint64) event.Micros { return 2e6 + event.Micros(seed)*100e3 })
-	good := set("good", func(seed uint64) event.Micros { return event.Micros(seed) * 100e3 })
+	worse := runSet("worse", func(seed uint64) event.Micros { return 2e6 + event.Micros(seed)*100e3 })
+	good := runSet("good", func(seed uint64) event.Micros { return event.Micros(seed) * 100e3 })
 	rows, pairs, err := Compare(worse, good)
 	if err != nil || pairs != 4 || rows[0].Conclusion != "better" || rows[2].Conclusion != "no difference beyond chance" {
 		t.Errorf("%+v %v", rows, err)
@@ -125,15 +125,15 @@
 }
 
 func TestRecoveries(t *testing.T) {
-	slow := set("slow", func(uint64) event.Micros { return 2e6 })
-	quick := set("quick", func(uint64) event.Micros { return 500e3 })
+	slow := runSet("slow", func(uint64) event.Micros { return 2e6 })
+	quick := runSet("quick", func(uint64) event.Micros { return 500e3 })
 	rows, pairs, err := CompareRecoveries(slow, quick)
 	if err != nil || pairs != 4 {
 		t.Fatal(err)
 	}
-	near(t, "service before", rows[5].A.Value, 0.945, 0.003)
-	near(t, "slow", rows[2].A.Value, 1.75, 0.26)
-	near(t, "quick", rows[2].B.Value, 0.25, 0.26)
+	checkNear(t, "service before", rows[5].A.Value, 0.945, 0.003)
+	checkNear(t, "slow", rows[2].A.Value, 1.75, 0.26)
+	checkNear(t, "quick", rows[2].B.Value, 0.25, 0.26)
 	if rows[2].A.Low > rows[2].A.Value || rows[2].A.High < rows[2].A.Value {
 		t.Errorf("%+v", rows[2])
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-func TestTableAndPageTellWhatBroke(t *testing.T) {
-	r := New(played(1, 0))
+func TestTableAndPageShowViolations(t *testing.T) {
+	r := New(sampleRun(1, 0))
 	r.Violations = []referee.Broken{{Rule: 2, What: "sent <again>", Req: "q7", Evidence: []string{"seen & noted"}}}
 	r.Faults = []FaultMark{{At: 3, Kind: "kill"}, {At: 5, Kind: "kill", End: true}}
 	var table, page bytes.Buffer
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if r.SiteLoss != nil {
-		if err := lossTable(w, r.SiteLoss); err != nil {
+		if err := writeLossTable(w, r.SiteLoss); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -23,11 +23,11 @@
 const Version = 1
 
 const (
-	magic     = "spurtrestle-trace "
-	perBlock  = 4096
-	mostBytes = 16 << 20 // of one block, packed or not: a damaged length must not ask for all memory
-	mostNames = 1 << 16
-	mostText  = 1 << 10
+	magic            = "spurtrestle-trace "
+	arrivalsPerBlock = 4096
+	maxBlockBytes    = 16 << 20 // of one block, packed or not: a damaged length must not ask for all memory
+	maxNames         = 1 << 16
+	maxTextBytes     = 1 << 10
 )
 
 // Names are the names that arrivals refer to by number.
@@ -52,13 +52,13 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func putText(b []byte, s string) []byte {
+func appendText(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func putBlock(w io.Writer, n int, plain []byte) error {
-	var packed bytes.Buffer
-	z, err := flate.NewWriter(&packed, flate.BestSpeed)
+func writeBlock(w io.Writer, n int, plain []byte) error {
+	var compressed bytes.Buffer
+	z, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return err
 	}
@@ -68,35 +68,35 @@
 	if err := z.Close(); err != nil {
 		return err
 	}
-	var head [16]byte
-	binary.LittleEndian.PutUint32(head[0:], uint32(n))
-	binary.LittleEndian.PutUint32(head[4:], uint32(len(plain)))
-	binary.LittleEndian.PutUint32(head[8:], uint32(packed.Len()))
-	binary.LittleEndian.PutUint32(head[12:], crc32.Update(crc32.Checksum(head[:12], castagnoli), castagnoli, packed.Bytes()))
-	if _, err := w.Write(head[:]); err != nil {
+	var header [16]byte
+	binary.LittleEndian.PutUint32(header[0:], uint32(n))
+	binary.LittleEndian.PutUint32(header[4:], uint32(len(plain)))
+	binary.LittleEndian.PutUint32(header[8:], uint32(compressed.Len()))
+	binary.LittleEndian.PutUint32(header[12:], crc32.Update(crc32.Checksum(header[:12], castagnoli), castagnoli, compressed.Bytes()))
+	if _, err := w.Write(header[:]); err != nil {
 		return err
 	}
-	_, err = w.Write(packed.Bytes())
+	_, err = w.Write(compressed.Bytes())
 	return err
 }
 
 // Write writes a whole trace.
-func Write(to io.Writer, names Names, all []arrivals.Arrival) error {
+func Write(to io.Writer, names Names, schedule []arrivals.Arrival) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintf(w, "%s%d\n", magic, Version)
-	head := putText(nil, names.Title)
+	header := appendText(nil, names.Title)
 	for _, list := range [][]string{names.Sites, names.Methods, names.Tenants} {
-		head = binary.AppendUvarint(head, uint64(len(list)))
+		header = binary.AppendUvarint(header, uint64(len(list)))
 		for _, name := range list {
-			head = putText(head, name)
+			header = appendText(header, name)
 		}
 	}
-	if err := putBlock(w, 0, head); err != nil {
+	if err := writeBlock(w, 0, header); err != nil {
 		return err
 	}
 	last := event.Micros(0)
-	for from := 0; from < len(all); from += perBlock {
-		block := all[from:min(from+perBlock, len(all))]
+	for from := 0; from < len(schedule); from += arrivalsPerBlock {
+		block := schedule[from:min(from+arrivalsPerBlock, len(schedule))]
 		var b []byte
 		for _, a := range block {
 			b = binary.AppendVarint(b, int64(a.At-last))
@@ -104,15 +104,15 @@
 			b = binary.AppendVarint(b, int64(a.Site))
 			b = binary.AppendVarint(b, int64(a.Method))
 			b = binary.AppendVarint(b, int64(a.Tenant))
-			b = putText(b, a.Key)
+			b = appendText(b, a.Key)
 			b = binary.AppendUvarint(b, uint64(a.Size))
 			b = binary.AppendUvarint(b, uint64(a.AbandonAfter))
 		}
-		if err := putBlock(w, len(block), b); err != nil {
+		if err := writeBlock(w, len(block), b); err != nil {
 			return err
 		}
 	}
-	if err := putBlock(w, 0, binary.AppendUvarint(nil, uint64(len(all)))); err != nil {
+	if err := writeBlock(w, 0, binary.AppendUvarint(nil, uint64(len(schedule)))); err != nil {
 		return err
 	}
 	return w.Flush()
@@ -120,37 +120,37 @@
 
 // reader keeps the offset and refuses lengths over the bounds.
 type reader struct {
-	in   *bufio.Reader
-	at   int64
-	from int64 // where the block at hand begins
+	in         *bufio.Reader
+	offset     int64
+	blockStart int64 // where the block at hand begins
 }
 
-func (r *reader) full(n int) ([]byte, error) {
+func (r *reader) readFull(n int) ([]byte, error) {
 	b := make([]byte, n)
 	got, err := io.ReadFull(r.in, b)
-	r.at += int64(got)
+	r.offset += int64(got)
 	return b, err
 }
 
-func (r *reader) block() (n int, plain []byte, err error) {
-	r.from = r.at
-	head, err := r.full(16)
+func (r *reader) readBlock() (n int, plain []byte, err error) {
+	r.blockStart = r.offset
+	header, err := r.readFull(16)
 	if err != nil {
 		return 0, nil, errors.New("the file ends within a block")
 	}
-	n = int(binary.LittleEndian.Uint32(head))
-	size, packed := binary.LittleEndian.Uint32(head[4:]), binary.LittleEndian.Uint32(head[8:])
-	if n > perBlock || size > mostBytes || packed > mostBytes {
+	n = int(binary.LittleEndian.Uint32(header))
+	size, compressed := binary.LittleEndian.Uint32(header[4:]), binary.LittleEndian.Uint32(header[8:])
+	if n > arrivalsPerBlock || size > maxBlockBytes || compressed > maxBlockBytes {
 		return 0, nil, errors.New("a block's lengths are impossible")
 	}
-	body, err := r.full(int(packed))
+	body, err := r.readFull(int(compressed))
 	if err != nil {
 		return 0, nil, errors.New("the file ends within a block")
 	}
-	if crc32.Update(crc32.Checksum(head[:12], castagnoli), castagnoli, body) != binary.LittleEndian.Uint32(head[12:]) {
+	if crc32.Update(crc32.Checksum(header[:12], castagnoli), castagnoli, body) != binary.LittleEndian.Uint32(header[12:]) {
 		return 0, nil, errors.New("a checksum does not match")
 	}
-	plain, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), mostBytes))
+	plain, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxBlockBytes))
 	if err != nil || len(plain) != int(size) {
 		return 0, nil, errors.New("a block cannot be unpacked")
 	}
@@ -159,41 +159,41 @@
 
 // cursor walks a block and remembers that something was wrong.
 type cursor struct {
-	b   []byte
-	bad bool
+	rest    []byte
+	invalid bool
 }
 
 func (c *cursor) signed() int64 {
-	x, n := binary.Varint(c.b)
-	if c.bad = c.bad || n <= 0; c.bad {
+	x, n := binary.Varint(c.rest)
+	if c.invalid = c.invalid || n <= 0; c.invalid {
 		return 0
 	}
-	c.b = c.b[n:]
+	c.rest = c.rest[n:]
 	return x
 }
 
 func (c *cursor) unsigned(most uint64) uint64 {
-	x, n := binary.Uvarint(c.b)
-	if c.bad = c.bad || n <= 0 || x > most; c.bad {
+	x, n := binary.Uvarint(c.rest)
+	if c.invalid = c.invalid || n <= 0 || x > most; c.invalid {
 		return 0
 	}
-	c.b = c.b[n:]
+	c.rest = c.rest[n:]
 	return x
 }
 
 func (c *cursor) text() string {
-	n := c.unsigned(mostText)
-	if c.bad = c.bad || int(n) > len(c.b); c.bad {
+	n := c.unsigned(maxTextBytes)
+	if c.invalid = c.invalid || int(n) > len(c.rest); c.invalid {
 		return ""
 	}
-	s := string(c.b[:n])
-	c.b = c.b[n:]
+	s := string(c.rest[:n])
+	c.rest = c.rest[n:]
 	return s
 }
 
 func (c *cursor) list() (out []string) {
-	for range c.unsigned(mostNames) {
-		if out = append(out, c.text()); c.bad {
+	for range c.unsigned(maxNames) {
+		if out = append(out, c.text()); c.invalid {
 			return nil
 		}
 	}
@@ -205,7 +205,7 @@
 	r := &reader{in: bufio.NewReader(from)}
 	var names Names
 	line, err := r.in.ReadString('\n')
-	r.at = int64(len(line))
+	r.offset = int64(len(line))
 	version := 0
 	if _, scan := fmt.Sscanf(line, magic+"%d\n", &version); err != nil || scan != nil || version < 1 {
 		return names, nil, DamageError{0, 0, "it does not begin as a trace does"}
@@ -213,46 +213,46 @@
 	if version > Version {
 		return names, nil, ErrNewerVersion
 	}
-	var all []arrivals.Arrival
-	damage := func(what string) error { return DamageError{r.from, len(all), what} }
-	_, head, err := r.block()
+	var schedule []arrivals.Arrival
+	damage := func(what string) error { return DamageError{r.blockStart, len(schedule), what} }
+	_, header, err := r.readBlock()
 	if err != nil {
 		return names, nil, damage(err.Error())
 	}
-	c := &cursor{b: head}
+	c := &cursor{rest: header}
 	names = Names{c.text(), c.list(), c.list(), c.list()}
-	if c.bad {
+	if c.invalid {
 		return names, nil, damage("the names cannot be read")
 	}
 	last := event.Micros(0)
 	for {
-		n, plain, err := r.block()
+		n, plain, err := r.readBlock()
 		if err != nil {
-			return names, all, damage(err.Error())
+			return names, schedule, damage(err.Error())
 		}
-		c := &cursor{b: plain}
+		c := &cursor{rest: plain}
 		if n == 0 {
-			if count := c.unsigned(1 << 40); c.bad || int(count) != len(all) {
-				return names, all, damage("the count does not match")
+			if count := c.unsigned(1 << 40); c.invalid || int(count) != len(schedule) {
+				return names, schedule, damage("the count does not match")
 			}
 			if _, err := r.in.ReadByte(); err == nil {
-				r.from = r.at
-				return names, all, damage("more stands behind the end")
+				r.blockStart = r.offset
+				return names, schedule, damage("more stands behind the end")
 			}
-			return names, all, nil
+			return names, schedule, nil
 		}
-		whole := all
+		complete := schedule
 		for range n {
 			last += event.Micros(c.signed())
 			a := arrivals.Arrival{At: last, Site: event.Site(c.signed()), Method: event.Method(c.signed()),
 				Tenant: event.Tenant(c.signed()), Key: c.text(), Size: int(c.unsigned(1 << 30)),
 				AbandonAfter: event.Micros(c.unsigned(1 << 50))}
-			if c.bad || int(a.Site) >= len(names.Sites) || a.Site < 0 || int(a.Method) >= len(names.Methods) || a.Method < 0 ||
+			if c.invalid || int(a.Site) >= len(names.Sites) || a.Site < 0 || int(a.Method) >= len(names.Methods) || a.Method < 0 ||
 				int(a.Tenant) >= len(names.Tenants) || a.Tenant < -1 {
-				all = whole
-				return names, all, damage("an arrival names what is not there")
+				schedule = complete
+				return names, schedule, damage("an arrival names what is not there")
 			}
-			all = append(all, a)
+			schedule = append(schedule, a)
 		}
 	}
 }
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -23,7 +23,7 @@
 	return all
 }
 
-func written(t testing.TB, all []arrivals.Arrival) []byte {
+func encode(t testing.TB, all []arrivals.Arrival) []byte {
 	var b bytes.Buffer
 	if err := Write(&b, names, all); err != nil {
 		t.Fatal(err)
@@ -32,23 +32,23 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	for _, n := range []int{0, 1, perBlock, 2*perBlock + 7} {
+	for _, n := range []int{0, 1, arrivalsPerBlock, 2*arrivalsPerBlock + 7} {
 		all := sample(n)
-		file := written(t, all)
+		file := encode(t, all)
 		gotNames, got, err := Read(bytes.NewReader(file))
 		if err != nil || !reflect.DeepEqual(gotNames, names) || !reflect.DeepEqual(got, all) {
 			t.Errorf("%d arrivals: %v, %d read", n, err, len(got))
 		}
-		if !bytes.Equal(file, written(t, got)) {
+		if !bytes.Equal(file, encode(t, got)) {
 			t.Errorf("%d arrivals: written again it differs", n)
 		}
 	}
 }
 
 // Whatever is cut off or changed, what is returned is a prefix of what was written, and the damage is told.
-func TestDamageLeavesAPrefix(t *testing.T) {
-	all := sample(2*perBlock + 7)
-	file := written(t, all)
+func TestDamagedFileYieldsAPrefix(t *testing.T) {
+	all := sample(2*arrivalsPerBlock + 7)
+	file := encode(t, all)
 	rapid.Check(t, func(t *rapid.T) {
 		broken := bytes.Clone(file)
 		at := rapid.IntRange(0, len(file)-1).Draw(t, "at")
@@ -72,6 +72,6 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(written(f, sample(3)))
+	f.Add(encode(f, sample(3)))
 	f.Fuzz(func(_ *testing.T, file []byte) { _, _, _ = Read(bytes.NewReader(file)) })
 }
