--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -1,5 +1,6 @@
-// Package arrivals makes the schedule of what clients ask for: when, from which site, for which tenant, method and key,
-// and how large the value is. It does no I/O; the same scenario and seed give the same schedule, byte by byte.
+// Package arrivals generates the schedule of client operations: arrival time, site, tenant, method, key and value size.
+// Package fleet runs the schedule and package trace stores it. It does no I/O and keeps no state; a scenario and a seed
+// always give the same schedule, byte for byte.
 package arrivals
 
 import (
@@ -15,19 +16,19 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Arrival is one op that a client wants.
+// Arrival is one scheduled operation of a client.
 type Arrival struct {
 	At     event.Micros
 	Site   event.Site
 	Method event.Method
-	Tenant event.Tenant // -1: none
+	Tenant event.Tenant // -1 if there is none
 	Key    string
-	Size   int // bytes of the value
-	// Leaves is when the client goes away without its answer, counted from At; 0: it stays.
+	Size   int // size of the value in bytes
+	// AbandonAfter is the time from At after which the client gives up waiting; 0 means that it waits for the answer.
 	AbandonAfter event.Micros
 }
 
-// zipf draws ranks 0..n-1 with weight 1/(rank+1)^s, from a table: the generator of the library has no s up to one.
+// zipf is a table of cumulative weights for ranks 0..n-1 with weight 1/(rank+1)^s. rand.Zipf supports only s > 1.
 type zipf []float64
 
 func newZipf(n int, s float64) zipf {
@@ -44,7 +45,7 @@
 	return min(sort.SearchFloat64s(z, x), len(z)-1)
 }
 
-// weighted draws an index by weights.
+// drawWeighted returns an index below n with a probability in proportion to its weight.
 func drawWeighted(r *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
@@ -59,13 +60,13 @@
 	return n - 1
 }
 
-// Make makes the whole schedule.
+// Generate returns the complete schedule of a scenario, ordered by arrival time.
 func Generate(s scenario.Scenario, seed uint64) []Arrival {
-	// A source of its own for times and for what is asked: a change of one leaves the other as it was.
+	// Times and contents have separate random streams, so that a change to one does not alter the other.
 	times := rand.New(rand.NewPCG(seed, 1))
 	contents := rand.New(rand.NewPCG(seed, 2))
 	keys := newZipf(s.Load.Keys, s.Load.Zipf)
-	// Which key holds which rank is drawn once, so that neighbours in rank are no neighbours in name.
+	// Keys are assigned to ranks at random, so that keys of similar popularity do not have adjacent names.
 	keyNames := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
 	var out []Arrival
 	for at := 0.0; ; {
@@ -127,7 +128,7 @@
 		switch {
 		case !activeAt(f, at) || f.Site != "" && f.Site != s.Sites[a.Site]:
 		case f.Kind == "hot_key" && r.Float64() < f.Share:
-			key = s.Load.Keys + i // a key that was cold before
+			key = s.Load.Keys + i // a key outside the normal key space, so it is not cached yet
 		case f.Kind == "leave":
 			abandonShare = f.Share
 		}
@@ -143,7 +144,7 @@
 	return a
 }
 
-// Hottest are the keys that are asked for most, by rank.
+// HottestKeys returns the n most popular keys, most popular first.
 func HottestKeys(s scenario.Scenario, seed uint64, n int) (out []string) {
 	keyNames := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
 	for _, key := range keyNames[:min(n, len(keyNames))] {
@@ -152,7 +153,7 @@
 	return out
 }
 
-// Digest is a checksum of a schedule, for telling two apart at a glance.
+// Digest returns a short checksum of a schedule.
 func Digest(schedule []Arrival) string {
 	h := sha256.New()
 	for _, a := range schedule {
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -17,12 +17,12 @@
 
 func TestSameSeedSameSchedule(t *testing.T) {
 	s := commented(t)
-	const want = "e4ff4d0aa3338d48" // of seed 1; it must not change by chance, since reports are compared by seed
+	const want = "e4ff4d0aa3338d48" // for seed 1; reports are compared by seed, so a schedule must not change unintentionally
 	if a, b := Digest(Generate(s, 1)), Digest(Generate(s, 1)); a != b || a != want {
 		t.Error(a, b)
 	}
 	if Digest(Generate(s, 1)) == Digest(Generate(s, 2)) {
-		t.Error("two seeds give one schedule")
+		t.Error("two seeds gave the same schedule")
 	}
 }
 
@@ -42,7 +42,7 @@
 			burst++
 		}
 		if a.At >= 50e6 && a.At < 70e6 {
-			isHot := a.Key == "k"+"334" // key 4000 in base 36: the first one that the scenario does not use
+			isHot := a.Key == "k"+"334" // key 4000 in base 36: the first one outside the scenario's key space
 			if a.Site == 1 {
 				south++
 				if isHot {
@@ -58,15 +58,15 @@
 	}
 	near := func(what string, got, want, within float64) {
 		if math.Abs(got-want) > within*want {
-			t.Errorf("%s: %v, not %v", what, got, want)
+			t.Errorf("%s: got %v, want %v", what, got, want)
 		}
 	}
 	near("rate", before, 50000, 0.02)
 	near("burst", burst, 30000, 0.03)
-	near("north's share", north/before, 0.6, 0.03)
-	near("the hot key's share", hot/south, 0.3, 0.05)
+	near("share of site north", north/before, 0.6, 0.03)
+	near("share of the hot key", hot/south, 0.3, 0.05)
 	if hotNorth > 0 {
-		t.Errorf("%v reads of the hot key at the other site", hotNorth)
+		t.Errorf("%v requests for the hot key at the other site", hotNorth)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	top := HottestKeys(s, 3, 2)
 	if ratio := counts[top[0]] / counts[top[1]]; ratio < 1.85 || ratio > 2.15 {
-		t.Errorf("the first key is asked for %.2f times as often as the second, not twice", ratio)
+		t.Errorf("the first key was requested %.2f times as often as the second, want about 2", ratio)
 	}
 }
 
--- a/internal/lab/scenario/commented.go
+++ b/internal/lab/scenario/commented.go
@@ -2,7 +2,7 @@
 
 import _ "embed"
 
-// Commented is a scenario with all fields and what they mean; it can be played as it stands.
+// Example is a runnable scenario that documents the fields. `cache-routerctl lab init` prints it.
 //
 //go:embed commented.toml
 var Example string
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -8,7 +8,7 @@
 	"spurtrestle/internal/tomlfile"
 )
 
-// Read reads a scenario file. The error holds a line for each thing that is wrong.
+// Read reads and checks a scenario file. The error has one line for each problem, with the name of the file.
 func Read(file string) (Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -25,6 +25,7 @@
 	return s, nil
 }
 
+// unwrap returns the errors that a joined error consists of, or the error itself.
 func unwrap(err error) []error {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		return many.Unwrap()
@@ -32,7 +33,7 @@
 	return []error{err}
 }
 
-// Parse reads the text of a scenario file.
+// Parse reads and checks the text of a scenario file. Fields that it leaves out have the values of Default.
 func Parse(text []byte) (Scenario, error) {
 	s := Default()
 	if err := tomlfile.Decode(text, &s, "`cache-routerctl lab init`"); err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads what a lab run is to be: the service, its routers and servers, the load, the faults on their
-// timeline, and what is expected. A file is strict TOML; what is wrong in it is named with its line, field and remedy.
+// Package scenario defines and reads the description of a lab run: the service, its routers and servers, the load, the
+// timeline of faults, and the expected result. A file is strict TOML; each error names its line, field and remedy. The
+// commands of cache-routerctl read scenarios; package fleet runs them. Values are not changed after they are read.
 package scenario
 
 import (
@@ -9,10 +10,10 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// Span is a length of time, written as "250ms" or "2m30s".
+// Span is a duration in microseconds, written as "250ms" or "2m30s".
 type Span event.Micros
 
-// UnmarshalText reads a span.
+// UnmarshalText parses a duration that is not negative.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
@@ -22,15 +23,15 @@
 	return nil
 }
 
-// MarshalText writes a span as it is read.
+// MarshalText formats the span so that UnmarshalText can parse it.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 func (s Span) String() string { return event.Micros(s).Duration().String() }
 
-// Micros is the span in the lab's unit.
+// Micros returns the span as event.Micros.
 func (s Span) Micros() event.Micros { return event.Micros(s) }
 
-// Scenario is one run.
+// Scenario describes one run.
 type Scenario struct {
 	Title  string   `toml:"title"`
 	About  string   `toml:"about"`
@@ -51,12 +52,12 @@
 	Expect    Expect    `toml:"expect"`
 }
 
-// SiteOf names the site of the server or router at a place.
-func (s *Scenario) SiteOf(place int) string { return s.Sites[place%len(s.Sites)] }
+// SiteOf returns the site of the server or router with an index. Sites are assigned round robin.
+func (s *Scenario) SiteOf(index int) string { return s.Sites[index%len(s.Sites)] }
 
-// Service is what every router is told of the service.
+// Service holds the settings of the service that every router receives.
 type Service struct {
-	Mode           string  `toml:"mode"` // aside: misses go to the origin; through: the servers see to them
+	Mode           string  `toml:"mode"` // aside: routers send misses to the origin; through: the servers load them
 	MaxAttempts    int     `toml:"max_write_outs"`
 	Cancel         bool    `toml:"cancel"`
 	Hints          bool    `toml:"hints"`
@@ -67,49 +68,49 @@
 	OverShareValue float64 `toml:"over_share_worth"`
 }
 
-// Method is one method of the service.
+// Method describes one method of the service and its share of the traffic.
 type Method struct {
 	Name             string  `toml:"name"`
 	Share            float64 `toml:"share"`
 	Effect           string  `toml:"effect"` // retryable, deduplicated, non-retryable
-	Group            string  `toml:"group"`  // deduplicated: all, zone or cell
+	Group            string  `toml:"group"`  // scope of deduplication: all, zone or cell
 	Window           Span    `toml:"window"`
 	Write            bool    `toml:"write"`
-	Work             Span    `toml:"work"`   // mean, on one core of a cache server
-	WorkDistribution string  `toml:"spread"` // of the work: none, exp
+	Work             Span    `toml:"work"`   // mean service time on one core of a cache server
+	WorkDistribution string  `toml:"spread"` // distribution of the work: none or exp
 	LatencyBudget    Span    `toml:"latency_budget"`
 	Deadline         Span    `toml:"deadline"`
 	Criticality      float64 `toml:"criticality"`
 	LateShare        float64 `toml:"late_share"`
 }
 
-// Tenant is one customer and its share of the traffic.
+// Tenant is one tenant, its share of the service and its usage.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Usage float64 `toml:"usage"` // of its share; 1 where it is left out
+	Usage float64 `toml:"usage"` // fraction of its share that it requests; 1 if left out
 }
 
-// Routers are the programs under test.
+// Routers describes the router processes under test.
 type Routers struct {
 	Count        int    `toml:"count"`
 	MemoryMB     int    `toml:"memory_mb"`
 	Descriptors  int    `toml:"descriptors"`
 	Cores        int    `toml:"cores"`      // GOMAXPROCS of each
-	State        bool   `toml:"state"`      // each has a folder that outlives it
-	Fleet        bool   `toml:"fleet"`      // they keep a view of one another, over a network that can be cut
-	Policy       string `toml:"policy"`     // they hold one policy, kept by the first three; serve or refuse, where one is cut off
-	Probe        Span   `toml:"probe"`      // between two probes of one another
-	KillAfter    Span   `toml:"kill_after"` // beyond the longest deadline: from SIGTERM to SIGKILL
-	SiteLossPlan string `toml:"plan"`       // for the loss of a site, as [sites] of a policy has it; the first change of the policy
+	State        bool   `toml:"state"`      // each has a state directory that outlives the process
+	Fleet        bool   `toml:"fleet"`      // they form a fleet over links that faults can affect
+	Policy       string `toml:"policy"`     // mode of a router without a current policy, serve or refuse; the first three store the policy; empty: no policy
+	Probe        Span   `toml:"probe"`      // interval of the probes between routers
+	KillAfter    Span   `toml:"kill_after"` // time from SIGTERM to SIGKILL, in addition to the longest deadline
+	SiteLossPlan string `toml:"plan"`       // the [sites] section of the first policy revision, for the loss of a site
 }
 
-// Servers are the cache servers.
+// Servers describes the cache servers.
 type Servers struct {
 	Count            int      `toml:"count"`
 	Cores            int      `toml:"cores"`
 	Queue            int      `toml:"queue"`
-	Keys             int      `toml:"keys"` // that one holds
+	Keys             int      `toml:"keys"` // capacity of one server
 	FilledShare      float64  `toml:"filled"`
 	MissWork         Span     `toml:"miss_work"`
 	Connections      int      `toml:"connections"`
@@ -121,11 +122,11 @@
 	CancelStopsWork  bool     `toml:"cancel_stops"`
 	ReportFields     []string `toml:"reports"`
 	ReportInterval   Span     `toml:"report_every"`
-	Probes           bool     `toml:"probes"`     // routers may ask for the report
-	ProbeWork        Span     `toml:"probe_work"` // that a probe costs
+	Probes           bool     `toml:"probes"`     // routers may request the load report by itself
+	ProbeWork        Span     `toml:"probe_work"` // work of a probe
 }
 
-// Origin is the one slow store behind the cache servers.
+// Origin describes the slow store behind the cache servers.
 type Origin struct {
 	Cores            int     `toml:"cores"`
 	Queue            int     `toml:"queue"`
@@ -135,30 +136,30 @@
 	Downtime         Span    `toml:"stop_for"`
 }
 
-// Discovery tells the routers of the servers.
+// Discovery describes how the routers learn about servers.
 type Discovery struct {
-	Delay          Span `toml:"delay"`      // from a change until it is told
-	DetectionDelay Span `toml:"notice_for"` // until a server that died is missed
-	FullLists      bool `toml:"whole"`      // each answer is the whole list, not the changes
+	Delay          Span `toml:"delay"`      // from a change until routers can see it
+	DetectionDelay Span `toml:"notice_for"` // until a dead server is detected
+	FullLists      bool `toml:"whole"`      // each answer is the complete list instead of the changes
 }
 
-// Clients are those who ask, and the front between them and the routers.
+// Clients describes the clients and the load balancer between them and the routers.
 type Clients struct {
-	Protocol               string  `toml:"protocol"`   // resp2, grpc, or mixed: both by turns
-	KeepUsing              bool    `toml:"keep_using"` // connections that are open at SIGTERM are used until the router closes them
+	Protocol               string  `toml:"protocol"`   // resp2, grpc, or mixed: operations alternate
+	KeepUsing              bool    `toml:"keep_using"` // connections open at SIGTERM stay in use until the router closes them
 	Retries                int     `toml:"retries"`
 	Backoff                Span    `toml:"backoff"`
-	HonourHintsShare       float64 `toml:"honour_hints"` // share of the clients
-	Patience               float64 `toml:"patience"`     // of the deadline, until a try is given up
-	AbandonShare           float64 `toml:"leave"`        // share that leaves before an answer
-	Pipeline               int     `toml:"pipeline"`     // requests at once on a connection
-	BalancerDetectionDelay Span    `toml:"front_notice"` // until the front misses a dead router
+	HonourHintsShare       float64 `toml:"honour_hints"` // fraction of retries that wait as hinted
+	Patience               float64 `toml:"patience"`     // fraction of the deadline after which a request is abandoned
+	AbandonShare           float64 `toml:"leave"`        // fraction of operations abandoned before their answer
+	Pipeline               int     `toml:"pipeline"`     // concurrent requests on a connection
+	BalancerDetectionDelay Span    `toml:"front_notice"` // until the load balancer detects a dead router
 }
 
-// Load is what is asked for.
+// Load describes the rate, keys and values of the requests.
 type Load struct {
 	Rate          float64 `toml:"rate"`
-	Arrivals      string  `toml:"arrivals"` // poisson, even
+	Arrivals      string  `toml:"arrivals"` // poisson or even
 	Steps         []Step  `toml:"steps"`
 	Keys          int     `toml:"keys"`
 	Zipf          float64 `toml:"zipf"`
@@ -167,47 +168,47 @@
 	SiteShares    []Share `toml:"site_shares"`
 }
 
-// Share is a site's part of the traffic.
+// Share is the fraction of the traffic that arrives at a site.
 type Share struct {
 	Site  string  `toml:"site"`
 	Share float64 `toml:"share"`
 }
 
-// Step sets the rate from a time on.
+// Step changes the rate at a time.
 type Step struct {
 	At   Span    `toml:"at"`
 	Rate float64 `toml:"rate"`
 }
 
-// Fault is one trouble.
+// Fault describes one fault on the timeline. Which fields apply depends on its kind.
 type Fault struct {
 	Kind        string   `toml:"kind"`
 	At          Span     `toml:"at"`
-	StartSpread Span     `toml:"spread"` // at is drawn from so long a span, for each that is struck
-	Chance      float64  `toml:"chance"` // that a seed has it; 0: each has
+	StartSpread Span     `toml:"spread"` // the start is drawn from at to at+spread, for each target
+	Chance      float64  `toml:"chance"` // probability that a run has the fault; 0: every run has it
 	Duration    Span     `toml:"for"`
-	TargetShare float64  `toml:"part"`    // of those it can strike; 0: one
-	Targets     []int    `toml:"pick"`    // or these, counted from 0
-	BatchShare  float64  `toml:"batch"`   // part struck at a time
-	NewAddress  bool     `toml:"moved"`   // it comes back at a new address
-	Factor      float64  `toml:"factor"`  // times slower, times the rate, ...
-	Share       float64  `toml:"share"`   // of the answers, requests or keys
-	Site        string   `toml:"site"`    // one site only
-	Step        Span     `toml:"step"`    // of a clock
-	ReplyForms  []string `toml:"answers"` // forms of spoilt answers
+	TargetShare float64  `toml:"part"`    // fraction of the possible targets; 0: one target
+	Targets     []int    `toml:"pick"`    // indexes of the targets, instead of part
+	BatchShare  float64  `toml:"batch"`   // fraction of the targets affected at a time
+	NewAddress  bool     `toml:"moved"`   // the server returns at a new address
+	Factor      float64  `toml:"factor"`  // slowdown, or multiple of the rate
+	Share       float64  `toml:"share"`   // affected fraction of the answers, requests or keys
+	Site        string   `toml:"site"`    // the only affected site
+	Step        Span     `toml:"step"`    // clock step, or delay of links and discovery
+	ReplyForms  []string `toml:"answers"` // forms of malformed answers
 	Count       int      `toml:"count"`
-	From        []int    `toml:"from"`    // routers whose words to the others are struck; none: all
-	To          []int    `toml:"to"`      // those others; none: all
-	OneWay      bool     `toml:"one_way"` // what comes back is left alone
-	Line        int      `toml:"-"`
+	From        []int    `toml:"from"`    // sending routers of the affected links; empty: all
+	To          []int    `toml:"to"`      // receiving routers; empty: all
+	OneWay      bool     `toml:"one_way"` // the opposite direction is not affected
+	Line        int      `toml:"-"`       // line of its kind in the file
 }
 
-// Expect is what a run must show beside the rules.
+// Expect holds the required results of a run, in addition to the rules.
 type Expect struct {
-	Service float64 `toml:"service"` // at least
+	Service float64 `toml:"service"` // lower bound
 }
 
-// Default is what holds where a file says nothing.
+// Default returns the values of fields that a file leaves out.
 func Default() Scenario {
 	return Scenario{
 		Length: span(20 * time.Second), Seed: 1, Sites: []string{"north"},
@@ -228,17 +229,17 @@
 	}
 }
 
-// Clients' protocols.
+// Values of Clients.Protocol.
 const (
 	RESP2 = "resp2"
 	GRPC  = "grpc"
 	Mixed = "mixed"
 )
 
-// UsesGRPC reports whether clients call over gRPC, all of them or some.
+// UsesGRPC reports whether any client uses gRPC.
 func (c Clients) UsesGRPC() bool { return c.Protocol == GRPC || c.Protocol == Mixed }
 
-// LongestDeadline is the longest of all methods.
+// LongestDeadline returns the longest deadline of all methods.
 func (s *Scenario) LongestDeadline() time.Duration {
 	longest := Span(0)
 	for _, method := range s.Methods {
--- a/internal/lab/testprogram/testprogram.go
+++ b/internal/lab/testprogram/testprogram.go
@@ -1,4 +1,4 @@
-// Package testprogram builds the programs that tests start.
+// Package testprogram builds the repository's programs for tests that start them as processes.
 package testprogram
 
 import (
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Fleet builds cache-router-fleet, once for all tests of a package, and returns its path. It stays in a folder for temporary
-// files, since the tests of a package end at no common point.
+// Fleet builds cache-router-fleet once per test binary and returns its path. The binary is left in the directory for
+// temporary files, because the tests of a package have no common cleanup.
 var Fleet = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cache-router-fleet")
 	if err != nil {
@@ -19,7 +19,7 @@
 	return Build(dir, "cache-router-fleet")
 })
 
-// Build builds the program of cmd/name in a folder, and returns its path.
+// Build builds cmd/name into dir and returns the path of the binary.
 func Build(dir, name string) (string, error) {
 	program := filepath.Join(dir, name)
 	if out, err := exec.Command("go", "build", "-o", program, "spurtrestle/cmd/"+name).CombinedOutput(); err != nil {
