--- a/internal/lab/cacheserver/answer.go
+++ b/internal/lab/cacheserver/answer.go
@@ -7,10 +7,11 @@
 
 	"spurtrestle/internal/lab/event"
 	"spurtrestle/internal/lab/machine"
+	"spurtrestle/internal/lab/scenario"
 	"spurtrestle/internal/resp"
 )
 
-// command takes one whole command of a router.
+// handleCommand handles a complete command of a router. firstByteAt is when its first byte was read.
 func (s *Server) handleCommand(c *conn, words [][]byte, firstByteAt, now event.Micros) {
 	if len(words) == 0 {
 		return
@@ -57,7 +58,7 @@
 	}
 }
 
-// probe answers behind the work that it costs: with a text, or the load report of that moment.
+// handleProbe queues the work of a probe. Its reply is text, or the current load report if text is nil.
 func (s *Server) handleProbe(c *conn, text []byte, now event.Micros) {
 	cmd := &command{conn: c, truncateAt: -1, probe: true, probeReply: text}
 	c.pending = append(c.pending, cmd)
@@ -79,7 +80,7 @@
 
 var busyReply = []byte("-BUSY\r\n")
 
-// take puts a command on the machine, or turns it away.
+// submit queues a command on the machine or rejects it. The caller holds s.mu.
 func (s *Server) submit(cmd *command, now event.Micros) {
 	c, m := cmd.conn, s.config.Methods[cmd.method]
 	if c.overLimit || s.draining && s.faults.graceOver {
@@ -94,7 +95,7 @@
 	if cmd.miss {
 		work = float64(s.config.Settings.MissWork)
 	}
-	if !c.handshakeCharged { // a new connection costs the server, as a handshake does
+	if !c.handshakeCharged { // models the cost of a handshake
 		c.handshakeCharged = true
 		work += float64(s.config.Settings.ConnectionWork)
 	}
@@ -113,10 +114,10 @@
 	s.advance()
 }
 
-// fall: pushed over while cold, it stays down.
+// collapse ends the server after an overload while it was cold. It stays down.
 func (s *Server) collapse() {
 	s.config.Log.Add(event.Event{Kind: event.Fell, Server: s.UID, Router: event.Nobody,
-		Note: fmt.Sprintf("asked over %v times what it could do, for %v", s.config.Settings.CollapseMultiple, s.config.Settings.CollapseWindow)})
+		Note: fmt.Sprintf("load above %v times its capacity for %v", s.config.Settings.CollapseMultiple, s.config.Settings.CollapseWindow)})
 	s.down = true
 	s.closeListeners()
 	for c := range s.conns {
@@ -125,7 +126,7 @@
 	s.timer.Stop()
 }
 
-// done answers a command whose work is over.
+// finish answers a command whose work is done. The caller holds s.mu.
 func (s *Server) finish(cmd *command, now event.Micros) {
 	s.smoothedLatency += (now - cmd.startedAt - s.smoothedLatency) / 8
 	report := s.loadReport(now)
@@ -156,22 +157,23 @@
 	s.sendReply(cmd, MakeValue(cmd.req, s.UID, cmd.size), report, event.Value)
 }
 
-// Made is the value or receipt that a server makes for one request.
-func MakeValue(req event.Req, by event.Server, size int) []byte {
+// MakeValue returns the value or receipt of a server for one request. It starts with the request's id, so that clients
+// can detect values that belong to another request.
+func MakeValue(req event.Req, server event.Server, size int) []byte {
 	v := append([]byte(req), ' ')
-	v = append(append(v, by...), ' ')
+	v = append(append(v, server...), ' ')
 	for len(v) < size {
 		v = append(v, "abcdefghijklmnopqrstuvwxyz012345"[:min(32, size-len(v))]...)
 	}
 	return v
 }
 
-// MadeFor tells whether a value was made for a request.
+// IsValueFor reports whether a value was made for a request by MakeValue.
 func IsValueFor(req event.Req, value []byte) bool {
 	return len(value) > len(req) && string(value[:len(req)]) == string(req) && value[len(req)] == ' '
 }
 
-// send writes an answer in the form of the protocol, spoilt where a fault says so.
+// sendReply encodes a reply and applies the faults that alter replies.
 func (s *Server) sendReply(cmd *command, value, report []byte, reply event.Reply) {
 	text := []byte("*3\r\n")
 	if value == nil {
@@ -189,7 +191,7 @@
 	cmd.conn.setReply(cmd, text, reply)
 }
 
-// load is the report, as old as the settings have it.
+// loadReport returns the load report, which is renewed once per report interval; nil if reports are off.
 func (s *Server) loadReport(now event.Micros) []byte {
 	if s.faults.badReports {
 		return []byte("avg_ms==,,x;\x01" + strconv.Itoa(s.rand.IntN(1000)))
@@ -209,7 +211,7 @@
 		x := map[string]float64{"latency": float64(s.smoothedLatency) / 1e3, "queue": float64(waiting),
 			"in_flight": float64(running + waiting), "busy": float64(running) / float64(s.config.Settings.Cores),
 			"errors": s.errorRate, "hits": s.hitRate}[name]
-		s.report = strconv.AppendFloat(append(s.report, s.config.figure(name)+"="...), x, 'g', 6, 64)
+		s.report = strconv.AppendFloat(append(s.report, scenario.LoadReportFields[name]+"="...), x, 'g', 6, 64)
 	}
 	return s.report
 }
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -1,9 +1,11 @@
-// Package cacheserver is a stand-in for a cache server: it speaks RESP2 as the published protocol has it, works on a
-// machine of package machine, stores keys, and fails on demand. One Server is one life of one process. All that it sees
-// of routers goes into the run's record.
+// Package cacheserver simulates cache servers for lab runs: a Server speaks RESP2 as specified, executes its work on the
+// model of package machine, stores keys, and injects faults on demand. Package fleet starts the servers. One Server stands
+// for one process from its start to its end, and records every attempt of a router in the event log.
 //
-// The files: this one a life and its listeners; conn.go a connection; answer.go what is answered; trouble.go what can be
-// done to it.
+// Server.mu guards the state of a server. Each connection has a goroutine that reads and one that writes.
+//
+// Files: cacheserver.go has the server and its listeners, conn.go a connection, answer.go the replies, props.go the
+// properties of an attempt, and trouble.go the faults.
 package cacheserver
 
 import (
@@ -20,24 +22,24 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Fleet is what all servers of a run share.
+// Config is shared by all servers of a run.
 type Config struct {
 	Log          *event.Log
 	Settings     scenario.Servers
 	Service      scenario.Service
 	Methods      map[string]scenario.Method
 	ReadThrough  bool
-	OnMiss       func(req event.Req, s *Server, cold bool) // aside: the origin's answer is to fill it
+	OnMiss       func(req event.Req, s *Server, cold bool) // called for a miss in aside mode, so that the origin's answer can fill the server
 	Deduplicator *Deduplicator
 }
 
-// Repeats remembers deduplicated requests, as all servers of a group do together.
+// Deduplicator remembers requests with deduplicated effects, shared by all servers of a group.
 type Deduplicator struct {
 	mu   sync.Mutex
 	seen map[string]event.Micros
 }
 
-// Known tells whether a request ran in a group within a window, and remembers it otherwise.
+// IsRepeat reports whether a request ran in a group within the window. If it did not, it is remembered as run now.
 func (r *Deduplicator) IsRepeat(group string, req event.Req, now, window event.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,14 +54,14 @@
 	return false
 }
 
-// Server is one life.
+// Server is one process of a cache server.
 type Server struct {
 	config *Config
 	UID    event.Server
 	Zone   string
 	Cell   int
-	Boot   time.Time // zero: up for long
-	addrs  []string  // one for each router, in their order
+	Boot   time.Time // zero for a server that started long before the run
+	addrs  []string  // by router
 
 	mu              sync.Mutex
 	machine         *machine.Machine
@@ -67,7 +69,7 @@
 	rand            *rand.Rand
 	listeners       []net.Listener
 	backlogFillers  []io.Closer
-	partitioned     map[event.Router][]io.Closer // routers that cannot reach it, and what keeps their addresses silent
+	partitioned     map[event.Router][]io.Closer // unreachable routers, with the resources that keep their addresses silent
 	conns           map[*conn]struct{}
 	timer           *time.Timer
 	lastJobID       uint64
@@ -78,13 +80,14 @@
 	faults          faultState
 	report          []byte
 	reportedAt      event.Micros
-	smoothedLatency event.Micros // smoothed time of work
-	hitRate         float64      // share of late
+	smoothedLatency event.Micros // moving average of the time from start to reply
+	hitRate         float64      // moving average
 	errorRate       float64
 	wg              sync.WaitGroup
 }
 
-// Start begins a life on its addresses. A warm one has been up for long and holds its keys already.
+// Start starts a server that listens on one address for each router. A warm server performs as one that has been up for
+// long. Call Kill and then Wait to end it.
 func Start(f *Config, uid event.Server, zone string, cell int, addrs []string, warm bool, seed uint64) (*Server, error) {
 	s := &Server{config: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Settings.Keys),
 		rand: rand.New(rand.NewPCG(seed, 7)), conns: map[*conn]struct{}{}, jobs: map[*machine.Job]*command{},
@@ -105,7 +108,7 @@
 	return s, nil
 }
 
-// Addr is where a router reaches it.
+// Addr returns the address at which a router reaches the server.
 func (s *Server) Addr(r event.Router) string { return s.addrs[r] }
 
 func (s *Server) listen() error {
@@ -161,7 +164,7 @@
 	}
 }
 
-// Fill stores a key, as the origin's answer does for a server that missed it.
+// Fill stores a key, as after an answer of the origin to a miss.
 func (s *Server) Fill(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,21 +173,21 @@
 	}
 }
 
-// Drop takes a key out, as a write does.
+// Invalidate removes a key, as after a write.
 func (s *Server) Invalidate(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.Drop(key)
 }
 
-// Drain has the server finish its requests, and reject what arrives after the grace.
+// Drain marks the server as draining. It rejects new requests only after EndDrainGrace.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Kill ends the process at once: its connections are reset, its address refuses new ones.
+// Kill ends the server at once: connections are reset and new ones are refused.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	if s.down {
@@ -201,7 +204,7 @@
 	s.config.Log.Add(event.Event{Kind: event.Went, Server: s.UID, Router: event.Nobody})
 }
 
-// Wait returns once nothing of it runs any more; call it after Kill.
+// Wait returns when all goroutines of the server have ended. Call it after Kill.
 func (s *Server) Wait() { s.wg.Wait() }
 
 func (s *Server) closeListeners() {
@@ -221,14 +224,14 @@
 	}
 }
 
-// ring ends the jobs that are due.
+// onTimer completes the jobs that are due.
 func (s *Server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
 }
 
-// turn answers what is done and sets the alarm for what comes next.
+// advance answers completed jobs and sets the timer for the next one. The caller holds s.mu.
 func (s *Server) advance() {
 	if s.down {
 		return
--- a/internal/lab/cacheserver/cacheserver_test.go
+++ b/internal/lab/cacheserver/cacheserver_test.go
@@ -45,7 +45,7 @@
 	return s
 }
 
-// peer is a router's side of a connection, with what it has not read yet.
+// routerConn is the router's side of a connection, with the bytes that are not parsed yet.
 type routerConn struct {
 	net.Conn
 	unread []byte
@@ -70,7 +70,7 @@
 	}
 }
 
-// answer reads one answer: the value's first word, miss, or the line.
+// readAnswer reads one answer and returns the first word of the value, "miss", or the line; or how the connection ended.
 func readAnswer(c *routerConn) string {
 	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // an error shows in Read
 	buf := make([]byte, 4096)
@@ -136,7 +136,7 @@
 		}
 	}
 	if odd != 3 || ran != 1 {
-		t.Errorf("%d odd commands were noted, %d effects", odd, ran)
+		t.Errorf("%d protocol violations and %d effects were recorded", odd, ran)
 	}
 }
 
@@ -153,11 +153,11 @@
 		t.Fatal(err)
 	}
 	send(t, c, "PING")
-	c.Close() // a probe that is given up is no attempt
+	c.Close() // an abandoned probe is not an attempt
 	time.Sleep(50 * time.Millisecond)
 	for _, e := range f.Log.Events() {
 		if e.Kind == event.Ended || e.Kind == event.Begun {
-			t.Error("a probe was noted as a write-out")
+			t.Error("a probe was recorded as an attempt")
 		}
 	}
 }
@@ -177,19 +177,19 @@
 			continue
 		}
 		if e.DeadlineSent != want[e.Req] {
-			t.Errorf("%s was noted as %v", e.Req, e.DeadlineSent)
+			t.Errorf("%s was recorded as %v", e.Req, e.DeadlineSent)
 		}
 		delete(want, e.Req)
 	}
 	if len(want) > 0 {
-		t.Error("not noted: ", want)
+		t.Error("not recorded: ", want)
 	}
 	if got := roundTrip(t, c, "CACHE.GET k id3 c=status,d=480,d=0"); got != "SYNTAX" {
-		t.Error("a deadline that is none is answered ", got)
+		t.Error("an invalid deadline was answered with ", got)
 	}
 }
 
-// The servers of a group drop a repeat together: it is answered, and its effect does not run again.
+// A repeated deduplicated request is answered, but its effect runs only once per group.
 func TestDeduplicatedRequestsRunOncePerGroup(t *testing.T) {
 	s, f := startServer(t, nil)
 	other := startAnother(t, f, "s2")
@@ -237,11 +237,11 @@
 		}
 	}
 	if got := roundTrip(t, dial(t, s), "CACHE.GET k id10 c=status,d=500"); got != "BUSY" {
-		t.Error("over the connections that it takes: ", got)
+		t.Error("above the connection limit: ", got)
 	}
 }
 
-// What a router gives up by closing makes room at once, where the settings say so.
+// With CancelStopsWork, closing a connection frees the core that its request occupied.
 func TestClosingAConnectionCancelsItsWork(t *testing.T) {
 	s, _ := startServer(t, func(f *Config) {
 		f.Settings.Cores, f.Settings.Queue = 1, 0
@@ -278,13 +278,13 @@
 		n, err := c.Read(buf)
 		r, used, bad := resp.ReadReply(buf[:n], resp.Bounds{Bulk: 64 << 10, Line: 4 << 10, Args: 16})
 		if err != nil || bad == nil && used > 0 && r.Kind == '*' {
-			t.Errorf("%s: %q can be read", name, buf[:n])
+			t.Errorf("%s: %q is a valid reply", name, buf[:n])
 		}
 		apply(x, true)
 	}
 	apply(scenario.Fault{Kind: "reset", Share: 1}, false)
 	if got := get(dial(t, s)); got != "reset" && got != "end" {
-		t.Error("an answer that breaks off: ", got)
+		t.Error("a truncated answer: ", got)
 	}
 	apply(scenario.Fault{Kind: "reset"}, true)
 
@@ -294,17 +294,17 @@
 	}
 	apply(scenario.Fault{Kind: "refuse"}, false)
 	if _, err := net.Dial("tcp", s.Addr(0)); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Error("a connect that is refused: ", err)
+		t.Error("connecting while connections are refused: ", err)
 	}
 	if got := get(open); got != "id" {
-		t.Error("an open connection while others are refused: ", got)
+		t.Error("an open connection while new ones are refused: ", got)
 	}
 	apply(scenario.Fault{Kind: "refuse"}, true)
 
-	// A machine that has vanished, or that this router is cut off from: silent either way, reset when it is back.
+	// A host that is unreachable or partitioned from this router is silent, and resets old connections on its return.
 	for name, setSilent := range map[string]func(bool){
-		"vanished": func(on bool) { apply(scenario.Fault{Kind: "vanish"}, !on) },
-		"cut off": func(on bool) {
+		"unreachable": func(on bool) { apply(scenario.Fault{Kind: "vanish"}, !on) },
+		"partitioned": func(on bool) {
 			if err := s.Partition(map[event.Router]bool{0: on}); err != nil {
 				t.Fatal(err)
 			}
@@ -317,34 +317,35 @@
 		setSilent(true)
 		if c, err := net.DialTimeout("tcp", s.Addr(0), 100*time.Millisecond); err == nil {
 			c.Close()
-			t.Error(name, ": a connect came up")
+			t.Error(name, ": a connection was accepted")
 		}
 		send(t, open, "CACHE.GET k lost c=status,d=500")
 		_ = open.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // an error shows in Read
 		if n, err := open.Read(make([]byte, 1)); n > 0 || !errors.Is(err, syscall.ETIMEDOUT) && !strings.Contains(fmt.Sprint(err), "timeout") {
-			t.Error(name, ": it said ", n, err)
+			t.Error(name, ": it sent ", n, err)
 		}
 		setSilent(false)
 		if got := readAnswer(open); got != "reset" && got != "end" {
-			t.Error(name, ": an old connection once it is back: ", got)
+			t.Error(name, ": an old connection after its return: ", got)
 		}
 		if got := get(dial(t, s)); got != "id" {
-			t.Error(name, ": once it is back: ", got)
+			t.Error(name, ": after its return: ", got)
 		}
 	}
 	for _, e := range f.Log.Events() {
 		if e.Req == "lost" {
-			t.Error("a silent machine took a req")
+			t.Error("a silent host received a request")
 		}
 	}
 	s.Kill()
 	if _, err := net.Dial("tcp", s.Addr(0)); err == nil {
-		t.Error("a killed server takes connections")
+		t.Error("a killed server accepts connections")
 	}
 }
 
-// The end of a connection is told as of when it was read, whatever else holds the server then. One that fell silent dialled
-// its own addresses for up to 20 ms each meanwhile, and a router that gave up just then seemed to have two attempts out.
+// The end of an attempt is recorded with the time when the close was read, even if the server's mutex is held then. It was
+// held for up to 20 ms per address while a server became unreachable, and a router that gave up just then seemed to have
+// two attempts in flight.
 func TestAttemptEndsWhenTheCloseWasRead(t *testing.T) {
 	s, f := startServer(t, nil)
 	if err := s.ApplyFault(scenario.Fault{Kind: "hang"}, false); err != nil {
@@ -365,7 +366,7 @@
 	}
 	s.mu.Lock()
 	router.Close()
-	<-c.closed // it was read, and the server is held
+	<-c.closed // the close has been read while the test holds the mutex
 	closedAt := f.Log.Now()
 	for f.Log.Now() < closedAt+5e3 {
 		time.Sleep(time.Millisecond)
@@ -375,7 +376,7 @@
 	s.Wait()
 	for _, e := range f.Log.Events() {
 		if e.Kind == event.Ended && e.At > closedAt {
-			t.Errorf("told %v after it was read", (e.At - closedAt).Duration())
+			t.Errorf("recorded %v after it was read", (e.At - closedAt).Duration())
 		}
 	}
 }
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -12,10 +12,10 @@
 	"spurtrestle/internal/resp"
 )
 
-// bounds are wider than a router's: what a router may not send must be seen here.
+// bounds are wider than those of routers, so that oversized commands of a router are read and recorded.
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 14, Args: 64}
 
-// command is one attempt from its last byte on.
+// command is one attempt or other command that has been read completely.
 type command struct {
 	conn         *conn
 	req          event.Req
@@ -23,55 +23,57 @@
 	key          string
 	size         int
 	write        bool
-	deadlineSent event.Micros // the deadline sent
+	deadlineSent event.Micros // time allowed by the attempt's properties
 	miss         bool
 	probe        bool
-	probeReply   []byte // its answer, where that is no load report
+	probeReply   []byte // reply of a probe; nil: the load report
 	job          *machine.Job
 	startedAt    event.Micros
 	ended        bool
-	replyText    []byte // the answer, once there is one
+	replyText    []byte // encoded reply; nil while there is none
 	reply        event.Reply
-	truncateAt   int // write only so many bytes of the answer, then reset; -1: all
+	truncateAt   int // write only this many bytes of the reply, then reset; -1: write all
 }
 
-// conn is one connection of a router.
+// conn is one connection of a router. read and write each run on a goroutine of their own; pending is guarded by the
+// server's mutex.
 type conn struct {
 	server           *Server
 	netConn          net.Conn
 	router           event.Router
-	overLimit        bool // over the limit: all is turned away
+	overLimit        bool // the server is at its connection limit: all requests are rejected
 	handshakeCharged bool
-	pending          []*command // in order, until their answers are written
+	pending          []*command // in order of arrival, until their replies are queued
 	replies          chan *command
 	closed           chan struct{}
 	closeOnce        sync.Once
 	enqueueMu        sync.Mutex
-	muted            bool // nobody writes any more
+	muted            bool // replies are no longer written; guarded by enqueueMu
 }
 
 func newConn(s *Server, netConn net.Conn, r event.Router, full bool) *conn {
 	return &conn{server: s, netConn: netConn, router: r, overLimit: full, replies: make(chan *command, 1024), closed: make(chan struct{})}
 }
 
+// close closes the connection and stops its writer.
 func (c *conn) close() { c.closeOnce.Do(func() { close(c.closed); c.netConn.Close() }) }
 
-// reset closes with RST, as a process that dies does.
+// reset closes the connection with RST, as the kernel does for a process that is killed.
 func (c *conn) reset() {
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails where the peer has ended it already
+		_ = tcp.SetLinger(0) // fails if the peer has closed it already
 	}
 	c.close()
 }
 
-// hush: nothing that is answered from now on reaches the router.
+// mute suppresses all further replies.
 func (c *conn) mute() {
 	c.enqueueMu.Lock()
 	defer c.enqueueMu.Unlock()
 	c.muted = true
 }
 
-// read takes commands until the connection ends.
+// read handles commands until the connection ends.
 func (c *conn) read() {
 	defer c.server.wg.Done()
 	defer c.handleClose()
@@ -88,21 +90,14 @@
 				firstByteAt = now
 			}
 			unread = append(unread, buf[:n]...)
-			used := 0
-			for {
-				var size int
-				var parseErr error
-				words, size, parseErr = resp.Command(unread[used:], words, bounds)
-				if parseErr != nil {
-					c.recordViolation("what cannot be read")
-					return
-				}
-				if size == 0 {
-					break
-				}
-				c.server.handleCommand(c, words, firstByteAt, now)
+			var used int
+			var parseErr error
+			if words, used, parseErr = c.handleCommands(unread, words, firstByteAt, now); parseErr != nil {
+				c.recordViolation("malformed command")
+				return
+			}
+			if used > 0 {
 				firstByteAt = now
-				used += size
 			}
 			if unread = append(unread[:0], unread[used:]...); len(unread) == 0 {
 				firstByteAt = -1
@@ -118,6 +113,24 @@
 	}
 }
 
+// handleCommands handles the complete commands at the beginning of unread. It returns words for reuse and how many bytes
+// the commands took.
+func (c *conn) handleCommands(unread []byte, words [][]byte, firstByteAt, now event.Micros) (_ [][]byte, used int, err error) {
+	for {
+		var size int
+		words, size, err = resp.Command(unread[used:], words, bounds)
+		if err != nil {
+			return words, used, err
+		}
+		if size == 0 {
+			return words, used, nil
+		}
+		c.server.handleCommand(c, words, firstByteAt, now)
+		firstByteAt = now
+		used += size
+	}
+}
+
 func (c *conn) hasPending() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -128,9 +141,9 @@
 	c.server.config.Log.Add(event.Event{Kind: event.Odd, Server: c.server.UID, Router: c.router, Note: note})
 }
 
-// gone: the router ended the connection, or the server did. What was in hand there has no answer.
+// handleClose records the pending attempts of a closed connection as lost and cancels their work.
 func (c *conn) handleClose() {
-	closedAt := c.server.config.Log.Now() // others may hold the server for long, and a router may have gone on since
+	closedAt := c.server.config.Log.Now() // taken before waiting for the server's mutex, which may be held for long while the router goes on
 	c.close()
 	s := c.server
 	s.mu.Lock()
@@ -139,7 +152,7 @@
 	now := s.config.Log.Now()
 	for _, cmd := range c.pending {
 		if cmd.ended || cmd.replyText != nil {
-			continue // the writer tells of it
+			continue // recorded by the writer
 		}
 		cmd.ended = true
 		if cmd.req != "" {
@@ -152,7 +165,7 @@
 	s.advance()
 }
 
-// write writes the answers in order.
+// write writes the queued replies until the connection is closed.
 func (c *conn) write() {
 	defer c.server.wg.Done()
 	for {
@@ -170,26 +183,32 @@
 				}
 			}
 		case cmd := <-c.replies:
-			at := c.server.config.Log.Now()
-			text := cmd.replyText
-			if cmd.truncateAt >= 0 {
-				text = text[:min(cmd.truncateAt, len(text))]
-			}
-			_ = c.netConn.SetWriteDeadline(time.Now().Add(5 * time.Second)) // an error shows in Write
-			_, err := c.netConn.Write(text)
-			reply := cmd.reply
-			if err != nil || cmd.truncateAt >= 0 {
-				reply = event.Lost
-			}
-			c.recordEnd(cmd, at, reply)
-			if err != nil || cmd.truncateAt >= 0 {
-				c.reset()
-			}
+			c.writeReply(cmd)
 		}
 	}
 }
 
-// tell notes the end of an attempt as of the time when its answer began to leave: the router may act on it at once.
+// writeReply writes one reply, and resets the connection if the write fails or the reply is to be truncated.
+func (c *conn) writeReply(cmd *command) {
+	at := c.server.config.Log.Now()
+	text := cmd.replyText
+	if cmd.truncateAt >= 0 {
+		text = text[:min(cmd.truncateAt, len(text))]
+	}
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(5 * time.Second)) // an error shows in Write
+	_, err := c.netConn.Write(text)
+	reply := cmd.reply
+	if err != nil || cmd.truncateAt >= 0 {
+		reply = event.Lost
+	}
+	c.recordEnd(cmd, at, reply)
+	if err != nil || cmd.truncateAt >= 0 {
+		c.reset()
+	}
+}
+
+// recordEnd records the end of an attempt at the time when the write of its reply began, because the router may react
+// before the write returns.
 func (c *conn) recordEnd(cmd *command, at event.Micros, reply event.Reply) {
 	if cmd.req == "" {
 		return
@@ -197,7 +216,7 @@
 	c.server.config.Log.AddAt(event.Event{At: at, Kind: event.Ended, Req: cmd.req, Server: c.server.UID, Router: c.router, Reply: reply})
 }
 
-// put gives a command its answer; what is in order goes out. The server's lock is held.
+// setReply sets the reply of a command and queues all replies that are next in order. The caller holds the server's mutex.
 func (c *conn) setReply(cmd *command, text []byte, reply event.Reply) {
 	if cmd.ended || cmd.replyText != nil {
 		return
@@ -212,7 +231,8 @@
 	}
 }
 
-// hand gives an answer to the writer, unless it has gone: each end of an attempt is told once.
+// enqueue passes a reply to the writer. It returns false if the writer has stopped or its queue is full; the caller then
+// records the end of the attempt, so that it is recorded exactly once.
 func (c *conn) enqueue(cmd *command) bool {
 	c.enqueueMu.Lock()
 	defer c.enqueueMu.Unlock()
@@ -222,12 +242,12 @@
 	select {
 	case c.replies <- cmd:
 		return true
-	default: // the router takes no answers
+	default: // the router does not read its replies
 		return false
 	}
 }
 
-// parse reads the words of a CACHE command.
+// parseCommand parses the words of a CACHE command; ok is false if they are malformed.
 func parseCommand(words [][]byte) (cmd *command, ok bool) {
 	verb := string(bytes.ToUpper(words[0]))
 	if verb == "CACHE.GET" && len(words) != 4 || verb == "CACHE.SET" && len(words) != 5 {
--- a/internal/lab/cacheserver/props.go
+++ b/internal/lab/cacheserver/props.go
@@ -8,15 +8,15 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// Props are what the props of an attempt tell its server. What is missing, or cannot be read, is zero.
+// Props holds the properties that a router sends with an attempt. Fields that are missing or malformed are zero.
 type Props struct {
 	Method       string
-	Size         int          // bytes of the value that is asked for
-	DeadlineSent event.Micros // the greatest, where it stands there more than once
-	BadDeadline  bool         // one of them is no time
+	Size         int          // requested size of the value in bytes
+	DeadlineSent event.Micros // the longest, if it is given more than once
+	BadDeadline  bool         // at least one deadline is not a positive time
 }
 
-// ReadProps reads a list of names and values.
+// ParseProps parses a list of the form name=value,name=value.
 func ParseProps(text string) (p Props) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
@@ -28,18 +28,18 @@
 			p.DeadlineSent = max(p.DeadlineSent, sent)
 			p.BadDeadline = p.BadDeadline || sent == 0
 		case "size":
-			p.Size, _ = strconv.Atoi(value) // 0 where it is none
+			p.Size, _ = strconv.Atoi(value) // 0 if it is not a number
 		}
 	}
 	return p
 }
 
-// deadline reads a time in milliseconds, of a microsecond at least; 0 where it is none.
+// deadline parses a time in milliseconds. It returns at least one microsecond, or 0 if text is not a positive number.
 func deadline(text string) event.Micros {
-	const most = math.MaxInt64 / 1e4 // far from overflowing whatever is added to it
+	const longest = math.MaxInt64 / 1e4 // leaves room for sums without overflow
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms > 0) {
 		return 0
 	}
-	return event.Micros(min(max(ms*1e3, 1), most))
+	return event.Micros(min(max(ms*1e3, 1), longest))
 }
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -13,20 +13,18 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// trouble is what is wrong with a server's answers.
+// faultState holds the faults that alter a server's replies.
 type faultState struct {
-	resetShare     float64 // share of the answers that break off
-	malformedShare float64 // share that cannot be read
-	surplusShare   float64 // share with something behind
+	resetShare     float64 // fraction of replies that are cut off by a reset
+	malformedShare float64 // fraction of replies that are malformed
+	surplusShare   float64 // fraction of replies that are followed by surplus bytes
 	malformedForms []string
 	staleReports   bool
 	badReports     bool
-	graceOver      bool // the grace of a drain is over
+	graceOver      bool // the grace period of a drain is over
 }
 
-func (f *Config) figure(name string) string { return scenario.LoadReportFields[name] }
-
-// Forms are the forms of spoilt answers.
+// MalformedReplies maps the name of each malformed form to the function that derives it from a valid reply.
 var MalformedReplies = map[string]func([]byte) []byte{
 	"noise":   func([]byte) []byte { return []byte("\x00\xffnot an answer\x17\r\n") },
 	"length":  func(b []byte) []byte { return append([]byte("*3\r\n$7\r\n"), b[4:]...) },
@@ -35,7 +33,8 @@
 	"endless": func([]byte) []byte { return append([]byte("+"), make([]byte, 9000)...) },
 }
 
-// spoil changes an answer as the fault has it.
+// corrupt applies the faults to an encoded reply. It returns the bytes to write, the outcome to record, and how many bytes
+// to write before a reset (-1: all).
 func (t *faultState) corrupt(r *rand.Rand, text []byte, reply event.Reply) ([]byte, event.Reply, int) {
 	switch x := r.Float64(); {
 	case x < t.resetShare:
@@ -52,7 +51,7 @@
 	return text, reply, -1
 }
 
-// Strike begins a fault of the scenario on this server, or takes it back.
+// ApplyFault begins a fault of the scenario on this server, or ends it. A server that is down ignores faults.
 func (s *Server) ApplyFault(fault scenario.Fault, end bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,20 +93,21 @@
 	case "bad_reports":
 		s.faults.badReports = begin
 	default:
-		return fmt.Errorf("a cache server knows no fault %q", fault.Kind)
+		return fmt.Errorf("fault %q does not apply to a cache server", fault.Kind)
 	}
 	return nil
 }
 
-// PastGrace has a draining server reject every further request.
+// EndDrainGrace makes a draining server reject every further request.
 func (s *Server) EndDrainGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.graceOver = true
 }
 
-// vanish makes the machine silent: open connections stay open and bring nothing, new ones never come up. When it is
-// back its old connections are reset. A full backlog of a listener that nobody reads makes the kernel drop what comes.
+// setUnreachable simulates a host that drops off the network, or its return: open connections stay open but are silent,
+// and new ones are never accepted. On its return the old connections are reset. The kernel drops connection attempts
+// while the backlog of a listener that accepts none is full.
 func (s *Server) setUnreachable(now event.Micros, begin bool) error {
 	if !begin {
 		s.unreachable = false
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// silence has an address take nothing and refuse nothing, until what it gives back is closed.
+// blackhole makes the address of a listener neither accept nor refuse connections until the returned closers are closed.
 func blackhole(ln net.Listener) (fillers []io.Closer, err error) {
-	// A copy of the descriptor stays open that nobody accepts on.
+	// The copy of the descriptor keeps the socket listening, but nothing accepts on it.
 	addr := ln.Addr().(*net.TCPAddr).AddrPort()
 	file, err := ln.(*net.TCPListener).File()
 	if err != nil {
@@ -142,7 +142,7 @@
 	if err := unix.Listen(int(file.Fd()), 0); err != nil {
 		return fillers, err
 	}
-	for range 2 { // a backlog of nothing still takes one; nobody waits for the other, since the caller holds the server
+	for range 2 { // a backlog of 0 still queues one connection; the sockets do not block, since the caller holds s.mu
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			return fillers, err
@@ -156,8 +156,9 @@
 	return fillers, nil
 }
 
-// Cut takes the way between it and some routers, and gives it back to the others: what is open there stays open and
-// brings nothing, either way, and nothing new comes up. What is open is reset when the way is back.
+// Partition makes the server unreachable from the given routers and reachable from all others. Connections of an
+// unreachable router stay open without traffic in either direction, and new ones are not accepted. When the partition
+// heals, they are reset.
 func (s *Server) Partition(unreachableFrom map[event.Router]bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,39 +168,53 @@
 		switch {
 		case wasPartitioned == unreachableFrom[r]:
 		case wasPartitioned:
-			delete(s.partitioned, r)
-			if s.down || s.unreachable {
-				break
-			}
-			for _, filler := range fillers {
-				filler.Close()
-			}
-			for c := range s.conns {
-				if c.router == r {
-					c.reset()
-				}
-			}
-			if err := s.listenFor(r); err != nil {
+			if err := s.healPartition(r, fillers); err != nil {
 				return err
 			}
 		default:
-			s.partitioned[r] = nil
-			if s.down || s.unreachable || len(s.listeners) == 0 {
-				break
-			}
-			if err := s.blackholeRouter(r); err != nil {
+			if err := s.beginPartition(r); err != nil {
 				return err
 			}
-			for c := range s.conns {
-				if c.router == r {
-					c.mute()
-				}
-			}
 		}
 	}
 	return nil
 }
 
+// healPartition makes the server reachable from a router again. The caller holds s.mu.
+func (s *Server) healPartition(r event.Router, fillers []io.Closer) error {
+	delete(s.partitioned, r)
+	if s.down || s.unreachable {
+		return nil
+	}
+	for _, filler := range fillers {
+		filler.Close()
+	}
+	for c := range s.conns {
+		if c.router == r {
+			c.reset()
+		}
+	}
+	return s.listenFor(r)
+}
+
+// beginPartition makes the server unreachable from a router. The caller holds s.mu.
+func (s *Server) beginPartition(r event.Router) error {
+	s.partitioned[r] = nil
+	if s.down || s.unreachable || len(s.listeners) == 0 {
+		return nil
+	}
+	if err := s.blackholeRouter(r); err != nil {
+		return err
+	}
+	for c := range s.conns {
+		if c.router == r {
+			c.mute()
+		}
+	}
+	return nil
+}
+
+// blackholeRouter makes the address for a router silent. The caller holds s.mu.
 func (s *Server) blackholeRouter(r event.Router) (err error) {
 	s.partitioned[r], err = blackhole(s.listeners[r])
 	return err
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry is a stand-in for discovery: a list of servers with watches on its changes, told to each router by
-// an agent of its own, late, silent or wrong as a scenario has it.
+// Package registry simulates service discovery for lab runs: a list of servers with watches on its changes, which an HTTP
+// agent per router serves late, not at all or malformed, as the faults require. Package fleet and package rig run it.
+// Registry.mu guards all of its state; each agent has a goroutine for its HTTP server.
 package registry
 
 import (
@@ -17,7 +18,7 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Entry is one server as discovery has it.
+// Entry is the state of one server in the list.
 type Entry struct {
 	UID   event.Server
 	Zone  string
@@ -28,12 +29,13 @@
 	Addr  func(event.Router) string
 }
 
+// change is one revision of the list.
 type change struct {
 	due   event.Micros
 	entry Entry
 }
 
-// Registry is the one list, and the agents that tell of it.
+// Registry holds the list and the agents that serve it.
 type Registry struct {
 	log      *event.Log
 	settings scenario.Discovery
@@ -41,18 +43,19 @@
 	mu                 sync.Mutex
 	changes            []change
 	silent             bool
-	visibleWhileSilent int // what is visible while silent
+	visibleWhileSilent int // number of visible changes while silent
 	extraDelay         event.Micros
 	malformed          bool
-	partitioned        map[event.Router]bool // whose agents hear nothing
+	partitioned        map[event.Router]bool // routers whose agents do not receive changes
 	clockStep          time.Duration
-	changed            chan struct{} // closed at each change of anything
-	delivered          []int         // by router: changes told so far
-	reached            []int         // by router: changes that have reached the agent
+	changed            chan struct{} // closed and replaced when the state changes
+	delivered          []int         // by router: number of changes that it has received
+	reached            []int         // by router: number of changes that have reached its agent
 	agents             []*agent
-	retired            []*agent // away from an address
+	retired            []*agent // agents at former addresses
 }
 
+// agent serves discovery to one router.
 type agent struct {
 	registry *Registry
 	router   event.Router
@@ -61,7 +64,7 @@
 	done     chan struct{}
 }
 
-// Start begins an agent for each router on its address.
+// Start starts an agent for each router on its address. Deliveries are recorded in seen. Call Close to end the agents.
 func Start(seen *event.Log, set scenario.Discovery, addrs []string) (*Registry, error) {
 	r := &Registry{log: seen, settings: set, changed: make(chan struct{}), delivered: make([]int, len(addrs)), reached: make([]int, len(addrs))}
 	for i, addr := range addrs {
@@ -89,7 +92,7 @@
 	return a, nil
 }
 
-// Close ends all agents.
+// Close ends all agents, including those at former addresses.
 func (r *Registry) Close() {
 	for _, a := range append(r.agents, r.retired...) {
 		a.srv.Close()
@@ -97,14 +100,14 @@
 	}
 }
 
-// Addr is where a router finds discovery.
+// Addr returns the current address of a router's agent.
 func (r *Registry) Addr(router event.Router) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.agents[router].addr
 }
 
-// Move gives a router's agent another address. The old one goes on for a while, with the connections that it has.
+// MoveAgent starts an agent for the router at another address. The old agent keeps serving for the duration lingers.
 func (r *Registry) MoveAgent(router event.Router, addr string, lingers time.Duration) error {
 	a, err := r.startAgent(router, addr)
 	if err != nil {
@@ -119,12 +122,14 @@
 	return nil
 }
 
+// notify wakes all waiting calls. The caller holds r.mu.
 func (r *Registry) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Set notes a change; it is told after the delay. At once where the list is made.
+// Update adds a change, which becomes visible after the delay, or immediately if atOnce is set. Changes become visible in
+// the order of their updates.
 func (r *Registry) Update(e Entry, atOnce bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,14 +144,14 @@
 	r.notify()
 }
 
-// Known is the list as it was at first, in the form of a router's configuration.
+// FullList returns the list with all changes, whether visible or not, as a router's configuration contains it.
 func (r *Registry) FullList(router event.Router) json.RawMessage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.encodeList(router, len(r.changes), 0, true)
 }
 
-// Strike begins a fault of the scenario, or takes it back.
+// ApplyFault begins a fault of the scenario, or ends it.
 func (r *Registry) ApplyFault(f scenario.Fault, end bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +173,7 @@
 	r.notify()
 }
 
-// Cut takes the way between the list and some routers' agents, and gives it back to the others.
+// Partition stops changes from reaching the agents of the given routers, and lets them reach all others.
 func (r *Registry) Partition(from map[event.Router]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,7 +181,7 @@
 	r.notify()
 }
 
-// visible is how many changes can be told now.
+// visible returns the number of changes that agents can serve now. The caller holds r.mu.
 func (r *Registry) visible() int {
 	if r.silent {
 		return r.visibleWhileSilent
@@ -188,6 +193,7 @@
 	return n
 }
 
+// target is the wire form of an Entry.
 type target struct {
 	UID      event.Server `json:"uid"`
 	Endpoint string       `json:"endpoint"`
@@ -199,7 +205,7 @@
 	Boot     int64        `json:"boot_ms"`
 }
 
-// body is an answer: the whole list as of a change, or what came behind another.
+// encodeList encodes the list as of revision until: complete, or only the changes since revision from.
 func (r *Registry) encodeList(router event.Router, until, from int, complete bool) []byte {
 	var order []event.Server
 	last := map[event.Server]Entry{}
@@ -224,13 +230,13 @@
 		}
 		targets = append(targets, t)
 	}
-	out, _ := json.Marshal(map[string]any{"rev": until, "all": complete, "targets": targets}) // of such types it never fails
+	out, _ := json.Marshal(map[string]any{"rev": until, "all": complete, "targets": targets}) // these types always encode
 	return out
 }
 
 const malformedBody = `{"rev":"seven","all":maybe,"targets":[{"uid":`
 
-// ServeHTTP answers a router's call.
+// ServeHTTP answers a router's request for the list, or its watch.
 func (a *agent) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/registry/instances" {
 		http.NotFound(w, request)
@@ -239,7 +245,7 @@
 	r := a.registry
 	index, watch := -1, request.URL.Query().Has("index")
 	if watch {
-		index, _ = strconv.Atoi(request.URL.Query().Get("index")) // what is no number asks for all
+		index, _ = strconv.Atoi(request.URL.Query().Get("index")) // 0 if it is not a number
 	}
 	wait, _ := strconv.Atoi(request.URL.Query().Get("wait"))
 	end := time.NewTimer(time.Duration(min(wait, 60000)) * time.Millisecond)
@@ -284,7 +290,7 @@
 	}
 }
 
-// tell notes what a router has been told of servers that want nothing new.
+// recordDelivered records that a router was told about servers that must not get new requests. The caller holds r.mu.
 func (r *Registry) recordDelivered(router event.Router, until int) {
 	for ; r.delivered[router] < until; r.delivered[router]++ {
 		if e := r.changes[r.delivered[router]].entry; e.State != "active" {
@@ -293,7 +299,8 @@
 	}
 }
 
-// Tick notes what has reached the agents, whether or not a router asks for it.
+// RecordDeliveries records the changes that have reached the agents, whether or not a router has requested them. It is
+// called periodically.
 func (r *Registry) RecordDeliveries() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -307,7 +314,7 @@
 	}
 }
 
-// Restarted records that a router was restarted, so that its next list is complete.
+// Restarted records that a router was restarted and has received no changes yet.
 func (r *Registry) Restarted(router event.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/registry/registry_test.go
@@ -50,41 +50,41 @@
 	expect := func(what, query, want string) {
 		l, err := get(t, r, query)
 		if got := fmt.Sprint(l, err != nil); got != want {
-			t.Errorf("%s: %s, not %s", what, got, want)
+			t.Errorf("%s: got %s, want %s", what, got, want)
 		}
 	}
-	expect("the whole list", "", "{2 true [{a active} {b active}]} false")
+	expect("the complete list", "", "{2 true [{a active} {b active}]} false")
 	r.Update(entry("b", "leaving"), false)
 	expect("before the delay is over", "?index=2&wait=20", "{2 false []} false")
 	r.Partition(map[event.Router]bool{0: true})
 	if l, err := get(t, r, "?index=2&wait=100"); err == nil {
-		t.Error("a router that is cut off was told ", l)
+		t.Error("a partitioned router received ", l)
 	}
 	r.Partition(nil)
-	expect("a watch over the delay", "?index=2&wait=1000", "{3 false [{b leaving}]} false")
+	expect("a watch that outlasts the delay", "?index=2&wait=1000", "{3 false [{b leaving}]} false")
 	r.Update(entry("b", "left"), false)
-	expect("gone, among changes", "?index=3&wait=1000", "{4 false [{b left}]} false")
-	expect("gone, in a whole list", "", "{4 true [{a active}]} false")
-	expect("an index that it never told", "?index=99&wait=10", "{4 true [{a active}]} false")
+	expect("removed server among changes", "?index=3&wait=1000", "{4 false [{b left}]} false")
+	expect("removed server in a complete list", "", "{4 true [{a active}]} false")
+	expect("an unknown index", "?index=99&wait=10", "{4 true [{a active}]} false")
 
 	r.ApplyFault(scenario.Fault{Kind: "discovery_bad"}, false)
-	expect("a bad list", "", "{0 false []} true")
+	expect("a malformed list", "", "{0 false []} true")
 	r.ApplyFault(scenario.Fault{Kind: "discovery_bad"}, true)
 	r.ApplyFault(scenario.Fault{Kind: "discovery_silent"}, false)
 	r.Update(entry("a", "leaving"), false)
 	time.Sleep(120 * time.Millisecond)
 	r.RecordDeliveries()
 	if _, err := get(t, r, ""); err == nil {
-		t.Error("it answers while silent")
+		t.Error("answered while silent")
 	}
 	r.ApplyFault(scenario.Fault{Kind: "discovery_silent"}, true)
-	expect("what came up meanwhile", "?index=4&wait=1000", "{5 false [{a leaving}]} false")
+	expect("changes made while silent", "?index=4&wait=1000", "{5 false [{a leaving}]} false")
 	if err := r.MoveAgent(0, "127.14.0.1:18501", 10*time.Millisecond); err != nil || r.Addr(0) != "127.14.0.1:18501" {
 		t.Error(r.Addr(0), err)
 	}
 	expect("at its new address", "", "{5 true [{a leaving}]} false")
 
-	// Only what wants nothing new is noted as told, and only to the router that asked.
+	// Only servers that must not get new requests are recorded as delivered, and only for the router that requested the list.
 	delivered := ""
 	for _, e := range log.Events() {
 		if e.Kind == event.Told {
@@ -92,7 +92,7 @@
 		}
 	}
 	if want := "b to 0; b to 0; a to 0; "; delivered != want {
-		t.Errorf("%q was noted as told", delivered)
+		t.Errorf("%q was recorded as delivered", delivered)
 	}
 	r.RecordDeliveries()
 	due := 0
@@ -102,6 +102,6 @@
 		}
 	}
 	if due != 6 { // three changes at two agents
-		t.Errorf("%d news were noted at the agents", due)
+		t.Errorf("%d changes were recorded at the agents", due)
 	}
 }
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,8 +1,10 @@
-// Package trace reads and writes recorded traffic: a schedule of arrivals that another run can replay bit for bit.
+// Package trace reads and writes recorded traffic: a schedule of arrivals that another run can replay exactly. The lab
+// commands of cache-routerctl use it.
 //
-// A file is a magic line with the version, a header, and blocks. Each block holds up to 4096 arrivals, packed by
-// compress/flate, behind its lengths and the CRC32C of its packed bytes; a last block of no arrivals tells how many there were.
-// What is cut off or damaged is reported with the offset of the block, together with all that stands before it.
+// A file consists of a magic line with the version, a block with the names, and blocks of arrivals. Each block holds up to
+// 4096 arrivals, compressed by compress/flate and preceded by its lengths and the CRC32C of its lengths and compressed
+// bytes. A last block without arrivals has their total count. For a truncated or damaged file the reader reports the offset
+// of the damaged block and returns all arrivals before it.
 package trace
 
 import (
@@ -19,27 +21,27 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// Version is that of the files written here. Older ones are read, newer ones refused.
+// Version is the version of the files that Write writes. Read accepts older versions and rejects newer ones.
 const Version = 1
 
 const (
 	magic            = "spurtrestle-trace "
 	arrivalsPerBlock = 4096
-	maxBlockBytes    = 16 << 20 // of one block, packed or not: a damaged length must not ask for all memory
+	maxBlockBytes    = 16 << 20 // limit of a block, compressed or not, so that a damaged length cannot exhaust the memory
 	maxNames         = 1 << 16
 	maxTextBytes     = 1 << 10
 )
 
-// Names are the names that arrivals refer to by number.
+// Names holds the names that arrivals refer to by index.
 type Names struct {
 	Title                   string
 	Sites, Methods, Tenants []string
 }
 
-// Damage is a file of which only the first part could be read.
+// DamageError reports a file of which only the first part could be read.
 type DamageError struct {
-	Offset   int64 // of the first byte that is not trusted
-	Arrivals int   // arrivals before it
+	Offset   int64 // of the first byte that is not valid
+	Arrivals int   // number of arrivals before it
 	Reason   string
 }
 
@@ -47,8 +49,8 @@
 	return fmt.Sprintf("damaged at byte %d (%s); %d arrivals before it could be read", d.Offset, d.Reason, d.Arrivals)
 }
 
-// ErrNewer is a file of a later version.
-var ErrNewerVersion = errors.New("the file was written by a newer version; read it with that one")
+// ErrNewerVersion is returned for a file of a newer version.
+var ErrNewerVersion = errors.New("the file was written by a newer version; read it with that version")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -56,6 +58,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
+// writeBlock compresses and writes a block of n arrivals.
 func writeBlock(w io.Writer, n int, plain []byte) error {
 	var compressed bytes.Buffer
 	z, err := flate.NewWriter(&compressed, flate.BestSpeed)
@@ -80,7 +83,7 @@
 	return err
 }
 
-// Write writes a whole trace.
+// Write writes a complete trace.
 func Write(to io.Writer, names Names, schedule []arrivals.Arrival) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintf(w, "%s%d\n", magic, Version)
@@ -118,11 +121,11 @@
 	return w.Flush()
 }
 
-// reader keeps the offset and refuses lengths over the bounds.
+// reader reads blocks, tracks the offset, and rejects lengths above the limits.
 type reader struct {
 	in         *bufio.Reader
 	offset     int64
-	blockStart int64 // where the block at hand begins
+	blockStart int64 // offset of the current block
 }
 
 func (r *reader) readFull(n int) ([]byte, error) {
@@ -141,7 +144,7 @@
 	n = int(binary.LittleEndian.Uint32(header))
 	size, compressed := binary.LittleEndian.Uint32(header[4:]), binary.LittleEndian.Uint32(header[8:])
 	if n > arrivalsPerBlock || size > maxBlockBytes || compressed > maxBlockBytes {
-		return 0, nil, errors.New("a block's lengths are impossible")
+		return 0, nil, errors.New("the lengths of a block are out of range")
 	}
 	body, err := r.readFull(int(compressed))
 	if err != nil {
@@ -152,12 +155,12 @@
 	}
 	plain, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxBlockBytes))
 	if err != nil || len(plain) != int(size) {
-		return 0, nil, errors.New("a block cannot be unpacked")
+		return 0, nil, errors.New("a block cannot be decompressed")
 	}
 	return n, plain, nil
 }
 
-// cursor walks a block and remembers that something was wrong.
+// cursor decodes the contents of a block. After an invalid value all further values are zero.
 type cursor struct {
 	rest    []byte
 	invalid bool
@@ -172,9 +175,9 @@
 	return x
 }
 
-func (c *cursor) unsigned(most uint64) uint64 {
+func (c *cursor) unsigned(limit uint64) uint64 {
 	x, n := binary.Uvarint(c.rest)
-	if c.invalid = c.invalid || n <= 0 || x > most; c.invalid {
+	if c.invalid = c.invalid || n <= 0 || x > limit; c.invalid {
 		return 0
 	}
 	c.rest = c.rest[n:]
@@ -200,7 +203,7 @@
 	return out
 }
 
-// Read reads a trace. On Damage the arrivals before it are returned as well.
+// Read reads a trace. With a DamageError it returns the arrivals before the damage as well.
 func Read(from io.Reader) (Names, []arrivals.Arrival, error) {
 	r := &reader{in: bufio.NewReader(from)}
 	var names Names
@@ -208,7 +211,7 @@
 	r.offset = int64(len(line))
 	version := 0
 	if _, scan := fmt.Sscanf(line, magic+"%d\n", &version); err != nil || scan != nil || version < 1 {
-		return names, nil, DamageError{0, 0, "it does not begin as a trace does"}
+		return names, nil, DamageError{0, 0, "the file does not begin with the magic line of a trace"}
 	}
 	if version > Version {
 		return names, nil, ErrNewerVersion
@@ -237,22 +240,31 @@
 			}
 			if _, err := r.in.ReadByte(); err == nil {
 				r.blockStart = r.offset
-				return names, schedule, damage("more stands behind the end")
+				return names, schedule, damage("there is data after the end")
 			}
 			return names, schedule, nil
 		}
-		complete := schedule
-		for range n {
-			last += event.Micros(c.signed())
-			a := arrivals.Arrival{At: last, Site: event.Site(c.signed()), Method: event.Method(c.signed()),
-				Tenant: event.Tenant(c.signed()), Key: c.text(), Size: int(c.unsigned(1 << 30)),
-				AbandonAfter: event.Micros(c.unsigned(1 << 50))}
-			if c.invalid || int(a.Site) >= len(names.Sites) || a.Site < 0 || int(a.Method) >= len(names.Methods) || a.Method < 0 ||
-				int(a.Tenant) >= len(names.Tenants) || a.Tenant < -1 {
-				schedule = complete
-				return names, schedule, damage("an arrival names what is not there")
-			}
-			schedule = append(schedule, a)
+		block, ok := c.arrivals(n, &last, names)
+		if !ok {
+			return names, schedule, damage("an arrival refers to a name that does not exist")
+		}
+		schedule = append(schedule, block...)
+	}
+}
+
+// arrivals decodes n arrivals. last is the time of the previous arrival and is advanced. ok is false if a value is invalid
+// or refers to a name that does not exist.
+func (c *cursor) arrivals(n int, last *event.Micros, names Names) (block []arrivals.Arrival, ok bool) {
+	for range n {
+		*last += event.Micros(c.signed())
+		a := arrivals.Arrival{At: *last, Site: event.Site(c.signed()), Method: event.Method(c.signed()),
+			Tenant: event.Tenant(c.signed()), Key: c.text(), Size: int(c.unsigned(1 << 30)),
+			AbandonAfter: event.Micros(c.unsigned(1 << 50))}
+		if c.invalid || int(a.Site) >= len(names.Sites) || a.Site < 0 || int(a.Method) >= len(names.Methods) || a.Method < 0 ||
+			int(a.Tenant) >= len(names.Tenants) || a.Tenant < -1 {
+			return nil, false
 		}
+		block = append(block, a)
 	}
+	return block, true
 }
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -40,12 +40,12 @@
 			t.Errorf("%d arrivals: %v, %d read", n, err, len(got))
 		}
 		if !bytes.Equal(file, encode(t, got)) {
-			t.Errorf("%d arrivals: written again it differs", n)
+			t.Errorf("%d arrivals: encoding them again gives another file", n)
 		}
 	}
 }
 
-// Whatever is cut off or changed, what is returned is a prefix of what was written, and the damage is told.
+// However a file is truncated or changed, the reader returns a prefix of the arrivals and reports the damage.
 func TestDamagedFileYieldsAPrefix(t *testing.T) {
 	all := sample(2*arrivalsPerBlock + 7)
 	file := encode(t, all)
@@ -59,14 +59,14 @@
 		}
 		_, got, err := Read(bytes.NewReader(broken))
 		if err == nil {
-			t.Fatalf("damage at %d was not seen", at)
+			t.Fatalf("damage at %d was not detected", at)
 		}
 		if len(got) > 0 && !reflect.DeepEqual(got, all[:len(got)]) {
-			t.Fatalf("damage at %d: what was read is no prefix", at)
+			t.Fatalf("damage at %d: the arrivals are not a prefix", at)
 		}
 		var d DamageError
 		if errors.As(err, &d) && (d.Offset > int64(at) || d.Arrivals != len(got)) {
-			t.Fatalf("damage at %d was told as %v, with %d read", at, d, len(got))
+			t.Fatalf("damage at %d was reported as %v, with %d arrivals", at, d, len(got))
 		}
 	})
 }
