--- a/internal/lab/bench/bench_test.go
+++ b/internal/lab/bench/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What the generator counts is what a server that answers at once was asked.
-func TestLoadCounts(t *testing.T) {
+// The counts of the generator match the answers of a server that answers immediately.
+func TestRunCountsAnswers(t *testing.T) {
 	null, err := NewStubServer("127.0.0.1:0", RouterReply(100))
 	if err != nil {
 		t.Fatal(err)
@@ -19,11 +19,11 @@
 			t.Errorf("%+v: %+v, %v", l, out, err)
 		}
 		if l.Rate > 0 && out.Answered > 405 {
-			t.Errorf("%d answers came to 400 reqs", out.Answered)
+			t.Errorf("%d answers to 400 requests", out.Answered)
 		}
 	}
 	if _, err := Run(t.Context(), Load{Addr: null.Addr()}); err == nil {
-		t.Error("a load of nothing was played")
+		t.Error("an empty load was accepted")
 	}
 	busy, err := NewStubServer("127.0.0.1:0", []byte("-BUSY 5\r\n"))
 	if err != nil {
@@ -36,7 +36,8 @@
 	}
 }
 
-// BenchmarkGenerator shows what the generator adds at 50,000 requests a second: under a millisecond at p99 is wanted.
+// BenchmarkGenerator measures the latency that the generator adds at 50,000 requests per second. The target is below one
+// millisecond at p99.
 func BenchmarkGenerator(b *testing.B) {
 	null, err := NewStubServer("127.0.0.1:0", RouterReply(512))
 	if err != nil {
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -1,8 +1,10 @@
-// Package bench loads one address with plain reads and measures what comes back: in a closed loop, each connection
-// keeping so many requests in hand, or in an open loop, requests coming by schedule whatever becomes of the answers. Latency in
-// the open loop counts from the time when a request was to be sent, so that a generator that falls behind shows it.
+// Package bench loads one address with read requests and measures the answers: in a closed loop, where each connection
+// keeps a fixed number of requests in flight, or in an open loop, where requests are sent by schedule regardless of the
+// answers. Latency in the open loop counts from the scheduled send time, so that a generator that falls behind is visible.
+// The command `cache-routerctl lab bench` runs it.
 //
-// The files: load.go the generator; null.go servers that answer at once; router.go a router between the two.
+// Files: load.go has the generator, null.go servers that answer immediately, and router.go the measurement of a router
+// between the two.
 package bench
 
 import (
@@ -21,20 +23,20 @@
 	"spurtrestle/internal/resp"
 )
 
-// Load is what to send.
+// Load describes the requests to send.
 type Load struct {
 	Addr     string
 	Conns    int
-	Depth    int           // closed loop: requests in hand on a connection
-	Rate     float64       // open loop: requests a second over all connections; 0: closed
-	Keys     int           // read in turns
-	Props    string        // of each request, as the protocol has them
-	Duration time.Duration // that is measured
-	WarmUp   time.Duration // before that
-	FirstID  uint64        // of the ids, so that two loads share none
+	Depth    int           // closed loop: requests in flight on a connection
+	Rate     float64       // open loop: requests per second over all connections; 0: closed loop
+	Keys     int           // number of keys, read in turn
+	Props    string        // properties of each request
+	Duration time.Duration // measured time
+	WarmUp   time.Duration // time before the measurement
+	FirstID  uint64        // id of the first request; loads with different ranges share no ids
 }
 
-// Outcome is what came back within the time measured.
+// Result holds the answers within the measured time.
 type Result struct {
 	Answered    int64
 	Succeeded   int64
@@ -42,33 +44,33 @@
 	Failed      int64
 	Duration    time.Duration
 	Latency     *hdrhistogram.Histogram // microseconds
-	MaxLateness time.Duration           // by which the generator was behind, at worst
-	LatenessP99 time.Duration           // of the calls of the open loop
+	MaxLateness time.Duration           // largest lateness of the generator
+	LatenessP99 time.Duration           // of the sends of the open loop
 }
 
-// Rate is answers a second.
+// Rate returns the answers per second.
 func (o Result) Rate() float64 { return float64(o.Answered) / o.Duration.Seconds() }
 
-// Quantile is a latency in milliseconds.
+// Quantile returns a percentile of the latency in milliseconds.
 func (o Result) Quantile(q float64) float64 { return float64(o.Latency.ValueAtQuantile(q)) / 1e3 }
 
-// link is one connection of the generator.
+// connection is one connection of the generator. mu guards due and orders the writes.
 type connection struct {
 	load    *Load
 	index   int
 	conn    net.Conn
 	ids     *atomic.Uint64
 	mu      sync.Mutex
-	due     []int64 // microseconds since the start, of those without an answer
+	due     []int64 // send times of the requests without an answer, in microseconds since the start
 	hist    *hdrhistogram.Histogram
 	result  Result
 	scratch []byte
 }
 
-// Run loads until the time is over. An address that cannot be reached, or a connection that breaks, is an error.
+// Run sends the load until its time is over. It fails if the address cannot be reached or a connection breaks.
 func Run(ctx context.Context, l Load) (Result, error) {
 	if l.Conns < 1 || l.Depth < 1 && l.Rate <= 0 || l.Keys < 1 {
-		return Result{}, errors.New("a load needs connections, keys, and a depth or a rate")
+		return Result{}, errors.New("a load requires connections, keys, and a depth or a rate")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -114,7 +116,7 @@
 		case <-time.After(until):
 		}
 	}
-	time.Sleep(min(200*time.Millisecond, l.Duration)) // what is on its way
+	time.Sleep(min(200*time.Millisecond, l.Duration)) // for answers in flight
 	cancel()
 	readers.Wait()
 	select {
@@ -136,7 +138,8 @@
 	return total, nil
 }
 
-// open sends by schedule, from two threads: one of them was behind at 60,000 a second.
+// runOpenLoop sends by schedule from two goroutines, because one fell behind at 60,000 requests per second. It returns the
+// lateness of the sends.
 func runOpenLoop(ctx context.Context, conns []*connection, l Load, start time.Time, until time.Duration) *hdrhistogram.Histogram {
 	threads := min(2, len(conns))
 	var wg sync.WaitGroup
@@ -151,8 +154,8 @@
 				return time.Duration((float64(i) + float64(t)/float64(threads)) / rate * 1e9)
 			}
 			pacer.Run(ctx, start, n, at, func(i int, late time.Duration) {
-				_ = lateness[t].RecordValue(max(1, int64(late/time.Microsecond))) // over a minute late is not recorded: the run is over
-				// A connection that breaks ends its reader with an error, which is the one told.
+				_ = lateness[t].RecordValue(max(1, int64(late/time.Microsecond))) // fails above a minute, when the run is over
+				// If the connection breaks, its reader reports the error.
 				_ = own[i%len(own)].send(1, at(i))
 			})
 		})
@@ -164,7 +167,7 @@
 	return lateness[0]
 }
 
-// send writes so many requests in one go; due is when they were to be sent, from the start.
+// send writes n requests in one write. due is their scheduled send time, from the start.
 func (c *connection) send(n int, due time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +187,7 @@
 
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 12, Args: 16}
 
-// read takes answers; in the closed loop each brings the next request.
+// read handles answers. In the closed loop it sends a new request for each.
 func (c *connection) read(start time.Time, from, until time.Duration) error {
 	buf := make([]byte, 256<<10)
 	have := 0
@@ -198,14 +201,14 @@
 			if now < until {
 				return fmt.Errorf("connection %d: %w", c.index, err)
 			}
-			return nil // the load is over
+			return nil // the end of the load
 		}
 		have += n
 		used, answers := 0, 0
 		for used < have {
 			r, size, err := resp.ReadReply(buf[used:have], bounds)
 			if err != nil {
-				return fmt.Errorf("connection %d: an answer cannot be read: %w", c.index, err)
+				return fmt.Errorf("connection %d: malformed answer: %w", c.index, err)
 			}
 			if size == 0 {
 				break
@@ -215,7 +218,7 @@
 			c.mu.Lock()
 			if len(c.due) == 0 {
 				c.mu.Unlock()
-				return fmt.Errorf("connection %d: an answer that nobody asked for", c.index)
+				return fmt.Errorf("connection %d: answer without a request", c.index)
 			}
 			due := time.Duration(c.due[0]) * time.Microsecond
 			c.due = c.due[1:]
@@ -230,7 +233,7 @@
 				default:
 					c.result.Failed++
 				}
-				_ = c.hist.RecordValue(max(1, int64((now-due)/time.Microsecond))) // over a minute: no latency of a bench
+				_ = c.hist.RecordValue(max(1, int64((now-due)/time.Microsecond))) // fails above a minute, which is no meaningful latency
 			}
 		}
 		copy(buf, buf[used:have])
--- a/internal/lab/bench/null.go
+++ b/internal/lab/bench/null.go
@@ -8,24 +8,24 @@
 	"spurtrestle/internal/resp"
 )
 
-// Null answers each command at once with the same text. It is a router that costs nothing, or a cache server that does.
+// StubServer answers each command immediately with the same reply. It stands in for a router or cache server without cost.
 type StubServer struct {
 	listener net.Listener
 	reply    []byte
 	conns    sync.Map
 	wg       sync.WaitGroup
-	Accepted atomic.Int64 // connections accepted
+	Accepted atomic.Int64 // number of accepted connections
 }
 
-// Bulk is the answer of a router, Array that of a cache server, with a value of so many bytes.
+// RouterReply returns the reply of a router with a value of size bytes.
 func RouterReply(size int) []byte { return resp.AppendBulk(nil, make([]byte, size)) }
 
-// Array is the answer of a cache server with a value of so many bytes.
+// CacheServerReply returns the reply of a cache server with a value of size bytes.
 func CacheServerReply(size int) []byte {
 	return append(resp.AppendBulk([]byte("*3\r\n"), make([]byte, size)), "$-1\r\n$-1\r\n"...)
 }
 
-// NewNull listens on an address.
+// NewStubServer starts a stub server on an address. Call Close to end it.
 func NewStubServer(addr string, text []byte) (*StubServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -46,10 +46,10 @@
 	return n, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (n *StubServer) Addr() string { return n.listener.Addr().String() }
 
-// Close ends it.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (n *StubServer) Close() {
 	n.listener.Close()
 	n.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -18,7 +18,7 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Case is one load on a router between clients and servers that answer at once.
+// Case is one load on a router between clients and cache servers that answer immediately.
 type Case struct {
 	ValueBytes int     `json:"value_bytes"`
 	Depth      int     `json:"depth"`
@@ -27,7 +27,7 @@
 	Servers    int     `json:"servers"`
 }
 
-// Figures are what a case cost.
+// Measurements are the results of a case.
 type Measurements struct {
 	Case
 	AnswersPerSecond     float64 `json:"answers_per_second"`
@@ -42,19 +42,19 @@
 	LatenessP99          float64 `json:"generator_late_p99_ms"`
 }
 
-// setup is the service of a bench: one method that may run again, and time enough that nothing is cut short.
+// benchScenario returns a service with one retryable method whose deadline is long enough that no request times out.
 func benchScenario(servers int) scenario.Scenario {
 	s := scenario.Default()
 	s.Title, s.Routers.Count, s.Servers.Count = "bench", 1, servers
 	s.Service.Mode = "through"
-	s.Routers.MemoryMB, s.Routers.Descriptors = 1024, 16384 // what is measured is the path, not the limits
+	s.Routers.MemoryMB, s.Routers.Descriptors = 1024, 16384 // high enough that the limits do not affect the measurement
 	s.Methods = []scenario.Method{{Name: "get", Share: 1, Effect: "retryable", Work: 1000, LatencyBudget: 500e3, Deadline: 2e6, Criticality: 1}}
 	return s
 }
 
 const props = "c=get,d=2000"
 
-// Router measures a case on a router program. The folder is for its configuration and log.
+// MeasureRouter measures a case on a router program. The directory is for its configuration and log.
 func MeasureRouter(ctx context.Context, program, dir string, c Case, length time.Duration) (Measurements, error) {
 	f := Measurements{Case: c}
 	s := benchScenario(c.Servers)
@@ -111,10 +111,10 @@
 	if err := errors.Join(err, <-usageErr); err != nil {
 		return f, err
 	}
-	server := float64(max(1, after.requests-before.requests))
+	requests := float64(max(1, after.requests-before.requests))
 	f.AnswersPerSecond, f.P50, f.P99 = out.Rate(), out.Quantile(50), out.Quantile(99)
-	f.CPUPerRequest = float64((after.cpu-before.cpu)/time.Microsecond) / server
-	f.AllocsPerRequest, f.AllocBytesPerRequest = float64(after.allocations-before.allocations)/server, float64(after.allocatedBytes-before.allocatedBytes)/server
+	f.CPUPerRequest = float64((after.cpu-before.cpu)/time.Microsecond) / requests
+	f.AllocsPerRequest, f.AllocBytesPerRequest = float64(after.allocations-before.allocations)/requests, float64(after.allocatedBytes-before.allocatedBytes)/requests
 	f.Rejected, f.Failed, f.LatenessP99 = out.Rejected, out.Failed, out.LatenessP99.Seconds()*1e3
 	for _, server := range servers {
 		f.ConnectionsOpened += server.Accepted.Load()
@@ -122,7 +122,7 @@
 	return f, nil
 }
 
-// ready waits until one request is satisfied.
+// waitUntilServing waits until one request succeeds.
 func waitUntilServing(ctx context.Context, l Load) error {
 	l.Conns, l.Depth, l.Rate, l.WarmUp, l.Duration, l.FirstID = 1, 1, 0, 0, 20*time.Millisecond, 1<<40
 	for range 200 {
@@ -135,10 +135,10 @@
 		l.FirstID += 1 << 32
 		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("the router satisfied nothing")
+	return errors.New("the router answered no request successfully")
 }
 
-// mark is what a router has used and counted up to a moment.
+// routerUsage is the CPU time and the counters of a router at one time.
 type routerUsage struct {
 	cpu                                   time.Duration
 	requests, allocations, allocatedBytes int64
@@ -146,7 +146,7 @@
 
 var countersPattern = regexp.MustCompile(`taken=(\d+).* allocs=(\d+) alloc-bytes=(\d+)`)
 
-// take asks for the counters by SIGUSR1 and reads them from the log.
+// read requests the counters with SIGUSR1 and reads them from the log.
 func (u *routerUsage) read(p *process.Process, log string) error {
 	matches := func() [][][]byte {
 		text, err := os.ReadFile(log)
@@ -164,11 +164,11 @@
 	for range 200 {
 		if now := matches(); len(now) > before {
 			for i, x := range []*int64{&u.requests, &u.allocations, &u.allocatedBytes} {
-				*x, _ = strconv.ParseInt(string(now[len(now)-1][i+1]), 10, 64) // digits by the pattern
+				*x, _ = strconv.ParseInt(string(now[len(now)-1][i+1]), 10, 64) // the pattern matches only digits
 			}
 			return nil
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	return errors.New("the router does not tell its counters with allocs=; it is of an older version")
+	return errors.New("the router does not log its counters with allocs=; its version is too old")
 }
--- a/internal/lab/client/bad.go
+++ b/internal/lab/client/bad.go
@@ -13,10 +13,10 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// patience is how long a bad client waits for the error or the close that it is owed.
+// replyTimeout is how long a misbehaving client waits for the error or close that a router must answer with.
 const replyTimeout = 3*time.Second + 50*time.Millisecond
 
-// Rubbish is what bad clients send; a router owes each an error or a close.
+// MalformedRequests are sent by misbehaving clients; a router must answer each with an error or a close.
 var MalformedRequests = []string{
 	"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 	"*3\r\n$9\r\nCACHE.GET\r\n$-5\r\nabc\r\n",
@@ -29,7 +29,7 @@
 	"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n",
 }
 
-// Bad plays the bad clients of a fault against all routers, and returns once the last of them is done.
+// RunMisbehaving runs the misbehaving clients of a fault against all routers and returns when all have ended.
 func (lb *LoadBalancer) RunMisbehaving(ctx context.Context, fault scenario.Fault) {
 	r := rand.New(rand.NewPCG(lb.seed, 9))
 	step := max(time.Millisecond, fault.Duration.Micros().Duration()/time.Duration(max(1, fault.Count)))
@@ -56,16 +56,17 @@
 	}
 }
 
+// misbehave connects to a router, sends what the kind of fault requires, and records an answer that is not allowed.
 func (lb *LoadBalancer) misbehave(ctx context.Context, kind string, router event.Router, text string, index int) {
 	c, err := net.DialTimeout("tcp", lb.addrs[router], time.Second)
 	if err != nil {
-		return // turned away at the admin endpoint is an answer as well
+		return // refusing the connection is a valid response
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	if kind == "flood" {
-		text = floodCommands(lb, index)
+		text = floodCommands(index)
 	}
 	if kind != "mute" {
 		_ = c.SetWriteDeadline(time.Now().Add(replyTimeout)) // an error shows in Write
@@ -86,14 +87,14 @@
 	if problem != "" {
 		lb.log.Add(event.Event{Kind: event.Owed, Router: router, Note: problem})
 	}
-	for n > 0 && err == nil { // it takes what it is sent
+	for n > 0 && err == nil { // read until the router closes the connection
 		_, err = c.Read(buf)
 	}
 }
 
-// crowd keeps an idle connection to a router open, and opens another at once where it is closed.
+// holdIdleConnections keeps an idle connection to a router open and replaces it whenever it is closed.
 func (lb *LoadBalancer) holdIdleConnections(ctx context.Context, router event.Router, duration time.Duration) {
-	const pause = 20 * time.Millisecond // so that a router that is away is not dialled all the time
+	const pause = 20 * time.Millisecond // limits the rate of dials to a router that is down
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	buf := make([]byte, 64)
@@ -118,8 +119,8 @@
 	return ok && n.Timeout()
 }
 
-// flood is hundreds of commands at once that name no method of the service.
-func floodCommands(_ *LoadBalancer, n int) string {
+// floodCommands returns hundreds of commands that name no method of the service.
+func floodCommands(n int) string {
 	var b bytes.Buffer
 	for i := range 400 {
 		id := fmt.Sprintf("flood%d.%d", n, i)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -1,7 +1,12 @@
-// Package client stands in for those who ask, and for the front between them and the routers. Clients come by schedule
-// and never wait for each other; each op is a first try and its retries. Some clients are bad on purpose.
+// Package client simulates the clients of a lab run and the load balancer between them and the routers. Package fleet runs
+// it. Operations start by schedule, independently of each other; each consists of a first request and its retries. Some
+// clients misbehave on purpose.
 //
-// The files: this one the front and an op; conn.go a connection; bad.go the bad ones.
+// Each operation has its own goroutine, and each RESP2 connection one that reads. LoadBalancer.mu guards the state of the
+// load balancer.
+//
+// Files: client.go has the load balancer and operations, conn.go RESP2 connections, grpc.go gRPC calls, and bad.go the
+// misbehaving clients.
 package client
 
 import (
@@ -20,36 +25,38 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Front deals out connections to the routers of each site.
+// LoadBalancer distributes requests over the routers of each site.
 type LoadBalancer struct {
 	log            *event.Log
 	scenario       scenario.Scenario
 	seed           uint64
 	addrs          []string
-	respPools      []transport // by RESP2; empty if all clients speak gRPC
-	grpcTransports []transport // by gRPC; empty if none does
+	respPools      []transport // by router, over RESP2; empty if all clients use gRPC
+	grpcTransports []transport // by router, over gRPC; empty if no client uses it
 
 	mu         sync.Mutex
-	alive      []bool // as the front believes
-	draining   []bool // told to end: connections that are open are used on
+	alive      []bool // by router, as detected by the load balancer
+	draining   []bool // shutting down: only open connections are still used
 	nextRouter int
 
-	wg        sync.WaitGroup // connections and bad clients
+	wg        sync.WaitGroup // readers of connections
 	ops       sync.WaitGroup
 	completed atomic.Int64
 }
 
-// router is the way to one router, by one protocol.
+// transport sends requests to one router over one protocol.
 type transport interface {
-	// ask sends a request and waits for what becomes of it; kept: where the connection ended under it, it may be sent once more.
-	roundTrip(*pending) (res result, kept bool)
+	// roundTrip sends a request and waits for its result. If reused is true and the connection ended before the answer,
+	// the request may be sent once more.
+	roundTrip(*pending) (res result, reused bool)
 	// isOpen reports whether a connection is open.
 	isOpen() bool
+	// close ends all connections.
 	close()
 }
 
-// NewFront returns a front to routers at these addresses, none of them believed alive. grpc is where they take calls, if any
-// clients speak that.
+// NewLoadBalancer returns a load balancer for the routers at these addresses. All routers count as dead until SetAlive.
+// grpc holds their gRPC addresses; it is empty if no client uses gRPC.
 func NewLoadBalancer(log *event.Log, s scenario.Scenario, seed uint64, addrs, grpc []string) *LoadBalancer {
 	lb := &LoadBalancer{log: log, scenario: s, seed: seed, addrs: addrs, alive: make([]bool, len(addrs)), draining: make([]bool, len(addrs))}
 	for i, addr := range grpc {
@@ -64,10 +71,10 @@
 	return lb
 }
 
-// SiteOf is where a router stands.
+// SiteOf returns the site of a router.
 func SiteOf(s scenario.Scenario, r event.Router) event.Site { return event.Site(int(r) % len(s.Sites)) }
 
-// Believe sets what the front believes of a router.
+// SetAlive sets whether the load balancer considers a router alive, and ends its draining.
 func (lb *LoadBalancer) SetAlive(r event.Router, alive bool) {
 	lb.mu.Lock()
 	defer lb.mu.Unlock()
@@ -75,21 +82,21 @@
 	lb.draining[r] = false
 }
 
-// End has the front open no more connections to a router, and use those that are open for as long as they are.
+// DrainRouter makes the load balancer open no more connections to a router. Connections that are open stay in use.
 func (lb *LoadBalancer) DrainRouter(r event.Router) {
 	lb.mu.Lock()
 	defer lb.mu.Unlock()
 	lb.alive[r], lb.draining[r] = false, true
 }
 
-// mayOpen reports whether connections to a router may be opened.
+// mayOpen reports whether new connections to a router may be opened.
 func (lb *LoadBalancer) mayOpen(r event.Router) bool {
 	lb.mu.Lock()
 	defer lb.mu.Unlock()
 	return !lb.draining[r]
 }
 
-// ways are the ways to the routers by the protocol of an op's client.
+// transports returns the transports, by router, for the protocol of an operation's client.
 func (lb *LoadBalancer) transports(op event.Op) []transport {
 	if len(lb.respPools) == 0 || len(lb.grpcTransports) > 0 && op%2 == 1 {
 		return lb.grpcTransports
@@ -97,8 +104,8 @@
 	return lb.respPools
 }
 
-// pick is the next router of a site; any where the site has none. One that was told to end is used while a connection is open, unless a
-// fresh one is needed.
+// pickRouter returns the next usable router of a site in round robin order, or of any site if that site has none. A draining
+// router is usable while a connection to it is open, unless a new connection is needed.
 func (lb *LoadBalancer) pickRouter(site event.Site, transports []transport, needsNewConn bool) (event.Router, bool) {
 	lb.mu.Lock()
 	defer lb.mu.Unlock()
@@ -115,11 +122,11 @@
 	return 0, false
 }
 
-// Done is how many ops are over.
+// CompletedOps returns the number of completed operations.
 func (lb *LoadBalancer) CompletedOps() int { return int(lb.completed.Load()) }
 
-// Run plays a schedule from the log's time from on, and returns once all ops have begun. What comes later than late is
-// noted as the lab's own lateness.
+// Run starts the operations of a schedule, which begins at the log's time from, and returns when all have started. Starts
+// that are late by more than lateLimit are recorded as lateness of the lab.
 func (lb *LoadBalancer) Run(ctx context.Context, schedule []arrivals.Arrival, from event.Micros, lateLimit time.Duration) {
 	start := lb.log.Start().Add(from.Duration())
 	pacer.Run(ctx, start, len(schedule), func(i int) time.Duration { return schedule[i].At.Duration() }, func(i int, lateness time.Duration) {
@@ -135,7 +142,7 @@
 	})
 }
 
-// Close ends all connections and returns once nothing of the clients runs any more.
+// Close ends all connections and returns when the goroutines that read them have ended.
 func (lb *LoadBalancer) Close() {
 	for _, p := range slices.Concat(lb.respPools, lb.grpcTransports) {
 		p.close()
@@ -143,12 +150,12 @@
 	lb.wg.Wait()
 }
 
-// id is that of a try: new for each, the same in each run of a seed.
+// requestID returns an id that is unique per request and the same in every run with the same seed.
 func (lb *LoadBalancer) requestID(op event.Op, try int) event.Req {
 	return event.Req(fmt.Sprintf("%08x%06x%02x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", lb.seed, op, try)), op, try))
 }
 
-// op asks until it is satisfied, has used up its retries, or may not ask again.
+// runOp sends requests until one succeeds, the retries are used up, or the operation must not be retried.
 func (lb *LoadBalancer) runOp(ctx context.Context, op event.Op, a arrivals.Arrival, from event.Micros) {
 	m := lb.scenario.Methods[a.Method]
 	lb.log.AddAt(event.Event{At: from + a.At, Kind: event.Wanted, Op: op, Method: a.Method, Tenant: a.Tenant, Site: a.Site,
@@ -177,23 +184,25 @@
 	}
 }
 
+// outcome is the result of a request as its client sees it.
 type outcome int
 
 const (
 	succeeded outcome = iota
 	rejected
 	failed
-	disconnected // the connection ended with no answer
+	disconnected // the connection ended without an answer
 	unreached    // nothing was sent
 	abandoned
 )
 
+// result is an outcome, with the retry hint of a rejection.
 type result struct {
 	outcome    outcome
 	retryAfter event.Micros
 }
 
-// try sends one request, once more where a connection that was kept ended under it.
+// sendRequest sends one request. It sends it again, once, if a reused connection ended before the answer.
 func (lb *LoadBalancer) sendRequest(op event.Op, try int, a arrivals.Arrival, abandonsAt event.Micros) result {
 	m := lb.scenario.Methods[a.Method]
 	request := &pending{id: lb.requestID(op, try), op: op, arrival: a, write: m.Write, answer: make(chan result, 1), deadline: m.Deadline.Micros()}
@@ -223,7 +232,7 @@
 			return result{outcome: unreached}
 		}
 		res, reused := transports[r].roundTrip(request)
-		// Only what may run again is sent again without knowing what became of it.
+		// Only retryable requests may be sent again when it is unknown whether they ran.
 		if res.outcome != disconnected || !reused || resends > 0 || m.Effect != "retryable" {
 			return res
 		}
@@ -231,5 +240,5 @@
 	}
 }
 
-// Drain returns once all ops that have begun are over.
+// WaitOps returns when all started operations have ended.
 func (lb *LoadBalancer) WaitOps() { lb.ops.Wait() }
--- a/internal/lab/client/conn.go
+++ b/internal/lab/client/conn.go
@@ -15,25 +15,25 @@
 
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 12, Args: 16}
 
-// lateAnswers is how long a client waits on behind its limit.
+// lateAnswerGrace is how long a client waits after the deadline, so that late answers are recorded as late.
 const lateAnswerGrace event.Micros = 500e3
 
-// pending is a request that has no answer yet.
+// pending is a request without an answer.
 type pending struct {
 	id           event.Req
 	op           event.Op
 	arrival      arrivals.Arrival
 	write        bool
 	props        string
-	deadline     event.Micros // how long it may wait
-	deadlineSent event.Micros // the deadline sent over RESP2, in whole milliseconds
-	givesUpAt    event.Micros // when its client goes; 0: never
+	deadline     event.Micros // time allowed for the answer
+	deadlineSent event.Micros // deadline as sent over RESP2, in whole milliseconds
+	givesUpAt    event.Micros // when the client abandons it; 0: never
 	sentAt       event.Micros
-	needsNewConn bool // it crossed a close, and goes on a new connection
+	needsNewConn bool // it is sent again after a connection ended, on a new one
 	answer       chan result
 }
 
-// pool holds the connections to one router.
+// pool holds the RESP2 connections to one router.
 type pool struct {
 	lb       *LoadBalancer
 	router   event.Router
@@ -45,20 +45,21 @@
 	closed   bool
 }
 
-// conn is one connection. Answers come in the order of requests.
+// conn is one RESP2 connection. Answers arrive in the order of requests.
 type conn struct {
 	pool         *pool
 	netConn      net.Conn
 	mu           sync.Mutex
-	pending      []*pending // in the order on the wire
-	reserved     int        // that have a place, and are about to be written
+	pending      []*pending // in the order of the requests on the wire
+	reserved     int        // requests that have reserved a slot and are about to be written
 	used         bool
 	closed       bool
 	lastRequest  event.Req
-	lastAnswerAt event.Micros // when the answer before came
+	lastAnswerAt event.Micros // when the previous answer arrived
 }
 
-// take finds a connection with room, the one used last first, or opens one. A fresh one is opened in any case.
+// acquire reserves a slot on a connection, preferring the newest one, or opens a connection. With needsNewConn it always
+// opens one.
 func (p *pool) acquire(needsNewConn bool) (c *conn, reused bool, err error) {
 	p.mu.Lock()
 	for i := len(p.conns) - 1; i >= 0 && !needsNewConn; i-- {
@@ -94,9 +95,12 @@
 	return c, false, nil
 }
 
+// poolFullError reports that no connection has a free slot and none may be opened.
 type poolFullError struct{}
 
-func (poolFullError) Error() string { return "all connections that the clients may hold are busy" }
+func (poolFullError) Error() string {
+	return "all connections to the router are busy and no more may be opened"
+}
 
 var errPoolFull = poolFullError{}
 
@@ -106,7 +110,7 @@
 	return len(p.conns) > 0
 }
 
-// ask sends a request and waits for what becomes of it; kept: the connection had carried others before.
+// roundTrip sends a request and waits for its result. reused reports whether the connection had carried other requests.
 func (p *pool) roundTrip(request *pending) (res result, reused bool) {
 	record := event.Event{Req: request.id, Op: request.op, Router: p.router, Method: request.arrival.Method, Limit: request.deadline}
 	var c *conn
@@ -122,9 +126,9 @@
 		if !c.closed {
 			break
 		}
-		c.mu.Unlock() // it ended before anything was written: another one
+		c.mu.Unlock() // it ended before anything was written: try another connection
 	}
-	// Under the lock, so that the order on the wire is the order of those who wait.
+	// The lock is held until the request is written, so that pending has the order on the wire.
 	c.pending = append(c.pending, request)
 	record.Kind, record.DeadlineSent = event.Asked, request.deadlineSent
 	if !reused {
@@ -134,42 +138,48 @@
 	record.At = request.sentAt
 	p.lb.log.AddAt(record)
 	_ = c.netConn.SetWriteDeadline(time.Now().Add(request.deadline.Duration())) // an error shows in Write
-	_, err = c.netConn.Write(c.encode(request))
+	_, err = c.netConn.Write(encode(request))
 	c.mu.Unlock()
 	if err != nil {
 		c.close()
 	}
-	// An answer that comes late is to be seen as late, so the client waits on for a while.
+	return c.await(request), reused
+}
+
+// await waits for the answer to a request that was written, or for its client to abandon it.
+func (c *conn) await(request *pending) result {
+	// The client waits beyond the deadline, so that a late answer is recorded as late.
 	deadline := time.NewTimer((request.deadline + lateAnswerGrace).Duration())
 	defer deadline.Stop()
 	givesUp := make(<-chan time.Time)
 	if request.givesUpAt > 0 {
-		t := time.NewTimer(max(0, request.givesUpAt-p.lb.log.Now()).Duration())
+		t := time.NewTimer(max(0, request.givesUpAt-c.pool.lb.log.Now()).Duration())
 		defer t.Stop()
 		givesUp = t.C
 	}
 	for {
 		select {
 		case res := <-request.answer:
-			return res, reused
+			return res
 		case <-givesUp:
 			if c.abandon(request) {
-				return result{outcome: abandoned}, reused
+				return result{outcome: abandoned}
 			}
-			givesUp = nil // others wait on the connection: it stays, and so does the answer
+			givesUp = nil // other requests wait on the connection: keep it and wait for the answer
 		case <-deadline.C:
 			c.close()
 			select {
 			case res := <-request.answer:
-				return res, reused
+				return res
 			case <-time.After(time.Second):
-				return result{outcome: failed}, reused
+				return result{outcome: failed}
 			}
 		}
 	}
 }
 
-func (c *conn) encode(request *pending) []byte {
+// encode returns the command of a request.
+func encode(request *pending) []byte {
 	words := [][]byte{[]byte("CACHE.GET"), []byte(request.arrival.Key), []byte(request.id), []byte(request.props)}
 	if request.write {
 		words[0] = []byte("CACHE.SET")
@@ -178,7 +188,8 @@
 	return resp.AppendCommand(nil, words...)
 }
 
-// leave goes away without the answer, where no other waits on the connection.
+// abandon closes the connection without waiting for the answer. It does nothing and returns false if another request uses
+// the connection.
 func (c *conn) abandon(request *pending) bool {
 	c.mu.Lock()
 	if len(c.pending) != 1 || c.pending[0] != request || c.reserved > 0 || c.closed {
@@ -200,7 +211,7 @@
 	c.netConn.Close()
 }
 
-// read takes answers until the connection ends.
+// read handles answers until the connection ends.
 func (c *conn) read() {
 	defer c.pool.lb.wg.Done()
 	defer c.handleClose()
@@ -213,7 +224,7 @@
 		for used < len(unread) {
 			r, size, parseErr := resp.ReadReply(unread[used:], bounds)
 			if parseErr != nil {
-				c.recordSurplus("an answer that cannot be read")
+				c.recordSurplus("malformed answer")
 				return
 			}
 			if size == 0 {
@@ -231,20 +242,21 @@
 	}
 }
 
+// recordSurplus records bytes that answer no request.
 func (c *conn) recordSurplus(note string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pool.lb.log.Add(event.Event{Kind: event.Surplus, Req: c.lastRequest, Router: c.pool.router, Note: note})
 }
 
-// took gives an answer to the first that waits; false where nobody does.
+// handleReply passes an answer to the oldest pending request. It returns false if there is none.
 func (c *conn) handleReply(r resp.Reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.pool.lb.log.Now()
 	if len(c.pending) == 0 {
 		if !c.closed {
-			c.pool.lb.log.Add(event.Event{Kind: event.Surplus, Req: c.lastRequest, Router: c.pool.router, Note: "an answer that nobody asked for"})
+			c.pool.lb.log.Add(event.Event{Kind: event.Surplus, Req: c.lastRequest, Router: c.pool.router, Note: "answer without a request"})
 		}
 		return false
 	}
@@ -274,7 +286,7 @@
 	return true
 }
 
-// gone: the connection is over, and those who wait on it have no answer.
+// handleClose removes a closed connection from its pool and fails its pending requests.
 func (c *conn) handleClose() {
 	c.netConn.Close()
 	p := c.pool
@@ -290,7 +302,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kind, outcome := event.Cut, disconnected
-	if c.closed { // by the client itself, for one that waited too long: it does not send again what it has given up
+	if c.closed { // closed by the client after a timeout: requests that it gave up are not sent again
 		kind, outcome = event.Left, failed
 	}
 	c.closed = true
--- a/internal/lab/client/grpc.go
+++ b/internal/lab/client/grpc.go
@@ -17,7 +17,7 @@
 	cachev1 "spurtrestle/proto/spurtrestle/cache/v1"
 )
 
-// calls asks one router over gRPC, all calls on one connection.
+// grpcTransport calls one router over gRPC, with one connection for all calls.
 type grpcTransport struct {
 	lb     *LoadBalancer
 	router event.Router
@@ -26,11 +26,12 @@
 	conn   *grpc.ClientConn
 }
 
+// connect returns a client on the connection, which it creates on first use.
 func (g *grpcTransport) connect() (cachev1.CacheServiceClient, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.conn == nil {
-		// The library's own retries are off: a second try would be a request that the record does not know.
+		// Retries by the library are disabled, because the event log would not show them as requests.
 		conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
 			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
 		if err != nil {
@@ -41,10 +42,10 @@
 	return cachev1.NewCacheServiceClient(g.conn), nil
 }
 
-// isOpen reports false: the library opens connections by itself, so that a router that ends is called no more.
+// isOpen returns false, so that draining routers get no calls: the library may open a new connection for any call.
 func (*grpcTransport) isOpen() bool { return false }
 
-// ask makes one call and notes what became of it.
+// roundTrip makes one call and records its outcome.
 func (g *grpcTransport) roundTrip(request *pending) (res result, reused bool) {
 	record := event.Event{Req: request.id, Op: request.op, Router: g.router, Method: request.arrival.Method, Limit: request.deadline}
 	emit := func(kind event.Kind, outcome event.Outcome, hint event.Micros) {
@@ -64,7 +65,7 @@
 	if request.arrival.Tenant >= 0 {
 		at.Tenant = g.lb.scenario.Tenants[request.arrival.Tenant].Name
 	}
-	// The call's own deadline is later than what the request is told to be judged by: a late answer is to be seen as late.
+	// The deadline of the call is later than that of the request, so that a late answer is recorded as late.
 	record.DeadlineSent = request.deadline + lateAnswerGrace
 	ctx, cancel := context.WithTimeout(context.Background(), record.DeadlineSent.Duration())
 	defer cancel()
@@ -74,17 +75,22 @@
 		defer t.Stop()
 	}
 	emit(event.Asked, 0, 0)
-	var value []byte
+	value, err := call(ctx, c, at, request)
+	return conclude(request, value, status.Convert(err), givesUp, emit)
+}
+
+// call makes the call of a request and returns its value or receipt.
+func call(ctx context.Context, c cachev1.CacheServiceClient, at *cachev1.Attributes, request *pending) ([]byte, error) {
 	if request.write {
-		var got *cachev1.SetResponse
-		got, err = c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(request.arrival.Key), Value: cacheserver.MakeValue(request.id, "client", request.arrival.Size)})
-		value = got.GetReceipt()
-	} else {
-		var got *cachev1.GetResponse
-		got, err = c.Get(ctx, &cachev1.GetRequest{Attributes: at, Key: []byte(request.arrival.Key)})
-		value = got.GetValue()
+		got, err := c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(request.arrival.Key), Value: cacheserver.MakeValue(request.id, "client", request.arrival.Size)})
+		return got.GetReceipt(), err
 	}
-	s := status.Convert(err)
+	got, err := c.Get(ctx, &cachev1.GetRequest{Attributes: at, Key: []byte(request.arrival.Key)})
+	return got.GetValue(), err
+}
+
+// conclude records the outcome of a call and returns its result.
+func conclude(request *pending, value []byte, s *status.Status, givesUp <-chan struct{}, emit func(event.Kind, event.Outcome, event.Micros)) (res result, reused bool) {
 	switch fromRouter := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
 	case s.Code() == codes.OK && cacheserver.IsValueFor(request.id, value):
 		emit(event.Answered, event.Satisfied, 0)
@@ -112,10 +118,10 @@
 	case s.Code() == codes.Unavailable && strings.Contains(s.Message(), "connection error"): // nothing was sent
 		emit(event.Unreached, 0, 0)
 		return result{outcome: unreached}, false
-	case s.Code() == codes.Unavailable: // the library's: no connection, or one that ended under the call
+	case s.Code() == codes.Unavailable: // reported by the library: no connection, or it ended during the call
 		emit(event.Cut, 0, 0)
 		return result{outcome: disconnected}, true
-	case s.Code() == codes.DeadlineExceeded: // noted as nothing: the referee finds a request that was never answered
+	case s.Code() == codes.DeadlineExceeded: // not recorded: the referee finds requests without an answer
 		return result{outcome: failed}, false
 	default:
 		emit(event.Answered, event.Failed, 0)
--- a/internal/lab/origin/conn.go
+++ b/internal/lab/origin/conn.go
@@ -23,16 +23,16 @@
 	return &conn{Conn: c, router: l.router, log: l.log}, nil
 }
 
-// conn is a connection of a router that notes when each request's first byte came, which net/http does not tell: its
-// handlers begin behind the headers. It takes one request at a time, as the protocol has it.
+// conn is a connection of a router that records when the first byte of each request arrived. net/http does not provide it,
+// since its handlers start after the headers. As in the protocol, requests are not pipelined.
 type conn struct {
 	net.Conn
 	router    event.Router
 	log       *event.Log
-	firstByte atomic.Int64 // when the first byte of the request at hand came, in microseconds of the log, plus 1; 0: none has
+	firstByte atomic.Int64 // arrival of the current request's first byte, in microseconds of the log plus 1; 0: none yet
 }
 
-// Read reads what has come.
+// Read reads from the connection and records the arrival of a first byte.
 func (c *conn) Read(to []byte) (int, error) {
 	n, err := c.Conn.Read(to)
 	if n > 0 {
@@ -41,11 +41,11 @@
 	return n, err
 }
 
-// nextRequest returns when the first byte of the request at hand came. Call it once the request is whole: what comes
-// from then on belongs to the next one.
+// finishRequest returns when the first byte of the current request arrived. Call it when the request is complete: bytes
+// that arrive later belong to the next one.
 func (c *conn) finishRequest() event.Micros {
 	first := c.firstByte.Swap(0)
-	if first == 0 { // it came together with the request before it
+	if first == 0 { // it was read together with the previous request
 		return c.log.Now()
 	}
 	return event.Micros(first - 1)
--- a/internal/lab/origin/conn_test.go
+++ b/internal/lab/origin/conn_test.go
@@ -12,7 +12,8 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// A write's body may come long after its head. What an attempt tells is judged by when it began, on a kept connection too.
+// The body of a write may arrive long after its headers. An attempt is recorded with the time of its first byte and its
+// deadline, also on a reused connection.
 func TestAttemptsAreRecordedWithFirstByteAndDeadlineSent(t *testing.T) {
 	log := event.NewLog()
 	methods := map[string]scenario.Method{"book": {Name: "book", Effect: "non-retryable"}}
@@ -53,15 +54,15 @@
 		answer.Body.Close()
 		begun := beginningOf(log, event.Req(attempt.id))
 		if begun.Since < before || begun.Since >= body || begun.At < body {
-			t.Errorf("%s: first byte at %v, whole at %v, not from %v and from %v", attempt.id, begun.Since, begun.At, before, body)
+			t.Errorf("%s: first byte at %v, complete at %v; want at least %v and %v", attempt.id, begun.Since, begun.At, before, body)
 		}
 		if begun.DeadlineSent != attempt.want {
-			t.Errorf("%s: %q was noted as %v", attempt.id, attempt.props, begun.DeadlineSent)
+			t.Errorf("%s: %q was recorded as %v", attempt.id, attempt.props, begun.DeadlineSent)
 		}
 	}
 }
 
-// goesOn waits until the origin has the head and asks for the body.
+// expectContinue waits until the origin has read the headers and requests the body.
 func expectContinue(t *testing.T, answers *bufio.Reader) {
 	for _, want := range []string{"HTTP/1.1 100 Continue\r\n", "\r\n"} {
 		if line, err := answers.ReadString('\n'); err != nil || line != want {
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -1,5 +1,6 @@
-// Package origin is a stand-in for the slow, shared store behind the cache servers. It speaks HTTP/1.1 as the published
-// protocol has it, works on a machine of package machine, and counts how often each request's effect ran.
+// Package origin simulates the slow, shared store behind the cache servers of a lab run. It speaks HTTP/1.1 as specified,
+// executes its work on the model of package machine, and records each attempt and effect in the event log. Package fleet
+// runs it. Origin.mu guards its state; net/http handles each attempt on its own goroutine.
 package origin
 
 import (
@@ -25,18 +26,18 @@
 // UID is the origin's name in discovery.
 const UID event.Server = "origin"
 
-// Fleet is what the origin knows of the run.
+// Config is the origin's view of the run. The functions are called on the goroutines of the attempts.
 type Config struct {
 	Log          *event.Log
 	Settings     scenario.Origin
 	Methods      map[string]scenario.Method
-	OnRead       func(req event.Req, key string) // its answer fills the servers that missed
-	OnWrite      func(key string)                // a write drops all copies
-	IsColdMiss   func(req event.Req) bool        // the miss was at a cold server
+	OnRead       func(req event.Req, key string) // called when a read is done, to fill the servers that missed
+	OnWrite      func(key string)                // called when a write is done, to invalidate all copies
+	IsColdMiss   func(req event.Req) bool        // reports whether the miss was at a cold server
 	Deduplicator *cacheserver.Deduplicator
 }
 
-// Origin is the one store.
+// Origin is the store.
 type Origin struct {
 	config *Config
 	addrs  []string
@@ -48,7 +49,7 @@
 	jobs           map[*machine.Job]chan struct{}
 	down           bool
 	partitioned    map[event.Router]bool // routers that cannot reach it
-	recentWork     float64               // work asked for of late, and that of misses at cold servers
+	recentWork     float64               // decaying sum of offered work, and of the part for misses at cold servers
 	recentColdWork float64
 	recentWorkAt   event.Micros
 	servers        []*http.Server
@@ -57,7 +58,7 @@
 
 type connKey struct{}
 
-// Start begins to serve, on one address for each router.
+// Start starts an origin that listens on one address for each router. Call Close to end it.
 func Start(f *Config, addrs []string, seed uint64) (*Origin, error) {
 	o := &Origin{config: f, addrs: addrs, rand: rand.New(rand.NewPCG(seed, 8)), jobs: map[*machine.Job]chan struct{}{}}
 	o.resetMachine()
@@ -89,10 +90,10 @@
 	return o, nil
 }
 
-// Addr is where a router reaches it.
+// Addr returns the address at which a router reaches the origin.
 func (o *Origin) Addr(r event.Router) string { return o.addrs[r] }
 
-// Close ends it at once.
+// Close ends the origin immediately and returns when its listeners have ended.
 func (o *Origin) Close() {
 	for _, s := range o.servers {
 		s.Close()
@@ -103,12 +104,14 @@
 	o.wg.Wait()
 }
 
+// resetMachine replaces the machine by an idle one.
 func (o *Origin) resetMachine() {
 	s := o.config.Settings
 	o.machine = machine.New(machine.Settings{Cores: s.Cores, Queue: s.Queue, ColdShare: 1,
 		FallMultiple: s.CollapseMultiple, FallSpan: s.CollapseWindow.Micros(), FallsWarm: true}, o.config.Log.Now(), true)
 }
 
+// advance completes jobs that are due and sets the timer for the next one. The caller holds o.mu.
 func (o *Origin) advance() {
 	for _, j := range o.machine.Ended(o.config.Log.Now()) {
 		if done := o.jobs[j]; done != nil {
@@ -121,7 +124,7 @@
 	}
 }
 
-// Strike begins a fault of the scenario, or takes it back.
+// ApplyFault begins a fault of the scenario, or ends it.
 func (o *Origin) ApplyFault(f scenario.Fault, end bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,8 +139,8 @@
 	o.advance()
 }
 
-// Cut takes the way between it and some routers, and gives it back to the others. Connections come up there and bring
-// nothing: it listens by net/http, which cannot be made to take none.
+// Partition makes the origin unreachable from the given routers and reachable from all others. Their connections are still
+// accepted but never answered, since net/http cannot be made to stop accepting.
 func (o *Origin) Partition(from map[event.Router]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -150,7 +153,7 @@
 	return o.partitioned[r]
 }
 
-// count keeps what was asked for of late, to tell what pushed the origin over.
+// recordWork updates the sums of recent work, from which collapse computes the share of misses at cold servers.
 func (o *Origin) recordWork(now event.Micros, work float64, cold bool) {
 	decay := math.Exp(-float64(now-o.recentWorkAt) / float64(max(1, o.config.Settings.CollapseWindow)))
 	o.recentWork, o.recentColdWork, o.recentWorkAt = o.recentWork*decay+work, o.recentColdWork*decay, now
@@ -159,7 +162,8 @@
 	}
 }
 
-// stop: pushed over, it answers nobody for a while and then begins anew.
+// collapse stops the origin after an overload. It answers no attempt for the configured downtime, then starts with an empty
+// queue.
 func (o *Origin) collapse(now event.Micros) {
 	if o.down {
 		return
@@ -175,7 +179,7 @@
 	})
 }
 
-// ServeHTTP takes one attempt.
+// ServeHTTP handles one attempt.
 func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*conn)
 	if !ok {
@@ -190,7 +194,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 	}
 	if err != nil {
-		return // the router ended it before its last byte
+		return // the connection ended before the attempt was complete
 	}
 	if o.isPartitioned(router) {
 		<-r.Context().Done()
@@ -229,7 +233,7 @@
 	dark := o.down
 	o.mu.Unlock()
 	if !took && dark {
-		<-r.Context().Done() // it says nothing while it is down
+		<-r.Context().Done() // no answer while it is down
 		tell(event.Lost)
 		return
 	}
@@ -244,8 +248,8 @@
 	case <-done:
 	case <-r.Context().Done():
 		lost = true
-		tell(event.Lost) // before it waits for anybody
-		if !write {      // a read is called off, a write that has begun goes on
+		tell(event.Lost) // recorded before waiting for the mutex
+		if !write {      // a read is canceled, a write continues
 			o.mu.Lock()
 			if o.machine.Cancel(o.config.Log.Now(), job) {
 				delete(o.jobs, job)
@@ -279,5 +283,5 @@
 	value := cacheserver.MakeValue(req, UID, max(props.Size, len(body)/8))
 	w.Header().Set("Content-Length", fmt.Sprint(len(value)))
 	tell(event.Value)
-	_, _ = w.Write(value) // where the router has gone, it has no use for it
+	_, _ = w.Write(value) // an error means that the router has gone
 }
--- a/internal/lab/origin/origin_test.go
+++ b/internal/lab/origin/origin_test.go
@@ -28,13 +28,13 @@
 		return 0, "", ""
 	}
 	defer a.Body.Close()
-	text, _ := io.ReadAll(a.Body) // what is cut off fails the comparison
+	text, _ := io.ReadAll(a.Body) // a truncated body fails the comparison
 	return a.StatusCode, a.Header.Get("X-Never-Ran"), string(text)
 }
 
 func TestOrigin(t *testing.T) {
 	log := event.NewLog()
-	var mu sync.Mutex // of these two: the origin's own goroutines call
+	var mu sync.Mutex // guards filled and dropped, which the origin's goroutines change
 	filled, dropped := "", ""
 	note := func(to *string, what string) {
 		mu.Lock()
@@ -74,10 +74,10 @@
 	}
 	o.ApplyFault(scenario.Fault{Kind: "origin_stop"}, false)
 	if status, _, _ := call(t, addr, "PUT", "/k", "id5", "c=book,d=9", 50*time.Millisecond); status != 0 {
-		t.Error("a stopped origin answers ", status)
+		t.Error("a stopped origin answered ", status)
 	}
 	if status, never, _ := call(t, addr, "GET", "/k", "id6", "c=read,d=9", long); status != 503 || never != "1" {
-		t.Error("a full origin answers ", status, never)
+		t.Error("a full origin answered ", status, never)
 	}
 	o.ApplyFault(scenario.Fault{Kind: "origin_stop"}, true)
 	for until := time.Now().Add(long); strings.Count(noted(&dropped), "k;") < 4 && time.Now().Before(until); {
@@ -89,7 +89,7 @@
 			ran += string(e.Req) + ";"
 		}
 	}
-	// What nobody waits for any more runs all the same, once.
+	// A write whose router has given up still runs, once.
 	if ran != "id2;id3;id5;" || noted(&filled) != "id1 a b;" || !strings.HasPrefix(noted(&dropped), "k;k;k;k;") {
 		t.Errorf("ran %s, filled %s, dropped %s", ran, noted(&filled), noted(&dropped))
 	}
