--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -10,9 +10,9 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// playFaults does each act of the timeline at its time.
+// runFaults applies each act of the timeline at its time.
 func (r *run) runFaults(ctx context.Context, from event.Micros) {
-	struck := map[[2]int]*cacheServer{} // by fault and place: who was struck, so that the end finds the same life
+	struck := map[[2]int]*cacheServer{} // by fault and slot: the affected server, so that the end of the fault affects the same process
 	for _, a := range faults.Timeline(r.scenario, r.options.Seed) {
 		select {
 		case <-ctx.Done():
@@ -100,7 +100,7 @@
 		current.process.Kill()
 		time.AfterFunc(r.scenario.Discovery.DetectionDelay.Micros().Duration(), func() { r.announce(current, "left") })
 		return nil
-	case "zone_lost": // silent while it is lost; back as other processes, cold, which reset what was open
+	case "zone_lost": // silent while it is lost; it returns as new, cold processes, and open connections are reset
 		if a.End {
 			r.announce(victim, "left")
 			victim.process.Kill()
@@ -123,13 +123,13 @@
 		return nil
 	}
 	if a.End && victim != current {
-		return nil // another fault has replaced it meanwhile
+		return nil // another fault has replaced the server
 	}
 	return current.process.ApplyFault(f, a.End)
 }
 
-// loseSite takes all of a site down at once, its cache servers and its routers; or has it come back cold, all at once. Who
-// asks there goes to routers elsewhere once the front has noticed.
+// loseSite stops all cache servers and routers of a site at once, or starts them again, cold. Clients of the site use routers
+// of other sites once the load balancer has detected the loss.
 func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Act, struck map[[2]int]*cacheServer) error {
 	for place := range r.scenario.Servers.Count {
 		if r.scenario.SiteOf(place) != f.Site {
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// cutOff cuts a site off from the others, or takes that back: routers on one side, servers, origin and discovery (which
-// are at the first site and at all of them) on the other hear nothing of each other.
+// partitionSite partitions a site from the others, or heals the partition. Routers cannot reach servers, origin and discovery
+// on the other side. The origin is at the first site, discovery at all sites.
 func (r *run) partitionSite(site string, on bool) error {
 	r.mu.Lock()
 	if r.partitionedSites[site] = on; !on {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// unreachable are the routers that cannot reach a site now.
+// unreachableFrom returns the routers that currently cannot reach a site.
 func (r *run) unreachableFrom(site string) map[event.Router]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,7 +195,7 @@
 	return far
 }
 
-// succeed starts the successor of a life, unless another fault has done so meanwhile.
+// startSuccessor starts the successor of a server, unless another fault has replaced it already.
 func (r *run) startSuccessor(now, victim *cacheServer, moved bool) error {
 	if now != victim {
 		return nil
@@ -204,7 +204,7 @@
 	return r.startServer(victim.slot, false, moved)
 }
 
-// actRouter does what takes its time beside the timeline.
+// applyRouterFault applies a fault to a router. Actions that take time run concurrently with the timeline.
 func (r *run) applyRouterFault(ctx context.Context, f scenario.Fault, a faults.Act) {
 	p := r.routers[a.Who]
 	random := r.randomFor(a.Fault, a.Who)
@@ -239,7 +239,7 @@
 					r.balancer.SetAlive(p.index, false)
 				}
 			})
-			if f.Duration == 0 && f.BatchShare == 0 { // it is started again as soon as its end is seen
+			if f.Duration == 0 && f.BatchShare == 0 { // it is restarted immediately
 				restart()
 			}
 		})
@@ -272,18 +272,18 @@
 		}
 	case "router_tmp_full":
 		if err := p.fillTmp(!a.End); err != nil {
-			r.options.Log.WithError(err).Warn("lab: TMPDIR of a router")
+			r.options.Log.WithError(err).Warn("lab: cannot change TMPDIR of a router")
 		}
 	case "router_reload":
 		if !a.End {
 			if err := p.reload(); err != nil {
-				r.options.Log.WithError(err).Error("a reload")
+				r.options.Log.WithError(err).Error("reload failed")
 			}
 		}
 	}
 }
 
-// actLinks strikes what routers tell one another, or leaves it alone again.
+// applyLinkFault begins or ends a fault on the links between routers.
 func (r *run) applyLinkFault(f scenario.Fault, end bool) {
 	groups := [2][]int{f.From, f.To}
 	for i := range groups {
@@ -312,7 +312,7 @@
 	}
 }
 
-// moveDiscovery gives every router's agent a new address, which the router's file names from then on.
+// moveDiscovery gives every router's agent a new address and reloads the routers.
 func (r *run) moveDiscovery() error {
 	for _, p := range r.routers {
 		if err := p.moveDiscovery(); err != nil {
--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -7,16 +7,16 @@
 	"os"
 )
 
-// Network is a loopback network that a run has for itself.
+// Network is a loopback network that is reserved for one run.
 type Network struct{ a *addresses }
 
-// NewNetwork claims one for so many routers; Close gives it back.
+// NewNetwork reserves a network for a number of routers. Close releases it.
 func NewNetwork(routers int) (Network, error) {
 	a, err := newAddresses(routers)
 	return Network{a}, err
 }
 
-// Close gives the network back.
+// Close releases the network.
 func (n Network) Close() { n.a.close() }
 
 // Routers returns the address at which clients reach each router.
@@ -25,20 +25,20 @@
 // Discovery returns the address of discovery for each router.
 func (n Network) Discovery() []string { return n.a.discovery(0) }
 
-// Server returns the address of the cache server at a place for each router.
-func (n Network) Server(place int) []string { return n.a.server(place, 0) }
+// Server returns the addresses of the cache server in a slot, one for each router.
+func (n Network) Server(slot int) []string { return n.a.server(slot, 0) }
 
-// Doors returns the address of each router's admin endpoint.
+// AdminEndpoints returns the address of each router's admin endpoint.
 func (n Network) AdminEndpoints() []string { return n.a.adminEndpoints(0) }
 
-// Views returns the address at which each router listens for the others.
+// GossipListeners returns the address at which each router listens for other routers.
 func (n Network) GossipListeners() []string { return n.a.gossipListeners() }
 
-// Ways returns the address at which the others reach each router.
+// GossipAdvertised returns the address at which other routers reach each router.
 func (n Network) GossipAdvertised() []string { return n.a.gossipAdvertised() }
 
-// addresses says who listens where. A run has 127.K.0.0/16 for itself, so that a server that comes back finds its
-// address free: connections within the machine leave from 127.0.0.1. K is claimed by a listener that is held.
+// addresses assigns the addresses of a run. Each run reserves 127.K.0.0/16 by holding a listener in it. Outgoing connections
+// on the machine use 127.0.0.1, so the address of a server that returns is always free.
 type addresses struct {
 	subnet, routerCount int
 	lock                net.Listener
@@ -59,11 +59,11 @@
 		}
 		lock.Close()
 	}
-	return nil, errors.New("no loopback network is free: too many labs run on this machine, or 127.0.0.0/8 is not whole here")
+	return nil, errors.New("no loopback network is free: too many labs run on this machine, or 127.0.0.0/8 is not available")
 }
 
-// free tells whether routers of any make can listen: connections that a router with SO_REUSEPORT alone has left in
-// TIME_WAIT keep others off its address for a minute.
+// isFree reports whether any router can listen. Connections in TIME_WAIT of a router that sets only SO_REUSEPORT block its
+// address for other routers for a minute.
 func (a *addresses) isFree() bool {
 	for _, addr := range a.routers() {
 		ln, err := net.Listen("tcp", addr)
@@ -77,6 +77,7 @@
 
 func (a *addresses) close() { a.lock.Close() }
 
+// perRouter formats an address for each router from the subnet, the router's number and further values.
 func (a *addresses) perRouter(format string, more ...any) (out []string) {
 	for i := range a.routerCount {
 		out = append(out, fmt.Sprintf(format, append([]any{a.subnet, i + 1}, more...)...))
@@ -90,14 +91,15 @@
 func (a *addresses) gossipListeners() []string     { return a.perRouter("127.%d.247.%d:7946") }
 func (a *addresses) gossipAdvertised() []string    { return a.perRouter("127.%d.246.%d:7946") }
 
-// logs are the addresses of the keepers' log, beside those of the views.
+// raftAddresses returns the addresses of the routers that store the policy: their listeners for "views", or their
+// advertised addresses for "ways".
 func (a *addresses) raftAddresses(of string) []string {
 	return a.perRouter(map[string]string{"views": "127.%d.247.%d:7947", "ways": "127.%d.246.%d:7947"}[of])
 }
 func (a *addresses) discovery(moves int) []string { return a.perRouter("127.%d.251.%d:%d", 8500+moves) }
 func (a *addresses) origin() []string             { return a.perRouter("127.%d.252.%d:8080") }
 
-// server is where each router reaches the server at a place, after so many moves.
-func (a *addresses) server(place, moves int) []string {
-	return a.perRouter("127.%d.%d.%d:%d", place+1, 6379+moves)
+// server returns the addresses of the server in a slot, one for each router, after a number of moves to new addresses.
+func (a *addresses) server(slot, moves int) []string {
+	return a.perRouter("127.%d.%d.%d:%d", slot+1, 6379+moves)
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,13 @@
-// Package fleet plays a scenario: it starts stand-ins and routers on loopback addresses, lets clients ask by schedule,
-// lets faults strike on their timeline, and hands what was seen to the referee.
+// Package fleet runs a scenario: it starts simulated servers, discovery and clients and the routers under test on loopback
+// addresses, sends requests by schedule, applies faults on their timeline, and passes the recorded events to the referee.
+// The lab commands of cache-routerctl and the tests of the lab call it.
 //
-// The files: this one a run from start to end; routers.go the programs under test; acts.go the faults; settings.go what
-// routers are told; addresses.go who listens where.
+// The goroutine that calls Run owns a run; faults, clients and observers run on goroutines of their own, and run.mu guards
+// the state that they share.
+//
+// Files: fleet.go has a run from start to end, routers.go the processes under test, acts.go the faults, signals.go signals
+// and replacements, operators.go and operatorstate.go the calls of operators and their effects, policy.go changes of the
+// policy, settings.go the configuration of routers, and addresses.go the addresses.
 package fleet
 
 import (
@@ -26,25 +31,25 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Options are what a run needs beside its scenario.
+// Options are the parameters of a run beside its scenario.
 type Options struct {
 	Seed     uint64
-	Start    Starter            // of a router
-	Dir      string             // for configurations and logs; it must be there
-	Arrivals []arrivals.Arrival // a recorded schedule; nil: the scenario's own
-	Progress func(Progress)     // about once a second; nil: nobody asks
-	Log      *logrus.Logger     // nil: nothing is logged
-	// Await returns once a run may go on at a moment of its course; nil: it goes on by its clock.
+	Start    Starter            // starts a router
+	Dir      string             // existing directory for configurations and logs
+	Arrivals []arrivals.Arrival // recorded schedule; nil: generated from the scenario
+	Progress func(Progress)     // called about once per second; may be nil
+	Log      *logrus.Logger     // may be nil
+	// Await blocks a run at a moment until it may continue; nil: it continues by its clock.
 	Await func(context.Context, Moment)
 }
 
-// Moment is a moment of a run's course at which it can wait for its routers.
+// Moment is a point of a run at which it can wait for its routers.
 type Moment int
 
 const (
-	// SiteReturns is when a lost site is to come back.
+	// SiteReturns is reached before a lost site returns.
 	SiteReturns Moment = iota
-	// RunEnds is when all requests and faults are over.
+	// RunEnds is reached when all requests and faults have ended.
 	RunEnds
 )
 
@@ -54,24 +59,24 @@
 	}
 }
 
-// Progress tells how far a run is.
+// Progress reports how far a run has come.
 type Progress struct {
 	At, Length time.Duration
-	Done, All  int // ops
+	Done, All  int // operations
 	Note       string
 }
 
-// Result is a run that was played to its end.
+// Result is the record of a completed run.
 type Result struct {
 	Scenario     scenario.Scenario
 	Seed         uint64
-	ClientsStart event.Micros // when the clients began
+	ClientsStart event.Micros // start of the schedule
 	Arrivals     []arrivals.Arrival
 	Events       []event.Event
 	Violations   []referee.Broken
 }
 
-// run is one scenario being played.
+// run is the state of a running scenario.
 type run struct {
 	scenario  scenario.Scenario
 	options   Options
@@ -81,23 +86,23 @@
 	origin    *origin.Origin
 	registry  *registry.Registry
 	balancer  *client.LoadBalancer
-	links     *links.Rig // nil: the routers tell one another nothing
+	links     *links.Rig // nil if the routers form no fleet
 	routers   []*router
 
 	mu               sync.Mutex
-	current          []*cacheServer // by place
+	current          []*cacheServer // by slot
 	started          []*cacheServer
 	places           map[event.Server]referee.Place
-	partitionedSites map[string]bool // sites that are cut off now
+	partitionedSites map[string]bool // currently partitioned sites
 	missedBy         map[event.Req][]*cacheserver.Server
 	coldMisses       map[event.Req]bool
 	err              error
-	policyRevision   int // the revision in force
+	policyRevision   int // current revision
 	misbehaving      sync.WaitGroup
 	actions          sync.WaitGroup
 }
 
-// Play plays a scenario. Whatever happens, nothing that it started is left running.
+// Run runs a scenario and returns its record. Nothing that it started is left running, even if it fails or ctx ends.
 func Run(ctx context.Context, s scenario.Scenario, o Options) (Result, error) {
 	if o.Log == nil {
 		o.Log = logrus.New()
@@ -136,7 +141,7 @@
 	unwatch()
 	beside.Wait()
 	if err := ctx.Err(); err != nil {
-		return Result{}, fmt.Errorf("stopped before its end: %w", err)
+		return Result{}, fmt.Errorf("run was stopped before its end: %w", err)
 	}
 	if err := r.err; err != nil {
 		return Result{}, err
@@ -146,7 +151,8 @@
 		Violations: referee.Judge(rules(s, r.places), events)}, nil
 }
 
-// lateNote: an op begun later than this is noted. A busy machine is late by a few milliseconds now and then.
+// latenessThreshold is the lateness above which the start of an operation is recorded. A few milliseconds are normal on a
+// busy machine.
 const latenessThreshold = 20 * time.Millisecond
 
 func (r *run) start(ctx context.Context) (err error) {
@@ -211,16 +217,16 @@
 	return nil
 }
 
-// life is one process at one place among the cache servers.
+// cacheServer is one process in a slot of the simulated cache servers.
 type cacheServer struct {
 	slot, generation int
 	moves            int
 	process          *cacheserver.Server
 	entry            registry.Entry
-	removed          bool // discovery was told
+	removed          bool // announced to discovery as left
 }
 
-// live starts a server at a place: the first life, or a successor of the one that was there.
+// startServer starts the first server of a slot, or the successor of the current one.
 func (r *run) startServer(place int, warm, moved bool) error {
 	r.mu.Lock()
 	old := r.current[place]
@@ -255,6 +261,7 @@
 	return nil
 }
 
+// announce tells discovery the state of a server. A server that was announced as left is not announced again.
 func (r *run) announce(l *cacheServer, state string) {
 	r.mu.Lock()
 	if l.removed {
@@ -268,7 +275,7 @@
 	r.registry.Update(e, false)
 }
 
-// noteMiss: the origin's answer is to fill the servers that missed for a request.
+// recordMiss records a server that missed a request, so that the origin's answer can fill it.
 func (r *run) recordMiss(req event.Req, s *cacheserver.Server, cold bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -301,8 +308,8 @@
 	}
 }
 
-// fillServers gives the servers at the start what they would have come to hold: the most asked keys, on every server,
-// since who holds which is the routers' matter.
+// fillServers fills all servers with the most popular keys, as if they had run for long. Every server gets all of them,
+// because the routers decide which server is asked for a key.
 func (r *run) fillServers() {
 	warm := r.scenario
 	warm.Faults, warm.Load.Steps = nil, nil
@@ -314,7 +321,8 @@
 	}
 }
 
-// heartbeat notes when the lab itself is late: then limits in time are longer by that.
+// watchLateness records when the lab itself is delayed, since the referee extends time limits by that, and records what has
+// reached the discovery agents.
 func (r *run) watchLateness(ctx context.Context) {
 	const every, note = 10 * time.Millisecond, 25 * time.Millisecond
 	last := time.Now()
@@ -362,7 +370,7 @@
 	}
 }
 
-// end leaves nothing behind, however far the run came.
+// close ends everything that the run has started.
 func (r *run) close() {
 	for _, p := range r.routers {
 		p.kill()
@@ -390,7 +398,7 @@
 	}
 }
 
-// endRouters asks all routers to end, so that the end of a run is judged as well.
+// endRouters shuts all routers down in parallel, so that their shutdown is checked as well.
 func (r *run) endRouters() {
 	var wg sync.WaitGroup
 	for _, p := range r.routers {
@@ -399,5 +407,5 @@
 	wg.Wait()
 }
 
-// Timeline is what would strike when; for showing.
+// Timeline returns the timeline of a scenario's faults, for display.
 func Timeline(s scenario.Scenario, seed uint64) []faults.Act { return faults.Timeline(s, seed) }
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// call is one call at a router's door; what the router says is an answer, and how the run goes on is judged without it.
+// call makes one request to a router's admin endpoint. A status other than 2xx is an error.
 func call(ctx context.Context, method, addr, path, body string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -36,7 +36,7 @@
 	return p.admin()
 }
 
-// ban has operators take a server out at every router, or give it back. A second passes at most until it holds.
+// setBanned makes an operator ban a server at every router, or allow it again. It takes effect within a second.
 func (r *run) setBanned(ctx context.Context, uid event.Server, out bool) {
 	kind, path := event.Barred, "/ops/cache-servers/down"
 	if !out {
@@ -44,11 +44,11 @@
 	}
 	for _, p := range r.routers {
 		r.actions.Go(func() {
-			if !out { // what is sent from now on is right
+			if !out { // requests to the server are allowed from now on
 				r.log.Add(event.Event{Kind: kind, Router: p.index, Server: uid})
 			}
 			if err := p.callOperator(ctx, path, string(uid)); err != nil {
-				r.options.Log.WithError(err).Warn("an operator's call")
+				r.options.Log.WithError(err).Warn("operator call failed")
 				return
 			}
 			if out {
@@ -59,7 +59,7 @@
 	}
 }
 
-// empty has operators drain a router, or take clients again; the front hears of it a little later.
+// setDrained makes an operator drain a router, or end its drain. The load balancer detects it later.
 func (r *run) setDrained(ctx context.Context, p *router, on bool) {
 	r.actions.Go(func() {
 		path := "/ops/drain/stop"
@@ -83,7 +83,7 @@
 	})
 }
 
-// replacing replaces a router's process beside the timeline. One replacement of a router runs at a time.
+// runReplacement replaces a router's process concurrently with the timeline, one replacement per router at a time.
 func (r *run) runReplacement(ctx context.Context, p *router, replace func() error) {
 	r.actions.Go(func() {
 		p.replaceMu.Lock()
@@ -94,6 +94,7 @@
 	})
 }
 
+// fail records an error that fails the run, unless the run has been stopped.
 func (r *run) fail(ctx context.Context, err error) {
 	if ctx.Err() == nil {
 		r.mu.Lock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// replace starts a second process beside the one that serves, waits for its yes, and ends the first in order.
+// replace starts a second process, waits until it is ready, and shuts the first one down.
 func (p *router) replace(ctx context.Context) error {
 	const timeout = 6 * time.Second
 	p.mu.Lock()
@@ -115,7 +116,7 @@
 	admin := p.admin()
 	next, err := p.run.options.Start(p.spec())
 	if err == nil {
-		p.instance, p.acceptsSignals = next, false // whoever ends the run ends this one; the other is ended here
+		p.instance, p.acceptsSignals = next, false // the end of the run ends this process; the old one is ended here
 		go p.watch(next)
 	}
 	p.mu.Unlock()
@@ -137,6 +138,6 @@
 	case <-old.Done():
 		return old.Err()
 	case <-time.After(p.run.killAfter()):
-		return fmt.Errorf("the old process had not ended by its time")
+		return fmt.Errorf("the old process did not end in time")
 	}
 }
--- a/internal/lab/fleet/operatorstate.go
+++ b/internal/lab/fleet/operatorstate.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// operatorPatience is how long an operator's call is repeated: processes of a router come and go.
+	// operatorTimeout is how long a failing operator call is retried, since a router's processes may be being replaced.
 	operatorTimeout       = 3 * time.Second
 	operatorRetryInterval = 100 * time.Millisecond
 )
 
-// operatorState is what operators asked for last of a router, as far as it said yes.
+// operatorState is the state that operators last requested of a router and that it confirmed.
 type operatorState struct {
 	mu      sync.Mutex
 	drained bool
@@ -49,7 +49,7 @@
 	return o.drained
 }
 
-// callOperator makes a change at the admin endpoint of the process that serves, again for a while where it fails.
+// callOperator makes a change through the admin endpoint of the serving process, and retries it for a while on failure.
 func (p *router) callOperator(ctx context.Context, path, body string) error {
 	for until := time.Now().Add(operatorTimeout); ; {
 		err := call(ctx, http.MethodPut, p.currentAdmin(), path, body)
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkOperatorStates notes the routers that do not keep to what operators asked for last.
+// checkOperatorStates records the routers whose state differs from what operators last requested.
 func (r *run) checkOperatorStates(ctx context.Context) {
 	hindered := slices.ContainsFunc(r.scenario.Faults, func(f scenario.Fault) bool { return f.Kind == "router_tmp_full" })
 	for _, p := range r.routers {
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkDrained returns what is wrong, empty if nothing is.
+// checkDrained returns a description of the problem, or an empty string if there is none.
 func (p *router) checkDrained(ctx context.Context) string {
 	want := p.wanted.isDrained()
 	for until := time.Now().Add(operatorTimeout); ; {
@@ -87,12 +87,13 @@
 	}
 }
 
-// checkBanned compares the file of the operator state with what was asked for.
+// checkBanned compares the operator state file with the requested state. It returns a description of the problem, or an empty
+// string.
 func (p *router) checkBanned() string {
 	spec := p.spec()
 	text, err := os.ReadFile(filepath.Join(spec.TempDir, "spurtrestle-"+spec.Listen+".intent"))
 	if err != nil {
-		return "" // nothing was asked yet, or the router is a stand-in
+		return "" // nothing was requested yet, or the router is simulated
 	}
 	var file struct {
 		Banned []string `json:"down"`
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -14,7 +14,7 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// found begins the policy of the run's routers.
+// bootstrapPolicy creates the policy of the routers and applies the scenario's plan, if it has one.
 func (r *run) bootstrapPolicy(ctx context.Context) error {
 	if r.scenario.Routers.Policy == "" {
 		return nil
@@ -40,15 +40,15 @@
 	v, err := r.requestPolicy(ctx, r.routers[0], map[string]any{"what": "apply", "doc": r.policyDocument(nil), "base": 0, "token": "plan", "author": "lab",
 		"reason": "the scenario's plan"})
 	if err == nil && (v == nil || !v.Committed) {
-		err = fmt.Errorf("the scenario's plan holds nowhere: %+v", v)
+		err = fmt.Errorf("the scenario's plan was not committed: %+v", v)
 	}
 	r.policyRevision = 1
 	return err
 }
 
-// document is a policy that has these servers out.
+// policyDocument returns a policy that excludes the given servers.
 func (r *run) policyDocument(out []string) string {
-	list, _ := json.Marshal(out) // strings: it cannot fail
+	list, _ := json.Marshal(out) // strings always encode
 	doc := "schema = 1\n"
 	if len(out) > 0 {
 		doc += fmt.Sprintf("out = %s\n", list)
@@ -56,7 +56,7 @@
 	return doc + r.scenario.Routers.SiteLossPlan
 }
 
-// ask asks the keepers by a router's door.
+// requestPolicy sends a policy request through the admin endpoint of a router. The verdict is nil for "found".
 func (r *run) requestPolicy(ctx context.Context, p *router, q map[string]any) (v *policycommit.Verdict, err error) {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return s.Verdict, err
 }
 
-// change has operators ask for a policy that has the picked servers out, by one router after the other until there is a
+// changePolicy requests a policy that excludes the targets of a fault, through one router after another until there is a
 // verdict.
 func (r *run) changePolicy(ctx context.Context, f scenario.Fault) {
 	r.mu.Lock()
@@ -103,7 +103,7 @@
 		if err != nil || v == nil {
 			time.Sleep(100 * time.Millisecond)
 			if n > 100 {
-				r.fail(ctx, fmt.Errorf("a change of policy has no verdict: %w", err))
+				r.fail(ctx, fmt.Errorf("policy change got no verdict: %w", err))
 				return
 			}
 			continue
@@ -115,7 +115,7 @@
 			r.policyRevision = int(v.Revision)
 			r.mu.Unlock()
 		} else {
-			r.options.Log.WithField("why", v.Reason).Info("a change of policy holds nowhere")
+			r.options.Log.WithField("why", v.Reason).Info("policy change was not committed")
 		}
 		r.log.Add(e)
 		return
--- a/internal/lab/fleet/routers.go
+++ b/internal/lab/fleet/routers.go
@@ -17,16 +17,16 @@
 	"spurtrestle/internal/lab/process"
 )
 
-// Spec is what a router is started with.
+// Spec holds the parameters that a router is started with.
 type Spec struct {
 	Name, Listen, Discovery, Config, Log string
-	OperatorFile                         string // the operator's own; empty: none
+	OperatorFile                         string // configuration file of the operator; empty if there is none
 	Cores                                int
-	Admin                                string // the admin endpoint
-	TempDir                              string // a folder that its processes share
+	Admin                                string // address of the admin endpoint
+	TempDir                              string // TMPDIR, shared by all processes of the router
 }
 
-// Args are the arguments of a router.
+// Args returns the command-line arguments of a router.
 func (s Spec) Args() []string {
 	if s.OperatorFile == "" {
 		return nil
@@ -34,13 +34,13 @@
 	return []string{"--file", s.OperatorFile}
 }
 
-// Env are the variables of a router.
+// Env returns the environment variables of a router.
 func (s Spec) Env() []string {
 	return []string{"EDGE_ADMIN=" + s.Admin, "TMPDIR=" + s.TempDir, "EDGE_CONFIG=" + s.Config, "EDGE_NAME=" + s.Name, "EDGE_LISTEN=" + s.Listen, "EDGE_DISCOVERY=" + s.Discovery,
 		fmt.Sprint("GOMAXPROCS=", s.Cores)}
 }
 
-// Instance is a running router, a process or a stand-in for one.
+// Instance is a running router, either a process or a simulated one.
 type Instance interface {
 	Signal(os.Signal) error
 	Done() <-chan struct{}
@@ -52,12 +52,12 @@
 // Starter starts a router.
 type Starter func(Spec) (Instance, error)
 
-// Program starts routers as processes of a program.
+// ProgramStarter returns a Starter that starts routers as processes of the program at path.
 func ProgramStarter(path string) Starter {
 	return func(s Spec) (Instance, error) { return process.Start(path, s.Args(), s.Env(), s.Log) }
 }
 
-// router is one of the run's routers over all of its processes.
+// router is one router of a run, across all of its processes.
 type router struct {
 	run   *run
 	index event.Router
@@ -67,13 +67,13 @@
 
 	instance           Instance
 	starts             int
-	replacements       int // of the processes beside others: each has an admin endpoint of its own
-	failedReplacements int // processes that were started to die
+	replacements       int // number of replacing processes; each uses its own admin endpoint
+	failedReplacements int // number of replacing processes that were started to fail
 	moves              int
-	ending             bool // it was told to end
+	ending             bool // it was told to shut down
 	acceptsSignals     bool
 	wanted             operatorState
-	reloadPending      bool // its file has changed since it was started, and it was not told yet
+	reloadPending      bool // its file has changed since its start and no SIGHUP was sent yet
 	stopped            bool // the run is over
 }
 
@@ -81,7 +81,7 @@
 
 func (p *router) admin() string { return p.run.addresses.adminEndpoints(p.replacements)[p.index] }
 
-// firstDudDoor is the number of the first admin endpoint of processes that are not to stay.
+// firstFailedAdmin is the index of the first admin endpoint for replacing processes that are started to fail.
 const firstFailedAdmin = 200
 
 func (p *router) spec() Spec {
@@ -94,7 +94,7 @@
 		Config: filepath.Join(dir, p.name()+".json"), Log: filepath.Join(dir, p.name()+".log"), Cores: p.run.scenario.Routers.Cores}
 }
 
-// configure writes its file, whole or not at all.
+// configure writes the router's configuration file atomically. The caller holds p.mu.
 func (p *router) configure(known json.RawMessage) error {
 	spec := p.spec()
 	seed := fmt.Sprintf("%08x%08x", crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", p.run.options.Seed, p.index, p.starts)), p.index)
@@ -113,7 +113,7 @@
 	return os.Rename(spec.Config+".new", spec.Config)
 }
 
-// own writes the operator's file, and makes the folder that it names.
+// writeOperatorFile writes the operator's configuration file and creates the state directory that it names.
 func (p *router) writeOperatorFile(file string) error {
 	text := ""
 	if p.run.scenario.Clients.UsesGRPC() {
@@ -152,7 +152,7 @@
 	return os.WriteFile(file, fmt.Appendf(nil, "%s[state]\ndir = %q\nevery = \"1s\"\n", text, folder), 0o644)
 }
 
-// start begins a process, with the list as the router last had it.
+// start starts a process of the router, configured with the current server list.
 func (p *router) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,13 +171,13 @@
 		return err
 	}
 	p.instance, p.ending, p.acceptsSignals, p.reloadPending = instance, false, false, false
-	p.wanted.setDrained(false) // a drain ends with the process, unless another takes over
+	p.wanted.setDrained(false) // a drain ends with the process, unless another process takes over
 	p.starts++
 	go p.watch(instance)
 	return nil
 }
 
-// watch notes a process that ends by itself.
+// watch records a process that ends unexpectedly.
 func (p *router) watch(instance Instance) {
 	<-instance.Done()
 	p.mu.Lock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// untilReady waits for the answer to PING.
+// waitUntilReady waits until the router answers PING, and then lets clients use it.
 func (p *router) waitUntilReady(ctx context.Context, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -200,7 +200,7 @@
 		}
 		select {
 		case <-instance.Done():
-			return fmt.Errorf("router %s ended at its start (%v); see %s", p.name(), instance.Err(), p.spec().Log)
+			return fmt.Errorf("router %s ended while starting (%v); see %s", p.name(), instance.Err(), p.spec().Log)
 		default:
 		}
 		if p.ping() {
@@ -214,7 +214,7 @@
 	return fmt.Errorf("router %s was not ready within %v; see %s", p.name(), timeout, p.spec().Log)
 }
 
-// allowSignals lets a process that is ready have signals from a second later on: the platform sends none before.
+// allowSignals allows signals to a ready process after one second, because the platform sends none earlier.
 func (p *router) allowSignals(instance Instance) {
 	time.AfterFunc(time.Second, func() {
 		p.mu.Lock()
@@ -243,7 +243,7 @@
 	return string(buf[:n]) == "+PONG\r\n"
 }
 
-// sigkill ends it as a machine's loss of power would.
+// sigkill kills the process, as a power loss would.
 func (p *router) sigkill() {
 	p.mu.Lock()
 	instance := p.instance
@@ -257,7 +257,8 @@
 	p.run.log.Add(event.Event{Kind: event.Down, Router: p.index, Outcome: event.Satisfied})
 }
 
-// stop ends it in order: SIGTERM, and SIGKILL once it has had its time. beside sends further signals meanwhile; nil: none.
+// stop shuts the process down with SIGTERM, and with SIGKILL after the time allowed. during, if not nil, sends further
+// signals meanwhile. Unless the router restarts, it starts no process afterwards.
 func (p *router) stop(restarts bool, during func(Instance)) {
 	p.mu.Lock()
 	instance := p.instance
@@ -268,15 +269,15 @@
 	}
 	select {
 	case <-instance.Done():
-		return // it was killed before, or ended by itself, which was noted
+		return // it was killed, or ended unexpectedly and was recorded
 	default:
 	}
 	p.run.log.Add(event.Event{Kind: event.Term, Router: p.index})
-	_ = instance.Signal(syscall.SIGTERM) // an error: it has just ended, which Done tells
+	_ = instance.Signal(syscall.SIGTERM) // fails if it has just ended, which Done reports
 	if during != nil {
 		p.run.actions.Go(func() { during(instance) })
 	}
-	// Its front learns of it a little later; until then new connections go on coming.
+	// The load balancer detects the shutdown later; until then it opens new connections.
 	time.AfterFunc(300*time.Millisecond, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -298,17 +299,17 @@
 		}
 	case <-time.After(p.run.killAfter()):
 		instance.End()
-		record.Outcome, record.Note = event.Failed, "it had not ended by its time after SIGTERM"
+		record.Outcome, record.Note = event.Failed, "it did not end in time after SIGTERM"
 	}
 	p.run.log.Add(record)
 }
 
-// killAfter is how long after SIGTERM a router is killed.
+// killAfter returns how long after SIGTERM a router is killed.
 func (r *run) killAfter() time.Duration {
 	return r.scenario.LongestDeadline() + r.scenario.Routers.KillAfter.Micros().Duration()
 }
 
-// stall has the process stand still, or go on.
+// stall suspends or resumes the process.
 func (p *router) stall(on bool) {
 	p.mu.Lock()
 	instance := p.instance
@@ -317,12 +318,12 @@
 	if !on {
 		sig, limit = syscall.SIGCONT, 1
 	}
-	if instance != nil && instance.Signal(sig) == nil { // an error: it has just ended
+	if instance != nil && instance.Signal(sig) == nil { // fails if it has just ended
 		p.run.log.Add(event.Event{Kind: event.Stalled, Router: p.index, Limit: limit})
 	}
 }
 
-// kill ends it at the end of a run, with nothing noted.
+// kill ends the process at the end of a run without recording it.
 func (p *router) kill() {
 	p.mu.Lock()
 	p.ending, p.stopped = true, true
@@ -333,7 +334,7 @@
 	}
 }
 
-// reload has it read its file again, as soon as it may be told to.
+// reload rewrites the router's file and sends SIGHUP, or defers it until signals are allowed.
 func (p *router) reload() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -349,7 +350,7 @@
 func (p *router) sendReload() {
 	p.reloadPending = false
 	if !p.ending {
-		_ = p.instance.Signal(syscall.SIGHUP) // an error: it has just ended
+		_ = p.instance.Signal(syscall.SIGHUP) // fails if it has just ended
 	}
 }
 
--- a/internal/lab/fleet/settings.go
+++ b/internal/lab/fleet/settings.go
@@ -8,7 +8,7 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// settings is the object that a router is told of the service, with the names and units that it has on the wire.
+// settings returns the service settings of a router, with their names and units on the wire.
 func settings(s scenario.Scenario, me int) map[string]any {
 	seconds := func(x scenario.Span) float64 { return float64(x) / 1e6 }
 	var classes, tenants []map[string]any
@@ -45,7 +45,7 @@
 	}
 }
 
-// Config is a router's configuration file.
+// Config returns the content of a router's configuration file. me is the index of the router, known the server list.
 func Config(s scenario.Scenario, me int, name, listen, discovery, seed string, known json.RawMessage) ([]byte, error) {
 	return json.MarshalIndent(map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": seed,
 		"limits": map[string]any{"cores": float64(s.Routers.Cores), "memory_mb": s.Routers.MemoryMB,
@@ -53,7 +53,7 @@
 		"known": known, "settings": settings(s, me)}, "", " ")
 }
 
-// rules are the figures that the referee judges by.
+// rules returns the parameters of the referee's checks.
 func rules(s scenario.Scenario, places map[event.Server]referee.Place) referee.Rules {
 	r := referee.Rules{Places: places, MaxWriteOuts: s.Service.MaxAttempts, Grace: s.Service.DrainGrace.Micros(),
 		Slack: referee.DefaultSlack, ToldAfter: referee.DefaultToldAfter, MostCold: referee.DefaultMostCold}
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// longestSignalRow is the most signals of one kind in a row, and signalRowStep the span between two of them: the kernel
-	// makes one of equal signals that wait.
+	// maxRepeatedSignals bounds the signals of one kind sent in a row. repeatedSignalGap separates them, because the kernel
+	// merges equal signals that are pending.
 	maxRepeatedSignals = 6
 	repeatedSignalGap  = 2 * time.Millisecond
-	// badFileSpan is how long a bad configuration stays in the place of a good one.
+	// badFileDuration is how long an invalid configuration replaces a valid one.
 	badFileDuration = 50 * time.Millisecond
-	// signalsBesideEnd is the span behind SIGTERM within which further signals come.
+	// signalsDuringShutdown is the time after SIGTERM in which further signals are sent.
 	signalsDuringShutdown = 500 * time.Millisecond
-	// longestDudLife is how long a process lives at most that is to die beside the one it replaces.
+	// maxFailedLifetime bounds the lifetime of a replacing process that is started to fail.
 	maxFailedLifetime = 600 * time.Millisecond
 )
 
-// draws returns the random source of a fault at one router.
+// randomFor returns the random source of a fault at one router.
 func (r *run) randomFor(fault, who int) *rand.Rand {
-	const stream = 500 // not that of another part of the lab
+	const stream = 500 // differs from the streams of other parts of the lab
 	return rand.New(rand.NewPCG(r.options.Seed, stream+uint64(fault)<<16+uint64(who)))
 }
 
@@ -44,13 +44,13 @@
 	}
 }
 
-// drawSpan draws a span from 0 to the longest.
+// randomDuration returns a random duration from 0 up to the longest.
 func randomDuration(random *rand.Rand, longest time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(longest)))
 }
 
-// sendSignals sends a router a series of signals that it has to survive, spread over a span: rows of SIGUSR1, and SIGHUP with the
-// file as it is, with a bad file, and with a new address of discovery.
+// sendSignals sends a router a series of signals that it has to survive, spread over a duration: repeated SIGUSR1, and SIGHUP
+// with an unchanged file, with an invalid file, and with a new address of discovery.
 func (p *router) sendSignals(ctx context.Context, count int, duration time.Duration, random *rand.Rand) error {
 	for range count {
 		if !sleep(ctx, randomDuration(random, 2*duration/time.Duration(count))) {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// sendRow sends SIGUSR1 several times.
+// sendRepeatedUSR1 sends SIGUSR1 several times.
 func (p *router) sendRepeatedUSR1(count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,12 +82,12 @@
 		return
 	}
 	for range count {
-		_ = p.instance.Signal(syscall.SIGUSR1) // an error: it has just ended
+		_ = p.instance.Signal(syscall.SIGUSR1) // fails if it has just ended
 		time.Sleep(repeatedSignalGap)
 	}
 }
 
-// reloadBadFile sends SIGHUP while its file cannot be read. No process of the router is started meanwhile.
+// reloadBadFile sends SIGHUP while the configuration file is invalid. No process of the router is started meanwhile.
 func (p *router) reloadBadFile() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,7 @@
 	return p.configure(p.run.registry.FullList(p.index))
 }
 
-// moveDiscovery gives its agent a new address, which its file names from then on.
+// moveDiscovery gives the router's agent a new address and reloads the router.
 func (p *router) moveDiscovery() error {
 	const lingers = 1500 * time.Millisecond
 	p.mu.Lock()
@@ -115,19 +115,19 @@
 	return p.reload()
 }
 
-// sendBesideEnd sends a process that was told to end further signals.
+// sendSignalsDuringShutdown sends further signals to a process that was told to shut down.
 func sendSignalsDuringShutdown(ctx context.Context, instance Instance, count int, random *rand.Rand) {
 	for range count {
 		if !sleep(ctx, randomDuration(random, 2*signalsDuringShutdown/time.Duration(count))) {
 			return
 		}
 		signal := []os.Signal{syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGTERM}[random.IntN(3)]
-		_ = instance.Signal(signal) // an error: it has ended
+		_ = instance.Signal(signal) // fails if it has ended
 	}
 }
 
-// replaceBehindDud starts a process beside the one that serves which dies soon, or is told to end, and right behind it one that
-// stays.
+// replaceAfterFailedStart starts a replacing process that is soon killed or told to end, and right after it replaces the
+// serving process.
 func (p *router) replaceAfterFailedStart(ctx context.Context, random *rand.Rand) error {
 	p.mu.Lock()
 	if p.stopped || p.ending || p.instance == nil {
@@ -147,25 +147,25 @@
 		return nil
 	}
 	if random.IntN(2) == 0 {
-		p.run.log.Add(event.Event{Kind: event.Killed, Router: p.index}) // clients may be with it by then
+		p.run.log.Add(event.Event{Kind: event.Killed, Router: p.index}) // clients may have connected to it
 		failing.End()
 		if p.ping() {
 			p.run.log.Add(event.Event{Kind: event.Up, Router: p.index})
 		}
 		return p.replace(ctx)
 	}
-	_ = failing.Signal(syscall.SIGTERM) // an error: it has ended, which Done tells
+	_ = failing.Signal(syscall.SIGTERM) // fails if it has ended, which Done reports
 	err = p.replace(ctx)
 	select {
 	case <-failing.Done():
 		return err
 	case <-time.After(p.run.killAfter()):
 		failing.End()
-		return errors.Join(err, errors.New("a successor that was told to end had not ended by its time"))
+		return errors.Join(err, errors.New("a replacing process that was told to end did not end in time"))
 	}
 }
 
-// fillTmp has the file of the operator state not be written, as on a full disk, or takes that back.
+// fillTmp makes writes of the operator state file fail, as on a full disk, or lets them succeed again.
 func (p *router) fillTmp(full bool) error {
 	spec := p.spec()
 	next := filepath.Join(spec.TempDir, "spurtrestle-"+spec.Listen+".intent.next")
@@ -175,11 +175,11 @@
 	return os.MkdirAll(filepath.Join(next, "full"), 0o700)
 }
 
-// countersLine finds what a router counts of its requests.
+// countersLine matches the request counters in a router's log.
 var countersLine = regexp.MustCompile(`taken=(\d+) served=(\d+) rejected=(\d+) failed=(\d+) left=(\d+)`)
 
-// checkCounters reports whether the last counters in a router's log, those of its exit, account for each request. A stand-in for
-// a router writes none.
+// checkCounters checks that the last counters in a router's log, those of its exit, account for every request. Simulated
+// routers log none.
 func checkCounters(logFile string) error {
 	text, err := os.ReadFile(logFile)
 	if err != nil {
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -11,17 +11,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Set is the reports of one candidate over seeds.
+// RunSet holds the reports of one candidate, one for each seed.
 type RunSet struct {
 	Version int      `json:"version"`
 	Label   string   `json:"label"`
 	Runs    []Report `json:"runs"`
 }
 
-// Interval is a mean and how far to both sides it may be off, with 95% confidence by Student's t.
+// Interval is a mean with the half width of its 95% confidence interval by Student's t distribution.
 type Interval struct {
 	Mean      float64 `json:"mean"`
-	HalfWidth float64 `json:"half"` // 0 where there is one run only, which tells nothing of the spread
+	HalfWidth float64 `json:"half"` // 0 for a single sample, which has no interval
 	Samples   int     `json:"n"`
 }
 
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%.4f ± %.4f", i.Mean, i.HalfWidth)
 }
 
-// Mean is the interval of some values.
+// Mean returns the mean of values with its confidence interval.
 func Mean(xs []float64) Interval {
 	n := len(xs)
 	if n == 0 {
@@ -46,14 +46,14 @@
 	return Interval{Mean: mean, HalfWidth: t * dev / math.Sqrt(float64(n)), Samples: n}
 }
 
-// Figure is one that reports are compared by.
+// Metric is a value by which reports are compared.
 type Metric struct {
 	Name          string
 	Value         func(Report) float64
-	LowerIsBetter bool // less is better
+	LowerIsBetter bool // lower values are better
 }
 
-// figuresOf are those that all of some reports have.
+// commonMetrics returns the metrics that all of the reports have.
 func commonMetrics(all []Report) []Metric {
 	for _, r := range all {
 		if r.SiteLoss == nil {
@@ -63,7 +63,7 @@
 	return append(slices.Clone(Metrics), lossMetrics...)
 }
 
-// Figures are what reports are compared by.
+// Metrics are the metrics that every report has.
 var Metrics = []Metric{
 	{"service", func(r Report) float64 { return r.Service.Overall }, false},
 	{"service, worst 10 s", func(r Report) float64 { return r.Service.Worst10s }, false},
@@ -82,7 +82,7 @@
 	{"rule breaks", func(r Report) float64 { return float64(len(r.Violations)) }, true},
 }
 
-// Row is one figure of two candidates. Difference is B less A, by pairs of runs with the same seed.
+// Comparison compares one metric of two candidates. Difference is B minus A, over pairs of runs with the same seed.
 type Comparison struct {
 	Metric     string   `json:"figure"`
 	A          Interval `json:"a"`
@@ -91,7 +91,7 @@
 	Conclusion string   `json:"says"` // better, worse, or no difference beyond chance
 }
 
-// Compare sets two candidates side by side. Runs that are void are left out, pairs are those with the same seed.
+// Compare compares two candidates by pairs of runs with the same seed. Runs with invalid metrics are left out.
 func Compare(a, b RunSet) (rows []Comparison, pairs int, err error) {
 	bySeed := map[uint64]Report{}
 	for _, r := range b.Runs {
@@ -131,7 +131,7 @@
 	return rows, len(runsA), nil
 }
 
-// CompareTable writes a comparison for people.
+// WriteComparison writes a comparison as a table.
 func WriteComparison(w io.Writer, a, b string, rows []Comparison, pairs int) error {
 	fmt.Fprintf(w, "%d pairs of runs; intervals of 95%%\n", pairs)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -142,7 +142,7 @@
 	return t.Flush()
 }
 
-// SetTable writes the spread over seeds for people.
+// WriteRunSet writes the means and intervals over the seeds as a table.
 func WriteRunSet(w io.Writer, s RunSet) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "figure\tmean over %d runs, interval of 95%%\t\n", len(s.Runs))
--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -13,30 +13,31 @@
 	"spurtrestle/internal/lab/fleet"
 )
 
-// Loss is what clients saw before, in and after the loss of a site, by when ops came up.
+// SiteLoss holds what clients observed before, during and after the loss of a site. Operations count by their scheduled
+// start.
 type SiteLoss struct {
-	Onset           Phase   `json:"onset"` // the first two seconds of the loss: nobody knows yet
+	Onset           Phase   `json:"onset"` // first two seconds of the loss, before it is detected
 	Before          Phase   `json:"before"`
 	During          Phase   `json:"in"`
-	Return          Phase   `json:"return"`       // eight seconds from its end on
-	After           Phase   `json:"after"`        // until the end of the run
-	RecoverySeconds float64 `json:"back_s"`       // from its end until service was as before for a second
-	Dip             float64 `json:"dip"`          // the deepest fall of a second's service after that, against before
-	RejectedShare   float64 `json:"refused_part"` // of the first tries in the loss
+	Return          Phase   `json:"return"`       // first eight seconds after its end
+	After           Phase   `json:"after"`        // rest of the run
+	RecoverySeconds float64 `json:"back_s"`       // seconds from its end until one second of service was as before; -1: never
+	Dip             float64 `json:"dip"`          // largest drop of one second's service after that, relative to before
+	RejectedShare   float64 `json:"refused_part"` // of first requests during the loss
 }
 
-// Phase is a part of a run.
+// Phase holds the metrics of one phase of a run.
 type Phase struct {
 	Seconds  float64      `json:"seconds"`
 	Service  float64      `json:"service"`
 	Methods  []NamedShare `json:"methods"`
 	Tenants  []NamedShare `json:"tenants"`
-	Goodput  float64      `json:"goodput"` // ops a second that were answered in time
-	Rejected []NamedShare `json:"refused"` // part of the first tries that were rejected, by method
-	// P99 is that of the tries that were satisfied, as a part of the method's latency budget; the worst method's.
+	Goodput  float64      `json:"goodput"` // operations per second that were answered in time
+	Rejected []NamedShare `json:"refused"` // rejected share of first requests, by method
+	// P99 is the p99 latency of successful requests as a fraction of the latency budget, for the worst method.
 	P99 float64 `json:"p99_of_budget"`
-	// Inversions are first tries that were rejected while a less critical one that came within the same quarter of a second
-	// was served, as a part of all first tries.
+	// Inversions is the share of first requests that were rejected while a less critical one that was sent within the same
+	// quarter of a second was served.
 	Inversions float64 `json:"inversions"`
 }
 
@@ -46,15 +47,15 @@
 	bucketSpan = 250e3
 )
 
-// firstTry is the first try of an op, and what became of the op.
+// firstRequest is the first request of an operation, with the outcome of the operation.
 type firstRequest struct {
 	offered  event.Event
 	sentAt   event.Micros
 	outcome  event.Outcome
-	servedAt event.Micros // the op was served; 0: never
+	servedAt event.Micros // when the operation was served; 0: never
 }
 
-// lossOf looks for the loss of a site; nil where there is none.
+// siteLossOf returns the metrics of the loss of a site, or nil if no site was lost.
 func siteLossOf(r fleet.Result) *SiteLoss {
 	from, until := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
@@ -117,6 +118,7 @@
 	return loss
 }
 
+// measurePhase computes the metrics of the operations that started within a span.
 func measurePhase(r fleet.Result, tries map[event.Op]*firstRequest, byReq map[event.Req]event.Event, from, until event.Micros) Phase {
 	s := r.Scenario
 	p := Phase{Seconds: float64(until-from) / 1e6}
@@ -180,7 +182,8 @@
 	return p
 }
 
-// inversions pairs as many rejections as can be with one served each that is worth less: the cheapest with the cheapest first.
+// countInversions returns the largest number of rejections that can be paired with a served request of lower criticality,
+// by matching the least critical ones first.
 func countInversions(nacked, served map[float64]int) (n int) {
 	unpaired := maps.Clone(served)
 	criticalities := slices.Sorted(maps.Keys(served))
@@ -196,7 +199,8 @@
 	return n
 }
 
-// worstP99 is over the tries that were asked in a span and satisfied, from the last byte asked to the last one answered.
+// worstP99 returns the highest p99 of a method as a fraction of its latency budget, over the successful requests that were
+// sent within a span. Latency counts from the last byte of the request to the last byte of the answer.
 func worstP99(r fleet.Result, byReq map[event.Req]event.Event, from, until event.Micros) (worst float64) {
 	histograms := make([]*hdrhistogram.Histogram, len(r.Scenario.Methods))
 	for _, e := range r.Events {
@@ -207,7 +211,7 @@
 		if histograms[sent.Method] == nil {
 			histograms[sent.Method] = hdrhistogram.New(1, 60e6, 3)
 		}
-		_ = histograms[sent.Method].RecordValue(max(1, int64(e.At-sent.At))) // what is over the bound is no latency of a run
+		_ = histograms[sent.Method].RecordValue(max(1, int64(e.At-sent.At))) // fails above the bound of a minute, which no latency of a run reaches
 	}
 	for i, h := range histograms {
 		if h != nil {
@@ -217,7 +221,7 @@
 	return worst
 }
 
-// lossFigures are compared where a site was lost.
+// lossMetrics are compared if a site was lost in all runs.
 var lossMetrics = []Metric{
 	{"in the loss: service", func(r Report) float64 { return r.SiteLoss.During.Service }, false},
 	{"in the loss: highest criticality", func(r Report) float64 { return r.SiteLoss.During.mostCriticalService(r) }, false},
@@ -230,7 +234,7 @@
 	{"after: service", func(r Report) float64 { return r.SiteLoss.After.Service }, false},
 }
 
-// highest is the service of the most critical methods.
+// mostCriticalService returns the service of the most critical methods.
 func (p Phase) mostCriticalService(r Report) float64 {
 	offered, earned := 0.0, 0.0
 	for _, m := range p.Methods {
@@ -241,7 +245,7 @@
 	return earned / max(1, offered)
 }
 
-// lossTable writes the parts for people.
+// writeLossTable writes the phases of a site loss as a table.
 func writeLossTable(w io.Writer, l *SiteLoss) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "site lost\tservice\tgoodput/s\tp99 of budget\tinversions\t")
--- a/internal/lab/report/loss_test.go
+++ b/internal/lab/report/loss_test.go
@@ -11,11 +11,11 @@
 
 func Example_inversions() {
 	for _, x := range []struct{ nacked, served map[float64]int }{
-		{map[float64]int{1: 9}, map[float64]int{3: 9}},             // what is worth less went
-		{map[float64]int{3: 2}, map[float64]int{1: 9}},             // two that are worth more, while nine that are worth less were served
-		{map[float64]int{3: 4, 1: 5}, map[float64]int{1: 3, 5: 7}}, // of four three could have had a place
-		{map[float64]int{5: 1, 3: 1}, map[float64]int{3: 1, 1: 1}}, // each the place of the next
-		{map[float64]int{3: 2}, map[float64]int{3: 9}},             // of one worth it is chance
+		{map[float64]int{1: 9}, map[float64]int{3: 9}},             // only the less critical are rejected
+		{map[float64]int{3: 2}, map[float64]int{1: 9}},             // two more critical are rejected while nine less critical are served
+		{map[float64]int{3: 4, 1: 5}, map[float64]int{1: 3, 5: 7}}, // three of four could have been served instead
+		{map[float64]int{5: 1, 3: 1}, map[float64]int{3: 1, 1: 1}}, // each could have been served instead of the next
+		{map[float64]int{3: 2}, map[float64]int{3: 9}},             // equal criticality is no inversion
 	} {
 		fmt.Println(countInversions(x.nacked, x.served))
 	}
@@ -27,7 +27,7 @@
 	// 0
 }
 
-// The parts of a loss: what was asked in each, what was answered in time, who was refused.
+// Each phase of a site loss has its own service, goodput, rejections and latency.
 func TestPhasesOfASiteLoss(t *testing.T) {
 	s := scenario.Default()
 	s.Length, s.Tenants = 30e6, nil
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -25,7 +25,7 @@
 var colours = []color.Color{color.RGBA{31, 97, 141, 255}, color.RGBA{39, 134, 77, 255}, color.RGBA{202, 111, 30, 255},
 	color.RGBA{176, 58, 46, 255}, color.RGBA{118, 68, 138, 255}}
 
-// Page writes a report as one HTML page that needs nothing else.
+// WritePage writes a report as a self-contained HTML page.
 func WritePage(w io.Writer, r Report) error {
 	plots, err := r.plots()
 	if err != nil {
@@ -42,7 +42,7 @@
 	SVG   template.HTML
 }
 
-// series is one line of a plot.
+// series is one line of a plot over the seconds of a run.
 type series struct {
 	name string
 	ys   func(Second) float64
@@ -101,6 +101,7 @@
 	return out, nil
 }
 
+// plotLine is one line of a plot with its points.
 type plotLine struct {
 	name   string
 	points plotter.XYs
@@ -113,13 +114,13 @@
 	return xys
 }
 
-// draw plots lines over time, with the faults marked.
+// plot draws lines over time as SVG, with the faults marked.
 func (r Report) plot(axis string, lines []plotLine) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", axis
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	const named = 12 // more names than that hide the plot
+	const named = 12 // a larger legend would hide the plot
 	for i, l := range lines {
 		if len(l.points) == 0 {
 			continue
@@ -140,7 +141,7 @@
 	}
 	p.Legend.Top = true
 	p.Legend.TextStyle.Font.Size = vg.Points(8)
-	p.Y.Max = max(p.Y.Max*1.4, 0.001) // room for the names above the lines
+	p.Y.Max = max(p.Y.Max*1.4, 0.001) // space for the legend above the lines
 	marks := plotter.XYLabels{}
 	for _, f := range r.Faults {
 		mark, err := plotter.NewLine(plotter.XYs{{X: f.At, Y: 0}, {X: f.At, Y: p.Y.Max}})
@@ -154,7 +155,7 @@
 		}
 		p.Add(mark)
 		if !f.End {
-			// One above the other, so that those that begin together can be read.
+			// Staggered, so that the labels of faults that begin together stay readable.
 			marks.XYs = append(marks.XYs, plotter.XY{X: f.At, Y: p.Y.Max * (0.95 - 0.08*float64(len(marks.Labels)%4))})
 			marks.Labels = append(marks.Labels, " "+f.Kind)
 		}
@@ -177,7 +178,7 @@
 	}
 	text := b.Bytes()
 	if i := bytes.Index(text, []byte("<svg")); i > 0 {
-		text = text[i:] // what stands before belongs to a file of its own
+		text = text[i:] // strip the XML prolog
 	}
-	return template.HTML(text), nil // made here, of numbers and the names of routers and servers
+	return template.HTML(text), nil // generated here from numbers and the names of routers and servers
 }
--- a/internal/lab/report/recovery.go
+++ b/internal/lab/report/recovery.go
@@ -13,15 +13,15 @@
 	"spurtrestle/internal/lab/fleet"
 )
 
-// Around is what clients saw around the moment when the last router that had ended was up again: the ops that came up in
-// each part, their criticality, what was earned, and how long the satisfied ones took.
+// RestartWindow holds what clients observed around a restart of routers, in time slices before the first router ended and
+// after the last one was up again.
 type RestartWindow struct {
 	PartMs float64     `json:"part_ms"`
-	Before []TimeSlice `json:"before"` // the last first: before the first router ended
+	Before []TimeSlice `json:"before"` // before the first router ended, latest slice first
 	After  []TimeSlice `json:"after"`
 }
 
-// Part is a short span of a run.
+// TimeSlice holds the offered and earned criticality and the latencies of a short span of a run.
 type TimeSlice struct {
 	Offered   float64   `json:"asked"`
 	Earned    float64   `json:"earned"`
@@ -34,7 +34,8 @@
 	slicesAfter  = 40
 )
 
-// around looks for a restart; nil where there is none, or it is too near to an end of the run.
+// restartWindowOf returns the window around the restart in a run. It is nil if there is no restart or it is too close to the
+// start of the run.
 func restartWindowOf(r fleet.Result) *RestartWindow {
 	down, up := event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
@@ -82,7 +83,7 @@
 	return window
 }
 
-// Recovery is how long after a restart service and p99 were within a part of what they had been before.
+// Recovery holds how long after a restart service and p99 were back within a tolerance of their values before it.
 type Recovery struct {
 	SteadyService float64 `json:"steady_service"`
 	SteadyP99     float64 `json:"steady_p99_ms"`
@@ -93,10 +94,10 @@
 
 const (
 	tolerance    = 0.05
-	windowSlices = 4 // a second: p99 of less is chance
+	windowSlices = 4 // one second, since p99 over fewer samples is too noisy
 )
 
-// recover pools runs and finds the first part from which on a second of it is as before.
+// measureRecovery pools runs and finds the first time slice from which on one second is within the tolerance.
 func measureRecovery(runs []*RestartWindow) Recovery {
 	pool := func(of func(*RestartWindow) []TimeSlice) TimeSlice {
 		var p TimeSlice
@@ -125,7 +126,7 @@
 			r.Both = min(r.Both, at)
 		}
 	}
-	// What never recovered took as long as was looked at, or more.
+	// A run that did not recover counts with the length of the window.
 	longest := float64(slicesAfter) * sliceSpan / 1e6
 	r.Service, r.P99, r.Both = min(r.Service, longest), min(r.P99, longest), min(r.Both, longest)
 	return r
@@ -140,22 +141,22 @@
 	return float64(latencies[min(len(latencies)-1, len(latencies)*99/100)])
 }
 
-// Range is a figure with what 95 of 100 draws of runs leave it in.
+// Range is a value with its 95% bootstrap interval.
 type Range struct {
 	Value float64 `json:"value"`
 	Low   float64 `json:"low"`
 	High  float64 `json:"high"`
 }
 
-// RecoveryRow sets one figure of two candidates side by side.
+// RecoveryComparison compares one metric of two candidates.
 type RecoveryComparison struct {
 	Metric string `json:"figure"`
 	A      Range  `json:"a"`
 	B      Range  `json:"b"`
 }
 
-// Recoveries compares how two candidates come back from a restart, by pairs of runs with one seed. The intervals come from
-// drawing pairs anew, 200 times.
+// CompareRecoveries compares how two candidates recover from a restart, by pairs of runs with the same seed. The intervals
+// are computed by bootstrap: the pairs are resampled 200 times.
 func CompareRecoveries(a, b RunSet) (rows []RecoveryComparison, pairs int, err error) {
 	bySeed := map[uint64]*RestartWindow{}
 	for _, r := range b.Runs {
@@ -202,6 +203,7 @@
 	return rows, len(runsA), nil
 }
 
+// earlyService returns the service over the first slices after the restart.
 func earlyService(runs []*RestartWindow, slices int) float64 {
 	offered, earned := 0.0, 0.0
 	for _, a := range runs {
@@ -212,12 +214,13 @@
 	return earned / max(1, offered)
 }
 
+// interval95 returns the bounds of the central 95% of the values, which it sorts.
 func interval95(xs []float64) (low, high float64) {
 	slices.SortFunc(xs, cmp.Compare[float64])
 	return xs[len(xs)*25/1000], xs[len(xs)*975/1000]
 }
 
-// RecoveryTable writes the comparison for people.
+// WriteRecoveries writes a comparison of recoveries as a table.
 func WriteRecoveries(w io.Writer, rows []RecoveryComparison, pairs int) error {
 	fmt.Fprintf(w, "%d pairs of runs; in brackets 95 of 100 draws of pairs\n", pairs)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,8 @@
-// Package report makes figures, tables and pages from the record of a run. It decides nothing and plays nothing.
+// Package report computes metrics from the record of a run and writes them as tables, JSON and HTML pages. The lab commands
+// of cache-routerctl call it. It keeps no state.
 //
-// The files: this one the figures of one run; table.go and page.go show them; compare.go sets runs side by side.
+// Files: report.go computes the metrics of a run, loss.go those of the loss of a site, and recovery.go those of a restart;
+// table.go and page.go show a run, and compare.go compares sets of runs.
 package report
 
 import (
@@ -16,16 +18,16 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Version is that of the JSON form; it grows when a field changes its meaning.
+// Version is the version of the JSON format. It increases when the meaning of a field changes.
 const Version = 1
 
-// Report is one run in figures. Service is criticality answered within the latency budget over criticality asked for,
-// where an op's retries count with its first try.
+// Report holds the metrics of one run. Service is the criticality of operations answered within their latency budget divided
+// by the criticality of all operations. Retries count as part of their operation.
 type Report struct {
 	Version           int              `json:"version"`
 	Scenario          string           `json:"scenario"`
 	Seed              uint64           `json:"seed"`
-	InvalidReason     string           `json:"void,omitempty"` // why the figures are not to be trusted
+	InvalidReason     string           `json:"void,omitempty"` // reason why the metrics are not valid; empty if they are
 	Violations        []referee.Broken `json:"broken"`
 	Service           Service          `json:"service"`
 	Ops               Ops              `json:"ops"`
@@ -40,10 +42,10 @@
 	MaxLatenessMs     float64          `json:"lab_late_ms"`
 	AroundRestart     *RestartWindow   `json:"around_restart,omitempty"`
 	SiteLoss          *SiteLoss        `json:"loss,omitempty"`
-	MostCritical      []string         `json:"most_critical"` // methods
+	MostCritical      []string         `json:"most_critical"` // methods with the highest criticality
 }
 
-// Service is the share of criticality answered in time.
+// Service holds shares of the criticality that was answered in time.
 type Service struct {
 	Overall  float64      `json:"whole"`
 	Worst10s float64      `json:"worst_10s"`
@@ -51,14 +53,14 @@
 	Tenants  []NamedShare `json:"tenants"`
 }
 
-// NamedPart is a share by name.
+// NamedShare is the share of a method or tenant.
 type NamedShare struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 	Ops   int     `json:"ops"`
 }
 
-// Ops are counts of what clients wanted and got.
+// Ops counts operations, requests and their outcomes.
 type Ops struct {
 	Offered   int `json:"wanted"`
 	InTime    int `json:"in_time"`
@@ -72,7 +74,7 @@
 	Abandoned int `json:"left"`
 }
 
-// Latency is of satisfied ops, from the intended start to the last byte.
+// Latency holds percentiles in milliseconds of successful operations, from the scheduled start to the last byte.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -81,7 +83,7 @@
 	Max  float64 `json:"max"`
 }
 
-// Outs are attempts to cache servers and to the origin.
+// AttemptCounts counts the attempts at cache servers and at the origin.
 type AttemptCounts struct {
 	Total      int     `json:"all"`
 	PerRequest float64 `json:"per_try"`
@@ -91,13 +93,13 @@
 	Rejected   int     `json:"turned_away"`
 }
 
-// Bucket counts rejections whose hint is up to a time.
+// HintBucket counts rejections whose retry hint is in a range.
 type HintBucket struct {
 	Hint  string `json:"hint"`
 	Count int    `json:"n"`
 }
 
-// RouterUse is what a router used over the run.
+// RouterUsage is the CPU time and memory that a router used.
 type RouterUsage struct {
 	Router          int       `json:"router"`
 	CPUSeconds      float64   `json:"cpu_seconds"`
@@ -108,7 +110,7 @@
 	Requests        int       `json:"tries"`
 }
 
-// Second is one second of the run.
+// Second holds the metrics of one second of the run.
 type Second struct {
 	At                int     `json:"at"`
 	Offered           int     `json:"wanted"`
@@ -121,7 +123,7 @@
 	P99               float64 `json:"p99_ms"`
 }
 
-// ServerLoad is how many attempts came to a life of a server, by second.
+// ServerLoad counts the attempts at one server process, in total and by second.
 type ServerLoad struct {
 	Server   event.Server `json:"server"`
 	Total    int          `json:"all"`
@@ -129,27 +131,28 @@
 	BySecond []int        `json:"by_second"`
 }
 
-// FaultMark is where a fault began or ended.
+// FaultMark is the begin or end of a fault.
 type FaultMark struct {
 	At   float64 `json:"at_s"`
 	Kind string  `json:"kind"`
 	End  bool    `json:"end"`
 }
 
+// opRecord is the outcome of one operation.
 type opRecord struct {
 	offered    event.Event
-	answeredAt event.Micros // of the answer that satisfied it
+	answeredAt event.Micros // time of the first successful answer
 	served     bool
 }
 
-// Most lateness of the lab that leaves figures worth something: no single stall over the first, and no more than the
-// second of all ops begun late.
+// Limits of the lab's own lateness above which the metrics of a run are invalid: the longest single stall in microseconds,
+// and the share of operations that started late.
 const (
 	maxStall     = 250e3
 	maxLateShare = 0.02
 )
 
-// Make makes the figures of a run.
+// New computes the report of a run.
 func New(r fleet.Result) Report {
 	s := r.Scenario
 	n := int((s.Length.Micros() + 1e6 - 1) / 1e6)
@@ -177,8 +180,10 @@
 	return rep
 }
 
+// hintBounds are the upper bounds of the buckets of retry hints.
 var hintBounds = []event.Micros{100e3, 300e3, 1e6, 3e6}
 
+// builder accumulates the report of a run, event by event.
 type builder struct {
 	report       *Report
 	scenario     scenario.Scenario
@@ -269,7 +274,7 @@
 
 func (b *builder) addSample(e event.Event) {
 	usage, at := &b.report.Routers[e.Router], b.second(e.At)
-	if used := e.Limit - b.cpu[e.Router]; used > 0 && e.At > b.start && b.cpu[e.Router] > 0 { // less: it is a new process
+	if used := e.Limit - b.cpu[e.Router]; used > 0 && e.At > b.start && b.cpu[e.Router] > 0 { // a lower value belongs to a new process
 		usage.CPU[at] += float64(used) / 1e6
 		usage.CPUSeconds += float64(used) / 1e6
 	}
@@ -289,7 +294,7 @@
 	return &b.report.Servers[i]
 }
 
-// worth is asked for and earned criticality.
+// valueSum sums offered and earned criticality.
 type valueSum struct {
 	offered, earned float64
 	ops             int
@@ -329,7 +334,7 @@
 			if histograms[at] == nil {
 				histograms[at] = hdrhistogram.New(1, 60e6, 3)
 			}
-			_ = all.RecordValue(max(1, int64(latency))) // what is over the bound is no latency of a run
+			_ = all.RecordValue(max(1, int64(latency))) // fails above the bound of a minute, which no latency of a run reaches
 			_ = histograms[at].RecordValue(max(1, int64(latency)))
 		}
 		overall.add(method.Criticality, earned)
@@ -378,7 +383,7 @@
 	}
 }
 
-// worst is the least share over so many seconds in a row.
+// worstShare returns the lowest share over any span of consecutive seconds.
 func worstShare(by []valueSum, span int) float64 {
 	least := 1.0
 	for i := 0; i == 0 || i+span <= len(by); i++ {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,8 +13,9 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// played is a run of 20 s with an op every 10 ms, answered after 10 ms; a router is down from 10 to 11 s, and then ops take
-// 100 ms for so many seconds. Every tenth op is a late one, every hundredth is rejected with a hint and never satisfied.
+// sampleRun returns a run of 20 s with an operation every 10 ms, answered after 10 ms. A router is down from 10 to 11 s, and
+// operations take 100 ms then and for the duration bad afterwards. Every tenth operation is late; every hundredth is rejected
+// with a hint and never succeeds.
 func sampleRun(seed uint64, bad event.Micros) fleet.Result {
 	s := scenario.Default()
 	s.Title, s.Length = "played", 20e6
@@ -51,13 +52,13 @@
 func checkNear(t *testing.T, what string, got, want, by float64) {
 	t.Helper()
 	if math.Abs(got-want) > by {
-		t.Errorf("%s: %v, not %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
 func TestMetrics(t *testing.T) {
 	r := New(sampleRun(1, 0))
-	// Of 100 ops 90 earn all, 9 a half, 1 nothing; of the 100 in the second that the router is down 99 earn a half.
+	// Of 100 operations 90 earn everything, 9 earn half and 1 earns nothing. In the second without the router 99 of 100 earn half.
 	checkNear(t, "service", r.Service.Overall, (19*94.5+49.5)/2000, 1e-9)
 	checkNear(t, "worst 10 s", r.Service.Worst10s, (9*94.5+49.5)/1000, 1e-9)
 	checkNear(t, "the method's", r.Service.Methods[0].Share, r.Service.Overall, 1e-9)
@@ -88,7 +89,7 @@
 }
 
 func TestInterval(t *testing.T) {
-	// By the table of Student's t with 4 degrees of freedom: 2.776 times 1.5811 over the root of 5.
+	// Student's t with 4 degrees of freedom: 2.776 * 1.5811 / sqrt(5).
 	i := Mean([]float64{1, 2, 3, 4, 5})
 	checkNear(t, "mean", i.Mean, 3, 1e-9)
 	checkNear(t, "half", i.HalfWidth, 1.963, 0.001)
@@ -120,7 +121,7 @@
 		t.Errorf("%d pairs", pairs)
 	}
 	if _, _, err = Compare(worse, RunSet{}); err == nil {
-		t.Error("nothing was compared without a complaint")
+		t.Error("an empty set was compared without an error")
 	}
 }
 
@@ -138,7 +139,7 @@
 		t.Errorf("%+v", rows[2])
 	}
 	if _, _, err := CompareRecoveries(slow, RunSet{}); err == nil {
-		t.Error("nothing was compared without a complaint")
+		t.Error("an empty set was compared without an error")
 	}
 }
 
@@ -156,10 +157,10 @@
 	text := page.String()
 	for _, want := range []string{"sent &lt;again&gt;", "seen &amp; noted", "3.0 s: kill.", "5.0 s: kill ends."} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not on the page", want)
+			t.Errorf("%q is missing from the page", want)
 		}
 	}
 	if strings.Count(text, "<svg") != 7 || strings.Contains(text, "<script") || strings.Contains(text, "src=") {
-		t.Error("the page has other than seven plots, or needs something else")
+		t.Error("the page does not have seven plots, or refers to other files")
 	}
 }
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Verdict is one line: whether all rules held, and whether the figures count.
+// Verdict returns one line that says whether all rules held and whether the metrics are valid.
 func (r Report) Verdict() string {
 	switch {
 	case len(r.Violations) > 0:
@@ -17,7 +17,7 @@
 	return "all rules kept"
 }
 
-// Table writes a report for people.
+// WriteTable writes a report as a table.
 func WriteTable(w io.Writer, r Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
