--- a/internal/lab/fleet/routers.go
+++ b/internal/lab/fleet/routers.go
@@ -299,7 +299,7 @@
 		}
 	case <-time.After(p.run.killAfter()):
 		instance.End()
-		record.Outcome, record.Note = event.Failed, "it did not end in time after SIGTERM"
+		record.Outcome, record.Note = event.Failed, "it had not ended by its time after SIGTERM"
 	}
 	p.run.log.Add(record)
 }
