--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -112,25 +112,30 @@
 		return nil, 0, fmt.Errorf("no seed has a run that counts on both sides; run both with the same --seed and --seeds")
 	}
 	for _, f := range commonMetrics(slices.Concat(runsA, runsB)) {
-		var xs, ys, ds []float64
-		for i := range runsA {
-			x, y := f.Value(runsA[i]), f.Value(runsB[i])
-			xs, ys, ds = append(xs, x), append(ys, y), append(ds, y-x)
-		}
-		row := Comparison{f.Name, Mean(xs), Mean(ys), Mean(ds), "no difference beyond chance"}
-		if d := row.Difference; d.Samples > 1 && math.Abs(d.Mean) > d.HalfWidth {
-			row.Conclusion = "better"
-			if (d.Mean > 0) == f.LowerIsBetter {
-				row.Conclusion = "worse"
-			}
-		} else if d.Samples == 1 {
-			row.Conclusion = "one pair: tells nothing of chance"
-		}
-		rows = append(rows, row)
+		rows = append(rows, f.compare(runsA, runsB))
 	}
 	return rows, len(runsA), nil
 }
 
+// compare compares the metric over pairs of runs.
+func (f Metric) compare(runsA, runsB []Report) Comparison {
+	var xs, ys, ds []float64
+	for i := range runsA {
+		x, y := f.Value(runsA[i]), f.Value(runsB[i])
+		xs, ys, ds = append(xs, x), append(ys, y), append(ds, y-x)
+	}
+	row := Comparison{f.Name, Mean(xs), Mean(ys), Mean(ds), "no difference beyond chance"}
+	if d := row.Difference; d.Samples > 1 && math.Abs(d.Mean) > d.HalfWidth {
+		row.Conclusion = "better"
+		if (d.Mean > 0) == f.LowerIsBetter {
+			row.Conclusion = "worse"
+		}
+	} else if d.Samples == 1 {
+		row.Conclusion = "one pair: tells nothing of chance"
+	}
+	return row
+}
+
 // WriteComparison writes a comparison as a table.
 func WriteComparison(w io.Writer, a, b string, rows []Comparison, pairs int) error {
 	fmt.Fprintf(w, "%d pairs of runs; intervals of 95%%\n", pairs)
--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -11,6 +11,7 @@
 
 	"spurtrestle/internal/lab/event"
 	"spurtrestle/internal/lab/fleet"
+	"spurtrestle/internal/lab/scenario"
 )
 
 // SiteLoss holds what clients observed before, during and after the loss of a site. Operations count by their scheduled
@@ -55,9 +56,58 @@
 	servedAt event.Micros // when the operation was served; 0: never
 }
 
+// earned returns the criticality that the operation earned, and whether it was served within its latency budget.
+func (t *firstRequest) earned(m scenario.Method) (criticality float64, inTime bool) {
+	switch latency := t.servedAt - t.offered.At; {
+	case t.servedAt == 0:
+		return 0, false
+	case latency <= m.LatencyBudget.Micros():
+		return m.Criticality, true
+	default:
+		return m.Criticality * m.LateShare, false
+	}
+}
+
 // siteLossOf returns the metrics of the loss of a site, or nil if no site was lost.
 func siteLossOf(r fleet.Result) *SiteLoss {
-	from, until := event.Micros(-1), event.Micros(-1)
+	from, until := lossSpan(r)
+	if from < 0 || until < 0 {
+		return nil
+	}
+	requests, byReq := firstRequests(r)
+	end := r.ClientsStart + r.Scenario.Length.Micros()
+	loss := &SiteLoss{Before: measurePhase(r, requests, byReq, r.ClientsStart+2e6, from), Onset: measurePhase(r, requests, byReq, from, min(until, from+onsetSpan)),
+		During: measurePhase(r, requests, byReq, min(until, from+onsetSpan), until), Return: measurePhase(r, requests, byReq, until, min(end, until+returnSpan)),
+		After: measurePhase(r, requests, byReq, min(end, until+returnSpan), end), RecoverySeconds: -1}
+	loss.RejectedShare = rejectedShare(requests, from+onsetSpan, until)
+	for at := until; at+1e6 <= end; at += bucketSpan {
+		s := measurePhase(r, requests, byReq, at, at+1e6).Service
+		switch {
+		case loss.RecoverySeconds < 0 && s >= loss.Before.Service-0.03:
+			loss.RecoverySeconds = float64(at-until) / 1e6
+		case loss.RecoverySeconds >= 0:
+			loss.Dip = max(loss.Dip, loss.Before.Service-s)
+		}
+	}
+	return loss
+}
+
+// rejectedShare returns the rejected share of the first requests of operations that started within a span.
+func rejectedShare(requests map[event.Op]*firstRequest, from, until event.Micros) float64 {
+	rejected, all := 0, 0
+	for _, t := range requests {
+		if t.offered.At >= from && t.offered.At < until && t.sentAt > 0 {
+			if all++; t.outcome == event.Nacked {
+				rejected++
+			}
+		}
+	}
+	return float64(rejected) / float64(max(1, all))
+}
+
+// lossSpan returns when the loss of a site began and ended; -1 for a time that was not recorded.
+func lossSpan(r fleet.Result) (from, until event.Micros) {
+	from, until = event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		if e.Kind == event.Fault && (e.Note == "site_lost" || e.Note == "zone_lost") {
 			if e.Limit == 0 && from < 0 {
@@ -67,21 +117,23 @@
 			}
 		}
 	}
-	if from < 0 || until < 0 {
-		return nil
-	}
-	tries, byReq := map[event.Op]*firstRequest{}, map[event.Req]event.Event{}
+	return from, until
+}
+
+// firstRequests returns the first request of each operation, and the event of each request when it was sent.
+func firstRequests(r fleet.Result) (map[event.Op]*firstRequest, map[event.Req]event.Event) {
+	requests, byReq := map[event.Op]*firstRequest{}, map[event.Req]event.Event{}
 	for _, e := range r.Events {
 		switch e.Kind {
 		case event.Wanted:
-			tries[e.Op] = &firstRequest{offered: e}
+			requests[e.Op] = &firstRequest{offered: e}
 		case event.Asked:
 			byReq[e.Req] = e
-			if t := tries[e.Op]; t != nil && t.sentAt == 0 {
+			if t := requests[e.Op]; t != nil && t.sentAt == 0 {
 				t.sentAt = e.At
 			}
 		case event.Answered:
-			t := tries[e.Op]
+			t := requests[e.Op]
 			if t == nil {
 				continue
 			}
@@ -93,53 +145,26 @@
 			}
 		}
 	}
-	end := r.ClientsStart + r.Scenario.Length.Micros()
-	loss := &SiteLoss{Before: measurePhase(r, tries, byReq, r.ClientsStart+2e6, from), Onset: measurePhase(r, tries, byReq, from, min(until, from+onsetSpan)),
-		During: measurePhase(r, tries, byReq, min(until, from+onsetSpan), until), Return: measurePhase(r, tries, byReq, until, min(end, until+returnSpan)),
-		After: measurePhase(r, tries, byReq, min(end, until+returnSpan), end), RecoverySeconds: -1}
-	nacked, all := 0, 0
-	for _, t := range tries {
-		if t.offered.At >= from+onsetSpan && t.offered.At < until && t.sentAt > 0 {
-			if all++; t.outcome == event.Nacked {
-				nacked++
-			}
-		}
-	}
-	loss.RejectedShare = float64(nacked) / float64(max(1, all))
-	for at := until; at+1e6 <= end; at += bucketSpan {
-		s := measurePhase(r, tries, byReq, at, at+1e6).Service
-		switch {
-		case loss.RecoverySeconds < 0 && s >= loss.Before.Service-0.03:
-			loss.RecoverySeconds = float64(at-until) / 1e6
-		case loss.RecoverySeconds >= 0:
-			loss.Dip = max(loss.Dip, loss.Before.Service-s)
-		}
-	}
-	return loss
+	return requests, byReq
 }
 
 // measurePhase computes the metrics of the operations that started within a span.
-func measurePhase(r fleet.Result, tries map[event.Op]*firstRequest, byReq map[event.Req]event.Event, from, until event.Micros) Phase {
+func measurePhase(r fleet.Result, requests map[event.Op]*firstRequest, byReq map[event.Req]event.Event, from, until event.Micros) Phase {
 	s := r.Scenario
 	p := Phase{Seconds: float64(until-from) / 1e6}
 	var overall valueSum
 	methods, tenants, refused := make([]valueSum, len(s.Methods)), make([]valueSum, len(s.Tenants)), make([]valueSum, len(s.Methods))
 	inTime, sent, inverted := 0, 0, 0
-	type counts struct{ nacked, served map[float64]int }
+	type counts struct{ rejected, served map[float64]int }
 	buckets := map[event.Micros]counts{}
-	for _, t := range tries {
+	for _, t := range requests {
 		if t.offered.At < from || t.offered.At >= until {
 			continue
 		}
 		m := s.Methods[t.offered.Method]
-		earned := 0.0
-		switch took := t.servedAt - t.offered.At; {
-		case t.servedAt == 0:
-		case took <= m.LatencyBudget.Micros():
-			earned = m.Criticality
+		earned, isInTime := t.earned(m)
+		if isInTime {
 			inTime++
-		default:
-			earned = m.Criticality * m.LateShare
 		}
 		overall.add(m.Criticality, earned)
 		methods[t.offered.Method].add(m.Criticality, earned)
@@ -151,24 +176,31 @@
 		}
 		sent++
 		b := buckets[t.sentAt/bucketSpan]
-		if b.nacked == nil {
+		if b.rejected == nil {
 			b = counts{map[float64]int{}, map[float64]int{}}
 			buckets[t.sentAt/bucketSpan] = b
 		}
 		rejected := 0.0
 		if t.outcome == event.Nacked {
 			rejected = 1
-			b.nacked[m.Criticality]++
+			b.rejected[m.Criticality]++
 		} else if t.outcome == event.Satisfied {
 			b.served[m.Criticality]++
 		}
 		refused[t.offered.Method].add(1, rejected)
 	}
 	for _, b := range buckets {
-		inverted += countInversions(b.nacked, b.served)
+		inverted += countInversions(b.rejected, b.served)
 	}
 	p.Service, p.Goodput = overall.share(), float64(inTime)/max(1e-9, p.Seconds)
 	p.Inversions = float64(inverted) / float64(max(1, sent))
+	p.setShares(s, methods, tenants, refused)
+	p.P99 = worstP99(r, byReq, from, until)
+	return p
+}
+
+// setShares sets the shares by method and tenant. refused sums the rejected first requests by method.
+func (p *Phase) setShares(s scenario.Scenario, methods, tenants, refused []valueSum) {
 	for i := range s.Methods {
 		p.Methods = append(p.Methods, NamedShare{s.Methods[i].Name, methods[i].share(), methods[i].ops})
 		if refused[i].ops > 0 {
@@ -178,8 +210,6 @@
 	for i := range s.Tenants {
 		p.Tenants = append(p.Tenants, NamedShare{s.Tenants[i].Name, tenants[i].share(), tenants[i].ops})
 	}
-	p.P99 = worstP99(r, byReq, from, until)
-	return p
 }
 
 // countInversions returns the largest number of rejections that can be paired with a served request of lower criticality,
@@ -269,7 +299,7 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprint(w, "first tries nacked in the loss, by method:")
+	fmt.Fprint(w, "first requests nacked in the loss, by method:")
 	for _, m := range l.During.Rejected {
 		fmt.Fprintf(w, " %s %.3f", m.Name, m.Share)
 	}
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -142,11 +142,29 @@
 	p.Legend.Top = true
 	p.Legend.TextStyle.Font.Size = vg.Points(8)
 	p.Y.Max = max(p.Y.Max*1.4, 0.001) // space for the legend above the lines
+	if err := r.markFaults(p); err != nil {
+		return "", err
+	}
+	canvas := vgsvg.New(9*vg.Inch, 2.4*vg.Inch)
+	p.Draw(draw.New(canvas))
+	var b bytes.Buffer
+	if _, err := canvas.WriteTo(&b); err != nil {
+		return "", err
+	}
+	text := b.Bytes()
+	if i := bytes.Index(text, []byte("<svg")); i > 0 {
+		text = text[i:] // strip the XML prolog
+	}
+	return template.HTML(text), nil // generated here from numbers and the names of routers and servers
+}
+
+// markFaults adds a vertical line where a fault begins or ends, with the name of the fault at its begin.
+func (r Report) markFaults(p *plot.Plot) error {
 	marks := plotter.XYLabels{}
 	for _, f := range r.Faults {
 		mark, err := plotter.NewLine(plotter.XYs{{X: f.At, Y: 0}, {X: f.At, Y: p.Y.Max}})
 		if err != nil {
-			return "", err
+			return err
 		}
 		mark.Color = color.RGBA{150, 150, 150, 255}
 		mark.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
@@ -163,22 +181,12 @@
 	if len(marks.Labels) > 0 {
 		names, err := plotter.NewLabels(marks)
 		if err != nil {
-			return "", err
+			return err
 		}
 		for i := range names.TextStyle {
 			names.TextStyle[i].Font.Size = vg.Points(7)
 		}
 		p.Add(names)
 	}
-	canvas := vgsvg.New(9*vg.Inch, 2.4*vg.Inch)
-	p.Draw(draw.New(canvas))
-	var b bytes.Buffer
-	if _, err := canvas.WriteTo(&b); err != nil {
-		return "", err
-	}
-	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 {
-		text = text[i:] // strip the XML prolog
-	}
-	return template.HTML(text), nil // generated here from numbers and the names of routers and servers
+	return nil
 }
--- a/internal/lab/report/recovery.go
+++ b/internal/lab/report/recovery.go
@@ -11,6 +11,7 @@
 
 	"spurtrestle/internal/lab/event"
 	"spurtrestle/internal/lab/fleet"
+	"spurtrestle/internal/lab/scenario"
 )
 
 // RestartWindow holds what clients observed around a restart of routers, in time slices before the first router ended and
@@ -34,10 +35,9 @@
 	slicesAfter  = 40
 )
 
-// restartWindowOf returns the window around the restart in a run. It is nil if there is no restart or it is too close to the
-// start of the run.
-func restartWindowOf(r fleet.Result) *RestartWindow {
-	down, up := event.Micros(-1), event.Micros(-1)
+// restartSpan returns when the first router ended and when the last one was up again; -1 for a time that was not recorded.
+func restartSpan(r fleet.Result) (down, up event.Micros) {
+	down, up = event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		switch {
 		case (e.Kind == event.Term || e.Kind == event.Killed) && down < 0 && e.At < r.ClientsStart+r.Scenario.Length.Micros():
@@ -46,6 +46,13 @@
 			up = e.At
 		}
 	}
+	return down, up
+}
+
+// restartWindowOf returns the window around the restart in a run. It is nil if there is no restart or it is too close to the
+// start of the run.
+func restartWindowOf(r fleet.Result) *RestartWindow {
+	down, up := restartSpan(r)
 	if up < 0 || down-r.ClientsStart < sliceSpan*slicesBefore {
 		return nil
 	}
@@ -72,17 +79,22 @@
 		m := r.Scenario.Methods[e.Method]
 		p.Offered += m.Criticality
 		if at, served := answeredAt[e.Op]; served {
-			if at-e.At <= m.LatencyBudget.Micros() {
-				p.Earned += m.Criticality
-			} else {
-				p.Earned += m.Criticality * m.LateShare
-			}
-			p.LatencyMs = append(p.LatencyMs, float32(at-e.At)/1e3)
+			p.addServed(m, at-e.At)
 		}
 	}
 	return window
 }
 
+// addServed adds an operation that was served after a latency.
+func (p *TimeSlice) addServed(m scenario.Method, latency event.Micros) {
+	if latency <= m.LatencyBudget.Micros() {
+		p.Earned += m.Criticality
+	} else {
+		p.Earned += m.Criticality * m.LateShare
+	}
+	p.LatencyMs = append(p.LatencyMs, float32(latency)/1e3)
+}
+
 // Recovery holds how long after a restart service and p99 were back within a tolerance of their values before it.
 type Recovery struct {
 	SteadyService float64 `json:"steady_service"`
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -218,24 +218,7 @@
 	case event.Left:
 		rep.Ops.Abandoned++
 	case event.Answered:
-		switch e.Outcome {
-		case event.Satisfied:
-			second.Succeeded++
-			if o := b.ops[e.Op]; o != nil && !o.served {
-				o.served, o.answeredAt = true, e.At
-			}
-		case event.Nacked:
-			rep.Ops.Rejected++
-			second.Rejected++
-			i, _ := slices.BinarySearch(hintBounds, e.Limit)
-			if e.Limit > 0 {
-				i++
-			}
-			b.hintCounts[i]++
-		default:
-			rep.Ops.Failed++
-			second.Failed++
-		}
+		b.addAnswer(e, second)
 	case event.Conn:
 		rep.ConnectionsOpened++
 		second.ConnectionsOpened++
@@ -252,14 +235,7 @@
 			rep.Attempts.ToOrigin++
 		}
 	case event.Ended:
-		switch e.Reply {
-		case event.Miss:
-			rep.Attempts.Misses++
-		case event.TurnedAway:
-			rep.Attempts.Rejected++
-		case event.Lost, event.Spoilt, event.Error:
-			rep.Attempts.Wasted++
-		}
+		b.addAttemptEnd(e)
 	case event.Fault:
 		rep.Faults = append(rep.Faults, FaultMark{float64(e.At-b.start) / 1e6, e.Note, e.Limit == 1})
 	case event.Late:
@@ -272,6 +248,42 @@
 	}
 }
 
+// addAnswer adds an answer that a client received.
+func (b *builder) addAnswer(e event.Event, second *Second) {
+	rep := b.report
+	switch e.Outcome {
+	case event.Satisfied:
+		second.Succeeded++
+		if o := b.ops[e.Op]; o != nil && !o.served {
+			o.served, o.answeredAt = true, e.At
+		}
+	case event.Nacked:
+		rep.Ops.Rejected++
+		second.Rejected++
+		i, _ := slices.BinarySearch(hintBounds, e.Limit)
+		if e.Limit > 0 {
+			i++
+		}
+		b.hintCounts[i]++
+	default:
+		rep.Ops.Failed++
+		second.Failed++
+	}
+}
+
+// addAttemptEnd adds the end of an attempt at a server.
+func (b *builder) addAttemptEnd(e event.Event) {
+	rep := b.report
+	switch e.Reply {
+	case event.Miss:
+		rep.Attempts.Misses++
+	case event.TurnedAway:
+		rep.Attempts.Rejected++
+	case event.Lost, event.Spoilt, event.Error:
+		rep.Attempts.Wasted++
+	}
+}
+
 func (b *builder) addSample(e event.Event) {
 	usage, at := &b.report.Routers[e.Router], b.second(e.At)
 	if used := e.Limit - b.cpu[e.Router]; used > 0 && e.At > b.start && b.cpu[e.Router] > 0 { // a lower value belongs to a new process
@@ -359,6 +371,13 @@
 			rep.Seconds[i].P50, rep.Seconds[i].P99 = ms(histograms[i], 50), ms(histograms[i], 99)
 		}
 	}
+	b.setTotals()
+	b.setInvalidReason(planned)
+}
+
+// setTotals sets what depends on the totals of the run.
+func (b *builder) setTotals() {
+	rep := b.report
 	rep.Attempts.PerRequest = float64(rep.Attempts.Total) / float64(max(1, rep.Ops.Requests))
 	for i := range rep.Routers {
 		rep.Routers[i].CPUPerRequestUs = 1e6 * rep.Routers[i].CPUSeconds / float64(max(1, rep.Routers[i].Requests))
@@ -374,6 +393,11 @@
 		rep.Rejections = append(rep.Rejections, HintBucket{name, n})
 	}
 	slices.SortStableFunc(rep.Servers, func(a, b ServerLoad) int { return cmp.Compare(a.Server, b.Server) })
+}
+
+// setInvalidReason records the lateness of the lab, and why it invalidates the metrics if it does.
+func (b *builder) setInvalidReason(planned int) {
+	rep := b.report
 	rep.MaxLatenessMs = float64(b.longestStall) / 1e3
 	switch {
 	case b.longestStall > maxStall:
