--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -106,14 +106,8 @@
 	if l.Rate > 0 {
 		lateness = runOpenLoop(ctx, conns, l, start, until)
 	} else {
-		for _, c := range conns {
-			if err := c.send(l.Depth, time.Since(start)); err != nil {
-				return Result{}, err
-			}
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(until):
+		if err := runClosedLoop(ctx, conns, l, start, until); err != nil {
+			return Result{}, err
 		}
 	}
 	time.Sleep(min(200*time.Millisecond, l.Duration)) // for answers in flight
@@ -124,6 +118,11 @@
 		return Result{}, err
 	default:
 	}
+	return sum(l, conns, lateness), nil
+}
+
+// sum adds up the results of the connections. lateness is nil in a closed loop.
+func sum(l Load, conns []*connection, lateness *hdrhistogram.Histogram) Result {
 	total := Result{Duration: l.Duration, Latency: hdrhistogram.New(1, 60e6, 3)}
 	for _, c := range conns {
 		total.Answered += c.result.Answered
@@ -135,7 +134,21 @@
 	if lateness != nil {
 		total.MaxLateness, total.LatenessP99 = time.Duration(lateness.Max())*time.Microsecond, time.Duration(lateness.ValueAtQuantile(99))*time.Microsecond
 	}
-	return total, nil
+	return total
+}
+
+// runClosedLoop sends the first requests of each connection and waits until the time is over.
+func runClosedLoop(ctx context.Context, conns []*connection, l Load, start time.Time, until time.Duration) error {
+	for _, c := range conns {
+		if err := c.send(l.Depth, time.Since(start)); err != nil {
+			return err
+		}
+	}
+	select {
+	case <-ctx.Done():
+	case <-time.After(until):
+	}
+	return nil
 }
 
 // runOpenLoop sends by schedule from two goroutines, because one fell behind at 60,000 requests per second. It returns the
@@ -204,37 +217,9 @@
 			return nil // the end of the load
 		}
 		have += n
-		used, answers := 0, 0
-		for used < have {
-			r, size, err := resp.ReadReply(buf[used:have], bounds)
-			if err != nil {
-				return fmt.Errorf("connection %d: malformed answer: %w", c.index, err)
-			}
-			if size == 0 {
-				break
-			}
-			used += size
-			answers++
-			c.mu.Lock()
-			if len(c.due) == 0 {
-				c.mu.Unlock()
-				return fmt.Errorf("connection %d: answer without a request", c.index)
-			}
-			due := time.Duration(c.due[0]) * time.Microsecond
-			c.due = c.due[1:]
-			c.mu.Unlock()
-			if now >= from && now < until {
-				c.result.Answered++
-				switch {
-				case r.Kind == '$' && !r.Null:
-					c.result.Succeeded++
-				case r.Kind == '-' && len(r.Text) >= 4 && string(r.Text[:4]) == "BUSY":
-					c.result.Rejected++
-				default:
-					c.result.Failed++
-				}
-				_ = c.hist.RecordValue(max(1, int64((now-due)/time.Microsecond))) // fails above a minute, which is no meaningful latency
-			}
+		used, answers, err := c.handleReplies(buf[:have], now, now >= from && now < until)
+		if err != nil {
+			return err
 		}
 		copy(buf, buf[used:have])
 		have -= used
@@ -245,3 +230,53 @@
 		}
 	}
 }
+
+// nextDue removes and returns the send time of the oldest request without an answer; ok is false if there is none.
+func (c *connection) nextDue() (due time.Duration, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.due) == 0 {
+		return 0, false
+	}
+	due = time.Duration(c.due[0]) * time.Microsecond
+	c.due = c.due[1:]
+	return due, true
+}
+
+// count adds an answer to the result.
+func (c *connection) count(r resp.Reply, latency time.Duration) {
+	c.result.Answered++
+	switch {
+	case r.Kind == '$' && !r.Null:
+		c.result.Succeeded++
+	case r.Kind == '-' && len(r.Text) >= 4 && string(r.Text[:4]) == "BUSY":
+		c.result.Rejected++
+	default:
+		c.result.Failed++
+	}
+	_ = c.hist.RecordValue(max(1, int64(latency/time.Microsecond))) // fails above a minute, which is no meaningful latency
+}
+
+// handleReplies handles the complete answers at the beginning of data, which was read at now, and counts them if they are
+// within the measured time. It returns the size and number of the answers.
+func (c *connection) handleReplies(data []byte, now time.Duration, measured bool) (used, answers int, err error) {
+	for used < len(data) {
+		r, size, err := resp.ReadReply(data[used:], bounds)
+		if err != nil {
+			return used, answers, fmt.Errorf("connection %d: malformed answer: %w", c.index, err)
+		}
+		if size == 0 {
+			break
+		}
+		used += size
+		answers++
+		due, ok := c.nextDue()
+		if !ok {
+			return used, answers, fmt.Errorf("connection %d: answer without a request", c.index)
+		}
+		if measured {
+			c.count(r, now-due)
+		}
+	}
+	return used, answers, nil
+}
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -63,8 +63,7 @@
 		return f, err
 	}
 	defer network.Close()
-	log := event.NewLog()
-	reg, err := registry.Start(log, s.Discovery, network.Discovery())
+	reg, err := registry.Start(event.NewLog(), s.Discovery, network.Discovery())
 	if err != nil {
 		return f, err
 	}
@@ -94,32 +93,42 @@
 		return f, err
 	}
 	defer p.End()
-	warm := time.Second
-	load := Load{Addr: spec.Listen, Conns: c.Conns, Depth: c.Depth, Rate: c.Rate, Keys: 10000, Props: props, WarmUp: warm, Duration: length}
+	load := Load{Addr: spec.Listen, Conns: c.Conns, Depth: c.Depth, Rate: c.Rate, Keys: 10000, Props: props, WarmUp: time.Second, Duration: length}
 	if err := waitUntilServing(ctx, load); err != nil {
 		return f, fmt.Errorf("%w; see %s", err, spec.Log)
 	}
-	var before, after routerUsage
+	out, before, after, err := runMeasured(ctx, p, spec.Log, load)
+	if err != nil {
+		return f, err
+	}
+	f.set(out, before, after)
+	for _, server := range servers {
+		f.ConnectionsOpened += server.Accepted.Load()
+	}
+	return f, nil
+}
+
+// runMeasured runs a load and reads the usage of the router at the begin and the end of the measured time.
+func runMeasured(ctx context.Context, p *process.Process, log string, load Load) (out Result, before, after routerUsage, err error) {
 	usageErr := make(chan error, 1)
 	go func() {
-		time.Sleep(warm)
-		err1 := before.read(p, spec.Log)
-		time.Sleep(length)
-		usageErr <- errors.Join(err1, after.read(p, spec.Log))
+		time.Sleep(load.WarmUp)
+		err1 := before.read(p, log)
+		time.Sleep(load.Duration)
+		usageErr <- errors.Join(err1, after.read(p, log))
 	}()
-	out, err := Run(ctx, load)
-	if err := errors.Join(err, <-usageErr); err != nil {
-		return f, err
-	}
+	out, err = Run(ctx, load)
+	err = errors.Join(err, <-usageErr) // the goroutine has written before and after when this returns
+	return out, before, after, err
+}
+
+// set sets the measurements from the result of a load and the usage of the router before and after it.
+func (f *Measurements) set(out Result, before, after routerUsage) {
 	requests := float64(max(1, after.requests-before.requests))
 	f.AnswersPerSecond, f.P50, f.P99 = out.Rate(), out.Quantile(50), out.Quantile(99)
 	f.CPUPerRequest = float64((after.cpu-before.cpu)/time.Microsecond) / requests
 	f.AllocsPerRequest, f.AllocBytesPerRequest = float64(after.allocations-before.allocations)/requests, float64(after.allocatedBytes-before.allocatedBytes)/requests
 	f.Rejected, f.Failed, f.LatenessP99 = out.Rejected, out.Failed, out.LatenessP99.Seconds()*1e3
-	for _, server := range servers {
-		f.ConnectionsOpened += server.Accepted.Load()
-	}
-	return f, nil
 }
 
 // waitUntilServing waits until one request succeeds.
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -179,6 +179,17 @@
 	})
 }
 
+// attempt is one attempt of a router that has been read completely.
+type attempt struct {
+	id       event.Req
+	router   event.Router
+	key      string
+	props    cacheserver.Props
+	method   scenario.Method
+	write    bool
+	bodySize int
+}
+
 // ServeHTTP handles one attempt.
 func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*conn)
@@ -189,10 +200,6 @@
 	router := conn.router
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	since := conn.finishRequest()
-	odd := func(what string) {
-		o.config.Log.Add(event.Event{Kind: event.Odd, Server: UID, Router: router, Note: what})
-		w.WriteHeader(http.StatusBadRequest)
-	}
 	if err != nil {
 		return // the connection ended before the attempt was complete
 	}
@@ -203,59 +210,74 @@
 	if r.URL.Path == "/health/live" || r.URL.Path == "/stats" {
 		return
 	}
-	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
-	req := event.Req(r.Header.Get("X-Trace-Id"))
-	props := cacheserver.ParseProps(r.Header.Get("X-Props"))
-	m, known := o.config.Methods[props.Method]
-	write := r.Method == http.MethodPut
-	if err != nil || req == "" || key == "" || !known || !write && r.Method != http.MethodGet {
-		odd("a request no client sent")
+	a, ok := o.parseAttempt(r, router, len(body))
+	if !ok {
+		o.config.Log.Add(event.Event{Kind: event.Odd, Server: UID, Router: router, Note: "a request no client sent"})
+		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	now := o.config.Log.Now()
-	tell := func(reply event.Reply) {
-		o.config.Log.Add(event.Event{Kind: event.Ended, Req: req, Server: UID, Router: router, Reply: reply})
+	o.config.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: a.id, Server: UID, Router: router, Since: since, Write: a.write,
+		DeadlineSent: a.props.DeadlineSent})
+	job, done, accepted, down := o.submit(now, a)
+	if !accepted && down {
+		<-r.Context().Done() // no answer while it is down
+		o.recordEnd(a, event.Lost)
+		return
 	}
-	o.config.Log.AddAt(event.Event{At: now, Kind: event.Begun, Req: req, Server: UID, Router: router, Since: since, Write: write,
-		DeadlineSent: props.DeadlineSent})
+	if !accepted {
+		o.recordEnd(a, event.TurnedAway)
+		w.Header().Set("X-Never-Ran", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	o.answer(r.Context(), w, a, job, done)
+}
+
+// parseAttempt returns the attempt of a request; ok is false if the request is malformed.
+func (o *Origin) parseAttempt(r *http.Request, router event.Router, bodySize int) (a attempt, ok bool) {
+	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
+	a = attempt{id: event.Req(r.Header.Get("X-Trace-Id")), router: router, key: key, props: cacheserver.ParseProps(r.Header.Get("X-Props")),
+		write: r.Method == http.MethodPut, bodySize: bodySize}
+	method, known := o.config.Methods[a.props.Method]
+	a.method = method
+	return a, !(err != nil || a.id == "" || a.key == "" || !known || !a.write && r.Method != http.MethodGet)
+}
+
+// recordEnd records the end of an attempt.
+func (o *Origin) recordEnd(a attempt, reply event.Reply) {
+	o.config.Log.Add(event.Event{Kind: event.Ended, Req: a.id, Server: UID, Router: a.router, Reply: reply})
+}
+
+// submit queues the work of an attempt on the machine. done is closed when the work is done. accepted is false if the queue is
+// full or the origin is down.
+func (o *Origin) submit(now event.Micros, a attempt) (job *machine.Job, done chan struct{}, accepted, down bool) {
 	o.mu.Lock()
+	defer o.mu.Unlock()
 	work := float64(o.config.Settings.Work) * o.rand.ExpFloat64()
-	o.recordWork(now, work, !write && o.config.IsColdMiss(req))
-	job, done := &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
-	took := !o.down && o.machine.Take(now, job)
+	o.recordWork(now, work, !a.write && o.config.IsColdMiss(a.id))
+	job, done = &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
+	accepted = !o.down && o.machine.Take(now, job)
 	if o.machine.Fallen() {
 		o.collapse(now)
 	}
-	if took {
+	if accepted {
 		o.jobs[job] = done
 		o.advance()
 	}
-	dark := o.down
-	o.mu.Unlock()
-	if !took && dark {
-		<-r.Context().Done() // no answer while it is down
-		tell(event.Lost)
-		return
-	}
-	if !took {
-		tell(event.TurnedAway)
-		w.Header().Set("X-Never-Ran", "1")
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
-	}
+	return job, done, accepted, o.down
+}
+
+// answer waits for the work of an attempt and answers it.
+func (o *Origin) answer(ctx context.Context, w http.ResponseWriter, a attempt, job *machine.Job, done chan struct{}) {
 	lost := false
 	select {
 	case <-done:
-	case <-r.Context().Done():
+	case <-ctx.Done():
 		lost = true
-		tell(event.Lost) // recorded before waiting for the mutex
-		if !write {      // a read is canceled, a write continues
-			o.mu.Lock()
-			if o.machine.Cancel(o.config.Log.Now(), job) {
-				delete(o.jobs, job)
-			}
-			o.advance()
-			o.mu.Unlock()
+		o.recordEnd(a, event.Lost) // recorded before waiting for the mutex
+		if !a.write {              // a read is canceled, a write continues
+			o.cancel(job)
 			return
 		}
 		select {
@@ -264,24 +286,39 @@
 			return
 		}
 	}
-	if write {
-		if m.Effect != "deduplicated" || !o.config.Deduplicator.IsRepeat("", req, o.config.Log.Now(), m.Window.Micros()) {
-			o.config.Log.Add(event.Event{Kind: event.Ran, Req: req, Server: UID, Router: router})
-		}
-		o.config.OnWrite(key)
-	} else {
-		o.config.OnRead(req, key)
-	}
+	o.apply(a)
 	if lost {
 		return
 	}
-	if o.isPartitioned(router) {
-		<-r.Context().Done()
-		tell(event.Lost)
+	if o.isPartitioned(a.router) {
+		<-ctx.Done()
+		o.recordEnd(a, event.Lost)
 		return
 	}
-	value := cacheserver.MakeValue(req, UID, max(props.Size, len(body)/8))
+	value := cacheserver.MakeValue(a.id, UID, max(a.props.Size, a.bodySize/8))
 	w.Header().Set("Content-Length", fmt.Sprint(len(value)))
-	tell(event.Value)
+	o.recordEnd(a, event.Value)
 	_, _ = w.Write(value) // an error means that the router has gone
 }
+
+// cancel cancels the work of a job.
+func (o *Origin) cancel(job *machine.Job) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.machine.Cancel(o.config.Log.Now(), job) {
+		delete(o.jobs, job)
+	}
+	o.advance()
+}
+
+// apply runs the effect of an attempt whose work is done.
+func (o *Origin) apply(a attempt) {
+	if a.write {
+		if a.method.Effect != "deduplicated" || !o.config.Deduplicator.IsRepeat("", a.id, o.config.Log.Now(), a.method.Window.Micros()) {
+			o.config.Log.Add(event.Event{Kind: event.Ran, Req: a.id, Server: UID, Router: a.router})
+		}
+		o.config.OnWrite(a.key)
+	} else {
+		o.config.OnRead(a.id, a.key)
+	}
+}
