--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -299,7 +299,7 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprint(w, "first requests nacked in the loss, by method:")
+	fmt.Fprint(w, "first tries nacked in the loss, by method:")
 	for _, m := range l.During.Rejected {
 		fmt.Fprintf(w, " %s %.3f", m.Name, m.Share)
 	}
