--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -165,9 +165,9 @@
 	if r.partitionedSites[site] = on; !on {
 		delete(r.partitionedSites, site)
 	}
-	lives := append([]*cacheServer(nil), r.current...)
+	servers := append([]*cacheServer(nil), r.current...)
 	r.mu.Unlock()
-	for _, l := range lives {
+	for _, l := range servers {
 		if err := l.process.Partition(r.unreachableFrom(l.entry.Zone)); err != nil {
 			return err
 		}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -313,15 +313,15 @@
 
 func (r *run) drop(key string) {
 	r.mu.Lock()
-	lives := append([]*cacheServer(nil), r.current...)
+	servers := append([]*cacheServer(nil), r.current...)
 	r.mu.Unlock()
-	for _, l := range lives {
+	for _, l := range servers {
 		l.process.Invalidate(key)
 	}
 }
 
 // fillServers fills all servers with the most popular keys, as if they had run for long. Every server gets all of them,
-// because the routers decide which server is asked for a key.
+// because the routers decide which server handles a key.
 func (r *run) fillServers() {
 	warm := r.scenario
 	warm.Faults, warm.Load.Steps = nil, nil
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -107,16 +107,16 @@
 			t.Errorf("no router decided %q", what)
 		}
 	}
-	nacked, all := map[event.Method]float64{}, map[event.Method]float64{}
+	rejected, all := map[event.Method]float64{}, map[event.Method]float64{}
 	for _, e := range r.Events {
 		if e.Kind != event.Answered {
 			continue
 		}
 		if all[e.Method]++; e.Outcome == event.Nacked {
-			nacked[e.Method]++
+			rejected[e.Method]++
 		}
 	}
-	if read, report := nacked[0]/all[0], nacked[1]/all[1]; report < 2*read || report == 0 {
+	if read, report := rejected[0]/all[0], rejected[1]/all[1]; report < 2*read || report == 0 {
 		t.Errorf("%.3f of reads were rejected, and %.3f of reports, which are less critical", read, report)
 	}
 }
--- a/internal/lab/fleet/operatorstate.go
+++ b/internal/lab/fleet/operatorstate.go
@@ -82,7 +82,7 @@
 			return ""
 		}
 		if time.Now().After(until) || !sleep(ctx, operatorRetryInterval) {
-			return fmt.Sprintf("operators asked last for drained=%v, and ready is %v", want, isReady)
+			return fmt.Sprintf("operators last requested drained=%v, but ready is %v", want, isReady)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	defer p.wanted.mu.Unlock()
 	for uid, banned := range p.wanted.banned {
 		if slices.Contains(file.Banned, uid) != banned {
-			return fmt.Sprintf("operators asked last for banned=%v of %s, and the file has %v", banned, uid, file.Banned)
+			return fmt.Sprintf("operators last requested banned=%v for %s, but the file has %v", banned, uid, file.Banned)
 		}
 	}
 	return ""
--- a/internal/lab/report/loss.go
+++ b/internal/lab/report/loss.go
@@ -214,11 +214,11 @@
 
 // countInversions returns the largest number of rejections that can be paired with a served request of lower criticality,
 // by matching the least critical ones first.
-func countInversions(nacked, served map[float64]int) (n int) {
+func countInversions(rejected, served map[float64]int) (n int) {
 	unpaired := maps.Clone(served)
 	criticalities := slices.Sorted(maps.Keys(served))
-	for _, w := range slices.Sorted(maps.Keys(nacked)) {
-		k := nacked[w]
+	for _, w := range slices.Sorted(maps.Keys(rejected)) {
+		k := rejected[w]
 		for _, c := range criticalities {
 			if c < w {
 				pairs := min(k, unpaired[c])
--- a/internal/lab/report/loss_test.go
+++ b/internal/lab/report/loss_test.go
@@ -10,14 +10,14 @@
 )
 
 func Example_inversions() {
-	for _, x := range []struct{ nacked, served map[float64]int }{
+	for _, x := range []struct{ rejected, served map[float64]int }{
 		{map[float64]int{1: 9}, map[float64]int{3: 9}},             // only the less critical are rejected
 		{map[float64]int{3: 2}, map[float64]int{1: 9}},             // two more critical are rejected while nine less critical are served
 		{map[float64]int{3: 4, 1: 5}, map[float64]int{1: 3, 5: 7}}, // three of four could have been served instead
 		{map[float64]int{5: 1, 3: 1}, map[float64]int{3: 1, 1: 1}}, // each could have been served instead of the next
 		{map[float64]int{3: 2}, map[float64]int{3: 9}},             // equal criticality is no inversion
 	} {
-		fmt.Println(countInversions(x.nacked, x.served))
+		fmt.Println(countInversions(x.rejected, x.served))
 	}
 	// Output:
 	// 0
