--- a/cmd/cache-routerctl/lab.go
+++ b/cmd/cache-routerctl/lab.go
@@ -36,7 +36,7 @@
 	return &cobra.Command{Use: "init", Short: "Write a commented scenario to standard output",
 		Example: "  cache-routerctl lab init > day.toml", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), scenario.Commented)
+			_, err := io.WriteString(c.OutOrStdout(), scenario.Example)
 			return err
 		}}
 }
@@ -69,7 +69,7 @@
 				return err
 			}
 			seed = seedOrDefault(c, seed, s)
-			all := arrivals.Make(s, seed)
+			all := arrivals.Generate(s, seed)
 			timeline := fleet.Timeline(s, seed)
 			type line struct {
 				At    string `json:"at"`
@@ -136,12 +136,12 @@
 	return e.Encode(x)
 }
 
-func readReport(file string) (report.Set, error) {
+func readReport(file string) (report.RunSet, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return report.Set{}, err
+		return report.RunSet{}, err
 	}
-	var s report.Set
+	var s report.RunSet
 	if err := json.Unmarshal(text, &s); err != nil {
 		return s, fmt.Errorf("%s: %w; name the report.json of a run", file, err)
 	}
@@ -151,7 +151,7 @@
 	return s, nil
 }
 
-func readReports(files []string) (a, b report.Set, err error) {
+func readReports(files []string) (a, b report.RunSet, err error) {
 	if a, err = readReport(files[0]); err == nil {
 		b, err = readReport(files[1])
 	}
@@ -174,7 +174,7 @@
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), map[string]any{"pairs": pairs, "rows": rows})
 			}
-			return report.CompareTable(c.OutOrStdout(), "A", "B", rows, pairs)
+			return report.WriteComparison(c.OutOrStdout(), "A", "B", rows, pairs)
 		}}
 	addOutputFlag(c, &output)
 	return c
@@ -189,14 +189,14 @@
 			if err != nil {
 				return err
 			}
-			rows, pairs, err := report.Recoveries(before, after)
+			rows, pairs, err := report.CompareRecoveries(before, after)
 			if err != nil {
 				return err
 			}
 			if output == "json" {
 				return writeJSON(c.OutOrStdout(), map[string]any{"pairs": pairs, "rows": rows})
 			}
-			return report.RecoveryTable(c.OutOrStdout(), rows, pairs)
+			return report.WriteRecoveries(c.OutOrStdout(), rows, pairs)
 		}}
 	addOutputFlag(c, &output)
 	return c
@@ -215,7 +215,7 @@
 				return writeJSON(c.OutOrStdout(), set)
 			}
 			for _, r := range set.Runs {
-				if err := report.Table(c.OutOrStdout(), r); err != nil {
+				if err := report.WriteTable(c.OutOrStdout(), r); err != nil {
 					return err
 				}
 				if pages != "" {
@@ -224,7 +224,7 @@
 					}
 				}
 			}
-			return report.SetTable(c.OutOrStdout(), set)
+			return report.WriteRunSet(c.OutOrStdout(), set)
 		}}
 	c.Flags().StringVar(&pages, "pages", "", "folder to write the HTML pages to")
 	addOutputFlag(c, &output)
@@ -240,7 +240,7 @@
 			if err != nil {
 				return err
 			}
-			all := arrivals.Make(s, seedOrDefault(c, seed, s))
+			all := arrivals.Generate(s, seedOrDefault(c, seed, s))
 			f, err := os.Create(args[1])
 			if err != nil {
 				return err
--- a/cmd/cache-routerctl/labrun.go
+++ b/cmd/cache-routerctl/labrun.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	var mostSevere error
-	var sets []report.Set
+	var sets []report.RunSet
 	for i, s := range all {
 		set, err := a.runSeeds(c, s, files[i], program, o)
 		if err != nil {
@@ -107,14 +107,14 @@
 		s.Routers.Fleet = true
 	case "off": // without links between routers, their faults cannot occur
 		s.Routers.Fleet = false
-		s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.Kinds[f.Kind].Strikes() == "links" })
+		s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return scenario.FaultKinds[f.Kind].Target() == "links" })
 	default:
 		return usageErrorf("--fleet: %q is neither on nor off", o.fleet)
 	}
 	switch o.plan {
 	case "":
 	case "off":
-		s.Routers.Plan = ""
+		s.Routers.SiteLossPlan = ""
 	default:
 		return usageErrorf("--plan: %q is not off", o.plan)
 	}
@@ -141,18 +141,18 @@
 
 // checkRuns returns nil if all runs of a scenario are valid and meet its rules and expectation, or else an error with its exit
 // code.
-func checkRuns(s scenario.Scenario, set report.Set) error {
+func checkRuns(s scenario.Scenario, set report.RunSet) error {
 	invalid := 0
 	sum, counted := 0.0, 0
 	for _, r := range set.Runs {
-		if len(r.Broken) > 0 {
-			return exitError{exitRuleViolated, fmt.Errorf("%s, seed %d: %s", s.Title, r.Seed, r.Broken[0])}
+		if len(r.Violations) > 0 {
+			return exitError{exitRuleViolated, fmt.Errorf("%s, seed %d: %s", s.Title, r.Seed, r.Violations[0])}
 		}
-		if r.Void != "" {
+		if r.InvalidReason != "" {
 			invalid++
 			continue
 		}
-		sum, counted = sum+r.Service.Whole, counted+1
+		sum, counted = sum+r.Service.Overall, counted+1
 	}
 	if invalid > 0 {
 		return exitError{exitInvalidRun, fmt.Errorf("%s: %d of %d runs do not count", s.Title, invalid, len(set.Runs))}
@@ -174,12 +174,12 @@
 }
 
 // runSeeds runs a scenario with each seed and writes its report and pages to a new directory.
-func (a *cli) runSeeds(c *cobra.Command, s scenario.Scenario, file, program string, o runOptions) (report.Set, error) {
+func (a *cli) runSeeds(c *cobra.Command, s scenario.Scenario, file, program string, o runOptions) (report.RunSet, error) {
 	label, quiet, seed := o.label, o.output == "json", seedOrDefault(c, o.seed, s)
 	if label == "" {
 		label = program
 	}
-	set := report.Set{Version: report.Version, Label: label}
+	set := report.RunSet{Version: report.Version, Label: label}
 	name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 	directory := filepath.Join(o.out, name+"-"+time.Now().UTC().Format("20060102T150405"))
 	if err := os.MkdirAll(directory, 0o755); err != nil {
@@ -200,7 +200,7 @@
 		}
 	}
 	if o.seeds > 1 && !quiet {
-		if err := report.SetTable(c.OutOrStdout(), set); err != nil {
+		if err := report.WriteRunSet(c.OutOrStdout(), set); err != nil {
 			return set, err
 		}
 	}
@@ -216,7 +216,7 @@
 // showRun prints the report of one run and writes its page.
 func (o runOptions) showRun(c *cobra.Command, r report.Report, directory string) error {
 	if o.output != "json" {
-		if err := report.Table(c.OutOrStdout(), r); err != nil {
+		if err := report.WriteTable(c.OutOrStdout(), r); err != nil {
 			return err
 		}
 	}
@@ -234,7 +234,7 @@
 	return readTrace(file, s)
 }
 
-func writeReport(file string, set report.Set) error {
+func writeReport(file string, set report.RunSet) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(report.Page(f, r), f.Close())
+	return errors.Join(report.WritePage(f, r), f.Close())
 }
 
 // runSeed runs a scenario with one seed. It deletes the logs of the routers unless a rule was violated.
@@ -261,7 +261,7 @@
 		return report.Report{}, err
 	}
 	show, done := progressWriter(c.ErrOrStderr(), s.Title)
-	res, err := fleet.Play(c.Context(), s, fleet.Options{Seed: seed, Start: fleet.Program(program), Dir: dir, Arrivals: recorded,
+	res, err := fleet.Run(c.Context(), s, fleet.Options{Seed: seed, Start: fleet.ProgramStarter(program), Dir: dir, Arrivals: recorded,
 		Progress: show, Log: a.log})
 	done()
 	if err != nil {
@@ -272,8 +272,8 @@
 		}
 		return report.Report{}, err
 	}
-	r := report.Make(res)
-	if len(r.Broken) == 0 {
+	r := report.New(res)
+	if len(r.Violations) == 0 {
 		if err := os.RemoveAll(dir); err != nil {
 			return r, err
 		}
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -50,16 +50,16 @@
 
 // startRouter starts a router with a gRPC front end and waits until it serves. Its cleanup checks that nothing is left over.
 func startRouter(t *testing.T) *testRouter {
-	parsed, err := scenario.Parse([]byte(scenario.Commented))
+	parsed, err := scenario.Parse([]byte(scenario.Example))
 	if err != nil {
 		t.Fatal(err)
 	}
 	parsed.Service.Mode, parsed.Routers.Count, parsed.Servers.Count = "through", 1, 1
 	r := &testRouter{t: t, log: event.NewLog(), runResult: make(chan error, 1)}
-	cacheServers := &cacheserver.Fleet{Log: r.log, Set: parsed.Servers, Service: parsed.Service, Through: true, Methods: map[string]scenario.Method{},
-		Repeats: &cacheserver.Repeats{}}
+	cacheServers := &cacheserver.Config{Log: r.log, Settings: parsed.Servers, Service: parsed.Service, ReadThrough: true, Methods: map[string]scenario.Method{},
+		Deduplicator: &cacheserver.Deduplicator{}}
 	for _, method := range parsed.Methods {
-		method.Work, method.Spread = 1000, "none"
+		method.Work, method.WorkDistribution = 1000, "none"
 		cacheServers.Methods[method.Name] = method
 	}
 	address := func(port int) string { return fmt.Sprintf("127.16.0.%d:%d", lastAddress.Load(), port) }
@@ -71,8 +71,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery.Set(registry.Entry{UID: "s0", Zone: "a", Kind: "cache", State: "active", Addr: r.server.Addr}, true)
-	text, err := fleet.Config(parsed, 0, "n1", address(6379), address(18500), "1", discovery.Known(0))
+	discovery.Update(registry.Entry{UID: "s0", Zone: "a", Kind: "cache", State: "active", Addr: r.server.Addr}, true)
+	text, err := fleet.Config(parsed, 0, "n1", address(6379), address(18500), "1", discovery.FullList(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 
 // setFault begins or ends a fault of the cache server.
 func (r *testRouter) setFault(kind string, share float64, end bool) {
-	if err := r.server.Strike(scenario.Fault{Kind: kind, Share: share, Factor: 1}, end); err != nil {
+	if err := r.server.ApplyFault(scenario.Fault{Kind: kind, Share: share, Factor: 1}, end); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -168,12 +168,12 @@
 func TestCallsReceiveTheRoutersAnswer(t *testing.T) {
 	r := startRouter(t)
 	id := r.newID()
-	if got, err := r.get(t.Context(), id, "status"); err != nil || !cacheserver.MadeFor(event.RequestID(id), []byte(got)) {
+	if got, err := r.get(t.Context(), id, "status"); err != nil || !cacheserver.IsValueFor(event.RequestID(id), []byte(got)) {
 		t.Errorf("read: got %q, %v, want a value of this request", got, err)
 	}
 	id = r.newID()
 	set, err := r.client.Set(t.Context(), &cachev1.SetRequest{Attributes: &cachev1.Attributes{Id: id, Method: "book", Tenant: "first"}, Key: []byte("k"), Value: []byte("v")})
-	if err != nil || !cacheserver.MadeFor(event.RequestID(id), set.GetReceipt()) || r.countEvents(id, event.EffectExecuted) != 1 {
+	if err != nil || !cacheserver.IsValueFor(event.RequestID(id), set.GetReceipt()) || r.countEvents(id, event.EffectExecuted) != 1 {
 		t.Errorf("write: got %v, %v, and it ran %d times, want a receipt of this request and one run", set, err, r.countEvents(id, event.EffectExecuted))
 	}
 	// A request that may have run and must not run twice fails, without further details.
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -1,5 +1,6 @@
-// Package arrivals makes the schedule of what clients ask for: when, from which site, for which tenant, method and key,
-// and how large the value is. It does no I/O; the same scenario and seed give the same schedule, byte by byte.
+// Package arrivals generates the schedule of client operations: arrival time, site, tenant, method, key and value size.
+// Package fleet runs the schedule and package trace stores it. It does no I/O and keeps no state; a scenario and a seed
+// always give the same schedule, byte for byte.
 package arrivals
 
 import (
@@ -15,19 +16,19 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Arrival is one op that a client wants.
+// Arrival is one scheduled operation of a client.
 type Arrival struct {
 	At     event.Micros
 	Site   event.Site
 	Method event.Method
-	Tenant event.Tenant // -1: none
+	Tenant event.Tenant // -1 if there is none
 	Key    string
-	Size   int // bytes of the value
-	// Leaves is when the client goes away without its answer, counted from At; 0: it stays.
-	Leaves event.Micros
+	Size   int // size of the value in bytes
+	// AbandonAfter is the time from At after which the client gives up waiting; 0 means that it waits for the answer.
+	AbandonAfter event.Micros
 }
 
-// zipf draws ranks 0..n-1 with weight 1/(rank+1)^s, from a table: the generator of the library has no s up to one.
+// zipf is a table of cumulative weights for ranks 0..n-1 with weight 1/(rank+1)^s. rand.Zipf supports only s > 1.
 type zipf []float64
 
 func newZipf(n int, s float64) zipf {
@@ -44,8 +45,8 @@
 	return min(sort.SearchFloat64s(z, x), len(z)-1)
 }
 
-// weighted draws an index by weights.
-func weighted(r *rand.Rand, n int, weight func(int) float64) int {
+// drawWeighted returns an index below n with a probability in proportion to its weight.
+func drawWeighted(r *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
@@ -59,14 +60,14 @@
 	return n - 1
 }
 
-// Make makes the whole schedule.
-func Make(s scenario.Scenario, seed uint64) []Arrival {
-	// A source of its own for times and for what is asked: a change of one leaves the other as it was.
+// Generate returns the complete schedule of a scenario, ordered by arrival time.
+func Generate(s scenario.Scenario, seed uint64) []Arrival {
+	// Times and contents have separate random streams, so that a change to one does not alter the other.
 	times := rand.New(rand.NewPCG(seed, 1))
-	what := rand.New(rand.NewPCG(seed, 2))
+	contents := rand.New(rand.NewPCG(seed, 2))
 	keys := newZipf(s.Load.Keys, s.Load.Zipf)
-	// Which key holds which rank is drawn once, so that neighbours in rank are no neighbours in name.
-	names := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
+	// Keys are assigned to ranks at random, so that keys of similar popularity do not have adjacent names.
+	keyNames := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
 	var out []Arrival
 	for at := 0.0; ; {
 		rate := rateAt(s, event.Micros(at))
@@ -83,7 +84,7 @@
 		if rate <= 0 {
 			continue
 		}
-		out = append(out, one(s, event.Micros(at), what, keys, names))
+		out = append(out, drawArrival(s, event.Micros(at), contents, keys, keyNames))
 	}
 }
 
@@ -95,20 +96,20 @@
 		}
 	}
 	for _, f := range s.Faults {
-		if f.Kind == "burst" && during(f, at) {
+		if f.Kind == "burst" && activeAt(f, at) {
 			rate *= f.Factor
 		}
 	}
 	return rate
 }
 
-func during(f scenario.Fault, at event.Micros) bool {
-	return at >= f.At.Micros() && at < f.At.Micros()+f.For.Micros()
+func activeAt(f scenario.Fault, at event.Micros) bool {
+	return at >= f.At.Micros() && at < f.At.Micros()+f.Duration.Micros()
 }
 
-func one(s scenario.Scenario, at event.Micros, r *rand.Rand, keys zipf, names []int) Arrival {
+func drawArrival(s scenario.Scenario, at event.Micros, r *rand.Rand, keys zipf, keyNames []int) Arrival {
 	a := Arrival{At: at, Tenant: -1}
-	a.Site = event.Site(weighted(r, len(s.Sites), func(i int) float64 {
+	a.Site = event.Site(drawWeighted(r, len(s.Sites), func(i int) float64 {
 		for _, x := range s.Load.SiteShares {
 			if x.Site == s.Sites[i] {
 				return x.Share
@@ -116,47 +117,47 @@
 		}
 		return 1
 	}))
-	a.Method = event.Method(weighted(r, len(s.Methods), func(i int) float64 { return s.Methods[i].Share }))
+	a.Method = event.Method(drawWeighted(r, len(s.Methods), func(i int) float64 { return s.Methods[i].Share }))
 	if len(s.Tenants) > 0 {
-		a.Tenant = event.Tenant(weighted(r, len(s.Tenants), func(i int) float64 {
+		a.Tenant = event.Tenant(drawWeighted(r, len(s.Tenants), func(i int) float64 {
 			return s.Tenants[i].Share * s.Tenants[i].Usage
 		}))
 	}
-	key, spread, leaves := names[keys.draw(r)], r.NormFloat64(), s.Clients.Leave
+	key, spread, abandonShare := keyNames[keys.draw(r)], r.NormFloat64(), s.Clients.AbandonShare
 	for i, f := range s.Faults {
 		switch {
-		case !during(f, at) || f.Site != "" && f.Site != s.Sites[a.Site]:
+		case !activeAt(f, at) || f.Site != "" && f.Site != s.Sites[a.Site]:
 		case f.Kind == "hot_key" && r.Float64() < f.Share:
-			key = s.Load.Keys + i // a key that was cold before
+			key = s.Load.Keys + i // a key outside the normal key space, so it is not cached yet
 		case f.Kind == "leave":
-			leaves = f.Share
+			abandonShare = f.Share
 		}
 	}
 	a.Key = "k" + strconv.FormatInt(int64(key), 36)
-	a.Size = min(s.Load.ValueMost, max(32, int(float64(s.Load.ValueBytes)*math.Exp(0.6*spread-0.18))))
-	if s.Load.ValueMost == s.Load.ValueBytes {
+	a.Size = min(s.Load.MaxValueBytes, max(32, int(float64(s.Load.ValueBytes)*math.Exp(0.6*spread-0.18))))
+	if s.Load.MaxValueBytes == s.Load.ValueBytes {
 		a.Size = s.Load.ValueBytes
 	}
-	if goes := r.Float64(); r.Float64() < leaves {
-		a.Leaves = max(1, event.Micros(goes*float64(s.Methods[a.Method].LatencyBudget)))
+	if abandonPoint := r.Float64(); r.Float64() < abandonShare {
+		a.AbandonAfter = max(1, event.Micros(abandonPoint*float64(s.Methods[a.Method].LatencyBudget)))
 	}
 	return a
 }
 
-// Hottest are the keys that are asked for most, by rank.
-func Hottest(s scenario.Scenario, seed uint64, n int) (out []string) {
-	names := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
-	for _, key := range names[:min(n, len(names))] {
+// HottestKeys returns the n most popular keys, most popular first.
+func HottestKeys(s scenario.Scenario, seed uint64, n int) (out []string) {
+	keyNames := rand.New(rand.NewPCG(seed, 3)).Perm(s.Load.Keys)
+	for _, key := range keyNames[:min(n, len(keyNames))] {
 		out = append(out, "k"+strconv.FormatInt(int64(key), 36))
 	}
 	return out
 }
 
-// Digest is a checksum of a schedule, for telling two apart at a glance.
-func Digest(all []Arrival) string {
+// Digest returns a short checksum of a schedule.
+func Digest(schedule []Arrival) string {
 	h := sha256.New()
-	for _, a := range all {
-		fmt.Fprintln(h, a.At, a.Site, a.Method, a.Tenant, a.Key, a.Size, a.Leaves)
+	for _, a := range schedule {
+		fmt.Fprintln(h, a.At, a.Site, a.Method, a.Tenant, a.Key, a.Size, a.AbandonAfter)
 	}
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -1,8 +1,10 @@
-// Package bench loads one address with plain reads and measures what comes back: in a closed loop, each connection
-// keeping so many requests in hand, or in an open loop, requests coming by schedule whatever becomes of the answers. Latency in
-// the open loop counts from the time when a request was to be sent, so that a generator that falls behind shows it.
+// Package bench loads one address with read requests and measures the answers: in a closed loop, where each connection
+// keeps a fixed number of requests in flight, or in an open loop, where requests are sent by schedule regardless of the
+// answers. Latency in the open loop counts from the scheduled send time, so that a generator that falls behind is visible.
+// The command `cache-routerctl lab bench` runs it.
 //
-// The files: load.go the generator; null.go servers that answer at once; router.go a router between the two.
+// Files: load.go has the generator, null.go servers that answer immediately, and router.go the measurement of a router
+// between the two.
 package bench
 
 import (
@@ -21,224 +23,260 @@
 	"spurtrestle/internal/resp"
 )
 
-// Load is what to send.
+// Load describes the requests to send.
 type Load struct {
-	Addr   string
-	Conns  int
-	Depth  int           // closed loop: requests in hand on a connection
-	Rate   float64       // open loop: requests a second over all connections; 0: closed
-	Keys   int           // read in turns
-	Props  string        // of each request, as the protocol has them
-	Length time.Duration // that is measured
-	Warm   time.Duration // before that
-	First  uint64        // of the ids, so that two loads share none
+	Addr     string
+	Conns    int
+	Depth    int           // closed loop: requests in flight on a connection
+	Rate     float64       // open loop: requests per second over all connections; 0: closed loop
+	Keys     int           // number of keys, read in turn
+	Props    string        // properties of each request
+	Duration time.Duration // measured time
+	WarmUp   time.Duration // time before the measurement
+	FirstID  uint64        // id of the first request; loads with different ranges share no ids
 }
 
-// Outcome is what came back within the time measured.
-type Outcome struct {
-	Answered  int64
-	Satisfied int64
-	Nacked    int64
-	Failed    int64
-	Took      time.Duration
-	Latency   *hdrhistogram.Histogram // microseconds
-	Late      time.Duration           // by which the generator was behind, at worst
-	LateP99   time.Duration           // of the calls of the open loop
+// Result holds the answers within the measured time.
+type Result struct {
+	Answered    int64
+	Succeeded   int64
+	Rejected    int64
+	Failed      int64
+	Duration    time.Duration
+	Latency     *hdrhistogram.Histogram // microseconds
+	MaxLateness time.Duration           // largest lateness of the generator
+	LatenessP99 time.Duration           // of the sends of the open loop
 }
 
-// Rate is answers a second.
-func (o Outcome) Rate() float64 { return float64(o.Answered) / o.Took.Seconds() }
+// Rate returns the answers per second.
+func (o Result) Rate() float64 { return float64(o.Answered) / o.Duration.Seconds() }
 
-// Quantile is a latency in milliseconds.
-func (o Outcome) Quantile(q float64) float64 { return float64(o.Latency.ValueAtQuantile(q)) / 1e3 }
+// Quantile returns a percentile of the latency in milliseconds.
+func (o Result) Quantile(q float64) float64 { return float64(o.Latency.ValueAtQuantile(q)) / 1e3 }
 
-// link is one connection of the generator.
-type link struct {
-	l       *Load
-	n       int
-	c       net.Conn
+// connection is one connection of the generator. mu guards due and orders the writes.
+type connection struct {
+	load    *Load
+	index   int
+	conn    net.Conn
 	ids     *atomic.Uint64
 	mu      sync.Mutex
-	due     []int64 // microseconds since the start, of those without an answer
+	due     []int64 // send times of the requests without an answer, in microseconds since the start
 	hist    *hdrhistogram.Histogram
-	out     Outcome
+	result  Result
 	scratch []byte
 }
 
-// Run loads until the time is over. An address that cannot be reached, or a connection that breaks, is an error.
-func Run(ctx context.Context, l Load) (Outcome, error) {
+// Run sends the load until its time is over. It fails if the address cannot be reached or a connection breaks.
+func Run(ctx context.Context, l Load) (Result, error) {
 	if l.Conns < 1 || l.Depth < 1 && l.Rate <= 0 || l.Keys < 1 {
-		return Outcome{}, errors.New("a load needs connections, keys, and a depth or a rate")
+		return Result{}, errors.New("a load requires connections, keys, and a depth or a rate")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ids := &atomic.Uint64{}
-	ids.Store(l.First)
-	links := make([]*link, l.Conns)
-	for i := range links {
-		c, err := net.DialTimeout("tcp", l.Addr, 2*time.Second)
+	ids.Store(l.FirstID)
+	conns := make([]*connection, l.Conns)
+	for i := range conns {
+		conn, err := net.DialTimeout("tcp", l.Addr, 2*time.Second)
 		if err != nil {
-			return Outcome{}, err
+			return Result{}, err
 		}
-		defer c.Close()
-		links[i] = &link{l: &l, n: i, c: c, ids: ids, hist: hdrhistogram.New(1, 60e6, 3)}
+		defer conn.Close()
+		conns[i] = &connection{load: &l, index: i, conn: conn, ids: ids, hist: hdrhistogram.New(1, 60e6, 3)}
 	}
 	start := time.Now()
-	from, until := l.Warm, l.Warm+l.Length
+	from, until := l.WarmUp, l.WarmUp+l.Duration
 	stop := context.AfterFunc(ctx, func() {
-		for _, k := range links {
-			k.c.Close()
+		for _, c := range conns {
+			c.conn.Close()
 		}
 	})
 	defer stop()
 	var readers sync.WaitGroup
-	errs := make(chan error, len(links))
-	for _, k := range links {
+	errs := make(chan error, len(conns))
+	for _, c := range conns {
 		readers.Go(func() {
-			if err := k.read(start, from, until); err != nil {
+			if err := c.read(start, from, until); err != nil {
 				errs <- err
 			}
 		})
 	}
-	var late *hdrhistogram.Histogram
+	var lateness *hdrhistogram.Histogram
 	if l.Rate > 0 {
-		late = open(ctx, links, l, start, until)
+		lateness = runOpenLoop(ctx, conns, l, start, until)
 	} else {
-		for _, k := range links {
-			if err := k.send(l.Depth, time.Since(start)); err != nil {
-				return Outcome{}, err
-			}
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(until):
+		if err := runClosedLoop(ctx, conns, l, start, until); err != nil {
+			return Result{}, err
 		}
 	}
-	time.Sleep(min(200*time.Millisecond, l.Length)) // what is on its way
+	time.Sleep(min(200*time.Millisecond, l.Duration)) // for answers in flight
 	cancel()
 	readers.Wait()
 	select {
 	case err := <-errs:
-		return Outcome{}, err
+		return Result{}, err
 	default:
 	}
-	all := Outcome{Took: l.Length, Latency: hdrhistogram.New(1, 60e6, 3)}
-	for _, k := range links {
-		all.Answered += k.out.Answered
-		all.Satisfied += k.out.Satisfied
-		all.Nacked += k.out.Nacked
-		all.Failed += k.out.Failed
-		all.Latency.Merge(k.hist)
+	return sum(l, conns, lateness), nil
+}
+
+// sum adds up the results of the connections. lateness is nil in a closed loop.
+func sum(l Load, conns []*connection, lateness *hdrhistogram.Histogram) Result {
+	total := Result{Duration: l.Duration, Latency: hdrhistogram.New(1, 60e6, 3)}
+	for _, c := range conns {
+		total.Answered += c.result.Answered
+		total.Succeeded += c.result.Succeeded
+		total.Rejected += c.result.Rejected
+		total.Failed += c.result.Failed
+		total.Latency.Merge(c.hist)
 	}
-	if late != nil {
-		all.Late, all.LateP99 = time.Duration(late.Max())*time.Microsecond, time.Duration(late.ValueAtQuantile(99))*time.Microsecond
+	if lateness != nil {
+		total.MaxLateness, total.LatenessP99 = time.Duration(lateness.Max())*time.Microsecond, time.Duration(lateness.ValueAtQuantile(99))*time.Microsecond
 	}
-	return all, nil
+	return total
 }
 
-// open sends by schedule, from two threads: one of them was behind at 60,000 a second.
-func open(ctx context.Context, links []*link, l Load, start time.Time, until time.Duration) *hdrhistogram.Histogram {
-	threads := min(2, len(links))
+// runClosedLoop sends the first requests of each connection and waits until the time is over.
+func runClosedLoop(ctx context.Context, conns []*connection, l Load, start time.Time, until time.Duration) error {
+	for _, c := range conns {
+		if err := c.send(l.Depth, time.Since(start)); err != nil {
+			return err
+		}
+	}
+	select {
+	case <-ctx.Done():
+	case <-time.After(until):
+	}
+	return nil
+}
+
+// runOpenLoop sends by schedule from two goroutines, because one fell behind at 60,000 requests per second. It returns the
+// lateness of the sends.
+func runOpenLoop(ctx context.Context, conns []*connection, l Load, start time.Time, until time.Duration) *hdrhistogram.Histogram {
+	threads := min(2, len(conns))
 	var wg sync.WaitGroup
-	lates := make([]*hdrhistogram.Histogram, threads)
+	lateness := make([]*hdrhistogram.Histogram, threads)
 	for t := range threads {
-		lates[t] = hdrhistogram.New(1, 60e6, 3)
+		lateness[t] = hdrhistogram.New(1, 60e6, 3)
 		wg.Go(func() {
 			rate := l.Rate / float64(threads)
 			n := int(rate * until.Seconds())
-			mine := links[t*len(links)/threads : (t+1)*len(links)/threads]
+			own := conns[t*len(conns)/threads : (t+1)*len(conns)/threads]
 			at := func(i int) time.Duration {
 				return time.Duration((float64(i) + float64(t)/float64(threads)) / rate * 1e9)
 			}
 			pacer.Run(ctx, start, n, at, func(i int, late time.Duration) {
-				_ = lates[t].RecordValue(max(1, int64(late/time.Microsecond))) // over a minute late is not recorded: the run is over
-				// A connection that breaks ends its reader with an error, which is the one told.
-				_ = mine[i%len(mine)].send(1, at(i))
+				_ = lateness[t].RecordValue(max(1, int64(late/time.Microsecond))) // fails above a minute, when the run is over
+				// If the connection breaks, its reader reports the error.
+				_ = own[i%len(own)].send(1, at(i))
 			})
 		})
 	}
 	wg.Wait()
-	for _, h := range lates[1:] {
-		lates[0].Merge(h)
+	for _, h := range lateness[1:] {
+		lateness[0].Merge(h)
 	}
-	return lates[0]
+	return lateness[0]
 }
 
-// send writes so many requests in one go; due is when they were to be sent, from the start.
-func (k *link) send(n int, due time.Duration) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.scratch = k.scratch[:0]
+// send writes n requests in one write. due is their scheduled send time, from the start.
+func (c *connection) send(n int, due time.Duration) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.scratch = c.scratch[:0]
 	for range n {
-		id := k.ids.Add(1)
-		k.scratch = append(k.scratch, "*4\r\n$9\r\nCACHE.GET\r\n"...)
+		id := c.ids.Add(1)
+		c.scratch = append(c.scratch, "*4\r\n$9\r\nCACHE.GET\r\n"...)
 		var word [24]byte
-		k.scratch = resp.AppendBulk(k.scratch, strconv.AppendUint(append(word[:0], 'k'), id%uint64(k.l.Keys), 36))
-		k.scratch = resp.AppendBulk(k.scratch, strconv.AppendUint(word[:0], id, 16))
-		k.scratch = resp.AppendBulk(k.scratch, []byte(k.l.Props))
-		k.due = append(k.due, int64(due/time.Microsecond))
+		c.scratch = resp.AppendBulk(c.scratch, strconv.AppendUint(append(word[:0], 'k'), id%uint64(c.load.Keys), 36))
+		c.scratch = resp.AppendBulk(c.scratch, strconv.AppendUint(word[:0], id, 16))
+		c.scratch = resp.AppendBulk(c.scratch, []byte(c.load.Props))
+		c.due = append(c.due, int64(due/time.Microsecond))
 	}
-	_, err := k.c.Write(k.scratch)
+	_, err := c.conn.Write(c.scratch)
 	return err
 }
 
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 12, Args: 16}
 
-// read takes answers; in the closed loop each brings the next request.
-func (k *link) read(start time.Time, from, until time.Duration) error {
+// read handles answers. In the closed loop it sends a new request for each.
+func (c *connection) read(start time.Time, from, until time.Duration) error {
 	buf := make([]byte, 256<<10)
 	have := 0
 	for {
 		if have == len(buf) {
 			buf = append(buf, make([]byte, len(buf))...)
 		}
-		n, err := k.c.Read(buf[have:])
+		n, err := c.conn.Read(buf[have:])
 		now := time.Since(start)
 		if err != nil {
 			if now < until {
-				return fmt.Errorf("connection %d: %w", k.n, err)
+				return fmt.Errorf("connection %d: %w", c.index, err)
 			}
-			return nil // the load is over
+			return nil // the end of the load
 		}
 		have += n
-		used, answers := 0, 0
-		for used < have {
-			r, size, err := resp.ReadReply(buf[used:have], bounds)
-			if err != nil {
-				return fmt.Errorf("connection %d: an answer cannot be read: %w", k.n, err)
-			}
-			if size == 0 {
-				break
-			}
-			used += size
-			answers++
-			k.mu.Lock()
-			if len(k.due) == 0 {
-				k.mu.Unlock()
-				return fmt.Errorf("connection %d: an answer that nobody asked for", k.n)
-			}
-			due := time.Duration(k.due[0]) * time.Microsecond
-			k.due = k.due[1:]
-			k.mu.Unlock()
-			if now >= from && now < until {
-				k.out.Answered++
-				switch {
-				case r.Kind == '$' && !r.Null:
-					k.out.Satisfied++
-				case r.Kind == '-' && len(r.Text) >= 4 && string(r.Text[:4]) == "BUSY":
-					k.out.Nacked++
-				default:
-					k.out.Failed++
-				}
-				_ = k.hist.RecordValue(max(1, int64((now-due)/time.Microsecond))) // over a minute: no latency of a bench
-			}
+		used, answers, err := c.handleReplies(buf[:have], now, now >= from && now < until)
+		if err != nil {
+			return err
 		}
 		copy(buf, buf[used:have])
 		have -= used
-		if k.l.Rate <= 0 && answers > 0 && now < until {
-			if err := k.send(answers, time.Since(start)); err != nil {
+		if c.load.Rate <= 0 && answers > 0 && now < until {
+			if err := c.send(answers, time.Since(start)); err != nil {
 				return err
 			}
 		}
 	}
 }
+
+// nextDue removes and returns the send time of the oldest request without an answer; ok is false if there is none.
+func (c *connection) nextDue() (due time.Duration, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.due) == 0 {
+		return 0, false
+	}
+	due = time.Duration(c.due[0]) * time.Microsecond
+	c.due = c.due[1:]
+	return due, true
+}
+
+// count adds an answer to the result.
+func (c *connection) count(r resp.Reply, latency time.Duration) {
+	c.result.Answered++
+	switch {
+	case r.Kind == '$' && !r.Null:
+		c.result.Succeeded++
+	case r.Kind == '-' && len(r.Text) >= 4 && string(r.Text[:4]) == "BUSY":
+		c.result.Rejected++
+	default:
+		c.result.Failed++
+	}
+	_ = c.hist.RecordValue(max(1, int64(latency/time.Microsecond))) // fails above a minute, which is no meaningful latency
+}
+
+// handleReplies handles the complete answers at the beginning of data, which was read at now, and counts them if they are
+// within the measured time. It returns the size and number of the answers.
+func (c *connection) handleReplies(data []byte, now time.Duration, measured bool) (used, answers int, err error) {
+	for used < len(data) {
+		r, size, err := resp.ReadReply(data[used:], bounds)
+		if err != nil {
+			return used, answers, fmt.Errorf("connection %d: malformed answer: %w", c.index, err)
+		}
+		if size == 0 {
+			break
+		}
+		used += size
+		answers++
+		due, ok := c.nextDue()
+		if !ok {
+			return used, answers, fmt.Errorf("connection %d: answer without a request", c.index)
+		}
+		if measured {
+			c.count(r, now-due)
+		}
+	}
+	return used, answers, nil
+}
--- a/internal/lab/bench/null.go
+++ b/internal/lab/bench/null.go
@@ -8,37 +8,37 @@
 	"spurtrestle/internal/resp"
 )
 
-// Null answers each command at once with the same text. It is a router that costs nothing, or a cache server that does.
-type Null struct {
-	ln    net.Listener
-	text  []byte
-	conns sync.Map
-	wg    sync.WaitGroup
-	Opens atomic.Int64 // connections accepted
+// StubServer answers each command immediately with the same reply. It stands in for a router or cache server without cost.
+type StubServer struct {
+	listener net.Listener
+	reply    []byte
+	conns    sync.Map
+	wg       sync.WaitGroup
+	Accepted atomic.Int64 // number of accepted connections
 }
 
-// Bulk is the answer of a router, Array that of a cache server, with a value of so many bytes.
-func Bulk(size int) []byte { return resp.AppendBulk(nil, make([]byte, size)) }
+// RouterReply returns the reply of a router with a value of size bytes.
+func RouterReply(size int) []byte { return resp.AppendBulk(nil, make([]byte, size)) }
 
-// Array is the answer of a cache server with a value of so many bytes.
-func Array(size int) []byte {
+// CacheServerReply returns the reply of a cache server with a value of size bytes.
+func CacheServerReply(size int) []byte {
 	return append(resp.AppendBulk([]byte("*3\r\n"), make([]byte, size)), "$-1\r\n$-1\r\n"...)
 }
 
-// NewNull listens on an address.
-func NewNull(addr string, text []byte) (*Null, error) {
+// NewStubServer starts a stub server on an address. Call Close to end it.
+func NewStubServer(addr string, text []byte) (*StubServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	n := &Null{ln: ln, text: text}
+	n := &StubServer{listener: ln, reply: text}
 	n.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			n.Opens.Add(1)
+			n.Accepted.Add(1)
 			n.conns.Store(c, true)
 			n.wg.Go(func() { n.serve(c) })
 		}
@@ -46,17 +46,17 @@
 	return n, nil
 }
 
-// Addr is where it listens.
-func (n *Null) Addr() string { return n.ln.Addr().String() }
+// Addr returns the address that it listens on.
+func (n *StubServer) Addr() string { return n.listener.Addr().String() }
 
-// Close ends it.
-func (n *Null) Close() {
-	n.ln.Close()
+// Close closes the listener and all connections, and waits for their goroutines.
+func (n *StubServer) Close() {
+	n.listener.Close()
 	n.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
 	n.wg.Wait()
 }
 
-func (n *Null) serve(c net.Conn) {
+func (n *StubServer) serve(c net.Conn) {
 	defer n.conns.Delete(c)
 	defer c.Close()
 	buf := make([]byte, 64<<10)
@@ -80,7 +80,7 @@
 				break
 			}
 			used += size
-			out = append(out, n.text...)
+			out = append(out, n.reply...)
 		}
 		copy(buf, buf[used:have])
 		if have -= used; len(out) > 0 {
--- a/internal/lab/cacheserver/cacheserver.go
+++ b/internal/lab/cacheserver/cacheserver.go
@@ -1,9 +1,11 @@
-// Package cacheserver is a stand-in for a cache server: it speaks RESP2 as the published protocol has it, works on a
-// machine of package machine, stores keys, and fails on demand. One Server is one life of one process. All that it sees
-// of routers goes into the run's record.
+// Package cacheserver simulates cache servers for lab runs: a Server speaks RESP2 as specified, executes its work on the
+// model of package machine, stores keys, and injects faults on demand. Package fleet starts the servers. One Server stands
+// for one process from its start to its end, and records every attempt of a router in the event log.
 //
-// The files: this one a life and its listeners; conn.go a connection; answer.go what is answered; trouble.go what can be
-// done to it.
+// Server.mu guards the state of a server. Each connection has a goroutine that reads and one that writes.
+//
+// Files: cacheserver.go has the server and its listeners, conn.go a connection, answer.go the replies, props.go the
+// properties of an attempt, and trouble.go the faults.
 package cacheserver
 
 import (
@@ -20,25 +22,25 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Fleet is what all servers of a run share.
-type Fleet struct {
-	Log     *event.Log
-	Set     scenario.Servers
-	Service scenario.Service
-	Methods map[string]scenario.Method
-	Through bool
-	Missed  func(req event.RequestID, s *Server, cold bool) // aside: the origin's answer is to fill it
-	Repeats *Repeats
+// Config is shared by all servers of a run.
+type Config struct {
+	Log          *event.Log
+	Settings     scenario.Servers
+	Service      scenario.Service
+	Methods      map[string]scenario.Method
+	ReadThrough  bool
+	OnMiss       func(req event.RequestID, s *Server, cold bool) // called for a miss in aside mode, so that the origin's answer can fill the server
+	Deduplicator *Deduplicator
 }
 
-// Repeats remembers deduplicated requests, as all servers of a group do together.
-type Repeats struct {
+// Deduplicator remembers requests with deduplicated effects, shared by all servers of a group.
+type Deduplicator struct {
 	mu   sync.Mutex
 	seen map[string]event.Micros
 }
 
-// Known tells whether a request ran in a group within a window, and remembers it otherwise.
-func (r *Repeats) Known(group string, req event.RequestID, now, window event.Micros) bool {
+// IsRepeat reports whether a request ran in a group within the window. If it did not, it is remembered as run now.
+func (r *Deduplicator) IsRepeat(group string, req event.RequestID, now, window event.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
@@ -52,52 +54,53 @@
 	return false
 }
 
-// Server is one life.
+// Server is one process of a cache server.
 type Server struct {
-	fleet *Fleet
-	UID   event.Server
-	Zone  string
-	Cell  int
-	Boot  time.Time // zero: up for long
-	addrs []string  // one for each router, in their order
-
-	mu       sync.Mutex
-	machine  *machine.Machine
-	store    *machine.LRU
-	rand     *rand.Rand
-	ln       []net.Listener
-	fillers  []io.Closer
-	cut      map[event.Router][]io.Closer // routers that cannot reach it, and what keeps their addresses silent
-	conns    map[*conn]struct{}
-	alarm    *time.Timer
-	ids      uint64
-	jobs     map[*machine.Job]*command
-	down     bool
-	draining bool
-	vanished bool
-	trouble  trouble
-	report   []byte
-	reported event.Micros
-	took     event.Micros // smoothed time of work
-	hits     float64      // share of late
-	errors   float64
-	wg       sync.WaitGroup
+	config *Config
+	UID    event.Server
+	Zone   string
+	Cell   int
+	Boot   time.Time // zero for a server that started long before the run
+	addrs  []string  // by router
+
+	mu              sync.Mutex
+	machine         *machine.Machine
+	store           *machine.LRU
+	rand            *rand.Rand
+	listeners       []net.Listener
+	backlogFillers  []io.Closer
+	partitioned     map[event.Router][]io.Closer // unreachable routers, with the resources that keep their addresses silent
+	conns           map[*conn]struct{}
+	timer           *time.Timer
+	lastJobID       uint64
+	jobs            map[*machine.Job]*command
+	down            bool
+	draining        bool
+	unreachable     bool
+	faults          faultState
+	report          []byte
+	reportedAt      event.Micros
+	smoothedLatency event.Micros // moving average of the time from start to reply
+	hitRate         float64      // moving average
+	errorRate       float64
+	wg              sync.WaitGroup
 }
 
-// Start begins a life on its addresses. A warm one has been up for long and holds its keys already.
-func Start(f *Fleet, uid event.Server, zone string, cell int, addrs []string, warm bool, seed uint64) (*Server, error) {
-	s := &Server{fleet: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Set.Keys),
+// Start starts a server that listens on one address for each router. A warm server performs as one that has been up for
+// long. Call Kill and then Wait to end it.
+func Start(f *Config, uid event.Server, zone string, cell int, addrs []string, warm bool, seed uint64) (*Server, error) {
+	s := &Server{config: f, UID: uid, Zone: zone, Cell: cell, addrs: addrs, store: machine.NewLRU(f.Settings.Keys),
 		rand: rand.New(rand.NewPCG(seed, 7)), conns: map[*conn]struct{}{}, jobs: map[*machine.Job]*command{},
-		cut: map[event.Router][]io.Closer{}}
+		partitioned: map[event.Router][]io.Closer{}}
 	now := f.Log.Now()
 	cold := event.Micros(0)
 	if !warm {
 		s.Boot = time.Now()
-		cold = f.Set.ColdSpan.Micros()
+		cold = f.Settings.ColdSpan.Micros()
 	}
-	s.machine = machine.New(machine.Settings{Cores: f.Set.Cores, QueueLimit: f.Set.Queue, ColdCapacityShare: f.Set.ColdShare,
-		WarmupDuration: f.Set.ColdSpan.Micros(), CollapseMultiple: f.Set.FallMultiple, CollapseWindow: f.Set.FallSpan.Micros()}, now, warm)
-	s.alarm = time.AfterFunc(time.Hour, s.ring)
+	s.machine = machine.New(machine.Settings{Cores: f.Settings.Cores, QueueLimit: f.Settings.Queue, ColdCapacityShare: f.Settings.ColdShare,
+		WarmupDuration: f.Settings.ColdSpan.Micros(), CollapseMultiple: f.Settings.CollapseMultiple, CollapseWindow: f.Settings.CollapseWindow.Micros()}, now, warm)
+	s.timer = time.AfterFunc(time.Hour, s.onTimer)
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
@@ -105,22 +108,22 @@
 	return s, nil
 }
 
-// Addr is where a router reaches it.
+// Addr returns the address at which a router reaches the server.
 func (s *Server) Addr(r event.Router) string { return s.addrs[r] }
 
 func (s *Server) listen() error {
-	s.ln = make([]net.Listener, len(s.addrs))
+	s.listeners = make([]net.Listener, len(s.addrs))
 	for i := range s.addrs {
 		if err := s.listenFor(event.Router(i)); err != nil {
-			for _, ln := range s.ln[:i] {
+			for _, ln := range s.listeners[:i] {
 				ln.Close()
 			}
-			s.ln = nil
+			s.listeners = nil
 			return err
 		}
 	}
-	for r := range s.cut {
-		if err := s.cutOff(r); err != nil {
+	for r := range s.partitioned {
+		if err := s.blackholeRouter(r); err != nil {
 			return err
 		}
 	}
@@ -132,7 +135,7 @@
 	if err != nil {
 		return fmt.Errorf("cache server %s: %w", s.UID, err)
 	}
-	s.ln[r] = ln
+	s.listeners[r] = ln
 	s.wg.Add(1)
 	go s.accept(ln, r)
 	return nil
@@ -141,27 +144,27 @@
 func (s *Server) accept(ln net.Listener, r event.Router) {
 	defer s.wg.Done()
 	for {
-		c, err := ln.Accept()
+		netConn, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		if _, cut := s.cut[r]; cut || s.down || s.vanished {
+		if _, partitioned := s.partitioned[r]; partitioned || s.down || s.unreachable {
 			s.mu.Unlock()
-			c.Close()
+			netConn.Close()
 			continue
 		}
-		k := newConn(s, c, r, len(s.conns) >= s.fleet.Set.Connections)
-		s.conns[k] = struct{}{}
+		conn := newConn(s, netConn, r, len(s.conns) >= s.config.Settings.Connections)
+		s.conns[conn] = struct{}{}
 		s.mu.Unlock()
-		s.fleet.Log.Add(event.Event{Kind: event.ConnectionAccepted, Server: s.UID, Router: r})
+		s.config.Log.Add(event.Event{Kind: event.ConnectionAccepted, Server: s.UID, Router: r})
 		s.wg.Add(2)
-		go k.read()
-		go k.write()
+		go conn.read()
+		go conn.write()
 	}
 }
 
-// Fill stores a key, as the origin's answer does for a server that missed it.
+// Fill stores a key, as after an answer of the origin to a miss.
 func (s *Server) Fill(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,21 +173,21 @@
 	}
 }
 
-// Drop takes a key out, as a write does.
-func (s *Server) Drop(key string) {
+// Invalidate removes a key, as after a write.
+func (s *Server) Invalidate(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.Remove(key)
 }
 
-// Drain has the server finish its requests, and reject what arrives after the grace.
+// Drain marks the server as draining. It rejects new requests only after EndDrainGrace.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Kill ends the process at once: its connections are reset, its address refuses new ones.
+// Kill ends the server at once: connections are reset and new ones are refused.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	if s.down {
@@ -196,52 +199,52 @@
 	for c := range s.conns {
 		c.reset()
 	}
-	s.alarm.Stop()
+	s.timer.Stop()
 	s.mu.Unlock()
-	s.fleet.Log.Add(event.Event{Kind: event.ServerDown, Server: s.UID, Router: event.NoRouter})
+	s.config.Log.Add(event.Event{Kind: event.ServerDown, Server: s.UID, Router: event.NoRouter})
 }
 
-// Wait returns once nothing of it runs any more; call it after Kill.
+// Wait returns when all goroutines of the server have ended. Call it after Kill.
 func (s *Server) Wait() { s.wg.Wait() }
 
 func (s *Server) closeListeners() {
-	for _, ln := range s.ln {
+	for _, ln := range s.listeners {
 		ln.Close()
 	}
-	s.ln = nil
-	for _, c := range s.fillers {
+	s.listeners = nil
+	for _, c := range s.backlogFillers {
 		c.Close()
 	}
-	s.fillers = nil
-	for r, fillers := range s.cut {
+	s.backlogFillers = nil
+	for r, fillers := range s.partitioned {
 		for _, c := range fillers {
 			c.Close()
 		}
-		s.cut[r] = nil
+		s.partitioned[r] = nil
 	}
 }
 
-// ring ends the jobs that are due.
-func (s *Server) ring() {
+// onTimer completes the jobs that are due.
+func (s *Server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn()
+	s.advance()
 }
 
-// turn answers what is done and sets the alarm for what comes next.
-func (s *Server) turn() {
+// advance answers completed jobs and sets the timer for the next one. The caller holds s.mu.
+func (s *Server) advance() {
 	if s.down {
 		return
 	}
-	now := s.fleet.Log.Now()
-	for _, j := range s.machine.Completed(now) {
-		k := s.jobs[j]
-		delete(s.jobs, j)
-		if k != nil {
-			s.done(k, now)
+	now := s.config.Log.Now()
+	for _, job := range s.machine.Completed(now) {
+		cmd := s.jobs[job]
+		delete(s.jobs, job)
+		if cmd != nil {
+			s.finish(cmd, now)
 		}
 	}
 	if next, ok := s.machine.NextCompletion(); ok {
-		s.alarm.Reset(max(0, next-s.fleet.Log.Now()).Duration())
+		s.timer.Reset(max(0, next-s.config.Log.Now()).Duration())
 	}
 }
--- a/internal/lab/cacheserver/conn.go
+++ b/internal/lab/cacheserver/conn.go
@@ -12,104 +12,99 @@
 	"spurtrestle/internal/resp"
 )
 
-// bounds are wider than a router's: what a router may not send must be seen here.
+// bounds are wider than those of routers, so that oversized commands of a router are read and recorded.
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 14, Args: 64}
 
-// command is one attempt from its last byte on.
+// command is one attempt or other command that has been read completely.
 type command struct {
-	on     *conn
-	req    event.RequestID
-	method string
-	key    string
-	size   int
-	write  bool
-	sent   event.Micros // the deadline sent
-	missed bool
-	probe  bool
-	pong   []byte // its answer, where that is no load report
-	job    *machine.Job
-	began  event.Micros
-	over   bool
-	text   []byte // the answer, once there is one
-	reply  event.Reply
-	cut    int // write only so many bytes of the answer, then reset; -1: all
-}
-
-// conn is one connection of a router.
+	conn         *conn
+	req          event.RequestID
+	method       string
+	key          string
+	size         int
+	write        bool
+	deadlineSent event.Micros // time allowed by the attempt's properties
+	miss         bool
+	probe        bool
+	probeReply   []byte // reply of a probe; nil: the load report
+	job          *machine.Job
+	startedAt    event.Micros
+	ended        bool
+	replyText    []byte // encoded reply; nil while there is none
+	reply        event.Reply
+	truncateAt   int // write only this many bytes of the reply, then reset; -1: write all
+}
+
+// conn is one connection of a router. read and write each run on a goroutine of their own; pending is guarded by the
+// server's mutex.
 type conn struct {
-	s      *Server
-	c      net.Conn
-	router event.Router
-	full   bool // over the limit: all is turned away
-	used   bool
-	slots  []*command // in order, until their answers are written
-	out    chan *command
-	ended  chan struct{}
-	once   sync.Once
-	handed sync.Mutex
-	silent bool // nobody writes any more
+	server           *Server
+	netConn          net.Conn
+	router           event.Router
+	overLimit        bool // the server is at its connection limit: all requests are rejected
+	handshakeCharged bool
+	pending          []*command // in order of arrival, until their replies are queued
+	replies          chan *command
+	closed           chan struct{}
+	closeOnce        sync.Once
+	enqueueMu        sync.Mutex
+	muted            bool // replies are no longer written; guarded by enqueueMu
 }
 
-func newConn(s *Server, c net.Conn, r event.Router, full bool) *conn {
-	return &conn{s: s, c: c, router: r, full: full, out: make(chan *command, 1024), ended: make(chan struct{})}
+func newConn(s *Server, netConn net.Conn, r event.Router, full bool) *conn {
+	return &conn{server: s, netConn: netConn, router: r, overLimit: full, replies: make(chan *command, 1024), closed: make(chan struct{})}
 }
 
-func (k *conn) end() { k.once.Do(func() { close(k.ended); k.c.Close() }) }
+// close closes the connection and stops its writer.
+func (c *conn) close() { c.closeOnce.Do(func() { close(c.closed); c.netConn.Close() }) }
 
-// reset closes with RST, as a process that dies does.
-func (k *conn) reset() {
-	if t, ok := k.c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // fails where the peer has ended it already
+// reset closes the connection with RST, as the kernel does for a process that is killed.
+func (c *conn) reset() {
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails if the peer has closed it already
 	}
-	k.end()
+	c.close()
 }
 
-// hush: nothing that is answered from now on reaches the router.
-func (k *conn) hush() {
-	k.handed.Lock()
-	defer k.handed.Unlock()
-	k.silent = true
+// mute suppresses all further replies.
+func (c *conn) mute() {
+	c.enqueueMu.Lock()
+	defer c.enqueueMu.Unlock()
+	c.muted = true
 }
 
-// read takes commands until the connection ends.
-func (k *conn) read() {
-	defer k.s.wg.Done()
-	defer k.gone()
-	var have []byte
+// read handles commands until the connection ends.
+func (c *conn) read() {
+	defer c.server.wg.Done()
+	defer c.handleClose()
+	var unread []byte
 	var words [][]byte
 	buf := make([]byte, 64<<10)
-	since := event.Micros(-1)
+	firstByteAt := event.Micros(-1)
 	for {
-		_ = k.c.SetReadDeadline(time.Now().Add(k.s.fleet.Service.IdleClose.Micros().Duration())) // an error shows in Read
-		n, err := k.c.Read(buf)
+		_ = c.netConn.SetReadDeadline(time.Now().Add(c.server.config.Service.IdleClose.Micros().Duration())) // an error shows in Read
+		n, err := c.netConn.Read(buf)
 		if n > 0 {
-			now := k.s.fleet.Log.Now()
-			if since < 0 {
-				since = now
+			now := c.server.config.Log.Now()
+			if firstByteAt < 0 {
+				firstByteAt = now
 			}
-			have = append(have, buf[:n]...)
-			used := 0
-			for {
-				var size int
-				var bad error
-				words, size, bad = resp.ReadCommand(have[used:], words, bounds)
-				if bad != nil {
-					k.odd("what cannot be read")
-					return
-				}
-				if size == 0 {
-					break
-				}
-				k.s.command(k, words, since, now)
-				since = now
-				used += size
+			unread = append(unread, buf[:n]...)
+			var used int
+			var parseErr error
+			if words, used, parseErr = c.handleCommands(unread, words, firstByteAt, now); parseErr != nil {
+				c.recordViolation("malformed command")
+				return
 			}
-			if have = append(have[:0], have[used:]...); len(have) == 0 {
-				since = -1
+			if used > 0 {
+				firstByteAt = now
+			}
+			if unread = append(unread[:0], unread[used:]...); len(unread) == 0 {
+				firstByteAt = -1
 			}
 		}
-		var late net.Error
-		if errors.As(err, &late) && late.Timeout() && k.busy() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() && c.hasPending() {
 			continue
 		}
 		if err != nil {
@@ -118,123 +113,148 @@
 	}
 }
 
-func (k *conn) busy() bool {
-	k.s.mu.Lock()
-	defer k.s.mu.Unlock()
-	return len(k.slots) > 0
+// handleCommands handles the complete commands at the beginning of unread. It returns words for reuse and how many bytes
+// the commands took.
+func (c *conn) handleCommands(unread []byte, words [][]byte, firstByteAt, now event.Micros) (_ [][]byte, used int, err error) {
+	for {
+		var size int
+		words, size, err = resp.ReadCommand(unread[used:], words, bounds)
+		if err != nil {
+			return words, used, err
+		}
+		if size == 0 {
+			return words, used, nil
+		}
+		c.server.handleCommand(c, words, firstByteAt, now)
+		firstByteAt = now
+		used += size
+	}
+}
+
+func (c *conn) hasPending() bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return len(c.pending) > 0
 }
 
-func (k *conn) odd(what string) {
-	k.s.fleet.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: k.s.UID, Router: k.router, Note: what})
+func (c *conn) recordViolation(note string) {
+	c.server.config.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: c.server.UID, Router: c.router, Note: note})
 }
 
-// gone: the router ended the connection, or the server did. What was in hand there has no answer.
-func (k *conn) gone() {
-	read := k.s.fleet.Log.Now() // others may hold the server for long, and a router may have gone on since
-	k.end()
-	s := k.s
+// handleClose records the pending attempts of a closed connection as lost and cancels their work.
+func (c *conn) handleClose() {
+	closedAt := c.server.config.Log.Now() // taken before waiting for the server's mutex, which may be held for long while the router goes on
+	c.close()
+	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, k)
-	now := s.fleet.Log.Now()
-	for _, c := range k.slots {
-		if c.over || c.text != nil {
-			continue // the writer tells of it
+	delete(s.conns, c)
+	now := s.config.Log.Now()
+	for _, cmd := range c.pending {
+		if cmd.ended || cmd.replyText != nil {
+			continue // recorded by the writer
 		}
-		c.over = true
-		if c.req != "" {
-			s.fleet.Log.AddAt(event.Event{At: read, Kind: event.AttemptEnded, Request: c.req, Server: s.UID, Router: k.router, Reply: event.ConnectionLost})
+		cmd.ended = true
+		if cmd.req != "" {
+			s.config.Log.AddAt(event.Event{At: closedAt, Kind: event.AttemptEnded, Request: cmd.req, Server: s.UID, Router: c.router, Reply: event.ConnectionLost})
 		}
-		if c.job != nil && s.fleet.Set.CancelStops && s.machine.Cancel(now, c.job) {
-			delete(s.jobs, c.job)
+		if cmd.job != nil && s.config.Settings.CancelStopsWork && s.machine.Cancel(now, cmd.job) {
+			delete(s.jobs, cmd.job)
 		}
 	}
-	s.turn()
+	s.advance()
 }
 
-// write writes the answers in order.
-func (k *conn) write() {
-	defer k.s.wg.Done()
+// write writes the queued replies until the connection is closed.
+func (c *conn) write() {
+	defer c.server.wg.Done()
 	for {
 		select {
-		case <-k.ended:
-			k.handed.Lock()
-			k.silent = true
-			k.handed.Unlock()
+		case <-c.closed:
+			c.enqueueMu.Lock()
+			c.muted = true
+			c.enqueueMu.Unlock()
 			for {
 				select {
-				case c := <-k.out:
-					k.tell(c, k.s.fleet.Log.Now(), event.ConnectionLost)
+				case cmd := <-c.replies:
+					c.recordEnd(cmd, c.server.config.Log.Now(), event.ConnectionLost)
 				default:
 					return
 				}
 			}
-		case c := <-k.out:
-			at := k.s.fleet.Log.Now()
-			text := c.text
-			if c.cut >= 0 {
-				text = text[:min(c.cut, len(text))]
-			}
-			_ = k.c.SetWriteDeadline(time.Now().Add(5 * time.Second)) // an error shows in Write
-			_, err := k.c.Write(text)
-			reply := c.reply
-			if err != nil || c.cut >= 0 {
-				reply = event.ConnectionLost
-			}
-			k.tell(c, at, reply)
-			if err != nil || c.cut >= 0 {
-				k.reset()
-			}
+		case cmd := <-c.replies:
+			c.writeReply(cmd)
 		}
 	}
 }
 
-// tell notes the end of an attempt as of the time when its answer began to leave: the router may act on it at once.
-func (k *conn) tell(c *command, at event.Micros, reply event.Reply) {
-	if c.req == "" {
+// writeReply writes one reply, and resets the connection if the write fails or the reply is to be truncated.
+func (c *conn) writeReply(cmd *command) {
+	at := c.server.config.Log.Now()
+	text := cmd.replyText
+	if cmd.truncateAt >= 0 {
+		text = text[:min(cmd.truncateAt, len(text))]
+	}
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(5 * time.Second)) // an error shows in Write
+	_, err := c.netConn.Write(text)
+	reply := cmd.reply
+	if err != nil || cmd.truncateAt >= 0 {
+		reply = event.ConnectionLost
+	}
+	c.recordEnd(cmd, at, reply)
+	if err != nil || cmd.truncateAt >= 0 {
+		c.reset()
+	}
+}
+
+// recordEnd records the end of an attempt at the time when the write of its reply began, because the router may react
+// before the write returns.
+func (c *conn) recordEnd(cmd *command, at event.Micros, reply event.Reply) {
+	if cmd.req == "" {
 		return
 	}
-	k.s.fleet.Log.AddAt(event.Event{At: at, Kind: event.AttemptEnded, Request: c.req, Server: k.s.UID, Router: k.router, Reply: reply})
+	c.server.config.Log.AddAt(event.Event{At: at, Kind: event.AttemptEnded, Request: cmd.req, Server: c.server.UID, Router: c.router, Reply: reply})
 }
 
-// put gives a command its answer; what is in order goes out. The server's lock is held.
-func (k *conn) put(c *command, text []byte, reply event.Reply) {
-	if c.over || c.text != nil {
+// setReply sets the reply of a command and queues all replies that are next in order. The caller holds the server's mutex.
+func (c *conn) setReply(cmd *command, text []byte, reply event.Reply) {
+	if cmd.ended || cmd.replyText != nil {
 		return
 	}
-	c.text, c.reply = text, reply
-	for len(k.slots) > 0 && k.slots[0].text != nil {
-		first := k.slots[0]
-		k.slots = k.slots[1:]
-		if !k.hand(first) {
-			k.tell(first, k.s.fleet.Log.Now(), event.ConnectionLost)
+	cmd.replyText, cmd.reply = text, reply
+	for len(c.pending) > 0 && c.pending[0].replyText != nil {
+		first := c.pending[0]
+		c.pending = c.pending[1:]
+		if !c.enqueue(first) {
+			c.recordEnd(first, c.server.config.Log.Now(), event.ConnectionLost)
 		}
 	}
 }
 
-// hand gives an answer to the writer, unless it has gone: each end of an attempt is told once.
-func (k *conn) hand(c *command) bool {
-	k.handed.Lock()
-	defer k.handed.Unlock()
-	if k.silent {
+// enqueue passes a reply to the writer. It returns false if the writer has stopped or its queue is full; the caller then
+// records the end of the attempt, so that it is recorded exactly once.
+func (c *conn) enqueue(cmd *command) bool {
+	c.enqueueMu.Lock()
+	defer c.enqueueMu.Unlock()
+	if c.muted {
 		return false
 	}
 	select {
-	case k.out <- c:
+	case c.replies <- cmd:
 		return true
-	default: // the router takes no answers
+	default: // the router does not read its replies
 		return false
 	}
 }
 
-// parse reads the words of a CACHE command.
-func parse(words [][]byte) (c *command, ok bool) {
+// parseCommand parses the words of a CACHE command; ok is false if they are malformed.
+func parseCommand(words [][]byte) (cmd *command, ok bool) {
 	verb := string(bytes.ToUpper(words[0]))
 	if verb == "CACHE.GET" && len(words) != 4 || verb == "CACHE.SET" && len(words) != 5 {
 		return nil, false
 	}
-	props := ReadProps(string(words[3]))
-	c = &command{key: string(words[1]), req: event.RequestID(words[2]), method: props.Method, size: props.Size,
-		write: verb == "CACHE.SET", sent: props.DeadlineSent, cut: -1}
-	return c, c.key != "" && c.req != "" && c.method != "" && c.sent > 0 && !props.BadDeadline
+	props := ParseProps(string(words[3]))
+	cmd = &command{key: string(words[1]), req: event.RequestID(words[2]), method: props.Method, size: props.Size,
+		write: verb == "CACHE.SET", deadlineSent: props.DeadlineSent, truncateAt: -1}
+	return cmd, cmd.key != "" && cmd.req != "" && cmd.method != "" && cmd.deadlineSent > 0 && !props.BadDeadline
 }
--- a/internal/lab/cacheserver/trouble.go
+++ b/internal/lab/cacheserver/trouble.go
@@ -13,21 +13,19 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// trouble is what is wrong with a server's answers.
-type trouble struct {
-	resets       float64 // share of the answers that break off
-	spoilt       float64 // share that cannot be read
-	surplus      float64 // share with something behind
-	forms        []string
-	staleReports bool
-	badReports   bool
-	late         bool // the grace of a drain is over
+// faultState holds the faults that alter a server's replies.
+type faultState struct {
+	resetShare     float64 // fraction of replies that are cut off by a reset
+	malformedShare float64 // fraction of replies that are malformed
+	surplusShare   float64 // fraction of replies that are followed by surplus bytes
+	malformedForms []string
+	staleReports   bool
+	badReports     bool
+	graceOver      bool // the grace period of a drain is over
 }
 
-func (f *Fleet) figure(name string) string { return scenario.Figures[name] }
-
-// Forms are the forms of spoilt answers.
-var Forms = map[string]func([]byte) []byte{
+// MalformedReplies maps the name of each malformed form to the function that derives it from a valid reply.
+var MalformedReplies = map[string]func([]byte) []byte{
 	"noise":   func([]byte) []byte { return []byte("\x00\xffnot an answer\x17\r\n") },
 	"length":  func(b []byte) []byte { return append([]byte("*3\r\n$7\r\n"), b[4:]...) },
 	"huge":    func([]byte) []byte { return []byte("*3\r\n$3000000000\r\nabc") },
@@ -35,103 +33,105 @@
 	"endless": func([]byte) []byte { return append([]byte("+"), make([]byte, 9000)...) },
 }
 
-// spoil changes an answer as the fault has it.
-func (t *trouble) spoil(r *rand.Rand, text []byte, reply event.Reply) ([]byte, event.Reply, int) {
+// corrupt applies the faults to an encoded reply. It returns the bytes to write, the outcome to record, and how many bytes
+// to write before a reset (-1: all).
+func (t *faultState) corrupt(r *rand.Rand, text []byte, reply event.Reply) ([]byte, event.Reply, int) {
 	switch x := r.Float64(); {
-	case x < t.resets:
+	case x < t.resetShare:
 		return text, event.ConnectionLost, r.IntN(len(text))
-	case x < t.resets+t.spoilt:
-		forms := t.forms
+	case x < t.resetShare+t.malformedShare:
+		forms := t.malformedForms
 		if len(forms) == 0 {
 			forms = []string{"endless", "huge", "length", "nested", "noise"}
 		}
-		return Forms[forms[r.IntN(len(forms))]](text), event.Malformed, -1
-	case x < t.resets+t.spoilt+t.surplus:
+		return MalformedReplies[forms[r.IntN(len(forms))]](text), event.Malformed, -1
+	case x < t.resetShare+t.malformedShare+t.surplusShare:
 		return append(text, []string{"+surplus\r\n", "$-1\r\n", "\x00\x01"}[r.IntN(3)]...), reply, -1
 	}
 	return text, reply, -1
 }
 
-// Strike begins a fault of the scenario on this server, or takes it back.
-func (s *Server) Strike(f scenario.Fault, end bool) error {
+// ApplyFault begins a fault of the scenario on this server, or ends it. A server that is down ignores faults.
+func (s *Server) ApplyFault(fault scenario.Fault, end bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return nil
 	}
-	now := s.fleet.Log.Now()
-	on := !end
-	part := func(x float64) float64 {
+	now := s.config.Log.Now()
+	begin := !end
+	share := func(x float64) float64 {
 		if end {
 			return 0
 		}
 		return x
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "hang":
-		s.machine.SetFrozen(now, on)
-		s.turn()
+		s.machine.SetFrozen(now, begin)
+		s.advance()
 	case "slow":
-		if s.machine.SetSlowdown(f.Factor); end {
+		if s.machine.SetSlowdown(fault.Factor); end {
 			s.machine.SetSlowdown(1)
 		}
 	case "refuse":
-		if on {
+		if begin {
 			s.closeListeners()
 			return nil
 		}
 		return s.listen()
 	case "vanish":
-		return s.vanish(now, on)
+		return s.setUnreachable(now, begin)
 	case "reset":
-		s.trouble.resets = part(f.Share)
+		s.faults.resetShare = share(fault.Share)
 	case "spoil":
-		s.trouble.spoilt, s.trouble.forms = part(f.Share), f.Answers
+		s.faults.malformedShare, s.faults.malformedForms = share(fault.Share), fault.ReplyForms
 	case "surplus":
-		s.trouble.surplus = part(f.Share)
+		s.faults.surplusShare = share(fault.Share)
 	case "stale_reports":
-		s.trouble.staleReports = on
+		s.faults.staleReports = begin
 	case "bad_reports":
-		s.trouble.badReports = on
+		s.faults.badReports = begin
 	default:
-		return fmt.Errorf("a cache server knows no fault %q", f.Kind)
+		return fmt.Errorf("fault %q does not apply to a cache server", fault.Kind)
 	}
 	return nil
 }
 
-// PastGrace has a draining server reject every further request.
-func (s *Server) PastGrace() {
+// EndDrainGrace makes a draining server reject every further request.
+func (s *Server) EndDrainGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble.late = true
+	s.faults.graceOver = true
 }
 
-// vanish makes the machine silent: open connections stay open and bring nothing, new ones never come up. When it is
-// back its old connections are reset. A full backlog of a listener that nobody reads makes the kernel drop what comes.
-func (s *Server) vanish(now event.Micros, on bool) error {
-	if !on {
-		s.vanished = false
+// setUnreachable simulates a host that drops off the network, or its return: open connections stay open but are silent,
+// and new ones are never accepted. On its return the old connections are reset. The kernel drops connection attempts
+// while the backlog of a listener that accepts none is full.
+func (s *Server) setUnreachable(now event.Micros, begin bool) error {
+	if !begin {
+		s.unreachable = false
 		s.machine.SetFrozen(now, false)
-		for k := range s.conns {
-			k.reset()
+		for c := range s.conns {
+			c.reset()
 		}
 		s.closeListeners()
 		return s.listen()
 	}
-	s.vanished = true
+	s.unreachable = true
 	s.machine.SetFrozen(now, true)
-	for _, ln := range s.ln {
-		fillers, err := silence(ln)
-		if s.fillers = append(s.fillers, fillers...); err != nil {
+	for _, ln := range s.listeners {
+		fillers, err := blackhole(ln)
+		if s.backlogFillers = append(s.backlogFillers, fillers...); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// silence has an address take nothing and refuse nothing, until what it gives back is closed.
-func silence(ln net.Listener) (fillers []io.Closer, err error) {
-	// A copy of the descriptor stays open that nobody accepts on.
+// blackhole makes the address of a listener neither accept nor refuse connections until the returned closers are closed.
+func blackhole(ln net.Listener) (fillers []io.Closer, err error) {
+	// The copy of the descriptor keeps the socket listening, but nothing accepts on it.
 	addr := ln.Addr().(*net.TCPAddr).AddrPort()
 	file, err := ln.(*net.TCPListener).File()
 	if err != nil {
@@ -142,7 +142,7 @@
 	if err := unix.Listen(int(file.Fd()), 0); err != nil {
 		return fillers, err
 	}
-	for range 2 { // a backlog of nothing still takes one; nobody waits for the other, since the caller holds the server
+	for range 2 { // a backlog of 0 still queues one connection; the sockets do not block, since the caller holds s.mu
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			return fillers, err
@@ -156,51 +156,66 @@
 	return fillers, nil
 }
 
-// Cut takes the way between it and some routers, and gives it back to the others: what is open there stays open and
-// brings nothing, either way, and nothing new comes up. What is open is reset when the way is back.
-func (s *Server) Cut(from map[event.Router]bool) error {
+// Partition makes the server unreachable from the given routers and reachable from all others. Connections of an
+// unreachable router stay open without traffic in either direction, and new ones are not accepted. When the partition
+// heals, they are reset.
+func (s *Server) Partition(unreachableFrom map[event.Router]bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r := range s.addrs {
 		r := event.Router(r)
-		fillers, was := s.cut[r]
+		fillers, wasPartitioned := s.partitioned[r]
 		switch {
-		case was == from[r]:
-		case was:
-			delete(s.cut, r)
-			if s.down || s.vanished {
-				break
-			}
-			for _, c := range fillers {
-				c.Close()
-			}
-			for k := range s.conns {
-				if k.router == r {
-					k.reset()
-				}
-			}
-			if err := s.listenFor(r); err != nil {
+		case wasPartitioned == unreachableFrom[r]:
+		case wasPartitioned:
+			if err := s.healPartition(r, fillers); err != nil {
 				return err
 			}
 		default:
-			s.cut[r] = nil
-			if s.down || s.vanished || len(s.ln) == 0 {
-				break
-			}
-			if err := s.cutOff(r); err != nil {
+			if err := s.beginPartition(r); err != nil {
 				return err
 			}
-			for k := range s.conns {
-				if k.router == r {
-					k.hush()
-				}
-			}
 		}
 	}
 	return nil
 }
 
-func (s *Server) cutOff(r event.Router) (err error) {
-	s.cut[r], err = silence(s.ln[r])
+// healPartition makes the server reachable from a router again. The caller holds s.mu.
+func (s *Server) healPartition(r event.Router, fillers []io.Closer) error {
+	delete(s.partitioned, r)
+	if s.down || s.unreachable {
+		return nil
+	}
+	for _, filler := range fillers {
+		filler.Close()
+	}
+	for c := range s.conns {
+		if c.router == r {
+			c.reset()
+		}
+	}
+	return s.listenFor(r)
+}
+
+// beginPartition makes the server unreachable from a router. The caller holds s.mu.
+func (s *Server) beginPartition(r event.Router) error {
+	s.partitioned[r] = nil
+	if s.down || s.unreachable || len(s.listeners) == 0 {
+		return nil
+	}
+	if err := s.blackholeRouter(r); err != nil {
+		return err
+	}
+	for c := range s.conns {
+		if c.router == r {
+			c.mute()
+		}
+	}
+	return nil
+}
+
+// blackholeRouter makes the address for a router silent. The caller holds s.mu.
+func (s *Server) blackholeRouter(r event.Router) (err error) {
+	s.partitioned[r], err = blackhole(s.listeners[r])
 	return err
 }
--- a/internal/lab/cheat/cheat_test.go
+++ b/internal/lab/cheat/cheat_test.go
@@ -181,18 +181,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := fleet.Play(t.Context(), s, fleet.Options{Seed: 1, Start: Starter(c.kind), Dir: t.TempDir()})
+			r, err := fleet.Run(t.Context(), s, fleet.Options{Seed: 1, Start: Starter(c.kind), Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				if b.Rule == c.rule && strings.Contains(b.What, c.want) {
 					return
 				}
 			}
-			if c.rule >= 0 || len(r.Broken) > 0 {
-				t.Errorf("%d violations; want one of rule %d with %q, or none for rule -1", len(r.Broken), c.rule, c.want)
-				for _, b := range r.Broken[:min(3, len(r.Broken))] {
+			if c.rule >= 0 || len(r.Violations) > 0 {
+				t.Errorf("%d violations; want one of rule %d with %q, or none for rule -1", len(r.Violations), c.rule, c.want)
+				for _, b := range r.Violations[:min(3, len(r.Violations))] {
 					t.Error(b, strings.Join(b.Evidence, "\n"))
 				}
 			}
--- a/internal/lab/client/conn.go
+++ b/internal/lab/client/conn.go
@@ -15,90 +15,94 @@
 
 var bounds = resp.Bounds{Bulk: 1 << 20, Line: 1 << 12, Args: 16}
 
-// lateAnswers is how long a client waits on behind its limit.
-const lateAnswers event.Micros = 500e3
+// lateAnswerGrace is how long a client waits after the deadline, so that late answers are recorded as late.
+const lateAnswerGrace event.Micros = 500e3
 
-// pending is a request that has no answer yet.
+// pending is a request without an answer.
 type pending struct {
-	req    event.RequestID
-	op     event.Op
-	a      arrivals.Arrival
-	write  bool
-	props  string
-	limit  event.Micros // how long it may wait
-	sent   event.Micros // the deadline sent over RESP2, in whole milliseconds
-	gives  event.Micros // when its client goes; 0: never
-	asked  event.Micros
-	fresh  bool // it crossed a close, and goes on a new connection
-	answer chan result
+	id           event.RequestID
+	op           event.Op
+	arrival      arrivals.Arrival
+	write        bool
+	props        string
+	deadline     event.Micros // time allowed for the answer
+	deadlineSent event.Micros // deadline as sent over RESP2, in whole milliseconds
+	givesUpAt    event.Micros // when the client abandons it; 0: never
+	sentAt       event.Micros
+	needsNewConn bool // it is sent again after a connection ended, on a new one
+	answer       chan result
 }
 
-// pool holds the connections to one router.
+// pool holds the RESP2 connections to one router.
 type pool struct {
-	f      *Front
-	router event.Router
-	addr   string
-	most   int
-	mu     sync.Mutex
-	conns  []*conn
-	opens  int
-	closed bool
+	lb       *LoadBalancer
+	router   event.Router
+	addr     string
+	maxConns int
+	mu       sync.Mutex
+	conns    []*conn
+	opened   int
+	closed   bool
 }
 
-// conn is one connection. Answers come in the order of requests.
+// conn is one RESP2 connection. Answers arrive in the order of requests.
 type conn struct {
-	p     *pool
-	c     net.Conn
-	mu    sync.Mutex
-	waits []*pending // in the order on the wire
-	due   int        // that have a place, and are about to be written
-	used  bool
-	ended bool
-	last  event.RequestID
-	prior event.Micros // when the answer before came
+	pool         *pool
+	netConn      net.Conn
+	mu           sync.Mutex
+	pending      []*pending // in the order of the requests on the wire
+	reserved     int        // requests that have reserved a slot and are about to be written
+	used         bool
+	closed       bool
+	lastRequest  event.RequestID
+	lastAnswerAt event.Micros // when the previous answer arrived
 }
 
-// take finds a connection with room, the one used last first, or opens one. A fresh one is opened in any case.
-func (p *pool) take(fresh bool) (c *conn, kept bool, err error) {
+// acquire reserves a slot on a connection, preferring the newest one, or opens a connection. With needsNewConn it always
+// opens one.
+func (p *pool) acquire(needsNewConn bool) (c *conn, reused bool, err error) {
 	p.mu.Lock()
-	for i := len(p.conns) - 1; i >= 0 && !fresh; i-- {
+	for i := len(p.conns) - 1; i >= 0 && !needsNewConn; i-- {
 		c := p.conns[i]
 		c.mu.Lock()
-		if !c.ended && len(c.waits)+c.due < p.f.s.Clients.Pipeline {
-			c.due++
-			kept = c.used
+		if !c.closed && len(c.pending)+c.reserved < p.lb.scenario.Clients.Pipeline {
+			c.reserved++
+			reused = c.used
 			c.used = true
 			c.mu.Unlock()
 			p.mu.Unlock()
-			return c, kept, nil
+			return c, reused, nil
 		}
 		c.mu.Unlock()
 	}
-	if p.opens >= p.most || p.closed || !p.f.mayOpen(p.router) {
+	if p.opened >= p.maxConns || p.closed || !p.lb.mayOpen(p.router) {
 		p.mu.Unlock()
-		return nil, false, errNoRoom
+		return nil, false, errPoolFull
 	}
-	p.opens++
+	p.opened++
 	p.mu.Unlock()
 	n, err := net.DialTimeout("tcp", p.addr, time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.opens--
+		p.opened--
 		return nil, false, err
 	}
-	c = &conn{p: p, c: n, due: 1, used: true}
+	c = &conn{pool: p, netConn: n, reserved: 1, used: true}
 	p.conns = append(p.conns, c)
-	p.f.wg.Add(1)
+	p.lb.wg.Add(1)
 	go c.read()
 	return c, false, nil
 }
 
-type noRoom struct{}
+// poolFullError reports that no connection has a free slot and none may be opened.
+type poolFullError struct{}
 
-func (noRoom) Error() string { return "all connections that the clients may hold are busy" }
+func (poolFullError) Error() string {
+	return "all connections to the router are busy and no more may be opened"
+}
 
-var errNoRoom = noRoom{}
+var errPoolFull = poolFullError{}
 
 func (p *pool) isOpen() bool {
 	p.mu.Lock()
@@ -106,178 +110,186 @@
 	return len(p.conns) > 0
 }
 
-// ask sends a request and waits for what becomes of it; kept: the connection had carried others before.
-func (p *pool) ask(q *pending) (res result, kept bool) {
-	note := event.Event{Request: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
+// roundTrip sends a request and waits for its result. reused reports whether the connection had carried other requests.
+func (p *pool) roundTrip(request *pending) (res result, reused bool) {
+	record := event.Event{Request: request.id, Op: request.op, Router: p.router, Method: request.arrival.Method, Limit: request.deadline}
 	var c *conn
 	var err error
 	for {
-		if c, kept, err = p.take(q.fresh); err != nil {
-			note.Kind, note.Note = event.ConnectFailed, err.Error()
-			p.f.log.Add(note)
-			return result{how: unreached}, false
+		if c, reused, err = p.acquire(request.needsNewConn); err != nil {
+			record.Kind, record.Note = event.ConnectFailed, err.Error()
+			p.lb.log.Add(record)
+			return result{outcome: unreached}, false
 		}
 		c.mu.Lock()
-		c.due--
-		if !c.ended {
+		c.reserved--
+		if !c.closed {
 			break
 		}
-		c.mu.Unlock() // it ended before anything was written: another one
+		c.mu.Unlock() // it ended before anything was written: try another connection
 	}
-	// Under the lock, so that the order on the wire is the order of those who wait.
-	c.waits = append(c.waits, q)
-	note.Kind, note.DeadlineSent = event.RequestSent, q.sent
-	if !kept {
-		note.Note = event.NewConnection
+	// The lock is held until the request is written, so that pending has the order on the wire.
+	c.pending = append(c.pending, request)
+	record.Kind, record.DeadlineSent = event.RequestSent, request.deadlineSent
+	if !reused {
+		record.Note = event.NewConnection
 	}
-	q.asked = p.f.log.Now()
-	note.At = q.asked
-	p.f.log.AddAt(note)
-	_ = c.c.SetWriteDeadline(time.Now().Add(q.limit.Duration())) // an error shows in Write
-	_, err = c.c.Write(c.text(q))
+	request.sentAt = p.lb.log.Now()
+	record.At = request.sentAt
+	p.lb.log.AddAt(record)
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(request.deadline.Duration())) // an error shows in Write
+	_, err = c.netConn.Write(encode(request))
 	c.mu.Unlock()
 	if err != nil {
-		c.end()
+		c.close()
 	}
-	// An answer that comes late is to be seen as late, so the client waits on for a while.
-	over := time.NewTimer((q.limit + lateAnswers).Duration())
-	defer over.Stop()
-	goes := make(<-chan time.Time)
-	if q.gives > 0 {
-		t := time.NewTimer(max(0, q.gives-p.f.log.Now()).Duration())
+	return c.await(request), reused
+}
+
+// await waits for the answer to a request that was written, or for its client to abandon it.
+func (c *conn) await(request *pending) result {
+	// The client waits beyond the deadline, so that a late answer is recorded as late.
+	deadline := time.NewTimer((request.deadline + lateAnswerGrace).Duration())
+	defer deadline.Stop()
+	givesUp := make(<-chan time.Time)
+	if request.givesUpAt > 0 {
+		t := time.NewTimer(max(0, request.givesUpAt-c.pool.lb.log.Now()).Duration())
 		defer t.Stop()
-		goes = t.C
+		givesUp = t.C
 	}
 	for {
 		select {
-		case res := <-q.answer:
-			return res, kept
-		case <-goes:
-			if c.leave(q) {
-				return result{how: left}, kept
+		case res := <-request.answer:
+			return res
+		case <-givesUp:
+			if c.abandon(request) {
+				return result{outcome: abandoned}
 			}
-			goes = nil // others wait on the connection: it stays, and so does the answer
-		case <-over.C:
-			c.end()
+			givesUp = nil // other requests wait on the connection: keep it and wait for the answer
+		case <-deadline.C:
+			c.close()
 			select {
-			case res := <-q.answer:
-				return res, kept
+			case res := <-request.answer:
+				return res
 			case <-time.After(time.Second):
-				return result{how: failed}, kept
+				return result{outcome: failed}
 			}
 		}
 	}
 }
 
-func (c *conn) text(q *pending) []byte {
-	words := [][]byte{[]byte("CACHE.GET"), []byte(q.a.Key), []byte(q.req), []byte(q.props)}
-	if q.write {
+// encode returns the command of a request.
+func encode(request *pending) []byte {
+	words := [][]byte{[]byte("CACHE.GET"), []byte(request.arrival.Key), []byte(request.id), []byte(request.props)}
+	if request.write {
 		words[0] = []byte("CACHE.SET")
-		words = append(words, cacheserver.Made(q.req, "client", q.a.Size))
+		words = append(words, cacheserver.MakeValue(request.id, "client", request.arrival.Size))
 	}
 	return resp.AppendCommand(nil, words...)
 }
 
-// leave goes away without the answer, where no other waits on the connection.
-func (c *conn) leave(q *pending) bool {
+// abandon closes the connection without waiting for the answer. It does nothing and returns false if another request uses
+// the connection.
+func (c *conn) abandon(request *pending) bool {
 	c.mu.Lock()
-	if len(c.waits) != 1 || c.waits[0] != q || c.due > 0 || c.ended {
+	if len(c.pending) != 1 || c.pending[0] != request || c.reserved > 0 || c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	c.waits = nil
-	c.ended = true
-	c.p.f.log.Add(event.Event{Kind: event.ClientLeft, Request: q.req, Op: q.op, Router: c.p.router})
+	c.pending = nil
+	c.closed = true
+	c.pool.lb.log.Add(event.Event{Kind: event.ClientLeft, Request: request.id, Op: request.op, Router: c.pool.router})
 	c.mu.Unlock()
-	c.c.Close()
+	c.netConn.Close()
 	return true
 }
 
-func (c *conn) end() {
+func (c *conn) close() {
 	c.mu.Lock()
-	c.ended = true
+	c.closed = true
 	c.mu.Unlock()
-	c.c.Close()
+	c.netConn.Close()
 }
 
-// read takes answers until the connection ends.
+// read handles answers until the connection ends.
 func (c *conn) read() {
-	defer c.p.f.wg.Done()
-	defer c.gone()
-	var have []byte
+	defer c.pool.lb.wg.Done()
+	defer c.handleClose()
+	var unread []byte
 	buf := make([]byte, 64<<10)
 	for {
-		n, err := c.c.Read(buf)
-		have = append(have, buf[:n]...)
+		n, err := c.netConn.Read(buf)
+		unread = append(unread, buf[:n]...)
 		used := 0
-		for used < len(have) {
-			r, size, bad := resp.ReadReply(have[used:], bounds)
-			if bad != nil {
-				c.odd("an answer that cannot be read")
+		for used < len(unread) {
+			r, size, parseErr := resp.ReadReply(unread[used:], bounds)
+			if parseErr != nil {
+				c.recordSurplus("malformed answer")
 				return
 			}
 			if size == 0 {
 				break
 			}
-			if !c.took(r) {
+			if !c.handleReply(r) {
 				return
 			}
 			used += size
 		}
-		have = append(have[:0], have[used:]...)
+		unread = append(unread[:0], unread[used:]...)
 		if err != nil {
 			return
 		}
 	}
 }
 
-func (c *conn) odd(what string) {
+// recordSurplus records bytes that answer no request.
+func (c *conn) recordSurplus(note string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.p.f.log.Add(event.Event{Kind: event.UnexpectedAnswer, Request: c.last, Router: c.p.router, Note: what})
+	c.pool.lb.log.Add(event.Event{Kind: event.UnexpectedAnswer, Request: c.lastRequest, Router: c.pool.router, Note: note})
 }
 
-// took gives an answer to the first that waits; false where nobody does.
-func (c *conn) took(r resp.Reply) bool {
+// handleReply passes an answer to the oldest pending request. It returns false if there is none.
+func (c *conn) handleReply(r resp.Reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.p.f.log.Now()
-	if len(c.waits) == 0 {
-		if !c.ended {
-			c.p.f.log.Add(event.Event{Kind: event.UnexpectedAnswer, Request: c.last, Router: c.p.router, Note: "an answer that nobody asked for"})
+	now := c.pool.lb.log.Now()
+	if len(c.pending) == 0 {
+		if !c.closed {
+			c.pool.lb.log.Add(event.Event{Kind: event.UnexpectedAnswer, Request: c.lastRequest, Router: c.pool.router, Note: "answer without a request"})
 		}
 		return false
 	}
-	q := c.waits[0]
-	c.waits = c.waits[1:]
-	c.last = q.req
-	res, out := result{how: failed}, event.Failed
+	request := c.pending[0]
+	c.pending = c.pending[1:]
+	c.lastRequest = request.id
+	res, recorded := result{outcome: failed}, event.Failed
 	value := r.Text
 	if r.Kind == '*' && len(r.Items) > 0 {
 		r, value = r.Items[0], r.Items[0].Text
 	}
-	word, rest, _ := bytes.Cut(r.Text, []byte(" "))
+	code, rest, _ := bytes.Cut(r.Text, []byte(" "))
 	switch {
-	case r.Kind == '$' && !r.Null && cacheserver.MadeFor(q.req, value):
-		res.how, out = satisfied, event.Succeeded
+	case r.Kind == '$' && !r.Null && cacheserver.IsValueFor(request.id, value):
+		res.outcome, recorded = succeeded, event.Succeeded
 	case r.Kind == '$' && !r.Null:
-		out = event.WrongValue
-	case r.Kind == '-' && string(word) == "BUSY":
-		res.how, out = nacked, event.Rejected
+		recorded = event.WrongValue
+	case r.Kind == '-' && string(code) == "BUSY":
+		res.outcome, recorded = rejected, event.Rejected
 		ms, _ := strconv.Atoi(string(rest)) // 0 where there is no hint
-		res.hint = event.Micros(ms) * 1000
+		res.retryAfter = event.Micros(ms) * 1000
 	}
-	c.p.f.log.AddAt(event.Event{At: now, Kind: event.Answered, Request: q.req, Op: q.op, Router: c.p.router, Outcome: out,
-		Limit: res.hint, Since: c.prior, Method: q.a.Method})
-	c.prior = now
-	q.answer <- res
+	c.pool.lb.log.AddAt(event.Event{At: now, Kind: event.Answered, Request: request.id, Op: request.op, Router: c.pool.router, Outcome: recorded,
+		Limit: res.retryAfter, Since: c.lastAnswerAt, Method: request.arrival.Method})
+	c.lastAnswerAt = now
+	request.answer <- res
 	return true
 }
 
-// gone: the connection is over, and those who wait on it have no answer.
-func (c *conn) gone() {
-	c.c.Close()
-	p := c.p
+// handleClose removes a closed connection from its pool and fails its pending requests.
+func (c *conn) handleClose() {
+	c.netConn.Close()
+	p := c.pool
 	p.mu.Lock()
 	for i, x := range p.conns {
 		if x == c {
@@ -285,20 +297,20 @@
 			break
 		}
 	}
-	p.opens--
+	p.opened--
 	p.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kind, ended := event.ConnectionClosed, cut
-	if c.ended { // by the client itself, for one that waited too long: it does not send again what it has given up
-		kind, ended = event.ClientLeft, failed
+	kind, outcome := event.ConnectionClosed, disconnected
+	if c.closed { // closed by the client after a timeout: requests that it gave up are not sent again
+		kind, outcome = event.ClientLeft, failed
 	}
-	c.ended = true
-	for _, q := range c.waits {
-		p.f.log.Add(event.Event{Kind: kind, Request: q.req, Op: q.op, Router: p.router})
-		q.answer <- result{how: ended}
+	c.closed = true
+	for _, request := range c.pending {
+		p.lb.log.Add(event.Event{Kind: kind, Request: request.id, Op: request.op, Router: p.router})
+		request.answer <- result{outcome: outcome}
 	}
-	c.waits = nil
+	c.pending = nil
 }
 
 func (p *pool) close() {
@@ -307,6 +319,6 @@
 	conns := append([]*conn(nil), p.conns...)
 	p.mu.Unlock()
 	for _, c := range conns {
-		c.end()
+		c.close()
 	}
 }
--- a/internal/lab/client/grpc.go
+++ b/internal/lab/client/grpc.go
@@ -17,116 +17,122 @@
 	cachev1 "spurtrestle/proto/spurtrestle/cache/v1"
 )
 
-// calls asks one router over gRPC, all calls on one connection.
-type calls struct {
-	f      *Front
+// grpcTransport calls one router over gRPC, with one connection for all calls.
+type grpcTransport struct {
+	lb     *LoadBalancer
 	router event.Router
 	addr   string
 	mu     sync.Mutex
 	conn   *grpc.ClientConn
 }
 
-func (p *calls) client() (cachev1.CacheServiceClient, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.conn == nil {
-		// The library's own retries are off: a second try would be a request that the record does not know.
-		conn, err := grpc.NewClient(p.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
+// connect returns a client on the connection, which it creates on first use.
+func (g *grpcTransport) connect() (cachev1.CacheServiceClient, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.conn == nil {
+		// Retries by the library are disabled, because the event log would not show them as requests.
+		conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
 			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
 		if err != nil {
 			return nil, err
 		}
-		p.conn = conn
+		g.conn = conn
 	}
-	return cachev1.NewCacheServiceClient(p.conn), nil
+	return cachev1.NewCacheServiceClient(g.conn), nil
 }
 
-// isOpen reports false: the library opens connections by itself, so that a router that ends is called no more.
-func (*calls) isOpen() bool { return false }
+// isOpen returns false, so that draining routers get no calls: the library may open a new connection for any call.
+func (*grpcTransport) isOpen() bool { return false }
 
-// ask makes one call and notes what became of it.
-func (p *calls) ask(q *pending) (res result, kept bool) {
-	note := event.Event{Request: q.req, Op: q.op, Router: p.router, Method: q.a.Method, Limit: q.limit}
-	say := func(kind event.Kind, outcome event.Outcome, hint event.Micros) {
-		note.Kind, note.Outcome = kind, outcome
+// roundTrip makes one call and records its outcome.
+func (g *grpcTransport) roundTrip(request *pending) (res result, reused bool) {
+	record := event.Event{Request: request.id, Op: request.op, Router: g.router, Method: request.arrival.Method, Limit: request.deadline}
+	emit := func(kind event.Kind, outcome event.Outcome, hint event.Micros) {
+		record.Kind, record.Outcome = kind, outcome
 		if kind != event.RequestSent {
-			note.Limit = hint
+			record.Limit = hint
 		}
-		p.f.log.Add(note)
+		g.lb.log.Add(record)
 	}
-	c, err := p.client()
+	c, err := g.connect()
 	if err != nil {
-		say(event.ConnectFailed, 0, 0)
-		return result{how: unreached}, false
+		emit(event.ConnectFailed, 0, 0)
+		return result{outcome: unreached}, false
 	}
-	m := p.f.s.Methods[q.a.Method]
-	at := &cachev1.Attributes{Id: string(q.req), Method: m.Name}
-	if q.a.Tenant >= 0 {
-		at.Tenant = p.f.s.Tenants[q.a.Tenant].Name
+	m := g.lb.scenario.Methods[request.arrival.Method]
+	at := &cachev1.Attributes{Id: string(request.id), Method: m.Name}
+	if request.arrival.Tenant >= 0 {
+		at.Tenant = g.lb.scenario.Tenants[request.arrival.Tenant].Name
 	}
-	// The call's own deadline is later than what the request is told to be judged by: a late answer is to be seen as late.
-	note.DeadlineSent = q.limit + lateAnswers
-	ctx, cancel := context.WithTimeout(context.Background(), note.DeadlineSent.Duration())
+	// The deadline of the call is later than that of the request, so that a late answer is recorded as late.
+	record.DeadlineSent = request.deadline + lateAnswerGrace
+	ctx, cancel := context.WithTimeout(context.Background(), record.DeadlineSent.Duration())
 	defer cancel()
-	goes := make(chan struct{})
-	if q.gives > 0 {
-		t := time.AfterFunc(max(0, q.gives-p.f.log.Now()).Duration(), func() { close(goes); cancel() })
+	givesUp := make(chan struct{})
+	if request.givesUpAt > 0 {
+		t := time.AfterFunc(max(0, request.givesUpAt-g.lb.log.Now()).Duration(), func() { close(givesUp); cancel() })
 		defer t.Stop()
 	}
-	say(event.RequestSent, 0, 0)
-	var value []byte
-	if q.write {
-		var got *cachev1.SetResponse
-		got, err = c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(q.a.Key), Value: cacheserver.Made(q.req, "client", q.a.Size)})
-		value = got.GetReceipt()
-	} else {
-		var got *cachev1.GetResponse
-		got, err = c.Get(ctx, &cachev1.GetRequest{Attributes: at, Key: []byte(q.a.Key)})
-		value = got.GetValue()
+	emit(event.RequestSent, 0, 0)
+	value, err := call(ctx, c, at, request)
+	return conclude(request, value, status.Convert(err), givesUp, emit)
+}
+
+// call makes the call of a request and returns its value or receipt.
+func call(ctx context.Context, c cachev1.CacheServiceClient, at *cachev1.Attributes, request *pending) ([]byte, error) {
+	if request.write {
+		got, err := c.Set(ctx, &cachev1.SetRequest{Attributes: at, Key: []byte(request.arrival.Key), Value: cacheserver.MakeValue(request.id, "client", request.arrival.Size)})
+		return got.GetReceipt(), err
 	}
-	s := status.Convert(err)
-	switch ours := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
-	case s.Code() == codes.OK && cacheserver.MadeFor(q.req, value):
-		say(event.Answered, event.Succeeded, 0)
-		return result{how: satisfied}, false
+	got, err := c.Get(ctx, &cachev1.GetRequest{Attributes: at, Key: []byte(request.arrival.Key)})
+	return got.GetValue(), err
+}
+
+// conclude records the outcome of a call and returns its result.
+func conclude(request *pending, value []byte, s *status.Status, givesUp <-chan struct{}, emit func(event.Kind, event.Outcome, event.Micros)) (res result, reused bool) {
+	switch fromRouter := strings.HasPrefix(s.Message(), "nacked") || strings.HasPrefix(s.Message(), "the router is ending"); {
+	case s.Code() == codes.OK && cacheserver.IsValueFor(request.id, value):
+		emit(event.Answered, event.Succeeded, 0)
+		return result{outcome: succeeded}, false
 	case s.Code() == codes.OK:
-		say(event.Answered, event.WrongValue, 0)
-	case s.Code() == codes.Unavailable && ours:
+		emit(event.Answered, event.WrongValue, 0)
+	case s.Code() == codes.Unavailable && fromRouter:
 		hint := event.Micros(0)
 		for _, d := range s.Details() {
 			if r, is := d.(*errdetails.RetryInfo); is {
 				hint = event.Micros(r.GetRetryDelay().AsDuration() / time.Microsecond)
 			}
 		}
-		say(event.Answered, event.Rejected, hint)
-		return result{how: nacked, hint: hint}, false
+		emit(event.Answered, event.Rejected, hint)
+		return result{outcome: rejected, retryAfter: hint}, false
 	case s.Code() == codes.Canceled:
 		select {
-		case <-goes:
-			say(event.ClientLeft, 0, 0)
-			return result{how: left}, false
+		case <-givesUp:
+			emit(event.ClientLeft, 0, 0)
+			return result{outcome: abandoned}, false
 		default:
 		}
-		say(event.ConnectionClosed, 0, 0)
-		return result{how: cut}, true
+		emit(event.ConnectionClosed, 0, 0)
+		return result{outcome: disconnected}, true
 	case s.Code() == codes.Unavailable && strings.Contains(s.Message(), "connection error"): // nothing was sent
-		say(event.ConnectFailed, 0, 0)
-		return result{how: unreached}, false
-	case s.Code() == codes.Unavailable: // the library's: no connection, or one that ended under the call
-		say(event.ConnectionClosed, 0, 0)
-		return result{how: cut}, true
-	case s.Code() == codes.DeadlineExceeded: // noted as nothing: the referee finds a request that was never answered
-		return result{how: failed}, false
+		emit(event.ConnectFailed, 0, 0)
+		return result{outcome: unreached}, false
+	case s.Code() == codes.Unavailable: // reported by the library: no connection, or it ended during the call
+		emit(event.ConnectionClosed, 0, 0)
+		return result{outcome: disconnected}, true
+	case s.Code() == codes.DeadlineExceeded: // not recorded: the referee finds requests without an answer
+		return result{outcome: failed}, false
 	default:
-		say(event.Answered, event.Failed, 0)
+		emit(event.Answered, event.Failed, 0)
 	}
-	return result{how: failed}, false
+	return result{outcome: failed}, false
 }
 
-func (p *calls) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.conn != nil {
-		p.conn.Close()
+func (g *grpcTransport) close() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.conn != nil {
+		g.conn.Close()
 	}
 }
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -44,11 +44,11 @@
 
 // faultActions returns the actions of the scenario's fault i at all of its targets.
 func faultActions(f scenario.Fault, i int, s scenario.Scenario, r *rand.Rand) (actions []Action) {
-	kind := scenario.Kinds[f.Kind]
-	switch kind.Strikes() {
+	kind := scenario.FaultKinds[f.Kind]
+	switch kind.Target() {
 	case "servers", "routers":
 		count := s.Servers.Count
-		if kind.Strikes() == "routers" {
+		if kind.Target() == "routers" {
 			count = s.Routers.Count
 		}
 		targets := pick(f, count, r)
@@ -56,7 +56,7 @@
 			targets = slices.DeleteFunc(r.Perm(count), func(place int) bool { return s.SiteOf(place) != f.Site })
 			slices.Sort(targets)
 		}
-		if f.Kind == "deploy" || f.Batch > 0 {
+		if f.Kind == "deploy" || f.BatchShare > 0 {
 			return rolling(f, i, targets, count, s)
 		}
 		for _, target := range targets {
@@ -76,18 +76,18 @@
 // randomWindow draws when a fault begins, within its spread, and returns that time and when it ends.
 func randomWindow(f scenario.Fault, r *rand.Rand) (at, until event.Micros) {
 	at = f.At.Micros()
-	if f.Spread > 0 {
-		at += event.Micros(r.Int64N(int64(f.Spread)))
+	if f.StartSpread > 0 {
+		at += event.Micros(r.Int64N(int64(f.StartSpread)))
 	}
-	return at, at + f.For.Micros()
+	return at, at + f.Duration.Micros()
 }
 
 // pick returns the targets of a fault: those that it names, else a random share of count, but at least one.
 func pick(f scenario.Fault, count int, r *rand.Rand) []int {
-	if len(f.Pick) > 0 {
-		return f.Pick
+	if len(f.Targets) > 0 {
+		return f.Targets
 	}
-	n := max(1, int(math.Round(f.Part*float64(count))))
+	n := max(1, int(math.Round(f.TargetShare*float64(count))))
 	targets := r.Perm(count)[:min(n, count)]
 	slices.Sort(targets)
 	return targets
@@ -118,9 +118,9 @@
 
 // rolling applies a fault to one batch of targets after the other, evenly over the duration of the fault.
 func rolling(f scenario.Fault, i int, targets []int, count int, s scenario.Scenario) (actions []Action) {
-	size := max(1, int(math.Round(f.Batch*float64(count))))
+	size := max(1, int(math.Round(f.BatchShare*float64(count))))
 	batches := (len(targets) + size - 1) / size
-	step := f.For.Micros() / event.Micros(max(1, batches))
+	step := f.Duration.Micros() / event.Micros(max(1, batches))
 	for n, target := range targets {
 		at := f.At.Micros() + event.Micros(n/size)*step
 		if f.Kind == "deploy" {
--- a/internal/lab/fleet/acts.go
+++ b/internal/lab/fleet/acts.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"math/rand/v2"
 	"time"
 
 	"spurtrestle/internal/lab/event"
@@ -10,18 +11,18 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// playFaults does each act of the timeline at its time.
-func (r *run) playFaults(ctx context.Context, from event.Micros) {
-	struck := map[[2]int]*life{} // by fault and place: who was struck, so that the end finds the same life
-	for _, a := range faults.Timeline(r.s, r.o.Seed) {
+// runFaults applies each act of the timeline at its time.
+func (r *run) runFaults(ctx context.Context, from event.Micros) {
+	affected := map[[2]int]*cacheServer{} // by fault and slot: the affected server, so that the end of the fault affects the same process
+	for _, a := range faults.Timeline(r.scenario, r.options.Seed) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(max(0, from+a.At-r.log.Now()).Duration()):
 		}
-		f := r.s.Faults[a.Fault]
+		f := r.scenario.Faults[a.Fault]
 		if a.End && f.Kind == "site_lost" {
-			r.o.await(ctx, SiteReturns)
+			r.options.await(ctx, SiteReturns)
 		}
 		end := event.Micros(0)
 		if a.End {
@@ -30,48 +31,48 @@
 		if a.Stage != 1 {
 			r.log.Add(event.Event{Kind: event.Fault, Router: event.NoRouter, Note: f.Kind, Limit: end})
 		}
-		r.o.Log.WithField("at", a.At.Duration()).Debugf("%s (%v)", f.Kind, a)
-		if err := r.act(ctx, f, a, struck); err != nil {
+		r.options.Log.WithField("at", a.At.Duration()).Debugf("%s (%v)", f.Kind, a)
+		if err := r.applyFault(ctx, f, a, affected); err != nil {
 			r.mu.Lock()
-			r.failed = err
+			r.err = err
 			r.mu.Unlock()
 			return
 		}
 	}
 }
 
-func (r *run) act(ctx context.Context, f scenario.Fault, a faults.Action, struck map[[2]int]*life) error {
-	switch scenario.Kinds[f.Kind].Strikes() {
+func (r *run) applyFault(ctx context.Context, f scenario.Fault, a faults.Action, affected map[[2]int]*cacheServer) error {
+	switch scenario.FaultKinds[f.Kind].Target() {
 	case "servers":
-		return r.actServer(ctx, f, a, struck)
+		return r.applyServerFault(ctx, f, a, affected)
 	case "routers":
-		r.actRouter(ctx, f, a)
+		r.applyRouterFault(ctx, f, a)
 	case "policy":
-		r.acts.Go(func() { r.change(ctx, f) })
+		r.actions.Go(func() { r.changePolicy(ctx, f) })
 	case "links":
-		r.actLinks(f, a.End)
+		r.applyLinkFault(f, a.End)
 	case "sites":
 		if f.Kind == "site_lost" {
-			return r.loseSite(ctx, f, a, struck)
+			return r.loseSite(ctx, f, a, affected)
 		}
-		return r.cutOff(f.Site, !a.End)
+		return r.partitionSite(f.Site, !a.End)
 	case "origin":
 		if r.origin != nil {
-			r.origin.Strike(f, a.End)
+			r.origin.ApplyFault(f, a.End)
 		}
 	case "discovery":
 		if f.Kind == "discovery_move" {
 			return r.moveDiscovery()
 		}
-		r.registry.Strike(f, a.End)
+		r.registry.ApplyFault(f, a.End)
 	case "clients":
 		switch f.Kind {
 		case "rubbish", "flood", "mute", "crowd":
 			if !a.End {
-				within, cancel := context.WithTimeout(ctx, f.For.Micros().Duration()+4*time.Second)
-				r.bad.Go(func() {
+				within, cancel := context.WithTimeout(ctx, f.Duration.Micros().Duration()+4*time.Second)
+				r.misbehaving.Go(func() {
 					defer cancel()
-					r.front.Bad(within, f)
+					r.balancer.RunMisbehaving(within, f)
 				})
 			}
 		}
@@ -79,216 +80,221 @@
 	return nil
 }
 
-func (r *run) actServer(ctx context.Context, f scenario.Fault, a faults.Action, struck map[[2]int]*life) error {
-	at := [2]int{a.Fault, a.Target}
+func (r *run) applyServerFault(ctx context.Context, f scenario.Fault, a faults.Action, affected map[[2]int]*cacheServer) error {
+	target := [2]int{a.Fault, a.Target}
 	r.mu.Lock()
-	l := r.lives[a.Target]
+	current := r.current[a.Target]
 	r.mu.Unlock()
 	if !a.End && a.Stage == 0 {
-		struck[at] = l
+		affected[target] = current
 	}
-	victim := struck[at]
+	affectedServer := affected[target]
 	switch f.Kind {
 	case "ban":
-		r.ban(ctx, victim.entry.UID, !a.End)
+		r.setBanned(ctx, affectedServer.entry.UID, !a.End)
 		return nil
 	case "kill":
 		if a.End {
-			r.tell(victim, "left")
-			return r.succeed(l, victim, f.Moved)
+			r.announce(affectedServer, "left")
+			return r.startSuccessor(current, affectedServer, f.NewAddress)
 		}
-		l.server.Kill()
-		time.AfterFunc(r.s.Discovery.NoticeFor.Micros().Duration(), func() { r.tell(l, "left") })
+		current.process.Kill()
+		time.AfterFunc(r.scenario.Discovery.DetectionDelay.Micros().Duration(), func() { r.announce(current, "left") })
 		return nil
-	case "zone_lost": // silent while it is lost; back as other processes, cold, which reset what was open
+	case "zone_lost": // silent while it is lost; it returns as new, cold processes, and open connections are reset
 		if a.End {
-			r.tell(victim, "left")
-			victim.server.Kill()
-			return r.succeed(l, victim, f.Moved)
+			r.announce(affectedServer, "left")
+			affectedServer.process.Kill()
+			return r.startSuccessor(current, affectedServer, f.NewAddress)
 		}
-		time.AfterFunc(r.s.Discovery.NoticeFor.Micros().Duration(), func() { r.tell(l, "left") })
-		return l.server.Strike(scenario.Fault{Kind: "vanish"}, false)
+		time.AfterFunc(r.scenario.Discovery.DetectionDelay.Micros().Duration(), func() { r.announce(current, "left") })
+		return current.process.ApplyFault(scenario.Fault{Kind: "vanish"}, false)
 	case "drain", "deploy":
 		switch a.Stage {
 		case 0:
-			l.server.Drain()
-			r.tell(l, "leaving")
-			time.AfterFunc((r.s.Discovery.Delay+r.s.Service.DrainGrace).Micros().Duration()+time.Second, l.server.PastGrace)
+			current.process.Drain()
+			r.announce(current, "leaving")
+			time.AfterFunc((r.scenario.Discovery.Delay+r.scenario.Service.DrainGrace).Micros().Duration()+time.Second, current.process.EndDrainGrace)
 		case 1:
-			r.tell(victim, "left")
-			victim.server.Kill()
+			r.announce(affectedServer, "left")
+			affectedServer.process.Kill()
 		default:
-			return r.succeed(l, victim, f.Moved)
+			return r.startSuccessor(current, affectedServer, f.NewAddress)
 		}
 		return nil
 	}
-	if a.End && victim != l {
-		return nil // another fault has replaced it meanwhile
+	if a.End && affectedServer != current {
+		return nil // another fault has replaced the server
 	}
-	return l.server.Strike(f, a.End)
+	return current.process.ApplyFault(f, a.End)
 }
 
-// loseSite takes all of a site down at once, its cache servers and its routers; or has it come back cold, all at once. Who
-// asks there goes to routers elsewhere once the front has noticed.
-func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Action, struck map[[2]int]*life) error {
-	for place := range r.s.Servers.Count {
-		if r.s.SiteOf(place) != f.Site {
+// loseSite stops all cache servers and routers of a site at once, or starts them again, cold. Clients of the site use routers
+// of other sites once the load balancer has detected the loss.
+func (r *run) loseSite(ctx context.Context, f scenario.Fault, a faults.Action, affected map[[2]int]*cacheServer) error {
+	for place := range r.scenario.Servers.Count {
+		if r.scenario.SiteOf(place) != f.Site {
 			continue
 		}
 		b := a
 		b.Target = place
 		lost := f
-		if lost.Kind = "zone_lost"; f.Share > 0 && float64(place/len(r.s.Sites)) >= f.Share*float64(r.s.Servers.Count/len(r.s.Sites)) {
+		if lost.Kind = "zone_lost"; f.Share > 0 && float64(place/len(r.scenario.Sites)) >= f.Share*float64(r.scenario.Servers.Count/len(r.scenario.Sites)) {
 			continue
 		}
-		if err := r.actServer(ctx, lost, b, struck); err != nil {
+		if err := r.applyServerFault(ctx, lost, b, affected); err != nil {
 			return err
 		}
 	}
-	for n := range r.s.Routers.Count {
-		if r.s.SiteOf(n) == f.Site && f.Share == 0 {
+	for n := range r.scenario.Routers.Count {
+		if r.scenario.SiteOf(n) == f.Site && f.Share == 0 {
 			b := a
 			b.Target = n
 			down := f
 			down.Kind = "router_kill"
-			r.actRouter(ctx, down, b)
+			r.applyRouterFault(ctx, down, b)
 		}
 	}
 	return nil
 }
 
-// cutOff cuts a site off from the others, or takes that back: routers on one side, servers, origin and discovery (which
-// are at the first site and at all of them) on the other hear nothing of each other.
-func (r *run) cutOff(site string, on bool) error {
+// partitionSite partitions a site from the others, or heals the partition. Routers cannot reach servers, origin and discovery
+// on the other side. The origin is at the first site, discovery at all sites.
+func (r *run) partitionSite(site string, on bool) error {
 	r.mu.Lock()
-	if r.cut[site] = on; !on {
-		delete(r.cut, site)
+	if r.partitionedSites[site] = on; !on {
+		delete(r.partitionedSites, site)
 	}
-	lives := append([]*life(nil), r.lives...)
+	servers := append([]*cacheServer(nil), r.current...)
 	r.mu.Unlock()
-	for _, l := range lives {
-		if err := l.server.Cut(r.unreachable(l.entry.Zone)); err != nil {
+	for _, l := range servers {
+		if err := l.process.Partition(r.unreachableFrom(l.entry.Zone)); err != nil {
 			return err
 		}
 	}
 	if r.origin != nil {
-		r.origin.Cut(r.unreachable(r.s.Sites[0]))
+		r.origin.Partition(r.unreachableFrom(r.scenario.Sites[0]))
 	}
 	lone := map[event.Router]bool{}
-	for n := range r.s.Routers.Count {
-		lone[event.Router(n)] = r.cut[r.s.SiteOf(n)]
+	for n := range r.scenario.Routers.Count {
+		lone[event.Router(n)] = r.partitionedSites[r.scenario.SiteOf(n)]
 	}
-	r.registry.Cut(lone)
+	r.registry.Partition(lone)
 	return nil
 }
 
-// unreachable are the routers that cannot reach a site now.
-func (r *run) unreachable(site string) map[event.Router]bool {
+// unreachableFrom returns the routers that currently cannot reach a site.
+func (r *run) unreachableFrom(site string) map[event.Router]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	far := map[event.Router]bool{}
-	for n := range r.s.Routers.Count {
-		if at := r.s.SiteOf(n); at != site && (r.cut[at] || r.cut[site]) {
+	for n := range r.scenario.Routers.Count {
+		if at := r.scenario.SiteOf(n); at != site && (r.partitionedSites[at] || r.partitionedSites[site]) {
 			far[event.Router(n)] = true
 		}
 	}
 	return far
 }
 
-// succeed starts the successor of a life, unless another fault has done so meanwhile.
-func (r *run) succeed(now, victim *life, moved bool) error {
-	if now != victim {
+// startSuccessor starts the successor of a server, unless another fault has replaced it already.
+func (r *run) startSuccessor(current, affected *cacheServer, moved bool) error {
+	if current != affected {
 		return nil
 	}
-	victim.server.Wait()
-	return r.live(victim.place, false, moved)
+	affected.process.Wait()
+	return r.startServer(affected.slot, false, moved)
 }
 
-// actRouter does what takes its time beside the timeline.
-func (r *run) actRouter(ctx context.Context, f scenario.Fault, a faults.Action) {
+// applyRouterFault applies a fault to a router. Actions that take time run concurrently with the timeline.
+func (r *run) applyRouterFault(ctx context.Context, f scenario.Fault, a faults.Action) {
 	p := r.routers[a.Target]
-	draws := r.draws(a.Fault, a.Target)
-	again := func() {
-		if ctx.Err() != nil {
-			return
-		}
-		err := p.start()
-		if err == nil {
-			err = p.untilReady(ctx, 15*time.Second)
-		}
-		if err != nil && ctx.Err() == nil {
-			r.mu.Lock()
-			r.failed = err
-			r.mu.Unlock()
-		}
-	}
+	random := r.randomFor(a.Fault, a.Target)
 	switch f.Kind {
 	case "router_kill":
 		if a.End {
-			r.acts.Go(again)
+			r.actions.Go(func() { r.restartRouter(ctx, p) })
 			return
 		}
-		r.acts.Go(func() {
-			p.sigkill()
-			starts := p.starts
-			time.AfterFunc(r.s.Clients.FrontNotice.Micros().Duration(), func() {
-				p.mu.Lock()
-				same := p.starts == starts
-				p.mu.Unlock()
-				if same {
-					r.front.Believe(p.n, false)
-				}
-			})
-			if f.For == 0 && f.Batch == 0 { // it is started again as soon as its end is seen
-				again()
-			}
-		})
-	case "router_restart":
-		if !a.End {
-			r.acts.Go(func() {
-				p.stop(true, func(at Instance) { sendBesideEnd(ctx, at, f.Count, draws) })
-				again()
-			})
-		}
+		r.actions.Go(func() { r.killRouter(ctx, p, f) })
 	case "router_stall":
 		p.stall(!a.End)
 	case "router_empty":
-		r.empty(ctx, p, !a.End)
-	case "router_replace":
-		if !a.End {
-			r.replacing(ctx, p, func() error { return p.replace(ctx) })
-		}
-	case "router_dud":
-		if !a.End {
-			r.replacing(ctx, p, func() error { return p.replaceBehindDud(ctx, draws) })
-		}
-	case "router_signals":
-		if !a.End {
-			r.acts.Go(func() {
-				if err := p.sendSignals(ctx, f.Count, f.For.Micros().Duration(), draws); err != nil {
-					r.fail(ctx, err)
-				}
-			})
-		}
+		r.setDrained(ctx, p, !a.End)
 	case "router_tmp_full":
 		if err := p.fillTmp(!a.End); err != nil {
-			r.o.Log.WithError(err).Warn("lab: TMPDIR of a router")
+			r.options.Log.WithError(err).Warn("lab: cannot change TMPDIR of a router")
 		}
-	case "router_reload":
+	default:
 		if !a.End {
-			if err := p.reload(); err != nil {
-				r.o.Log.WithError(err).Error("a reload")
+			r.startRouterAction(ctx, p, f, random)
+		}
+	}
+}
+
+// startRouterAction starts a fault of a router that has no end on the timeline.
+func (r *run) startRouterAction(ctx context.Context, p *router, f scenario.Fault, random *rand.Rand) {
+	switch f.Kind {
+	case "router_restart":
+		r.actions.Go(func() {
+			p.stop(true, func(at Instance) { sendSignalsDuringShutdown(ctx, at, f.Count, random) })
+			r.restartRouter(ctx, p)
+		})
+	case "router_replace":
+		r.runReplacement(ctx, p, func() error { return p.replace(ctx) })
+	case "router_dud":
+		r.runReplacement(ctx, p, func() error { return p.replaceAfterFailedStart(ctx, random) })
+	case "router_signals":
+		r.actions.Go(func() {
+			if err := p.sendSignals(ctx, f.Count, f.Duration.Micros().Duration(), random); err != nil {
+				r.fail(ctx, err)
 			}
+		})
+	case "router_reload":
+		if err := p.reload(); err != nil {
+			r.options.Log.WithError(err).Error("reload failed")
 		}
 	}
 }
 
-// actLinks strikes what routers tell one another, or leaves it alone again.
-func (r *run) actLinks(f scenario.Fault, end bool) {
+// killRouter kills a router. The load balancer detects it after its detection delay, unless the router was started again.
+func (r *run) killRouter(ctx context.Context, p *router, f scenario.Fault) {
+	p.sigkill()
+	starts := p.starts
+	time.AfterFunc(r.scenario.Clients.BalancerDetectionDelay.Micros().Duration(), func() {
+		p.mu.Lock()
+		same := p.starts == starts
+		p.mu.Unlock()
+		if same {
+			r.balancer.SetAlive(p.index, false)
+		}
+	})
+	if f.Duration == 0 && f.BatchShare == 0 { // it is restarted immediately
+		r.restartRouter(ctx, p)
+	}
+}
+
+// restartRouter starts a router again and waits until it is ready. A failure fails the run.
+func (r *run) restartRouter(ctx context.Context, p *router) {
+	if ctx.Err() != nil {
+		return
+	}
+	err := p.start()
+	if err == nil {
+		err = p.waitUntilReady(ctx, 15*time.Second)
+	}
+	if err != nil && ctx.Err() == nil {
+		r.mu.Lock()
+		r.err = err
+		r.mu.Unlock()
+	}
+}
+
+// applyLinkFault begins or ends a fault on the links between routers.
+func (r *run) applyLinkFault(f scenario.Fault, end bool) {
 	groups := [2][]int{f.From, f.To}
 	for i := range groups {
 		if len(groups[i]) == 0 {
-			for n := range r.s.Routers.Count {
+			for n := range r.scenario.Routers.Count {
 				groups[i] = append(groups[i], n)
 			}
 		}
@@ -312,7 +318,7 @@
 	}
 }
 
-// moveDiscovery gives every router's agent a new address, which the router's file names from then on.
+// moveDiscovery gives every router's agent a new address and reloads the routers.
 func (r *run) moveDiscovery() error {
 	for _, p := range r.routers {
 		if err := p.moveDiscovery(); err != nil {
--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -7,16 +7,16 @@
 	"os"
 )
 
-// Network is a loopback network that a run has for itself.
+// Network is a loopback network that is reserved for one run.
 type Network struct{ a *addresses }
 
-// NewNetwork claims one for so many routers; Close gives it back.
+// NewNetwork reserves a network for a number of routers. Close releases it.
 func NewNetwork(routers int) (Network, error) {
 	a, err := newAddresses(routers)
 	return Network{a}, err
 }
 
-// Close gives the network back.
+// Close releases the network.
 func (n Network) Close() { n.a.close() }
 
 // Routers returns the address at which clients reach each router.
@@ -25,46 +25,46 @@
 // Discovery returns the address of discovery for each router.
 func (n Network) Discovery() []string { return n.a.discovery(0) }
 
-// Server returns the address of the cache server at a place for each router.
-func (n Network) Server(place int) []string { return n.a.server(place, 0) }
+// Server returns the addresses of the cache server in a slot, one for each router.
+func (n Network) Server(slot int) []string { return n.a.server(slot, 0) }
 
-// Doors returns the address of each router's admin endpoint.
-func (n Network) Doors() []string { return n.a.doors(0) }
+// AdminEndpoints returns the address of each router's admin endpoint.
+func (n Network) AdminEndpoints() []string { return n.a.adminEndpoints(0) }
 
-// Views returns the address at which each router listens for the others.
-func (n Network) Views() []string { return n.a.views() }
+// GossipListeners returns the address at which each router listens for other routers.
+func (n Network) GossipListeners() []string { return n.a.gossipListeners() }
 
-// Ways returns the address at which the others reach each router.
-func (n Network) Ways() []string { return n.a.ways() }
+// GossipAdvertised returns the address at which other routers reach each router.
+func (n Network) GossipAdvertised() []string { return n.a.gossipAdvertised() }
 
-// addresses says who listens where. A run has 127.K.0.0/16 for itself, so that a server that comes back finds its
-// address free: connections within the machine leave from 127.0.0.1. K is claimed by a listener that is held.
+// addresses assigns the addresses of a run. Each run reserves 127.K.0.0/16 by holding a listener in it. Outgoing connections
+// on the machine use 127.0.0.1, so the address of a server that returns is always free.
 type addresses struct {
-	k, n int
-	lock net.Listener
+	subnet, routerCount int
+	lock                net.Listener
 }
 
-const firstNet, nets = 130, 60
+const firstSubnet, subnets = 130, 60
 
 func newAddresses(routers int) (*addresses, error) {
-	for i := range nets {
-		k := firstNet + (os.Getpid()+i)%nets
+	for i := range subnets {
+		k := firstSubnet + (os.Getpid()+i)%subnets
 		lock, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:6400", k))
 		if err != nil {
 			continue
 		}
 		a := &addresses{k, routers, lock}
-		if a.free() {
+		if a.isFree() {
 			return a, nil
 		}
 		lock.Close()
 	}
-	return nil, errors.New("no loopback network is free: too many labs run on this machine, or 127.0.0.0/8 is not whole here")
+	return nil, errors.New("no loopback network is free: too many labs run on this machine, or 127.0.0.0/8 is not available")
 }
 
-// free tells whether routers of any make can listen: connections that a router with SO_REUSEPORT alone has left in
-// TIME_WAIT keep others off its address for a minute.
-func (a *addresses) free() bool {
+// isFree reports whether any router can listen. Connections in TIME_WAIT of a router that sets only SO_REUSEPORT block its
+// address for other routers for a minute.
+func (a *addresses) isFree() bool {
 	for _, addr := range a.routers() {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -77,27 +77,29 @@
 
 func (a *addresses) close() { a.lock.Close() }
 
-func (a *addresses) each(format string, more ...any) (out []string) {
-	for i := range a.n {
-		out = append(out, fmt.Sprintf(format, append([]any{a.k, i + 1}, more...)...))
+// perRouter formats an address for each router from the subnet, the router's number and further values.
+func (a *addresses) perRouter(format string, more ...any) (out []string) {
+	for i := range a.routerCount {
+		out = append(out, fmt.Sprintf(format, append([]any{a.subnet, i + 1}, more...)...))
 	}
 	return out
 }
 
-func (a *addresses) routers() []string    { return a.each("127.%d.250.%d:6379") }
-func (a *addresses) calls() []string      { return a.each("127.%d.249.%d:7443") }
-func (a *addresses) doors(n int) []string { return a.each("127.%d.248.%d:%d", 10250+n) }
-func (a *addresses) views() []string      { return a.each("127.%d.247.%d:7946") }
-func (a *addresses) ways() []string       { return a.each("127.%d.246.%d:7946") }
+func (a *addresses) routers() []string             { return a.perRouter("127.%d.250.%d:6379") }
+func (a *addresses) grpc() []string                { return a.perRouter("127.%d.249.%d:7443") }
+func (a *addresses) adminEndpoints(n int) []string { return a.perRouter("127.%d.248.%d:%d", 10250+n) }
+func (a *addresses) gossipListeners() []string     { return a.perRouter("127.%d.247.%d:7946") }
+func (a *addresses) gossipAdvertised() []string    { return a.perRouter("127.%d.246.%d:7946") }
 
-// logs are the addresses of the keepers' log, beside those of the views.
-func (a *addresses) logs(of string) []string {
-	return a.each(map[string]string{"views": "127.%d.247.%d:7947", "ways": "127.%d.246.%d:7947"}[of])
+// raftAddresses returns the addresses of the routers that store the policy: their listeners for "views", or their
+// advertised addresses for "ways".
+func (a *addresses) raftAddresses(of string) []string {
+	return a.perRouter(map[string]string{"views": "127.%d.247.%d:7947", "ways": "127.%d.246.%d:7947"}[of])
 }
-func (a *addresses) discovery(moves int) []string { return a.each("127.%d.251.%d:%d", 8500+moves) }
-func (a *addresses) origin() []string             { return a.each("127.%d.252.%d:8080") }
+func (a *addresses) discovery(moves int) []string { return a.perRouter("127.%d.251.%d:%d", 8500+moves) }
+func (a *addresses) origin() []string             { return a.perRouter("127.%d.252.%d:8080") }
 
-// server is where each router reaches the server at a place, after so many moves.
-func (a *addresses) server(place, moves int) []string {
-	return a.each("127.%d.%d.%d:%d", place+1, 6379+moves)
+// server returns the addresses of the server in a slot, one for each router, after a number of moves to new addresses.
+func (a *addresses) server(slot, moves int) []string {
+	return a.perRouter("127.%d.%d.%d:%d", slot+1, 6379+moves)
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,13 @@
-// Package fleet plays a scenario: it starts stand-ins and routers on loopback addresses, lets clients ask by schedule,
-// lets faults strike on their timeline, and hands what was seen to the referee.
+// Package fleet runs a scenario: it starts simulated servers, discovery and clients and the routers under test on loopback
+// addresses, sends requests by schedule, applies faults on their timeline, and passes the recorded events to the referee.
+// The lab commands of cache-routerctl and the tests of the lab call it.
 //
-// The files: this one a run from start to end; routers.go the programs under test; acts.go the faults; settings.go what
-// routers are told; addresses.go who listens where.
+// The goroutine that calls Run owns a run; faults, clients and observers run on goroutines of their own, and run.mu guards
+// the state that they share.
+//
+// Files: fleet.go has a run from start to end, routers.go the processes under test, acts.go the faults, signals.go signals
+// and replacements, operators.go and operatorstate.go the calls of operators and their effects, policy.go changes of the
+// policy, settings.go the configuration of routers, and addresses.go the addresses.
 package fleet
 
 import (
@@ -26,25 +31,25 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// Options are what a run needs beside its scenario.
+// Options are the parameters of a run beside its scenario.
 type Options struct {
 	Seed     uint64
-	Start    Starter            // of a router
-	Dir      string             // for configurations and logs; it must be there
-	Arrivals []arrivals.Arrival // a recorded schedule; nil: the scenario's own
-	Progress func(Progress)     // about once a second; nil: nobody asks
-	Log      *logrus.Logger     // nil: nothing is logged
-	// Await returns once a run may go on at a moment of its course; nil: it goes on by its clock.
+	Start    Starter            // starts a router
+	Dir      string             // existing directory for configurations and logs
+	Arrivals []arrivals.Arrival // recorded schedule; nil: generated from the scenario
+	Progress func(Progress)     // called about once per second; may be nil
+	Log      *logrus.Logger     // may be nil
+	// Await blocks a run at a moment until it may continue; nil: it continues by its clock.
 	Await func(context.Context, Moment)
 }
 
-// Moment is a moment of a run's course at which it can wait for its routers.
+// Moment is a point of a run at which it can wait for its routers.
 type Moment int
 
 const (
-	// SiteReturns is when a lost site is to come back.
+	// SiteReturns is reached before a lost site returns.
 	SiteReturns Moment = iota
-	// RunEnds is when all requests and faults are over.
+	// RunEnds is reached when all requests and faults have ended.
 	RunEnds
 )
 
@@ -54,238 +59,252 @@
 	}
 }
 
-// Progress tells how far a run is.
+// Progress reports how far a run has come.
 type Progress struct {
 	At, Length time.Duration
-	Done, All  int // ops
+	Done, All  int // operations
 	Note       string
 }
 
-// Result is a run that was played to its end.
+// Result is the record of a completed run.
 type Result struct {
-	Scenario scenario.Scenario
-	Seed     uint64
-	From     event.Micros // when the clients began
-	Arrivals []arrivals.Arrival
-	Events   []event.Event
-	Broken   []referee.Violation
+	Scenario     scenario.Scenario
+	Seed         uint64
+	ClientsStart event.Micros // start of the schedule
+	Arrivals     []arrivals.Arrival
+	Events       []event.Event
+	Violations   []referee.Violation
 }
 
-// run is one scenario being played.
+// run is the state of a running scenario.
 type run struct {
-	s        scenario.Scenario
-	o        Options
-	log      *event.Log
-	net      *addresses
-	servers  *cacheserver.Fleet
-	origin   *origin.Origin
-	registry *registry.Registry
-	front    *client.Front
-	links    *links.Network // nil: the routers tell one another nothing
-	routers  []*router
+	scenario  scenario.Scenario
+	options   Options
+	log       *event.Log
+	addresses *addresses
+	servers   *cacheserver.Config
+	origin    *origin.Origin
+	registry  *registry.Registry
+	balancer  *client.LoadBalancer
+	links     *links.Network // nil if the routers form no fleet
+	routers   []*router
 
-	mu     sync.Mutex
-	lives  []*life // by place
-	all    []*life
-	places map[event.Server]referee.Location
-	cut    map[string]bool // sites that are cut off now
-	missed map[event.RequestID][]*cacheserver.Server
-	cold   map[event.RequestID]bool
-	failed error
-	policy int // the revision in force
-	bad    sync.WaitGroup
-	acts   sync.WaitGroup
+	mu               sync.Mutex
+	current          []*cacheServer // by slot
+	started          []*cacheServer
+	places           map[event.Server]referee.Location
+	partitionedSites map[string]bool // currently partitioned sites
+	missedBy         map[event.RequestID][]*cacheserver.Server
+	coldMisses       map[event.RequestID]bool
+	err              error
+	policyRevision   int // current revision
+	misbehaving      sync.WaitGroup
+	actions          sync.WaitGroup
 }
 
-// Play plays a scenario. Whatever happens, nothing that it started is left running.
-func Play(ctx context.Context, s scenario.Scenario, o Options) (Result, error) {
+// Run runs a scenario and returns its record. Nothing that it started is left running, even if it fails or ctx ends.
+func Run(ctx context.Context, s scenario.Scenario, o Options) (Result, error) {
 	if o.Log == nil {
 		o.Log = logrus.New()
 		o.Log.SetLevel(logrus.PanicLevel)
 	}
-	r := &run{s: s, o: o, log: event.NewLog(), places: map[event.Server]referee.Location{}, cut: map[string]bool{},
-		missed: map[event.RequestID][]*cacheserver.Server{}, cold: map[event.RequestID]bool{}}
+	r := &run{scenario: s, options: o, log: event.NewLog(), places: map[event.Server]referee.Location{}, partitionedSites: map[string]bool{},
+		missedBy: map[event.RequestID][]*cacheserver.Server{}, coldMisses: map[event.RequestID]bool{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer r.end()
-	if err := r.begin(ctx); err != nil {
+	defer r.close()
+	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
 	schedule := o.Arrivals
 	if schedule == nil {
-		schedule = arrivals.Make(s, o.Seed)
+		schedule = arrivals.Generate(s, o.Seed)
 	}
-	var beside sync.WaitGroup
-	watch, unwatch := context.WithCancel(ctx)
-	beside.Go(func() { r.heartbeat(watch) })
-	beside.Go(func() { r.sample(watch) })
+	var observers sync.WaitGroup
+	observing, stopObserving := context.WithCancel(ctx)
+	observers.Go(func() { r.watchLateness(observing) })
+	observers.Go(func() { r.sample(observing) })
 	from := r.log.Now() + 200e3
-	beside.Go(func() { r.report(watch, from, len(schedule)) })
-	r.acts.Go(func() { r.playFaults(ctx, from) })
-	r.front.Run(ctx, schedule, from, lateNote)
-	r.front.Drain()
-	r.acts.Wait()
-	r.bad.Wait()
+	observers.Go(func() { r.reportProgress(observing, from, len(schedule)) })
+	r.actions.Go(func() { r.runFaults(ctx, from) })
+	r.balancer.Run(ctx, schedule, from, latenessThreshold)
+	r.balancer.WaitOps()
+	r.actions.Wait()
+	r.misbehaving.Wait()
 	o.await(ctx, RunEnds)
 	r.checkOperatorStates(ctx)
-	if !r.s.Clients.KeepUsing {
-		r.front.Close()
+	if !r.scenario.Clients.KeepUsing {
+		r.balancer.Close()
 	}
 	r.endRouters()
-	r.front.Close()
-	unwatch()
-	beside.Wait()
+	r.balancer.Close()
+	stopObserving()
+	observers.Wait()
 	if err := ctx.Err(); err != nil {
-		return Result{}, fmt.Errorf("stopped before its end: %w", err)
+		return Result{}, fmt.Errorf("run was stopped before its end: %w", err)
 	}
-	if err := r.failed; err != nil {
+	if err := r.err; err != nil {
 		return Result{}, err
 	}
 	events := r.log.Events()
-	return Result{Scenario: s, Seed: o.Seed, From: from, Arrivals: schedule, Events: events,
-		Broken: referee.Check(rules(s, r.places), events)}, nil
+	return Result{Scenario: s, Seed: o.Seed, ClientsStart: from, Arrivals: schedule, Events: events,
+		Violations: referee.Check(rules(s, r.places), events)}, nil
 }
 
-// lateNote: an op begun later than this is noted. A busy machine is late by a few milliseconds now and then.
-const lateNote = 20 * time.Millisecond
+// latenessThreshold is the lateness above which the start of an operation is recorded. A few milliseconds are normal on a
+// busy machine.
+const latenessThreshold = 20 * time.Millisecond
 
-func (r *run) begin(ctx context.Context) (err error) {
-	if r.net, err = newAddresses(r.s.Routers.Count); err != nil {
+// start starts all parts of the run and waits until the routers are ready.
+func (r *run) start(ctx context.Context) (err error) {
+	if r.addresses, err = newAddresses(r.scenario.Routers.Count); err != nil {
 		return err
 	}
-	if r.s.Routers.Fleet {
-		var at, front []netip.AddrPort
-		for i := range r.s.Routers.Count {
-			at = append(at, netip.MustParseAddrPort(r.net.views()[i]))
-			front = append(front, netip.MustParseAddrPort(r.net.ways()[i]))
-		}
-		if r.links, err = links.New(at, front, r.o.Seed, 2); err != nil {
+	if r.scenario.Routers.Fleet {
+		if err = r.startLinks(); err != nil {
 			return err
 		}
 	}
 	methods := map[string]scenario.Method{}
-	for _, m := range r.s.Methods {
+	for _, m := range r.scenario.Methods {
 		methods[m.Name] = m
 	}
-	repeats := &cacheserver.Repeats{}
-	r.servers = &cacheserver.Fleet{Log: r.log, Set: r.s.Servers, Service: r.s.Service, Methods: methods,
-		Through: r.s.Service.Mode == "through", Missed: r.noteMiss, Repeats: repeats}
-	if r.registry, err = registry.Start(r.log, r.s.Discovery, r.net.discovery(0)); err != nil {
+	repeats := &cacheserver.Deduplicator{}
+	r.servers = &cacheserver.Config{Log: r.log, Settings: r.scenario.Servers, Service: r.scenario.Service, Methods: methods,
+		ReadThrough: r.scenario.Service.Mode == "through", OnMiss: r.recordMiss, Deduplicator: repeats}
+	if r.registry, err = registry.Start(r.log, r.scenario.Discovery, r.addresses.discovery(0)); err != nil {
 		return err
 	}
-	if r.s.Service.Mode == "aside" {
-		r.origin, err = origin.Start(&origin.Fleet{Log: r.log, Set: r.s.Origin, Methods: methods, Filled: r.fill, Dropped: r.drop,
-			Cold: r.wasCold, Repeats: repeats}, r.net.origin(), r.o.Seed)
+	if r.scenario.Service.Mode == "aside" {
+		r.origin, err = origin.Start(&origin.Config{Log: r.log, Settings: r.scenario.Origin, Methods: methods, OnRead: r.fill, OnWrite: r.drop,
+			IsColdMiss: r.isColdMiss, Deduplicator: repeats}, r.addresses.origin(), r.options.Seed)
 		if err != nil {
 			return err
 		}
-		r.registry.Set(registry.Entry{UID: origin.UID, Zone: r.s.Sites[0], Kind: "origin", State: "active", Addr: r.origin.Addr}, true)
+		r.registry.Update(registry.Entry{UID: origin.UID, Zone: r.scenario.Sites[0], Kind: "origin", State: "active", Addr: r.origin.Addr}, true)
 	}
-	r.lives = make([]*life, r.s.Servers.Count)
-	for place := range r.lives {
-		if err := r.live(place, true, false); err != nil {
+	r.current = make([]*cacheServer, r.scenario.Servers.Count)
+	for slot := range r.current {
+		if err := r.startServer(slot, true, false); err != nil {
 			return err
 		}
 	}
 	r.fillServers()
-	var calls []string
-	if r.s.Clients.UsesGRPC() {
-		calls = r.net.calls()
-	}
-	r.front = client.NewFront(r.log, r.s, r.o.Seed, r.net.routers(), calls)
-	for i := range r.s.Routers.Count {
-		p := &router{run: r, n: event.Router(i)}
+	return r.startRouters(ctx)
+}
+
+// startLinks starts the links between the routers.
+func (r *run) startLinks() (err error) {
+	var at, front []netip.AddrPort
+	for i := range r.scenario.Routers.Count {
+		at = append(at, netip.MustParseAddrPort(r.addresses.gossipListeners()[i]))
+		front = append(front, netip.MustParseAddrPort(r.addresses.gossipAdvertised()[i]))
+	}
+	r.links, err = links.New(at, front, r.options.Seed, 2)
+	return err
+}
+
+// startRouters starts the load balancer and the routers, and waits until they have their policy and are ready.
+func (r *run) startRouters(ctx context.Context) error {
+	var grpcAddrs []string
+	if r.scenario.Clients.UsesGRPC() {
+		grpcAddrs = r.addresses.grpc()
+	}
+	r.balancer = client.NewLoadBalancer(r.log, r.scenario, r.options.Seed, r.addresses.routers(), grpcAddrs)
+	for i := range r.scenario.Routers.Count {
+		p := &router{run: r, index: event.Router(i)}
 		r.routers = append(r.routers, p)
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	if err := r.found(ctx); err != nil {
+	if err := r.bootstrapPolicy(ctx); err != nil {
 		return err
 	}
 	for _, p := range r.routers {
-		if err := p.untilReady(ctx, 15*time.Second); err != nil {
+		if err := p.waitUntilReady(ctx, 15*time.Second); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// life is one process at one place among the cache servers.
-type life struct {
-	place, n int
-	moves    int
-	server   *cacheserver.Server
-	entry    registry.Entry
-	left     bool // discovery was told
+// cacheServer is one process in a slot of the simulated cache servers.
+type cacheServer struct {
+	slot, generation int
+	moves            int
+	process          *cacheserver.Server
+	entry            registry.Entry
+	removed          bool // announced to discovery as left
 }
 
-// live starts a server at a place: the first life, or a successor of the one that was there.
-func (r *run) live(place int, warm, moved bool) error {
+// startServer starts the first server of a slot, or the successor of the current one.
+func (r *run) startServer(place int, warm, moved bool) error {
 	r.mu.Lock()
-	old := r.lives[place]
-	l := &life{place: place}
+	old := r.current[place]
+	server := &cacheServer{slot: place}
 	if old != nil {
-		l.n, l.moves = old.n+1, old.moves
+		server.generation, server.moves = old.generation+1, old.moves
 	}
 	if moved {
-		l.moves++
+		server.moves++
 	}
-	zone := r.s.SiteOf(place)
+	zone := r.scenario.SiteOf(place)
 	cell := place / 4
-	uid := event.Server(fmt.Sprintf("s%d.%d", place, l.n))
+	uid := event.Server(fmt.Sprintf("s%d.%d", place, server.generation))
 	r.places[uid] = referee.Location{Zone: zone, Cell: fmt.Sprint(cell)}
 	r.mu.Unlock()
-	server, err := cacheserver.Start(r.servers, uid, zone, cell, r.net.server(place, l.moves), warm,
-		r.o.Seed+uint64(place)<<16+uint64(l.n))
+	process, err := cacheserver.Start(r.servers, uid, zone, cell, r.addresses.server(place, server.moves), warm,
+		r.options.Seed+uint64(place)<<16+uint64(server.generation))
 	if err != nil {
 		return err
 	}
-	if err := server.Cut(r.unreachable(zone)); err != nil {
-		server.Kill()
+	if err := process.Partition(r.unreachableFrom(zone)); err != nil {
+		process.Kill()
 		return err
 	}
-	l.server = server
-	l.entry = registry.Entry{UID: uid, Zone: zone, Kind: "cache", Cell: cell, State: "active", Boot: server.Boot, Addr: server.Addr}
+	server.process = process
+	server.entry = registry.Entry{UID: uid, Zone: zone, Kind: "cache", Cell: cell, State: "active", Boot: process.Boot, Addr: process.Addr}
 	r.mu.Lock()
-	r.lives[place] = l
-	r.all = append(r.all, l)
+	r.current[place] = server
+	r.started = append(r.started, server)
 	r.mu.Unlock()
-	r.registry.Set(l.entry, old == nil)
+	r.registry.Update(server.entry, old == nil)
 	return nil
 }
 
-func (r *run) tell(l *life, state string) {
+// announce tells discovery the state of a server. A server that was announced as left is not announced again.
+func (r *run) announce(l *cacheServer, state string) {
 	r.mu.Lock()
-	if l.left {
+	if l.removed {
 		r.mu.Unlock()
 		return
 	}
-	l.left = state == "left"
+	l.removed = state == "left"
 	e := l.entry
 	r.mu.Unlock()
 	e.State = state
-	r.registry.Set(e, false)
+	r.registry.Update(e, false)
 }
 
-// noteMiss: the origin's answer is to fill the servers that missed for a request.
-func (r *run) noteMiss(req event.RequestID, s *cacheserver.Server, cold bool) {
+// recordMiss records a server that missed a request, so that the origin's answer can fill it.
+func (r *run) recordMiss(req event.RequestID, s *cacheserver.Server, cold bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.missed[req] = append(r.missed[req], s)
-	r.cold[req] = cold
+	r.missedBy[req] = append(r.missedBy[req], s)
+	r.coldMisses[req] = cold
 }
 
-func (r *run) wasCold(req event.RequestID) bool {
+func (r *run) isColdMiss(req event.RequestID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cold[req]
+	return r.coldMisses[req]
 }
 
 func (r *run) fill(req event.RequestID, key string) {
 	r.mu.Lock()
-	servers := r.missed[req]
-	delete(r.missed, req)
+	servers := r.missedBy[req]
+	delete(r.missedBy, req)
 	r.mu.Unlock()
 	for _, s := range servers {
 		s.Fill(key)
@@ -294,28 +313,29 @@
 
 func (r *run) drop(key string) {
 	r.mu.Lock()
-	lives := append([]*life(nil), r.lives...)
+	servers := append([]*cacheServer(nil), r.current...)
 	r.mu.Unlock()
-	for _, l := range lives {
-		l.server.Drop(key)
+	for _, l := range servers {
+		l.process.Invalidate(key)
 	}
 }
 
-// fillServers gives the servers at the start what they would have come to hold: the most asked keys, on every server,
-// since who holds which is the routers' matter.
+// fillServers fills all servers with the most popular keys, as if they had run for long. Every server gets all of them,
+// because the routers decide which server handles a key.
 func (r *run) fillServers() {
-	warm := r.s
+	warm := r.scenario
 	warm.Faults, warm.Load.Steps = nil, nil
-	n := min(r.s.Servers.Keys, int(r.s.Servers.Filled*float64(r.s.Load.Keys)))
-	for _, key := range arrivals.Hottest(warm, r.o.Seed, n) {
-		for _, l := range r.lives {
-			l.server.Fill(key)
+	n := min(r.scenario.Servers.Keys, int(r.scenario.Servers.FilledShare*float64(r.scenario.Load.Keys)))
+	for _, key := range arrivals.HottestKeys(warm, r.options.Seed, n) {
+		for _, l := range r.current {
+			l.process.Fill(key)
 		}
 	}
 }
 
-// heartbeat notes when the lab itself is late: then limits in time are longer by that.
-func (r *run) heartbeat(ctx context.Context) {
+// watchLateness records when the lab itself is delayed, since the referee extends time limits by that, and records what has
+// reached the discovery agents.
+func (r *run) watchLateness(ctx context.Context) {
 	const every, note = 10 * time.Millisecond, 25 * time.Millisecond
 	last := time.Now()
 	for t := time.NewTicker(every); ; {
@@ -329,7 +349,7 @@
 			r.log.Add(event.Event{Kind: event.LabDelayed, Router: event.NoRouter, Limit: event.Micros(late / time.Microsecond), Note: "heartbeat"})
 		}
 		last = time.Now()
-		r.registry.Tick()
+		r.registry.RecordDeliveries()
 	}
 }
 
@@ -347,8 +367,8 @@
 	}
 }
 
-func (r *run) report(ctx context.Context, from event.Micros, all int) {
-	if r.o.Progress == nil {
+func (r *run) reportProgress(ctx context.Context, from event.Micros, all int) {
+	if r.options.Progress == nil {
 		return
 	}
 	for t := time.NewTicker(time.Second); ; {
@@ -357,24 +377,24 @@
 			t.Stop()
 			return
 		case <-t.C:
-			r.o.Progress(Progress{At: (r.log.Now() - from).Duration(), Length: r.s.Length.Micros().Duration(), Done: r.front.Done(), All: all})
+			r.options.Progress(Progress{At: (r.log.Now() - from).Duration(), Length: r.scenario.Length.Micros().Duration(), Done: r.balancer.CompletedOps(), All: all})
 		}
 	}
 }
 
-// end leaves nothing behind, however far the run came.
-func (r *run) end() {
+// close ends everything that the run has started.
+func (r *run) close() {
 	for _, p := range r.routers {
 		p.kill()
 	}
-	if r.front != nil {
-		r.front.Close()
+	if r.balancer != nil {
+		r.balancer.Close()
 	}
-	for _, l := range r.all {
-		l.server.Kill()
+	for _, l := range r.started {
+		l.process.Kill()
 	}
-	for _, l := range r.all {
-		l.server.Wait()
+	for _, l := range r.started {
+		l.process.Wait()
 	}
 	if r.origin != nil {
 		r.origin.Close()
@@ -385,12 +405,12 @@
 	if r.links != nil {
 		r.links.Close()
 	}
-	if r.net != nil {
-		r.net.close()
+	if r.addresses != nil {
+		r.addresses.close()
 	}
 }
 
-// endRouters asks all routers to end, so that the end of a run is judged as well.
+// endRouters shuts all routers down in parallel, so that their shutdown is checked as well.
 func (r *run) endRouters() {
 	var wg sync.WaitGroup
 	for _, p := range r.routers {
@@ -399,5 +419,5 @@
 	wg.Wait()
 }
 
-// Timeline is what would strike when; for showing.
+// Timeline returns the timeline of a scenario's faults, for display.
 func Timeline(s scenario.Scenario, seed uint64) []faults.Action { return faults.Timeline(s, seed) }
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -11,7 +11,7 @@
 	"spurtrestle/internal/lab/event"
 )
 
-// call is one call at a router's door; what the router says is an answer, and how the run goes on is judged without it.
+// call makes one request to a router's admin endpoint. A status other than 2xx is an error.
 func call(ctx context.Context, method, addr, path, body string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -30,38 +30,38 @@
 	return nil
 }
 
-func (p *router) door() string {
+func (p *router) currentAdmin() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.admin()
 }
 
-// ban has operators take a server out at every router, or give it back. A second passes at most until it holds.
-func (r *run) ban(ctx context.Context, uid event.Server, out bool) {
+// setBanned makes an operator ban a server at every router, or allow it again. It takes effect within a second.
+func (r *run) setBanned(ctx context.Context, uid event.Server, out bool) {
 	kind, path := event.ServerBanned, "/ops/cache-servers/down"
 	if !out {
 		kind, path = event.ServerUnbanned, "/ops/cache-servers/up"
 	}
 	for _, p := range r.routers {
-		r.acts.Go(func() {
-			if !out { // what is sent from now on is right
-				r.log.Add(event.Event{Kind: kind, Router: p.n, Server: uid})
+		r.actions.Go(func() {
+			if !out { // requests to the server are allowed from now on
+				r.log.Add(event.Event{Kind: kind, Router: p.index, Server: uid})
 			}
 			if err := p.callOperator(ctx, path, string(uid)); err != nil {
-				r.o.Log.WithError(err).Warn("an operator's call")
+				r.options.Log.WithError(err).Warn("operator call failed")
 				return
 			}
 			if out {
-				r.log.Add(event.Event{Kind: kind, Router: p.n, Server: uid})
+				r.log.Add(event.Event{Kind: kind, Router: p.index, Server: uid})
 			}
 			p.wanted.setBanned(string(uid), out)
 		})
 	}
 }
 
-// empty has operators drain a router, or take clients again; the front hears of it a little later.
-func (r *run) empty(ctx context.Context, p *router, on bool) {
-	r.acts.Go(func() {
+// setDrained makes an operator drain a router, or end its drain. The load balancer detects it later.
+func (r *run) setDrained(ctx context.Context, p *router, on bool) {
+	r.actions.Go(func() {
 		path := "/ops/drain/stop"
 		if on {
 			path = "/ops/drain/start"
@@ -71,21 +71,21 @@
 			p.wanted.setDrained(on)
 		}
 		if err == nil && !on {
-			err = p.untilReady(ctx, 2*time.Second)
+			err = p.waitUntilReady(ctx, 2*time.Second)
 		}
 		if err != nil {
 			r.fail(ctx, fmt.Errorf("router %s, %s: %w", p.name(), path, err))
 			return
 		}
 		if on {
-			time.AfterFunc(200*time.Millisecond, func() { r.front.Believe(p.n, false) })
+			time.AfterFunc(200*time.Millisecond, func() { r.balancer.SetAlive(p.index, false) })
 		}
 	})
 }
 
-// replacing replaces a router's process beside the timeline. One replacement of a router runs at a time.
-func (r *run) replacing(ctx context.Context, p *router, replace func() error) {
-	r.acts.Go(func() {
+// runReplacement replaces a router's process concurrently with the timeline, one replacement per router at a time.
+func (r *run) runReplacement(ctx context.Context, p *router, replace func() error) {
+	r.actions.Go(func() {
 		p.replaceMu.Lock()
 		defer p.replaceMu.Unlock()
 		if err := replace(); err != nil {
@@ -94,28 +94,29 @@
 	})
 }
 
+// fail records an error that fails the run, unless the run has been stopped.
 func (r *run) fail(ctx context.Context, err error) {
 	if ctx.Err() == nil {
 		r.mu.Lock()
-		r.failed = err
+		r.err = err
 		r.mu.Unlock()
 	}
 }
 
-// replace starts a second process beside the one that serves, waits for its yes, and ends the first in order.
+// replace starts a second process, waits until it is ready, and shuts the first one down.
 func (p *router) replace(ctx context.Context) error {
-	const patience = 6 * time.Second
+	const timeout = 6 * time.Second
 	p.mu.Lock()
-	if p.stopped || p.ending || p.at == nil {
+	if p.stopped || p.ending || p.instance == nil {
 		p.mu.Unlock()
 		return nil
 	}
-	old := p.at
-	p.doors++
-	door := p.admin()
-	next, err := p.run.o.Start(p.spec())
+	old := p.instance
+	p.replacements++
+	admin := p.admin()
+	next, err := p.run.options.Start(p.spec())
 	if err == nil {
-		p.at, p.up = next, false // whoever ends the run ends this one; the other is ended here
+		p.instance, p.acceptsSignals = next, false // the end of the run ends this process; the old one is ended here
 		go p.watch(next)
 	}
 	p.mu.Unlock()
@@ -123,9 +124,9 @@
 		return err
 	}
 	defer old.End()
-	for until := time.Now().Add(patience); call(ctx, http.MethodGet, door, "/ops/readiness", "") != nil; {
+	for until := time.Now().Add(timeout); call(ctx, http.MethodGet, admin, "/ops/readiness", "") != nil; {
 		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("not ready within %v", patience)
+			return fmt.Errorf("not ready within %v", timeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -137,6 +138,6 @@
 	case <-old.Done():
 		return old.Err()
 	case <-time.After(p.run.killAfter()):
-		return fmt.Errorf("the old process had not ended by its time")
+		return fmt.Errorf("the old process did not end in time")
 	}
 }
--- a/internal/lab/fleet/operatorstate.go
+++ b/internal/lab/fleet/operatorstate.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// operatorPatience is how long an operator's call is repeated: processes of a router come and go.
-	operatorPatience = 3 * time.Second
-	operatorRetry    = 100 * time.Millisecond
+	// operatorTimeout is how long a failing operator call is retried, since a router's processes may be being replaced.
+	operatorTimeout       = 3 * time.Second
+	operatorRetryInterval = 100 * time.Millisecond
 )
 
-// operatorState is what operators asked for last of a router, as far as it said yes.
+// operatorState is the state that operators last requested of a router and that it confirmed.
 type operatorState struct {
 	mu      sync.Mutex
 	drained bool
@@ -49,50 +49,51 @@
 	return o.drained
 }
 
-// callOperator makes a change at the admin endpoint of the process that serves, again for a while where it fails.
+// callOperator makes a change through the admin endpoint of the serving process, and retries it for a while on failure.
 func (p *router) callOperator(ctx context.Context, path, body string) error {
-	for until := time.Now().Add(operatorPatience); ; {
-		err := call(ctx, http.MethodPut, p.door(), path, body)
-		if err == nil || time.Now().After(until) || !sleep(ctx, operatorRetry) {
+	for until := time.Now().Add(operatorTimeout); ; {
+		err := call(ctx, http.MethodPut, p.currentAdmin(), path, body)
+		if err == nil || time.Now().After(until) || !sleep(ctx, operatorRetryInterval) {
 			return err
 		}
 	}
 }
 
-// checkOperatorStates notes the routers that do not keep to what operators asked for last.
+// checkOperatorStates records the routers whose state differs from what operators last requested.
 func (r *run) checkOperatorStates(ctx context.Context) {
-	hindered := slices.ContainsFunc(r.s.Faults, func(f scenario.Fault) bool { return f.Kind == "router_tmp_full" })
+	hindered := slices.ContainsFunc(r.scenario.Faults, func(f scenario.Fault) bool { return f.Kind == "router_tmp_full" })
 	for _, p := range r.routers {
 		problem := p.checkDrained(ctx)
 		if problem == "" && !hindered {
 			problem = p.checkBanned()
 		}
 		if problem != "" {
-			r.log.Add(event.Event{Kind: event.BadInputAccepted, Router: p.n, Note: problem})
+			r.log.Add(event.Event{Kind: event.BadInputAccepted, Router: p.index, Note: problem})
 		}
 	}
 }
 
-// checkDrained returns what is wrong, empty if nothing is.
+// checkDrained returns a description of the problem, or an empty string if there is none.
 func (p *router) checkDrained(ctx context.Context) string {
 	want := p.wanted.isDrained()
-	for until := time.Now().Add(operatorPatience); ; {
-		isReady := call(ctx, http.MethodGet, p.door(), "/ops/readiness", "") == nil
+	for until := time.Now().Add(operatorTimeout); ; {
+		isReady := call(ctx, http.MethodGet, p.currentAdmin(), "/ops/readiness", "") == nil
 		if isReady != want {
 			return ""
 		}
-		if time.Now().After(until) || !sleep(ctx, operatorRetry) {
-			return fmt.Sprintf("operators asked last for drained=%v, and ready is %v", want, isReady)
+		if time.Now().After(until) || !sleep(ctx, operatorRetryInterval) {
+			return fmt.Sprintf("operators last requested drained=%v, but ready is %v", want, isReady)
 		}
 	}
 }
 
-// checkBanned compares the file of the operator state with what was asked for.
+// checkBanned compares the operator state file with the requested state. It returns a description of the problem, or an empty
+// string.
 func (p *router) checkBanned() string {
 	spec := p.spec()
-	text, err := os.ReadFile(filepath.Join(spec.Tmp, "spurtrestle-"+spec.Listen+".intent"))
+	text, err := os.ReadFile(filepath.Join(spec.TempDir, "spurtrestle-"+spec.Listen+".intent"))
 	if err != nil {
-		return "" // nothing was asked yet, or the router is a stand-in
+		return "" // nothing was requested yet, or the router is simulated
 	}
 	var file struct {
 		Banned []string `json:"down"`
@@ -104,7 +105,7 @@
 	defer p.wanted.mu.Unlock()
 	for uid, banned := range p.wanted.banned {
 		if slices.Contains(file.Banned, uid) != banned {
-			return fmt.Sprintf("operators asked last for banned=%v of %s, and the file has %v", banned, uid, file.Banned)
+			return fmt.Sprintf("operators last requested banned=%v for %s, but the file has %v", banned, uid, file.Banned)
 		}
 	}
 	return ""
--- a/internal/lab/origin/conn_test.go
+++ b/internal/lab/origin/conn_test.go
@@ -12,12 +12,13 @@
 	"spurtrestle/internal/lab/scenario"
 )
 
-// A write's body may come long after its head. What an attempt tells is judged by when it began, on a kept connection too.
-func TestAttemptsAreNotedWithFirstByteAndDeadlineSent(t *testing.T) {
+// The body of a write may arrive long after its headers. An attempt is recorded with the time of its first byte and its
+// deadline, also on a reused connection.
+func TestAttemptsAreRecordedWithFirstByteAndDeadlineSent(t *testing.T) {
 	log := event.NewLog()
 	methods := map[string]scenario.Method{"book": {Name: "book", Effect: "non-retryable"}}
-	o, err := Start(&Fleet{Log: log, Set: scenario.Origin{Cores: 1, Work: 1}, Methods: methods, Repeats: &cacheserver.Repeats{},
-		Cold: func(event.RequestID) bool { return false }, Dropped: func(string) {}}, []string{"127.15.0.2:18080"}, 1)
+	o, err := Start(&Config{Log: log, Settings: scenario.Origin{Cores: 1, Work: 1}, Methods: methods, Deduplicator: &cacheserver.Deduplicator{},
+		IsColdMiss: func(event.RequestID) bool { return false }, OnWrite: func(string) {}}, []string{"127.15.0.2:18080"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +41,7 @@
 		before := log.Now()
 		write("PUT /k HTTP/1.1\r\nHost: o\r\nX-Trace-Id: " + attempt.id + "\r\nX-Props: " + attempt.props + "\r\nContent-Length: 2\r\n" +
 			"Expect: 100-continue\r\n\r\n")
-		goesOn(t, answers)
+		expectContinue(t, answers)
 		body := log.Now()
 		write("vv")
 		answer, err := http.ReadResponse(answers, nil)
@@ -51,18 +52,18 @@
 			t.Fatal(err)
 		}
 		answer.Body.Close()
-		begun := attemptOf(log, event.RequestID(attempt.id))
+		begun := beginningOf(log, event.RequestID(attempt.id))
 		if begun.Since < before || begun.Since >= body || begun.At < body {
-			t.Errorf("%s: first byte at %v, whole at %v, not from %v and from %v", attempt.id, begun.Since, begun.At, before, body)
+			t.Errorf("%s: first byte at %v, complete at %v; want at least %v and %v", attempt.id, begun.Since, begun.At, before, body)
 		}
 		if begun.DeadlineSent != attempt.want {
-			t.Errorf("%s: %q was noted as %v", attempt.id, attempt.props, begun.DeadlineSent)
+			t.Errorf("%s: %q was recorded as %v", attempt.id, attempt.props, begun.DeadlineSent)
 		}
 	}
 }
 
-// goesOn waits until the origin has the head and asks for the body.
-func goesOn(t *testing.T, answers *bufio.Reader) {
+// expectContinue waits until the origin has read the headers and requests the body.
+func expectContinue(t *testing.T, answers *bufio.Reader) {
 	for _, want := range []string{"HTTP/1.1 100 Continue\r\n", "\r\n"} {
 		if line, err := answers.ReadString('\n'); err != nil || line != want {
 			t.Fatalf("%q, %v", line, err)
@@ -70,7 +71,7 @@
 	}
 }
 
-func attemptOf(log *event.Log, id event.RequestID) event.Event {
+func beginningOf(log *event.Log, id event.RequestID) event.Event {
 	for _, e := range log.Events() {
 		if e.Kind == event.AttemptReceived && e.Request == id {
 			return e
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -1,5 +1,6 @@
-// Package origin is a stand-in for the slow, shared store behind the cache servers. It speaks HTTP/1.1 as the published
-// protocol has it, works on a machine of package machine, and counts how often each request's effect ran.
+// Package origin simulates the slow, shared store behind the cache servers of a lab run. It speaks HTTP/1.1 as specified,
+// executes its work on the model of package machine, and records each attempt and effect in the event log. Package fleet
+// runs it. Origin.mu guards its state; net/http handles each attempt on its own goroutine.
 package origin
 
 import (
@@ -25,46 +26,46 @@
 // UID is the origin's name in discovery.
 const UID event.Server = "origin"
 
-// Fleet is what the origin knows of the run.
-type Fleet struct {
-	Log     *event.Log
-	Set     scenario.Origin
-	Methods map[string]scenario.Method
-	Filled  func(req event.RequestID, key string) // its answer fills the servers that missed
-	Dropped func(key string)                      // a write drops all copies
-	Cold    func(req event.RequestID) bool        // the miss was at a cold server
-	Repeats *cacheserver.Repeats
+// Config is the origin's view of the run. The functions are called on the goroutines of the attempts.
+type Config struct {
+	Log          *event.Log
+	Settings     scenario.Origin
+	Methods      map[string]scenario.Method
+	OnRead       func(req event.RequestID, key string) // called when a read is done, to fill the servers that missed
+	OnWrite      func(key string)                      // called when a write is done, to invalidate all copies
+	IsColdMiss   func(req event.RequestID) bool        // reports whether the miss was at a cold server
+	Deduplicator *cacheserver.Deduplicator
 }
 
-// Origin is the one store.
+// Origin is the store.
 type Origin struct {
-	fleet *Fleet
-	addrs []string
+	config *Config
+	addrs  []string
 
-	mu      sync.Mutex
-	machine *machine.Machine
-	rand    *rand.Rand
-	alarm   *time.Timer
-	jobs    map[*machine.Job]chan struct{}
-	stopped bool
-	cut     map[event.Router]bool // routers that cannot reach it
-	asked   float64               // work asked for of late, and that of misses at cold servers
-	cold    float64
-	at      event.Micros
-	servers []*http.Server
-	wg      sync.WaitGroup
+	mu             sync.Mutex
+	machine        *machine.Machine
+	rand           *rand.Rand
+	timer          *time.Timer
+	jobs           map[*machine.Job]chan struct{}
+	down           bool
+	partitioned    map[event.Router]bool // routers that cannot reach it
+	recentWork     float64               // decaying sum of offered work, and of the part for misses at cold servers
+	recentColdWork float64
+	recentWorkAt   event.Micros
+	servers        []*http.Server
+	wg             sync.WaitGroup
 }
 
 type connKey struct{}
 
-// Start begins to serve, on one address for each router.
-func Start(f *Fleet, addrs []string, seed uint64) (*Origin, error) {
-	o := &Origin{fleet: f, addrs: addrs, rand: rand.New(rand.NewPCG(seed, 8)), jobs: map[*machine.Job]chan struct{}{}}
-	o.renew()
-	o.alarm = time.AfterFunc(time.Hour, func() {
+// Start starts an origin that listens on one address for each router. Call Close to end it.
+func Start(f *Config, addrs []string, seed uint64) (*Origin, error) {
+	o := &Origin{config: f, addrs: addrs, rand: rand.New(rand.NewPCG(seed, 8)), jobs: map[*machine.Job]chan struct{}{}}
+	o.resetMachine()
+	o.timer = time.AfterFunc(time.Hour, func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.turn()
+		o.advance()
 	})
 	for i, addr := range addrs {
 		ln, err := net.Listen("tcp", addr)
@@ -89,40 +90,42 @@
 	return o, nil
 }
 
-// Addr is where a router reaches it.
+// Addr returns the address at which a router reaches the origin.
 func (o *Origin) Addr(r event.Router) string { return o.addrs[r] }
 
-// Close ends it at once.
+// Close ends the origin immediately and returns when its listeners have ended.
 func (o *Origin) Close() {
 	for _, s := range o.servers {
 		s.Close()
 	}
-	if o.alarm != nil {
-		o.alarm.Stop()
+	if o.timer != nil {
+		o.timer.Stop()
 	}
 	o.wg.Wait()
 }
 
-func (o *Origin) renew() {
-	s := o.fleet.Set
+// resetMachine replaces the machine by an idle one.
+func (o *Origin) resetMachine() {
+	s := o.config.Settings
 	o.machine = machine.New(machine.Settings{Cores: s.Cores, QueueLimit: s.Queue, ColdCapacityShare: 1,
-		CollapseMultiple: s.FallMultiple, CollapseWindow: s.FallSpan.Micros(), CollapseWhenWarm: true}, o.fleet.Log.Now(), true)
+		CollapseMultiple: s.CollapseMultiple, CollapseWindow: s.CollapseWindow.Micros(), CollapseWhenWarm: true}, o.config.Log.Now(), true)
 }
 
-func (o *Origin) turn() {
-	for _, j := range o.machine.Completed(o.fleet.Log.Now()) {
+// advance completes jobs that are due and sets the timer for the next one. The caller holds o.mu.
+func (o *Origin) advance() {
+	for _, j := range o.machine.Completed(o.config.Log.Now()) {
 		if done := o.jobs[j]; done != nil {
 			delete(o.jobs, j)
 			close(done)
 		}
 	}
 	if next, ok := o.machine.NextCompletion(); ok {
-		o.alarm.Reset(max(0, next-o.fleet.Log.Now()).Duration())
+		o.timer.Reset(max(0, next-o.config.Log.Now()).Duration())
 	}
 }
 
-// Strike begins a fault of the scenario, or takes it back.
-func (o *Origin) Strike(f scenario.Fault, end bool) {
+// ApplyFault begins a fault of the scenario, or ends it.
+func (o *Origin) ApplyFault(f scenario.Fault, end bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -131,51 +134,63 @@
 	case f.Kind == "origin_slow":
 		o.machine.SetSlowdown(f.Factor)
 	case f.Kind == "origin_stop":
-		o.machine.SetFrozen(o.fleet.Log.Now(), !end)
+		o.machine.SetFrozen(o.config.Log.Now(), !end)
 	}
-	o.turn()
+	o.advance()
 }
 
-// Cut takes the way between it and some routers, and gives it back to the others. Connections come up there and bring
-// nothing: it listens by net/http, which cannot be made to take none.
-func (o *Origin) Cut(from map[event.Router]bool) {
+// Partition makes the origin unreachable from the given routers and reachable from all others. Their connections are still
+// accepted but never answered, since net/http cannot be made to stop accepting.
+func (o *Origin) Partition(from map[event.Router]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cut = from
+	o.partitioned = from
 }
 
-func (o *Origin) isCut(r event.Router) bool {
+func (o *Origin) isPartitioned(r event.Router) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.cut[r]
+	return o.partitioned[r]
 }
 
-// count keeps what was asked for of late, to tell what pushed the origin over.
-func (o *Origin) count(now event.Micros, work float64, cold bool) {
-	fade := math.Exp(-float64(now-o.at) / float64(max(1, o.fleet.Set.FallSpan)))
-	o.asked, o.cold, o.at = o.asked*fade+work, o.cold*fade, now
+// recordWork updates the sums of recent work, from which collapse computes the share of misses at cold servers.
+func (o *Origin) recordWork(now event.Micros, work float64, cold bool) {
+	decay := math.Exp(-float64(now-o.recentWorkAt) / float64(max(1, o.config.Settings.CollapseWindow)))
+	o.recentWork, o.recentColdWork, o.recentWorkAt = o.recentWork*decay+work, o.recentColdWork*decay, now
 	if cold {
-		o.cold += work
+		o.recentColdWork += work
 	}
 }
 
-// stop: pushed over, it answers nobody for a while and then begins anew.
-func (o *Origin) stop(now event.Micros) {
-	if o.stopped {
+// collapse stops the origin after an overload. It answers no attempt for the configured downtime, then starts with an empty
+// queue.
+func (o *Origin) collapse(now event.Micros) {
+	if o.down {
 		return
 	}
-	o.stopped = true
-	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.OriginCollapsed, Server: UID, Router: event.NoRouter,
-		Limit: event.Micros(1000 * o.cold / max(1, o.asked))})
-	time.AfterFunc(o.fleet.Set.StopFor.Micros().Duration(), func() {
+	o.down = true
+	o.config.Log.AddAt(event.Event{At: now, Kind: event.OriginCollapsed, Server: UID, Router: event.NoRouter,
+		Limit: event.Micros(1000 * o.recentColdWork / max(1, o.recentWork))})
+	time.AfterFunc(o.config.Settings.Downtime.Micros().Duration(), func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.stopped = false
-		o.renew()
+		o.down = false
+		o.resetMachine()
 	})
 }
 
-// ServeHTTP takes one attempt.
+// attempt is one attempt of a router that has been read completely.
+type attempt struct {
+	id       event.RequestID
+	router   event.Router
+	key      string
+	props    cacheserver.Props
+	method   scenario.Method
+	write    bool
+	bodySize int
+}
+
+// ServeHTTP handles one attempt.
 func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*conn)
 	if !ok {
@@ -184,74 +199,85 @@
 	}
 	router := conn.router
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
-	since := conn.nextRequest()
-	odd := func(what string) {
-		o.fleet.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: UID, Router: router, Note: what})
-		w.WriteHeader(http.StatusBadRequest)
-	}
+	since := conn.finishRequest()
 	if err != nil {
-		return // the router ended it before its last byte
+		return // the connection ended before the attempt was complete
 	}
-	if o.isCut(router) {
+	if o.isPartitioned(router) {
 		<-r.Context().Done()
 		return
 	}
 	if r.URL.Path == "/health/live" || r.URL.Path == "/stats" {
 		return
 	}
-	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
-	req := event.RequestID(r.Header.Get("X-Trace-Id"))
-	props := cacheserver.ReadProps(r.Header.Get("X-Props"))
-	m, known := o.fleet.Methods[props.Method]
-	write := r.Method == http.MethodPut
-	if err != nil || req == "" || key == "" || !known || !write && r.Method != http.MethodGet {
-		odd("a request no client sent")
+	a, ok := o.parseAttempt(r, router, len(body))
+	if !ok {
+		o.config.Log.Add(event.Event{Kind: event.ProtocolViolation, Server: UID, Router: router, Note: "a request no client sent"})
+		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	now := o.fleet.Log.Now()
-	tell := func(reply event.Reply) {
-		o.fleet.Log.Add(event.Event{Kind: event.AttemptEnded, Request: req, Server: UID, Router: router, Reply: reply})
-	}
-	o.fleet.Log.AddAt(event.Event{At: now, Kind: event.AttemptReceived, Request: req, Server: UID, Router: router, Since: since, Write: write,
-		DeadlineSent: props.DeadlineSent})
-	o.mu.Lock()
-	work := float64(o.fleet.Set.Work) * o.rand.ExpFloat64()
-	o.count(now, work, !write && o.fleet.Cold(req))
-	job, done := &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
-	took := !o.stopped && o.machine.Submit(now, job)
-	if o.machine.Collapsed() {
-		o.stop(now)
-	}
-	if took {
-		o.jobs[job] = done
-		o.turn()
-	}
-	dark := o.stopped
-	o.mu.Unlock()
-	if !took && dark {
-		<-r.Context().Done() // it says nothing while it is down
-		tell(event.ConnectionLost)
+	now := o.config.Log.Now()
+	o.config.Log.AddAt(event.Event{At: now, Kind: event.AttemptReceived, Request: a.id, Server: UID, Router: router, Since: since, Write: a.write,
+		DeadlineSent: a.props.DeadlineSent})
+	job, done, accepted, down := o.submit(now, a)
+	if !accepted && down {
+		<-r.Context().Done() // no answer while it is down
+		o.recordEnd(a, event.ConnectionLost)
 		return
 	}
-	if !took {
-		tell(event.Refused)
+	if !accepted {
+		o.recordEnd(a, event.Refused)
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
+	o.answer(r.Context(), w, a, job, done)
+}
+
+// parseAttempt returns the attempt of a request; ok is false if the request is malformed.
+func (o *Origin) parseAttempt(r *http.Request, router event.Router, bodySize int) (a attempt, ok bool) {
+	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
+	a = attempt{id: event.RequestID(r.Header.Get("X-Trace-Id")), router: router, key: key, props: cacheserver.ParseProps(r.Header.Get("X-Props")),
+		write: r.Method == http.MethodPut, bodySize: bodySize}
+	method, known := o.config.Methods[a.props.Method]
+	a.method = method
+	return a, !(err != nil || a.id == "" || a.key == "" || !known || !a.write && r.Method != http.MethodGet)
+}
+
+// recordEnd records the end of an attempt.
+func (o *Origin) recordEnd(a attempt, reply event.Reply) {
+	o.config.Log.Add(event.Event{Kind: event.AttemptEnded, Request: a.id, Server: UID, Router: a.router, Reply: reply})
+}
+
+// submit queues the work of an attempt on the machine. done is closed when the work is done. accepted is false if the queue is
+// full or the origin is down.
+func (o *Origin) submit(now event.Micros, a attempt) (job *machine.Job, done chan struct{}, accepted, down bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	work := float64(o.config.Settings.Work) * o.rand.ExpFloat64()
+	o.recordWork(now, work, !a.write && o.config.IsColdMiss(a.id))
+	job, done = &machine.Job{Work: max(1, event.Micros(work))}, make(chan struct{})
+	accepted = !o.down && o.machine.Submit(now, job)
+	if o.machine.Collapsed() {
+		o.collapse(now)
+	}
+	if accepted {
+		o.jobs[job] = done
+		o.advance()
+	}
+	return job, done, accepted, o.down
+}
+
+// answer waits for the work of an attempt and answers it.
+func (o *Origin) answer(ctx context.Context, w http.ResponseWriter, a attempt, job *machine.Job, done chan struct{}) {
 	lost := false
 	select {
 	case <-done:
-	case <-r.Context().Done():
+	case <-ctx.Done():
 		lost = true
-		tell(event.ConnectionLost) // before it waits for anybody
-		if !write {                // a read is called off, a write that has begun goes on
-			o.mu.Lock()
-			if o.machine.Cancel(o.fleet.Log.Now(), job) {
-				delete(o.jobs, job)
-			}
-			o.turn()
-			o.mu.Unlock()
+		o.recordEnd(a, event.ConnectionLost) // recorded before waiting for the mutex
+		if !a.write {                        // a read is canceled, a write continues
+			o.cancel(job)
 			return
 		}
 		select {
@@ -260,24 +286,39 @@
 			return
 		}
 	}
-	if write {
-		if m.Effect != "deduplicated" || !o.fleet.Repeats.Known("", req, o.fleet.Log.Now(), m.Window.Micros()) {
-			o.fleet.Log.Add(event.Event{Kind: event.EffectExecuted, Request: req, Server: UID, Router: router})
-		}
-		o.fleet.Dropped(key)
-	} else {
-		o.fleet.Filled(req, key)
-	}
+	o.apply(a)
 	if lost {
 		return
 	}
-	if o.isCut(router) {
-		<-r.Context().Done()
-		tell(event.ConnectionLost)
+	if o.isPartitioned(a.router) {
+		<-ctx.Done()
+		o.recordEnd(a, event.ConnectionLost)
 		return
 	}
-	value := cacheserver.Made(req, UID, max(props.Size, len(body)/8))
+	value := cacheserver.MakeValue(a.id, UID, max(a.props.Size, a.bodySize/8))
 	w.Header().Set("Content-Length", fmt.Sprint(len(value)))
-	tell(event.Value)
-	_, _ = w.Write(value) // where the router has gone, it has no use for it
+	o.recordEnd(a, event.Value)
+	_, _ = w.Write(value) // an error means that the router has gone
+}
+
+// cancel cancels the work of a job.
+func (o *Origin) cancel(job *machine.Job) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.machine.Cancel(o.config.Log.Now(), job) {
+		delete(o.jobs, job)
+	}
+	o.advance()
+}
+
+// apply runs the effect of an attempt whose work is done.
+func (o *Origin) apply(a attempt) {
+	if a.write {
+		if a.method.Effect != "deduplicated" || !o.config.Deduplicator.IsRepeat("", a.id, o.config.Log.Now(), a.method.Window.Micros()) {
+			o.config.Log.Add(event.Event{Kind: event.EffectExecuted, Request: a.id, Server: UID, Router: a.router})
+		}
+		o.config.OnWrite(a.key)
+	} else {
+		o.config.OnRead(a.id, a.key)
+	}
 }
--- a/internal/lab/origin/origin_test.go
+++ b/internal/lab/origin/origin_test.go
@@ -28,13 +28,13 @@
 		return 0, "", ""
 	}
 	defer a.Body.Close()
-	text, _ := io.ReadAll(a.Body) // what is cut off fails the comparison
+	text, _ := io.ReadAll(a.Body) // a truncated body fails the comparison
 	return a.StatusCode, a.Header.Get("X-Never-Ran"), string(text)
 }
 
 func TestOrigin(t *testing.T) {
 	log := event.NewLog()
-	var mu sync.Mutex // of these two: the origin's own goroutines call
+	var mu sync.Mutex // guards filled and dropped, which the origin's goroutines change
 	filled, dropped := "", ""
 	note := func(to *string, what string) {
 		mu.Lock()
@@ -49,8 +49,8 @@
 	methods := map[string]scenario.Method{"read": {Name: "read", Effect: "retryable"}, "book": {Name: "book", Effect: "non-retryable"},
 		"hold": {Name: "hold", Effect: "deduplicated", Window: 60e6}}
 	set := scenario.Origin{Cores: 1, Queue: 0, Work: 1000}
-	o, err := Start(&Fleet{Log: log, Set: set, Methods: methods, Repeats: &cacheserver.Repeats{}, Cold: func(event.RequestID) bool { return false },
-		Filled: func(r event.RequestID, k string) { note(&filled, string(r)+" "+k+";") }, Dropped: func(k string) { note(&dropped, k+";") }},
+	o, err := Start(&Config{Log: log, Settings: set, Methods: methods, Deduplicator: &cacheserver.Deduplicator{}, IsColdMiss: func(event.RequestID) bool { return false },
+		OnRead: func(r event.RequestID, k string) { note(&filled, string(r)+" "+k+";") }, OnWrite: func(k string) { note(&dropped, k+";") }},
 		[]string{"127.15.0.1:18080"}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	defer o.Close()
 	addr := o.Addr(0)
 	const long = 2 * time.Second
-	if status, _, body := call(t, addr, "GET", "/a%20b", "id1", "c=read,d=9,size=40", long); status != 200 || !cacheserver.MadeFor("id1", []byte(body)) || len(body) != 40 {
+	if status, _, body := call(t, addr, "GET", "/a%20b", "id1", "c=read,d=9,size=40", long); status != 200 || !cacheserver.IsValueFor("id1", []byte(body)) || len(body) != 40 {
 		t.Error(status, body)
 	}
 	if status, _, _ := call(t, addr, "PUT", "/k", "id2", "c=book,d=9", long); status != 200 {
@@ -72,14 +72,14 @@
 	if status, _, _ := call(t, addr, "GET", "/k", "id4", "c=nothing", long); status != 400 {
 		t.Error(status)
 	}
-	o.Strike(scenario.Fault{Kind: "origin_stop"}, false)
+	o.ApplyFault(scenario.Fault{Kind: "origin_stop"}, false)
 	if status, _, _ := call(t, addr, "PUT", "/k", "id5", "c=book,d=9", 50*time.Millisecond); status != 0 {
-		t.Error("a stopped origin answers ", status)
+		t.Error("a stopped origin answered ", status)
 	}
 	if status, never, _ := call(t, addr, "GET", "/k", "id6", "c=read,d=9", long); status != 503 || never != "1" {
-		t.Error("a full origin answers ", status, never)
+		t.Error("a full origin answered ", status, never)
 	}
-	o.Strike(scenario.Fault{Kind: "origin_stop"}, true)
+	o.ApplyFault(scenario.Fault{Kind: "origin_stop"}, true)
 	for until := time.Now().Add(long); strings.Count(noted(&dropped), "k;") < 4 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
@@ -89,7 +89,7 @@
 			ran += string(e.Request) + ";"
 		}
 	}
-	// What nobody waits for any more runs all the same, once.
+	// A write whose router has given up still runs, once.
 	if ran != "id2;id3;id5;" || noted(&filled) != "id1 a b;" || !strings.HasPrefix(noted(&dropped), "k;k;k;k;") {
 		t.Errorf("ran %s, filled %s, dropped %s", ran, noted(&filled), noted(&dropped))
 	}
--- a/internal/lab/report/loss_test.go
+++ b/internal/lab/report/loss_test.go
@@ -10,14 +10,14 @@
 )
 
 func Example_inversions() {
-	for _, x := range []struct{ nacked, served map[float64]int }{
-		{map[float64]int{1: 9}, map[float64]int{3: 9}},             // what is worth less went
-		{map[float64]int{3: 2}, map[float64]int{1: 9}},             // two that are worth more, while nine that are worth less were served
-		{map[float64]int{3: 4, 1: 5}, map[float64]int{1: 3, 5: 7}}, // of four three could have had a place
-		{map[float64]int{5: 1, 3: 1}, map[float64]int{3: 1, 1: 1}}, // each the place of the next
-		{map[float64]int{3: 2}, map[float64]int{3: 9}},             // of one worth it is chance
+	for _, x := range []struct{ rejected, served map[float64]int }{
+		{map[float64]int{1: 9}, map[float64]int{3: 9}},             // only the less critical are rejected
+		{map[float64]int{3: 2}, map[float64]int{1: 9}},             // two more critical are rejected while nine less critical are served
+		{map[float64]int{3: 4, 1: 5}, map[float64]int{1: 3, 5: 7}}, // three of four could have been served instead
+		{map[float64]int{5: 1, 3: 1}, map[float64]int{3: 1, 1: 1}}, // each could have been served instead of the next
+		{map[float64]int{3: 2}, map[float64]int{3: 9}},             // equal criticality is no inversion
 	} {
-		fmt.Println(inversions(x.nacked, x.served))
+		fmt.Println(countInversions(x.rejected, x.served))
 	}
 	// Output:
 	// 0
@@ -27,8 +27,8 @@
 	// 0
 }
 
-// The parts of a loss: what was asked in each, what was answered in time, who was refused.
-func TestPartsOfALoss(t *testing.T) {
+// Each phase of a site loss has its own service, goodput, rejections and latency.
+func TestPhasesOfASiteLoss(t *testing.T) {
 	s := scenario.Default()
 	s.Length, s.Tenants = 30e6, nil
 	s.Methods = []scenario.Method{{Name: "read", LatencyBudget: 200e3, Criticality: 3}, {Name: "report", LatencyBudget: 200e3, Criticality: 1}}
@@ -49,9 +49,9 @@
 			ask(at, 1, event.Succeeded, 250e3) // late
 		}
 	}
-	l := lossOf(r)
-	if l == nil || l.Before.Service != 0.75 || l.In.Service != 0.75 || l.In.Refused[1].Share != 1 || l.In.Refused[0].Share != 0 || l.Refuse != 0.5 ||
-		l.In.Inversions != 0 || l.Back != 0 || l.Dip != 0 || l.In.Goodput < 9.9 || l.In.P99 > 0.26 || l.Before.P99 < 1.2 {
+	l := siteLossOf(r)
+	if l == nil || l.Before.Service != 0.75 || l.During.Service != 0.75 || l.During.Rejected[1].Share != 1 || l.During.Rejected[0].Share != 0 || l.RejectedShare != 0.5 ||
+		l.During.Inversions != 0 || l.RecoverySeconds != 0 || l.Dip != 0 || l.During.Goodput < 9.9 || l.During.P99 > 0.26 || l.Before.P99 < 1.2 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/lab/report/recovery.go
+++ b/internal/lab/report/recovery.go
@@ -11,78 +11,91 @@
 
 	"spurtrestle/internal/lab/event"
 	"spurtrestle/internal/lab/fleet"
+	"spurtrestle/internal/lab/scenario"
 )
 
-// Around is what clients saw around the moment when the last router that had ended was up again: the ops that came up in
-// each part, their criticality, what was earned, and how long the satisfied ones took.
-type Around struct {
-	PartMs float64 `json:"part_ms"`
-	Before []Part  `json:"before"` // the last first: before the first router ended
-	After  []Part  `json:"after"`
+// RestartWindow holds what clients observed around a restart of routers, in time slices before the first router ended and
+// after the last one was up again.
+type RestartWindow struct {
+	PartMs float64     `json:"part_ms"`
+	Before []TimeSlice `json:"before"` // before the first router ended, latest slice first
+	After  []TimeSlice `json:"after"`
 }
 
-// Part is a short span of a run.
-type Part struct {
-	Asked  float64   `json:"asked"`
-	Earned float64   `json:"earned"`
-	TookMs []float32 `json:"took_ms"`
+// TimeSlice holds the offered and earned criticality and the latencies of a short span of a run.
+type TimeSlice struct {
+	Offered   float64   `json:"asked"`
+	Earned    float64   `json:"earned"`
+	LatencyMs []float32 `json:"took_ms"`
 }
 
 const (
-	partSpan    = 250e3
-	beforeParts = 20
-	afterParts  = 40
+	sliceSpan    = 250e3
+	slicesBefore = 20
+	slicesAfter  = 40
 )
 
-// around looks for a restart; nil where there is none, or it is too near to an end of the run.
-func around(r fleet.Result) *Around {
-	down, up := event.Micros(-1), event.Micros(-1)
+// restartSpan returns when the first router ended and when the last one was up again; -1 for a time that was not recorded.
+func restartSpan(r fleet.Result) (down, up event.Micros) {
+	down, up = event.Micros(-1), event.Micros(-1)
 	for _, e := range r.Events {
 		switch {
-		case (e.Kind == event.SIGTERMSent || e.Kind == event.SIGKILLSent) && down < 0 && e.At < r.From+r.Scenario.Length.Micros():
+		case (e.Kind == event.SIGTERMSent || e.Kind == event.SIGKILLSent) && down < 0 && e.At < r.ClientsStart+r.Scenario.Length.Micros():
 			down = e.At
 		case e.Kind == event.RouterUp && down >= 0:
 			up = e.At
 		}
 	}
-	if up < 0 || down-r.From < partSpan*beforeParts {
+	return down, up
+}
+
+// restartWindowOf returns the window around the restart in a run. It is nil if there is no restart or it is too close to the
+// start of the run.
+func restartWindowOf(r fleet.Result) *RestartWindow {
+	down, up := restartSpan(r)
+	if up < 0 || down-r.ClientsStart < sliceSpan*slicesBefore {
 		return nil
 	}
-	a := &Around{PartMs: partSpan / 1e3, Before: make([]Part, beforeParts), After: make([]Part, afterParts)}
-	took := map[event.Op]event.Micros{}
+	window := &RestartWindow{PartMs: sliceSpan / 1e3, Before: make([]TimeSlice, slicesBefore), After: make([]TimeSlice, slicesAfter)}
+	answeredAt := map[event.Op]event.Micros{}
 	for _, e := range r.Events {
-		if _, known := took[e.Op]; e.Kind == event.Answered && e.Outcome == event.Succeeded && !known {
-			took[e.Op] = e.At
+		if _, known := answeredAt[e.Op]; e.Kind == event.Answered && e.Outcome == event.Succeeded && !known {
+			answeredAt[e.Op] = e.At
 		}
 	}
 	for _, e := range r.Events {
 		if e.Kind != event.OperationDue {
 			continue
 		}
-		var p *Part
-		switch i, j := int((down-e.At)/partSpan), int((e.At-up)/partSpan); {
-		case e.At < down && i < beforeParts:
-			p = &a.Before[i]
-		case e.At >= up && j < afterParts:
-			p = &a.After[j]
+		var p *TimeSlice
+		switch i, j := int((down-e.At)/sliceSpan), int((e.At-up)/sliceSpan); {
+		case e.At < down && i < slicesBefore:
+			p = &window.Before[i]
+		case e.At >= up && j < slicesAfter:
+			p = &window.After[j]
 		default:
 			continue
 		}
 		m := r.Scenario.Methods[e.Method]
-		p.Asked += m.Criticality
-		if at, served := took[e.Op]; served {
-			if at-e.At <= m.LatencyBudget.Micros() {
-				p.Earned += m.Criticality
-			} else {
-				p.Earned += m.Criticality * m.LateShare
-			}
-			p.TookMs = append(p.TookMs, float32(at-e.At)/1e3)
+		p.Offered += m.Criticality
+		if at, served := answeredAt[e.Op]; served {
+			p.addServed(m, at-e.At)
 		}
 	}
-	return a
+	return window
+}
+
+// addServed adds an operation that was served after a latency.
+func (p *TimeSlice) addServed(m scenario.Method, latency event.Micros) {
+	if latency <= m.LatencyBudget.Micros() {
+		p.Earned += m.Criticality
+	} else {
+		p.Earned += m.Criticality * m.LateShare
+	}
+	p.LatencyMs = append(p.LatencyMs, float32(latency)/1e3)
 }
 
-// Recovery is how long after a restart service and p99 were within a part of what they had been before.
+// Recovery holds how long after a restart service and p99 were back within a tolerance of their values before it.
 type Recovery struct {
 	SteadyService float64 `json:"steady_service"`
 	SteadyP99     float64 `json:"steady_p99_ms"`
@@ -92,138 +105,140 @@
 }
 
 const (
-	within      = 0.05
-	windowParts = 4 // a second: p99 of less is chance
+	tolerance    = 0.05
+	windowSlices = 4 // one second, since p99 over fewer samples is too noisy
 )
 
-// recover pools runs and finds the first part from which on a second of it is as before.
-func recover(runs []*Around) Recovery {
-	pool := func(of func(*Around) []Part) Part {
-		var p Part
+// measureRecovery pools runs and finds the first time slice from which on one second is within the tolerance.
+func measureRecovery(runs []*RestartWindow) Recovery {
+	pool := func(of func(*RestartWindow) []TimeSlice) TimeSlice {
+		var p TimeSlice
 		for _, a := range runs {
 			for _, x := range of(a) {
-				p.Asked, p.Earned, p.TookMs = p.Asked+x.Asked, p.Earned+x.Earned, append(p.TookMs, x.TookMs...)
+				p.Offered, p.Earned, p.LatencyMs = p.Offered+x.Offered, p.Earned+x.Earned, append(p.LatencyMs, x.LatencyMs...)
 			}
 		}
 		return p
 	}
-	before := pool(func(a *Around) []Part { return a.Before })
-	r := Recovery{SteadyService: before.Earned / max(1, before.Asked), SteadyP99: p99(before.TookMs), Service: math.Inf(1), P99: math.Inf(1),
+	before := pool(func(a *RestartWindow) []TimeSlice { return a.Before })
+	r := Recovery{SteadyService: before.Earned / max(1, before.Offered), SteadyP99: p99(before.LatencyMs), Service: math.Inf(1), P99: math.Inf(1),
 		Both: math.Inf(1)}
-	for i := 0; i+windowParts <= afterParts; i++ {
-		now := pool(func(a *Around) []Part { return a.After[i : i+windowParts] })
-		at := float64(i) * partSpan / 1e6
-		good := now.Earned/max(1, now.Asked) >= (1-within)*r.SteadyService
-		quick := p99(now.TookMs) <= (1+within)*r.SteadyP99
-		if good {
+	for i := 0; i+windowSlices <= slicesAfter; i++ {
+		now := pool(func(a *RestartWindow) []TimeSlice { return a.After[i : i+windowSlices] })
+		at := float64(i) * sliceSpan / 1e6
+		serviceRecovered := now.Earned/max(1, now.Offered) >= (1-tolerance)*r.SteadyService
+		latencyRecovered := p99(now.LatencyMs) <= (1+tolerance)*r.SteadyP99
+		if serviceRecovered {
 			r.Service = min(r.Service, at)
 		}
-		if quick {
+		if latencyRecovered {
 			r.P99 = min(r.P99, at)
 		}
-		if good && quick {
+		if serviceRecovered && latencyRecovered {
 			r.Both = min(r.Both, at)
 		}
 	}
-	// What never recovered took as long as was looked at, or more.
-	most := float64(afterParts) * partSpan / 1e6
-	r.Service, r.P99, r.Both = min(r.Service, most), min(r.P99, most), min(r.Both, most)
+	// A run that did not recover counts with the length of the window.
+	longest := float64(slicesAfter) * sliceSpan / 1e6
+	r.Service, r.P99, r.Both = min(r.Service, longest), min(r.P99, longest), min(r.Both, longest)
 	return r
 }
 
-func p99(took []float32) float64 {
-	if len(took) == 0 {
+func p99(latencies []float32) float64 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	took = slices.Clone(took)
-	slices.Sort(took)
-	return float64(took[min(len(took)-1, len(took)*99/100)])
+	latencies = slices.Clone(latencies)
+	slices.Sort(latencies)
+	return float64(latencies[min(len(latencies)-1, len(latencies)*99/100)])
 }
 
-// Range is a figure with what 95 of 100 draws of runs leave it in.
+// Range is a value with its 95% bootstrap interval.
 type Range struct {
 	Value float64 `json:"value"`
 	Low   float64 `json:"low"`
 	High  float64 `json:"high"`
 }
 
-// RecoveryRow sets one figure of two candidates side by side.
-type RecoveryRow struct {
-	Figure string `json:"figure"`
+// RecoveryComparison compares one metric of two candidates.
+type RecoveryComparison struct {
+	Metric string `json:"figure"`
 	A      Range  `json:"a"`
 	B      Range  `json:"b"`
 }
 
-// Recoveries compares how two candidates come back from a restart, by pairs of runs with one seed. The intervals come from
-// drawing pairs anew, 200 times.
-func Recoveries(a, b Set) (rows []RecoveryRow, pairs int, err error) {
-	of := map[uint64]*Around{}
+// CompareRecoveries compares how two candidates recover from a restart, by pairs of runs with the same seed. The intervals
+// are computed by bootstrap: the pairs are resampled 200 times.
+func CompareRecoveries(a, b RunSet) (rows []RecoveryComparison, pairs int, err error) {
+	bySeed := map[uint64]*RestartWindow{}
 	for _, r := range b.Runs {
-		if r.Void == "" && r.Around != nil {
-			of[r.Seed] = r.Around
+		if r.InvalidReason == "" && r.AroundRestart != nil {
+			bySeed[r.Seed] = r.AroundRestart
 		}
 	}
-	var left, right []*Around
+	var runsA, runsB []*RestartWindow
 	for _, r := range a.Runs {
-		if other := of[r.Seed]; r.Void == "" && r.Around != nil && other != nil {
-			left, right = append(left, r.Around), append(right, other)
+		if other := bySeed[r.Seed]; r.InvalidReason == "" && r.AroundRestart != nil && other != nil {
+			runsA, runsB = append(runsA, r.AroundRestart), append(runsB, other)
 		}
 	}
-	if len(left) < 2 {
-		return nil, len(left), fmt.Errorf("%d pairs of runs with a restart are too few; run both with --seeds 10", len(left))
+	if len(runsA) < 2 {
+		return nil, len(runsA), fmt.Errorf("%d pairs of runs with a restart are too few; run both with --seeds 10", len(runsA))
 	}
 	names := []string{"service back to 95% of before, s", "p99 back to 105% of before, s", "both, s", "service in the second after",
 		"service in the 5 s after", "service before", "p99 before, ms"}
-	figures := func(runs []*Around) []float64 {
-		x := recover(runs)
-		return []float64{x.Service, x.P99, x.Both, early(runs, 4), early(runs, 20), x.SteadyService, x.SteadyP99}
+	figures := func(runs []*RestartWindow) []float64 {
+		resampledA := measureRecovery(runs)
+		return []float64{resampledA.Service, resampledA.P99, resampledA.Both, earlyService(runs, 4), earlyService(runs, 20), resampledA.SteadyService, resampledA.SteadyP99}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	const draws = 200
 	drawnA, drawnB := make([][]float64, len(names)), make([][]float64, len(names))
 	for range draws {
-		x, y := make([]*Around, len(left)), make([]*Around, len(left))
-		for i := range x {
-			n := r.IntN(len(left))
-			x[i], y[i] = left[n], right[n]
+		resampledA, resampledB := make([]*RestartWindow, len(runsA)), make([]*RestartWindow, len(runsA))
+		for i := range resampledA {
+			n := r.IntN(len(runsA))
+			resampledA[i], resampledB[i] = runsA[n], runsB[n]
 		}
-		u, v := figures(x), figures(y)
+		u, v := figures(resampledA), figures(resampledB)
 		for i := range names {
 			drawnA[i], drawnB[i] = append(drawnA[i], u[i]), append(drawnB[i], v[i])
 		}
 	}
-	valueA, valueB := figures(left), figures(right)
+	valueA, valueB := figures(runsA), figures(runsB)
 	for i, name := range names {
-		row := RecoveryRow{Figure: name, A: Range{Value: valueA[i]}, B: Range{Value: valueB[i]}}
-		row.A.Low, row.A.High = ends(drawnA[i])
-		row.B.Low, row.B.High = ends(drawnB[i])
+		row := RecoveryComparison{Metric: name, A: Range{Value: valueA[i]}, B: Range{Value: valueB[i]}}
+		row.A.Low, row.A.High = interval95(drawnA[i])
+		row.B.Low, row.B.High = interval95(drawnB[i])
 		rows = append(rows, row)
 	}
-	return rows, len(left), nil
+	return rows, len(runsA), nil
 }
 
-func early(runs []*Around, parts int) float64 {
-	asked, earned := 0.0, 0.0
+// earlyService returns the service over the first slices after the restart.
+func earlyService(runs []*RestartWindow, slices int) float64 {
+	offered, earned := 0.0, 0.0
 	for _, a := range runs {
-		for _, p := range a.After[:parts] {
-			asked, earned = asked+p.Asked, earned+p.Earned
+		for _, p := range a.After[:slices] {
+			offered, earned = offered+p.Offered, earned+p.Earned
 		}
 	}
-	return earned / max(1, asked)
+	return earned / max(1, offered)
 }
 
-func ends(xs []float64) (low, high float64) {
+// interval95 returns the bounds of the central 95% of the values, which it sorts.
+func interval95(xs []float64) (low, high float64) {
 	slices.SortFunc(xs, cmp.Compare[float64])
 	return xs[len(xs)*25/1000], xs[len(xs)*975/1000]
 }
 
-// RecoveryTable writes the comparison for people.
-func RecoveryTable(w io.Writer, rows []RecoveryRow, pairs int) error {
+// WriteRecoveries writes a comparison of recoveries as a table.
+func WriteRecoveries(w io.Writer, rows []RecoveryComparison, pairs int) error {
 	fmt.Fprintf(w, "%d pairs of runs; in brackets 95 of 100 draws of pairs\n", pairs)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tA\tB")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%.3f (%.3f to %.3f)\t%.3f (%.3f to %.3f)\n", r.Figure, r.A.Value, r.A.Low, r.A.High, r.B.Value, r.B.Low, r.B.High)
+		fmt.Fprintf(t, "%s\t%.3f (%.3f to %.3f)\t%.3f (%.3f to %.3f)\n", r.Metric, r.A.Value, r.A.Low, r.A.High, r.B.Value, r.B.Low, r.B.High)
 	}
 	return t.Flush()
 }
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -86,11 +86,11 @@
 	}
 	var routerAddrs, proxyAddrs []netip.AddrPort
 	for i := range o.Routers {
-		routerAddrs = append(routerAddrs, netip.MustParseAddrPort(r.network.Views()[i]))
-		proxyAddrs = append(proxyAddrs, netip.MustParseAddrPort(r.network.Ways()[i]))
+		routerAddrs = append(routerAddrs, netip.MustParseAddrPort(r.network.GossipListeners()[i]))
+		proxyAddrs = append(proxyAddrs, netip.MustParseAddrPort(r.network.GossipAdvertised()[i]))
 		r.names = append(r.names, fmt.Sprintf("r%d", i))
 		r.addressOf = append(r.addressOf, i)
-		r.adminAddresses = append(r.adminAddresses, r.network.Doors()[i])
+		r.adminAddresses = append(r.adminAddresses, r.network.AdminEndpoints()[i])
 	}
 	ports := 1
 	if o.Policy != "" {
@@ -112,7 +112,7 @@
 		r.ListServers(site, o.Servers)
 	}
 	// A server that gets no requests: a router accepts no clients unless discovery lists a server.
-	r.registryServer.Set(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.network.Server(0)[i] }}, true)
+	r.registryServer.Update(registry.Entry{UID: "s0", Zone: o.Sites[0], Kind: "cache", State: "active", Addr: func(i event.Router) string { return r.network.Server(0)[i] }}, true)
 	if o.PollInterval > 0 {
 		var ctx context.Context
 		ctx, r.stop = context.WithCancel(context.Background())
@@ -132,7 +132,7 @@
 			state = "left"
 		}
 		place := 1 + i + r.o.Servers*slices.Index(r.o.Sites, site)
-		r.registryServer.Set(registry.Entry{UID: event.Server(fmt.Sprintf("%s-%d", site, i)), Zone: site, Kind: "cache", State: state,
+		r.registryServer.Update(registry.Entry{UID: event.Server(fmt.Sprintf("%s-%d", site, i)), Zone: site, Kind: "cache", State: state,
 			Addr: func(i event.Router) string { return r.network.Server(place)[i] }}, false)
 	}
 }
@@ -260,7 +260,7 @@
 		settings.Methods = slices.Clone(settings.Methods)
 		settings.Methods[0].Name = r.o.Method(i)
 	}
-	text, err := fleet.Config(settings, i, r.names[i], r.network.Routers()[i], r.network.Discovery()[i], fmt.Sprintf("%x", i+1), r.registryServer.Known(event.Router(i)))
+	text, err := fleet.Config(settings, i, r.names[i], r.network.Routers()[i], r.network.Discovery()[i], fmt.Sprintf("%x", i+1), r.registryServer.FullList(event.Router(i)))
 	if err == nil {
 		err = os.WriteFile(r.file(i, "json"), text, 0o644)
 	}
@@ -279,7 +279,7 @@
 	var joinAddresses []string
 	for _, j := range join {
 		if j < r.o.Routers {
-			joinAddresses = append(joinAddresses, r.network.Ways()[j])
+			joinAddresses = append(joinAddresses, r.network.GossipAdvertised()[j])
 		}
 	}
 	list, err := json.Marshal(joinAddresses)
@@ -290,8 +290,8 @@
 	if r.o.Fleet != nil {
 		name = r.o.Fleet(i)
 	}
-	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.network.Views()[r.addressOf[i]],
-		r.network.Ways()[r.addressOf[i]], list, r.o.Probe)
+	own := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nadvertise = %q\njoin = %s\nprobe = %q\n", name, r.network.GossipListeners()[r.addressOf[i]],
+		r.network.GossipAdvertised()[r.addressOf[i]], list, r.o.Probe)
 	if r.o.ForgetAfter > 0 {
 		own += fmt.Sprintf("forget = %q\n", r.o.ForgetAfter)
 	}
@@ -305,7 +305,7 @@
 		}
 		own += fmt.Sprintf("[policy]\ncut_off = %q\nkeepers = [%s]\n", r.o.Policy, strings.Join(keepers, ", "))
 		if i < r.o.Keepers {
-			own += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", port(r.network.Views()[i]), port(r.network.Ways()[i]), r.file(i, "keeper"))
+			own += fmt.Sprintf("listen = %q\nadvertise = %q\ndir = %q\n", port(r.network.GossipListeners()[i]), port(r.network.GossipAdvertised()[i]), r.file(i, "keeper"))
 		}
 	}
 	return os.WriteFile(r.file(i, "toml"), []byte(own), 0o644)
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -84,7 +84,7 @@
 		return r, err
 	}
 	// A server that gets no requests: a router accepts no clients unless discovery lists a server.
-	r.registry.Set(registry.Entry{UID: "s0", Zone: r.settings.Sites[0], Kind: "cache", State: "active",
+	r.registry.Update(registry.Entry{UID: "s0", Zone: r.settings.Sites[0], Kind: "cache", State: "active",
 		Addr: func(i event.Router) string { return r.network.Server(0)[i] }}, true)
 	for i, spec := range specs {
 		member, err := r.start(program, 2*i, spec, fleetSection(spec))
@@ -125,11 +125,11 @@
 // start writes the files of one process and starts it. slot is its index in the network of the real processes.
 func (r *realRouters) start(program string, slot int, spec routerSpec, operator string) (realRouter, error) {
 	name := func(what string) string { return filepath.Join(r.dir, fmt.Sprintf("p%d.%s", slot, what)) }
-	started := realRouter{index: spec.Index, admin: r.network.Doors()[slot], log: name("log")}
+	started := realRouter{index: spec.Index, admin: r.network.AdminEndpoints()[slot], log: name("log")}
 	settings := r.settings
 	settings.Sites = []string{siteName(spec)}
 	config, err := labfleet.Config(settings, spec.Index, routerName(spec), r.network.Routers()[slot], r.network.Discovery()[slot],
-		fmt.Sprintf("%x", slot+1), r.registry.Known(event.Router(slot)))
+		fmt.Sprintf("%x", slot+1), r.registry.FullList(event.Router(slot)))
 	if err != nil {
 		return started, err
 	}
